--- a/packages/node/include/node/guard.h
+++ b/packages/node/include/node/guard.h
@@ -99,11 +99,11 @@
     struct rollout_counts *counts);
 
 /**
- * guard_serves() - whether an upstream here takes requests
+ * guard_is_serving() - whether an upstream here takes requests
  *
  * Any thread may call it.
  */
-bool guard_serves(const struct guard *g);
+bool guard_is_serving(const struct guard *g);
 
 /**
  * guard_announce_stop() - the node will stop, requests are still taken
@@ -125,11 +125,11 @@
 void guard_drain(struct guard *g, uint64_t deadline_ms);
 
 /**
- * guard_stop() - log the requests that the end of the process gives up
+ * guard_log_aborted() - log the requests that the end of the process gives up
  *
  * Any thread may call it, before the traffic thread is stopped.
  */
-void guard_stop(struct guard *g);
+void guard_log_aborted(struct guard *g);
 
 /**
  * guard_in_flight() - calls that are not ended, answers in the output
@@ -141,12 +141,14 @@
  */
 typedef void guard_publish_fn(const struct quarantine_item *item, void *arg);
 
-/** guard_on_publish() - who passes on what all nodes are to know; before
+/** guard_set_publish() - who passes on what all nodes are to know; before
  * guard_start() */
-void guard_on_publish(struct guard *g, guard_publish_fn *publish, void *arg);
+void guard_set_publish(struct guard *g, guard_publish_fn *publish, void *arg);
 
-/** guard_take_news() - a peer, or an operator, tells; any thread may call it */
-void guard_take_news(struct guard *g, const struct quarantine_item *item);
+/** guard_apply_quarantine_item() - a peer, or an operator, tells; any thread
+ * may call it */
+void guard_apply_quarantine_item(
+    struct guard *g, const struct quarantine_item *item);
 
 /**
  * guard_quarantine_list() - quarantined requests
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -87,7 +87,7 @@
 	char *all = g_strjoin(" ", a->notes != NULL ? a->notes : text,
 	    a->notes != NULL ? text : NULL, NULL);
 
-	refused_text(line, sizeof(line), all);
+	refused_copy_text(line, sizeof(line), all);
 	if (line[0] != '\0')
 		log_warning("version %" G_GUINT64_FORMAT
 			    " is run with warnings, %u of the bundle: %s",
--- a/packages/node/src/control_keep.c
+++ b/packages/node/src/control_keep.c
@@ -169,7 +169,7 @@
 			continue;
 		}
 		quarantine_news_add(c->quarantine, &item, control_now(c));
-		guard_take_news(c->guard, &item);
+		guard_apply_quarantine_item(c->guard, &item);
 		taken++;
 	}
 	if (st == STATUS_OK)
--- a/packages/node/src/control_news.c
+++ b/packages/node/src/control_news.c
@@ -28,7 +28,7 @@
 static void
 share_awaited(struct control *c, uint64_t version)
 {
-	if (c->refused.on)
+	if (c->refused.active)
 		version = 0;
 	if (version == c->awaited)
 		return;
--- a/packages/node/src/control_quarantine.c
+++ b/packages/node/src/control_quarantine.c
@@ -74,7 +74,7 @@
 	c->quarantine = quarantine_news_new(
 	    c->settings->host, &c->quarantine_peers.peers, c->outbox, now_ms);
 	quarantine_rows_init(&c->quarantine_rows);
-	guard_on_publish(c->guard, on_publish, c);
+	guard_set_publish(c->guard, on_publish, c);
 }
 
 void
@@ -83,7 +83,7 @@
 	struct quarantine_item item;
 
 	while (quarantine_news_pop(c->quarantine, &item))
-		guard_take_news(c->guard, &item);
+		guard_apply_quarantine_item(c->guard, &item);
 }
 
 /* For operators */
@@ -174,7 +174,7 @@
 		hash64(item.host, strlen(item.host), ID_SEED));
 	log_warning(
 	    "request=%s is released by an operator", fingerprint_text(f, text));
-	guard_take_news(c->guard, &item);
+	guard_apply_quarantine_item(c->guard, &item);
 	pass_on(c, &item);
 	return STATUS_OK;
 }
--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -34,7 +34,7 @@
 static int64_t
 shown_version(const struct refused *r)
 {
-	if (!r->on)
+	if (!r->active)
 		return 0;
 	return r->version != 0 ? (int64_t)r->version : -1;
 }
@@ -50,7 +50,7 @@
 		log_error("version %" G_GUINT64_FORMAT
 			  " can't be used, version %" G_GUINT64_FORMAT
 			  " stays in force: %s left_out=%" G_GUINT64_FORMAT,
-		    r->version, r->in_force, r->reason, r->n_silent);
+		    r->version, r->in_force, r->reason, r->n_unlogged);
 }
 
 /* What the node's progress reports tell. */
@@ -60,29 +60,29 @@
 	const struct refused *r = &c->refused;
 	struct spread_refusal told = {0};
 
-	if (r->on) {
+	if (r->active) {
 		told.nodes = 1;
 		told.version = r->version;
 		told.since_wall_ms = r->since_wall_ms;
-		refused_text(told.reason, sizeof(told.reason), r->reason);
+		refused_copy_text(told.reason, sizeof(told.reason), r->reason);
 	}
 	spread_refuse(c->spread, control_now(c), &told);
 }
 
 static void
-tell(struct control *c, enum refused_news news)
+tell(struct control *c, enum refused_change news)
 {
 	struct refused *r = &c->refused;
 
 	metric_set(&version_gauge, shown_version(r));
-	metric_set(&since_gauge, r->on ? (int64_t)r->since_wall_ms : 0);
+	metric_set(&since_gauge, r->active ? (int64_t)r->since_wall_ms : 0);
 	metric_set(&refused_count, (int64_t)r->n_versions);
 	report(c);
 	if (news == REFUSED_ENDED)
 		log_info("the refusal of versions has ended, the last was "
 			 "%" G_GUINT64_FORMAT " since %" G_GUINT64_FORMAT ".",
 		    r->version, r->since_wall_ms);
-	else if (news != REFUSED_SAME)
+	else if (news != REFUSED_UNCHANGED)
 		log_refused(r);
 }
 
@@ -91,9 +91,9 @@
 {
 	struct refused_time at = {control_now(c), clock_wall_ms()};
 
-	refused_known(&c->refused, c->known);
+	refused_version_known(&c->refused, c->known);
 	tell(c,
-	    refused_note(
+	    refused_record(
 		&c->refused, at, version, catalog_version(c->catalog), reason));
 }
 
@@ -102,13 +102,14 @@
 {
 	metric_set(&warnings_gauge, n_warnings);
 	tell(c,
-	    refused_given(&c->refused, version, catalog_version(c->catalog)));
+	    refused_version_readable(
+		&c->refused, version, catalog_version(c->catalog)));
 }
 
 void
 control_refused_in_force(struct control *c, uint64_t version)
 {
-	tell(c, refused_in_force(&c->refused, version));
+	tell(c, refused_version_in_force(&c->refused, version));
 }
 
 static void
@@ -135,7 +136,7 @@
 	const struct refused *r = &c->refused;
 	const struct feed_refusal told = {
 	    r->version, r->in_force, r->since_wall_ms, r->reason};
-	enum refused_row_act act;
+	enum refused_row_action act;
 
 	if (!can_tell(c))
 		return;
@@ -161,7 +162,7 @@
 {
 	const struct refused *r = &c->refused;
 
-	if (!r->on)
+	if (!r->active)
 		return json_null();
 	return json_pack("{s:I,s:I,s:s}", "version", (json_int_t)r->version,
 	    "since_wall_ms", (json_int_t)r->since_wall_ms, "reason", r->reason);
--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -248,7 +248,7 @@
 }
 
 bool
-guard_serves(const struct guard *g)
+guard_is_serving(const struct guard *g)
 {
 	return atomic_load(&g->serving) > 0;
 }
@@ -296,7 +296,7 @@
 }
 
 void
-guard_stop(struct guard *g)
+guard_log_aborted(struct guard *g)
 {
 	loop_post(g->loop, do_stop, g);
 }
--- a/packages/node/src/guard_priv.h
+++ b/packages/node/src/guard_priv.h
@@ -60,7 +60,7 @@
  * @tick: forgets old fates, moves the drain on
  * @in_flight: number of requests, atomic for guard_in_flight()
  * @busy_conns: connections on which a stop would cut something, likewise
- * @serving: upstreams that take requests, atomic for guard_serves()
+ * @serving: upstreams that take requests, atomic for guard_is_serving()
  * @draining: a drain was asked for
  * @drained: and has begun in the guard's thread
  * @counts_lock: over the counts of all upstreams, and over @upstreams itself
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -435,7 +435,7 @@
 }
 
 void
-guard_take_news(struct guard *g, const struct quarantine_item *item)
+guard_apply_quarantine_item(struct guard *g, const struct quarantine_item *item)
 {
 	struct guard_news *news = g_new(struct guard_news, 1);
 
@@ -445,7 +445,7 @@
 }
 
 void
-guard_on_publish(struct guard *g, guard_publish_fn *publish_fn, void *arg)
+guard_set_publish(struct guard *g, guard_publish_fn *publish_fn, void *arg)
 {
 	g->quarantine.publish = publish_fn;
 	g->quarantine.arg = arg;
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -98,7 +98,7 @@
 	n->admin = NULL;
 	callers_stop(n->callers);
 	entry_stop(n->entry);
-	guard_stop(n->guard);
+	guard_log_aborted(n->guard);
 	traffic_thread_stop(n->traffic);
 	control_stop(n->control);
 }
@@ -139,7 +139,7 @@
 static void
 node_serve_on(const struct node *n, uint64_t until_ms)
 {
-	while (clock_now_ms() < until_ms && guard_serves(n->guard))
+	while (clock_now_ms() < until_ms && guard_is_serving(n->guard))
 		g_usleep(STOP_POLL_MS * G_TIME_SPAN_MILLISECOND);
 }
 
--- a/packages/node/src/quarantine_rows.c
+++ b/packages/node/src/quarantine_rows.c
@@ -59,7 +59,7 @@
 		if (strcmp(row->key, key) == 0)
 			drop(q, l);
 	}
-	if (q->waiting.length >= QUARANTINE_ROWS_WAITING_MAX)
+	if (q->waiting.length >= QUARANTINE_ROWS_PENDING_MAX)
 		drop(q, first_idle(q));
 	row = g_new(struct quarantine_row, 1);
 	row->key = g_strdup(key);
@@ -67,7 +67,7 @@
 	g_queue_push_tail(&q->waiting, row);
 }
 
-enum quarantine_rows_act
+enum quarantine_rows_action
 quarantine_rows_next(struct quarantine_rows *q, bool reader, uint64_t now_ms,
     const struct quarantine_row **row)
 {
@@ -85,7 +85,7 @@
 void
 quarantine_rows_done(struct quarantine_rows *q, bool well, uint64_t now_ms)
 {
-	enum quarantine_rows_act act = q->act;
+	enum quarantine_rows_action act = q->act;
 
 	q->act = QUARANTINE_ROWS_NONE;
 	if (!well) {
--- a/packages/node/src/quarantine_rows.h
+++ b/packages/node/src/quarantine_rows.h
@@ -18,10 +18,10 @@
 #define QUARANTINE_ROWS_RETRY_MS 2000
 
 /* Most writes that wait while the platform is away; the oldest go first. */
-#define QUARANTINE_ROWS_WAITING_MAX 128
+#define QUARANTINE_ROWS_PENDING_MAX 128
 
-/** enum quarantine_rows_act - what is to be done at the platform */
-enum quarantine_rows_act {
+/** enum quarantine_rows_action - what is to be done at the platform */
+enum quarantine_rows_action {
 	QUARANTINE_ROWS_NONE = 0,
 	QUARANTINE_ROWS_READ,
 	QUARANTINE_ROWS_PUT,
@@ -36,7 +36,7 @@
  */
 struct quarantine_rows {
 	GQueue waiting;
-	enum quarantine_rows_act act;
+	enum quarantine_rows_action act;
 	bool read;
 	uint64_t due_ms;
 };
@@ -71,7 +71,7 @@
  *
  * Return: what the caller begins at once; quarantine_rows_done() ends it.
  */
-enum quarantine_rows_act quarantine_rows_next(struct quarantine_rows *q,
+enum quarantine_rows_action quarantine_rows_next(struct quarantine_rows *q,
     bool reader, uint64_t now_ms, const struct quarantine_row **row);
 
 /** quarantine_rows_done() - a call has ended, well or not */
--- a/packages/node/src/refused.c
+++ b/packages/node/src/refused.c
@@ -7,19 +7,19 @@
 
 #include <glib.h>
 
-static enum refused_news
+static enum refused_change
 end(struct refused *r)
 {
-	if (!r->on)
-		return REFUSED_SAME;
-	r->on = false;
+	if (!r->active)
+		return REFUSED_UNCHANGED;
+	r->active = false;
 	r->reason[0] = '\0';
 	r->next_log_ms = 0;
 	return REFUSED_ENDED;
 }
 
 void
-refused_text(char *to, size_t size, const char *text)
+refused_copy_text(char *to, size_t size, const char *text)
 {
 	char *valid = g_utf8_make_valid(text, -1);
 	const char *end;
@@ -37,7 +37,8 @@
 static bool
 is_known(const struct refused *r, uint64_t version, const char *reason)
 {
-	return r->on && r->version == version && strcmp(r->reason, reason) == 0;
+	return r->active && r->version == version &&
+	    strcmp(r->reason, reason) == 0;
 }
 
 /* Whether the one that is refused came later: the platform has not gone back
@@ -45,70 +46,71 @@
 static bool
 is_late(const struct refused *r, uint64_t version)
 {
-	return r->on && version != 0 && version < r->ends_at &&
+	return r->active && version != 0 && version < r->ends_at &&
 	    version != r->usable;
 }
 
 static void
 take(struct refused *r, uint64_t version, uint64_t in_force, const char *reason)
 {
-	r->on = true;
+	r->active = true;
 	r->version = version;
 	r->in_force = in_force;
 	r->ends_at = version != 0 ? version : r->known + 1;
 	(void)g_strlcpy(r->reason, reason, sizeof(r->reason));
 }
 
-enum refused_news
-refused_note(struct refused *r, struct refused_time at, uint64_t version,
+enum refused_change
+refused_record(struct refused *r, struct refused_time at, uint64_t version,
     uint64_t in_force, const char *reason)
 {
 	char text[REFUSED_REASON_BYTES];
-	bool began = !r->on;
+	bool began = !r->active;
 
-	refused_text(text, sizeof(text), reason);
-	refused_known(r, MAX(version, in_force));
+	refused_copy_text(text, sizeof(text), reason);
+	refused_version_known(r, MAX(version, in_force));
 	if (is_late(r, version))
-		return REFUSED_SAME;
+		return REFUSED_UNCHANGED;
 	r->usable = 0;
 	if (is_known(r, version, text))
-		return REFUSED_SAME;
+		return REFUSED_UNCHANGED;
 	if (began || version != r->version)
 		r->n_versions++;
 	if (began) {
 		r->since_wall_ms = at.wall_ms;
-		r->n_silent = 0;
+		r->n_unlogged = 0;
 	}
 	take(r, version, in_force, text);
 	if (at.now_ms < r->next_log_ms) {
-		r->n_silent++;
-		return REFUSED_SAME;
+		r->n_unlogged++;
+		return REFUSED_UNCHANGED;
 	}
 	r->next_log_ms = at.now_ms + REFUSED_LOG_MS;
 	return began ? REFUSED_BEGAN : REFUSED_CHANGED;
 }
 
 void
-refused_known(struct refused *r, uint64_t version)
+refused_version_known(struct refused *r, uint64_t version)
 {
 	r->known = MAX(r->known, version);
 }
 
-enum refused_news
-refused_given(struct refused *r, uint64_t version, uint64_t in_force)
+enum refused_change
+refused_version_readable(struct refused *r, uint64_t version, uint64_t in_force)
 {
 	/* A higher number was garbled, or operators went back from it. */
 	r->known = MAX(version, in_force);
 	r->usable = version;
-	return version == in_force ? end(r) : REFUSED_SAME;
+	return version == in_force ? end(r) : REFUSED_UNCHANGED;
 }
 
-enum refused_news
-refused_in_force(struct refused *r, uint64_t version)
+enum refused_change
+refused_version_in_force(struct refused *r, uint64_t version)
 {
-	refused_known(r, version);
-	if (!r->on || version == 0)
-		return REFUSED_SAME;
-	return version == r->usable || version >= r->ends_at ? end(r)
-							     : REFUSED_SAME;
+	refused_version_known(r, version);
+	if (!r->active || version == 0)
+		return REFUSED_UNCHANGED;
+	return version == r->usable || version >= r->ends_at
+	    ? end(r)
+	    : REFUSED_UNCHANGED;
 }
--- a/packages/node/src/refused.h
+++ b/packages/node/src/refused.h
@@ -26,14 +26,14 @@
 #define REFUSED_LOG_MS 5000
 
 /**
- * enum refused_news - what became of the record
- * @REFUSED_SAME: nothing that is to be told
+ * enum refused_change - what became of the record
+ * @REFUSED_UNCHANGED: nothing that is to be told
  * @REFUSED_BEGAN: a version is refused, none was before
  * @REFUSED_CHANGED: another version is refused, or for another reason
  * @REFUSED_ENDED: the newest version is in force
  */
-enum refused_news {
-	REFUSED_SAME = 0,
+enum refused_change {
+	REFUSED_UNCHANGED = 0,
 	REFUSED_BEGAN,
 	REFUSED_CHANGED,
 	REFUSED_ENDED,
@@ -41,7 +41,7 @@
 
 /**
  * struct refused - the record
- * @on: whether a version is refused now
+ * @active: whether a version is refused now
  * @version: the one refused last, 0 when its number can't be read
  * @in_force: version in force then
  * @since_wall_ms: when the refusal began, wall clock
@@ -51,11 +51,11 @@
  * @usable: version that the platform gave last and that could be read, 0 for
  *	none and when another was refused since
  * @n_versions: versions refused since the start
- * @n_silent: changes of this refusal that were not told
+ * @n_unlogged: changes of this refusal that were not told
  * @next_log_ms: monotonic time before which no change is told
  */
 struct refused {
-	bool on;
+	bool active;
 	uint64_t version;
 	uint64_t in_force;
 	uint64_t since_wall_ms;
@@ -64,7 +64,7 @@
 	uint64_t ends_at;
 	uint64_t usable;
 	uint64_t n_versions;
-	uint64_t n_silent;
+	uint64_t n_unlogged;
 	uint64_t next_log_ms;
 };
 
@@ -75,17 +75,17 @@
 };
 
 /**
- * refused_text() - copy a text for a line and for JSON
+ * refused_copy_text() - copy a text for a line and for JSON
  * @to: where it goes
  * @size: room there, zero included; it is cut to that
  * @text: the text; it may hold names that operators gave
  *
  * What is there is one line of whole UTF-8 characters.
  */
-void refused_text(char *to, size_t size, const char *text);
+void refused_copy_text(char *to, size_t size, const char *text);
 
 /**
- * refused_note() - a version can't be used
+ * refused_record() - a version can't be used
  * @r: the record
  * @at: now
  * @version: its number, 0 when that can't be read
@@ -95,14 +95,15 @@
  * One that is told late, after a later one, changes nothing.  One without a
  * number counts as later than all that were known of.
  */
-enum refused_news refused_note(struct refused *r, struct refused_time at,
+enum refused_change refused_record(struct refused *r, struct refused_time at,
     uint64_t version, uint64_t in_force, const char *reason);
 
-/** refused_known() - there is a version of this number, usable or not */
-void refused_known(struct refused *r, uint64_t version);
+/** refused_version_known() - there is a version of this number, usable or not
+ */
+void refused_version_known(struct refused *r, uint64_t version);
 
 /**
- * refused_given() - the platform's newest version can be read
+ * refused_version_readable() - the platform's newest version can be read
  * @r: the record
  * @version: its number; it may be lower than the one refused, since operators
  *	go back
@@ -111,10 +112,12 @@
  * Ends nothing by itself, as the version may be refused when it is put
  * together; unless it is in force already.
  */
-enum refused_news
-refused_given(struct refused *r, uint64_t version, uint64_t in_force);
+enum refused_change refused_version_readable(
+    struct refused *r, uint64_t version, uint64_t in_force);
 
-/** refused_in_force() - a version came in force, from wherever; 0 for none */
-enum refused_news refused_in_force(struct refused *r, uint64_t version);
+/** refused_version_in_force() - a version came in force, from wherever; 0 for
+ * none */
+enum refused_change
+refused_version_in_force(struct refused *r, uint64_t version);
 
 #endif
--- a/packages/node/src/refused_row.h
+++ b/packages/node/src/refused_row.h
@@ -19,16 +19,16 @@
 
 /* A refusal that ends sooner is not written: versions may follow one another
  * several times a second. */
-#define REFUSED_ROW_AFTER_MS 2000
+#define REFUSED_ROW_DELAY_MS 2000
 
 /* Least time between two writes of one refusal, of other versions. */
-#define REFUSED_ROW_AGAIN_MS 30000
+#define REFUSED_ROW_REWRITE_MS 30000
 
 /* Pause after a write that failed: the platform may be away for long. */
 #define REFUSED_ROW_RETRY_MS 5000
 
-/** enum refused_row_act - what is to be done with the row */
-enum refused_row_act {
+/** enum refused_row_action - what is to be done with the row */
+enum refused_row_action {
 	REFUSED_ROW_NONE = 0,
 	REFUSED_ROW_WRITE,
 	REFUSED_ROW_REMOVE,
@@ -46,7 +46,7 @@
 struct refused_row {
 	bool seen;
 	bool busy;
-	enum refused_row_act act;
+	enum refused_row_action act;
 	bool written;
 	uint64_t version;
 	uint64_t due_ms;
@@ -61,7 +61,7 @@
  *
  * Return: what the caller begins at once; refused_row_done() ends it.
  */
-enum refused_row_act refused_row_next(struct refused_row *row,
+enum refused_row_action refused_row_next(struct refused_row *row,
     const struct refused *r, bool first, uint64_t now_ms);
 
 /** refused_row_done() - a write or removal has ended, well or not */
--- a/packages/node/test/test_call_quarantine.c
+++ b/packages/node/test/test_call_quarantine.c
@@ -59,7 +59,7 @@
 	fingerprint_make(&parts, &f);
 	item.prints[0].content = f.content;
 	item.prints[0].caller = f.caller;
-	guard_take_news(node->guard, &item);
+	guard_apply_quarantine_item(node->guard, &item);
 }
 
 /** struct asked - a call in a thread of its own */
--- a/packages/node/test/test_call_wire.c
+++ b/packages/node/test/test_call_wire.c
@@ -476,7 +476,7 @@
 	fingerprint_make(&parts, &f);
 	item.prints[0].content = f.content;
 	item.prints[0].caller = f.caller;
-	guard_take_news(node->guard, &item);
+	guard_apply_quarantine_item(node->guard, &item);
 }
 
 static int
--- a/packages/node/test/test_refused.c
+++ b/packages/node/test/test_refused.c
@@ -12,12 +12,12 @@
 
 static struct refused r;
 
-static enum refused_news
+static enum refused_change
 note(uint64_t now_ms, uint64_t version, const char *reason)
 {
 	struct refused_time at = {now_ms, now_ms + 1000000};
 
-	return refused_note(&r, at, version, 6, reason);
+	return refused_record(&r, at, version, 6, reason);
 }
 
 static void
@@ -30,9 +30,9 @@
 {
 	fresh();
 	ck_assert_int_eq(note(0, 10, "a"), REFUSED_BEGAN);
-	ck_assert_int_eq(note(1, 10, "a"), REFUSED_SAME);
-	ck_assert_int_eq(note(90000, 10, "a"), REFUSED_SAME);
-	ck_assert(r.on);
+	ck_assert_int_eq(note(1, 10, "a"), REFUSED_UNCHANGED);
+	ck_assert_int_eq(note(90000, 10, "a"), REFUSED_UNCHANGED);
+	ck_assert(r.active);
 	ck_assert_uint_eq(r.version, 10);
 	ck_assert_uint_eq(r.in_force, 6);
 	ck_assert_uint_eq(r.since_wall_ms, 1000000);
@@ -50,7 +50,7 @@
 	reason[sizeof(reason) - 1] = '\0';
 	ck_assert_int_eq(note(0, 10, reason), REFUSED_BEGAN);
 	ck_assert_uint_eq(strlen(r.reason), REFUSED_REASON_BYTES - 1);
-	ck_assert_int_eq(note(90000, 10, reason), REFUSED_SAME);
+	ck_assert_int_eq(note(90000, 10, reason), REFUSED_UNCHANGED);
 }
 END_TEST
 
@@ -66,14 +66,14 @@
 	ck_assert(g_utf8_validate(r.reason, -1, NULL));
 	ck_assert(g_str_has_prefix(r.reason, "route \"a b \" "));
 	ck_assert_int_eq(
-	    note(90000, 10, "route \"a\nb\x7f\"\t\xff."), REFUSED_SAME);
+	    note(90000, 10, "route \"a\nb\x7f\"\t\xff."), REFUSED_UNCHANGED);
 	/* A character of two bytes at the cut. */
 	memset(reason, 'x', sizeof(reason));
 	memcpy(reason + REFUSED_REASON_BYTES - 2, "\xc3\xa9", 3);
 	ck_assert_int_eq(note(180000, 10, reason), REFUSED_CHANGED);
 	ck_assert(g_utf8_validate(r.reason, -1, NULL));
 	ck_assert_uint_eq(strlen(r.reason), REFUSED_REASON_BYTES - 2);
-	ck_assert_int_eq(note(270000, 10, reason), REFUSED_SAME);
+	ck_assert_int_eq(note(270000, 10, reason), REFUSED_UNCHANGED);
 }
 END_TEST
 
@@ -83,10 +83,10 @@
 
 	fresh();
 	for (now_ms = 0; now_ms < 60000; now_ms += 100)
-		told += note(now_ms, 10 + now_ms, "a") != REFUSED_SAME;
+		told += note(now_ms, 10 + now_ms, "a") != REFUSED_UNCHANGED;
 	ck_assert_uint_eq(told, 60000 / REFUSED_LOG_MS);
 	ck_assert_uint_eq(r.n_versions, 600);
-	ck_assert_uint_eq(r.n_silent, 600 - told);
+	ck_assert_uint_eq(r.n_unlogged, 600 - told);
 	ck_assert_uint_eq(r.since_wall_ms, 1000000);
 	ck_assert_uint_eq(r.version, 10 + 59900);
 	ck_assert_int_eq(note(70000, r.version, "b"), REFUSED_CHANGED);
@@ -98,12 +98,12 @@
 {
 	fresh();
 	(void)note(0, 10, "a");
-	ck_assert_int_eq(refused_in_force(&r, 0), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 8), REFUSED_SAME);
-	ck_assert(r.on);
-	ck_assert_int_eq(refused_in_force(&r, 12), REFUSED_ENDED);
-	ck_assert(!r.on);
-	ck_assert_int_eq(refused_in_force(&r, 12), REFUSED_SAME);
+	ck_assert_int_eq(refused_version_in_force(&r, 0), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 8), REFUSED_UNCHANGED);
+	ck_assert(r.active);
+	ck_assert_int_eq(refused_version_in_force(&r, 12), REFUSED_ENDED);
+	ck_assert(!r.active);
+	ck_assert_int_eq(refused_version_in_force(&r, 12), REFUSED_UNCHANGED);
 	/* The next incident begins at once and counts on. */
 	ck_assert_int_eq(note(1, 14, "a"), REFUSED_BEGAN);
 	ck_assert_uint_eq(r.since_wall_ms, 1000001);
@@ -116,13 +116,16 @@
 {
 	fresh();
 	(void)note(0, 10, "a");
-	ck_assert_int_eq(refused_given(&r, 12, 6), REFUSED_SAME);
-	ck_assert(r.on);
+	ck_assert_int_eq(
+	    refused_version_readable(&r, 12, 6), REFUSED_UNCHANGED);
+	ck_assert(r.active);
 	ck_assert_int_eq(note(6000, 12, "too large"), REFUSED_CHANGED);
-	ck_assert_int_eq(refused_given(&r, 12, 6), REFUSED_SAME);
-	ck_assert_int_eq(note(12000, 12, "too large"), REFUSED_SAME);
-	ck_assert_int_eq(refused_given(&r, 14, 6), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 14), REFUSED_ENDED);
+	ck_assert_int_eq(
+	    refused_version_readable(&r, 12, 6), REFUSED_UNCHANGED);
+	ck_assert_int_eq(note(12000, 12, "too large"), REFUSED_UNCHANGED);
+	ck_assert_int_eq(
+	    refused_version_readable(&r, 14, 6), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 14), REFUSED_ENDED);
 }
 END_TEST
 
@@ -131,10 +134,10 @@
 {
 	fresh();
 	(void)note(0, 10, "a");
-	ck_assert_int_eq(refused_given(&r, 8, 6), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 8), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_readable(&r, 8, 6), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 8), REFUSED_ENDED);
 	(void)note(0, 10, "a");
-	ck_assert_int_eq(refused_given(&r, 6, 6), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_readable(&r, 6, 6), REFUSED_ENDED);
 }
 END_TEST
 
@@ -142,8 +145,8 @@
 {
 	fresh();
 	ck_assert_int_eq(note(0, 0, "no JSON"), REFUSED_BEGAN);
-	ck_assert_int_eq(refused_in_force(&r, 6), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 7), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_in_force(&r, 6), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 7), REFUSED_ENDED);
 }
 END_TEST
 
@@ -151,13 +154,13 @@
 START_TEST(serving_the_one_before_again_does_not_end_it)
 {
 	fresh();
-	(void)refused_given(&r, 6, 4);
-	(void)refused_in_force(&r, 6);
+	(void)refused_version_readable(&r, 6, 4);
+	(void)refused_version_in_force(&r, 6);
 	ck_assert_int_eq(note(0, 10, "a"), REFUSED_BEGAN);
-	ck_assert_int_eq(refused_in_force(&r, 0), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 6), REFUSED_SAME);
-	ck_assert(r.on);
-	ck_assert_int_eq(refused_in_force(&r, 12), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_in_force(&r, 0), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 6), REFUSED_UNCHANGED);
+	ck_assert(r.active);
+	ck_assert_int_eq(refused_version_in_force(&r, 12), REFUSED_ENDED);
 }
 END_TEST
 
@@ -166,16 +169,16 @@
 START_TEST(a_version_without_a_number_ends_with_one_given_later)
 {
 	fresh();
-	(void)refused_given(&r, 7, 6);
+	(void)refused_version_readable(&r, 7, 6);
 	ck_assert_int_eq(note(0, 0, "no JSON"), REFUSED_BEGAN);
-	ck_assert_int_eq(refused_in_force(&r, 6), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 7), REFUSED_SAME);
-	ck_assert(r.on);
-	ck_assert_int_eq(refused_given(&r, 8, 7), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 7), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 8), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_in_force(&r, 6), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 7), REFUSED_UNCHANGED);
+	ck_assert(r.active);
+	ck_assert_int_eq(refused_version_readable(&r, 8, 7), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 7), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 8), REFUSED_ENDED);
 	ck_assert_int_eq(note(0, 0, "no JSON"), REFUSED_BEGAN);
-	ck_assert_int_eq(refused_given(&r, 8, 8), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_readable(&r, 8, 8), REFUSED_ENDED);
 }
 END_TEST
 
@@ -184,15 +187,15 @@
 START_TEST(a_version_without_a_number_ends_with_one_above_all_known)
 {
 	fresh();
-	(void)refused_given(&r, 7, 6);
+	(void)refused_version_readable(&r, 7, 6);
 	ck_assert_int_eq(note(0, 0, "no JSON"), REFUSED_BEGAN);
-	ck_assert_int_eq(refused_in_force(&r, 8), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_in_force(&r, 8), REFUSED_ENDED);
 	/* The same where the highest known was itself refused. */
 	ck_assert_int_eq(note(0, 10, "a"), REFUSED_BEGAN);
 	ck_assert_int_eq(note(9000, 0, "no JSON"), REFUSED_CHANGED);
-	ck_assert_int_eq(refused_in_force(&r, 9), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 10), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 11), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_in_force(&r, 9), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 10), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 11), REFUSED_ENDED);
 }
 END_TEST
 
@@ -200,12 +203,12 @@
 START_TEST(a_version_heard_of_before_does_not_end_one_without_a_number)
 {
 	fresh();
-	refused_known(&r, 8);
+	refused_version_known(&r, 8);
 	ck_assert_int_eq(note(0, 0, "no JSON"), REFUSED_BEGAN);
-	refused_known(&r, 9);
-	ck_assert_int_eq(refused_in_force(&r, 8), REFUSED_SAME);
-	ck_assert(r.on);
-	ck_assert_int_eq(refused_in_force(&r, 9), REFUSED_ENDED);
+	refused_version_known(&r, 9);
+	ck_assert_int_eq(refused_version_in_force(&r, 8), REFUSED_UNCHANGED);
+	ck_assert(r.active);
+	ck_assert_int_eq(refused_version_in_force(&r, 9), REFUSED_ENDED);
 }
 END_TEST
 
@@ -214,10 +217,10 @@
 {
 	fresh();
 	ck_assert_int_eq(note(0, UINT64_C(1) << 60, "a"), REFUSED_BEGAN);
-	ck_assert_int_eq(refused_given(&r, 8, 6), REFUSED_SAME);
-	ck_assert_int_eq(refused_in_force(&r, 8), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_readable(&r, 8, 6), REFUSED_UNCHANGED);
+	ck_assert_int_eq(refused_version_in_force(&r, 8), REFUSED_ENDED);
 	ck_assert_int_eq(note(0, 0, "no JSON"), REFUSED_BEGAN);
-	ck_assert_int_eq(refused_in_force(&r, 9), REFUSED_ENDED);
+	ck_assert_int_eq(refused_version_in_force(&r, 9), REFUSED_ENDED);
 }
 END_TEST
 
@@ -226,13 +229,13 @@
 {
 	fresh();
 	ck_assert_int_eq(note(0, 10, "a"), REFUSED_BEGAN);
-	ck_assert_int_eq(note(9000, 8, "b"), REFUSED_SAME);
+	ck_assert_int_eq(note(9000, 8, "b"), REFUSED_UNCHANGED);
 	ck_assert_uint_eq(r.version, 10);
 	ck_assert_str_eq(r.reason, "a");
 	ck_assert_uint_eq(r.n_versions, 1);
-	ck_assert_int_eq(refused_in_force(&r, 9), REFUSED_SAME);
+	ck_assert_int_eq(refused_version_in_force(&r, 9), REFUSED_UNCHANGED);
 	/* Operators go back to a lower one that is refused too. */
-	(void)refused_given(&r, 8, 6);
+	(void)refused_version_readable(&r, 8, 6);
 	ck_assert_int_eq(note(18000, 8, "b"), REFUSED_CHANGED);
 	ck_assert_uint_eq(r.version, 8);
 	ck_assert_int_eq(note(27000, 10, "a"), REFUSED_CHANGED);
--- a/packages/node/test/test_refused_row.c
+++ b/packages/node/test/test_refused_row.c
@@ -19,7 +19,7 @@
 	memset(&record, 0, sizeof(record));
 }
 
-static enum refused_row_act
+static enum refused_row_action
 next(uint64_t now_ms, bool first)
 {
 	return refused_row_next(&row, &record, first, now_ms);
@@ -28,7 +28,7 @@
 static void
 refuse(uint64_t version)
 {
-	record.on = true;
+	record.active = true;
 	record.version = version;
 }
 
@@ -40,15 +40,15 @@
 	refuse(10);
 	ck_assert_int_eq(next(100, true), REFUSED_ROW_NONE);
 	ck_assert_uint_eq(refused_row_due_ms(&row, &record, true),
-	    100 + REFUSED_ROW_AFTER_MS);
+	    100 + REFUSED_ROW_DELAY_MS);
 	ck_assert_int_eq(
-	    next(100 + REFUSED_ROW_AFTER_MS, true), REFUSED_ROW_WRITE);
+	    next(100 + REFUSED_ROW_DELAY_MS, true), REFUSED_ROW_WRITE);
 	ck_assert_int_eq(next(9000, true), REFUSED_ROW_NONE);
 	refused_row_done(&row, true, 9000);
 	ck_assert_int_eq(next(900000, true), REFUSED_ROW_NONE);
 	ck_assert_uint_eq(
 	    refused_row_due_ms(&row, &record, true), DEADLINE_NEVER);
-	record.on = false;
+	record.active = false;
 	ck_assert_int_eq(next(900001, true), REFUSED_ROW_REMOVE);
 	refused_row_done(&row, true, 900002);
 	ck_assert_int_eq(next(900003, true), REFUSED_ROW_NONE);
@@ -60,12 +60,12 @@
 	fresh();
 	refuse(10);
 	ck_assert_int_eq(next(0, true), REFUSED_ROW_NONE);
-	record.on = false;
+	record.active = false;
 	ck_assert_int_eq(next(1000, true), REFUSED_ROW_NONE);
 	refuse(12);
 	ck_assert_int_eq(next(2500, true), REFUSED_ROW_NONE);
 	ck_assert_int_eq(
-	    next(2500 + REFUSED_ROW_AFTER_MS, true), REFUSED_ROW_WRITE);
+	    next(2500 + REFUSED_ROW_DELAY_MS, true), REFUSED_ROW_WRITE);
 }
 END_TEST
 
@@ -78,7 +78,7 @@
 	/* The one before it is gone. */
 	ck_assert_int_eq(next(90001, true), REFUSED_ROW_WRITE);
 	refused_row_done(&row, true, 90002);
-	record.on = false;
+	record.active = false;
 	ck_assert_int_eq(next(90003, false), REFUSED_ROW_REMOVE);
 }
 END_TEST
@@ -113,7 +113,7 @@
 	refused_row_done(&row, false, 9000);
 	/* It may have been written: it is removed all the same, and until that
 	 * was well. */
-	record.on = false;
+	record.active = false;
 	ck_assert_int_eq(next(9001, true), REFUSED_ROW_REMOVE);
 	refused_row_done(&row, false, 9002);
 	ck_assert_int_eq(next(9003, true), REFUSED_ROW_NONE);
@@ -132,13 +132,13 @@
 	(void)next(0, true);
 	ck_assert_int_eq(next(2000, true), REFUSED_ROW_WRITE);
 	refused_row_done(&row, true, 2001);
-	record.on = false;
+	record.active = false;
 	ck_assert_int_eq(next(3000, true), REFUSED_ROW_REMOVE);
 	refuse(10);
 	ck_assert_int_eq(next(3001, true), REFUSED_ROW_NONE);
 	refused_row_done(&row, true, 3002);
 	ck_assert_int_eq(
-	    next(3002 + REFUSED_ROW_AGAIN_MS, true), REFUSED_ROW_WRITE);
+	    next(3002 + REFUSED_ROW_REWRITE_MS, true), REFUSED_ROW_WRITE);
 }
 END_TEST
 
