--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -50,19 +50,19 @@
 
 	g_hash_table_iter_init(&it, g->conns);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&gc))
-		n += guard_conn_busy(gc);
+		n += guard_conn_is_busy(gc);
 	return n;
 }
 
 static void
-say_goodbye(struct guard *g)
+send_goodbyes(struct guard *g)
 {
 	struct guard_conn *gc;
 	GHashTableIter it;
 
 	g_hash_table_iter_init(&it, g->conns);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&gc))
-		guard_conn_goodbye(gc);
+		guard_conn_send_goodbye(gc);
 }
 
 static void
@@ -72,7 +72,7 @@
 	uint64_t now_ms = loop_now_ms(g->loop);
 
 	fate_expire(g->fates, now_ms);
-	guard_keyed_tick(g);
+	guard_keyed_refresh_snapshot(g);
 	guard_resolve_expire(g);
 	guard_credit_tick(g);
 	guard_quarantine_tick(g);
@@ -108,10 +108,10 @@
 	g->dialect = dialect;
 	g->incarnation = incarnation;
 	g->loop = loop;
-	g->refused_lines.per_s = LINES_PER_S;
-	g->refused_lines.burst = LINES_PER_S;
-	g->failed_lines.per_s = LINES_PER_S;
-	g->failed_lines.burst = LINES_PER_S;
+	g->refusal_log_limit.per_s = LINES_PER_S;
+	g->refusal_log_limit.burst = LINES_PER_S;
+	g->failure_log_limit.per_s = LINES_PER_S;
+	g->failure_log_limit.burst = LINES_PER_S;
 	g->http = http_client_new(loop, NULL);
 	g->fates = fates_new(g);
 	g->callers = rate_limit_new(CALLERS_MAX);
@@ -122,10 +122,10 @@
 	g->requests =
 	    g_hash_table_new_full(id_hash, id_equal, NULL, guard_request_free);
 	g->tickets = g_hash_table_new(g_int64_hash, g_int64_equal);
-	g->homes =
+	g->guard_addresses =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	g->follows = g_hash_table_new_full(id_hash, id_equal, g_free, g_free);
-	g_queue_init(&g->askings);
+	g->followers = g_hash_table_new_full(id_hash, id_equal, g_free, g_free);
+	g_queue_init(&g->key_queries);
 	guard_quarantine_init(g);
 	g_mutex_init(&g->counts_lock);
 	drain_init(&g->drain);
@@ -170,81 +170,81 @@
 }
 
 /* What another thread wants done in the guard's thread. */
-struct guard_order {
+struct guard_task {
 	struct guard *guard;
 	uint64_t deadline_ms;
 	uint32_t n_endpoints;
 	struct guard_endpoint endpoints[];
 };
 
-static struct guard_order *
-order_new(struct guard *g, uint32_t n)
+static struct guard_task *
+task_new(struct guard *g, uint32_t n)
 {
-	struct guard_order *o;
+	struct guard_task *t;
 
-	o = g_malloc0(sizeof(*o) + n * sizeof(o->endpoints[0]));
-	o->guard = g;
-	o->n_endpoints = n;
-	return o;
+	t = g_malloc0(sizeof(*t) + n * sizeof(t->endpoints[0]));
+	t->guard = g;
+	t->n_endpoints = n;
+	return t;
 }
 
 static void
-do_set(void *arg)
+do_set_endpoints(void *arg)
 {
-	struct guard_order *o = arg;
+	struct guard_task *t = arg;
 
-	guard_version_note(o->guard);
-	guard_upstream_set(o->guard, o->endpoints, o->n_endpoints);
-	g_free(o);
+	guard_version_update(t->guard);
+	guard_upstream_set(t->guard, t->endpoints, t->n_endpoints);
+	g_free(t);
 }
 
 void
 guard_set_endpoints(struct guard *g, const struct guard_endpoint *endpoints,
     uint32_t n_endpoints)
 {
-	struct guard_order *o = order_new(g, n_endpoints);
+	struct guard_task *t = task_new(g, n_endpoints);
 
 	if (n_endpoints > 0)
-		memcpy(o->endpoints, endpoints,
+		memcpy(t->endpoints, endpoints,
 		    n_endpoints * sizeof(endpoints[0]));
-	loop_post(g->loop, do_set, o);
+	loop_post(g->loop, do_set_endpoints, t);
 }
 
 static void
 do_announce_stop(void *arg)
 {
-	struct guard_order *o = arg;
+	struct guard_task *t = arg;
 
-	drain_announce(&o->guard->drain, o->deadline_ms);
-	guard_upstream_recheck(o->guard);
-	g_free(o);
+	drain_announce(&t->guard->drain, t->deadline_ms);
+	guard_upstream_refuse_late(t->guard);
+	g_free(t);
 }
 
 void
 guard_announce_stop(struct guard *g, uint64_t deadline_ms)
 {
-	struct guard_order *o = order_new(g, 0);
+	struct guard_task *t = task_new(g, 0);
 
-	o->deadline_ms = deadline_ms;
-	loop_post(g->loop, do_announce_stop, o);
+	t->deadline_ms = deadline_ms;
+	loop_post(g->loop, do_announce_stop, t);
 }
 
 static void
 do_drain(void *arg)
 {
-	struct guard_order *o = arg;
-	struct guard *g = o->guard;
+	struct guard_task *t = arg;
+	struct guard *g = t->guard;
 	uint64_t now_ms = loop_now_ms(g->loop);
 
 	drain_begin(
-	    &g->drain, 0, clock_left_ms(o->deadline_ms, now_ms), now_ms);
+	    &g->drain, 0, clock_left_ms(t->deadline_ms, now_ms), now_ms);
 	guard_upstream_drain_all(g);
-	say_goodbye(g);
+	send_goodbyes(g);
 	atomic_store(&g->busy_conns, busy_conns(g));
-	g->drained = true;
+	g->drain_started = true;
 	loop_timer_set(&g->tick, now_ms + DRAIN_TICK_MS);
 	log_info("draining, %u requests in flight", atomic_load(&g->in_flight));
-	g_free(o);
+	g_free(t);
 }
 
 bool
@@ -256,17 +256,17 @@
 void
 guard_drain(struct guard *g, uint64_t deadline_ms)
 {
-	struct guard_order *o = order_new(g, 0);
+	struct guard_task *t = task_new(g, 0);
 
-	o->deadline_ms = deadline_ms;
-	atomic_store(&g->draining, true);
-	loop_post(g->loop, do_drain, o);
+	t->deadline_ms = deadline_ms;
+	atomic_store(&g->drain_requested, true);
+	loop_post(g->loop, do_drain, t);
 }
 
 static void
-log_given_up(const struct guard_request *r)
+log_aborted(const struct guard_request *r)
 {
-	struct log_limit *limit = &r->guard->failed_lines;
+	struct log_limit *limit = &r->guard->failure_log_limit;
 	uint32_t left_out = limit->left_out;
 	uint64_t now_us = clock_now_us();
 
@@ -275,7 +275,8 @@
 	log_warning("request id=%s service=%s given up by the stop, sent=%d "
 		    "ms=%" G_GUINT64_FORMAT " running_ms=%" G_GUINT64_FORMAT
 		    " left_out=%u",
-	    r->name, r->upstream != NULL ? r->upstream->info.service : "?",
+	    r->caller_request_id,
+	    r->upstream != NULL ? r->upstream->info.service : "?",
 	    r->state == REQUEST_RUNNING, (now_us - r->opened_us) / US_PER_MS,
 	    r->state == REQUEST_RUNNING ? (now_us - r->started_us) / US_PER_MS
 					: 0,
@@ -283,7 +284,7 @@
 }
 
 static void
-do_stop(void *arg)
+do_log_aborted(void *arg)
 {
 	struct guard *g = arg;
 	struct guard_request *r;
@@ -292,20 +293,21 @@
 	g_hash_table_iter_init(&it, g->requests);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r))
 		if (r->state != REQUEST_ENDED)
-			log_given_up(r);
+			log_aborted(r);
 }
 
 void
 guard_log_aborted(struct guard *g)
 {
-	loop_post(g->loop, do_stop, g);
+	loop_post(g->loop, do_log_aborted, g);
 }
 
 uint32_t
 guard_in_flight(const struct guard *g)
 {
 	return atomic_load(&g->in_flight) + atomic_load(&g->busy_conns) +
-	    (atomic_load(&g->draining) && !atomic_load(&g->drained));
+	    (atomic_load(&g->drain_requested) &&
+		!atomic_load(&g->drain_started));
 }
 
 void
@@ -314,15 +316,15 @@
 	if (g == NULL)
 		return;
 	listener_free(g->listener);
-	guard_ask_free_all(g);
+	guard_key_query_free_all(g);
 	g_hash_table_destroy(g->conns);
 	g_hash_table_destroy(g->requests);
 	g_hash_table_destroy(g->tickets);
 	g_hash_table_destroy(g->upstreams);
 	guard_quarantine_clear(g);
 	g_mutex_clear(&g->counts_lock);
-	g_hash_table_destroy(g->homes);
-	g_hash_table_destroy(g->follows);
+	g_hash_table_destroy(g->guard_addresses);
+	g_hash_table_destroy(g->followers);
 	snapshot_unref(g->snapshot);
 	http_client_free(g->http);
 	fate_table_free(g->fates);
--- a/packages/node/src/guard_answer.c
+++ b/packages/node/src/guard_answer.c
@@ -6,7 +6,7 @@
 
 #include "guard_priv.h"
 
-/* An answer larger than this is not kept. */
+/* An answer larger than this is not retained. */
 #define ANSWER_KEEP_BYTES (1024U * 1024U)
 
 /* No more is taken from the upstream while an entry lags this far. */
@@ -19,12 +19,12 @@
 #define ENCODED_HEAD_BYTES 4
 
 struct guard_answer *
-guard_answer_new(bool kept)
+guard_answer_new(bool retained)
 {
 	struct guard_answer *a = g_new0(struct guard_answer, 1);
 
 	a->refs = 1;
-	a->kept = kept;
+	a->retained = retained;
 	a->length = -1;
 	a->data = g_byte_array_new();
 	call_headers_init(&a->headers);
@@ -43,17 +43,17 @@
 }
 
 static uint64_t
-end_of(const struct guard_answer *a)
+end_offset(const struct guard_answer *a)
 {
 	return a->base + a->data->len;
 }
 
 /* Offset of the first byte that some entry has not been sent. */
 static uint64_t
-least_sent(const struct guard_answer *a)
+min_sent_offset(const struct guard_answer *a)
 {
 	const struct guard_out *o;
-	uint64_t least = end_of(a);
+	uint64_t least = end_offset(a);
 	GList *l;
 
 	for (l = a->outs.head; l != NULL; l = l->next) {
@@ -66,9 +66,9 @@
 static void
 trim(struct guard_answer *a)
 {
-	uint64_t sent = least_sent(a) - a->base;
+	uint64_t sent = min_sent_offset(a) - a->base;
 
-	if (a->kept || sent == 0)
+	if (a->retained || sent == 0)
 		return;
 	if (sent < a->data->len && sent < ANSWER_TRIM_BYTES)
 		return;
@@ -79,27 +79,27 @@
 void
 guard_answer_add(struct guard_answer *a, const uint8_t *data, size_t len)
 {
-	if (a->kept && a->data->len + len > ANSWER_KEEP_BYTES)
-		a->kept = false;
+	if (a->retained && a->data->len + len > ANSWER_KEEP_BYTES)
+		a->retained = false;
 	g_byte_array_append(a->data, data, (guint)len);
 	trim(a);
 }
 
 bool
-guard_answer_full(const struct guard_answer *a)
+guard_answer_is_full(const struct guard_answer *a)
 {
-	return end_of(a) - least_sent(a) >= ANSWER_LAG_BYTES;
+	return end_offset(a) - min_sent_offset(a) >= ANSWER_LAG_BYTES;
 }
 
 void
-guard_answer_pump(struct guard_answer *a, const struct guard_upstream *u)
+guard_answer_send(struct guard_answer *a, const struct guard_upstream *u)
 {
 	GList *l, *next;
 
 	a->refs++;
 	for (l = a->outs.head; l != NULL; l = next) {
 		next = l->next;
-		guard_out_pump(l->data, u);
+		guard_out_send(l->data, u);
 	}
 	trim(a);
 	guard_answer_unref(a);
@@ -112,7 +112,7 @@
 	GByteArray *out;
 	uint32_t head_bytes;
 
-	if (!a->kept)
+	if (!a->retained)
 		return NULL;
 	memset(&m, 0, sizeof(m));
 	m.status = a->status;
@@ -146,7 +146,7 @@
 		return NULL;
 	a = guard_answer_new(true);
 	a->has_head = true;
-	a->whole = true;
+	a->complete = true;
 	a->status = m.status;
 	a->length = m.body_bytes;
 	for (i = 0; i < m.n_headers; i++) {
--- a/packages/node/src/guard_ask.c
+++ b/packages/node/src/guard_ask.c
@@ -12,44 +12,44 @@
 #include "guard_priv.h"
 
 /* Time for the answer, connecting included. */
-#define ASK_MS 1000
+#define KEY_QUERY_TIMEOUT_MS 1000
 
 /**
- * struct asking - a question that is under way
+ * struct active_query - a question that is under way
  * @guard: the guard
  * @q: the question
  * @conn: the connection
  * @timer: its time limit
  */
-struct asking {
+struct active_query {
 	struct guard *guard;
-	struct guard_question q;
+	struct guard_key_query q;
 	struct conn *conn;
 	struct loop_timer timer;
 };
 
 static void
-finish(struct asking *a, enum keyed_word word)
+finish_query(struct active_query *a, enum keyed_word word)
 {
 	struct guard *g = a->guard;
-	struct guard_question q = a->q;
+	struct guard_key_query q = a->q;
 
 	loop_timer_stop(&a->timer);
 	if (a->conn != NULL)
 		conn_close(a->conn);
-	g_queue_remove(&g->askings, a);
+	g_queue_remove(&g->key_queries, a);
 	g_free(a);
-	guard_keyed_answered(g, &q, word);
+	guard_keyed_query_done(g, &q, word);
 }
 
 static void
 on_timer(void *arg)
 {
-	finish(arg, KEYED_WORD_NONE);
+	finish_query(arg, KEYED_WORD_NONE);
 }
 
 static void
-send_message(struct asking *a, enum msg_type type, const void *msg)
+send_message(struct active_query *a, enum msg_type type, const void *msg)
 {
 	GByteArray *out = g_byte_array_new();
 
@@ -59,7 +59,7 @@
 }
 
 static void
-send_question(struct asking *a, const struct msg_call_hello *hello)
+send_query(struct active_query *a, const struct msg_call_hello *hello)
 {
 	const struct settings *s = a->guard->settings;
 	struct msg_call_hello_ack ack = {.proto = CALL_PROTO,
@@ -79,83 +79,83 @@
 }
 
 static void
-take_word(struct asking *a, const uint8_t *body, size_t len)
+handle_key_word(struct active_query *a, const uint8_t *body, size_t len)
 {
 	struct msg_call_key_word m;
 
 	if (msg_call_key_word_decode(body, len, &m) != STATUS_OK ||
 	    m.key_high != a->q.key.high || m.key_low != a->q.key.low ||
 	    m.word > KEYED_WORD_NONE)
-		finish(a, KEYED_WORD_NONE);
+		finish_query(a, KEYED_WORD_NONE);
 	else
-		finish(a, (enum keyed_word)m.word);
+		finish_query(a, (enum keyed_word)m.word);
 }
 
 static void
 on_frame(
     struct conn *conn, uint8_t type, const uint8_t *body, size_t len, void *arg)
 {
-	struct asking *a = arg;
+	struct active_query *a = arg;
 	struct msg_call_hello hello;
 
 	(void)conn;
 	if (type == MSG_CALL_KEY_WORD) {
-		take_word(a, body, len);
+		handle_key_word(a, body, len);
 		return;
 	}
 	if (type != MSG_CALL_HELLO)
 		return;
 	if (msg_call_hello_decode(body, len, &hello) == STATUS_OK &&
 	    hello.proto == CALL_PROTO)
-		send_question(a, &hello);
+		send_query(a, &hello);
 	else
-		finish(a, KEYED_WORD_NONE);
+		finish_query(a, KEYED_WORD_NONE);
 }
 
 static void
 on_closed(struct conn *conn, enum status st, void *arg)
 {
-	struct asking *a = arg;
+	struct active_query *a = arg;
 
 	(void)conn;
 	(void)st;
 	a->conn = NULL;
-	finish(a, KEYED_WORD_NONE);
+	finish_query(a, KEYED_WORD_NONE);
 }
 
-static const struct conn_handler ask_handler = {
+static const struct conn_handler key_query_handler = {
     .on_frame = on_frame,
     .on_closed = on_closed,
 };
 
 void
-guard_ask(
-    struct guard *g, const struct net_addr *at, const struct guard_question *q)
+guard_key_query_start(
+    struct guard *g, const struct net_addr *at, const struct guard_key_query *q)
 {
-	struct asking *a = g_new0(struct asking, 1);
-	uint64_t deadline_ms = loop_now_ms(g->loop) + ASK_MS;
+	struct active_query *a = g_new0(struct active_query, 1);
+	uint64_t deadline_ms = loop_now_ms(g->loop) + KEY_QUERY_TIMEOUT_MS;
 	struct conn_options options;
 
 	a->guard = g;
 	a->q = *q;
 	loop_timer_init(&a->timer, g->loop, on_timer, a);
-	g_queue_push_tail(&g->askings, a);
+	g_queue_push_tail(&g->key_queries, a);
 	if (at == NULL) {
 		loop_timer_set(&a->timer, loop_now_ms(g->loop));
 		return;
 	}
 	call_link_options(&options);
 	loop_timer_set(&a->timer, deadline_ms);
-	a->conn =
-	    conn_dial(g->loop, *at, deadline_ms, &options, &ask_handler, a);
+	a->conn = conn_dial(
+	    g->loop, *at, deadline_ms, &options, &key_query_handler, a);
 }
 
 void
-guard_ask_free_all(struct guard *g)
+guard_key_query_free_all(struct guard *g)
 {
-	struct asking *a;
+	struct active_query *a;
 
-	while ((a = g_queue_pop_head(&g->askings)) != NULL) {
+	while ((a = g_queue_pop_head(&g->key_queries)) != NULL) {
 		loop_timer_stop(&a->timer);
 		if (a->conn != NULL)
 			conn_close(a->conn);
--- a/packages/node/src/guard_conn.c
+++ b/packages/node/src/guard_conn.c
@@ -9,11 +9,11 @@
 #include "guard_priv.h"
 
 /* Pings keep the bound on the age of frames fresh. */
-#define PING_EVERY_MS 15000
+#define PING_INTERVAL_MS 15000
 
 /* The first comes sooner: the hello is often answered while the entry is busy
  * with its start, by up to 0.1 s, and all its requests look that much older. */
-#define PING_FIRST_MS 1000
+#define FIRST_PING_DELAY_MS 1000
 
 static void
 ping(void *arg)
@@ -23,7 +23,7 @@
 	struct msg_call_ping m = {.sent_ms = now_ms};
 
 	(void)call_link_send(&gc->link, MSG_CALL_PING, &m);
-	loop_timer_set(&gc->timer, now_ms + PING_EVERY_MS);
+	loop_timer_set(&gc->timer, now_ms + PING_INTERVAL_MS);
 }
 
 static void
@@ -40,23 +40,23 @@
 }
 
 void
-guard_conn_goodbye(struct guard_conn *gc)
+guard_conn_send_goodbye(struct guard_conn *gc)
 {
 	struct msg_call_goodbye m = {.sent_ms = loop_now_ms(gc->guard->loop)};
 
-	if (gc->goodbye || !gc->greeted)
+	if (gc->goodbye_sent || !gc->handshake_done)
 		return;
-	gc->goodbye = true;
+	gc->goodbye_sent = true;
 	(void)call_link_send(&gc->link, MSG_CALL_GOODBYE, &m);
 }
 
 bool
-guard_conn_busy(const struct guard_conn *gc)
+guard_conn_is_busy(const struct guard_conn *gc)
 {
 	if (g_hash_table_size(gc->streams) > 0 ||
 	    conn_output_bytes(gc->link.conn) > 0)
 		return true;
-	return gc->goodbye && !gc->quiet;
+	return gc->goodbye_sent && !gc->goodbye_acked;
 }
 
 void
@@ -71,7 +71,7 @@
 	frame_age_init(&gc->age);
 	gc->streams = g_hash_table_new(NULL, NULL);
 	loop_timer_init(&gc->timer, g->loop, ping, gc);
-	loop_timer_set(&gc->timer, loop_now_ms(g->loop) + PING_FIRST_MS);
+	loop_timer_set(&gc->timer, loop_now_ms(g->loop) + FIRST_PING_DELAY_MS);
 	conn_set_arg(conn, gc);
 	g_hash_table_insert(g->conns, &gc->id, gc);
 	send_hello(gc);
@@ -99,10 +99,10 @@
 
 	while ((o = any_stream(gc)) != NULL) {
 		r = o->request;
-		was_source = r != NULL && r->source == o;
+		was_source = r != NULL && r->body_source == o;
 		guard_out_free(o);
 		if (r != NULL)
-			guard_request_orphaned(r, was_source);
+			guard_request_waiter_lost(r, was_source);
 	}
 }
 
@@ -113,7 +113,7 @@
 	struct guard_conn *gc = arg;
 
 	(void)conn;
-	if (guard_frame(gc, type, body, len))
+	if (guard_frame_handle(gc, type, body, len))
 		return;
 	log_info(
 	    "%s sent a frame that makes no sense; connection closed", gc->host);
--- a/packages/node/src/guard_counts.c
+++ b/packages/node/src/guard_counts.c
@@ -7,23 +7,23 @@
 #include "guard_priv.h"
 
 /* From this status on an answer is a failure of the upstream. */
-#define SERVER_ERROR 500
+#define HTTP_SERVER_ERROR_MIN 500
 
 void
-guard_counts_watch(struct guard_upstream *u)
+guard_counts_set_rollout(struct guard_upstream *u)
 {
 	struct guard *g = u->guard;
 
 	g_mutex_lock(&g->counts_lock);
-	if (u->counted != u->info.order) {
-		u->counted = u->info.order;
+	if (u->counts_order != u->info.order) {
+		u->counts_order = u->info.order;
 		memset(&u->counts, 0, sizeof(u->counts));
 	}
 	g_mutex_unlock(&g->counts_lock);
 }
 
 void
-guard_counts_note(struct guard_request *r, bool failed)
+guard_counts_record(struct guard_request *r, bool failed)
 {
 	struct guard_upstream *u = r->upstream;
 	uint64_t took_us = clock_now_us() - r->started_us;
@@ -31,10 +31,10 @@
 
 	if (r->answer->has_head) {
 		took_us = r->answer->upstream_us;
-		failed |= r->answer->status >= SERVER_ERROR;
+		failed |= r->answer->status >= HTTP_SERVER_ERROR_MIN;
 	}
 	g_mutex_lock(&g->counts_lock);
-	if (u->counted != 0)
+	if (u->counts_order != 0)
 		rollout_counts_note(&u->counts, r->route, failed, took_us);
 	g_mutex_unlock(&g->counts_lock);
 }
@@ -48,7 +48,7 @@
 
 	g_mutex_lock(&g->counts_lock);
 	u = g_hash_table_lookup(g->upstreams, service);
-	counted = u != NULL && order != 0 && u->counted == order;
+	counted = u != NULL && order != 0 && u->counts_order == order;
 	if (counted)
 		*counts = u->counts;
 	g_mutex_unlock(&g->counts_lock);
--- a/packages/node/src/guard_crash.c
+++ b/packages/node/src/guard_crash.c
@@ -10,22 +10,22 @@
 #include "guard_priv.h"
 
 /* A port of the own host answers at once, with a connection or a refusal. */
-#define PROBE_MS 200
+#define PROBE_TIMEOUT_MS 200
 /* Connections that end with a process are seen one after the other; so long
  * after the first its guard has seen the last, also on a slow host. */
-#define SETTLE_MS 100
+#define SETTLE_TIMEOUT_MS 100
 /* How often it is checked whether all have ended. */
-#define STEP_MS 5
+#define SETTLE_POLL_MS 5
 
 static void
-forget(struct guard_crash *c)
+reset(struct guard_crash *c)
 {
 	loop_timer_stop(&c->timer);
 	if (c->probe != NULL)
 		conn_close(c->probe);
 	c->probe = NULL;
-	c->refused = false;
-	c->n_runs = 0;
+	c->port_refused = false;
+	c->n_lost = 0;
 	c->left_out = 0;
 }
 
@@ -36,47 +36,47 @@
 	GString *runs = g_string_new(NULL);
 	uint32_t i;
 
-	for (i = 0; i < u->crash.n_runs; i++)
+	for (i = 0; i < u->crash.n_lost; i++)
 		g_string_append_printf(runs, "%s%s", i > 0 ? "," : "",
-		    fingerprint_text(&u->crash.runs[i], text));
+		    fingerprint_text(&u->crash.lost[i], text));
 	log_warning("upstream crashed service=%s instance=%s ran=%u "
 		    "left_out=%u requests=%s",
 	    u->info.service, u->info.instance,
-	    u->crash.n_runs + u->crash.left_out, u->crash.left_out, runs->str);
+	    u->crash.n_lost + u->crash.left_out, u->crash.left_out, runs->str);
 	g_string_free(runs, TRUE);
 }
 
 static void
-crashed(struct guard_upstream *u)
+report_crash(struct guard_upstream *u)
 {
 	metric_add(&metric_crashes, 1);
 	log_crash(u);
-	guard_quarantine_crashed(u, u->crash.runs, u->crash.n_runs);
-	forget(&u->crash);
+	guard_quarantine_crashed(u, u->crash.lost, u->crash.n_lost);
+	reset(&u->crash);
 }
 
 static void
-lives(struct guard_upstream *u, const char *why)
+report_alive(struct guard_upstream *u, const char *reason)
 {
 	log_info("upstream service=%s instance=%s lost %u requests and has not "
 		 "ended: %s",
 	    u->info.service, u->info.instance,
-	    u->crash.n_runs + u->crash.left_out, why);
-	forget(&u->crash);
+	    u->crash.n_lost + u->crash.left_out, reason);
+	reset(&u->crash);
 }
 
 /* A crash is reported once all requests there have ended. */
 static void
-settle(struct guard_upstream *u)
+check_settled(struct guard_upstream *u)
 {
 	uint64_t now_ms = loop_now_ms(u->guard->loop);
 	struct rec_load load;
 
 	guard_upstream_load(u, &load);
-	if (load.in_flight == 0 || now_ms >= u->crash.settled_ms)
-		crashed(u);
+	if (load.in_flight == 0 || now_ms >= u->crash.settle_deadline_ms)
+		report_crash(u);
 	else
-		loop_timer_set(&u->crash.timer, now_ms + STEP_MS);
+		loop_timer_set(&u->crash.timer, now_ms + SETTLE_POLL_MS);
 }
 
 static void
@@ -84,17 +84,17 @@
 {
 	struct guard_upstream *u = arg;
 
-	if (!u->crash.refused)
-		lives(u, "it neither takes nor refuses connections");
+	if (!u->crash.port_refused)
+		report_alive(u, "it neither takes nor refuses connections");
 	else
-		settle(u);
+		check_settled(u);
 }
 
 static void
 on_open(struct conn *c, void *arg)
 {
 	(void)c;
-	lives(arg, "it takes connections");
+	report_alive(arg, "it takes connections");
 }
 
 static void
@@ -104,13 +104,14 @@
 
 	(void)c;
 	u->crash.probe = NULL;
-	u->crash.refused = st == STATUS_UNAVAILABLE;
-	if (!u->crash.refused) {
-		lives(u, status_message());
+	u->crash.port_refused = st == STATUS_UNAVAILABLE;
+	if (!u->crash.port_refused) {
+		report_alive(u, status_message());
 		return;
 	}
-	u->crash.settled_ms = loop_now_ms(u->guard->loop) + SETTLE_MS;
-	settle(u);
+	u->crash.settle_deadline_ms =
+	    loop_now_ms(u->guard->loop) + SETTLE_TIMEOUT_MS;
+	check_settled(u);
 }
 
 static const struct conn_handler probe_handler = {
@@ -124,35 +125,36 @@
 	struct net_addr at = {u->guard->settings->address, u->info.port};
 	uint64_t now_ms = loop_now_ms(u->guard->loop);
 
-	u->crash.probe = conn_dial(
-	    u->guard->loop, at, now_ms + PROBE_MS, NULL, &probe_handler, u);
-	loop_timer_set(&u->crash.timer, now_ms + PROBE_MS + SETTLE_MS);
+	u->crash.probe = conn_dial(u->guard->loop, at,
+	    now_ms + PROBE_TIMEOUT_MS, NULL, &probe_handler, u);
+	loop_timer_set(
+	    &u->crash.timer, now_ms + PROBE_TIMEOUT_MS + SETTLE_TIMEOUT_MS);
 }
 
 static void
-add_run(struct guard_crash *c, const struct fingerprint *print)
+add_lost_request(struct guard_crash *c, const struct fingerprint *print)
 {
 	uint32_t i;
 
-	for (i = 0; i < c->n_runs; i++)
-		if (fingerprint_equal(&c->runs[i], print))
+	for (i = 0; i < c->n_lost; i++)
+		if (fingerprint_equal(&c->lost[i], print))
 			return;
-	if (c->n_runs == CRASH_RUNS_MAX)
+	if (c->n_lost == CRASH_RUNS_MAX)
 		c->left_out++;
 	else
-		c->runs[c->n_runs++] = *print;
+		c->lost[c->n_lost++] = *print;
 }
 
 void
-guard_crash_suspect(struct guard_request *r)
+guard_crash_connection_lost(struct guard_request *r)
 {
 	struct guard_upstream *u = r->upstream;
 
 	if (u->info.state != SERVING_READY)
 		return;
-	add_run(&u->crash, &r->print);
+	add_lost_request(&u->crash, &r->fingerprint);
 	guard_quarantine_describe(r);
-	if (u->crash.probe == NULL && !u->crash.refused)
+	if (u->crash.probe == NULL && !u->crash.port_refused)
 		probe(u);
 }
 
@@ -165,5 +167,5 @@
 void
 guard_crash_clear(struct guard_upstream *u)
 {
-	forget(&u->crash);
+	reset(&u->crash);
 }
--- a/packages/node/src/guard_crash.h
+++ b/packages/node/src/guard_crash.h
@@ -22,21 +22,21 @@
 
 /**
  * struct guard_crash - has an upstream ended, or only some connections to it?
- * @runs: requests that ran there and lost their connection, without an answer
- * @n_runs: number of @runs
+ * @lost: requests that ran there and lost their connection, without an answer
+ * @n_lost: number of @lost
  * @left_out: further ones that found no room
  * @probe: connection that finds it out, or NULL
- * @refused: the upstream takes no connections: it has ended
- * @settled_ms: when what ran there is complete at the latest
+ * @port_refused: the upstream takes no connections: it has ended
+ * @settle_deadline_ms: when what ran there is complete at the latest
  * @timer: when what ran there is complete, or the probe is given up
  */
 struct guard_crash {
-	struct fingerprint runs[CRASH_RUNS_MAX];
-	uint32_t n_runs;
+	struct fingerprint lost[CRASH_RUNS_MAX];
+	uint32_t n_lost;
 	uint32_t left_out;
 	struct conn *probe;
-	bool refused;
-	uint64_t settled_ms;
+	bool port_refused;
+	uint64_t settle_deadline_ms;
 	struct loop_timer timer;
 };
 
@@ -46,8 +46,9 @@
 /** guard_crash_clear() - of an upstream that is freed */
 void guard_crash_clear(struct guard_upstream *u);
 
-/** guard_crash_suspect() - @r ran, and its connection ended without an answer
+/** guard_crash_connection_lost() - @r ran, and its connection ended without an
+ * answer
  */
-void guard_crash_suspect(struct guard_request *r);
+void guard_crash_connection_lost(struct guard_request *r);
 
 #endif
--- a/packages/node/src/guard_credit.c
+++ b/packages/node/src/guard_credit.c
@@ -4,7 +4,7 @@
 #include "guard_priv.h"
 
 static void
-pump(struct guard *g)
+send_credit(struct guard *g)
 {
 	uint64_t now_ms = loop_now_ms(g->loop);
 	struct msg_call_credit m;
@@ -13,11 +13,11 @@
 
 	while ((s = body_window_next(&g->window, &m.bytes, now_ms)) != NULL) {
 		r = s->owner;
-		if (r->source == NULL)
+		if (r->body_source == NULL)
 			continue;
-		m.stream = r->source->stream;
+		m.stream = r->body_source->stream;
 		(void)call_link_send(
-		    &r->source->conn->link, MSG_CALL_CREDIT, &m);
+		    &r->body_source->conn->link, MSG_CALL_CREDIT, &m);
 	}
 }
 
@@ -28,23 +28,23 @@
 	uint64_t total =
 	    r->body_bytes < 0 ? BODY_LENGTH_OPEN : (uint64_t)r->body_bytes;
 
-	body_window_open(&g->window, &r->share, r, total, CALL_UNASKED_BYTES,
-	    loop_now_ms(g->loop));
+	body_window_open(&g->window, &r->body_share, r, total,
+	    CALL_UNASKED_BYTES, loop_now_ms(g->loop));
 	body_window_want(
-	    &g->window, &r->share, CALL_FIRST_BYTES - CALL_UNASKED_BYTES);
-	pump(g);
+	    &g->window, &r->body_share, CALL_FIRST_BYTES - CALL_UNASKED_BYTES);
+	send_credit(g);
 }
 
 void
-guard_credit_took(struct guard_request *r, uint64_t bytes)
+guard_credit_received(struct guard_request *r, uint64_t bytes)
 {
 	struct guard *g = r->guard;
 
 	body_window_received(
-	    &g->window, &r->share, bytes, loop_now_ms(g->loop));
-	if (r->fin)
-		body_window_end(&g->window, &r->share);
-	pump(g);
+	    &g->window, &r->body_share, bytes, loop_now_ms(g->loop));
+	if (r->body_complete)
+		body_window_end(&g->window, &r->body_share);
+	send_credit(g);
 }
 
 void
@@ -52,23 +52,23 @@
 {
 	struct guard *g = r->guard;
 
-	if (!r->wide)
+	if (!r->full_window)
 		bytes += CALL_WINDOW_BYTES - CALL_FIRST_BYTES;
-	r->wide = true;
-	body_window_want(&g->window, &r->share, bytes);
-	pump(g);
+	r->full_window = true;
+	body_window_want(&g->window, &r->body_share, bytes);
+	send_credit(g);
 }
 
 void
 guard_credit_end(struct guard_request *r)
 {
-	body_window_end(&r->guard->window, &r->share);
-	pump(r->guard);
+	body_window_end(&r->guard->window, &r->body_share);
+	send_credit(r->guard);
 }
 
 void
 guard_credit_tick(struct guard *g)
 {
 	body_window_tick(&g->window, loop_now_ms(g->loop));
-	pump(g);
+	send_credit(g);
 }
--- a/packages/node/src/guard_frames.c
+++ b/packages/node/src/guard_frames.c
@@ -8,7 +8,7 @@
 #include "guard_priv.h"
 
 static struct guard_out *
-stream(struct guard_conn *gc, uint32_t number)
+find_stream(struct guard_conn *gc, uint32_t number)
 {
 	return g_hash_table_lookup(gc->streams, GUINT_TO_POINTER(number));
 }
@@ -17,13 +17,13 @@
 on_open(struct guard_conn *gc, const uint8_t *body, size_t len)
 {
 	struct msg_call_open m;
-	bool fine;
+	bool valid;
 
 	if (msg_call_open_decode(body, len, &m) != STATUS_OK)
 		return false;
-	fine = guard_open(gc, &m);
+	valid = guard_open(gc, &m);
 	msg_call_open_clear(&m);
-	return fine;
+	return valid;
 }
 
 static bool
@@ -34,8 +34,8 @@
 
 	if (msg_call_chunk_decode(body, len, &m) != STATUS_OK)
 		return false;
-	o = stream(gc, m.stream);
-	if (o == NULL || o->request == NULL || o->request->source != o)
+	o = find_stream(gc, m.stream);
+	if (o == NULL || o->request == NULL || o->request->body_source != o)
 		return true;
 	return guard_request_chunk(o->request, &m);
 }
@@ -48,9 +48,9 @@
 
 	if (msg_call_credit_decode(body, len, &m) != STATUS_OK)
 		return false;
-	o = stream(gc, m.stream);
+	o = find_stream(gc, m.stream);
 	if (o != NULL)
-		guard_out_credit(o, m.bytes);
+		guard_out_add_credit(o, m.bytes);
 	return true;
 }
 
@@ -62,7 +62,7 @@
 
 	if (msg_call_cancel_decode(body, len, &m) != STATUS_OK)
 		return false;
-	o = stream(gc, m.stream);
+	o = find_stream(gc, m.stream);
 	if (o == NULL)
 		return true;
 	if (o->request != NULL)
@@ -148,12 +148,12 @@
 	    m.proto != CALL_PROTO)
 		return false;
 	(void)g_strlcpy(gc->host, m.host, sizeof(gc->host));
-	gc->refusals = m.refusals != 0 ? m.refusals : REFUSAL_UNREACHABLE;
-	gc->greeted = true;
+	gc->max_refusal = m.refusals != 0 ? m.refusals : REFUSAL_UNREACHABLE;
+	gc->handshake_done = true;
 	frame_age_echo(
 	    &gc->age, m.echo, m.sent_ms, loop_now_ms(gc->guard->loop));
 	if (!drain_takes_request(&gc->guard->drain))
-		guard_conn_goodbye(gc);
+		guard_conn_send_goodbye(gc);
 	return true;
 }
 
@@ -163,17 +163,17 @@
 	struct msg_call_goodbye_ack m;
 
 	if (msg_call_goodbye_ack_decode(body, len, &m) != STATUS_OK ||
-	    !gc->goodbye)
+	    !gc->goodbye_sent)
 		return false;
-	gc->quiet = true;
+	gc->goodbye_acked = true;
 	return true;
 }
 
 bool
-guard_frame(
+guard_frame_handle(
     struct guard_conn *gc, uint8_t type, const uint8_t *body, size_t len)
 {
-	if (!gc->greeted)
+	if (!gc->handshake_done)
 		return type == MSG_CALL_HELLO_ACK &&
 		    on_hello_ack(gc, body, len);
 	switch (type) {
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -22,12 +22,12 @@
 #define MS_PER_S 1000
 
 /* Headers that the guard adds to those of the caller. */
-#define OWN_HEADERS 3
+#define ADDED_HEADERS_MAX 3
 
 #define CONTENT_LENGTH "Content-Length"
 
 static const char *
-find(const struct http_header *headers, uint32_t n, const char *name)
+find_header(const struct http_header *headers, uint32_t n, const char *name)
 {
 	uint32_t i;
 
@@ -39,10 +39,10 @@
 
 /* The upstream says that it has not run the request. */
 static bool
-is_not_run(const struct call_dialect *d, int code,
+reports_not_run(const struct call_dialect *d, int code,
     const struct http_header *headers, uint32_t n)
 {
-	const char *word = find(headers, n, d->not_run);
+	const char *word = find_header(headers, n, d->not_run);
 
 	if (code == HTTP_MISDIRECTED && d->target != NULL)
 		return true;
@@ -53,10 +53,10 @@
 }
 
 static void
-take_shed(
+record_shed(
     struct guard_request *r, const struct http_header *headers, uint32_t n)
 {
-	const char *after = find(headers, n, HEADER_RETRY_AFTER);
+	const char *after = find_header(headers, n, HEADER_RETRY_AFTER);
 
 	r->shed = true;
 	if (after != NULL)
@@ -66,8 +66,8 @@
 
 /* Whether an answer names another request than the one that was sent. */
 static bool
-is_of_another(const struct guard_request *r, const struct http_header *headers,
-    uint32_t n)
+answers_other_request(const struct guard_request *r,
+    const struct http_header *headers, uint32_t n)
 {
 	const struct call_dialect *d = r->guard->dialect;
 	const struct rec_header *h;
@@ -76,7 +76,7 @@
 
 	if (!d->caller_names_requests)
 		return false;
-	named = find(headers, n, d->request_id);
+	named = find_header(headers, n, d->request_id);
 	for (i = 0; named != NULL && i < call_headers_count(&r->headers); i++) {
 		h = call_headers_at(&r->headers, i);
 		if (g_ascii_strcasecmp(h->name, d->request_id) == 0)
@@ -87,15 +87,15 @@
 
 /* A success that isn't signed, or is encoded, is not the upstream's answer. */
 static bool
-is_spoilt(const struct guard_request *r, int code,
+is_invalid_answer(const struct guard_request *r, int code,
     const struct http_header *headers, uint32_t n)
 {
 	const struct call_dialect *d = r->guard->dialect;
 
 	if (d->signature == NULL || code < HTTP_OK_MIN || code > HTTP_OK_MAX)
 		return false;
-	return find(headers, n, d->signature) == NULL ||
-	    find(headers, n, "Content-Encoding") != NULL;
+	return find_header(headers, n, d->signature) == NULL ||
+	    find_header(headers, n, "Content-Encoding") != NULL;
 }
 
 static bool
@@ -106,20 +106,21 @@
 }
 
 static int64_t
-length_of(const struct guard_request *r, int code,
+body_length(const struct guard_request *r, int code,
     const struct http_header *headers, uint32_t n)
 {
-	const char *length = find(headers, n, CONTENT_LENGTH);
+	const char *length = find_header(headers, n, CONTENT_LENGTH);
 
 	if (has_no_body(r, code))
 		return 0;
-	if (length == NULL || find(headers, n, "Transfer-Encoding") != NULL)
+	if (length == NULL ||
+	    find_header(headers, n, "Transfer-Encoding") != NULL)
 		return -1;
 	return g_ascii_strtoll(length, NULL, 10);
 }
 
 static void
-take_header(struct guard_answer *a, const char *name, const char *value)
+add_header(struct guard_answer *a, const char *name, const char *value)
 {
 	(void)call_headers_add(&a->headers, name, (uint32_t)strlen(name), value,
 	    (uint32_t)strlen(value));
@@ -127,16 +128,17 @@
 
 /* The length that a HEAD tells is not that of a body which comes. */
 static void
-take_headers(
+copy_headers(
     struct guard_request *r, const struct http_header *headers, uint32_t n)
 {
-	GTree *named = call_headers_named(find(headers, n, "Connection"));
-	const char *length = find(headers, n, CONTENT_LENGTH);
+	GTree *named =
+	    call_headers_named(find_header(headers, n, "Connection"));
+	const char *length = find_header(headers, n, CONTENT_LENGTH);
 	const struct http_header *h;
 	uint32_t i;
 
 	if (length != NULL && strcmp(r->method, "HEAD") == 0)
-		take_header(r->answer, CONTENT_LENGTH, length);
+		add_header(r->answer, CONTENT_LENGTH, length);
 
 	for (i = 0; i < n; i++) {
 		h = &headers[i];
@@ -144,7 +146,7 @@
 			r->guard->dialect->prefix,
 			r->guard->dialect->from_upstreams))
 			continue;
-		take_header(r->answer, h->name, h->value);
+		add_header(r->answer, h->name, h->value);
 	}
 	call_headers_named_free(named);
 }
@@ -157,27 +159,27 @@
 	struct guard_answer *a = r->answer;
 
 	(void)call;
-	if (is_of_another(r, headers, n)) {
+	if (answers_other_request(r, headers, n)) {
 		log_info("request id=%s service=%s: answer of another request "
 			 "passed over",
-		    r->name, r->upstream->info.service);
+		    r->caller_request_id, r->upstream->info.service);
 		return HTTP_SKIP;
 	}
-	if (is_not_run(r->guard->dialect, code, headers, n)) {
-		take_shed(r, headers, n);
+	if (reports_not_run(r->guard->dialect, code, headers, n)) {
+		record_shed(r, headers, n);
 		return HTTP_CONTINUE;
 	}
-	if (is_spoilt(r, code, headers, n)) {
-		r->spoilt = true;
+	if (is_invalid_answer(r, code, headers, n)) {
+		r->invalid_answer = true;
 		return HTTP_ABORT;
 	}
 	a->has_head = true;
 	a->status = (uint32_t)code;
-	a->length = length_of(r, code, headers, n);
+	a->length = body_length(r, code, headers, n);
 	a->guard_us = r->started_us - r->opened_us;
 	a->upstream_us = clock_now_us() - r->started_us;
 	metric_observe_us(&metric_upstream_us, a->upstream_us);
-	take_headers(r, headers, n);
+	copy_headers(r, headers, n);
 	return HTTP_CONTINUE;
 }
 
@@ -189,12 +191,12 @@
 	(void)call;
 	if (r->shed)
 		return HTTP_CONTINUE;
-	if (guard_answer_full(r->answer)) {
+	if (guard_answer_is_full(r->answer)) {
 		r->paused = true;
 		return HTTP_PAUSE;
 	}
 	guard_answer_add(r->answer, data, len);
-	guard_answer_pump(r->answer, r->upstream);
+	guard_answer_send(r->answer, r->upstream);
 	return HTTP_CONTINUE;
 }
 
@@ -209,7 +211,7 @@
 
 	(void)call;
 	if (piece == NULL)
-		return r->fin ? HTTP_END : HTTP_PAUSE;
+		return r->body_complete ? HTTP_END : HTTP_PAUSE;
 	data = g_bytes_get_data(piece, &bytes);
 	*len = MIN(bytes - r->body_offset, max);
 	memcpy(buf, data + r->body_offset, *len);
@@ -227,7 +229,7 @@
  * order; after a reset the call has failed.
  */
 static bool
-answer_is_whole(const struct guard_answer *a, const struct http_result *res)
+answer_is_complete(const struct guard_answer *a, const struct http_result *res)
 {
 	if (res->status != STATUS_OK || !a->has_head)
 		return false;
@@ -238,7 +240,7 @@
 static void
 log_failure(const struct guard_request *r, const struct http_result *res)
 {
-	struct log_limit *limit = &r->guard->failed_lines;
+	struct log_limit *limit = &r->guard->failure_log_limit;
 	char text[FINGERPRINT_TEXT_BYTES];
 	uint32_t left_out = limit->left_out;
 
@@ -246,7 +248,7 @@
 		return;
 	log_info("request id=%s request=%s service=%s failed=upstream sent=%d "
 		 "cause=%s left_out=%u",
-	    r->name, fingerprint_text(&r->print, text),
+	    r->caller_request_id, fingerprint_text(&r->fingerprint, text),
 	    r->upstream->info.service, res->sent, status_message(), left_out);
 }
 
@@ -261,7 +263,7 @@
 		guard_request_refuse(r, REFUSAL_UPSTREAM, r->shed_retry_ms);
 		return;
 	}
-	if (answer_is_whole(r->answer, res)) {
+	if (answer_is_complete(r->answer, res)) {
 		guard_request_done(r);
 		return;
 	}
@@ -270,9 +272,9 @@
 		guard_request_refuse(r, REFUSAL_NO_ENDPOINT, 0);
 		return;
 	}
-	if (res->status == STATUS_UNAVAILABLE && !r->spoilt)
-		guard_crash_suspect(r);
-	guard_counts_note(r, true);
+	if (res->status == STATUS_UNAVAILABLE && !r->invalid_answer)
+		guard_crash_connection_lost(r);
+	guard_counts_record(r, true);
 	guard_request_failed(r);
 }
 
@@ -304,7 +306,7 @@
 /* Return: their number. */
 static uint32_t
 set_headers(const struct guard_request *r, struct http_header *headers,
-    const char *id, const char *left)
+    const char *id, const char *time_left)
 {
 	const struct call_dialect *d = r->guard->dialect;
 	const char *instance = r->upstream->info.instance;
@@ -317,7 +319,7 @@
 	}
 	if (!d->caller_names_requests)
 		set_header(headers, &n, d->request_id, id);
-	set_header(headers, &n, d->deadline, left);
+	set_header(headers, &n, d->deadline, time_left);
 	if (d->target != NULL && instance[0] != '\0')
 		set_header(headers, &n, d->target, instance);
 	return n;
@@ -330,7 +332,7 @@
 	GBytes *piece;
 	gsize bytes;
 
-	if (r->fin && g_queue_get_length(&r->body) <= 1) {
+	if (r->body_complete && g_queue_get_length(&r->body) <= 1) {
 		piece = g_queue_peek_head(&r->body);
 		if (piece == NULL)
 			return;
@@ -349,7 +351,7 @@
 	struct http_header *headers;
 	struct guard *g = r->guard;
 	uint64_t now_ms = loop_now_ms(g->loop);
-	char id[ID_HEX_BYTES], left[NUMBER_BYTES];
+	char id[ID_HEX_BYTES], time_left[NUMBER_BYTES];
 	struct http_request req;
 	GString *url;
 
@@ -359,21 +361,21 @@
 	r->started_us = clock_now_us();
 	metric_observe_us(&metric_guard_us, r->started_us - r->opened_us);
 	id_hex(&r->id, id);
-	(void)g_snprintf(left, sizeof(left), "%" G_GUINT64_FORMAT,
+	(void)g_snprintf(time_left, sizeof(time_left), "%" G_GUINT64_FORMAT,
 	    clock_left_ms(r->deadline_ms, now_ms));
 	url = g_string_new(r->upstream->url);
 	g_string_append(url, r->path);
-	headers = g_new(
-	    struct http_header, call_headers_count(&r->headers) + OWN_HEADERS);
+	headers = g_new(struct http_header,
+	    call_headers_count(&r->headers) + ADDED_HEADERS_MAX);
 	memset(&req, 0, sizeof(req));
 	req.method = r->method;
 	req.url = url->str;
 	req.headers = headers;
-	req.n_headers = set_headers(r, headers, id, left);
+	req.n_headers = set_headers(r, headers, id, time_left);
 	req.once = !r->idempotent;
 	req.reuse_idle_ms =
 	    r->idempotent ? 0 : r->guard->settings->once_reuse_ms;
-	req.deadline_ms = r->ends_ms;
+	req.deadline_ms = r->latest_deadline_ms;
 	set_body(r, &req);
 	log_debug("%s: starts after %" G_GUINT64_FORMAT " us",
 	    r->upstream->info.service, r->started_us - r->opened_us);
--- a/packages/node/src/guard_keyed.c
+++ b/packages/node/src/guard_keyed.c
@@ -18,9 +18,10 @@
 #define KEYS_MAX 65536
 
 /* News of endpoints reach all nodes within this many suspicion times. */
-#define NEWS_SUSPICIONS 2
+#define PROPAGATION_SUSPICIONS 2
 
-static void carry_out(struct guard_request *r, const struct keyed_decision *d);
+static void
+apply_decision(struct guard_request *r, const struct keyed_decision *d);
 
 /* Views */
 
@@ -28,7 +29,8 @@
 guard_keyed_new(struct guard *g, const char *service)
 {
 	struct keyed_config cfg = {.window_ms = g->settings->fate_window_ms,
-	    .news_ms = NEWS_SUSPICIONS * (uint64_t)g->settings->suspicion_ms,
+	    .news_ms =
+		PROPAGATION_SUSPICIONS * (uint64_t)g->settings->suspicion_ms,
 	    .keys_max = KEYS_MAX};
 
 	return keyed_new(&cfg, endpoint_id(g->settings->host, service),
@@ -37,18 +39,18 @@
 
 /* Remembers where an endpoint's guard is, also after it has left. */
 static void
-note_address(struct guard *g, uint64_t id, const struct endpoint *ep)
+record_address(struct guard *g, uint64_t id, const struct endpoint *ep)
 {
 	uint64_t *key = g_new(uint64_t, 1);
 	struct net_addr *address = g_new(struct net_addr, 1);
 
 	*key = id;
 	*address = ep->address;
-	g_hash_table_replace(g->homes, key, address);
+	g_hash_table_replace(g->guard_addresses, key, address);
 }
 
 static void
-view(struct guard_upstream *u)
+update_endpoints(struct guard_upstream *u)
 {
 	struct guard *g = u->guard;
 	const struct snapshot_service *ss;
@@ -68,7 +70,7 @@
 			continue;
 		ready[n] = endpoint_id(
 		    list->endpoints[i].host, list->endpoints[i].service);
-		note_address(g, ready[n], &list->endpoints[i]);
+		record_address(g, ready[n], &list->endpoints[i]);
 		n++;
 	}
 	keyed_view(u->keyed, ready, n, loop_now_ms(g->loop));
@@ -76,13 +78,13 @@
 }
 
 void
-guard_keyed_view(struct guard_upstream *u)
+guard_keyed_update_endpoints(struct guard_upstream *u)
 {
-	view(u);
+	update_endpoints(u);
 }
 
 void
-guard_keyed_tick(struct guard *g)
+guard_keyed_refresh_snapshot(struct guard *g)
 {
 	struct snapshot *s = snapshot_ref_get();
 	struct guard_upstream *u;
@@ -96,7 +98,7 @@
 	g->snapshot = s;
 	g_hash_table_iter_init(&it, g->upstreams);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&u))
-		view(u);
+		update_endpoints(u);
 }
 
 /* Requests */
@@ -120,17 +122,17 @@
 }
 
 void
-guard_keyed_offer(struct guard_request *r)
+guard_keyed_submit(struct guard_request *r)
 {
 	struct guard *g = r->guard;
 	struct keyed_decision d;
 
-	guard_keyed_tick(g);
+	guard_keyed_refresh_snapshot(g);
 	keyed_offer(r->upstream->keyed, &r->key, body_hash(r), &r->id,
 	    loop_now_ms(g->loop), &d);
 	log_debug("%s: key %s", r->upstream->info.service,
 	    keyed_verdict_name(d.verdict));
-	carry_out(r, &d);
+	apply_decision(r, &d);
 }
 
 /* The stream awaits the fate of the first request with the key. */
@@ -138,21 +140,22 @@
 follow(struct guard_request *r, const struct request_id *first)
 {
 	struct guard *g = r->guard;
-	struct guard_conn *gc = r->source->conn;
-	uint32_t stream = r->source->stream;
+	struct guard_conn *gc = r->body_source->conn;
+	uint32_t stream = r->body_source->stream;
 	struct guard_upstream *u = r->upstream;
 	struct fate_answer fate;
 
 	fate_follow(g->fates, &r->id, first, loop_now_ms(g->loop), &fate);
-	guard_resolve_note(g, &r->id, first);
-	guard_out_free(r->source);
+	guard_resolve_add_follower(g, &r->id, first);
+	guard_out_free(r->body_source);
 	switch (fate.resolution) {
 	case RESOLUTION_ATTACHED:
 		if (!guard_resolve_attach(gc, stream, &r->id))
 			guard_out_failed(gc, stream, u);
 		break;
 	case RESOLUTION_ANSWER:
-		if (!guard_resolve_hand_over(gc, stream, &r->id, fate.answer))
+		if (!guard_resolve_send_retained(
+			gc, stream, &r->id, fate.answer))
 			guard_out_failed(gc, stream, u);
 		break;
 	case RESOLUTION_NOT_RUN:
@@ -164,38 +167,39 @@
 	}
 	if (fate.answer != NULL)
 		g_bytes_unref(fate.answer);
-	guard_request_dismiss(r);
+	guard_request_discard(r);
 }
 
 static void
-ask(struct guard_request *r, uint64_t home)
+query_earlier_home(struct guard_request *r, uint64_t home)
 {
 	struct guard *g = r->guard;
-	struct guard_question q = {.id = r->id,
+	struct guard_key_query q = {.id = r->id,
 	    .key = r->key,
-	    .from = home,
+	    .home = home,
 	    .age_ms = keyed_age_ms(r->upstream->keyed, loop_now_ms(g->loop))};
-	const struct net_addr *at = g_hash_table_lookup(g->homes, &home);
+	const struct net_addr *at =
+	    g_hash_table_lookup(g->guard_addresses, &home);
 
 	(void)g_strlcpy(
 	    q.service, r->upstream->info.service, sizeof(q.service));
-	r->state = REQUEST_SETTLING;
-	guard_ask(g, at, &q);
+	r->state = REQUEST_AWAITING_KEY;
+	guard_key_query_start(g, at, &q);
 }
 
 static void
-carry_out(struct guard_request *r, const struct keyed_decision *d)
+apply_decision(struct guard_request *r, const struct keyed_decision *d)
 {
 	switch (d->verdict) {
 	case KEYED_RUN:
 		r->holds_key = true;
-		guard_upstream_offer(r);
+		guard_upstream_submit(r);
 		return;
 	case KEYED_FOLLOW:
 		follow(r, &d->first);
 		return;
 	case KEYED_ASK:
-		ask(r, d->ask);
+		query_earlier_home(r, d->ask);
 		return;
 	case KEYED_NOT_HOME:
 		guard_request_refuse(r, REFUSAL_NOT_HOME, 0);
@@ -216,8 +220,8 @@
 
 /* The request that asked may have been given up meanwhile. */
 void
-guard_keyed_answered(
-    struct guard *g, const struct guard_question *q, enum keyed_word word)
+guard_keyed_query_done(
+    struct guard *g, const struct guard_key_query *q, enum keyed_word word)
 {
 	struct guard_request *r = g_hash_table_lookup(g->requests, &q->id);
 	struct guard_upstream *u = guard_upstream_find(g, q->service);
@@ -230,9 +234,9 @@
 					   : "nothing");
 	if (u == NULL)
 		return;
-	keyed_asked(u->keyed, &q->key, &q->id, q->from, word, now_ms, &d);
-	if (r != NULL && r->state == REQUEST_SETTLING)
-		carry_out(r, &d);
+	keyed_asked(u->keyed, &q->key, &q->id, q->home, word, now_ms, &d);
+	if (r != NULL && r->state == REQUEST_AWAITING_KEY)
+		apply_decision(r, &d);
 	else if (d.verdict == KEYED_RUN || d.verdict == KEYED_ASK)
 		keyed_release(u->keyed, &q->key, &q->id, now_ms);
 }
@@ -259,7 +263,7 @@
 
 	if (u == NULL)
 		return KEYED_WORD_TAKEN;
-	guard_keyed_tick(g);
+	guard_keyed_refresh_snapshot(g);
 	return keyed_yield(
 	    u->keyed, &key, m->to, m->to_age_ms, loop_now_ms(g->loop));
 }
--- a/packages/node/src/guard_open.c
+++ b/packages/node/src/guard_open.c
@@ -35,7 +35,7 @@
 }
 
 static const char *
-name_of(const struct guard_request *r)
+find_caller_request_id(const struct guard_request *r)
 {
 	const struct call_dialect *d = r->guard->dialect;
 	const struct rec_header *h;
@@ -65,35 +65,36 @@
 	(void)g_strlcpy(r->caller, m->caller, sizeof(r->caller));
 	r->route = m->route;
 	copy_headers(r, m);
-	r->name = name_of(r);
+	r->caller_request_id = find_caller_request_id(r);
 	r->idempotent = m->idempotent;
 	r->keyed = m->key_len > 0;
 	key_id_make(&r->key, service_id(m->service), m->key, m->key_len);
 	r->deadline_ms = frame_age_deadline_ms(
 	    &gc->age, m->sent_ms, m->time_left_ms, loop_now_ms(g->loop));
-	r->ends_ms = loop_now_ms(g->loop) + m->time_left_ms;
+	r->latest_deadline_ms = loop_now_ms(g->loop) + m->time_left_ms;
 	r->priority = m->priority;
 	if (m->target_left_ms != 0)
 		r->target_ms = frame_age_deadline_ms(&gc->age, m->sent_ms,
 		    m->target_left_ms, loop_now_ms(g->loop));
 	r->body_bytes = m->body_bytes;
-	r->fin = m->body_bytes == 0;
+	r->body_complete = m->body_bytes == 0;
 	g_queue_init(&r->body);
 	loop_timer_init(&r->timer, g->loop, on_deadline, r);
 	r->answer = guard_answer_new(!m->idempotent);
-	r->source = guard_out_new(gc, m->stream, id, r, r->answer);
+	r->body_source = guard_out_new(gc, m->stream, id, r, r->answer);
 	g_hash_table_insert(g->requests, &r->id, r);
 	g_hash_table_insert(g->tickets, &r->ticket, r);
 	drain_request_began(&g->drain);
 	atomic_fetch_add(&g->in_flight, 1);
 	metric_add(&metric_requests_in_flight, 1);
-	if (!r->fin)
+	if (!r->body_complete)
 		guard_credit_open(r);
 	return r;
 }
 
 static bool
-caller_may(struct guard_request *r, const char *caller, uint64_t *retry_ms)
+caller_is_within_limit(
+    struct guard_request *r, const char *caller, uint64_t *retry_ms)
 {
 	const struct guard_endpoint *info = &r->upstream->info;
 	uint32_t per_s = info->limits.caller_calls_per_s;
@@ -109,7 +110,7 @@
 
 /* Finds the upstream and checks what needs no waiting. */
 static enum refusal
-check(
+check_admissible(
     struct guard_request *r, const struct msg_call_open *m, uint64_t *retry_ms)
 {
 	r->upstream = guard_upstream_find(r->guard, m->service);
@@ -119,31 +120,31 @@
 		return REFUSAL_NO_ENDPOINT;
 	if (r->upstream->info.state == SERVING_STARTING)
 		return REFUSAL_STARTING;
-	if (!guard_version_takes(r, m))
+	if (!guard_version_accepts(r, m))
 		return REFUSAL_SUPERSEDED;
-	if (!caller_may(r, m->caller, retry_ms))
+	if (!caller_is_within_limit(r, m->caller, retry_ms))
 		return REFUSAL_CALLER_LIMIT;
 	return REFUSAL_NONE;
 }
 
 static void
-take(struct guard_conn *gc, const struct msg_call_open *m,
+accept_attempt(struct guard_conn *gc, const struct msg_call_open *m,
     const struct request_id *id)
 {
 	struct guard_request *r = request_new(gc, m, id);
 	uint64_t retry_ms = 0;
-	enum refusal refusal = check(r, m, &retry_ms);
+	enum refusal refusal = check_admissible(r, m, &retry_ms);
 
 	if (refusal != REFUSAL_NONE) {
 		guard_request_refuse(r, refusal, retry_ms);
 		return;
 	}
 	loop_timer_set(&r->timer, r->deadline_ms);
-	guard_request_body(r);
+	guard_request_body_arrived(r);
 }
 
 static bool
-is_sound(const struct guard_conn *gc, const struct msg_call_open *m)
+is_valid(const struct guard_conn *gc, const struct msg_call_open *m)
 {
 	return m->stream != 0 && m->request_id_len == REQUEST_ID_BYTES &&
 	    m->path_len > 0 && m->path[0] == '/' && m->body_bytes >= -1 &&
@@ -159,13 +160,13 @@
 	struct request_id id;
 	uint64_t sent_ms;
 
-	if (!is_sound(gc, m))
+	if (!is_valid(gc, m))
 		return false;
 	memcpy(id.bytes, m->request_id, REQUEST_ID_BYTES);
 	sent_ms = frame_age_sent_ms(&gc->age, m->sent_ms, now_ms);
 	switch (fate_offer(g->fates, &id, sent_ms, &waiter, now_ms)) {
 	case FATE_OFFER_NEW:
-		take(gc, m, &id);
+		accept_attempt(gc, m, &id);
 		break;
 	case FATE_OFFER_SEEN:
 		log_info("request of %s came twice; dropped", gc->host);
--- a/packages/node/src/guard_out.c
+++ b/packages/node/src/guard_out.c
@@ -37,8 +37,8 @@
 	call_link_forget(&o->sender);
 	g_hash_table_remove(o->conn->streams, GUINT_TO_POINTER(o->stream));
 	g_queue_unlink(&o->answer->outs, &o->node);
-	if (o->request != NULL && o->request->source == o)
-		o->request->source = NULL;
+	if (o->request != NULL && o->request->body_source == o)
+		o->request->body_source = NULL;
 	guard_answer_unref(o->answer);
 	g_free(o);
 }
@@ -65,7 +65,7 @@
 }
 
 static uint64_t
-available(const struct guard_out *o)
+unsent_bytes(const struct guard_out *o)
 {
 	return o->answer->base + o->answer->data->len - o->sent;
 }
@@ -74,18 +74,18 @@
 static bool
 has_chunk(const struct guard_out *o)
 {
-	if (available(o) > 0)
+	if (unsent_bytes(o) > 0)
 		return o->credit_bytes > 0;
-	return o->answer->whole;
+	return o->answer->complete;
 }
 
 /* The upstream may go on once entries have taken what lagged. */
 static void
-unpause(struct guard_out *o)
+resume_upstream(struct guard_out *o)
 {
 	struct guard_request *r = o->request;
 
-	if (r == NULL || !r->paused || guard_answer_full(r->answer))
+	if (r == NULL || !r->paused || guard_answer_is_full(r->answer))
 		return;
 	r->paused = false;
 	if (r->call != NULL)
@@ -101,11 +101,11 @@
 
 	if (!has_chunk(o))
 		return false;
-	len = MIN(available(o), CALL_CHUNK_BYTES);
+	len = MIN(unsent_bytes(o), CALL_CHUNK_BYTES);
 	len = MIN(len, o->credit_bytes);
 	m.data = o->answer->data->data + (o->sent - o->answer->base);
 	m.data_len = (uint32_t)len;
-	m.fin = o->answer->whole && len == available(o);
+	m.fin = o->answer->complete && len == unsent_bytes(o);
 	(void)call_link_send(link, MSG_CALL_CHUNK, &m);
 	o->sent += len;
 	o->credit_bytes -= len;
@@ -113,12 +113,12 @@
 		guard_out_free(o);
 		return false;
 	}
-	unpause(o);
+	resume_upstream(o);
 	return has_chunk(o);
 }
 
 void
-guard_out_pump(struct guard_out *o, const struct guard_upstream *u)
+guard_out_send(struct guard_out *o, const struct guard_upstream *u)
 {
 	if (!o->answer->has_head)
 		return;
@@ -129,7 +129,7 @@
 }
 
 void
-guard_out_credit(struct guard_out *o, uint32_t bytes)
+guard_out_add_credit(struct guard_out *o, uint32_t bytes)
 {
 	o->credit_bytes += bytes;
 	if (o->head_sent && has_chunk(o))
@@ -146,8 +146,8 @@
 	memset(&m, 0, sizeof(m));
 	m.stream = stream;
 	/* An older build gets one that it knows, as final as this one. */
-	m.refusal =
-	    (uint8_t)(refusal > gc->refusals ? REFUSAL_CALLER_LIMIT : refusal);
+	m.refusal = (uint8_t)(refusal > gc->max_refusal ? REFUSAL_CALLER_LIMIT
+							: refusal);
 	m.retry_after_ms = (uint32_t)MIN(retry_after_ms, UINT32_MAX);
 	guard_upstream_load(u, &m.load);
 	call_metrics_refusal(refusal);
--- a/packages/node/src/guard_priv.h
+++ b/packages/node/src/guard_priv.h
@@ -51,9 +51,10 @@
  * @last_ticket: number of the last request
  * @snapshot: snapshot last seen, a reference
  * @superseded: versions that were in force here
- * @homes: endpoint id to struct net_addr of its guard, also of earlier ones
- * @follows: id of a request with a known key to that of the first with it
- * @askings: questions to earlier homes that are under way
+ * @guard_addresses: endpoint id to struct net_addr of its guard, also of
+ *earlier ones
+ * @followers: id of a request with a known key to that of the first with it
+ * @key_queries: questions to earlier homes that are under way
  * @quarantine: requests that are no longer run
  * @window: bodies of requests on their way here
  * @drain: the stop of this guard
@@ -61,12 +62,12 @@
  * @in_flight: number of requests, atomic for guard_in_flight()
  * @busy_conns: connections on which a stop would cut something, likewise
  * @serving: upstreams that take requests, atomic for guard_is_serving()
- * @draining: a drain was asked for
- * @drained: and has begun in the guard's thread
+ * @drain_requested: a drain was asked for
+ * @drain_started: and has begun in the guard's thread
  * @counts_lock: over the counts of all upstreams, and over @upstreams itself
  *	where another thread looks for them
- * @refused_lines: bound on lines of requests that were not run
- * @failed_lines: bound on lines of requests that failed at the upstream
+ * @refusal_log_limit: bound on lines of requests that were not run
+ * @failure_log_limit: bound on lines of requests that failed at the upstream
  */
 struct guard {
 	const struct settings *settings;
@@ -84,9 +85,9 @@
 	uint64_t last_ticket;
 	struct snapshot *snapshot;
 	struct superseded superseded;
-	GHashTable *homes;
-	GHashTable *follows;
-	GQueue askings;
+	GHashTable *guard_addresses;
+	GHashTable *followers;
+	GQueue key_queries;
 	struct guard_quarantine quarantine;
 	struct body_window window;
 	struct drain drain;
@@ -94,11 +95,11 @@
 	_Atomic uint32_t in_flight;
 	_Atomic uint32_t busy_conns;
 	_Atomic uint32_t serving;
-	_Atomic bool draining;
-	_Atomic bool drained;
+	_Atomic bool drain_requested;
+	_Atomic bool drain_started;
 	GMutex counts_lock;
-	struct log_limit refused_lines;
-	struct log_limit failed_lines;
+	struct log_limit refusal_log_limit;
+	struct log_limit failure_log_limit;
 };
 
 /**
@@ -112,8 +113,10 @@
  * @timer: wakes the admission
  * @crash: requests that lost their connection, while it is found out whether
  *	the upstream ended with it
- * @counts: what it answered since @counted began; guarded by the guard's lock
- * @counted: number of the rollout that @counts are for, 0 for none; likewise
+ * @counts: what it answered since @counts_order began; guarded by the guard's
+ *lock
+ * @counts_order: number of the rollout that @counts are for, 0 for none;
+ *likewise
  */
 struct guard_upstream {
 	struct guard *guard;
@@ -125,7 +128,7 @@
 	struct loop_timer timer;
 	struct guard_crash crash;
 	struct rollout_counts counts;
-	uint64_t counted;
+	uint64_t counts_order;
 };
 
 /**
@@ -134,10 +137,10 @@
  * @link: the connection
  * @id: its number
  * @host: host of the entry, for logs
- * @greeted: the entry has answered the hello
- * @refusals: largest refusal that the entry knows
- * @goodbye: it was asked for no more requests
- * @quiet: it has promised that
+ * @handshake_done: the entry has answered the hello
+ * @max_refusal: largest refusal that the entry knows
+ * @goodbye_sent: it was asked for no more requests
+ * @goodbye_acked: it has promised that
  * @age: bound on the age of its frames
  * @streams: stream number to struct guard_out
  * @timer: next ping, which keeps the bound on the age fresh
@@ -147,10 +150,10 @@
 	struct call_link link;
 	uint64_t id;
 	char host[SETTINGS_NAME_BYTES];
-	bool greeted;
-	uint8_t refusals;
-	bool goodbye;
-	bool quiet;
+	bool handshake_done;
+	uint8_t max_refusal;
+	bool goodbye_sent;
+	bool goodbye_acked;
 	struct frame_age age;
 	GHashTable *streams;
 	struct loop_timer timer;
@@ -167,8 +170,8 @@
  * @upstream_us: time from then to the head
  * @data: the body, from offset @base
  * @base: offset of the first byte in @data
- * @whole: the body is complete
- * @kept: all of it is held, to be handed over again
+ * @complete: the body is complete
+ * @retained: all of it is held, to be handed over again
  * @outs: struct guard_out that send it
  */
 struct guard_answer {
@@ -181,8 +184,8 @@
 	uint64_t upstream_us;
 	GByteArray *data;
 	uint64_t base;
-	bool whole;
-	bool kept;
+	bool complete;
+	bool retained;
 	GQueue outs;
 };
 
@@ -217,7 +220,7 @@
 /** enum request_state - where a request stands */
 enum request_state {
 	REQUEST_BODY = 0,
-	REQUEST_SETTLING,
+	REQUEST_AWAITING_KEY,
 	REQUEST_QUEUED,
 	REQUEST_RUNNING,
 	REQUEST_ENDED,
@@ -232,11 +235,11 @@
  * @state: where it stands
  * @method: HTTP method
  * @path: path and query, owned
- * @name: the caller's name of the request, in @headers, or "-"
+ * @caller_request_id: the caller's name of the request, in @headers, or "-"
  * @caller: who called, by the entry's word
  * @route: number of its route, 0 when not told
- * @print: what tells that another attempt is the same request; set before it
- *	is offered to the upstream
+ * @fingerprint: what tells that another attempt is the same request; set before
+ *it is offered to the upstream
  * @suspect: it ran in a recent crash: no other suspect runs beside it
  * @headers: headers that are passed on
  * @idempotent: running it twice does no harm
@@ -245,22 +248,22 @@
  * @holds_key: it is the one that may run with its key
  * @deadline_ms: earliest time at which its caller may have stopped waiting:
  *	nothing starts later
- * @ends_ms: latest such time: what runs is awaited so long, unless its entry
- *	cancels it, which knows the deadline better
+ * @latest_deadline_ms: latest such time: what runs is awaited so long, unless
+ *its entry cancels it, which knows the deadline better
  * @target_ms: when its answer is worth less, 0 when not told
  * @priority: 0 is the highest
  * @body_bytes: length of the body, -1 when not known
- * @source: where the body comes from, or NULL
+ * @body_source: where the body comes from, or NULL
  * @body: GBytes that came and were not sent on
  * @body_offset: bytes of the first that were sent on
  * @received: bytes of the body that came
- * @share: how much more of the body the entry may send
- * @wide: the upstream takes the body, so its window is opened wide
- * @fin: the body is complete
+ * @body_share: how much more of the body the entry may send
+ * @full_window: the upstream takes the body, so its window is opened wide
+ * @body_complete: the body is complete
  * @call: the HTTP call, or NULL
  * @opened_us: when the request came
  * @started_us: when the upstream was called
- * @spoilt: the upstream's answer is no answer, and was broken off here
+ * @invalid_answer: the upstream's answer is no answer, and was broken off here
  * @shed: the upstream said that it did not run it
  * @shed_retry_ms: and when to come back
  * @paused: the upstream's answer waits until entries have taken more
@@ -276,10 +279,10 @@
 	enum request_state state;
 	char method[MSG_CALL_OPEN_METHOD_MAX + 1];
 	char *path;
-	const char *name;
+	const char *caller_request_id;
 	char caller[MSG_CALL_OPEN_CALLER_MAX + 1];
 	uint64_t route;
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	bool suspect;
 	struct call_headers headers;
 	bool idempotent;
@@ -287,21 +290,21 @@
 	struct key_id key;
 	bool holds_key;
 	uint64_t deadline_ms;
-	uint64_t ends_ms;
+	uint64_t latest_deadline_ms;
 	uint64_t target_ms;
 	uint32_t priority;
 	int64_t body_bytes;
-	struct guard_out *source;
+	struct guard_out *body_source;
 	GQueue body;
 	size_t body_offset;
 	uint64_t received;
-	struct body_share share;
-	bool wide;
-	bool fin;
+	struct body_share body_share;
+	bool full_window;
+	bool body_complete;
 	struct http_call *call;
 	uint64_t opened_us;
 	uint64_t started_us;
-	bool spoilt;
+	bool invalid_answer;
 	bool shed;
 	uint64_t shed_retry_ms;
 	bool paused;
@@ -312,12 +315,13 @@
 
 /* guard_counts.c */
 
-/** guard_counts_watch() - count for the rollout that the endpoint's info names
+/** guard_counts_set_rollout() - count for the rollout that the endpoint's info
+ * names
  */
-void guard_counts_watch(struct guard_upstream *u);
+void guard_counts_set_rollout(struct guard_upstream *u);
 
-/** guard_counts_note() - a request has run and was answered, or failed */
-void guard_counts_note(struct guard_request *r, bool failed);
+/** guard_counts_record() - a request has run and was answered, or failed */
+void guard_counts_record(struct guard_request *r, bool failed);
 
 /* guard_conn.c */
 
@@ -327,11 +331,11 @@
 /** guard_conn_accept() - a connection came in */
 void guard_conn_accept(struct conn *conn, void *guard);
 
-/** guard_conn_goodbye() - ask the entry for no more requests */
-void guard_conn_goodbye(struct guard_conn *gc);
+/** guard_conn_send_goodbye() - ask the entry for no more requests */
+void guard_conn_send_goodbye(struct guard_conn *gc);
 
-/** guard_conn_busy() - whether a stop would cut something on it */
-bool guard_conn_busy(const struct guard_conn *gc);
+/** guard_conn_is_busy() - whether a stop would cut something on it */
+bool guard_conn_is_busy(const struct guard_conn *gc);
 
 /** guard_conn_free() - close it; for GHashTable */
 void guard_conn_free(void *conn);
@@ -339,11 +343,11 @@
 /* guard_frames.c */
 
 /**
- * guard_frame() - a frame came from an entry
+ * guard_frame_handle() - a frame came from an entry
  *
  * Return: false when the connection is to be closed for it.
  */
-bool guard_frame(
+bool guard_frame_handle(
     struct guard_conn *gc, uint8_t type, const uint8_t *body, size_t len);
 
 /* guard_open.c */
@@ -356,8 +360,9 @@
 /** guard_credit_open() - a request came whose body is not complete */
 void guard_credit_open(struct guard_request *r);
 
-/** guard_credit_took() - @bytes of its body came; @r->fin is known */
-void guard_credit_took(struct guard_request *r, uint64_t bytes);
+/** guard_credit_received() - @bytes of its body came; @r->body_complete is
+ * known */
+void guard_credit_received(struct guard_request *r, uint64_t bytes);
 
 /** guard_credit_consumed() - @bytes of its body were sent on, or it starts */
 void guard_credit_consumed(struct guard_request *r, uint64_t bytes);
@@ -373,8 +378,8 @@
 /** guard_request_class() - its kind for the admission */
 enum admission_class guard_request_class(const struct guard_request *r);
 
-/** guard_request_parts() - what it is known by */
-void guard_request_parts(
+/** guard_request_print_parts() - what it is known by */
+void guard_request_print_parts(
     const struct guard_request *r, struct call_print_parts *parts);
 
 /** guard_request_admission() - what the admission is told of it */
@@ -389,8 +394,8 @@
 bool
 guard_request_chunk(struct guard_request *r, const struct msg_call_chunk *m);
 
-/** guard_request_body() - start it if enough of its body is there */
-void guard_request_body(struct guard_request *r);
+/** guard_request_body_arrived() - start it if enough of its body is there */
+void guard_request_body_arrived(struct guard_request *r);
 
 /** guard_request_refuse() - it is not run and never will be */
 void guard_request_refuse(
@@ -402,14 +407,14 @@
 /** guard_request_done() - the whole answer came */
 void guard_request_done(struct guard_request *r);
 
-/** guard_request_dismiss() - its stream awaits another request's fate */
-void guard_request_dismiss(struct guard_request *r);
+/** guard_request_discard() - its stream awaits another request's fate */
+void guard_request_discard(struct guard_request *r);
 
 /** guard_request_cancel() - an entry does not want it any more */
 void guard_request_cancel(struct guard_request *r);
 
-/** guard_request_orphaned() - an entry that awaited it is gone */
-void guard_request_orphaned(struct guard_request *r, bool was_source);
+/** guard_request_waiter_lost() - an entry that awaited it is gone */
+void guard_request_waiter_lost(struct guard_request *r, bool was_source);
 
 /** guard_request_free() - free it; for GHashTable */
 void guard_request_free(void *request);
@@ -424,15 +429,16 @@
 void guard_upstream_set(
     struct guard *g, const struct guard_endpoint *list, uint32_t n);
 
-/** guard_upstream_recheck() - refuse queued requests that a stop would give up
+/** guard_upstream_refuse_late() - refuse queued requests that a stop would give
+ * up
  */
-void guard_upstream_recheck(struct guard *g);
+void guard_upstream_refuse_late(struct guard *g);
 
-/** guard_upstream_offer() - a request asks to run */
-void guard_upstream_offer(struct guard_request *r);
+/** guard_upstream_submit() - a request asks to run */
+void guard_upstream_submit(struct guard_request *r);
 
-/** guard_upstream_pump() - carry out what the admission wants */
-void guard_upstream_pump(struct guard_upstream *u);
+/** guard_upstream_run_queue() - carry out what the admission wants */
+void guard_upstream_run_queue(struct guard_upstream *u);
 
 /** guard_upstream_load() - its load, for answers; @u may be NULL */
 void guard_upstream_load(const struct guard_upstream *u, struct rec_load *load);
@@ -451,7 +457,7 @@
 /* guard_answer.c */
 
 /** guard_answer_new() - an empty answer with one reference */
-struct guard_answer *guard_answer_new(bool kept);
+struct guard_answer *guard_answer_new(bool retained);
 
 /** guard_answer_unref() - give a reference back */
 void guard_answer_unref(struct guard_answer *a);
@@ -459,11 +465,11 @@
 /** guard_answer_add() - append a piece of the body */
 void guard_answer_add(struct guard_answer *a, const uint8_t *data, size_t len);
 
-/** guard_answer_full() - whether entries lag so far that no more is taken */
-bool guard_answer_full(const struct guard_answer *a);
+/** guard_answer_is_full() - whether entries lag so far that no more is taken */
+bool guard_answer_is_full(const struct guard_answer *a);
 
-/** guard_answer_pump() - let all entries have what there is */
-void guard_answer_pump(struct guard_answer *a, const struct guard_upstream *u);
+/** guard_answer_send() - let all entries have what there is */
+void guard_answer_send(struct guard_answer *a, const struct guard_upstream *u);
 
 /** guard_answer_encode() - as the fate table keeps it; NULL if too large */
 GBytes *guard_answer_encode(const struct guard_answer *a);
@@ -488,11 +494,11 @@
 /** guard_out_free() - the stream is over */
 void guard_out_free(struct guard_out *o);
 
-/** guard_out_pump() - send what may be sent */
-void guard_out_pump(struct guard_out *o, const struct guard_upstream *u);
+/** guard_out_send() - send what may be sent */
+void guard_out_send(struct guard_out *o, const struct guard_upstream *u);
 
-/** guard_out_credit() - the entry granted @bytes */
-void guard_out_credit(struct guard_out *o, uint32_t bytes);
+/** guard_out_add_credit() - the entry granted @bytes */
+void guard_out_add_credit(struct guard_out *o, uint32_t bytes);
 
 /** guard_out_refuse() - tell that the attempt is not run */
 void guard_out_refuse(struct guard_conn *gc, uint32_t stream,
@@ -508,8 +514,8 @@
 /** guard_resolve() - an entry asks what became of an attempt */
 bool guard_resolve(struct guard_conn *gc, const struct msg_call_resolve *m);
 
-/** guard_resolve_note() - @id has the fate of @first */
-void guard_resolve_note(struct guard *g, const struct request_id *id,
+/** guard_resolve_add_follower() - @id has the fate of @first */
+void guard_resolve_add_follower(struct guard *g, const struct request_id *id,
     const struct request_id *first);
 
 /**
@@ -521,11 +527,11 @@
     struct guard_conn *gc, uint32_t stream, const struct request_id *id);
 
 /**
- * guard_resolve_hand_over() - send a kept answer
+ * guard_resolve_send_retained() - send a kept answer
  *
  * Return: false when it can't be read.
  */
-bool guard_resolve_hand_over(struct guard_conn *gc, uint32_t stream,
+bool guard_resolve_send_retained(struct guard_conn *gc, uint32_t stream,
     const struct request_id *id, GBytes *bytes);
 
 /** guard_resolve_expire() - forget followers whose fate is forgotten */
@@ -534,46 +540,47 @@
 /* guard_keyed.c */
 
 /**
- * struct guard_question - a question to an earlier home of a key
+ * struct guard_key_query - a question to an earlier home of a key
  * @service: the service
  * @key: the key
  * @id: request for which it is asked
- * @from: the earlier home
+ * @home: the earlier home
  * @age_ms: age of the own process
  */
-struct guard_question {
+struct guard_key_query {
 	char service[SERVICE_NAME_BYTES];
 	struct key_id key;
 	struct request_id id;
-	uint64_t from;
+	uint64_t home;
 	uint64_t age_ms;
 };
 
 /** guard_keyed_new() - the keys of an upstream */
 struct keyed *guard_keyed_new(struct guard *g, const char *service);
 
-/** guard_keyed_view() - tell the keys of @u its service's endpoints */
-void guard_keyed_view(struct guard_upstream *u);
+/** guard_keyed_update_endpoints() - tell the keys of @u its service's endpoints
+ */
+void guard_keyed_update_endpoints(struct guard_upstream *u);
 
-/** guard_keyed_tick() - see whether a new snapshot is in force */
-void guard_keyed_tick(struct guard *g);
+/** guard_keyed_refresh_snapshot() - see whether a new snapshot is in force */
+void guard_keyed_refresh_snapshot(struct guard *g);
 
 /* guard_version.c */
 
-/** guard_version_note() - see which version is in force */
-void guard_version_note(struct guard *g);
+/** guard_version_update() - see which version is in force */
+void guard_version_update(struct guard *g);
 
-/** guard_version_takes() - whether a request is to run here, though the entry
+/** guard_version_accepts() - whether a request is to run here, though the entry
  * may have routed it by an older version */
-bool guard_version_takes(
+bool guard_version_accepts(
     const struct guard_request *r, const struct msg_call_open *m);
 
-/** guard_keyed_offer() - a request with a key asks to run */
-void guard_keyed_offer(struct guard_request *r);
+/** guard_keyed_submit() - a request with a key asks to run */
+void guard_keyed_submit(struct guard_request *r);
 
-/** guard_keyed_answered() - the earlier home has answered, or won't */
-void guard_keyed_answered(
-    struct guard *g, const struct guard_question *q, enum keyed_word word);
+/** guard_keyed_query_done() - the earlier home has answered, or won't */
+void guard_keyed_query_done(
+    struct guard *g, const struct guard_key_query *q, enum keyed_word word);
 
 /** guard_keyed_ended() - a request that may have held its key is over */
 void guard_keyed_ended(struct guard_request *r, bool ran);
@@ -584,11 +591,12 @@
 
 /* guard_ask.c */
 
-/** guard_ask() - ask; @at may be NULL when nobody knows where it is */
-void guard_ask(
-    struct guard *g, const struct net_addr *at, const struct guard_question *q);
+/** guard_key_query_start() - ask; @at may be NULL when nobody knows where it is
+ */
+void guard_key_query_start(struct guard *g, const struct net_addr *at,
+    const struct guard_key_query *q);
 
-/** guard_ask_free_all() - drop all questions */
-void guard_ask_free_all(struct guard *g);
+/** guard_key_query_free_all() - drop all questions */
+void guard_key_query_free_all(struct guard *g);
 
 #endif
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -52,21 +52,21 @@
 void
 guard_quarantine_describe(const struct guard_request *r)
 {
-	GQueue *all = &r->guard->quarantine.described;
+	GQueue *all = &r->guard->quarantine.descriptions;
 	struct call_print_parts parts;
 	struct description *d;
 	GList *l;
 
 	for (l = all->head; l != NULL; l = l->next) {
 		d = l->data;
-		if (fingerprint_equal(&d->print, &r->print))
+		if (fingerprint_equal(&d->print, &r->fingerprint))
 			return;
 	}
 	d = g_new0(struct description, 1);
-	d->print = r->print;
+	d->print = r->fingerprint;
 	(void)g_snprintf(d->what, sizeof(d->what), "%s %s", r->method, r->path);
 	make_printable(d->what);
-	guard_request_parts(r, &parts);
+	guard_request_print_parts(r, &parts);
 	(void)g_strlcpy(
 	    d->caller, call_print_caller(&parts), sizeof(d->caller));
 	g_queue_push_tail(all, d);
@@ -75,12 +75,12 @@
 }
 
 static const struct description *
-description_of(const struct guard *g, const struct fingerprint *f)
+find_description(const struct guard *g, const struct fingerprint *f)
 {
 	const struct description *d;
 	GList *l;
 
-	for (l = g->quarantine.described.head; l != NULL; l = l->next) {
+	for (l = g->quarantine.descriptions.head; l != NULL; l = l->next) {
 		d = l->data;
 		if (d->print.content == f->content &&
 		    (f->caller == 0 || d->print.caller == f->caller))
@@ -111,7 +111,7 @@
 
 /* Unique among the records of all nodes. */
 static uint64_t
-make_id(struct guard *g)
+make_record_id(struct guard *g)
 {
 	uint64_t parts[] = {g->incarnation, ++g->quarantine.crashes};
 	uint64_t id = hash64(parts, sizeof(parts),
@@ -143,7 +143,7 @@
 static void
 publish_quarantined(struct guard *g, const struct quarantine_entry *e)
 {
-	const struct description *d = description_of(g, &e->print);
+	const struct description *d = find_description(g, &e->print);
 	char text[FINGERPRINT_TEXT_BYTES];
 	struct quarantine_item item;
 
@@ -154,7 +154,7 @@
 	if (!e->own || d == NULL)
 		return;
 	item_init(&item, g, QUARANTINE_HELD, e->since_ms);
-	item.id = make_id(g);
+	item.id = make_record_id(g);
 	item.crashes = e->crashes;
 	(void)g_strlcpy(item.what, d->what, sizeof(item.what));
 	if (e->print.caller != 0)
@@ -166,10 +166,10 @@
 static void
 log_suspended(struct guard *g, const struct quarantine_entry *e)
 {
-	uint32_t left_out = g->quarantine.lines.left_out;
+	uint32_t left_out = g->quarantine.log_limit.left_out;
 	char text[FINGERPRINT_TEXT_BYTES];
 
-	if (log_limit_take(&g->quarantine.lines, now_ms(g)))
+	if (log_limit_take(&g->quarantine.log_limit, now_ms(g)))
 		log_warning(
 		    "request=%s is suspended, crashes=%u last=%016" PRIx64
 		    " for_ms=%" PRIu64 ": a co-suspect ran in all of "
@@ -181,16 +181,16 @@
 static void
 publish_exonerated(struct guard *g, const struct quarantine_entry *e)
 {
-	uint32_t left_out = g->quarantine.lines.left_out;
+	uint32_t left_out = g->quarantine.log_limit.left_out;
 	char text[FINGERPRINT_TEXT_BYTES];
 	struct quarantine_item item;
 
-	if (log_limit_take(&g->quarantine.lines, now_ms(g)))
+	if (log_limit_take(&g->quarantine.log_limit, now_ms(g)))
 		log_info("request=%s was answered, crashes before don't count "
 			 "left_out=%u",
 		    fingerprint_text(&e->print, text), left_out);
 	item_init(&item, g, QUARANTINE_ANSWERED, e->since_ms);
-	item.id = make_id(g);
+	item.id = make_record_id(g);
 	add_print(&item, &e->print);
 	publish(g, &item);
 }
@@ -198,28 +198,28 @@
 /* The decision */
 
 static void
-show(struct guard *g)
+export_entries(struct guard *g)
 {
 	struct guard_quarantine *q = &g->quarantine;
 
 	g_mutex_lock(&q->lock);
-	g_array_set_size(q->shown, 0);
-	quarantine_list(q->decision, q->shown);
-	metric_set(&metric_quarantined, q->shown->len);
+	g_array_set_size(q->exported, 0);
+	quarantine_list(q->state, q->exported);
+	metric_set(&metric_quarantined, q->exported->len);
 	g_mutex_unlock(&q->lock);
 }
 
 void
 guard_quarantine_tick(struct guard *g)
 {
-	if (!quarantine_is_empty(g->quarantine.decision))
-		show(g);
+	if (!quarantine_is_empty(g->quarantine.state))
+		export_entries(g);
 }
 
 static bool
 is_queued(const struct guard_request *r)
 {
-	return r->state == REQUEST_QUEUED || r->state == REQUEST_SETTLING;
+	return r->state == REQUEST_QUEUED || r->state == REQUEST_AWAITING_KEY;
 }
 
 /* Rejects queued requests that may no longer run. */
@@ -236,14 +236,14 @@
 		if (is_queued(r))
 			g_ptr_array_add(list, r);
 	for (i = 0; i < list->len; i++)
-		(void)guard_quarantine_refuses(list->pdata[i]);
+		(void)guard_quarantine_check(list->pdata[i]);
 	g_ptr_array_unref(list);
 }
 
 static void
-pump(struct guard *g)
+process_events(struct guard *g)
 {
-	struct quarantine *q = g->quarantine.decision;
+	struct quarantine *q = g->quarantine.state;
 	struct quarantine_event e;
 
 	while (quarantine_pop(q, &e)) {
@@ -264,7 +264,7 @@
 			break;
 		}
 	}
-	show(g);
+	export_entries(g);
 	loop_timer_set(&g->quarantine.timer, quarantine_next_ms(q));
 }
 
@@ -273,8 +273,8 @@
 {
 	struct guard *g = arg;
 
-	quarantine_tick(g->quarantine.decision, now_ms(g));
-	pump(g);
+	quarantine_tick(g->quarantine.state, now_ms(g));
+	process_events(g);
 }
 
 void
@@ -284,11 +284,11 @@
 	struct guard *g = u->guard;
 	struct crash c = {.at_ms = now_ms(g), .n_runs = n_runs};
 
-	c.id = make_id(g);
+	c.id = make_record_id(g);
 	memcpy(c.runs, runs, n_runs * sizeof(runs[0]));
-	quarantine_crashed(g->quarantine.decision, &c, now_ms(g));
+	quarantine_crashed(g->quarantine.state, &c, now_ms(g));
 	reject_queued(g);
-	pump(g);
+	process_events(g);
 }
 
 void
@@ -296,13 +296,14 @@
 {
 	struct guard *g = r->guard;
 
-	if (quarantine_answered(g->quarantine.decision, &r->print, now_ms(g)))
-		pump(g);
+	if (quarantine_answered(
+		g->quarantine.state, &r->fingerprint, now_ms(g)))
+		process_events(g);
 }
 
 /* A suspect that runs or waits at the same upstream, or NULL. */
 static const struct guard_request *
-suspect_beside(const struct guard_request *r)
+find_other_suspect(const struct guard_request *r)
 {
 	const struct guard_request *other;
 	GHashTableIter it;
@@ -322,40 +323,41 @@
  * at another upstream.
  */
 static bool
-refuses_beside(struct guard_request *r)
+refuse_beside_suspect(struct guard_request *r)
 {
 	const struct guard_request *other;
 
 	if (r->suspect)
 		return false;
-	other = suspect_beside(r);
+	other = find_other_suspect(r);
 	r->suspect = other == NULL;
 	if (other == NULL)
 		return false;
 	guard_request_refuse(r,
-	    fingerprint_equal(&other->print, &r->print) ? REFUSAL_QUARANTINED
-							: REFUSAL_WAIT,
+	    fingerprint_equal(&other->fingerprint, &r->fingerprint)
+		? REFUSAL_QUARANTINED
+		: REFUSAL_WAIT,
 	    QUARANTINE_UNDECIDED_RETRY_MS);
 	return true;
 }
 
 bool
-guard_quarantine_refuses(struct guard_request *r)
+guard_quarantine_check(struct guard_request *r)
 {
-	struct quarantine *q = r->guard->quarantine.decision;
+	struct quarantine *q = r->guard->quarantine.state;
 	uint64_t at_ms = now_ms(r->guard);
-	const struct quarantine_entry *e = quarantine_check(q, &r->print);
+	const struct quarantine_entry *e = quarantine_check(q, &r->fingerprint);
 
 	if (e != NULL) {
 		guard_request_refuse(r, REFUSAL_QUARANTINED,
 		    quarantine_retry_after_ms(e, at_ms));
 		return true;
 	}
-	switch (quarantine_suspicion(q, &r->print, at_ms)) {
+	switch (quarantine_suspicion(q, &r->fingerprint, at_ms)) {
 	case SUSPICION_NONE:
 		return false;
 	case SUSPICION_SUSPECT:
-		return refuses_beside(r);
+		return refuse_beside_suspect(r);
 	case SUSPICION_UNDECIDED:
 		break;
 	}
@@ -367,7 +369,7 @@
 /* Records of other nodes */
 
 static void
-take_crash(struct guard *g, const struct quarantine_item *item)
+apply_crash(struct guard *g, const struct quarantine_item *item)
 {
 	struct crash c = {.id = item->id, .at_ms = item->at_ms};
 
@@ -376,17 +378,17 @@
 		c.runs[c.n_runs].content = item->prints[c.n_runs].content;
 		c.runs[c.n_runs].caller = item->prints[c.n_runs].caller;
 	}
-	quarantine_crash(g->quarantine.decision, &c, now_ms(g));
+	quarantine_crash(g->quarantine.state, &c, now_ms(g));
 }
 
 static void
 log_received(struct guard *g, const struct quarantine_item *item,
     const struct fingerprint *f)
 {
-	uint32_t left_out = g->quarantine.lines.left_out;
+	uint32_t left_out = g->quarantine.log_limit.left_out;
 	char text[FINGERPRINT_TEXT_BYTES];
 
-	if (!log_limit_take(&g->quarantine.lines, now_ms(g)))
+	if (!log_limit_take(&g->quarantine.log_limit, now_ms(g)))
 		return;
 	log_warning("request=%s %s, by host=%s age_ms=%" PRIu64
 		    " crashes=%u asks=\"%s\" caller=%s left_out=%u",
@@ -397,9 +399,9 @@
 }
 
 static void
-take_print(struct guard *g, const struct quarantine_item *item)
+apply_hold_or_release(struct guard *g, const struct quarantine_item *item)
 {
-	struct quarantine *q = g->quarantine.decision;
+	struct quarantine *q = g->quarantine.state;
 	const struct fingerprint f = {
 	    item->prints[0].content, item->prints[0].caller};
 	bool changed;
@@ -415,33 +417,33 @@
 }
 
 /* News on its way to the guard's thread. */
-struct guard_news {
+struct item_task {
 	struct guard *guard;
 	struct quarantine_item item;
 };
 
 static void
-do_take(void *arg)
+do_apply_item(void *arg)
 {
-	struct guard_news *news = arg;
+	struct item_task *task = arg;
 
-	if (news->item.kind == QUARANTINE_CRASH) {
-		take_crash(news->guard, &news->item);
-		reject_queued(news->guard);
+	if (task->item.kind == QUARANTINE_CRASH) {
+		apply_crash(task->guard, &task->item);
+		reject_queued(task->guard);
 	} else
-		take_print(news->guard, &news->item);
-	pump(news->guard);
-	g_free(news);
+		apply_hold_or_release(task->guard, &task->item);
+	process_events(task->guard);
+	g_free(task);
 }
 
 void
 guard_apply_quarantine_item(struct guard *g, const struct quarantine_item *item)
 {
-	struct guard_news *news = g_new(struct guard_news, 1);
+	struct item_task *task = g_new(struct item_task, 1);
 
-	news->guard = g;
-	news->item = *item;
-	loop_post(g->loop, do_take, news);
+	task->guard = g;
+	task->item = *item;
+	loop_post(g->loop, do_apply_item, task);
 }
 
 void
@@ -457,15 +459,15 @@
 	struct guard_quarantine *q = &g->quarantine;
 
 	g_mutex_lock(&q->lock);
-	if (q->shown->len > 0)
-		g_array_append_vals(out, q->shown->data, q->shown->len);
+	if (q->exported->len > 0)
+		g_array_append_vals(out, q->exported->data, q->exported->len);
 	g_mutex_unlock(&q->lock);
 }
 
 struct quarantine *
 guard_quarantine(struct guard *g)
 {
-	return g->quarantine.decision;
+	return g->quarantine.state;
 }
 
 void
@@ -473,13 +475,14 @@
 {
 	struct guard_quarantine *q = &g->quarantine;
 
-	q->decision = quarantine_new(g->incarnation, clock_now_ms());
+	q->state = quarantine_new(g->incarnation, clock_now_ms());
 	loop_timer_init(&q->timer, g->loop, on_timer, g);
-	g_queue_init(&q->described);
-	q->lines.per_s = LINES_PER_S;
-	q->lines.burst = LINES_PER_S;
+	g_queue_init(&q->descriptions);
+	q->log_limit.per_s = LINES_PER_S;
+	q->log_limit.burst = LINES_PER_S;
 	g_mutex_init(&q->lock);
-	q->shown = g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
+	q->exported =
+	    g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
 }
 
 void
@@ -488,8 +491,8 @@
 	struct guard_quarantine *q = &g->quarantine;
 
 	loop_timer_stop(&q->timer);
-	quarantine_free(q->decision);
-	g_queue_clear_full(&q->described, g_free);
-	g_array_unref(q->shown);
+	quarantine_free(q->state);
+	g_queue_clear_full(&q->descriptions, g_free);
+	g_array_unref(q->exported);
 	g_mutex_clear(&q->lock);
 }
--- a/packages/node/src/guard_quarantine.h
+++ b/packages/node/src/guard_quarantine.h
@@ -21,26 +21,27 @@
 
 /**
  * struct guard_quarantine - state of the quarantine at the guard
- * @decision: what is quarantined, suspended and suspect
+ * @state: what is quarantined, suspended and suspect
  * @timer: wakes the decision
- * @described: struct description of requests that ran in crashes here
+ * @descriptions: struct description of requests that ran in crashes here
  * @publish: publishes records to all nodes, or NULL
  * @arg: argument of @publish
  * @crashes: crashes seen here
- * @lines: bound on lines of requests that were answered or that peers told of
- * @lock: guards @shown
- * @shown: struct quarantine_entry for other threads
+ * @log_limit: bound on lines of requests that were answered or that peers told
+ * of
+ * @lock: guards @exported
+ * @exported: struct quarantine_entry for other threads
  */
 struct guard_quarantine {
-	struct quarantine *decision;
+	struct quarantine *state;
 	struct loop_timer timer;
-	GQueue described;
+	GQueue descriptions;
 	guard_publish_fn *publish;
 	void *arg;
 	uint64_t crashes;
-	struct log_limit lines;
+	struct log_limit log_limit;
 	GMutex lock;
-	GArray *shown;
+	GArray *exported;
 };
 
 /** guard_quarantine_init() - of a new guard */
@@ -63,11 +64,11 @@
 void guard_quarantine_answered(const struct guard_request *r);
 
 /**
- * guard_quarantine_refuses() - refuse @r if it is quarantined, suspended or
+ * guard_quarantine_check() - refuse @r if it is quarantined, suspended or
  * undecided, or a suspect while another one runs there
  *
  * Return: whether it was refused.
  */
-bool guard_quarantine_refuses(struct guard_request *r);
+bool guard_quarantine_check(struct guard_request *r);
 
 #endif
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -47,11 +47,11 @@
 		o = l->data;
 		o->request = NULL;
 	}
-	r->source = NULL;
+	r->body_source = NULL;
 }
 
 static void
-ended(struct guard_request *r)
+end_request(struct guard_request *r)
 {
 	struct guard *g = r->guard;
 
@@ -68,33 +68,34 @@
 }
 
 static uint64_t
-ran_ms(const struct guard_request *r)
+run_time_ms(const struct guard_request *r)
 {
 	return (clock_now_us() - r->started_us) / US_PER_MS;
 }
 
 /* It was answered: how long its kind takes. */
 static void
-note_run(struct guard_request *r)
+record_run_time(struct guard_request *r)
 {
 	struct admission_request req;
 
 	guard_request_admission(r, &req);
-	admission_ran(r->upstream->admission, &req, ran_ms(r),
+	admission_ran(r->upstream->admission, &req, run_time_ms(r),
 	    loop_now_ms(r->guard->loop));
 }
 
 /* The slot is free again. */
 static void
-leave_slot(struct guard_request *r)
+release_slot(struct guard_request *r)
 {
 	admission_finished(r->upstream->admission, r->ticket,
-	    guard_request_class(r), ran_ms(r), loop_now_ms(r->guard->loop));
+	    guard_request_class(r), run_time_ms(r),
+	    loop_now_ms(r->guard->loop));
 }
 
 /* Return: when it is worth to come back. */
 static uint64_t
-leave_shed(struct guard_request *r)
+release_shed_slot(struct guard_request *r)
 {
 	return admission_shed(r->upstream->admission, r->ticket,
 	    guard_request_class(r), loop_now_ms(r->guard->loop));
@@ -117,7 +118,7 @@
 log_refusal(const struct guard_request *r, enum refusal refusal,
     uint64_t retry_after_ms)
 {
-	struct log_limit *limit = &r->guard->refused_lines;
+	struct log_limit *limit = &r->guard->refusal_log_limit;
 	uint32_t left_out = limit->left_out;
 	char text[FINGERPRINT_TEXT_BYTES];
 	struct rec_load load;
@@ -129,7 +130,7 @@
 	log_info("request id=%s request=%s service=%s refused=%s running=%u "
 		 "queued=%u slots=%u retry_after_ms=%" G_GUINT64_FORMAT
 		 " left_out=%u",
-	    r->name, fingerprint_text(&r->print, text),
+	    r->caller_request_id, fingerprint_text(&r->fingerprint, text),
 	    r->upstream != NULL ? r->upstream->info.service : "?",
 	    refusal_name(refusal), load.in_flight, load.queued, load.slots,
 	    retry_after_ms, left_out);
@@ -148,14 +149,14 @@
 	if (r->state == REQUEST_QUEUED)
 		(void)admission_cancel(r->upstream->admission, r->ticket);
 	if (ran && r->shed)
-		retry_after_ms = MAX(retry_after_ms, leave_shed(r));
+		retry_after_ms = MAX(retry_after_ms, release_shed_slot(r));
 	else if (ran)
-		leave_slot(r);
+		release_slot(r);
 	log_refusal(r, refusal, retry_after_ms);
 	refuse_outs(r, refusal, retry_after_ms);
-	ended(r);
+	end_request(r);
 	if (ran)
-		guard_upstream_pump(r->upstream);
+		guard_upstream_run_queue(r->upstream);
 }
 
 void
@@ -167,13 +168,13 @@
 		return;
 	fate_failed(r->guard->fates, &r->id, loop_now_ms(r->guard->loop));
 	guard_keyed_ended(r, true);
-	leave_slot(r);
+	release_slot(r);
 	while ((o = g_queue_peek_head(&r->answer->outs)) != NULL) {
 		guard_out_failed(o->conn, o->stream, r->upstream);
 		guard_out_free(o);
 	}
-	ended(r);
-	guard_upstream_pump(r->upstream);
+	end_request(r);
+	guard_upstream_run_queue(r->upstream);
 }
 
 void
@@ -185,32 +186,32 @@
 	if (kept != NULL)
 		g_bytes_unref(kept);
 	guard_keyed_ended(r, true);
-	note_run(r);
+	record_run_time(r);
 	guard_quarantine_answered(r);
-	guard_counts_note(r, false);
-	leave_slot(r);
-	r->answer->whole = true;
-	guard_answer_pump(r->answer, r->upstream);
-	ended(r);
-	guard_upstream_pump(r->upstream);
+	guard_counts_record(r, false);
+	release_slot(r);
+	r->answer->complete = true;
+	guard_answer_send(r->answer, r->upstream);
+	end_request(r);
+	guard_upstream_run_queue(r->upstream);
 }
 
 void
-guard_request_dismiss(struct guard_request *r)
+guard_request_discard(struct guard_request *r)
 {
-	ended(r);
+	end_request(r);
 }
 
 /* The body */
 
 static bool
-body_suffices(const struct guard_request *r)
+has_enough_body(const struct guard_request *r)
 {
-	return r->fin || r->received >= CALL_FIRST_BYTES;
+	return r->body_complete || r->received >= CALL_FIRST_BYTES;
 }
 
 void
-guard_request_parts(
+guard_request_print_parts(
     const struct guard_request *r, struct call_print_parts *parts)
 {
 	parts->dialect = r->guard->dialect;
@@ -221,29 +222,29 @@
 	parts->body_bytes = r->body_bytes;
 	parts->body = &r->body;
 	parts->received = r->received;
-	parts->whole = r->fin;
+	parts->whole = r->body_complete;
 }
 
 static void
-fingerprint(struct guard_request *r)
+compute_fingerprint(struct guard_request *r)
 {
 	struct call_print_parts parts;
 
-	guard_request_parts(r, &parts);
-	call_print(&parts, &r->print);
+	guard_request_print_parts(r, &parts);
+	call_print(&parts, &r->fingerprint);
 }
 
 void
-guard_request_body(struct guard_request *r)
+guard_request_body_arrived(struct guard_request *r)
 {
-	if (r->state == REQUEST_BODY && body_suffices(r)) {
-		fingerprint(r);
-		if (guard_quarantine_refuses(r))
+	if (r->state == REQUEST_BODY && has_enough_body(r)) {
+		compute_fingerprint(r);
+		if (guard_quarantine_check(r))
 			return;
 		if (r->keyed)
-			guard_keyed_offer(r);
+			guard_keyed_submit(r);
 		else
-			guard_upstream_offer(r);
+			guard_upstream_submit(r);
 		return;
 	}
 	if (r->call != NULL)
@@ -251,13 +252,13 @@
 }
 
 static bool
-length_is_right(const struct guard_request *r)
+body_length_is_valid(const struct guard_request *r)
 {
-	if (r->received > MAX(r->share.granted_bytes, CALL_FIRST_BYTES))
+	if (r->received > MAX(r->body_share.granted_bytes, CALL_FIRST_BYTES))
 		return false;
 	if (r->body_bytes < 0)
 		return true;
-	if (r->fin)
+	if (r->body_complete)
 		return r->received == (uint64_t)r->body_bytes;
 	return r->received <= (uint64_t)r->body_bytes;
 }
@@ -267,16 +268,16 @@
 {
 	if (r->state == REQUEST_ENDED)
 		return true;
-	if (r->fin)
+	if (r->body_complete)
 		return false;
 	r->received += m->data_len;
-	r->fin = m->fin;
-	if (!length_is_right(r))
+	r->body_complete = m->fin;
+	if (!body_length_is_valid(r))
 		return false;
-	guard_credit_took(r, m->data_len);
+	guard_credit_received(r, m->data_len);
 	if (m->data_len > 0)
 		g_queue_push_tail(&r->body, g_bytes_new(m->data, m->data_len));
-	guard_request_body(r);
+	guard_request_body_arrived(r);
 	return true;
 }
 
@@ -284,7 +285,7 @@
 
 /* Stops a running request; what is certain of it depends on what was sent. */
 static void
-break_off(struct guard_request *r, enum refusal refusal)
+abort_call(struct guard_request *r, enum refusal refusal)
 {
 	bool sent = http_call_cancel(r->call);
 
@@ -300,15 +301,15 @@
 {
 	switch (r->state) {
 	case REQUEST_BODY:
-	case REQUEST_SETTLING:
+	case REQUEST_AWAITING_KEY:
 	case REQUEST_QUEUED:
 		guard_request_refuse(r, REFUSAL_CANCELLED, 0);
 		return;
 	case REQUEST_RUNNING:
 		/* One that must not run twice runs on, so that its fate and
 		 * its answer can still be told. */
-		if (r->idempotent || !r->fin)
-			break_off(r, REFUSAL_CANCELLED);
+		if (r->idempotent || !r->body_complete)
+			abort_call(r, REFUSAL_CANCELLED);
 		return;
 	case REQUEST_ENDED:
 		return;
@@ -316,11 +317,11 @@
 }
 
 void
-guard_request_orphaned(struct guard_request *r, bool was_source)
+guard_request_waiter_lost(struct guard_request *r, bool was_source)
 {
 	if (r->state == REQUEST_ENDED)
 		return;
-	if (was_source && !r->fin) {
+	if (was_source && !r->body_complete) {
 		guard_request_cancel(r);
 		return;
 	}
--- a/packages/node/src/guard_resolve.c
+++ b/packages/node/src/guard_resolve.c
@@ -9,10 +9,10 @@
 #include "guard_priv.h"
 
 /* A follower is remembered longer than the fate that it follows. */
-#define FOLLOW_WINDOWS 3
+#define FOLLOWER_FATE_WINDOWS 3
 
 static void
-tell(struct guard_conn *gc, uint32_t stream, enum resolution r)
+send_resolution(struct guard_conn *gc, uint32_t stream, enum resolution r)
 {
 	struct msg_call_resolved m = {
 	    .stream = stream, .resolution = (uint8_t)r};
@@ -27,7 +27,7 @@
 };
 
 void
-guard_resolve_note(struct guard *g, const struct request_id *id,
+guard_resolve_add_follower(struct guard *g, const struct request_id *id,
     const struct request_id *first)
 {
 	struct follower *f = g_new(struct follower, 1);
@@ -36,12 +36,12 @@
 	*key = *id;
 	f->first = *first;
 	f->until_ms = loop_now_ms(g->loop) +
-	    FOLLOW_WINDOWS * (uint64_t)g->settings->fate_window_ms;
-	g_hash_table_replace(g->follows, key, f);
+	    FOLLOWER_FATE_WINDOWS * (uint64_t)g->settings->fate_window_ms;
+	g_hash_table_replace(g->followers, key, f);
 }
 
 static gboolean
-is_over(gpointer key, gpointer value, gpointer arg)
+is_expired(gpointer key, gpointer value, gpointer arg)
 {
 	const struct follower *f = value;
 	const uint64_t *now_ms = arg;
@@ -55,13 +55,13 @@
 {
 	uint64_t now_ms = loop_now_ms(g->loop);
 
-	(void)g_hash_table_foreach_remove(g->follows, is_over, &now_ms);
+	(void)g_hash_table_foreach_remove(g->followers, is_expired, &now_ms);
 }
 
 static struct guard_request *
-active(struct guard *g, const struct request_id *id)
+find_active(struct guard *g, const struct request_id *id)
 {
-	const struct follower *f = g_hash_table_lookup(g->follows, id);
+	const struct follower *f = g_hash_table_lookup(g->followers, id);
 
 	return g_hash_table_lookup(g->requests, f != NULL ? &f->first : id);
 }
@@ -71,17 +71,17 @@
 guard_resolve_attach(
     struct guard_conn *gc, uint32_t stream, const struct request_id *id)
 {
-	struct guard_request *r = active(gc->guard, id);
+	struct guard_request *r = find_active(gc->guard, id);
 
 	if (r == NULL || r->state == REQUEST_ENDED || r->answer->base > 0)
 		return false;
-	guard_out_pump(
+	guard_out_send(
 	    guard_out_new(gc, stream, id, r, r->answer), r->upstream);
 	return true;
 }
 
 bool
-guard_resolve_hand_over(struct guard_conn *gc, uint32_t stream,
+guard_resolve_send_retained(struct guard_conn *gc, uint32_t stream,
     const struct request_id *id, GBytes *bytes)
 {
 	struct guard_answer *a = guard_answer_decode(bytes);
@@ -91,12 +91,12 @@
 		return false;
 	o = guard_out_new(gc, stream, id, NULL, a);
 	guard_answer_unref(a);
-	guard_out_pump(o, NULL);
+	guard_out_send(o, NULL);
 	return true;
 }
 
 static void
-cancelled(struct guard *g, const struct request_id *id)
+cancel_request(struct guard *g, const struct request_id *id)
 {
 	struct guard_request *r = g_hash_table_lookup(g->requests, id);
 
@@ -123,11 +123,11 @@
 
 /* Whoever asks has lost the connection over which the body was coming. */
 static void
-body_will_not_come(struct guard *g, const struct request_id *id)
+cancel_incomplete(struct guard *g, const struct request_id *id)
 {
 	struct guard_request *r = g_hash_table_lookup(g->requests, id);
 
-	if (r != NULL && !r->fin)
+	if (r != NULL && !r->body_complete)
 		guard_request_cancel(r);
 }
 
@@ -142,18 +142,18 @@
 	    g_hash_table_contains(gc->streams, GUINT_TO_POINTER(m->stream)))
 		return false;
 	fill_query(gc, m, &q);
-	body_will_not_come(g, &q.id);
+	cancel_incomplete(g, &q.id);
 	fate_resolve(g->fates, &q, loop_now_ms(g->loop), &answer);
 	log_info("%s asks for a request's fate: %s", gc->host,
 	    resolution_name(answer.resolution));
 	if (answer.cancelled)
-		cancelled(g, &q.id);
-	tell(gc, m->stream, answer.resolution);
+		cancel_request(g, &q.id);
+	send_resolution(gc, m->stream, answer.resolution);
 	if (answer.resolution == RESOLUTION_ATTACHED &&
 	    !guard_resolve_attach(gc, m->stream, &q.id))
 		guard_out_failed(gc, m->stream, NULL);
 	if (answer.resolution == RESOLUTION_ANSWER &&
-	    !guard_resolve_hand_over(gc, m->stream, &q.id, answer.answer))
+	    !guard_resolve_send_retained(gc, m->stream, &q.id, answer.answer))
 		guard_out_failed(gc, m->stream, NULL);
 	if (answer.answer != NULL)
 		g_bytes_unref(answer.answer);
--- a/packages/node/src/guard_upstream.c
+++ b/packages/node/src/guard_upstream.c
@@ -13,7 +13,7 @@
 static void
 on_timer(void *arg)
 {
-	guard_upstream_pump(arg);
+	guard_upstream_run_queue(arg);
 }
 
 struct guard_upstream *
@@ -23,7 +23,8 @@
 }
 
 static void
-configure(const struct guard_endpoint *info, struct admission_config *cfg)
+fill_admission_config(
+    const struct guard_endpoint *info, struct admission_config *cfg)
 {
 	const struct service_limits *l = &info->limits;
 
@@ -43,7 +44,7 @@
 
 	u->guard = g;
 	u->info = *info;
-	configure(info, &cfg);
+	fill_admission_config(info, &cfg);
 	u->admission = admission_new(&cfg);
 	u->keyed = guard_keyed_new(g, info->service);
 	loop_timer_init(&u->timer, g->loop, on_timer, u);
@@ -51,7 +52,7 @@
 	g_mutex_lock(&g->counts_lock);
 	g_hash_table_insert(g->upstreams, u->info.service, u);
 	g_mutex_unlock(&g->counts_lock);
-	guard_keyed_view(u);
+	guard_keyed_update_endpoints(u);
 	return u;
 }
 
@@ -66,7 +67,7 @@
 }
 
 static void
-set_one(struct guard *g, const struct guard_endpoint *info)
+update_upstream(struct guard *g, const struct guard_endpoint *info)
 {
 	struct guard_upstream *u = guard_upstream_find(g, info->service);
 	struct admission_config cfg;
@@ -76,14 +77,14 @@
 	u->present = true;
 	u->info = *info;
 	set_url(u);
-	guard_counts_watch(u);
-	configure(info, &cfg);
+	guard_counts_set_rollout(u);
+	fill_admission_config(info, &cfg);
 	admission_configure(u->admission, &cfg);
 	if (info->state == SERVING_READY && drain_takes_request(&g->drain))
 		admission_undrain(u->admission);
 	else if (info->state != SERVING_STARTING)
 		admission_drain(u->admission);
-	guard_upstream_pump(u);
+	guard_upstream_run_queue(u);
 }
 
 void
@@ -98,7 +99,7 @@
 	while (g_hash_table_iter_next(&it, NULL, (void **)&u))
 		u->present = false;
 	for (i = 0; i < n; i++) {
-		set_one(g, &list[i]);
+		update_upstream(g, &list[i]);
 		serving += list[i].state == SERVING_READY;
 	}
 	atomic_store(&g->serving, serving);
@@ -107,12 +108,12 @@
 		if (u->present)
 			continue;
 		admission_drain(u->admission);
-		guard_upstream_pump(u);
+		guard_upstream_run_queue(u);
 	}
 }
 
 static void
-carry_out(struct guard_request *r, const struct admission_result *res)
+apply_result(struct guard_request *r, const struct admission_result *res)
 {
 	switch (res->verdict) {
 	case ADMISSION_START:
@@ -143,7 +144,7 @@
 }
 
 void
-guard_upstream_recheck(struct guard *g)
+guard_upstream_refuse_late(struct guard *g)
 {
 	GPtrArray *late = g_ptr_array_new();
 	struct guard_request *r;
@@ -160,7 +161,7 @@
 }
 
 void
-guard_upstream_offer(struct guard_request *r)
+guard_upstream_submit(struct guard_request *r)
 {
 	struct guard_upstream *u = r->upstream;
 	struct admission_request req;
@@ -174,12 +175,12 @@
 	r->state = REQUEST_QUEUED;
 	guard_request_admission(r, &req);
 	admission_offer(u->admission, &req, loop_now_ms(u->guard->loop), &res);
-	carry_out(r, &res);
-	guard_upstream_pump(u);
+	apply_result(r, &res);
+	guard_upstream_run_queue(u);
 }
 
 void
-guard_upstream_pump(struct guard_upstream *u)
+guard_upstream_run_queue(struct guard_upstream *u)
 {
 	struct guard *g = u->guard;
 	struct admission_result res;
@@ -188,7 +189,7 @@
 	while (admission_next(u->admission, loop_now_ms(g->loop), &res)) {
 		r = g_hash_table_lookup(g->tickets, &res.ticket);
 		if (r != NULL)
-			carry_out(r, &res);
+			apply_result(r, &res);
 	}
 	loop_timer_set(&u->timer, admission_wake_ms(u->admission));
 }
@@ -216,7 +217,7 @@
 	g_hash_table_iter_init(&it, g->upstreams);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&u)) {
 		admission_drain(u->admission);
-		guard_upstream_pump(u);
+		guard_upstream_run_queue(u);
 	}
 }
 
--- a/packages/node/src/guard_version.c
+++ b/packages/node/src/guard_version.c
@@ -8,16 +8,16 @@
 #include "guard_priv.h"
 
 void
-guard_version_note(struct guard *g)
+guard_version_update(struct guard *g)
 {
-	guard_keyed_tick(g);
+	guard_keyed_refresh_snapshot(g);
 	if (g->snapshot != NULL)
 		superseded_note(
 		    &g->superseded, g->snapshot->version, loop_now_ms(g->loop));
 }
 
 static const char *
-host_of(const struct guard_request *r)
+find_host_header(const struct guard_request *r)
 {
 	const struct rec_header *h;
 	uint32_t i;
@@ -32,14 +32,15 @@
 
 /* Whether the version in force here leads the request to a service. */
 static bool
-leads_to(const struct guard_request *r, const char *service)
+routes_to(const struct guard_request *r, const char *service)
 {
 	const struct snapshot *s = r->guard->snapshot;
 	struct route_match match, shares[SNAPSHOT_SHARES_MAX];
 	uint32_t i, n;
 
 	if (snapshot_match(s, method_parse(r->method, strlen(r->method)),
-		host_of(r), r->path, strlen(r->path), &match) != ROUTE_FOUND)
+		find_host_header(r), r->path, strlen(r->path),
+		&match) != ROUTE_FOUND)
 		return false;
 	if (match.route->weight == 0)
 		return strcmp(match.service->config->name, service) == 0;
@@ -51,7 +52,7 @@
 }
 
 bool
-guard_version_takes(
+guard_version_accepts(
     const struct guard_request *r, const struct msg_call_open *m)
 {
 	const struct guard *g = r->guard;
@@ -62,5 +63,5 @@
 	    !superseded_is_over(
 		&g->superseded, m->version, loop_now_ms(g->loop), within_ms))
 		return true;
-	return leads_to(r, m->service);
+	return routes_to(r, m->service);
 }
--- a/packages/node/src/quarantine_rows.c
+++ b/packages/node/src/quarantine_rows.c
@@ -11,7 +11,7 @@
 quarantine_rows_init(struct quarantine_rows *q)
 {
 	memset(q, 0, sizeof(*q));
-	g_queue_init(&q->waiting);
+	g_queue_init(&q->pending);
 }
 
 static void
@@ -27,23 +27,23 @@
 void
 quarantine_rows_clear(struct quarantine_rows *q)
 {
-	g_queue_clear_full(&q->waiting, row_free);
+	g_queue_clear_full(&q->pending, row_free);
 }
 
 /* The first that may still be changed: one that is under way may not. */
 static GList *
-first_idle(const struct quarantine_rows *q)
+first_replaceable(const struct quarantine_rows *q)
 {
-	GList *l = q->waiting.head;
+	GList *l = q->pending.head;
 
-	return l != NULL && q->act == QUARANTINE_ROWS_PUT ? l->next : l;
+	return l != NULL && q->action == QUARANTINE_ROWS_PUT ? l->next : l;
 }
 
 static void
 drop(struct quarantine_rows *q, GList *l)
 {
 	row_free(l->data);
-	g_queue_delete_link(&q->waiting, l);
+	g_queue_delete_link(&q->pending, l);
 }
 
 void
@@ -53,56 +53,56 @@
 	struct quarantine_row *row;
 	GList *l, *next;
 
-	for (l = first_idle(q); l != NULL; l = next) {
+	for (l = first_replaceable(q); l != NULL; l = next) {
 		next = l->next;
 		row = l->data;
 		if (strcmp(row->key, key) == 0)
 			drop(q, l);
 	}
-	if (q->waiting.length >= QUARANTINE_ROWS_PENDING_MAX)
-		drop(q, first_idle(q));
+	if (q->pending.length >= QUARANTINE_ROWS_PENDING_MAX)
+		drop(q, first_replaceable(q));
 	row = g_new(struct quarantine_row, 1);
 	row->key = g_strdup(key);
 	row->value = g_strdup(value);
-	g_queue_push_tail(&q->waiting, row);
+	g_queue_push_tail(&q->pending, row);
 }
 
 enum quarantine_rows_action
 quarantine_rows_next(struct quarantine_rows *q, bool reader, uint64_t now_ms,
     const struct quarantine_row **row)
 {
-	if (q->act != QUARANTINE_ROWS_NONE || now_ms < q->due_ms)
+	if (q->action != QUARANTINE_ROWS_NONE || now_ms < q->due_ms)
 		return QUARANTINE_ROWS_NONE;
 	if (reader && !q->read)
-		q->act = QUARANTINE_ROWS_READ;
-	else if (q->waiting.length > 0)
-		q->act = QUARANTINE_ROWS_PUT;
-	if (q->act == QUARANTINE_ROWS_PUT)
-		*row = g_queue_peek_head(&q->waiting);
-	return q->act;
+		q->action = QUARANTINE_ROWS_READ;
+	else if (q->pending.length > 0)
+		q->action = QUARANTINE_ROWS_PUT;
+	if (q->action == QUARANTINE_ROWS_PUT)
+		*row = g_queue_peek_head(&q->pending);
+	return q->action;
 }
 
 void
-quarantine_rows_done(struct quarantine_rows *q, bool well, uint64_t now_ms)
+quarantine_rows_done(struct quarantine_rows *q, bool ok, uint64_t now_ms)
 {
-	enum quarantine_rows_action act = q->act;
+	enum quarantine_rows_action action = q->action;
 
-	q->act = QUARANTINE_ROWS_NONE;
-	if (!well) {
+	q->action = QUARANTINE_ROWS_NONE;
+	if (!ok) {
 		q->due_ms = now_ms + QUARANTINE_ROWS_RETRY_MS;
 		return;
 	}
-	if (act == QUARANTINE_ROWS_READ)
+	if (action == QUARANTINE_ROWS_READ)
 		q->read = true;
-	else if (act == QUARANTINE_ROWS_PUT)
-		drop(q, q->waiting.head);
+	else if (action == QUARANTINE_ROWS_PUT)
+		drop(q, q->pending.head);
 }
 
 uint64_t
 quarantine_rows_due_ms(const struct quarantine_rows *q, bool reader)
 {
-	if (q->act != QUARANTINE_ROWS_NONE ||
-	    (q->waiting.length == 0 && (q->read || !reader)))
+	if (q->action != QUARANTINE_ROWS_NONE ||
+	    (q->pending.length == 0 && (q->read || !reader)))
 		return DEADLINE_NEVER;
 	return q->due_ms;
 }
--- a/packages/node/src/quarantine_rows.h
+++ b/packages/node/src/quarantine_rows.h
@@ -29,14 +29,14 @@
 
 /**
  * struct quarantine_rows - what is to be done
- * @waiting: struct quarantine_row, the first one under way if @act is PUT
- * @act: what is under way
+ * @pending: struct quarantine_row, the first one under way if @action is PUT
+ * @action: what is under way
  * @read: the rows were read
  * @due_ms: monotonic time before which nothing is done
  */
 struct quarantine_rows {
-	GQueue waiting;
-	enum quarantine_rows_action act;
+	GQueue pending;
+	enum quarantine_rows_action action;
 	bool read;
 	uint64_t due_ms;
 };
@@ -75,8 +75,7 @@
     bool reader, uint64_t now_ms, const struct quarantine_row **row);
 
 /** quarantine_rows_done() - a call has ended, well or not */
-void
-quarantine_rows_done(struct quarantine_rows *q, bool well, uint64_t now_ms);
+void quarantine_rows_done(struct quarantine_rows *q, bool ok, uint64_t now_ms);
 
 /** quarantine_rows_due_ms() - when quarantine_rows_next() is wanted next */
 uint64_t quarantine_rows_due_ms(const struct quarantine_rows *q, bool reader);
--- a/packages/node/src/refused.c
+++ b/packages/node/src/refused.c
@@ -8,7 +8,7 @@
 #include <glib.h>
 
 static enum refused_change
-end(struct refused *r)
+end_refusal(struct refused *r)
 {
 	if (!r->active)
 		return REFUSED_UNCHANGED;
@@ -35,7 +35,7 @@
 }
 
 static bool
-is_known(const struct refused *r, uint64_t version, const char *reason)
+is_repeated(const struct refused *r, uint64_t version, const char *reason)
 {
 	return r->active && r->version == version &&
 	    strcmp(r->reason, reason) == 0;
@@ -44,19 +44,20 @@
 /* Whether the one that is refused came later: the platform has not gone back
  * to this one. */
 static bool
-is_late(const struct refused *r, uint64_t version)
+is_outdated(const struct refused *r, uint64_t version)
 {
-	return r->active && version != 0 && version < r->ends_at &&
-	    version != r->usable;
+	return r->active && version != 0 && version < r->min_ending_version &&
+	    version != r->readable;
 }
 
 static void
-take(struct refused *r, uint64_t version, uint64_t in_force, const char *reason)
+set_refusal(
+    struct refused *r, uint64_t version, uint64_t in_force, const char *reason)
 {
 	r->active = true;
 	r->version = version;
 	r->in_force = in_force;
-	r->ends_at = version != 0 ? version : r->known + 1;
+	r->min_ending_version = version != 0 ? version : r->max_known + 1;
 	(void)g_strlcpy(r->reason, reason, sizeof(r->reason));
 }
 
@@ -69,10 +70,10 @@
 
 	refused_copy_text(text, sizeof(text), reason);
 	refused_version_known(r, MAX(version, in_force));
-	if (is_late(r, version))
+	if (is_outdated(r, version))
 		return REFUSED_UNCHANGED;
-	r->usable = 0;
-	if (is_known(r, version, text))
+	r->readable = 0;
+	if (is_repeated(r, version, text))
 		return REFUSED_UNCHANGED;
 	if (began || version != r->version)
 		r->n_versions++;
@@ -80,7 +81,7 @@
 		r->since_wall_ms = at.wall_ms;
 		r->n_unlogged = 0;
 	}
-	take(r, version, in_force, text);
+	set_refusal(r, version, in_force, text);
 	if (at.now_ms < r->next_log_ms) {
 		r->n_unlogged++;
 		return REFUSED_UNCHANGED;
@@ -92,16 +93,16 @@
 void
 refused_version_known(struct refused *r, uint64_t version)
 {
-	r->known = MAX(r->known, version);
+	r->max_known = MAX(r->max_known, version);
 }
 
 enum refused_change
 refused_version_readable(struct refused *r, uint64_t version, uint64_t in_force)
 {
 	/* A higher number was garbled, or operators went back from it. */
-	r->known = MAX(version, in_force);
-	r->usable = version;
-	return version == in_force ? end(r) : REFUSED_UNCHANGED;
+	r->max_known = MAX(version, in_force);
+	r->readable = version;
+	return version == in_force ? end_refusal(r) : REFUSED_UNCHANGED;
 }
 
 enum refused_change
@@ -110,7 +111,7 @@
 	refused_version_known(r, version);
 	if (!r->active || version == 0)
 		return REFUSED_UNCHANGED;
-	return version == r->usable || version >= r->ends_at
-	    ? end(r)
+	return version == r->readable || version >= r->min_ending_version
+	    ? end_refusal(r)
 	    : REFUSED_UNCHANGED;
 }
--- a/packages/node/src/refused.h
+++ b/packages/node/src/refused.h
@@ -46,9 +46,9 @@
  * @in_force: version in force then
  * @since_wall_ms: when the refusal began, wall clock
  * @reason: why it can't be used
- * @known: highest number of a version known of since the platform gave one
- * @ends_at: lowest number whose coming in force ends the refusal
- * @usable: version that the platform gave last and that could be read, 0 for
+ * @max_known: highest number of a version known of since the platform gave one
+ * @min_ending_version: lowest number whose coming in force ends the refusal
+ * @readable: version that the platform gave last and that could be read, 0 for
  *	none and when another was refused since
  * @n_versions: versions refused since the start
  * @n_unlogged: changes of this refusal that were not told
@@ -60,9 +60,9 @@
 	uint64_t in_force;
 	uint64_t since_wall_ms;
 	char reason[REFUSED_REASON_BYTES];
-	uint64_t known;
-	uint64_t ends_at;
-	uint64_t usable;
+	uint64_t max_known;
+	uint64_t min_ending_version;
+	uint64_t readable;
 	uint64_t n_versions;
 	uint64_t n_unlogged;
 	uint64_t next_log_ms;
--- a/packages/node/src/refused_row.h
+++ b/packages/node/src/refused_row.h
@@ -36,17 +36,17 @@
 
 /**
  * struct refused_row - the row; all zero at the start
- * @seen: whether the refusal that goes on was seen
+ * @last_active: whether the refusal that goes on was seen
  * @busy: a write or removal is under way
- * @act: the one under way
+ * @action: the one under way
  * @written: whether this node may have written the row
  * @version: version that was written, or is being
  * @due_ms: monotonic time before which nothing is done
  */
 struct refused_row {
-	bool seen;
+	bool last_active;
 	bool busy;
-	enum refused_row_action act;
+	enum refused_row_action action;
 	bool written;
 	uint64_t version;
 	uint64_t due_ms;
@@ -56,19 +56,19 @@
  * refused_row_next() - what is to be done now
  * @row: the row
  * @r: the record
- * @first: whether this node is its data centre's first reader
+ * @first_reader: whether this node is its data centre's first reader
  * @now_ms: monotonic time
  *
  * Return: what the caller begins at once; refused_row_done() ends it.
  */
 enum refused_row_action refused_row_next(struct refused_row *row,
-    const struct refused *r, bool first, uint64_t now_ms);
+    const struct refused *r, bool first_reader, uint64_t now_ms);
 
 /** refused_row_done() - a write or removal has ended, well or not */
-void refused_row_done(struct refused_row *row, bool well, uint64_t now_ms);
+void refused_row_done(struct refused_row *row, bool ok, uint64_t now_ms);
 
 /** refused_row_due_ms() - when refused_row_next() is wanted next */
 uint64_t refused_row_due_ms(
-    const struct refused_row *row, const struct refused *r, bool first);
+    const struct refused_row *row, const struct refused *r, bool first_reader);
 
 #endif
--- a/packages/node/test/test_quarantine_rows.c
+++ b/packages/node/test/test_quarantine_rows.c
@@ -100,7 +100,7 @@
 		(void)g_snprintf(key, sizeof(key), "%d", i);
 		quarantine_rows_put(&rows, key, "1");
 	}
-	ck_assert_uint_eq(rows.waiting.length, QUARANTINE_ROWS_PENDING_MAX);
+	ck_assert_uint_eq(rows.pending.length, QUARANTINE_ROWS_PENDING_MAX);
 	quarantine_rows_done(&rows, true, T0);
 	(void)next(false, T0);
 	ck_assert_str_ne(row->key, "0");
