--- a/packages/node/include/node/guard.h
+++ b/packages/node/include/node/guard.h
@@ -1,9 +1,10 @@
 /*
- * Guard: the part of the traffic thread that takes calls from the entries of
- * all nodes for the endpoints of this host, and hands them to the upstreams.
+ * Guard: the part of the traffic thread that receives calls from the entries
+ * of all nodes for the endpoints of this host, and forwards them to the
+ * upstreams.
  *
- * It feeds the decisions of package traffic (admission, fates, frame age)
- * with what happens and carries out what they answer.
+ * The guard passes events to the state machines of package traffic
+ * (admission, fates, frame age) and carries out their decisions.
  */
 #ifndef NODE_GUARD_H
 #define NODE_GUARD_H
@@ -26,19 +27,18 @@
 struct rollout_counts;
 struct settings;
 
-/* Longest name of an instance, zero included. */
+/* Size of an instance name, terminating NUL included. */
 #define GUARD_INSTANCE_BYTES 64
 
 /**
  * struct guard_endpoint - an upstream of this host
  * @service: name of the service
- * @instance: the upstream's name for this run of it; empty when not told
+ * @instance: name that the upstream gave its current run; empty if unknown
  * @port: port that the upstream listens on, at this host's own address
- * @slots: requests that it may run at once
- * @state: what it said of itself
+ * @slots: maximum number of requests that run concurrently
+ * @state: state that the upstream reported
  * @limits: limits of the service, from the snapshot in force
- * @order: number of the rollout during which its answers are counted, 0 for
- * none
+ * @order: number of the rollout for which its answers are counted, 0 for none
  */
 struct guard_endpoint {
 	char service[SERVICE_NAME_BYTES];
@@ -51,118 +51,121 @@
 };
 
 /**
- * guard_new() - make a guard
+ * guard_new() - create a guard
  * @s: settings of the node; must outlive the guard
- * @dialect: how upstreams are spoken to; must outlive the guard
- * @incarnation: incarnation of this process, told to entries
- * @loop: loop of the traffic thread
+ * @dialect: headers exchanged with upstreams; must outlive the guard
+ * @incarnation: incarnation of this process, sent to entries
+ * @loop: event loop of the traffic thread
  */
 struct guard *
 guard_new(const struct settings *s, const struct call_dialect *dialect,
     uint64_t incarnation, struct loop *loop);
 
 /**
- * guard_start() - listen on the call port, before the thread starts
+ * guard_start() - listen on the call port; call before the thread starts
  * @g: the guard
  *
- * Return: STATUS_OK, or STATUS_IO when the port can't be bound.
+ * Return: STATUS_OK, or STATUS_IO if the port can't be bound.
  */
 enum status guard_start(struct guard *g);
 
-/** guard_addr() - address that is listened on, after guard_start() */
+/** guard_addr() - listening address; valid after guard_start() */
 struct net_addr guard_addr(const struct guard *g);
 
 /**
- * guard_set_endpoints() - tell the guard which endpoints this host has
+ * guard_set_endpoints() - replace the list of this host's endpoints
  * @g: the guard
- * @endpoints: all of them; copied; those left out are drained: what runs
- *	ends, nothing new starts
+ * @endpoints: all endpoints; copied.  An endpoint that is missing from the
+ *	list is drained: its running requests finish and no new one starts
  * @n_endpoints: number of endpoints
  *
- * Any thread may call it.
+ * Any thread may call this function.
  */
 void guard_set_endpoints(struct guard *g,
     const struct guard_endpoint *endpoints, uint32_t n_endpoints);
 
 /**
- * guard_counts() - what an upstream here has answered during a rollout
+ * guard_counts() - answers of an upstream of this host during a rollout
  * @g: the guard
- * @service: its service
+ * @service: service of the upstream
  * @order: number of the rollout
- * @counts: where they go
+ * @counts: receives the counts
  *
- * Any thread may call it.
+ * Any thread may call this function.
  *
- * Return: whether its answers are counted for that rollout.
+ * Return: whether the upstream's answers are counted for that rollout.
  */
 bool guard_counts(struct guard *g, const char *service, uint64_t order,
     struct rollout_counts *counts);
 
 /**
- * guard_is_serving() - whether an upstream here takes requests
+ * guard_is_serving() - whether an upstream of this host accepts requests
  *
- * Any thread may call it.
+ * Any thread may call this function.
  */
 bool guard_is_serving(const struct guard *g);
 
 /**
- * guard_announce_stop() - the node will stop, requests are still taken
+ * guard_announce_stop() - announce a stop while requests are still accepted
  * @g: the guard
- * @deadline_ms: monotonic time at which what still runs will be given up
+ * @deadline_ms: monotonic time at which running requests will be aborted
  *
- * Any thread may call it.  Non-idempotent requests that could be given up are
- * refused from now on, and run elsewhere.
+ * Any thread may call this function.  From now on the guard refuses
+ * non-idempotent requests that the stop could abort, so that they run on
+ * another host.
  */
 void guard_announce_stop(struct guard *g, uint64_t deadline_ms);
 
 /**
- * guard_drain() - take no new call from now on
+ * guard_drain() - refuse all new calls from now on
  * @g: the guard
- * @deadline_ms: monotonic time at which what still runs is given up
+ * @deadline_ms: monotonic time at which running requests are aborted
  *
- * Any thread may call it.  Follow guard_in_flight() down to 0.
+ * Any thread may call this function.  The drain is complete when
+ * guard_in_flight() returns 0.
  */
 void guard_drain(struct guard *g, uint64_t deadline_ms);
 
 /**
- * guard_log_aborted() - log the requests that the end of the process gives up
+ * guard_log_aborted() - log the requests that the end of the process aborts
  *
- * Any thread may call it, before the traffic thread is stopped.
+ * Any thread may call this function, before the traffic thread is stopped.
  */
 void guard_log_aborted(struct guard *g);
 
 /**
- * guard_in_flight() - calls that are not ended, answers in the output
- * buffers of connections included
+ * guard_in_flight() - number of unfinished calls, including answers that are
+ * still in the output buffers of connections
  */
 uint32_t guard_in_flight(const struct guard *g);
 
-/** guard_publish_fn - all nodes are to know @item; called by the guard's thread
- */
+/** guard_publish_fn - distribute @item to all nodes; called in the guard's
+ * thread */
 typedef void guard_publish_fn(const struct quarantine_item *item, void *arg);
 
-/** guard_set_publish() - who passes on what all nodes are to know; before
- * guard_start() */
+/** guard_set_publish() - set the callback that distributes quarantine items to
+ * all nodes; call before guard_start() */
 void guard_set_publish(struct guard *g, guard_publish_fn *publish, void *arg);
 
-/** guard_apply_quarantine_item() - a peer, or an operator, tells; any thread
- * may call it */
+/** guard_apply_quarantine_item() - apply an item from a peer or an operator;
+ * any thread may call this function */
 void guard_apply_quarantine_item(
     struct guard *g, const struct quarantine_item *item);
 
 /**
- * guard_quarantine_list() - quarantined requests
+ * guard_quarantine_list() - list the quarantined requests
  * @g: the guard
- * @out: struct quarantine_entry are appended
+ * @out: array to which struct quarantine_entry are appended
  *
- * Any thread may call it.
+ * Any thread may call this function.
  */
 void guard_quarantine_list(struct guard *g, GArray *out);
 
-/** guard_quarantine() - the decision, for the entry in the same thread */
+/** guard_quarantine() - quarantine state, for the entry in the same thread */
 struct quarantine *guard_quarantine(struct guard *g);
 
-/** guard_free() - free it, once its thread has stopped; NULL is allowed */
+/** guard_free() - free the guard after its thread has stopped; @g may be NULL
+ */
 void guard_free(struct guard *g);
 
 #endif
--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -1,5 +1,5 @@
 /*
- * The guard's thread, its start, drain and stop.
+ * Creation, start, drain and stop of the guard.
  */
 #include <string.h>
 
@@ -14,7 +14,8 @@
 #include "guard_priv.h"
 
 #define ID_SEED 5
-/* Lines a second of one kind, see the bounds of the entry. */
+/* Log lines per second of one kind; entry.c limits its lines for the same
+ * reason, the processor time that each one costs. */
 #define LINES_PER_S 50
 
 #define US_PER_MS 1000
@@ -25,7 +26,7 @@
 #define ANSWERS_SHARE 8
 #define ANSWER_KEEP_MAX_BYTES (1024U * 1024U + 65536U)
 
-/* A connection that is silent this long is closed; entries ping. */
+/* An idle connection is closed after this time; entries send pings. */
 #define CONN_IDLE_MS 120000
 
 static guint
@@ -40,7 +41,7 @@
 	return request_id_equal(a, b);
 }
 
-/* Connections on which a stop would cut something. */
+/* Number of connections on which a stop would lose data. */
 static uint32_t
 busy_conns(const struct guard *g)
 {
@@ -169,7 +170,7 @@
 	return listener_addr(g->listener);
 }
 
-/* What another thread wants done in the guard's thread. */
+/* Arguments of a call that another thread posts to the guard's thread. */
 struct guard_task {
 	struct guard *guard;
 	uint64_t deadline_ms;
--- a/packages/node/src/guard_answer.c
+++ b/packages/node/src/guard_answer.c
@@ -1,21 +1,24 @@
 /*
- * Answers of upstreams at the guard: held in full while they may have to be
- * handed over again, else only as far as entries have not taken them.
+ * Answers of upstreams at the guard.  The whole body is retained while the
+ * answer may have to be sent again; otherwise only the bytes that some entry
+ * has not been sent yet.
  */
 #include <string.h>
 
 #include "guard_priv.h"
 
-/* An answer larger than this is not retained. */
+/* A larger body is not retained. */
 #define ANSWER_KEEP_BYTES (1024U * 1024U)
 
-/* No more is taken from the upstream while an entry lags this far. */
+/* Reading from the upstream pauses while an entry lags by this many bytes. */
 #define ANSWER_LAG_BYTES 131072
 
-/* Sent bytes at the front are dropped when they are this many. */
+/* Sent bytes are removed from the front once they reach this number. */
 #define ANSWER_TRIM_BYTES 65536
 
-/* The encoded answer begins with the length of its head. */
+/* An encoded answer starts with the length of its head, in a field of this
+ * size.
+ */
 #define ENCODED_HEAD_BYTES 4
 
 struct guard_answer *
@@ -48,7 +51,7 @@
 	return a->base + a->data->len;
 }
 
-/* Offset of the first byte that some entry has not been sent. */
+/* Lowest offset that has not been sent to all entries. */
 static uint64_t
 min_sent_offset(const struct guard_answer *a)
 {
--- a/packages/node/src/guard_ask.c
+++ b/packages/node/src/guard_ask.c
@@ -1,6 +1,7 @@
 /*
- * A guard asks another one about an idempotency key, over a connection of its
- * own: it happens only when the home of a key has changed.
+ * Queries from this guard to another guard about an idempotency key.  Each
+ * query uses a connection of its own, since queries occur only after the home
+ * of a key has changed.
  */
 #include <string.h>
 
@@ -11,15 +12,15 @@
 
 #include "guard_priv.h"
 
-/* Time for the answer, connecting included. */
+/* Time limit of a query, including the connect. */
 #define KEY_QUERY_TIMEOUT_MS 1000
 
 /**
- * struct active_query - a question that is under way
+ * struct active_query - a key query in progress
  * @guard: the guard
- * @q: the question
- * @conn: the connection
- * @timer: its time limit
+ * @q: the query
+ * @conn: the connection, or NULL
+ * @timer: the query's time limit
  */
 struct active_query {
 	struct guard *guard;
--- a/packages/node/src/guard_conn.c
+++ b/packages/node/src/guard_conn.c
@@ -8,11 +8,12 @@
 
 #include "guard_priv.h"
 
-/* Pings keep the bound on the age of frames fresh. */
+/* Pings keep the bound on the age of frames accurate. */
 #define PING_INTERVAL_MS 15000
 
-/* The first comes sooner: the hello is often answered while the entry is busy
- * with its start, by up to 0.1 s, and all its requests look that much older. */
+/* The first ping follows sooner: an entry that is starting answers the hello up
+ * to 0.1 s late, and until the next ping all its requests look that much
+ * older. */
 #define FIRST_PING_DELAY_MS 1000
 
 static void
@@ -89,7 +90,7 @@
 	return NULL;
 }
 
-/* The connection is gone: nobody waits there any more. */
+/* Frees the streams of a closed connection and notifies their requests. */
 static void
 release_streams(struct guard_conn *gc)
 {
--- a/packages/node/src/guard_counts.c
+++ b/packages/node/src/guard_counts.c
@@ -1,12 +1,12 @@
 /*
- * Counts of what the upstreams here answer while a version is tried.
+ * Counts of the answers of this host's upstreams during a rollout.
  */
 #include <string.h>
 
 #include "base/clock.h"
 #include "guard_priv.h"
 
-/* From this status on an answer is a failure of the upstream. */
+/* An answer with this status or a higher one counts as a failure. */
 #define HTTP_SERVER_ERROR_MIN 500
 
 void
--- a/packages/node/src/guard_crash.c
+++ b/packages/node/src/guard_crash.c
@@ -1,5 +1,5 @@
 /*
- * Has an upstream ended, or only some connections to it?
+ * Detection of upstream crashes after lost connections.
  */
 #include <string.h>
 
@@ -9,12 +9,12 @@
 #include "call_metrics.h"
 #include "guard_priv.h"
 
-/* A port of the own host answers at once, with a connection or a refusal. */
+/* A port of this host accepts or refuses a connection immediately. */
 #define PROBE_TIMEOUT_MS 200
-/* Connections that end with a process are seen one after the other; so long
- * after the first its guard has seen the last, also on a slow host. */
+/* The guard detects the connections that a process closes on exit one after
+ * the other.  This time covers the first to the last, even on a slow host. */
 #define SETTLE_TIMEOUT_MS 100
-/* How often it is checked whether all have ended. */
+/* Interval of the check whether all requests at the upstream have ended. */
 #define SETTLE_POLL_MS 5
 
 static void
@@ -65,7 +65,8 @@
 	reset(&u->crash);
 }
 
-/* A crash is reported once all requests there have ended. */
+/* Reports the crash once all requests at the upstream have ended, or at
+ * settle_deadline_ms; otherwise checks again later. */
 static void
 check_settled(struct guard_upstream *u)
 {
--- a/packages/node/src/guard_crash.h
+++ b/packages/node/src/guard_crash.h
@@ -1,10 +1,10 @@
 /*
- * Finds out whether an upstream has ended, when requests that it ran lose
- * their connections: a process that ended takes no new connection, one that
- * only closed a connection does.
+ * Detection of upstream crashes.  When running requests lose their connections,
+ * a probe connects to the upstream: a process that has ended refuses the
+ * connection, one that only closed some connections accepts it.
  *
- * An upstream that said before that it leaves has not crashed.  One that falls
- * silent isn't found out: its connections don't end.
+ * An upstream that announced that it leaves does not count as crashed.  An
+ * upstream that hangs is not detected, since its connections stay open.
  */
 #ifndef GUARD_CRASH_H
 #define GUARD_CRASH_H
@@ -21,14 +21,16 @@
 struct guard_upstream;
 
 /**
- * struct guard_crash - has an upstream ended, or only some connections to it?
- * @lost: requests that ran there and lost their connection, without an answer
+ * struct guard_crash - pending decision whether an upstream has crashed
+ * @lost: requests that ran at the upstream and lost their connection without
+ *	an answer
  * @n_lost: number of @lost
- * @left_out: further ones that found no room
- * @probe: connection that finds it out, or NULL
- * @port_refused: the upstream takes no connections: it has ended
- * @settle_deadline_ms: when what ran there is complete at the latest
- * @timer: when what ran there is complete, or the probe is given up
+ * @left_out: number of further requests that did not fit into @lost
+ * @probe: connection that probes the upstream, or NULL
+ * @port_refused: the upstream's port refuses connections, so it has ended
+ * @settle_deadline_ms: time at which @lost is reported even if requests are
+ *	still running
+ * @timer: next check for running requests, or the time limit of the probe
  */
 struct guard_crash {
 	struct fingerprint lost[CRASH_RUNS_MAX];
@@ -40,15 +42,14 @@
 	struct loop_timer timer;
 };
 
-/** guard_crash_init() - of a new upstream */
+/** guard_crash_init() - initialise the crash detection of a new upstream */
 void guard_crash_init(struct guard_upstream *u);
 
-/** guard_crash_clear() - of an upstream that is freed */
+/** guard_crash_clear() - stop the crash detection of an upstream to be freed */
 void guard_crash_clear(struct guard_upstream *u);
 
-/** guard_crash_connection_lost() - @r ran, and its connection ended without an
- * answer
- */
+/** guard_crash_connection_lost() - the connection of @r, which was running,
+ * ended without an answer */
 void guard_crash_connection_lost(struct guard_request *r);
 
 #endif
--- a/packages/node/src/guard_credit.c
+++ b/packages/node/src/guard_credit.c
@@ -1,5 +1,6 @@
 /*
- * Credit for the bodies of requests: what the window grants goes to entries.
+ * Credit for the bodies of requests: sends entries the credit that the body
+ * window of this host grants.
  */
 #include "guard_priv.h"
 
--- a/packages/node/src/guard_frames.c
+++ b/packages/node/src/guard_frames.c
@@ -1,5 +1,5 @@
 /*
- * Frames from entries, checked and handed on.
+ * Decodes and checks frames from entries, and passes them on.
  */
 #include <string.h>
 
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -1,6 +1,6 @@
 /*
- * The guard calls an upstream: the request with its body, the answer, and
- * what the way it ended says about the request's fate.
+ * HTTP calls from the guard to an upstream: sends the request with its body,
+ * reads the answer, and derives the request's fate from how the call ended.
  */
 #include <string.h>
 
@@ -21,7 +21,7 @@
 #define ID_HEX_BYTES (2 * REQUEST_ID_BYTES + 1)
 #define MS_PER_S 1000
 
-/* Headers that the guard adds to those of the caller. */
+/* Maximum number of headers that the guard adds to those of the caller. */
 #define ADDED_HEADERS_MAX 3
 
 #define CONTENT_LENGTH "Content-Length"
@@ -37,7 +37,7 @@
 	return NULL;
 }
 
-/* The upstream says that it has not run the request. */
+/* Whether the answer says that the upstream did not run the request. */
 static bool
 reports_not_run(const struct call_dialect *d, int code,
     const struct http_header *headers, uint32_t n)
@@ -64,7 +64,7 @@
 		    (uint64_t)(g_ascii_strtod(after, NULL) * MS_PER_S);
 }
 
-/* Whether an answer names another request than the one that was sent. */
+/* Whether the answer carries the id of a request other than @r. */
 static bool
 answers_other_request(const struct guard_request *r,
     const struct http_header *headers, uint32_t n)
@@ -85,7 +85,8 @@
 	return false;
 }
 
-/* A success that isn't signed, or is encoded, is not the upstream's answer. */
+/* A success that has no signature, or that has a content encoding, does not
+ * come from the upstream. */
 static bool
 is_invalid_answer(const struct guard_request *r, int code,
     const struct http_header *headers, uint32_t n)
@@ -126,7 +127,8 @@
 	    (uint32_t)strlen(value));
 }
 
-/* The length that a HEAD tells is not that of a body which comes. */
+/* Content-Length is copied for HEAD only, where it does not describe a body
+ * that follows. */
 static void
 copy_headers(
     struct guard_request *r, const struct http_header *headers, uint32_t n)
@@ -225,8 +227,9 @@
 }
 
 /*
- * One that ends with its connection is whole if the upstream closed it in
- * order; after a reset the call has failed.
+ * A body without a length ends with its connection.  Such an answer is complete
+ * if the upstream closed the connection in order; after a reset the call has
+ * failed.
  */
 static bool
 answer_is_complete(const struct guard_answer *a, const struct http_result *res)
@@ -236,7 +239,8 @@
 	return a->length < 0 || a->base + a->data->len == (uint64_t)a->length;
 }
 
-/* An operator finds by request= what the upstream's crash lists. */
+/* The request= field lets an operator match this line with the requests that a
+ * crash of the upstream lists. */
 static void
 log_failure(const struct guard_request *r, const struct http_result *res)
 {
@@ -303,7 +307,7 @@
 	(*n)++;
 }
 
-/* Return: their number. */
+/* Fills @headers; returns the number of headers. */
 static uint32_t
 set_headers(const struct guard_request *r, struct http_header *headers,
     const char *id, const char *time_left)
@@ -325,7 +329,7 @@
 	return n;
 }
 
-/* A body that is here goes as a block, a longer one is pulled. */
+/* A complete body in one piece is sent as a block; any other body is pulled. */
 static void
 set_body(struct guard_request *r, struct http_request *req)
 {
--- a/packages/node/src/guard_keyed.c
+++ b/packages/node/src/guard_keyed.c
@@ -1,6 +1,5 @@
 /*
- * Idempotency keys at the guard: what package traffic decides on them is
- * carried out here.
+ * Idempotency keys at the guard: carries out the decisions of package traffic.
  */
 #include <string.h>
 
@@ -17,13 +16,13 @@
 #define BODY_SEED 6
 #define KEYS_MAX 65536
 
-/* News of endpoints reach all nodes within this many suspicion times. */
+/* Endpoint changes reach all nodes within this many suspicion times. */
 #define PROPAGATION_SUSPICIONS 2
 
 static void
 apply_decision(struct guard_request *r, const struct keyed_decision *d);
 
-/* Views */
+/* Endpoints */
 
 struct keyed *
 guard_keyed_new(struct guard *g, const char *service)
@@ -37,7 +36,8 @@
 	    loop_now_ms(g->loop));
 }
 
-/* Remembers where an endpoint's guard is, also after it has left. */
+/* Records the address of an endpoint's guard; it is kept after the endpoint has
+ * left. */
 static void
 record_address(struct guard *g, uint64_t id, const struct endpoint *ep)
 {
@@ -103,7 +103,7 @@
 
 /* Requests */
 
-/* A body that is not here in full is told by its beginning. */
+/* Hash of the request; of an incomplete body, only the received part counts. */
 static uint64_t
 body_hash(const struct guard_request *r)
 {
@@ -135,7 +135,7 @@
 	apply_decision(r, &d);
 }
 
-/* The stream awaits the fate of the first request with the key. */
+/* Makes the stream of @r await the fate of the first request with the key. */
 static void
 follow(struct guard_request *r, const struct request_id *first)
 {
@@ -218,7 +218,7 @@
 	}
 }
 
-/* The request that asked may have been given up meanwhile. */
+/* The request that started the query may have ended meanwhile. */
 void
 guard_keyed_query_done(
     struct guard *g, const struct guard_key_query *q, enum keyed_word word)
--- a/packages/node/src/guard_open.c
+++ b/packages/node/src/guard_open.c
@@ -1,5 +1,6 @@
 /*
- * An attempt comes in: is it known, is it too old, where does it go?
+ * Arrival of an attempt: rejects duplicates and attempts that are too old,
+ * creates the request and finds its upstream.
  */
 #include <string.h>
 
@@ -108,7 +109,7 @@
 	    loop_now_ms(r->guard->loop), retry_ms);
 }
 
-/* Finds the upstream and checks what needs no waiting. */
+/* Finds the upstream and makes the checks that don't need the body. */
 static enum refusal
 check_admissible(
     struct guard_request *r, const struct msg_call_open *m, uint64_t *retry_ms)
--- a/packages/node/src/guard_out.c
+++ b/packages/node/src/guard_out.c
@@ -1,5 +1,5 @@
 /*
- * Answers and refusals on their way to an entry.
+ * Transmission of answers and refusals to an entry.
  */
 #include <string.h>
 
@@ -70,7 +70,7 @@
 	return o->answer->base + o->answer->data->len - o->sent;
 }
 
-/* Whether there is a chunk to send and leave to send it. */
+/* Whether a chunk is available and the credit allows to send it. */
 static bool
 has_chunk(const struct guard_out *o)
 {
@@ -79,7 +79,7 @@
 	return o->answer->complete;
 }
 
-/* The upstream may go on once entries have taken what lagged. */
+/* Resumes reading from the upstream once entries have caught up. */
 static void
 resume_upstream(struct guard_out *o)
 {
@@ -145,7 +145,8 @@
 
 	memset(&m, 0, sizeof(m));
 	m.stream = stream;
-	/* An older build gets one that it knows, as final as this one. */
+	/* An entry of an older build gets a refusal that it knows and that is
+	 * final too. */
 	m.refusal = (uint8_t)(refusal > gc->max_refusal ? REFUSAL_CALLER_LIMIT
 							: refusal);
 	m.retry_after_ms = (uint32_t)MIN(retry_after_ms, UINT32_MAX);
--- a/packages/node/src/guard_priv.h
+++ b/packages/node/src/guard_priv.h
@@ -1,6 +1,6 @@
 /*
- * Inner structures of the guard, shared by its files.  All of it belongs to
- * the guard's thread but for what is marked atomic.
+ * Internal structures of the guard, shared by its files.  All fields belong to
+ * the guard's thread, except those documented as atomic or guarded by a lock.
  */
 #ifndef GUARD_PRIV_H
 #define GUARD_PRIV_H
@@ -37,37 +37,39 @@
 /**
  * struct guard - the guard of a host
  * @settings: settings of the node; borrowed
- * @incarnation: number of this process
- * @dialect: how upstreams are spoken to; borrowed
+ * @incarnation: incarnation of this process
+ * @dialect: headers exchanged with upstreams; borrowed
  * @loop: event loop of the traffic thread
- * @listener: takes connections from entries
- * @http: calls the upstreams
- * @fates: what became of each request
- * @callers: limits per caller
+ * @listener: accepts connections from entries
+ * @http: HTTP client that calls the upstreams
+ * @fates: fate of each request
+ * @callers: rate limits per caller
  * @upstreams: service name to struct guard_upstream
  * @conns: connection id to struct guard_conn
  * @requests: request id to struct guard_request
  * @tickets: ticket to struct guard_request
- * @last_ticket: number of the last request
- * @snapshot: snapshot last seen, a reference
- * @superseded: versions that were in force here
- * @guard_addresses: endpoint id to struct net_addr of its guard, also of
- *earlier ones
- * @followers: id of a request with a known key to that of the first with it
- * @key_queries: questions to earlier homes that are under way
+ * @last_ticket: ticket of the latest request
+ * @snapshot: latest snapshot that the guard has seen, a reference
+ * @superseded: versions that were in force on this host
+ * @guard_addresses: endpoint id to struct net_addr of its guard; keeps
+ *	endpoints that have left
+ * @followers: id of a request that repeats a known key to struct follower,
+ *	which names the first request with that key
+ * @key_queries: active queries to earlier homes of keys
  * @quarantine: requests that are no longer run
- * @window: bodies of requests on their way here
- * @drain: the stop of this guard
- * @tick: forgets old fates, moves the drain on
- * @in_flight: number of requests, atomic for guard_in_flight()
- * @busy_conns: connections on which a stop would cut something, likewise
- * @serving: upstreams that take requests, atomic for guard_is_serving()
- * @drain_requested: a drain was asked for
- * @drain_started: and has begun in the guard's thread
- * @counts_lock: over the counts of all upstreams, and over @upstreams itself
- *	where another thread looks for them
- * @refusal_log_limit: bound on lines of requests that were not run
- * @failure_log_limit: bound on lines of requests that failed at the upstream
+ * @window: credit shared by the request bodies that are being received
+ * @drain: state of this guard's drain
+ * @tick: periodic timer: expires fates and advances the drain
+ * @in_flight: number of unfinished requests, atomic for guard_in_flight()
+ * @busy_conns: connections on which a stop would lose data, likewise
+ * @serving: upstreams that accept requests, atomic for guard_is_serving()
+ * @drain_requested: guard_drain() was called, atomic
+ * @drain_started: the guard's thread has started the drain, atomic
+ * @counts_lock: guards the counts of all upstreams, and @upstreams itself
+ *	where another thread reads it
+ * @refusal_log_limit: rate limit of log lines on refused requests
+ * @failure_log_limit: rate limit of log lines on requests that failed at the
+ *	upstream
  */
 struct guard {
 	const struct settings *settings;
@@ -105,18 +107,18 @@
 /**
  * struct guard_upstream - an upstream of this host
  * @guard: the guard
- * @info: what the control thread says of it
- * @present: it is among the endpoints that were last told
- * @url: scheme, address and port, to which a path is added
- * @admission: its slots and queue
- * @keyed: idempotency keys that are at home here
- * @timer: wakes the admission
- * @crash: requests that lost their connection, while it is found out whether
- *	the upstream ended with it
- * @counts: what it answered since @counts_order began; guarded by the guard's
- *lock
- * @counts_order: number of the rollout that @counts are for, 0 for none;
- *likewise
+ * @info: endpoint information from the control thread
+ * @present: the latest list of endpoints contains it
+ * @url: scheme, address and port, to which a path is appended
+ * @admission: slots and queue
+ * @keyed: idempotency keys whose home is this endpoint
+ * @timer: runs the admission queue
+ * @crash: requests that lost their connection, while a probe determines
+ *	whether the upstream has ended
+ * @counts: answers since @counts_order was set; guarded by @counts_lock of
+ *	the guard
+ * @counts_order: number of the rollout that @counts belong to, 0 for none;
+ *	likewise
  */
 struct guard_upstream {
 	struct guard *guard;
@@ -135,15 +137,15 @@
  * struct guard_conn - a connection from an entry
  * @guard: the guard
  * @link: the connection
- * @id: its number
+ * @id: connection id
  * @host: host of the entry, for logs
  * @handshake_done: the entry has answered the hello
- * @max_refusal: largest refusal that the entry knows
- * @goodbye_sent: it was asked for no more requests
- * @goodbye_acked: it has promised that
- * @age: bound on the age of its frames
+ * @max_refusal: largest refusal value that the entry understands
+ * @goodbye_sent: the entry was asked to send no more requests
+ * @goodbye_acked: the entry has agreed to send no more requests
+ * @age: upper bound on the age of received frames
  * @streams: stream number to struct guard_out
- * @timer: next ping, which keeps the bound on the age fresh
+ * @timer: next ping, which keeps @age accurate
  */
 struct guard_conn {
 	struct guard *guard;
@@ -161,18 +163,18 @@
 
 /**
  * struct guard_answer - an answer of an upstream
- * @refs: references: the request's and one of each struct guard_out
- * @has_head: the head has come
+ * @refs: reference count: the request and each struct guard_out hold one
+ * @has_head: the head was received
  * @status: HTTP status
- * @headers: headers that are passed on
- * @length: length of the body, -1 when not known
- * @guard_us: time in the guard before the upstream was called
- * @upstream_us: time from then to the head
+ * @headers: headers that are forwarded
+ * @length: length of the body, -1 if unknown
+ * @guard_us: time in the guard before the call to the upstream
+ * @upstream_us: time from the call to the head of the answer
  * @data: the body, from offset @base
  * @base: offset of the first byte in @data
- * @complete: the body is complete
- * @retained: all of it is held, to be handed over again
- * @outs: struct guard_out that send it
+ * @complete: the whole body was received
+ * @retained: @data holds the whole body, so that the answer can be sent again
+ * @outs: struct guard_out that send this answer
  */
 struct guard_answer {
 	uint32_t refs;
@@ -192,17 +194,17 @@
 struct guard_request;
 
 /**
- * struct guard_out - an answer on its way to an entry
- * @sender: its turns
+ * struct guard_out - transmission of an answer to an entry
+ * @sender: schedules the chunks of this stream on the connection
  * @conn: the connection
- * @stream: the stream on it
- * @id: request whose answer the entry awaits there
- * @request: the request while it is not ended, or NULL
+ * @stream: number of the stream on @conn
+ * @id: request whose answer the entry expects on the stream
+ * @request: the request, or NULL once the request has ended
  * @answer: the answer, a reference
- * @node: its place in the answer's list
+ * @node: link in the answer's list
  * @head_sent: the head was sent
- * @sent: offset of the next byte of the body
- * @credit_bytes: bytes that may be sent
+ * @sent: offset of the next byte of the body to send
+ * @credit_bytes: number of bytes that the entry allows to send
  */
 struct guard_out {
 	struct call_sender sender;
@@ -217,7 +219,14 @@
 	uint64_t credit_bytes;
 };
 
-/** enum request_state - where a request stands */
+/**
+ * enum request_state - state of a request
+ * @REQUEST_BODY: waits for enough of its body
+ * @REQUEST_AWAITING_KEY: waits for an earlier home of its idempotency key
+ * @REQUEST_QUEUED: submitted to the admission
+ * @REQUEST_RUNNING: the upstream was called
+ * @REQUEST_ENDED: answered, failed, refused or discarded; freed soon
+ */
 enum request_state {
 	REQUEST_BODY = 0,
 	REQUEST_AWAITING_KEY,
@@ -229,47 +238,49 @@
 /**
  * struct guard_request - one attempt of a request, at its guard
  * @guard: the guard
- * @id: name of the attempt
- * @ticket: number for the admission
- * @upstream: where it is to run
- * @state: where it stands
+ * @id: id of the attempt
+ * @ticket: number that identifies the request in the admission
+ * @upstream: upstream that is to run the request, or NULL if there is none
+ * @state: state of the request
  * @method: HTTP method
  * @path: path and query, owned
- * @caller_request_id: the caller's name of the request, in @headers, or "-"
- * @caller: who called, by the entry's word
- * @route: number of its route, 0 when not told
- * @fingerprint: what tells that another attempt is the same request; set before
- *it is offered to the upstream
- * @suspect: it ran in a recent crash: no other suspect runs beside it
- * @headers: headers that are passed on
- * @idempotent: running it twice does no harm
- * @keyed: it has an idempotency key
- * @key: the key
- * @holds_key: it is the one that may run with its key
- * @deadline_ms: earliest time at which its caller may have stopped waiting:
- *	nothing starts later
- * @latest_deadline_ms: latest such time: what runs is awaited so long, unless
- *its entry cancels it, which knows the deadline better
- * @target_ms: when its answer is worth less, 0 when not told
+ * @caller_request_id: request id that the caller set, in @headers, or "-"
+ * @caller: identity of the caller, as reported by the entry
+ * @route: number of the route, 0 if unknown
+ * @fingerprint: identifies other attempts of the same request; set before the
+ *	request is submitted to the admission
+ * @suspect: the request ran in a recent crash; no other suspect runs
+ *	concurrently at the same upstream
+ * @headers: headers that are forwarded
+ * @idempotent: running the request twice is harmless
+ * @keyed: the request has an idempotency key
+ * @key: the idempotency key
+ * @holds_key: this is the only request that may run with @key
+ * @deadline_ms: earliest time at which the caller may have stopped waiting;
+ *	the request does not start after it
+ * @latest_deadline_ms: latest such time; a running call times out then,
+ *	unless the entry, which knows the deadline better, cancels it earlier
+ * @target_ms: time after which the answer is worth less, 0 if unknown
  * @priority: 0 is the highest
- * @body_bytes: length of the body, -1 when not known
- * @body_source: where the body comes from, or NULL
- * @body: GBytes that came and were not sent on
- * @body_offset: bytes of the first that were sent on
- * @received: bytes of the body that came
- * @body_share: how much more of the body the entry may send
- * @full_window: the upstream takes the body, so its window is opened wide
- * @body_complete: the body is complete
+ * @body_bytes: length of the body, -1 if unknown
+ * @body_source: stream that delivers the body, or NULL
+ * @body: received GBytes that were not forwarded yet
+ * @body_offset: bytes of the first element of @body that were forwarded
+ * @received: bytes of the body that were received
+ * @body_share: credit that the entry has for the rest of the body
+ * @full_window: the upstream reads the body, so the entry gets the full window
+ * @body_complete: the whole body was received
  * @call: the HTTP call, or NULL
- * @opened_us: when the request came
- * @started_us: when the upstream was called
- * @invalid_answer: the upstream's answer is no answer, and was broken off here
- * @shed: the upstream said that it did not run it
- * @shed_retry_ms: and when to come back
- * @paused: the upstream's answer waits until entries have taken more
+ * @opened_us: time at which the request arrived
+ * @started_us: time at which the upstream was called
+ * @invalid_answer: the guard aborted the call because the upstream's answer was
+ *	not valid
+ * @shed: the upstream reported that it did not run the request
+ * @shed_retry_ms: retry delay that the upstream gave with @shed
+ * @paused: reading the answer is paused until entries have received more of it
  * @answer: the answer
- * @timer: its deadline while it waits for its body
- * @free_task: frees it at the end of the turn
+ * @timer: expires at @deadline_ms while the request waits for its body
+ * @free_task: frees the request at the end of the loop iteration
  */
 struct guard_request {
 	struct guard *guard;
@@ -315,12 +326,13 @@
 
 /* guard_counts.c */
 
-/** guard_counts_set_rollout() - count for the rollout that the endpoint's info
- * names
- */
+/** guard_counts_set_rollout() - count answers for the rollout in @u->info;
+ * resets the counts when the rollout has changed */
 void guard_counts_set_rollout(struct guard_upstream *u);
 
-/** guard_counts_record() - a request has run and was answered, or failed */
+/** guard_counts_record() - count a request that has run and was answered or
+ * failed
+ */
 void guard_counts_record(struct guard_request *r, bool failed);
 
 /* guard_conn.c */
@@ -328,95 +340,103 @@
 /** guard_conn_handler - handler of connections from entries */
 extern const struct conn_handler guard_conn_handler;
 
-/** guard_conn_accept() - a connection came in */
+/** guard_conn_accept() - set up an accepted connection */
 void guard_conn_accept(struct conn *conn, void *guard);
 
-/** guard_conn_send_goodbye() - ask the entry for no more requests */
+/** guard_conn_send_goodbye() - ask the entry to send no more requests */
 void guard_conn_send_goodbye(struct guard_conn *gc);
 
-/** guard_conn_is_busy() - whether a stop would cut something on it */
+/** guard_conn_is_busy() - whether a stop would lose data on the connection */
 bool guard_conn_is_busy(const struct guard_conn *gc);
 
-/** guard_conn_free() - close it; for GHashTable */
+/** guard_conn_free() - close and free the connection; for GHashTable */
 void guard_conn_free(void *conn);
 
 /* guard_frames.c */
 
 /**
- * guard_frame_handle() - a frame came from an entry
+ * guard_frame_handle() - handle a frame from an entry
  *
- * Return: false when the connection is to be closed for it.
+ * Return: false if the frame is invalid and the connection must be closed.
  */
 bool guard_frame_handle(
     struct guard_conn *gc, uint8_t type, const uint8_t *body, size_t len);
 
 /* guard_open.c */
 
-/** guard_open() - an attempt came; false when the message makes no sense */
+/** guard_open() - handle a new attempt; returns false if the message is invalid
+ */
 bool guard_open(struct guard_conn *gc, const struct msg_call_open *m);
 
 /* guard_credit.c */
 
-/** guard_credit_open() - a request came whose body is not complete */
+/** guard_credit_open() - start granting credit to a request whose body is
+ * incomplete */
 void guard_credit_open(struct guard_request *r);
 
-/** guard_credit_received() - @bytes of its body came; @r->body_complete is
- * known */
+/** guard_credit_received() - account for @bytes received of the body;
+ * @r->body_complete must be up to date */
 void guard_credit_received(struct guard_request *r, uint64_t bytes);
 
-/** guard_credit_consumed() - @bytes of its body were sent on, or it starts */
+/** guard_credit_consumed() - account for @bytes of the body that were
+ * forwarded; the first call, when the request starts, opens the full window */
 void guard_credit_consumed(struct guard_request *r, uint64_t bytes);
 
-/** guard_credit_end() - nothing more of its body is wanted */
+/** guard_credit_end() - stop granting credit: no more of the body is needed */
 void guard_credit_end(struct guard_request *r);
 
-/** guard_credit_tick() - let time pass */
+/** guard_credit_tick() - apply time-based changes of the body window */
 void guard_credit_tick(struct guard *g);
 
 /* guard_request.c */
 
-/** guard_request_class() - its kind for the admission */
+/** guard_request_class() - class of the request for the admission */
 enum admission_class guard_request_class(const struct guard_request *r);
 
-/** guard_request_print_parts() - what it is known by */
+/** guard_request_print_parts() - collect the parts that the fingerprint covers
+ */
 void guard_request_print_parts(
     const struct guard_request *r, struct call_print_parts *parts);
 
-/** guard_request_admission() - what the admission is told of it */
+/** guard_request_admission() - fill in the request as the admission sees it */
 void guard_request_admission(
     const struct guard_request *r, struct admission_request *req);
 
 /**
- * guard_request_chunk() - a piece of its body came
+ * guard_request_chunk() - handle a chunk of the body
  *
- * Return: false when the entry sent more than it may.
+ * Return: false if the entry sent more than its credit or the body's length.
  */
 bool
 guard_request_chunk(struct guard_request *r, const struct msg_call_chunk *m);
 
-/** guard_request_body_arrived() - start it if enough of its body is there */
+/** guard_request_body_arrived() - submit the request once enough of its body
+ * was received, or resume its call */
 void guard_request_body_arrived(struct guard_request *r);
 
-/** guard_request_refuse() - it is not run and never will be */
+/** guard_request_refuse() - end the request as one that is never run */
 void guard_request_refuse(
     struct guard_request *r, enum refusal refusal, uint64_t retry_after_ms);
 
-/** guard_request_failed() - it was started and no answer will come */
+/** guard_request_failed() - end a started request for which no answer will come
+ */
 void guard_request_failed(struct guard_request *r);
 
-/** guard_request_done() - the whole answer came */
+/** guard_request_done() - end the request: the whole answer was received */
 void guard_request_done(struct guard_request *r);
 
-/** guard_request_discard() - its stream awaits another request's fate */
+/** guard_request_discard() - end the request: its stream now awaits the fate of
+ * another request */
 void guard_request_discard(struct guard_request *r);
 
-/** guard_request_cancel() - an entry does not want it any more */
+/** guard_request_cancel() - cancel the request on behalf of an entry */
 void guard_request_cancel(struct guard_request *r);
 
-/** guard_request_waiter_lost() - an entry that awaited it is gone */
+/** guard_request_waiter_lost() - the connection of an entry that awaited the
+ * answer was closed */
 void guard_request_waiter_lost(struct guard_request *r, bool was_source);
 
-/** guard_request_free() - free it; for GHashTable */
+/** guard_request_free() - free the request; for GHashTable */
 void guard_request_free(void *request);
 
 /* guard_upstream.c */
@@ -425,28 +445,29 @@
 struct guard_upstream *
 guard_upstream_find(const struct guard *g, const char *service);
 
-/** guard_upstream_set() - what the control thread says */
+/** guard_upstream_set() - apply the list of endpoints from the control thread
+ */
 void guard_upstream_set(
     struct guard *g, const struct guard_endpoint *list, uint32_t n);
 
-/** guard_upstream_refuse_late() - refuse queued requests that a stop would give
- * up
- */
+/** guard_upstream_refuse_late() - refuse queued requests that the announced
+ * stop would abort */
 void guard_upstream_refuse_late(struct guard *g);
 
-/** guard_upstream_submit() - a request asks to run */
+/** guard_upstream_submit() - submit a request to the admission */
 void guard_upstream_submit(struct guard_request *r);
 
-/** guard_upstream_run_queue() - carry out what the admission wants */
+/** guard_upstream_run_queue() - start and refuse queued requests as the
+ * admission decides */
 void guard_upstream_run_queue(struct guard_upstream *u);
 
-/** guard_upstream_load() - its load, for answers; @u may be NULL */
+/** guard_upstream_load() - load that answers report; @u may be NULL */
 void guard_upstream_load(const struct guard_upstream *u, struct rec_load *load);
 
 /** guard_upstream_drain_all() - refuse all new requests from now on */
 void guard_upstream_drain_all(struct guard *g);
 
-/** guard_upstream_free() - free it; for GHashTable */
+/** guard_upstream_free() - free the upstream; for GHashTable */
 void guard_upstream_free(void *upstream);
 
 /* guard_http.c */
@@ -456,96 +477,103 @@
 
 /* guard_answer.c */
 
-/** guard_answer_new() - an empty answer with one reference */
+/** guard_answer_new() - create an empty answer with one reference */
 struct guard_answer *guard_answer_new(bool retained);
 
-/** guard_answer_unref() - give a reference back */
+/** guard_answer_unref() - drop a reference; @a may be NULL */
 void guard_answer_unref(struct guard_answer *a);
 
-/** guard_answer_add() - append a piece of the body */
+/** guard_answer_add() - append data to the body */
 void guard_answer_add(struct guard_answer *a, const uint8_t *data, size_t len);
 
-/** guard_answer_is_full() - whether entries lag so far that no more is taken */
+/** guard_answer_is_full() - whether so much is unsent that reading from the
+ * upstream must pause */
 bool guard_answer_is_full(const struct guard_answer *a);
 
-/** guard_answer_send() - let all entries have what there is */
+/** guard_answer_send() - send the available data to all entries that await it
+ */
 void guard_answer_send(struct guard_answer *a, const struct guard_upstream *u);
 
-/** guard_answer_encode() - as the fate table keeps it; NULL if too large */
+/** guard_answer_encode() - encode the answer for the fate table; NULL if the
+ * body was not retained */
 GBytes *guard_answer_encode(const struct guard_answer *a);
 
-/** guard_answer_decode() - an answer that the fate table kept, or NULL */
+/** guard_answer_decode() - decode an answer from the fate table; NULL if
+ * invalid */
 struct guard_answer *guard_answer_decode(GBytes *bytes);
 
 /* guard_out.c */
 
 /**
- * guard_out_new() - an entry awaits an answer on a stream
+ * guard_out_new() - start sending an answer on a stream
  * @gc: the connection
- * @stream: the stream
- * @id: the request that it asked for
- * @r: the request that is to answer, or NULL
+ * @stream: number of the stream
+ * @id: request that the entry sent or asked about
+ * @r: the request that produces the answer, or NULL
  * @a: the answer
  */
 struct guard_out *guard_out_new(struct guard_conn *gc, uint32_t stream,
     const struct request_id *id, struct guard_request *r,
     struct guard_answer *a);
 
-/** guard_out_free() - the stream is over */
+/** guard_out_free() - remove the stream and free its state */
 void guard_out_free(struct guard_out *o);
 
-/** guard_out_send() - send what may be sent */
+/** guard_out_send() - send the head, and schedule chunks that the credit allows
+ */
 void guard_out_send(struct guard_out *o, const struct guard_upstream *u);
 
-/** guard_out_add_credit() - the entry granted @bytes */
+/** guard_out_add_credit() - add credit that the entry granted */
 void guard_out_add_credit(struct guard_out *o, uint32_t bytes);
 
-/** guard_out_refuse() - tell that the attempt is not run */
+/** guard_out_refuse() - report to the entry that the attempt is not run */
 void guard_out_refuse(struct guard_conn *gc, uint32_t stream,
     const struct guard_upstream *u, enum refusal refusal,
     uint64_t retry_after_ms);
 
-/** guard_out_failed() - tell that no answer will come */
+/** guard_out_failed() - report to the entry that no answer will come */
 void guard_out_failed(
     struct guard_conn *gc, uint32_t stream, const struct guard_upstream *u);
 
 /* guard_resolve.c */
 
-/** guard_resolve() - an entry asks what became of an attempt */
+/** guard_resolve() - answer an entry's query for the fate of an attempt;
+ * returns false if the message is invalid */
 bool guard_resolve(struct guard_conn *gc, const struct msg_call_resolve *m);
 
-/** guard_resolve_add_follower() - @id has the fate of @first */
+/** guard_resolve_add_follower() - record that @id shares the fate of @first */
 void guard_resolve_add_follower(struct guard *g, const struct request_id *id,
     const struct request_id *first);
 
 /**
- * guard_resolve_attach() - a stream awaits the answer of an active request
+ * guard_resolve_attach() - send the answer of an active request on a stream
  *
- * Return: false when the beginning of the answer is no longer held.
+ * Return: false if the request is not active, or if the beginning of its answer
+ * was already discarded.
  */
 bool guard_resolve_attach(
     struct guard_conn *gc, uint32_t stream, const struct request_id *id);
 
 /**
- * guard_resolve_send_retained() - send a kept answer
+ * guard_resolve_send_retained() - send an answer from the fate table
  *
- * Return: false when it can't be read.
+ * Return: false if the answer can't be decoded.
  */
 bool guard_resolve_send_retained(struct guard_conn *gc, uint32_t stream,
     const struct request_id *id, GBytes *bytes);
 
-/** guard_resolve_expire() - forget followers whose fate is forgotten */
+/** guard_resolve_expire() - remove followers whose fate has expired */
 void guard_resolve_expire(struct guard *g);
 
 /* guard_keyed.c */
 
 /**
- * struct guard_key_query - a question to an earlier home of a key
+ * struct guard_key_query - a query to an earlier home of a key
  * @service: the service
  * @key: the key
- * @id: request for which it is asked
- * @home: the earlier home
- * @age_ms: age of the own process
+ * @id: request that needs the result
+ * @home: endpoint id of the earlier home
+ * @age_ms: age of this endpoint's key table
  */
 struct guard_key_query {
 	char service[SERVICE_NAME_BYTES];
@@ -555,48 +583,51 @@
 	uint64_t age_ms;
 };
 
-/** guard_keyed_new() - the keys of an upstream */
+/** guard_keyed_new() - create the key table of an upstream */
 struct keyed *guard_keyed_new(struct guard *g, const char *service);
 
-/** guard_keyed_update_endpoints() - tell the keys of @u its service's endpoints
- */
+/** guard_keyed_update_endpoints() - update the key table of @u with the
+ * endpoints of its service */
 void guard_keyed_update_endpoints(struct guard_upstream *u);
 
-/** guard_keyed_refresh_snapshot() - see whether a new snapshot is in force */
+/** guard_keyed_refresh_snapshot() - take up the snapshot in force, if it is new
+ */
 void guard_keyed_refresh_snapshot(struct guard *g);
 
 /* guard_version.c */
 
-/** guard_version_update() - see which version is in force */
+/** guard_version_update() - record the version in force */
 void guard_version_update(struct guard *g);
 
-/** guard_version_accepts() - whether a request is to run here, though the entry
- * may have routed it by an older version */
+/** guard_version_accepts() - whether a request may run on this host although
+ * its entry may have routed it by an older version */
 bool guard_version_accepts(
     const struct guard_request *r, const struct msg_call_open *m);
 
-/** guard_keyed_submit() - a request with a key asks to run */
+/** guard_keyed_submit() - submit a request that has a key */
 void guard_keyed_submit(struct guard_request *r);
 
-/** guard_keyed_query_done() - the earlier home has answered, or won't */
+/** guard_keyed_query_done() - handle the result of a key query, or its failure
+ */
 void guard_keyed_query_done(
     struct guard *g, const struct guard_key_query *q, enum keyed_word word);
 
-/** guard_keyed_ended() - a request that may have held its key is over */
+/** guard_keyed_ended() - update the key of a request that ended; @ran: whether
+ * the request may have run */
 void guard_keyed_ended(struct guard_request *r, bool ran);
 
-/** guard_keyed_yield() - another guard asks about a key */
+/** guard_keyed_yield() - answer another guard's key query */
 enum keyed_word
 guard_keyed_yield(struct guard *g, const struct msg_call_key_ask *m);
 
 /* guard_ask.c */
 
-/** guard_key_query_start() - ask; @at may be NULL when nobody knows where it is
- */
+/** guard_key_query_start() - send a key query; @at is NULL if the address of
+ * the earlier home is unknown, and the query then fails */
 void guard_key_query_start(struct guard *g, const struct net_addr *at,
     const struct guard_key_query *q);
 
-/** guard_key_query_free_all() - drop all questions */
+/** guard_key_query_free_all() - abort all key queries */
 void guard_key_query_free_all(struct guard *g);
 
 #endif
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -1,5 +1,6 @@
 /*
- * The quarantine at the guard.
+ * Quarantine at the guard: passes crashes and other nodes' records to the
+ * quarantine state, publishes its events and refuses requests accordingly.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -15,16 +16,17 @@
 #include "spread/quarantine_news.h"
 
 #define ID_SEED 13
-/* Requests of recent crashes here whose paths are kept for operators. */
+/* Maximum number of requests of recent crashes whose paths are kept for
+ * operators. */
 #define DESCRIBED_MAX 128
-/* Lines a second: hundreds of upstreams may end at once. */
+/* Log lines per second: hundreds of upstreams may end at once. */
 #define LINES_PER_S 20
 
 /**
- * struct description - a request as operators see it
- * @print: the request
+ * struct description - a request as shown to operators
+ * @print: fingerprint of the request
  * @what: method and beginning of the path
- * @caller: who sent it
+ * @caller: name or address of the caller
  */
 struct description {
 	struct fingerprint print;
@@ -40,7 +42,8 @@
 
 /* Descriptions */
 
-/* Paths may hold any byte; descriptions go into log lines, JSON and rows. */
+/* A path may contain any byte; descriptions are written to log lines, JSON and
+ * rows. */
 static void
 make_printable(char *text)
 {
@@ -109,7 +112,7 @@
 	item->n_prints++;
 }
 
-/* Unique among the records of all nodes. */
+/* Creates an id that is unique among the records of all nodes, and not 0. */
 static uint64_t
 make_record_id(struct guard *g)
 {
@@ -195,7 +198,7 @@
 	publish(g, &item);
 }
 
-/* The decision */
+/* Quarantine state */
 
 static void
 export_entries(struct guard *g)
@@ -301,7 +304,7 @@
 		process_events(g);
 }
 
-/* A suspect that runs or waits at the same upstream, or NULL. */
+/* Another suspect that runs or waits at the same upstream, or NULL. */
 static const struct guard_request *
 find_other_suspect(const struct guard_request *r)
 {
@@ -318,9 +321,10 @@
 }
 
 /*
- * Suspects run one at a time, so that the next crash tells which one is to
- * blame.  Of one request no second copy runs anywhere; another suspect may run
- * at another upstream.
+ * Suspects run one at a time, so that the next crash identifies the one that
+ * causes it.  A second copy of the same request is refused as quarantined, so
+ * that it runs nowhere; another suspect is refused with REFUSAL_WAIT and may
+ * run at another upstream.
  */
 static bool
 refuse_beside_suspect(struct guard_request *r)
@@ -416,7 +420,7 @@
 		reject_queued(g);
 }
 
-/* News on its way to the guard's thread. */
+/* Arguments of do_apply_item(). */
 struct item_task {
 	struct guard *guard;
 	struct quarantine_item item;
--- a/packages/node/src/guard_quarantine.h
+++ b/packages/node/src/guard_quarantine.h
@@ -1,6 +1,7 @@
 /*
- * The quarantine at the guard: crashes of this host's upstreams and news of
- * other hosts go to the decision, and what it holds off is refused.
+ * Quarantine at the guard: crashes of this host's upstreams and records of
+ * other hosts update the quarantine state, and the guard refuses the requests
+ * that the state blocks.
  */
 #ifndef GUARD_QUARANTINE_H
 #define GUARD_QUARANTINE_H
@@ -20,17 +21,17 @@
 struct guard_upstream;
 
 /**
- * struct guard_quarantine - state of the quarantine at the guard
- * @state: what is quarantined, suspended and suspect
- * @timer: wakes the decision
+ * struct guard_quarantine - quarantine of a guard
+ * @state: requests that are quarantined, suspended or suspect
+ * @timer: advances @state
  * @descriptions: struct description of requests that ran in crashes here
  * @publish: publishes records to all nodes, or NULL
  * @arg: argument of @publish
- * @crashes: crashes seen here
- * @log_limit: bound on lines of requests that were answered or that peers told
- * of
+ * @crashes: counter that makes the ids of this guard's records unique
+ * @log_limit: rate limit of log lines on requests that were suspended or
+ *	answered, and on records from peers
  * @lock: guards @exported
- * @exported: struct quarantine_entry for other threads
+ * @exported: struct quarantine_entry of @state, for other threads
  */
 struct guard_quarantine {
 	struct quarantine *state;
@@ -44,16 +45,17 @@
 	GArray *exported;
 };
 
-/** guard_quarantine_init() - of a new guard */
+/** guard_quarantine_init() - initialise the quarantine of a new guard */
 void guard_quarantine_init(struct guard *g);
 
-/** guard_quarantine_clear() - of a guard that is freed */
+/** guard_quarantine_clear() - free the quarantine's memory */
 void guard_quarantine_clear(struct guard *g);
 
-/** guard_quarantine_tick() - let operators see how often it was asked for */
+/** guard_quarantine_tick() - update the exported entries, so that operators see
+ * the current number of rejected calls */
 void guard_quarantine_tick(struct guard *g);
 
-/** guard_quarantine_describe() - note for operators what @r asks */
+/** guard_quarantine_describe() - keep a description of @r for operators */
 void guard_quarantine_describe(const struct guard_request *r);
 
 /** guard_quarantine_crashed() - an upstream crashed while @runs ran there */
@@ -65,9 +67,9 @@
 
 /**
  * guard_quarantine_check() - refuse @r if it is quarantined, suspended or
- * undecided, or a suspect while another one runs there
+ * undecided, or if it is a suspect and another suspect is at its upstream
  *
- * Return: whether it was refused.
+ * Return: whether @r was refused.
  */
 bool guard_quarantine_check(struct guard_request *r);
 
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -1,5 +1,5 @@
 /*
- * The life of a request at its guard.
+ * Life cycle of a request at its guard.
  */
 #include "base/clock.h"
 
@@ -36,7 +36,7 @@
 	g_hash_table_remove(r->guard->requests, &r->id);
 }
 
-/* Streams that still send the answer outlive the request. */
+/* Detaches the streams that still send the answer; they outlive the request. */
 static void
 detach_outs(struct guard_request *r)
 {
@@ -73,7 +73,7 @@
 	return (clock_now_us() - r->started_us) / US_PER_MS;
 }
 
-/* It was answered: how long its kind takes. */
+/* Updates the admission's mean run time with that of an answered request. */
 static void
 record_run_time(struct guard_request *r)
 {
@@ -84,7 +84,7 @@
 	    loop_now_ms(r->guard->loop));
 }
 
-/* The slot is free again. */
+/* Releases the admission slot of a request that has run. */
 static void
 release_slot(struct guard_request *r)
 {
@@ -93,7 +93,8 @@
 	    loop_now_ms(r->guard->loop));
 }
 
-/* Return: when it is worth to come back. */
+/* Releases the slot of a request that the upstream did not run; returns the
+ * retry delay in ms. */
 static uint64_t
 release_shed_slot(struct guard_request *r)
 {
@@ -281,9 +282,10 @@
 	return true;
 }
 
-/* Giving up */
+/* Cancellation */
 
-/* Stops a running request; what is certain of it depends on what was sent. */
+/* Aborts the call of a running request.  If part of the request was sent, it
+ * has failed, as the upstream may have run it; otherwise it is refused. */
 static void
 abort_call(struct guard_request *r, enum refusal refusal)
 {
@@ -306,8 +308,8 @@
 		guard_request_refuse(r, REFUSAL_CANCELLED, 0);
 		return;
 	case REQUEST_RUNNING:
-		/* One that must not run twice runs on, so that its fate and
-		 * its answer can still be told. */
+		/* A non-idempotent request continues, so that its fate and
+		 * its answer can still be reported. */
 		if (r->idempotent || !r->body_complete)
 			abort_call(r, REFUSAL_CANCELLED);
 		return;
--- a/packages/node/src/guard_resolve.c
+++ b/packages/node/src/guard_resolve.c
@@ -1,5 +1,5 @@
 /*
- * An entry asks what became of an attempt whose connection was lost.
+ * Queries of entries for the fate of an attempt whose connection was lost.
  */
 #include <string.h>
 
@@ -8,7 +8,8 @@
 
 #include "guard_priv.h"
 
-/* A follower is remembered longer than the fate that it follows. */
+/* A follower is kept for this many fate windows, longer than the fate that it
+ * refers to. */
 #define FOLLOWER_FATE_WINDOWS 3
 
 static void
@@ -20,7 +21,11 @@
 	(void)call_link_send(&gc->link, MSG_CALL_RESOLVED, &m);
 }
 
-/* A request that follows another one, and until when that is remembered. */
+/**
+ * struct follower - a request that shares the fate of another one
+ * @first: the other request, the first with the same key
+ * @until_ms: monotonic time at which this record expires
+ */
 struct follower {
 	struct request_id first;
 	uint64_t until_ms;
@@ -66,7 +71,8 @@
 	return g_hash_table_lookup(g->requests, f != NULL ? &f->first : id);
 }
 
-/* The beginning may have gone to the lost connection and not be held. */
+/* The beginning of the answer may have been sent on the lost connection and
+ * discarded. */
 bool
 guard_resolve_attach(
     struct guard_conn *gc, uint32_t stream, const struct request_id *id)
@@ -121,7 +127,8 @@
 	q->waiter.stream = m->stream;
 }
 
-/* Whoever asks has lost the connection over which the body was coming. */
+/* Cancels a request with an incomplete body: the entry that sends the query has
+ * lost the connection on which it sent the body. */
 static void
 cancel_incomplete(struct guard *g, const struct request_id *id)
 {
--- a/packages/node/src/guard_version.c
+++ b/packages/node/src/guard_version.c
@@ -1,5 +1,6 @@
 /*
- * Requests that another node routed by a version whose time is up.
+ * Requests that another node routed by a version that was superseded too long
+ * ago to be in force anywhere.
  */
 #include <string.h>
 
@@ -30,7 +31,7 @@
 	return NULL;
 }
 
-/* Whether the version in force here leads the request to a service. */
+/* Whether the version in force on this host routes the request to @service. */
 static bool
 routes_to(const struct guard_request *r, const char *service)
 {
--- a/packages/node/src/quarantine_rows.c
+++ b/packages/node/src/quarantine_rows.c
@@ -1,5 +1,5 @@
 /*
- * When rows of quarantined requests are read and written.
+ * Schedule of reads and writes of quarantine rows.
  */
 #include "quarantine_rows.h"
 
@@ -30,7 +30,8 @@
 	g_queue_clear_full(&q->pending, row_free);
 }
 
-/* The first that may still be changed: one that is under way may not. */
+/* First row that may be replaced or dropped; a row that is being written may
+ * not. */
 static GList *
 first_replaceable(const struct quarantine_rows *q)
 {
--- a/packages/node/src/quarantine_rows.h
+++ b/packages/node/src/quarantine_rows.h
@@ -1,10 +1,11 @@
 /*
- * Quarantine rows: when a node reads quarantined requests at the platform, and
- * writes or removes a row there.
+ * Quarantine rows: schedules when a node reads the quarantined requests from
+ * the platform, and writes or removes a row there.
  *
- * Nodes tell one another; the rows are for when all of them have lost power at
- * once.  Calls are priced, so of each data centre only the first reader reads,
- * once, and who decided writes.
+ * Nodes exchange quarantine records among themselves; the rows are needed only
+ * after all of them have lost power at the same time.  Calls to the platform
+ * cost money, so the rows are read only by the first reader of each data
+ * centre, once, and written only by the node that made the decision.
  */
 #ifndef NODE_QUARANTINE_ROWS_H
 #define NODE_QUARANTINE_ROWS_H
@@ -14,13 +15,19 @@
 
 #include <glib.h>
 
-/* Pause after a call that failed. */
+/* Delay before the next call after one that failed. */
 #define QUARANTINE_ROWS_RETRY_MS 2000
 
-/* Most writes that wait while the platform is away; the oldest go first. */
+/* Maximum number of pending writes while the platform is unreachable; the
+ * oldest is dropped first. */
 #define QUARANTINE_ROWS_PENDING_MAX 128
 
-/** enum quarantine_rows_action - what is to be done at the platform */
+/**
+ * enum quarantine_rows_action - call to make to the platform
+ * @QUARANTINE_ROWS_NONE: none
+ * @QUARANTINE_ROWS_READ: read all rows
+ * @QUARANTINE_ROWS_PUT: write or remove a row
+ */
 enum quarantine_rows_action {
 	QUARANTINE_ROWS_NONE = 0,
 	QUARANTINE_ROWS_READ,
@@ -28,11 +35,12 @@
 };
 
 /**
- * struct quarantine_rows - what is to be done
- * @pending: struct quarantine_row, the first one under way if @action is PUT
- * @action: what is under way
+ * struct quarantine_rows - state of the schedule
+ * @pending: struct quarantine_row; the first one is being written if @action is
+ *	QUARANTINE_ROWS_PUT
+ * @action: call in progress
  * @read: the rows were read
- * @due_ms: monotonic time before which nothing is done
+ * @due_ms: monotonic time before which no call starts
  */
 struct quarantine_rows {
 	GQueue pending;
@@ -42,42 +50,44 @@
 };
 
 /**
- * struct quarantine_row - a row to be written or removed
- * @key: its key, owned
- * @value: its text, owned; NULL to remove it
+ * struct quarantine_row - a row to write or remove
+ * @key: key of the row, owned
+ * @value: text of the row, owned; NULL to remove the row
  */
 struct quarantine_row {
 	char *key;
 	char *value;
 };
 
-/** quarantine_rows_init() - nothing was read */
+/** quarantine_rows_init() - initialise: nothing read, nothing pending */
 void quarantine_rows_init(struct quarantine_rows *q);
 
-/** quarantine_rows_clear() - free what waits */
+/** quarantine_rows_clear() - free the pending rows */
 void quarantine_rows_clear(struct quarantine_rows *q);
 
-/** quarantine_rows_put() - a row is to be written, or removed where @value is
- * NULL; later ones of a key replace what waits of it */
+/** quarantine_rows_put() - schedule the write of a row, or its removal if
+ * @value is NULL; replaces pending writes of the same key */
 void quarantine_rows_put(
     struct quarantine_rows *q, const char *key, const char *value);
 
 /**
- * quarantine_rows_next() - what is to be done now
- * @q: the rows
+ * quarantine_rows_next() - the call to make now
+ * @q: the schedule
  * @reader: whether this node reads for its data centre
  * @now_ms: monotonic time
- * @row: the row that is to be put, borrowed until quarantine_rows_done()
+ * @row: receives the row to put, borrowed until quarantine_rows_done()
  *
- * Return: what the caller begins at once; quarantine_rows_done() ends it.
+ * Return: the call that the caller starts immediately, and whose end it reports
+ * with quarantine_rows_done().
  */
 enum quarantine_rows_action quarantine_rows_next(struct quarantine_rows *q,
     bool reader, uint64_t now_ms, const struct quarantine_row **row);
 
-/** quarantine_rows_done() - a call has ended, well or not */
+/** quarantine_rows_done() - a call has ended; @ok: whether it succeeded */
 void quarantine_rows_done(struct quarantine_rows *q, bool ok, uint64_t now_ms);
 
-/** quarantine_rows_due_ms() - when quarantine_rows_next() is wanted next */
+/** quarantine_rows_due_ms() - time of the next call to quarantine_rows_next()
+ */
 uint64_t quarantine_rows_due_ms(const struct quarantine_rows *q, bool reader);
 
 #endif
--- a/packages/node/src/refused.c
+++ b/packages/node/src/refused.c
@@ -1,5 +1,5 @@
 /*
- * The newest version that this node can't use, if there is one.
+ * Record of the newest version that this node can't use.
  */
 #include "refused.h"
 
@@ -41,8 +41,8 @@
 	    strcmp(r->reason, reason) == 0;
 }
 
-/* Whether the one that is refused came later: the platform has not gone back
- * to this one. */
+/* Whether @version is older than the refused one and the platform has not gone
+ * back to it. */
 static bool
 is_outdated(const struct refused *r, uint64_t version)
 {
@@ -99,7 +99,8 @@
 enum refused_change
 refused_version_readable(struct refused *r, uint64_t version, uint64_t in_force)
 {
-	/* A higher number was garbled, or operators went back from it. */
+	/* Higher numbers no longer count: they were corrupt, or operators went
+	 * back to an older version. */
 	r->max_known = MAX(version, in_force);
 	r->readable = version;
 	return version == in_force ? end_refusal(r) : REFUSED_UNCHANGED;
--- a/packages/node/src/refused_row.c
+++ b/packages/node/src/refused_row.c
@@ -1,11 +1,11 @@
 /*
- * When this node tells operators at the platform of a refused version.
+ * Schedule of the platform row that shows operators a refused version.
  */
 #include "refused_row.h"
 
 #include "base/clock.h"
 
-/* What is wanted once it is due. */
+/* Action to take once due_ms is reached. */
 static enum refused_row_action
 pending_action(
     const struct refused_row *row, const struct refused *r, bool first_reader)
@@ -27,7 +27,7 @@
 
 	if (r->active && !row->last_active && !row->written)
 		row->due_ms = now_ms + REFUSED_ROW_DELAY_MS;
-	/* The end is told without the pause between two versions. */
+	/* The row is removed at the end without the delay between writes. */
 	if (!r->active && row->last_active)
 		row->due_ms = now_ms;
 	row->last_active = r->active;
@@ -51,8 +51,9 @@
 		row->written = false;
 		return;
 	}
-	/* A write without an answer may have been done: @written stays, so
-	 * that it is removed at the end; no version is the one written. */
+	/* A failed write may still have reached the platform: @written stays
+	 * set, so that the row is removed at the end.  @version is set to a
+	 * value that matches no version, so that the write is repeated. */
 	if (!ok && row->action == REFUSED_ROW_WRITE)
 		row->version = UINT64_MAX;
 	row->due_ms =
--- a/packages/node/src/refused_row.h
+++ b/packages/node/src/refused_row.h
@@ -1,13 +1,14 @@
 /*
- * Refused row: when this node writes for operators, at the platform, that a
- * version is refused, and takes that away again.
+ * Refused row: schedules when this node writes a row at the platform that shows
+ * operators a refused version, and when it removes the row.
  *
- * Writes are priced, so one node a data centre writes: its first reader.  A
- * reader sees the refusal by itself, and one a data centre needs no agreement
- * between those that are cut off from one another.  It writes when a refusal
- * has lasted a little, again for another version after a longer pause, and
- * removes the row at the end, also when it is no longer the first.  The reader
- * that becomes the first meanwhile writes the same row again and removes it.
+ * Writes cost money, so one node per data centre writes: its first reader.  A
+ * reader detects the refusal by itself, and with one writer per data centre
+ * nodes that are partitioned from one another need not agree.  The first reader
+ * writes the row when a refusal has lasted REFUSED_ROW_DELAY_MS, and again for
+ * another version after REFUSED_ROW_REWRITE_MS.  It removes the row at the end,
+ * even if it is no longer the first reader.  A node that becomes the first
+ * reader meanwhile writes the same row again and removes it too.
  */
 #ifndef NODE_REFUSED_ROW_H
 #define NODE_REFUSED_ROW_H
@@ -17,17 +18,22 @@
 
 #include "refused.h"
 
-/* A refusal that ends sooner is not written: versions may follow one another
- * several times a second. */
+/* A refusal that ends sooner is not written: several versions a second may be
+ * published. */
 #define REFUSED_ROW_DELAY_MS 2000
 
-/* Least time between two writes of one refusal, of other versions. */
+/* Least time between two writes of one refusal, for different versions. */
 #define REFUSED_ROW_REWRITE_MS 30000
 
-/* Pause after a write that failed: the platform may be away for long. */
+/* Delay after a write that failed: the platform may be unreachable for long. */
 #define REFUSED_ROW_RETRY_MS 5000
 
-/** enum refused_row_action - what is to be done with the row */
+/**
+ * enum refused_row_action - action on the row
+ * @REFUSED_ROW_NONE: none
+ * @REFUSED_ROW_WRITE: write the row
+ * @REFUSED_ROW_REMOVE: remove the row
+ */
 enum refused_row_action {
 	REFUSED_ROW_NONE = 0,
 	REFUSED_ROW_WRITE,
@@ -35,13 +41,13 @@
 };
 
 /**
- * struct refused_row - the row; all zero at the start
- * @last_active: whether the refusal that goes on was seen
- * @busy: a write or removal is under way
- * @action: the one under way
+ * struct refused_row - state of the schedule; all zero at the start
+ * @last_active: whether a refusal was active at the last refused_row_next()
+ * @busy: a write or removal is in progress
+ * @action: the action in progress
  * @written: whether this node may have written the row
- * @version: version that was written, or is being
- * @due_ms: monotonic time before which nothing is done
+ * @version: version that was written or is being written
+ * @due_ms: monotonic time before which no action starts
  */
 struct refused_row {
 	bool last_active;
@@ -53,21 +59,22 @@
 };
 
 /**
- * refused_row_next() - what is to be done now
- * @row: the row
- * @r: the record
+ * refused_row_next() - the action to take now
+ * @row: state of the schedule
+ * @r: record of the refusal
  * @first_reader: whether this node is its data centre's first reader
  * @now_ms: monotonic time
  *
- * Return: what the caller begins at once; refused_row_done() ends it.
+ * Return: the action that the caller starts immediately, and whose end it
+ * reports with refused_row_done().
  */
 enum refused_row_action refused_row_next(struct refused_row *row,
     const struct refused *r, bool first_reader, uint64_t now_ms);
 
-/** refused_row_done() - a write or removal has ended, well or not */
+/** refused_row_done() - an action has ended; @ok: whether it succeeded */
 void refused_row_done(struct refused_row *row, bool ok, uint64_t now_ms);
 
-/** refused_row_due_ms() - when refused_row_next() is wanted next */
+/** refused_row_due_ms() - time of the next call to refused_row_next() */
 uint64_t refused_row_due_ms(
     const struct refused_row *row, const struct refused *r, bool first_reader);
 
