--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -273,7 +273,7 @@
 
 	if (!log_limit_take(limit, loop_now_ms(r->guard->loop)))
 		return;
-	log_warning("request id=%s service=%s given up by the stop, sent=%d "
+	log_warning("request id=%s service=%s aborted by the stop, sent=%d "
 		    "ms=%" G_GUINT64_FORMAT " running_ms=%" G_GUINT64_FORMAT
 		    " left_out=%u",
 	    r->caller_request_id,
--- a/packages/node/src/guard_conn.c
+++ b/packages/node/src/guard_conn.c
@@ -116,8 +116,7 @@
 	(void)conn;
 	if (guard_frame_handle(gc, type, body, len))
 		return;
-	log_info(
-	    "%s sent a frame that makes no sense; connection closed", gc->host);
+	log_info("%s sent an invalid frame; connection closed", gc->host);
 	g_hash_table_remove(gc->guard->conns, &gc->id);
 }
 
@@ -136,7 +135,7 @@
 	struct guard_conn *gc = arg;
 
 	(void)conn;
-	log_debug("%s: connection ended (%s)", gc->host, status_name(st));
+	log_debug("%s: connection closed (%s)", gc->host, status_name(st));
 	gc->link.conn = NULL;
 	g_hash_table_remove(gc->guard->conns, &gc->id);
 }
--- a/packages/node/src/guard_crash.c
+++ b/packages/node/src/guard_crash.c
@@ -86,7 +86,8 @@
 	struct guard_upstream *u = arg;
 
 	if (!u->crash.port_refused)
-		report_alive(u, "it neither takes nor refuses connections");
+		report_alive(
+		    u, "its port neither accepts nor refuses connections");
 	else
 		check_settled(u);
 }
@@ -95,7 +96,7 @@
 on_open(struct conn *c, void *arg)
 {
 	(void)c;
-	report_alive(arg, "it takes connections");
+	report_alive(arg, "its port accepts connections");
 }
 
 static void
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -162,8 +162,8 @@
 
 	(void)call;
 	if (answers_other_request(r, headers, n)) {
-		log_info("request id=%s service=%s: answer of another request "
-			 "passed over",
+		log_info("request id=%s service=%s: answer to another request "
+			 "ignored",
 		    r->caller_request_id, r->upstream->info.service);
 		return HTTP_SKIP;
 	}
@@ -381,7 +381,7 @@
 	    r->idempotent ? 0 : r->guard->settings->once_reuse_ms;
 	req.deadline_ms = r->latest_deadline_ms;
 	set_body(r, &req);
-	log_debug("%s: starts after %" G_GUINT64_FORMAT " us",
+	log_debug("%s: call started after %" G_GUINT64_FORMAT " us",
 	    r->upstream->info.service, r->started_us - r->opened_us);
 	r->call = http_call_start(g->http, &req, &upstream_handler, r);
 	g_string_free(url, TRUE);
--- a/packages/node/src/guard_keyed.c
+++ b/packages/node/src/guard_keyed.c
@@ -130,7 +130,7 @@
 	guard_keyed_refresh_snapshot(g);
 	keyed_offer(r->upstream->keyed, &r->key, body_hash(r), &r->id,
 	    loop_now_ms(g->loop), &d);
-	log_debug("%s: key %s", r->upstream->info.service,
+	log_debug("%s: key verdict %s", r->upstream->info.service,
 	    keyed_verdict_name(d.verdict));
 	apply_decision(r, &d);
 }
@@ -228,10 +228,10 @@
 	uint64_t now_ms = loop_now_ms(g->loop);
 	struct keyed_decision d;
 
-	log_info("%s: earlier home of a key says %s", q->service,
+	log_info("%s: key query to an earlier home returned %s", q->service,
 	    word == KEYED_WORD_FREE	   ? "free"
 		: word == KEYED_WORD_TAKEN ? "taken"
-					   : "nothing");
+					   : "no answer");
 	if (u == NULL)
 		return;
 	keyed_asked(u->keyed, &q->key, &q->id, q->home, word, now_ms, &d);
--- a/packages/node/src/guard_open.c
+++ b/packages/node/src/guard_open.c
@@ -170,13 +170,13 @@
 		accept_attempt(gc, m, &id);
 		break;
 	case FATE_OFFER_SEEN:
-		log_info("request of %s came twice; dropped", gc->host);
+		log_info("duplicate request from %s dropped", gc->host);
 		break;
 	case FATE_OFFER_NEVER:
 		guard_out_refuse(gc, m->stream, NULL, REFUSAL_RESOLVED, 0);
 		break;
 	case FATE_OFFER_TOO_OLD:
-		log_info("request of %s is too old; not run", gc->host);
+		log_info("request from %s is too old; refused", gc->host);
 		guard_out_refuse(gc, m->stream, NULL, REFUSAL_TOO_OLD, 0);
 		break;
 	}
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -189,8 +189,9 @@
 	struct quarantine_item item;
 
 	if (log_limit_take(&g->quarantine.log_limit, now_ms(g)))
-		log_info("request=%s was answered, crashes before don't count "
-			 "left_out=%u",
+		log_info(
+		    "request=%s was answered, earlier crashes no longer count "
+		    "left_out=%u",
 		    fingerprint_text(&e->print, text), left_out);
 	item_init(&item, g, QUARANTINE_ANSWERED, e->since_ms);
 	item.id = make_record_id(g);
--- a/packages/node/src/guard_resolve.c
+++ b/packages/node/src/guard_resolve.c
@@ -151,7 +151,7 @@
 	fill_query(gc, m, &q);
 	cancel_incomplete(g, &q.id);
 	fate_resolve(g->fates, &q, loop_now_ms(g->loop), &answer);
-	log_info("%s asks for a request's fate: %s", gc->host,
+	log_info("%s queried the fate of a request: %s", gc->host,
 	    resolution_name(answer.resolution));
 	if (answer.cancelled)
 		cancel_request(g, &q.id);
--- a/packages/node/src/guard_upstream.c
+++ b/packages/node/src/guard_upstream.c
@@ -120,7 +120,7 @@
 		guard_http_start(r);
 		return;
 	case ADMISSION_QUEUE:
-		log_debug("%s: queued", r->upstream->info.service);
+		log_debug("%s: request queued", r->upstream->info.service);
 		return;
 	case ADMISSION_REFUSE:
 		guard_request_refuse(r, res->refusal, res->retry_after_ms);
