--- a/packages/node/test/test_quarantine_rows.c
+++ b/packages/node/test/test_quarantine_rows.c
@@ -1,5 +1,7 @@
 /*
- * When rows of quarantined requests are read and written at the platform.
+ * Schedule of reads and writes of quarantine rows at the platform.  Guards
+ * against reads by every node, lost or reordered writes, and a queue that grows
+ * without bound while the platform is unreachable.
  */
 #include <string.h>
 
@@ -10,7 +12,7 @@
 #include "test_run.h"
 
 #define T0 UINT64_C(100000)
-#define FLOOD 1000
+#define N_ROWS 1000
 
 static struct quarantine_rows rows;
 static const struct quarantine_row *row;
@@ -33,7 +35,7 @@
 	return quarantine_rows_next(&rows, reader, now_ms, &row);
 }
 
-START_TEST(only_a_reader_reads_and_once)
+START_TEST(only_reader_reads_and_only_once)
 {
 	ck_assert_int_eq(next(false, T0), QUARANTINE_ROWS_NONE);
 	ck_assert_uint_eq(quarantine_rows_due_ms(&rows, false), DEADLINE_NEVER);
@@ -45,19 +47,19 @@
 }
 END_TEST
 
-START_TEST(a_read_that_fails_is_made_again)
+START_TEST(failed_read_is_retried)
 {
-	uint64_t again_ms = T0 + QUARANTINE_ROWS_RETRY_MS;
+	uint64_t retry_ms = T0 + QUARANTINE_ROWS_RETRY_MS;
 
 	(void)next(true, T0);
 	quarantine_rows_done(&rows, false, T0);
-	ck_assert_int_eq(next(true, again_ms - 1), QUARANTINE_ROWS_NONE);
-	ck_assert_uint_eq(quarantine_rows_due_ms(&rows, true), again_ms);
-	ck_assert_int_eq(next(true, again_ms), QUARANTINE_ROWS_READ);
+	ck_assert_int_eq(next(true, retry_ms - 1), QUARANTINE_ROWS_NONE);
+	ck_assert_uint_eq(quarantine_rows_due_ms(&rows, true), retry_ms);
+	ck_assert_int_eq(next(true, retry_ms), QUARANTINE_ROWS_READ);
 }
 END_TEST
 
-START_TEST(rows_are_written_in_order_and_again_after_a_failure)
+START_TEST(rows_are_written_in_order_and_retried)
 {
 	quarantine_rows_put(&rows, "a", "1");
 	quarantine_rows_put(&rows, "b", "2");
@@ -75,7 +77,7 @@
 }
 END_TEST
 
-START_TEST(a_later_change_replaces_what_waits_but_not_what_is_under_way)
+START_TEST(later_put_replaces_pending_but_not_active_row)
 {
 	quarantine_rows_put(&rows, "a", "1");
 	(void)next(false, T0);
@@ -89,14 +91,14 @@
 }
 END_TEST
 
-START_TEST(what_waits_is_bounded)
+START_TEST(pending_rows_are_bounded)
 {
 	char key[16];
 	int i;
 
 	quarantine_rows_put(&rows, "first", "1");
 	(void)next(false, T0);
-	for (i = 0; i < FLOOD; i++) {
+	for (i = 0; i < N_ROWS; i++) {
 		(void)g_snprintf(key, sizeof(key), "%d", i);
 		quarantine_rows_put(&rows, key, "1");
 	}
@@ -114,12 +116,11 @@
 	TCase *tc = tcase_create("quarantine_rows");
 
 	tcase_add_checked_fixture(tc, setup, teardown);
-	tcase_add_test(tc, only_a_reader_reads_and_once);
-	tcase_add_test(tc, a_read_that_fails_is_made_again);
-	tcase_add_test(tc, rows_are_written_in_order_and_again_after_a_failure);
-	tcase_add_test(
-	    tc, a_later_change_replaces_what_waits_but_not_what_is_under_way);
-	tcase_add_test(tc, what_waits_is_bounded);
+	tcase_add_test(tc, only_reader_reads_and_only_once);
+	tcase_add_test(tc, failed_read_is_retried);
+	tcase_add_test(tc, rows_are_written_in_order_and_retried);
+	tcase_add_test(tc, later_put_replaces_pending_but_not_active_row);
+	tcase_add_test(tc, pending_rows_are_bounded);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/node/test/test_refused_row.c
+++ b/packages/node/test/test_refused_row.c
@@ -1,5 +1,6 @@
 /*
- * When the row for operators is written and removed: as few writes as tell it.
+ * Schedule of the platform row for a refused version.  Guards against needless
+ * writes, which cost money, and against a row that is left behind or missing.
  */
 #include <string.h>
 
@@ -13,7 +14,7 @@
 static struct refused record;
 
 static void
-fresh(void)
+reset_row(void)
 {
 	memset(&row, 0, sizeof(row));
 	memset(&record, 0, sizeof(record));
@@ -32,9 +33,9 @@
 	record.version = version;
 }
 
-START_TEST(one_write_at_the_beginning_and_one_at_the_end)
+START_TEST(row_is_written_at_begin_and_removed_at_end)
 {
-	fresh();
+	reset_row();
 	ck_assert_uint_eq(
 	    refused_row_due_ms(&row, &record, true), DEADLINE_NEVER);
 	refuse(10);
@@ -55,9 +56,9 @@
 }
 END_TEST
 
-START_TEST(a_short_refusal_is_not_written)
+START_TEST(short_refusal_is_not_written)
 {
-	fresh();
+	reset_row();
 	refuse(10);
 	ck_assert_int_eq(next(0, true), REFUSED_ROW_NONE);
 	record.active = false;
@@ -69,13 +70,13 @@
 }
 END_TEST
 
-START_TEST(only_the_first_reader_writes_and_any_that_wrote_removes)
+START_TEST(only_first_reader_writes_but_every_writer_removes)
 {
-	fresh();
+	reset_row();
 	refuse(10);
 	ck_assert_int_eq(next(0, false), REFUSED_ROW_NONE);
 	ck_assert_int_eq(next(90000, false), REFUSED_ROW_NONE);
-	/* The one before it is gone. */
+	/* The previous first reader has left. */
 	ck_assert_int_eq(next(90001, true), REFUSED_ROW_WRITE);
 	refused_row_done(&row, true, 90002);
 	record.active = false;
@@ -83,12 +84,12 @@
 }
 END_TEST
 
-/* A minute of versions, ten a second, each of them refused. */
-START_TEST(many_versions_cost_few_writes)
+/* Ten versions a second for a minute, each of them refused. */
+START_TEST(many_versions_need_few_writes)
 {
 	uint64_t now_ms, writes = 0;
 
-	fresh();
+	reset_row();
 	for (now_ms = 0; now_ms < 60000; now_ms += 100) {
 		refuse(10 + now_ms);
 		if (next(now_ms, true) != REFUSED_ROW_WRITE)
@@ -100,9 +101,9 @@
 }
 END_TEST
 
-START_TEST(what_failed_is_done_again_after_a_pause)
+START_TEST(failed_action_is_retried_after_delay)
 {
-	fresh();
+	reset_row();
 	refuse(10);
 	(void)next(0, true);
 	ck_assert_int_eq(next(2000, true), REFUSED_ROW_WRITE);
@@ -111,8 +112,8 @@
 	ck_assert_int_eq(
 	    next(3000 + REFUSED_ROW_RETRY_MS, true), REFUSED_ROW_WRITE);
 	refused_row_done(&row, false, 9000);
-	/* It may have been written: it is removed all the same, and until that
-	 * was well. */
+	/* The failed write may have reached the platform: the row is removed
+	 * nevertheless, and the removal is retried until it succeeds. */
 	record.active = false;
 	ck_assert_int_eq(next(9001, true), REFUSED_ROW_REMOVE);
 	refused_row_done(&row, false, 9002);
@@ -124,10 +125,10 @@
 }
 END_TEST
 
-/* One that begins while the last one's row is being removed is written. */
-START_TEST(a_refusal_after_the_end_is_written_again)
+/* A refusal that begins while the previous row is being removed is written. */
+START_TEST(refusal_during_removal_is_written_again)
 {
-	fresh();
+	reset_row();
 	refuse(10);
 	(void)next(0, true);
 	ck_assert_int_eq(next(2000, true), REFUSED_ROW_WRITE);
@@ -148,13 +149,12 @@
 	Suite *suite = suite_create("refused row");
 	TCase *tc = tcase_create("refused row");
 
-	tcase_add_test(tc, one_write_at_the_beginning_and_one_at_the_end);
-	tcase_add_test(tc, a_short_refusal_is_not_written);
-	tcase_add_test(
-	    tc, only_the_first_reader_writes_and_any_that_wrote_removes);
-	tcase_add_test(tc, many_versions_cost_few_writes);
-	tcase_add_test(tc, what_failed_is_done_again_after_a_pause);
-	tcase_add_test(tc, a_refusal_after_the_end_is_written_again);
+	tcase_add_test(tc, row_is_written_at_begin_and_removed_at_end);
+	tcase_add_test(tc, short_refusal_is_not_written);
+	tcase_add_test(tc, only_first_reader_writes_but_every_writer_removes);
+	tcase_add_test(tc, many_versions_need_few_writes);
+	tcase_add_test(tc, failed_action_is_retried_after_delay);
+	tcase_add_test(tc, refusal_during_removal_is_written_again);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
