--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -19,12 +19,12 @@
 #define LINES_PER_S 50
 
 #define US_PER_MS 1000
-#define TICK_MS 100
-#define DRAIN_TICK_MS 5
+#define TICK_INTERVAL_MS 100
+#define DRAIN_TICK_INTERVAL_MS 5
 #define FATES_MAX 262144
 #define CALLERS_MAX 4096
-#define ANSWERS_SHARE 8
-#define ANSWER_KEEP_MAX_BYTES (1024U * 1024U + 65536U)
+#define ANSWER_SHARE_DIVISOR 8
+#define ENCODED_ANSWER_MAX_BYTES (1024U * 1024U + 65536U)
 
 /* An idle connection is closed after this time; entries send pings. */
 #define CONN_IDLE_MS 120000
@@ -81,7 +81,8 @@
 	atomic_store(&g->busy_conns, busy_conns(g));
 	loop_timer_set(&g->tick,
 	    now_ms +
-		(drain_takes_request(&g->drain) ? TICK_MS : DRAIN_TICK_MS));
+		(drain_takes_request(&g->drain) ? TICK_INTERVAL_MS
+						: DRAIN_TICK_INTERVAL_MS));
 }
 
 static struct fate_table *
@@ -91,10 +92,11 @@
 	    .window_ms = g->settings->fate_window_ms,
 	    .records_max = FATES_MAX,
 	    .answers_max_bytes = g->settings->fate_answers_bytes,
-	    .answer_max_bytes = ANSWER_KEEP_MAX_BYTES};
+	    .answer_max_bytes = ENCODED_ANSWER_MAX_BYTES};
 
-	if (cfg.answer_max_bytes > cfg.answers_max_bytes / ANSWERS_SHARE)
-		cfg.answer_max_bytes = cfg.answers_max_bytes / ANSWERS_SHARE;
+	if (cfg.answer_max_bytes > cfg.answers_max_bytes / ANSWER_SHARE_DIVISOR)
+		cfg.answer_max_bytes =
+		    cfg.answers_max_bytes / ANSWER_SHARE_DIVISOR;
 	return fate_table_new(&cfg);
 }
 
@@ -115,7 +117,7 @@
 	g->failure_log_limit.burst = LINES_PER_S;
 	g->http = http_client_new(loop, NULL);
 	g->fates = fates_new(g);
-	g->callers = rate_limit_new(CALLERS_MAX);
+	g->caller_limits = rate_limit_new(CALLERS_MAX);
 	g->upstreams = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, NULL, guard_upstream_free);
 	g->conns = g_hash_table_new_full(
@@ -160,7 +162,7 @@
 
 	if (st != STATUS_OK)
 		return st;
-	loop_timer_set(&g->tick, clock_now_ms() + TICK_MS);
+	loop_timer_set(&g->tick, clock_now_ms() + TICK_INTERVAL_MS);
 	return STATUS_OK;
 }
 
@@ -243,7 +245,7 @@
 	send_goodbyes(g);
 	atomic_store(&g->busy_conns, busy_conns(g));
 	g->drain_started = true;
-	loop_timer_set(&g->tick, now_ms + DRAIN_TICK_MS);
+	loop_timer_set(&g->tick, now_ms + DRAIN_TICK_INTERVAL_MS);
 	log_info("draining, %u requests in flight", atomic_load(&g->in_flight));
 	g_free(t);
 }
@@ -251,7 +253,7 @@
 bool
 guard_is_serving(const struct guard *g)
 {
-	return atomic_load(&g->serving) > 0;
+	return atomic_load(&g->n_serving) > 0;
 }
 
 void
@@ -329,7 +331,7 @@
 	snapshot_unref(g->snapshot);
 	http_client_free(g->http);
 	fate_table_free(g->fates);
-	rate_limit_free(g->callers);
+	rate_limit_free(g->caller_limits);
 	loop_timer_stop(&g->tick);
 	g_free(g);
 }
--- a/packages/node/src/guard_answer.c
+++ b/packages/node/src/guard_answer.c
@@ -8,10 +8,10 @@
 #include "guard_priv.h"
 
 /* A larger body is not retained. */
-#define ANSWER_KEEP_BYTES (1024U * 1024U)
+#define ANSWER_RETAIN_MAX_BYTES (1024U * 1024U)
 
 /* Reading from the upstream pauses while an entry lags by this many bytes. */
-#define ANSWER_LAG_BYTES 131072
+#define ANSWER_LAG_MAX_BYTES 131072
 
 /* Sent bytes are removed from the front once they reach this number. */
 #define ANSWER_TRIM_BYTES 65536
@@ -67,7 +67,7 @@
 }
 
 static void
-trim(struct guard_answer *a)
+trim_sent(struct guard_answer *a)
 {
 	uint64_t sent = min_sent_offset(a) - a->base;
 
@@ -82,16 +82,16 @@
 void
 guard_answer_add(struct guard_answer *a, const uint8_t *data, size_t len)
 {
-	if (a->retained && a->data->len + len > ANSWER_KEEP_BYTES)
+	if (a->retained && a->data->len + len > ANSWER_RETAIN_MAX_BYTES)
 		a->retained = false;
 	g_byte_array_append(a->data, data, (guint)len);
-	trim(a);
+	trim_sent(a);
 }
 
 bool
 guard_answer_is_full(const struct guard_answer *a)
 {
-	return end_offset(a) - min_sent_offset(a) >= ANSWER_LAG_BYTES;
+	return end_offset(a) - min_sent_offset(a) >= ANSWER_LAG_MAX_BYTES;
 }
 
 void
@@ -104,7 +104,7 @@
 		next = l->next;
 		guard_out_send(l->data, u);
 	}
-	trim(a);
+	trim_sent(a);
 	guard_answer_unref(a);
 }
 
--- a/packages/node/src/guard_crash.c
+++ b/packages/node/src/guard_crash.c
@@ -33,17 +33,18 @@
 log_crash(const struct guard_upstream *u)
 {
 	char text[FINGERPRINT_TEXT_BYTES];
-	GString *runs = g_string_new(NULL);
+	GString *requests = g_string_new(NULL);
 	uint32_t i;
 
 	for (i = 0; i < u->crash.n_lost; i++)
-		g_string_append_printf(runs, "%s%s", i > 0 ? "," : "",
+		g_string_append_printf(requests, "%s%s", i > 0 ? "," : "",
 		    fingerprint_text(&u->crash.lost[i], text));
 	log_warning("upstream crashed service=%s instance=%s ran=%u "
 		    "left_out=%u requests=%s",
 	    u->info.service, u->info.instance,
-	    u->crash.n_lost + u->crash.left_out, u->crash.left_out, runs->str);
-	g_string_free(runs, TRUE);
+	    u->crash.n_lost + u->crash.left_out, u->crash.left_out,
+	    requests->str);
+	g_string_free(requests, TRUE);
 }
 
 static void
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -42,26 +42,26 @@
 reports_not_run(const struct call_dialect *d, int code,
     const struct http_header *headers, uint32_t n)
 {
-	const char *word = find_header(headers, n, d->not_run);
+	const char *value = find_header(headers, n, d->not_run);
 
 	if (code == HTTP_MISDIRECTED && d->target != NULL)
 		return true;
-	if (word == NULL || code < 400)
+	if (value == NULL || code < 400)
 		return false;
 	return d->not_run_value == NULL ||
-	    g_ascii_strcasecmp(word, d->not_run_value) == 0;
+	    g_ascii_strcasecmp(value, d->not_run_value) == 0;
 }
 
 static void
 record_shed(
     struct guard_request *r, const struct http_header *headers, uint32_t n)
 {
-	const char *after = find_header(headers, n, HEADER_RETRY_AFTER);
+	const char *retry_after = find_header(headers, n, HEADER_RETRY_AFTER);
 
 	r->shed = true;
-	if (after != NULL)
+	if (retry_after != NULL)
 		r->shed_retry_ms =
-		    (uint64_t)(g_ascii_strtod(after, NULL) * MS_PER_S);
+		    (uint64_t)(g_ascii_strtod(retry_after, NULL) * MS_PER_S);
 }
 
 /* Whether the answer carries the id of a request other than @r. */
--- a/packages/node/src/guard_open.c
+++ b/packages/node/src/guard_open.c
@@ -105,7 +105,7 @@
 		return true;
 	key = hash64(caller, strlen(caller), CALLER_SEED) ^
 	    service_id(info->service);
-	return rate_limit_take(r->guard->callers, key, per_s, per_s,
+	return rate_limit_take(r->guard->caller_limits, key, per_s, per_s,
 	    loop_now_ms(r->guard->loop), retry_ms);
 }
 
--- a/packages/node/src/guard_out.c
+++ b/packages/node/src/guard_out.c
@@ -6,9 +6,9 @@
 #include "call_metrics.h"
 #include "guard_priv.h"
 
-static bool send_turn(struct call_sender *s, struct call_link *link);
+static bool send_chunk(struct call_sender *s, struct call_link *link);
 
-static const struct call_sender_ops out_ops = {.send = send_turn};
+static const struct call_sender_ops out_ops = {.send = send_chunk};
 
 struct guard_out *
 guard_out_new(struct guard_conn *gc, uint32_t stream,
@@ -93,7 +93,7 @@
 }
 
 static bool
-send_turn(struct call_sender *s, struct call_link *link)
+send_chunk(struct call_sender *s, struct call_link *link)
 {
 	struct guard_out *o = (struct guard_out *)s;
 	struct msg_call_chunk m = {.stream = o->stream};
--- a/packages/node/src/guard_priv.h
+++ b/packages/node/src/guard_priv.h
@@ -43,7 +43,7 @@
  * @listener: accepts connections from entries
  * @http: HTTP client that calls the upstreams
  * @fates: fate of each request
- * @callers: rate limits per caller
+ * @caller_limits: rate limits per caller
  * @upstreams: service name to struct guard_upstream
  * @conns: connection id to struct guard_conn
  * @requests: request id to struct guard_request
@@ -62,7 +62,8 @@
  * @tick: periodic timer: expires fates and advances the drain
  * @in_flight: number of unfinished requests, atomic for guard_in_flight()
  * @busy_conns: connections on which a stop would lose data, likewise
- * @serving: upstreams that accept requests, atomic for guard_is_serving()
+ * @n_serving: number of upstreams that accept requests, atomic for
+ *	guard_is_serving()
  * @drain_requested: guard_drain() was called, atomic
  * @drain_started: the guard's thread has started the drain, atomic
  * @counts_lock: guards the counts of all upstreams, and @upstreams itself
@@ -79,7 +80,7 @@
 	struct listener *listener;
 	struct http_client *http;
 	struct fate_table *fates;
-	struct rate_limit *callers;
+	struct rate_limit *caller_limits;
 	GHashTable *upstreams;
 	GHashTable *conns;
 	GHashTable *requests;
@@ -96,7 +97,7 @@
 	struct loop_timer tick;
 	_Atomic uint32_t in_flight;
 	_Atomic uint32_t busy_conns;
-	_Atomic uint32_t serving;
+	_Atomic uint32_t n_serving;
 	_Atomic bool drain_requested;
 	_Atomic bool drain_started;
 	GMutex counts_lock;
@@ -266,7 +267,7 @@
  * @body_source: stream that delivers the body, or NULL
  * @body: received GBytes that were not forwarded yet
  * @body_offset: bytes of the first element of @body that were forwarded
- * @received: bytes of the body that were received
+ * @received_bytes: bytes of the body that were received
  * @body_share: credit that the entry has for the rest of the body
  * @full_window: the upstream reads the body, so the entry gets the full window
  * @body_complete: the whole body was received
@@ -308,7 +309,7 @@
 	struct guard_out *body_source;
 	GQueue body;
 	size_t body_offset;
-	uint64_t received;
+	uint64_t received_bytes;
 	struct body_share body_share;
 	bool full_window;
 	bool body_complete;
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -18,7 +18,7 @@
 #define ID_SEED 13
 /* Maximum number of requests of recent crashes whose paths are kept for
  * operators. */
-#define DESCRIBED_MAX 128
+#define DESCRIPTIONS_MAX 128
 /* Log lines per second: hundreds of upstreams may end at once. */
 #define LINES_PER_S 20
 
@@ -55,12 +55,12 @@
 void
 guard_quarantine_describe(const struct guard_request *r)
 {
-	GQueue *all = &r->guard->quarantine.descriptions;
+	GQueue *descriptions = &r->guard->quarantine.descriptions;
 	struct call_print_parts parts;
 	struct description *d;
 	GList *l;
 
-	for (l = all->head; l != NULL; l = l->next) {
+	for (l = descriptions->head; l != NULL; l = l->next) {
 		d = l->data;
 		if (fingerprint_equal(&d->print, &r->fingerprint))
 			return;
@@ -72,9 +72,9 @@
 	guard_request_print_parts(r, &parts);
 	(void)g_strlcpy(
 	    d->caller, call_print_caller(&parts), sizeof(d->caller));
-	g_queue_push_tail(all, d);
-	if (all->length > DESCRIBED_MAX)
-		g_free(g_queue_pop_head(all));
+	g_queue_push_tail(descriptions, d);
+	if (descriptions->length > DESCRIPTIONS_MAX)
+		g_free(g_queue_pop_head(descriptions));
 }
 
 static const struct description *
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -208,7 +208,7 @@
 static bool
 has_enough_body(const struct guard_request *r)
 {
-	return r->body_complete || r->received >= CALL_FIRST_BYTES;
+	return r->body_complete || r->received_bytes >= CALL_FIRST_BYTES;
 }
 
 void
@@ -222,7 +222,7 @@
 	parts->address = r->caller;
 	parts->body_bytes = r->body_bytes;
 	parts->body = &r->body;
-	parts->received = r->received;
+	parts->received = r->received_bytes;
 	parts->whole = r->body_complete;
 }
 
@@ -255,13 +255,14 @@
 static bool
 body_length_is_valid(const struct guard_request *r)
 {
-	if (r->received > MAX(r->body_share.granted_bytes, CALL_FIRST_BYTES))
+	if (r->received_bytes >
+	    MAX(r->body_share.granted_bytes, CALL_FIRST_BYTES))
 		return false;
 	if (r->body_bytes < 0)
 		return true;
 	if (r->body_complete)
-		return r->received == (uint64_t)r->body_bytes;
-	return r->received <= (uint64_t)r->body_bytes;
+		return r->received_bytes == (uint64_t)r->body_bytes;
+	return r->received_bytes <= (uint64_t)r->body_bytes;
 }
 
 bool
@@ -271,7 +272,7 @@
 		return true;
 	if (r->body_complete)
 		return false;
-	r->received += m->data_len;
+	r->received_bytes += m->data_len;
 	r->body_complete = m->fin;
 	if (!body_length_is_valid(r))
 		return false;
--- a/packages/node/src/guard_upstream.c
+++ b/packages/node/src/guard_upstream.c
@@ -102,7 +102,7 @@
 		update_upstream(g, &list[i]);
 		serving += list[i].state == SERVING_READY;
 	}
-	atomic_store(&g->serving, serving);
+	atomic_store(&g->n_serving, serving);
 	g_hash_table_iter_init(&it, g->upstreams);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&u)) {
 		if (u->present)
