--- a/packages/node/src/guard_frames.c
+++ b/packages/node/src/guard_frames.c
@@ -100,16 +100,16 @@
 on_key_ask(struct guard_conn *gc, const uint8_t *body, size_t len)
 {
 	struct msg_call_key_ask m;
-	struct msg_call_key_word word;
+	struct msg_call_key_word reply;
 
 	if (msg_call_key_ask_decode(body, len, &m) != STATUS_OK)
 		return false;
-	memset(&word, 0, sizeof(word));
-	(void)g_strlcpy(word.service, m.service, sizeof(word.service));
-	word.key_high = m.key_high;
-	word.key_low = m.key_low;
-	word.word = (uint8_t)guard_keyed_yield(gc->guard, &m);
-	(void)call_link_send(&gc->link, MSG_CALL_KEY_WORD, &word);
+	memset(&reply, 0, sizeof(reply));
+	(void)g_strlcpy(reply.service, m.service, sizeof(reply.service));
+	reply.key_high = m.key_high;
+	reply.key_low = m.key_low;
+	reply.word = (uint8_t)guard_keyed_yield(gc->guard, &m);
+	(void)call_link_send(&gc->link, MSG_CALL_KEY_WORD, &reply);
 	return true;
 }
 
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -116,7 +116,7 @@
 static uint64_t
 make_record_id(struct guard *g)
 {
-	uint64_t parts[] = {g->incarnation, ++g->quarantine.crashes};
+	uint64_t parts[] = {g->incarnation, ++g->quarantine.last_record};
 	uint64_t id = hash64(parts, sizeof(parts),
 	    hash64(g->settings->host, strlen(g->settings->host), ID_SEED));
 
--- a/packages/node/src/guard_quarantine.h
+++ b/packages/node/src/guard_quarantine.h
@@ -27,7 +27,7 @@
  * @descriptions: struct description of requests that ran in crashes here
  * @publish: publishes records to all nodes, or NULL
  * @arg: argument of @publish
- * @crashes: counter that makes the ids of this guard's records unique
+ * @last_record: counter that makes the ids of this guard's records unique
  * @log_limit: rate limit of log lines on requests that were suspended or
  *	answered, and on records from peers
  * @lock: guards @exported
@@ -39,7 +39,7 @@
 	GQueue descriptions;
 	guard_publish_fn *publish;
 	void *arg;
-	uint64_t crashes;
+	uint64_t last_record;
 	struct log_limit log_limit;
 	GMutex lock;
 	GArray *exported;
