--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -14,8 +14,8 @@
 #include "guard_priv.h"
 
 #define ID_SEED 5
-/* Log lines per second of one kind; entry.c limits its lines for the same
- * reason, the processor time that each one costs. */
+/* Maximum number of log lines per second of one kind.  entry.c limits its lines
+ * too, and states the processor time that a line costs. */
 #define LINES_PER_S 50
 
 #define US_PER_MS 1000
@@ -23,6 +23,7 @@
 #define DRAIN_TICK_INTERVAL_MS 5
 #define FATES_MAX 262144
 #define CALLERS_MAX 4096
+/* One answer takes up at most fate_answers_bytes divided by this number. */
 #define ANSWER_SHARE_DIVISOR 8
 #define ENCODED_ANSWER_MAX_BYTES (1024U * 1024U + 65536U)
 
--- a/packages/node/src/guard_answer.c
+++ b/packages/node/src/guard_answer.c
@@ -16,8 +16,7 @@
 /* Sent bytes are removed from the front once they reach this number. */
 #define ANSWER_TRIM_BYTES 65536
 
-/* An encoded answer starts with the length of its head, in a field of this
- * size.
+/* Size of the field at the start of an encoded answer, the length of its head.
  */
 #define ENCODED_HEAD_BYTES 4
 
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -19,7 +19,8 @@
 /* Maximum number of requests of recent crashes whose paths are kept for
  * operators. */
 #define DESCRIPTIONS_MAX 128
-/* Log lines per second: hundreds of upstreams may end at once. */
+/* Maximum number of log lines per second: hundreds of upstreams may end at
+ * once. */
 #define LINES_PER_S 20
 
 /**
--- a/packages/node/src/refused.h
+++ b/packages/node/src/refused.h
@@ -23,7 +23,7 @@
  * truncated. */
 #define REFUSED_REASON_BYTES 256
 
-/* Least time between two log lines of one refusal: several versions a second
+/* Minimum time between two log lines of one refusal: several versions a second
  * may be published, each refused for another reason. */
 #define REFUSED_LOG_MS 5000
 
--- a/packages/node/src/refused_row.h
+++ b/packages/node/src/refused_row.h
@@ -22,7 +22,7 @@
  * published. */
 #define REFUSED_ROW_DELAY_MS 2000
 
-/* Least time between two writes of one refusal, for different versions. */
+/* Minimum time between two writes of one refusal, for different versions. */
 #define REFUSED_ROW_REWRITE_MS 30000
 
 /* Delay after a write that failed: the platform may be unreachable for long. */
