--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -1,5 +1,5 @@
 /*
- * The guard's thread, its start, drain and stop.
+ * Creation, start, drain and stop of the guard.
  */
 #include <string.h>
 
@@ -14,18 +14,20 @@
 #include "guard_priv.h"
 
 #define ID_SEED 5
-/* Lines a second of one kind, see the bounds of the entry. */
+/* Maximum number of log lines per second of one kind.  entry.c limits its lines
+ * too, and states the processor time that a line costs. */
 #define LINES_PER_S 50
 
 #define US_PER_MS 1000
-#define TICK_MS 100
-#define DRAIN_TICK_MS 5
+#define TICK_INTERVAL_MS 100
+#define DRAIN_TICK_INTERVAL_MS 5
 #define FATES_MAX 262144
 #define CALLERS_MAX 4096
-#define ANSWERS_SHARE 8
-#define ANSWER_KEEP_MAX_BYTES (1024U * 1024U + 65536U)
+/* One answer takes up at most fate_answers_bytes divided by this number. */
+#define ANSWER_SHARE_DIVISOR 8
+#define ENCODED_ANSWER_MAX_BYTES (1024U * 1024U + 65536U)
 
-/* A connection that is silent this long is closed; entries ping. */
+/* An idle connection is closed after this time; entries send pings. */
 #define CONN_IDLE_MS 120000
 
 static guint
@@ -40,7 +42,7 @@
 	return request_id_equal(a, b);
 }
 
-/* Connections on which a stop would cut something. */
+/* Number of connections on which a stop would lose data. */
 static uint32_t
 busy_conns(const struct guard *g)
 {
@@ -50,19 +52,19 @@
 
 	g_hash_table_iter_init(&it, g->conns);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&gc))
-		n += guard_conn_busy(gc);
+		n += guard_conn_is_busy(gc);
 	return n;
 }
 
 static void
-say_goodbye(struct guard *g)
+send_goodbyes(struct guard *g)
 {
 	struct guard_conn *gc;
 	GHashTableIter it;
 
 	g_hash_table_iter_init(&it, g->conns);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&gc))
-		guard_conn_goodbye(gc);
+		guard_conn_send_goodbye(gc);
 }
 
 static void
@@ -72,7 +74,7 @@
 	uint64_t now_ms = loop_now_ms(g->loop);
 
 	fate_expire(g->fates, now_ms);
-	guard_keyed_tick(g);
+	guard_keyed_refresh_snapshot(g);
 	guard_resolve_expire(g);
 	guard_credit_tick(g);
 	guard_quarantine_tick(g);
@@ -80,7 +82,8 @@
 	atomic_store(&g->busy_conns, busy_conns(g));
 	loop_timer_set(&g->tick,
 	    now_ms +
-		(drain_takes_request(&g->drain) ? TICK_MS : DRAIN_TICK_MS));
+		(drain_takes_request(&g->drain) ? TICK_INTERVAL_MS
+						: DRAIN_TICK_INTERVAL_MS));
 }
 
 static struct fate_table *
@@ -90,10 +93,11 @@
 	    .window_ms = g->settings->fate_window_ms,
 	    .records_max = FATES_MAX,
 	    .answers_max_bytes = g->settings->fate_answers_bytes,
-	    .answer_max_bytes = ANSWER_KEEP_MAX_BYTES};
+	    .answer_max_bytes = ENCODED_ANSWER_MAX_BYTES};
 
-	if (cfg.answer_max_bytes > cfg.answers_max_bytes / ANSWERS_SHARE)
-		cfg.answer_max_bytes = cfg.answers_max_bytes / ANSWERS_SHARE;
+	if (cfg.answer_max_bytes > cfg.answers_max_bytes / ANSWER_SHARE_DIVISOR)
+		cfg.answer_max_bytes =
+		    cfg.answers_max_bytes / ANSWER_SHARE_DIVISOR;
 	return fate_table_new(&cfg);
 }
 
@@ -108,13 +112,13 @@
 	g->dialect = dialect;
 	g->incarnation = incarnation;
 	g->loop = loop;
-	g->refused_lines.per_s = LINES_PER_S;
-	g->refused_lines.burst = LINES_PER_S;
-	g->failed_lines.per_s = LINES_PER_S;
-	g->failed_lines.burst = LINES_PER_S;
+	g->refusal_log_limit.per_s = LINES_PER_S;
+	g->refusal_log_limit.burst = LINES_PER_S;
+	g->failure_log_limit.per_s = LINES_PER_S;
+	g->failure_log_limit.burst = LINES_PER_S;
 	g->http = http_client_new(loop, NULL);
 	g->fates = fates_new(g);
-	g->callers = rate_limit_new(CALLERS_MAX);
+	g->caller_limits = rate_limit_new(CALLERS_MAX);
 	g->upstreams = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, NULL, guard_upstream_free);
 	g->conns = g_hash_table_new_full(
@@ -122,10 +126,10 @@
 	g->requests =
 	    g_hash_table_new_full(id_hash, id_equal, NULL, guard_request_free);
 	g->tickets = g_hash_table_new(g_int64_hash, g_int64_equal);
-	g->homes =
+	g->guard_addresses =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	g->follows = g_hash_table_new_full(id_hash, id_equal, g_free, g_free);
-	g_queue_init(&g->askings);
+	g->followers = g_hash_table_new_full(id_hash, id_equal, g_free, g_free);
+	g_queue_init(&g->key_queries);
 	guard_quarantine_init(g);
 	g_mutex_init(&g->counts_lock);
 	drain_init(&g->drain);
@@ -159,7 +163,7 @@
 
 	if (st != STATUS_OK)
 		return st;
-	loop_timer_set(&g->tick, clock_now_ms() + TICK_MS);
+	loop_timer_set(&g->tick, clock_now_ms() + TICK_INTERVAL_MS);
 	return STATUS_OK;
 }
 
@@ -169,113 +173,114 @@
 	return listener_addr(g->listener);
 }
 
-/* What another thread wants done in the guard's thread. */
-struct guard_order {
+/* Arguments of a call that another thread posts to the guard's thread. */
+struct guard_task {
 	struct guard *guard;
 	uint64_t deadline_ms;
 	uint32_t n_endpoints;
 	struct guard_endpoint endpoints[];
 };
 
-static struct guard_order *
-order_new(struct guard *g, uint32_t n)
+static struct guard_task *
+task_new(struct guard *g, uint32_t n)
 {
-	struct guard_order *o;
+	struct guard_task *t;
 
-	o = g_malloc0(sizeof(*o) + n * sizeof(o->endpoints[0]));
-	o->guard = g;
-	o->n_endpoints = n;
-	return o;
+	t = g_malloc0(sizeof(*t) + n * sizeof(t->endpoints[0]));
+	t->guard = g;
+	t->n_endpoints = n;
+	return t;
 }
 
 static void
-do_set(void *arg)
+do_set_endpoints(void *arg)
 {
-	struct guard_order *o = arg;
+	struct guard_task *t = arg;
 
-	guard_version_note(o->guard);
-	guard_upstream_set(o->guard, o->endpoints, o->n_endpoints);
-	g_free(o);
+	guard_version_update(t->guard);
+	guard_upstream_set(t->guard, t->endpoints, t->n_endpoints);
+	g_free(t);
 }
 
 void
 guard_set_endpoints(struct guard *g, const struct guard_endpoint *endpoints,
     uint32_t n_endpoints)
 {
-	struct guard_order *o = order_new(g, n_endpoints);
+	struct guard_task *t = task_new(g, n_endpoints);
 
 	if (n_endpoints > 0)
-		memcpy(o->endpoints, endpoints,
+		memcpy(t->endpoints, endpoints,
 		    n_endpoints * sizeof(endpoints[0]));
-	loop_post(g->loop, do_set, o);
+	loop_post(g->loop, do_set_endpoints, t);
 }
 
 static void
 do_announce_stop(void *arg)
 {
-	struct guard_order *o = arg;
+	struct guard_task *t = arg;
 
-	drain_announce(&o->guard->drain, o->deadline_ms);
-	guard_upstream_recheck(o->guard);
-	g_free(o);
+	drain_announce(&t->guard->drain, t->deadline_ms);
+	guard_upstream_refuse_late(t->guard);
+	g_free(t);
 }
 
 void
 guard_announce_stop(struct guard *g, uint64_t deadline_ms)
 {
-	struct guard_order *o = order_new(g, 0);
+	struct guard_task *t = task_new(g, 0);
 
-	o->deadline_ms = deadline_ms;
-	loop_post(g->loop, do_announce_stop, o);
+	t->deadline_ms = deadline_ms;
+	loop_post(g->loop, do_announce_stop, t);
 }
 
 static void
 do_drain(void *arg)
 {
-	struct guard_order *o = arg;
-	struct guard *g = o->guard;
+	struct guard_task *t = arg;
+	struct guard *g = t->guard;
 	uint64_t now_ms = loop_now_ms(g->loop);
 
 	drain_begin(
-	    &g->drain, 0, clock_left_ms(o->deadline_ms, now_ms), now_ms);
+	    &g->drain, 0, clock_left_ms(t->deadline_ms, now_ms), now_ms);
 	guard_upstream_drain_all(g);
-	say_goodbye(g);
+	send_goodbyes(g);
 	atomic_store(&g->busy_conns, busy_conns(g));
-	g->drained = true;
-	loop_timer_set(&g->tick, now_ms + DRAIN_TICK_MS);
+	g->drain_started = true;
+	loop_timer_set(&g->tick, now_ms + DRAIN_TICK_INTERVAL_MS);
 	log_info("draining, %u requests in flight", atomic_load(&g->in_flight));
-	g_free(o);
+	g_free(t);
 }
 
 bool
-guard_serves(const struct guard *g)
+guard_is_serving(const struct guard *g)
 {
-	return atomic_load(&g->serving) > 0;
+	return atomic_load(&g->n_serving) > 0;
 }
 
 void
 guard_drain(struct guard *g, uint64_t deadline_ms)
 {
-	struct guard_order *o = order_new(g, 0);
+	struct guard_task *t = task_new(g, 0);
 
-	o->deadline_ms = deadline_ms;
-	atomic_store(&g->draining, true);
-	loop_post(g->loop, do_drain, o);
+	t->deadline_ms = deadline_ms;
+	atomic_store(&g->drain_requested, true);
+	loop_post(g->loop, do_drain, t);
 }
 
 static void
-log_given_up(const struct guard_request *r)
+log_aborted(const struct guard_request *r)
 {
-	struct log_limit *limit = &r->guard->failed_lines;
+	struct log_limit *limit = &r->guard->failure_log_limit;
 	uint32_t left_out = limit->left_out;
 	uint64_t now_us = clock_now_us();
 
 	if (!log_limit_take(limit, loop_now_ms(r->guard->loop)))
 		return;
-	log_warning("request id=%s service=%s given up by the stop, sent=%d "
+	log_warning("request id=%s service=%s aborted by the stop, sent=%d "
 		    "ms=%" G_GUINT64_FORMAT " running_ms=%" G_GUINT64_FORMAT
 		    " left_out=%u",
-	    r->name, r->upstream != NULL ? r->upstream->info.service : "?",
+	    r->caller_request_id,
+	    r->upstream != NULL ? r->upstream->info.service : "?",
 	    r->state == REQUEST_RUNNING, (now_us - r->opened_us) / US_PER_MS,
 	    r->state == REQUEST_RUNNING ? (now_us - r->started_us) / US_PER_MS
 					: 0,
@@ -283,7 +288,7 @@
 }
 
 static void
-do_stop(void *arg)
+do_log_aborted(void *arg)
 {
 	struct guard *g = arg;
 	struct guard_request *r;
@@ -292,20 +297,21 @@
 	g_hash_table_iter_init(&it, g->requests);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r))
 		if (r->state != REQUEST_ENDED)
-			log_given_up(r);
+			log_aborted(r);
 }
 
 void
-guard_stop(struct guard *g)
+guard_log_aborted(struct guard *g)
 {
-	loop_post(g->loop, do_stop, g);
+	loop_post(g->loop, do_log_aborted, g);
 }
 
 uint32_t
 guard_in_flight(const struct guard *g)
 {
 	return atomic_load(&g->in_flight) + atomic_load(&g->busy_conns) +
-	    (atomic_load(&g->draining) && !atomic_load(&g->drained));
+	    (atomic_load(&g->drain_requested) &&
+		!atomic_load(&g->drain_started));
 }
 
 void
@@ -314,19 +320,19 @@
 	if (g == NULL)
 		return;
 	listener_free(g->listener);
-	guard_ask_free_all(g);
+	guard_key_query_free_all(g);
 	g_hash_table_destroy(g->conns);
 	g_hash_table_destroy(g->requests);
 	g_hash_table_destroy(g->tickets);
 	g_hash_table_destroy(g->upstreams);
 	guard_quarantine_clear(g);
 	g_mutex_clear(&g->counts_lock);
-	g_hash_table_destroy(g->homes);
-	g_hash_table_destroy(g->follows);
+	g_hash_table_destroy(g->guard_addresses);
+	g_hash_table_destroy(g->followers);
 	snapshot_unref(g->snapshot);
 	http_client_free(g->http);
 	fate_table_free(g->fates);
-	rate_limit_free(g->callers);
+	rate_limit_free(g->caller_limits);
 	loop_timer_stop(&g->tick);
 	g_free(g);
 }
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -1,6 +1,6 @@
 /*
- * The guard calls an upstream: the request with its body, the answer, and
- * what the way it ended says about the request's fate.
+ * HTTP calls from the guard to an upstream: sends the request with its body,
+ * reads the answer, and derives the request's fate from how the call ended.
  */
 #include <string.h>
 
@@ -21,13 +21,13 @@
 #define ID_HEX_BYTES (2 * REQUEST_ID_BYTES + 1)
 #define MS_PER_S 1000
 
-/* Headers that the guard adds to those of the caller. */
-#define OWN_HEADERS 3
+/* Maximum number of headers that the guard adds to those of the caller. */
+#define ADDED_HEADERS_MAX 3
 
 #define CONTENT_LENGTH "Content-Length"
 
 static const char *
-find(const struct http_header *headers, uint32_t n, const char *name)
+find_header(const struct http_header *headers, uint32_t n, const char *name)
 {
 	uint32_t i;
 
@@ -37,37 +37,37 @@
 	return NULL;
 }
 
-/* The upstream says that it has not run the request. */
+/* Whether the answer says that the upstream did not run the request. */
 static bool
-is_not_run(const struct call_dialect *d, int code,
+reports_not_run(const struct call_dialect *d, int code,
     const struct http_header *headers, uint32_t n)
 {
-	const char *word = find(headers, n, d->not_run);
+	const char *value = find_header(headers, n, d->not_run);
 
 	if (code == HTTP_MISDIRECTED && d->target != NULL)
 		return true;
-	if (word == NULL || code < 400)
+	if (value == NULL || code < 400)
 		return false;
 	return d->not_run_value == NULL ||
-	    g_ascii_strcasecmp(word, d->not_run_value) == 0;
+	    g_ascii_strcasecmp(value, d->not_run_value) == 0;
 }
 
 static void
-take_shed(
+record_shed(
     struct guard_request *r, const struct http_header *headers, uint32_t n)
 {
-	const char *after = find(headers, n, HEADER_RETRY_AFTER);
+	const char *retry_after = find_header(headers, n, HEADER_RETRY_AFTER);
 
 	r->shed = true;
-	if (after != NULL)
+	if (retry_after != NULL)
 		r->shed_retry_ms =
-		    (uint64_t)(g_ascii_strtod(after, NULL) * MS_PER_S);
+		    (uint64_t)(g_ascii_strtod(retry_after, NULL) * MS_PER_S);
 }
 
-/* Whether an answer names another request than the one that was sent. */
+/* Whether the answer carries the id of a request other than @r. */
 static bool
-is_of_another(const struct guard_request *r, const struct http_header *headers,
-    uint32_t n)
+answers_other_request(const struct guard_request *r,
+    const struct http_header *headers, uint32_t n)
 {
 	const struct call_dialect *d = r->guard->dialect;
 	const struct rec_header *h;
@@ -76,7 +76,7 @@
 
 	if (!d->caller_names_requests)
 		return false;
-	named = find(headers, n, d->request_id);
+	named = find_header(headers, n, d->request_id);
 	for (i = 0; named != NULL && i < call_headers_count(&r->headers); i++) {
 		h = call_headers_at(&r->headers, i);
 		if (g_ascii_strcasecmp(h->name, d->request_id) == 0)
@@ -85,17 +85,18 @@
 	return false;
 }
 
-/* A success that isn't signed, or is encoded, is not the upstream's answer. */
+/* A success that has no signature, or that has a content encoding, does not
+ * come from the upstream. */
 static bool
-is_spoilt(const struct guard_request *r, int code,
+is_invalid_answer(const struct guard_request *r, int code,
     const struct http_header *headers, uint32_t n)
 {
 	const struct call_dialect *d = r->guard->dialect;
 
 	if (d->signature == NULL || code < HTTP_OK_MIN || code > HTTP_OK_MAX)
 		return false;
-	return find(headers, n, d->signature) == NULL ||
-	    find(headers, n, "Content-Encoding") != NULL;
+	return find_header(headers, n, d->signature) == NULL ||
+	    find_header(headers, n, "Content-Encoding") != NULL;
 }
 
 static bool
@@ -106,37 +107,40 @@
 }
 
 static int64_t
-length_of(const struct guard_request *r, int code,
+body_length(const struct guard_request *r, int code,
     const struct http_header *headers, uint32_t n)
 {
-	const char *length = find(headers, n, CONTENT_LENGTH);
+	const char *length = find_header(headers, n, CONTENT_LENGTH);
 
 	if (has_no_body(r, code))
 		return 0;
-	if (length == NULL || find(headers, n, "Transfer-Encoding") != NULL)
+	if (length == NULL ||
+	    find_header(headers, n, "Transfer-Encoding") != NULL)
 		return -1;
 	return g_ascii_strtoll(length, NULL, 10);
 }
 
 static void
-take_header(struct guard_answer *a, const char *name, const char *value)
+add_header(struct guard_answer *a, const char *name, const char *value)
 {
 	(void)call_headers_add(&a->headers, name, (uint32_t)strlen(name), value,
 	    (uint32_t)strlen(value));
 }
 
-/* The length that a HEAD tells is not that of a body which comes. */
+/* Content-Length is copied for HEAD only, where it does not describe a body
+ * that follows. */
 static void
-take_headers(
+copy_headers(
     struct guard_request *r, const struct http_header *headers, uint32_t n)
 {
-	GTree *named = call_headers_named(find(headers, n, "Connection"));
-	const char *length = find(headers, n, CONTENT_LENGTH);
+	GTree *named =
+	    call_headers_named(find_header(headers, n, "Connection"));
+	const char *length = find_header(headers, n, CONTENT_LENGTH);
 	const struct http_header *h;
 	uint32_t i;
 
 	if (length != NULL && strcmp(r->method, "HEAD") == 0)
-		take_header(r->answer, CONTENT_LENGTH, length);
+		add_header(r->answer, CONTENT_LENGTH, length);
 
 	for (i = 0; i < n; i++) {
 		h = &headers[i];
@@ -144,7 +148,7 @@
 			r->guard->dialect->prefix,
 			r->guard->dialect->from_upstreams))
 			continue;
-		take_header(r->answer, h->name, h->value);
+		add_header(r->answer, h->name, h->value);
 	}
 	call_headers_named_free(named);
 }
@@ -157,27 +161,27 @@
 	struct guard_answer *a = r->answer;
 
 	(void)call;
-	if (is_of_another(r, headers, n)) {
-		log_info("request id=%s service=%s: answer of another request "
-			 "passed over",
-		    r->name, r->upstream->info.service);
+	if (answers_other_request(r, headers, n)) {
+		log_info("request id=%s service=%s: answer to another request "
+			 "ignored",
+		    r->caller_request_id, r->upstream->info.service);
 		return HTTP_SKIP;
 	}
-	if (is_not_run(r->guard->dialect, code, headers, n)) {
-		take_shed(r, headers, n);
+	if (reports_not_run(r->guard->dialect, code, headers, n)) {
+		record_shed(r, headers, n);
 		return HTTP_CONTINUE;
 	}
-	if (is_spoilt(r, code, headers, n)) {
-		r->spoilt = true;
+	if (is_invalid_answer(r, code, headers, n)) {
+		r->invalid_answer = true;
 		return HTTP_ABORT;
 	}
 	a->has_head = true;
 	a->status = (uint32_t)code;
-	a->length = length_of(r, code, headers, n);
+	a->length = body_length(r, code, headers, n);
 	a->guard_us = r->started_us - r->opened_us;
 	a->upstream_us = clock_now_us() - r->started_us;
 	metric_observe_us(&metric_upstream_us, a->upstream_us);
-	take_headers(r, headers, n);
+	copy_headers(r, headers, n);
 	return HTTP_CONTINUE;
 }
 
@@ -189,12 +193,12 @@
 	(void)call;
 	if (r->shed)
 		return HTTP_CONTINUE;
-	if (guard_answer_full(r->answer)) {
+	if (guard_answer_is_full(r->answer)) {
 		r->paused = true;
 		return HTTP_PAUSE;
 	}
 	guard_answer_add(r->answer, data, len);
-	guard_answer_pump(r->answer, r->upstream);
+	guard_answer_send(r->answer, r->upstream);
 	return HTTP_CONTINUE;
 }
 
@@ -209,7 +213,7 @@
 
 	(void)call;
 	if (piece == NULL)
-		return r->fin ? HTTP_END : HTTP_PAUSE;
+		return r->body_complete ? HTTP_END : HTTP_PAUSE;
 	data = g_bytes_get_data(piece, &bytes);
 	*len = MIN(bytes - r->body_offset, max);
 	memcpy(buf, data + r->body_offset, *len);
@@ -223,22 +227,24 @@
 }
 
 /*
- * One that ends with its connection is whole if the upstream closed it in
- * order; after a reset the call has failed.
+ * A body without a length ends with its connection.  Such an answer is complete
+ * if the upstream closed the connection in order; after a reset the call has
+ * failed.
  */
 static bool
-answer_is_whole(const struct guard_answer *a, const struct http_result *res)
+answer_is_complete(const struct guard_answer *a, const struct http_result *res)
 {
 	if (res->status != STATUS_OK || !a->has_head)
 		return false;
 	return a->length < 0 || a->base + a->data->len == (uint64_t)a->length;
 }
 
-/* An operator finds by request= what the upstream's crash lists. */
+/* The request= field lets an operator match this line with the requests that a
+ * crash of the upstream lists. */
 static void
 log_failure(const struct guard_request *r, const struct http_result *res)
 {
-	struct log_limit *limit = &r->guard->failed_lines;
+	struct log_limit *limit = &r->guard->failure_log_limit;
 	char text[FINGERPRINT_TEXT_BYTES];
 	uint32_t left_out = limit->left_out;
 
@@ -246,7 +252,7 @@
 		return;
 	log_info("request id=%s request=%s service=%s failed=upstream sent=%d "
 		 "cause=%s left_out=%u",
-	    r->name, fingerprint_text(&r->print, text),
+	    r->caller_request_id, fingerprint_text(&r->fingerprint, text),
 	    r->upstream->info.service, res->sent, status_message(), left_out);
 }
 
@@ -261,7 +267,7 @@
 		guard_request_refuse(r, REFUSAL_UPSTREAM, r->shed_retry_ms);
 		return;
 	}
-	if (answer_is_whole(r->answer, res)) {
+	if (answer_is_complete(r->answer, res)) {
 		guard_request_done(r);
 		return;
 	}
@@ -270,9 +276,9 @@
 		guard_request_refuse(r, REFUSAL_NO_ENDPOINT, 0);
 		return;
 	}
-	if (res->status == STATUS_UNAVAILABLE && !r->spoilt)
-		guard_crash_suspect(r);
-	guard_counts_note(r, true);
+	if (res->status == STATUS_UNAVAILABLE && !r->invalid_answer)
+		guard_crash_connection_lost(r);
+	guard_counts_record(r, true);
 	guard_request_failed(r);
 }
 
@@ -301,10 +307,10 @@
 	(*n)++;
 }
 
-/* Return: their number. */
+/* Fills @headers; returns the number of headers. */
 static uint32_t
 set_headers(const struct guard_request *r, struct http_header *headers,
-    const char *id, const char *left)
+    const char *id, const char *time_left)
 {
 	const struct call_dialect *d = r->guard->dialect;
 	const char *instance = r->upstream->info.instance;
@@ -317,20 +323,20 @@
 	}
 	if (!d->caller_names_requests)
 		set_header(headers, &n, d->request_id, id);
-	set_header(headers, &n, d->deadline, left);
+	set_header(headers, &n, d->deadline, time_left);
 	if (d->target != NULL && instance[0] != '\0')
 		set_header(headers, &n, d->target, instance);
 	return n;
 }
 
-/* A body that is here goes as a block, a longer one is pulled. */
+/* A complete body in one piece is sent as a block; any other body is pulled. */
 static void
 set_body(struct guard_request *r, struct http_request *req)
 {
 	GBytes *piece;
 	gsize bytes;
 
-	if (r->fin && g_queue_get_length(&r->body) <= 1) {
+	if (r->body_complete && g_queue_get_length(&r->body) <= 1) {
 		piece = g_queue_peek_head(&r->body);
 		if (piece == NULL)
 			return;
@@ -349,7 +355,7 @@
 	struct http_header *headers;
 	struct guard *g = r->guard;
 	uint64_t now_ms = loop_now_ms(g->loop);
-	char id[ID_HEX_BYTES], left[NUMBER_BYTES];
+	char id[ID_HEX_BYTES], time_left[NUMBER_BYTES];
 	struct http_request req;
 	GString *url;
 
@@ -359,23 +365,23 @@
 	r->started_us = clock_now_us();
 	metric_observe_us(&metric_guard_us, r->started_us - r->opened_us);
 	id_hex(&r->id, id);
-	(void)g_snprintf(left, sizeof(left), "%" G_GUINT64_FORMAT,
+	(void)g_snprintf(time_left, sizeof(time_left), "%" G_GUINT64_FORMAT,
 	    clock_left_ms(r->deadline_ms, now_ms));
 	url = g_string_new(r->upstream->url);
 	g_string_append(url, r->path);
-	headers = g_new(
-	    struct http_header, call_headers_count(&r->headers) + OWN_HEADERS);
+	headers = g_new(struct http_header,
+	    call_headers_count(&r->headers) + ADDED_HEADERS_MAX);
 	memset(&req, 0, sizeof(req));
 	req.method = r->method;
 	req.url = url->str;
 	req.headers = headers;
-	req.n_headers = set_headers(r, headers, id, left);
+	req.n_headers = set_headers(r, headers, id, time_left);
 	req.once = !r->idempotent;
 	req.reuse_idle_ms =
 	    r->idempotent ? 0 : r->guard->settings->once_reuse_ms;
-	req.deadline_ms = r->ends_ms;
+	req.deadline_ms = r->latest_deadline_ms;
 	set_body(r, &req);
-	log_debug("%s: starts after %" G_GUINT64_FORMAT " us",
+	log_debug("%s: call started after %" G_GUINT64_FORMAT " us",
 	    r->upstream->info.service, r->started_us - r->opened_us);
 	r->call = http_call_start(g->http, &req, &upstream_handler, r);
 	g_string_free(url, TRUE);
--- a/packages/node/src/guard_quarantine.h
+++ b/packages/node/src/guard_quarantine.h
@@ -1,6 +1,7 @@
 /*
- * The quarantine at the guard: crashes of this host's upstreams and news of
- * other hosts go to the decision, and what it holds off is refused.
+ * Quarantine at the guard: crashes of this host's upstreams and records of
+ * other hosts update the quarantine state, and the guard refuses the requests
+ * that the state blocks.
  */
 #ifndef GUARD_QUARANTINE_H
 #define GUARD_QUARANTINE_H
@@ -20,39 +21,41 @@
 struct guard_upstream;
 
 /**
- * struct guard_quarantine - state of the quarantine at the guard
- * @decision: what is quarantined, suspended and suspect
- * @timer: wakes the decision
- * @described: struct description of requests that ran in crashes here
+ * struct guard_quarantine - quarantine of a guard
+ * @state: requests that are quarantined, suspended or suspect
+ * @timer: advances @state
+ * @descriptions: struct description of requests that ran in crashes here
  * @publish: publishes records to all nodes, or NULL
  * @arg: argument of @publish
- * @crashes: crashes seen here
- * @lines: bound on lines of requests that were answered or that peers told of
- * @lock: guards @shown
- * @shown: struct quarantine_entry for other threads
+ * @last_record: counter that makes the ids of this guard's records unique
+ * @log_limit: rate limit of log lines on requests that were suspended or
+ *	answered, and on records from peers
+ * @lock: guards @exported
+ * @exported: struct quarantine_entry of @state, for other threads
  */
 struct guard_quarantine {
-	struct quarantine *decision;
+	struct quarantine *state;
 	struct loop_timer timer;
-	GQueue described;
+	GQueue descriptions;
 	guard_publish_fn *publish;
 	void *arg;
-	uint64_t crashes;
-	struct log_limit lines;
+	uint64_t last_record;
+	struct log_limit log_limit;
 	GMutex lock;
-	GArray *shown;
+	GArray *exported;
 };
 
-/** guard_quarantine_init() - of a new guard */
+/** guard_quarantine_init() - initialise the quarantine of a new guard */
 void guard_quarantine_init(struct guard *g);
 
-/** guard_quarantine_clear() - of a guard that is freed */
+/** guard_quarantine_clear() - free the quarantine's memory */
 void guard_quarantine_clear(struct guard *g);
 
-/** guard_quarantine_tick() - let operators see how often it was asked for */
+/** guard_quarantine_tick() - update the exported entries, so that operators see
+ * the current number of rejected calls */
 void guard_quarantine_tick(struct guard *g);
 
-/** guard_quarantine_describe() - note for operators what @r asks */
+/** guard_quarantine_describe() - keep a description of @r for operators */
 void guard_quarantine_describe(const struct guard_request *r);
 
 /** guard_quarantine_crashed() - an upstream crashed while @runs ran there */
@@ -63,11 +66,11 @@
 void guard_quarantine_answered(const struct guard_request *r);
 
 /**
- * guard_quarantine_refuses() - refuse @r if it is quarantined, suspended or
- * undecided, or a suspect while another one runs there
+ * guard_quarantine_check() - refuse @r if it is quarantined, suspended or
+ * undecided, or if it is a suspect and another suspect is at its upstream
  *
- * Return: whether it was refused.
+ * Return: whether @r was refused.
  */
-bool guard_quarantine_refuses(struct guard_request *r);
+bool guard_quarantine_check(struct guard_request *r);
 
 #endif
