--- a/packages/node/bench/bench_call.c
+++ b/packages/node/bench/bench_call.c
@@ -22,7 +22,7 @@
 #include "fixture.h"
 
 #define THREADS 16
-#define THREADS_MOST 48
+#define MAX_THREADS 48
 #define ROUNDS 5
 #define US_PER_S 1000000
 #define SAMPLES_MAX 4000000
@@ -32,13 +32,13 @@
 /**
  * struct child - a node in a process of its own
  * @pid: the process
- * @ask: pipe to it
- * @tell: pipe from it
+ * @request_fd: pipe to it
+ * @reply_fd: pipe from it
  */
 struct child {
 	pid_t pid;
-	int ask;
-	int tell;
+	int request_fd;
+	int reply_fd;
 };
 
 /**
@@ -72,7 +72,7 @@
 };
 
 static bool
-one_call(const struct load *l, int *fd)
+make_call(const struct load *l, int *fd)
 {
 	size_t len = l->body != NULL ? strlen(l->body) : 0;
 	struct reply r = {0};
@@ -111,7 +111,7 @@
 		}
 		if (due_us >= l->until_us)
 			break;
-		if (!one_call(l, &fd)) {
+		if (!make_call(l, &fd)) {
 			l->failed++;
 			continue;
 		}
@@ -127,7 +127,7 @@
 static void
 run_load(struct load *l, uint64_t for_us)
 {
-	pthread_t threads[THREADS_MOST];
+	pthread_t threads[MAX_THREADS];
 	int i;
 
 	l->next = 0;
@@ -141,7 +141,7 @@
 }
 
 static int
-by_size(const void *a, const void *b)
+compare_samples(const void *a, const void *b)
 {
 	const uint32_t *x = a, *y = b;
 
@@ -160,7 +160,7 @@
 sort(struct load *l)
 {
 	qsort(l->samples_us, MIN(l->n_samples, SAMPLES_MAX),
-	    sizeof(l->samples_us[0]), by_size);
+	    sizeof(l->samples_us[0]), compare_samples);
 }
 
 /* Children */
@@ -176,14 +176,14 @@
 }
 
 static void
-many_threads(struct settings *s)
+set_keep_alive(struct settings *s)
 {
 	s->keep_alive_ms = 15000;
 }
 
 /* Answers each question with its processor time until the pipe closes. */
 static void
-child_main(uint16_t upstream, uint16_t guard, int ask, int tell)
+child_main(uint16_t upstream, uint16_t guard, int request_fd, int reply_fd)
 {
 	struct fake_endpoint ep = {.host = "h2", .port = guard};
 	struct test_node *n;
@@ -192,18 +192,18 @@
 	char c;
 
 	log_start(LOG_LEVEL_WARNING, "bench");
-	n = test_node_start(upstream != 0 ? "h2" : "h1", many_threads);
+	n = test_node_start(upstream != 0 ? "h2" : "h1", set_keep_alive);
 	if (upstream != 0)
 		test_node_upstream(n, upstream, SERVING_READY);
 	else
 		test_snapshot(&ep, 1);
 	port = upstream != 0 ? guard_addr(n->guard).port
 			     : callers_port(n->callers);
-	if (write(tell, &port, sizeof(port)) != sizeof(port))
+	if (write(reply_fd, &port, sizeof(port)) != sizeof(port))
 		_exit(1);
-	while (read(ask, &c, 1) == 1) {
+	while (read(request_fd, &c, 1) == 1) {
 		us = cpu_us();
-		if (write(tell, &us, sizeof(us)) != sizeof(us))
+		if (write(reply_fd, &us, sizeof(us)) != sizeof(us))
 			break;
 	}
 	_exit(0);
@@ -212,22 +212,22 @@
 static uint16_t
 child_start(struct child *c, uint16_t upstream, uint16_t guard)
 {
-	int ask[2], tell[2];
+	int request_pipe[2], reply_pipe[2];
 	uint16_t port;
 
-	if (pipe(ask) != 0 || pipe(tell) != 0)
+	if (pipe(request_pipe) != 0 || pipe(reply_pipe) != 0)
 		abort();
 	c->pid = fork();
 	if (c->pid == 0) {
-		close(ask[1]);
-		close(tell[0]);
-		child_main(upstream, guard, ask[0], tell[1]);
+		close(request_pipe[1]);
+		close(reply_pipe[0]);
+		child_main(upstream, guard, request_pipe[0], reply_pipe[1]);
 	}
-	close(ask[0]);
-	close(tell[1]);
-	c->ask = ask[1];
-	c->tell = tell[0];
-	if (read(c->tell, &port, sizeof(port)) != sizeof(port))
+	close(request_pipe[0]);
+	close(reply_pipe[1]);
+	c->request_fd = request_pipe[1];
+	c->reply_fd = reply_pipe[0];
+	if (read(c->reply_fd, &port, sizeof(port)) != sizeof(port))
 		abort();
 	return port;
 }
@@ -237,8 +237,8 @@
 {
 	uint64_t us = 0;
 
-	if (write(c->ask, "?", 1) != 1 ||
-	    read(c->tell, &us, sizeof(us)) != sizeof(us))
+	if (write(c->request_fd, "?", 1) != 1 ||
+	    read(c->reply_fd, &us, sizeof(us)) != sizeof(us))
 		abort();
 	return us;
 }
@@ -246,9 +246,9 @@
 static void
 child_stop(const struct child *c)
 {
-	close(c->ask);
+	close(c->request_fd);
 	(void)waitpid(c->pid, NULL, 0);
-	close(c->tell);
+	close(c->reply_fd);
 }
 
 /* Reports */
@@ -263,7 +263,7 @@
 }
 
 static void
-compare(const char *what, struct load *direct, struct load *through,
+compare_latency(const char *what, struct load *direct, struct load *through,
     uint64_t seconds)
 {
 	int i;
@@ -285,7 +285,7 @@
 }
 
 static void
-most(const char *what, struct load *l, const struct child *entry,
+run_max_rate(const char *what, struct load *l, const struct child *entry,
     const struct child *guard, uint64_t seconds)
 {
 	uint64_t entry_us = child_cpu_us(entry);
@@ -295,7 +295,7 @@
 	l->n_samples = 0;
 	l->failed = 0;
 	l->rate = 0;
-	l->threads = THREADS_MOST;
+	l->threads = MAX_THREADS;
 	run_load(l, seconds * US_PER_S);
 	calls = MAX(l->n_samples, 1);
 	sort(l);
@@ -359,7 +359,7 @@
 
 /* Lookups while one upload after the other goes over the same nodes. */
 static void
-beside_upload(struct load *l, const struct child *entry,
+run_beside_upload(struct load *l, const struct child *entry,
     const struct child *guard, uint64_t rate)
 {
 	struct upload u = {.port = l->port};
@@ -407,21 +407,21 @@
 	through.samples_us = g_new(uint32_t, SAMPLES_MAX);
 	(void)snprintf(what, sizeof(what), "lookups at %" PRIu64 "/s", rate);
 	if (rate > 0)
-		compare(what, &direct, &through, seconds);
+		compare_latency(what, &direct, &through, seconds);
 	if (rate > 0)
-		beside_upload(&through, &entry, &guard, rate);
+		run_beside_upload(&through, &entry, &guard, rate);
 	through.rate = rate;
 	direct.method = through.method = "POST";
 	direct.path = through.path = "/book/x?bytes=512";
 	direct.body = through.body = "{\"seat\":7}";
 	(void)snprintf(what, sizeof(what), "bookings at %" PRIu64 "/s", rate);
 	if (rate > 0)
-		compare(what, &direct, &through, seconds);
-	most("most bookings", &through, &entry, &guard, seconds / 2);
+		compare_latency(what, &direct, &through, seconds);
+	run_max_rate("most bookings", &through, &entry, &guard, seconds / 2);
 	through.method = "GET";
 	through.path = "/look/x?bytes=512";
 	through.body = NULL;
-	most("most lookups", &through, &entry, &guard, seconds / 2);
+	run_max_rate("most lookups", &through, &entry, &guard, seconds / 2);
 	child_stop(&entry);
 	child_stop(&guard);
 	g_free(direct.samples_us);
--- a/packages/node/src/call_exchange.c
+++ b/packages/node/src/call_exchange.c
@@ -7,24 +7,24 @@
 #define NOTIFY_CONSUMED_BYTES 32768
 
 /**
- * struct exchange_way - a body on its way
+ * struct exchange_body - a body on its way
  * @pieces: GBytes that wait
  * @bytes: bytes that wait
  * @end: how it ended
  */
-struct exchange_way {
+struct exchange_body {
 	GQueue pieces;
 	uint32_t bytes;
 	enum exchange_end end;
 };
 
 /**
- * struct exchange_side - who is told of the other side's doings
+ * struct exchange_observer - who is told of the other side's doings
  * @fn: what is called
  * @arg: given to it
  * @task: calls it at the end of the turn
  */
-struct exchange_side {
+struct exchange_observer {
 	exchange_fn *fn;
 	void *arg;
 	struct loop_task task;
@@ -36,26 +36,26 @@
  * @request: what was asked
  * @caller: the server for callers
  * @entry: the entry
- * @up: the request's body
- * @down: the answer's body
+ * @request_body: the request's body
+ * @answer_body: the answer's body
  * @answer: head of the answer
  * @consumed_bytes: consumed by the caller and not looked at
  * @accepted: the entry wants the body
- * @gone: the caller is gone
- * @bound: the entry's own
+ * @disconnected: the caller is gone
+ * @entry_data: the entry's own
  */
 struct call_exchange {
 	uint32_t refs;
 	struct call_request request;
-	struct exchange_side caller;
-	struct exchange_side entry;
-	struct exchange_way up;
-	struct exchange_way down;
+	struct exchange_observer caller;
+	struct exchange_observer entry;
+	struct exchange_body request_body;
+	struct exchange_body answer_body;
 	struct call_answer *answer;
 	uint32_t consumed_bytes;
 	bool accepted;
-	bool gone;
-	void *bound;
+	bool disconnected;
+	void *entry_data;
 };
 
 struct call_answer *
@@ -80,7 +80,7 @@
 }
 
 static void
-tell_caller(void *arg)
+notify_caller(void *arg)
 {
 	struct call_exchange *x = arg;
 
@@ -89,7 +89,7 @@
 }
 
 static void
-tell_entry(void *arg)
+notify_entry(void *arg)
 {
 	struct call_exchange *x = arg;
 
@@ -105,10 +105,10 @@
 	x->refs = 1;
 	x->request.deadline_ms = DEADLINE_NEVER;
 	call_headers_init(&x->request.headers);
-	loop_task_init(&x->caller.task, loop, tell_caller, x);
-	loop_task_init(&x->entry.task, loop, tell_entry, x);
-	g_queue_init(&x->up.pieces);
-	g_queue_init(&x->down.pieces);
+	loop_task_init(&x->caller.task, loop, notify_caller, x);
+	loop_task_init(&x->entry.task, loop, notify_entry, x);
+	g_queue_init(&x->request_body.pieces);
+	g_queue_init(&x->answer_body.pieces);
 	return x;
 }
 
@@ -120,11 +120,11 @@
 }
 
 static void
-way_clear(struct exchange_way *way)
+body_clear(struct exchange_body *body)
 {
 	GBytes *piece;
 
-	while ((piece = g_queue_pop_head(&way->pieces)) != NULL)
+	while ((piece = g_queue_pop_head(&body->pieces)) != NULL)
 		g_bytes_unref(piece);
 }
 
@@ -135,8 +135,8 @@
 		return;
 	loop_task_cancel(&x->caller.task);
 	loop_task_cancel(&x->entry.task);
-	way_clear(&x->up);
-	way_clear(&x->down);
+	body_clear(&x->request_body);
+	body_clear(&x->answer_body);
 	call_answer_free(x->answer);
 	call_headers_clear(&x->request.headers);
 	g_free(x->request.path);
@@ -153,27 +153,27 @@
 }
 
 static void
-way_add(struct exchange_way *way, GBytes *piece)
+body_append(struct exchange_body *body, GBytes *piece)
 {
-	way->bytes += (uint32_t)g_bytes_get_size(piece);
-	g_queue_push_tail(&way->pieces, piece);
+	body->bytes += (uint32_t)g_bytes_get_size(piece);
+	g_queue_push_tail(&body->pieces, piece);
 }
 
 static GBytes *
-way_take(struct exchange_way *way)
+body_pop(struct exchange_body *body)
 {
-	GBytes *piece = g_queue_pop_head(&way->pieces);
+	GBytes *piece = g_queue_pop_head(&body->pieces);
 
 	if (piece != NULL)
-		way->bytes -= (uint32_t)g_bytes_get_size(piece);
+		body->bytes -= (uint32_t)g_bytes_get_size(piece);
 	return piece;
 }
 
 static void
-notify(struct exchange_side *side)
+defer_notify(struct exchange_observer *observer)
 {
-	if (side->fn != NULL)
-		loop_task_defer(&side->task);
+	if (observer->fn != NULL)
+		loop_task_defer(&observer->task);
 }
 
 /* The caller's side */
@@ -188,56 +188,57 @@
 bool
 call_exchange_has_room(const struct call_exchange *x)
 {
-	return x->up.bytes < EXCHANGE_UP_BYTES;
+	return x->request_body.bytes < EXCHANGE_REQUEST_BUFFER_BYTES;
 }
 
 bool
-call_exchange_put(struct call_exchange *x, const uint8_t *data, size_t len)
+call_exchange_write_request(
+    struct call_exchange *x, const uint8_t *data, size_t len)
 {
-	way_add(&x->up, g_bytes_new(data, len));
-	notify(&x->entry);
+	body_append(&x->request_body, g_bytes_new(data, len));
+	defer_notify(&x->entry);
 	return call_exchange_has_room(x);
 }
 
 void
-call_exchange_put_end(struct call_exchange *x, enum exchange_end end)
+call_exchange_end_request(struct call_exchange *x, enum exchange_end end)
 {
-	x->up.end = end;
-	notify(&x->entry);
+	x->request_body.end = end;
+	defer_notify(&x->entry);
 }
 
 bool
-call_exchange_accepted(const struct call_exchange *x)
+call_exchange_is_accepted(const struct call_exchange *x)
 {
 	return x->accepted;
 }
 
 const struct call_answer *
-call_exchange_answered(const struct call_exchange *x)
+call_exchange_answer_head(const struct call_exchange *x)
 {
 	return x->answer;
 }
 
 GBytes *
-call_exchange_get(struct call_exchange *x, enum exchange_end *end)
+call_exchange_read_answer(struct call_exchange *x, enum exchange_end *end)
 {
-	GBytes *piece = way_take(&x->down);
+	GBytes *piece = body_pop(&x->answer_body);
 
-	*end = x->down.end;
+	*end = x->answer_body.end;
 	if (piece == NULL)
 		return NULL;
 	x->consumed_bytes += (uint32_t)g_bytes_get_size(piece);
 	if (x->consumed_bytes >= NOTIFY_CONSUMED_BYTES &&
-	    x->down.end == EXCHANGE_OPEN)
-		notify(&x->entry);
+	    x->answer_body.end == EXCHANGE_OPEN)
+		defer_notify(&x->entry);
 	return piece;
 }
 
 void
-call_exchange_hang_up(struct call_exchange *x)
+call_exchange_disconnect(struct call_exchange *x)
 {
-	x->gone = true;
-	notify(&x->entry);
+	x->disconnected = true;
+	defer_notify(&x->entry);
 }
 
 /* The entry's side */
@@ -253,65 +254,65 @@
 call_exchange_accept(struct call_exchange *x)
 {
 	x->accepted = true;
-	notify(&x->caller);
+	defer_notify(&x->caller);
 }
 
 void
-call_exchange_look(struct call_exchange *x, struct exchange_news *news)
+call_exchange_poll(struct call_exchange *x, struct exchange_events *events)
 {
-	news->up_bytes = x->up.bytes;
-	news->up_end = x->up.end;
-	news->consumed_bytes = x->consumed_bytes;
-	news->gone = x->gone;
+	events->request_body_bytes = x->request_body.bytes;
+	events->request_body_end = x->request_body.end;
+	events->consumed_bytes = x->consumed_bytes;
+	events->disconnected = x->disconnected;
 	x->consumed_bytes = 0;
 }
 
 GBytes *
-call_exchange_take(struct call_exchange *x)
+call_exchange_read_request(struct call_exchange *x)
 {
 	bool full = !call_exchange_has_room(x);
-	GBytes *piece = way_take(&x->up);
+	GBytes *piece = body_pop(&x->request_body);
 
 	if (full && call_exchange_has_room(x))
-		notify(&x->caller);
+		defer_notify(&x->caller);
 	return piece;
 }
 
 void
-call_exchange_answer(struct call_exchange *x, struct call_answer *a,
+call_exchange_begin_answer(struct call_exchange *x, struct call_answer *a,
     GQueue *pieces, enum exchange_end end)
 {
 	GBytes *piece;
 
 	x->answer = a;
-	x->down.end = end;
+	x->answer_body.end = end;
 	while (pieces != NULL && (piece = g_queue_pop_head(pieces)) != NULL)
-		way_add(&x->down, piece);
-	notify(&x->caller);
+		body_append(&x->answer_body, piece);
+	defer_notify(&x->caller);
 }
 
 void
-call_exchange_give(struct call_exchange *x, GBytes *piece)
+call_exchange_write_answer(struct call_exchange *x, GBytes *piece)
 {
-	way_add(&x->down, piece);
-	notify(&x->caller);
+	body_append(&x->answer_body, piece);
+	defer_notify(&x->caller);
 }
 
 void
-call_exchange_finish(struct call_exchange *x, enum exchange_end end)
+call_exchange_end_answer(struct call_exchange *x, enum exchange_end end)
 {
-	x->down.end = end;
-	notify(&x->caller);
+	x->answer_body.end = end;
+	defer_notify(&x->caller);
 }
 
 void
-call_exchange_bind(struct call_exchange *x, void *bound)
+call_exchange_set_entry_data(struct call_exchange *x, void *entry_data)
 {
-	x->bound = bound;
+	x->entry_data = entry_data;
 }
 
 void *
-call_exchange_bound(const struct call_exchange *x)
+call_exchange_entry_data(const struct call_exchange *x)
 {
-	return x->bound;
+	return x->entry_data;
 }
--- a/packages/node/src/call_exchange.h
+++ b/packages/node/src/call_exchange.h
@@ -21,7 +21,7 @@
 #include "call_headers.h"
 
 /* Most bytes of a request's body that wait for the entry. */
-#define EXCHANGE_UP_BYTES 131072
+#define EXCHANGE_REQUEST_BUFFER_BYTES 131072
 
 /* Length of a body that is not known in advance. */
 #define BODY_LENGTH_UNKNOWN (-1)
@@ -86,13 +86,13 @@
 /**
  * enum exchange_end - how a body ended
  * @EXCHANGE_OPEN: it goes on
- * @EXCHANGE_WHOLE: all of it was put in
- * @EXCHANGE_CUT: it broke off
+ * @EXCHANGE_COMPLETE: all of it was put in
+ * @EXCHANGE_ABORTED: it broke off
  */
 enum exchange_end {
 	EXCHANGE_OPEN = 0,
-	EXCHANGE_WHOLE,
-	EXCHANGE_CUT,
+	EXCHANGE_COMPLETE,
+	EXCHANGE_ABORTED,
 };
 
 /** exchange_fn - the other side has done something; look what it is */
@@ -117,41 +117,43 @@
     struct call_exchange *x, exchange_fn *fn, void *arg);
 
 /**
- * call_exchange_put() - put in a piece of the request's body
+ * call_exchange_write_request() - put in a piece of the request's body
  * @x: the exchange
  * @data: first byte; copied
  * @len: number of bytes
  *
- * Return: false when EXCHANGE_UP_BYTES wait, so that the caller is to be held
- * back until call_exchange_has_room().
+ * Return: false when EXCHANGE_REQUEST_BUFFER_BYTES wait, so that the caller is
+ * to be held back until call_exchange_has_room().
  */
-bool
-call_exchange_put(struct call_exchange *x, const uint8_t *data, size_t len);
+bool call_exchange_write_request(
+    struct call_exchange *x, const uint8_t *data, size_t len);
 
-/** call_exchange_put_end() - the request's body has ended */
-void call_exchange_put_end(struct call_exchange *x, enum exchange_end end);
+/** call_exchange_end_request() - the request's body has ended */
+void call_exchange_end_request(struct call_exchange *x, enum exchange_end end);
 
 /** call_exchange_has_room() - whether more of the body is taken */
 bool call_exchange_has_room(const struct call_exchange *x);
 
-/** call_exchange_accepted() - whether the entry wants the body */
-bool call_exchange_accepted(const struct call_exchange *x);
+/** call_exchange_is_accepted() - whether the entry wants the body */
+bool call_exchange_is_accepted(const struct call_exchange *x);
 
-/** call_exchange_answered() - head of the answer, or NULL; stays here */
-const struct call_answer *call_exchange_answered(const struct call_exchange *x);
+/** call_exchange_answer_head() - head of the answer, or NULL; stays here */
+const struct call_answer *
+call_exchange_answer_head(const struct call_exchange *x);
 
 /**
- * call_exchange_get() - take a piece of the answer's body
+ * call_exchange_read_answer() - take a piece of the answer's body
  * @x: the exchange
  * @end: how the body ended, when there is no more
  *
  * Return: a piece, whose reference the caller owns; NULL when there is none
  * now (@end is EXCHANGE_OPEN) or any more.
  */
-GBytes *call_exchange_get(struct call_exchange *x, enum exchange_end *end);
+GBytes *
+call_exchange_read_answer(struct call_exchange *x, enum exchange_end *end);
 
-/** call_exchange_hang_up() - the caller is gone */
-void call_exchange_hang_up(struct call_exchange *x);
+/** call_exchange_disconnect() - the caller is gone */
+void call_exchange_disconnect(struct call_exchange *x);
 
 /* The entry's side. */
 
@@ -160,52 +162,55 @@
 call_exchange_attach_entry(struct call_exchange *x, exchange_fn *fn, void *arg);
 
 /**
- * struct exchange_news - what happened at the caller's side
- * @up_bytes: bytes of the request's body that wait
- * @up_end: how it ended; EXCHANGE_OPEN while more may come
+ * struct exchange_events - what happened at the caller's side
+ * @request_body_bytes: bytes of the request's body that wait
+ * @request_body_end: how it ended; EXCHANGE_OPEN while more may come
  * @consumed_bytes: bytes of the answer's body consumed since the last look
- * @gone: the caller is gone
+ * @disconnected: the caller is gone
  */
-struct exchange_news {
-	uint32_t up_bytes;
-	enum exchange_end up_end;
+struct exchange_events {
+	uint32_t request_body_bytes;
+	enum exchange_end request_body_end;
 	uint32_t consumed_bytes;
-	bool gone;
+	bool disconnected;
 };
 
 /** call_exchange_accept() - the body of the request is wanted */
 void call_exchange_accept(struct call_exchange *x);
 
-/** call_exchange_look() - what happened since the last look */
-void call_exchange_look(struct call_exchange *x, struct exchange_news *news);
+/** call_exchange_poll() - what happened since the last look */
+void
+call_exchange_poll(struct call_exchange *x, struct exchange_events *events);
 
 /**
- * call_exchange_take() - take a piece of the request's body
+ * call_exchange_read_request() - take a piece of the request's body
  *
  * Return: a piece, whose reference the caller owns; NULL when none waits.
  */
-GBytes *call_exchange_take(struct call_exchange *x);
+GBytes *call_exchange_read_request(struct call_exchange *x);
 
 /**
- * call_exchange_answer() - give the head of the answer
+ * call_exchange_begin_answer() - give the head of the answer
  * @x: the exchange
  * @a: the head; taken over
  * @pieces: GBytes, the beginning of the body, which are moved; or NULL
- * @end: EXCHANGE_WHOLE when that is all, EXCHANGE_OPEN when more will come
+ * @end: EXCHANGE_COMPLETE when that is all, EXCHANGE_OPEN when more will come
  */
-void call_exchange_answer(struct call_exchange *x, struct call_answer *a,
+void call_exchange_begin_answer(struct call_exchange *x, struct call_answer *a,
     GQueue *pieces, enum exchange_end end);
 
-/** call_exchange_give() - give a piece of the body; the reference is taken */
-void call_exchange_give(struct call_exchange *x, GBytes *piece);
+/** call_exchange_write_answer() - give a piece of the body; the reference is
+ * taken */
+void call_exchange_write_answer(struct call_exchange *x, GBytes *piece);
 
-/** call_exchange_finish() - the answer's body has ended */
-void call_exchange_finish(struct call_exchange *x, enum exchange_end end);
+/** call_exchange_end_answer() - the answer's body has ended */
+void call_exchange_end_answer(struct call_exchange *x, enum exchange_end end);
 
-/** call_exchange_bind() - remember what the entry keeps on the call */
-void call_exchange_bind(struct call_exchange *x, void *bound);
+/** call_exchange_set_entry_data() - remember what the entry keeps on the call
+ */
+void call_exchange_set_entry_data(struct call_exchange *x, void *entry_data);
 
-/** call_exchange_bound() - what was bound, or NULL */
-void *call_exchange_bound(const struct call_exchange *x);
+/** call_exchange_entry_data() - what was set, or NULL */
+void *call_exchange_entry_data(const struct call_exchange *x);
 
 #endif
--- a/packages/node/src/call_link.c
+++ b/packages/node/src/call_link.c
@@ -29,21 +29,21 @@
 }
 
 static void
-give_turns(void *arg)
+send_ready(void *arg)
 {
 	struct call_link *link = arg;
 	struct call_sender *s;
 	GList *node;
 
 	while (may_send(link)) {
-		node = g_queue_pop_head_link(&link->turns);
+		node = g_queue_pop_head_link(&link->ready);
 		if (node == NULL)
 			return;
 		s = node->data;
 		s->link = NULL;
 		if (s->ops->send(s, link) && s->link == NULL) {
 			s->link = link;
-			g_queue_push_tail_link(&link->turns, node);
+			g_queue_push_tail_link(&link->ready, node);
 		}
 	}
 }
@@ -53,8 +53,8 @@
 {
 	link->conn = conn;
 	link->scratch = g_byte_array_new();
-	g_queue_init(&link->turns);
-	loop_task_init(&link->task, loop, give_turns, link);
+	g_queue_init(&link->ready);
+	loop_task_init(&link->task, loop, send_ready, link);
 }
 
 void
@@ -63,7 +63,7 @@
 	struct call_sender *s;
 	GList *node;
 
-	while ((node = g_queue_pop_head_link(&link->turns)) != NULL) {
+	while ((node = g_queue_pop_head_link(&link->ready)) != NULL) {
 		s = node->data;
 		s->link = NULL;
 	}
@@ -98,7 +98,7 @@
 		return;
 	s->link = link;
 	s->node.data = s;
-	g_queue_push_tail_link(&link->turns, &s->node);
+	g_queue_push_tail_link(&link->ready, &s->node);
 	loop_task_defer(&link->task);
 }
 
@@ -107,13 +107,13 @@
 {
 	if (s->link == NULL)
 		return;
-	g_queue_unlink(&s->link->turns, &s->node);
+	g_queue_unlink(&s->link->ready, &s->node);
 	s->link = NULL;
 }
 
 void
 call_link_writable(struct call_link *link)
 {
-	if (!g_queue_is_empty(&link->turns))
+	if (!g_queue_is_empty(&link->ready))
 		loop_task_defer(&link->task);
 }
--- a/packages/node/src/call_link.h
+++ b/packages/node/src/call_link.h
@@ -73,13 +73,13 @@
  * struct call_link - one connection
  * @conn: the connection, NULL when it is gone
  * @scratch: room to encode in
- * @turns: struct call_sender that wait for their turn
+ * @ready: struct call_sender that wait for their turn
  * @task: gives turns at the end of the loop's turn
  */
 struct call_link {
 	struct conn *conn;
 	GByteArray *scratch;
-	GQueue turns;
+	GQueue ready;
 	struct loop_task task;
 };
 
--- a/packages/node/src/call_metrics.c
+++ b/packages/node/src/call_metrics.c
@@ -21,7 +21,8 @@
 struct metric metric_resolves = {.name = "bramley_resolves_total",
     .help = "Questions to guards about requests whose connection was lost.",
     .kind = METRIC_COUNTER};
-struct metric metric_silent = {.name = "bramley_silent_connections_total",
+struct metric metric_silent_connections = {
+    .name = "bramley_silent_connections_total",
     .help = "Connections to guards that were dropped as silent.",
     .kind = METRIC_COUNTER};
 struct metric metric_entry_us = {.name = "bramley_entry_seconds",
@@ -48,7 +49,7 @@
     .help = "Calls turned away because threads for callers ran out.",
     .kind = METRIC_COUNTER};
 
-struct metric metric_behind = {.name = "bramley_behind_total",
+struct metric metric_behind_refusals = {.name = "bramley_behind_total",
     .help = "Requests told to come back since a newer version is known.",
     .kind = METRIC_COUNTER};
 
@@ -101,10 +102,10 @@
 {
 	static struct metric *const all[] = {&metric_calls_in_flight,
 	    &metric_requests_in_flight, &metric_retries, &metric_resolves,
-	    &metric_silent, &metric_entry_us, &metric_guard_us,
+	    &metric_silent_connections, &metric_entry_us, &metric_guard_us,
 	    &metric_upstream_us, &metric_call_sent_bytes,
 	    &metric_call_received_bytes, &metric_callers_connections,
-	    &metric_callers_shed, &metric_behind, &metric_crashes,
+	    &metric_callers_shed, &metric_behind_refusals, &metric_crashes,
 	    &metric_quarantined};
 	size_t i;
 
--- a/packages/node/src/call_metrics.h
+++ b/packages/node/src/call_metrics.h
@@ -11,7 +11,7 @@
 extern struct metric metric_requests_in_flight;
 extern struct metric metric_retries;
 extern struct metric metric_resolves;
-extern struct metric metric_silent;
+extern struct metric metric_silent_connections;
 extern struct metric metric_entry_us;
 extern struct metric metric_guard_us;
 extern struct metric metric_upstream_us;
@@ -19,7 +19,7 @@
 extern struct metric metric_call_received_bytes;
 extern struct metric metric_callers_connections;
 extern struct metric metric_callers_shed;
-extern struct metric metric_behind;
+extern struct metric metric_behind_refusals;
 extern struct metric metric_crashes;
 extern struct metric metric_quarantined;
 
--- a/packages/node/src/call_silence.c
+++ b/packages/node/src/call_silence.c
@@ -7,12 +7,12 @@
 
 void
 call_silence_init(
-    struct call_silence *s, uint32_t ping_after_ms, uint32_t lost_after_ms)
+    struct call_silence *s, uint32_t ping_after_ms, uint32_t ping_timeout_ms)
 {
 	s->ping_after_ms = ping_after_ms;
-	s->lost_after_ms = lost_after_ms;
+	s->ping_timeout_ms = ping_timeout_ms;
 	s->awaiting = false;
-	s->pinged = false;
+	s->ping_pending = false;
 	s->due_ms = DEADLINE_NEVER;
 }
 
@@ -22,14 +22,14 @@
 	if (awaiting == s->awaiting)
 		return;
 	s->awaiting = awaiting;
-	s->pinged = false;
+	s->ping_pending = false;
 	s->due_ms = awaiting ? now_ms + s->ping_after_ms : DEADLINE_NEVER;
 }
 
 void
-call_silence_heard(struct call_silence *s, uint64_t now_ms)
+call_silence_received(struct call_silence *s, uint64_t now_ms)
 {
-	s->pinged = false;
+	s->ping_pending = false;
 	if (s->awaiting)
 		s->due_ms = now_ms + s->ping_after_ms;
 }
@@ -39,12 +39,12 @@
 {
 	if (!s->awaiting || now_ms < s->due_ms)
 		return SILENCE_NONE;
-	if (s->pinged && now_ms < s->due_ms + s->lost_after_ms / 2) {
+	if (s->ping_pending && now_ms < s->due_ms + s->ping_timeout_ms / 2) {
 		s->due_ms = DEADLINE_NEVER;
 		return SILENCE_LOST;
 	}
 	/* Quiet for the first time, or this process was paused itself. */
-	s->pinged = true;
-	s->due_ms = now_ms + s->lost_after_ms;
+	s->ping_pending = true;
+	s->due_ms = now_ms + s->ping_timeout_ms;
 	return SILENCE_PING;
 }
--- a/packages/node/src/call_silence.h
+++ b/packages/node/src/call_silence.h
@@ -22,28 +22,28 @@
 /**
  * struct call_silence - one connection
  * @ping_after_ms: quiet time after which a ping is due
- * @lost_after_ms: time that a ping may stay unanswered
+ * @ping_timeout_ms: time that a ping may stay unanswered
  * @awaiting: something is awaited from the other side
- * @pinged: a ping is unanswered
+ * @ping_pending: a ping is unanswered
  * @due_ms: when the next step is due; DEADLINE_NEVER
  */
 struct call_silence {
 	uint32_t ping_after_ms;
-	uint32_t lost_after_ms;
+	uint32_t ping_timeout_ms;
 	bool awaiting;
-	bool pinged;
+	bool ping_pending;
 	uint64_t due_ms;
 };
 
 /** call_silence_init() - a connection from which nothing is awaited */
 void call_silence_init(
-    struct call_silence *s, uint32_t ping_after_ms, uint32_t lost_after_ms);
+    struct call_silence *s, uint32_t ping_after_ms, uint32_t ping_timeout_ms);
 
 /** call_silence_await() - whether something is awaited from now on */
 void call_silence_await(struct call_silence *s, bool awaiting, uint64_t now_ms);
 
-/** call_silence_heard() - something was received */
-void call_silence_heard(struct call_silence *s, uint64_t now_ms);
+/** call_silence_received() - something was received */
+void call_silence_received(struct call_silence *s, uint64_t now_ms);
 
 /** call_silence_tick() - the time named by @due_ms has come */
 enum silence_action call_silence_tick(struct call_silence *s, uint64_t now_ms);
--- a/packages/node/src/callers.c
+++ b/packages/node/src/callers.c
@@ -10,17 +10,17 @@
 #include "callers_priv.h"
 
 /* Time in which connections that are being made get through. */
-#define SETTLE_MS 50
+#define ACCEPT_SETTLE_MS 50
 #define POLL_US 2000
-#define TICK_MS 2
+#define REFRESH_MS 2
 
 static void
-on_tick(void *arg)
+on_refresh(void *arg)
 {
 	struct callers *c = arg;
 
 	atomic_store(&c->connections, http_server_conns(c->server));
-	loop_timer_set(&c->tick, loop_now_ms(c->loop) + TICK_MS);
+	loop_timer_set(&c->refresh_timer, loop_now_ms(c->loop) + REFRESH_MS);
 }
 
 struct callers *
@@ -34,7 +34,7 @@
 	c->dialect = dialect;
 	c->entry = e;
 	c->loop = loop;
-	loop_timer_init(&c->tick, loop, on_tick, c);
+	loop_timer_init(&c->refresh_timer, loop, on_refresh, c);
 	entry_watch_snapshot(e, callers_on_snapshot, c);
 	return c;
 }
@@ -67,7 +67,7 @@
 }
 
 static void
-do_drain(void *arg)
+drain_on_loop(void *arg)
 {
 	struct callers *c = arg;
 
@@ -80,7 +80,7 @@
 {
 	c->deadline_ms = deadline_ms;
 	c->draining = true;
-	loop_post(c->loop, do_drain, c);
+	loop_post(c->loop, drain_on_loop, c);
 	entry_drain(c->entry, deadline_ms);
 }
 
@@ -91,16 +91,16 @@
 }
 
 static void
-do_refuse(void *arg)
+refuse_on_loop(void *arg)
 {
 	struct callers *c = arg;
 
 	http_server_refuse(c->server);
-	on_tick(c);
+	on_refresh(c);
 }
 
 static void
-do_unlisten(void *arg)
+unlisten_on_loop(void *arg)
 {
 	struct callers *c = arg;
 
@@ -108,12 +108,12 @@
 }
 
 static void
-do_close_idle(void *arg)
+close_idle_on_loop(void *arg)
 {
 	struct callers *c = arg;
 
 	http_server_close_idle(c->server, true);
-	on_tick(c);
+	on_refresh(c);
 	atomic_store(&c->stopping, true);
 }
 
@@ -122,22 +122,22 @@
  * its connection.  What a caller has sent by then is answered.
  */
 static void
-let_connections_end(struct callers *c)
+wait_for_connections(struct callers *c)
 {
-	loop_post(c->loop, do_refuse, c);
-	g_usleep((gulong)SETTLE_MS * G_TIME_SPAN_MILLISECOND);
-	loop_post(c->loop, do_close_idle, c);
+	loop_post(c->loop, refuse_on_loop, c);
+	g_usleep((gulong)ACCEPT_SETTLE_MS * G_TIME_SPAN_MILLISECOND);
+	loop_post(c->loop, close_idle_on_loop, c);
 	while (clock_now_ms() < c->deadline_ms &&
 	    (!c->stopping || c->connections > 0))
 		g_usleep(POLL_US);
-	loop_post(c->loop, do_unlisten, c);
+	loop_post(c->loop, unlisten_on_loop, c);
 }
 
 void
 callers_stop(struct callers *c)
 {
 	if (c->server != NULL && c->draining && !c->stopping)
-		let_connections_end(c);
+		wait_for_connections(c);
 }
 
 void
@@ -145,7 +145,7 @@
 {
 	if (c == NULL)
 		return;
-	loop_timer_stop(&c->tick);
+	loop_timer_stop(&c->refresh_timer);
 	http_server_free(c->server);
 	g_free(c);
 }
--- a/packages/node/src/callers_answer.c
+++ b/packages/node/src/callers_answer.c
@@ -16,8 +16,8 @@
 #define NUMBER_BYTES 24
 
 /* Headers that are added to those of the upstream. */
-#define OWN_HEADERS 4
-#define HEADERS_MAX (MSG_CALL_HEAD_HEADERS_MAX + OWN_HEADERS)
+#define NODE_HEADERS_MAX 4
+#define HEADERS_MAX (MSG_CALL_HEAD_HEADERS_MAX + NODE_HEADERS_MAX)
 
 /**
  * struct answer_head - header lines of an answer
@@ -34,7 +34,7 @@
 };
 
 static void
-add(struct answer_head *h, const char *name, const char *value)
+add_line(struct answer_head *h, const char *name, const char *value)
 {
 	h->lines[h->n].name = name;
 	h->lines[h->n].value = value;
@@ -55,34 +55,34 @@
 	else
 		(void)g_snprintf(h->retry_after, sizeof(h->retry_after),
 		    "%" PRIu64, (after_ms + MS_PER_S - 1) / MS_PER_S);
-	add(h, HEADER_RETRY_AFTER, h->retry_after);
+	add_line(h, HEADER_RETRY_AFTER, h->retry_after);
 }
 
 static void
-add_own(struct answer_head *h, const struct call_dialect *d,
+add_node_headers(struct answer_head *h, const struct call_dialect *d,
     const struct call_request *r, const struct call_answer *a)
 {
 	if (d->fate != NULL)
-		add(h, d->fate, outcome_name(a->outcome));
+		add_line(h, d->fate, outcome_name(a->outcome));
 	if (d->version != NULL && a->version != 0) {
 		(void)g_snprintf(
 		    h->version, sizeof(h->version), "%" PRIu64, a->version);
-		add(h, d->version, h->version);
+		add_line(h, d->version, h->version);
 	}
 	if (a->message != NULL && r != NULL && r->id != NULL)
-		add(h, d->request_id, r->id);
+		add_line(h, d->request_id, r->id);
 	add_retry_after(h, d, a->retry_after_ms);
 }
 
 static void
-add_upstream(struct answer_head *h, const struct call_answer *a)
+add_upstream_headers(struct answer_head *h, const struct call_answer *a)
 {
 	const struct rec_header *line;
 	uint32_t i;
 
 	for (i = 0; i < call_headers_count(&a->headers); i++) {
 		line = call_headers_at(&a->headers, i);
-		add(h, line->name, line->value);
+		add_line(h, line->name, line->value);
 	}
 }
 
@@ -106,8 +106,8 @@
 	char *text = error_json(a);
 	struct answer_head h = {.n = 0};
 
-	add_own(&h, c->dialect, r, a);
-	add(&h, "Content-Type", "application/json");
+	add_node_headers(&h, c->dialect, r, a);
+	add_line(&h, "Content-Type", "application/json");
 	http_incoming_answer(q, (int)a->status, h.lines, h.n,
 	    (int64_t)strlen(text), c->draining);
 	http_incoming_write(q, text, strlen(text));
@@ -115,7 +115,7 @@
 }
 
 static int64_t
-length_of(const struct call_request *r, const struct call_answer *a)
+body_length(const struct call_request *r, const struct call_answer *a)
 {
 	if (strcmp(r->method, "HEAD") == 0 || a->status == HTTP_NO_CONTENT ||
 	    a->status == HTTP_NOT_MODIFIED)
@@ -133,14 +133,14 @@
 		write_error(c, q, r, a);
 		return;
 	}
-	add_upstream(&h, a);
-	add_own(&h, c->dialect, r, a);
+	add_upstream_headers(&h, a);
+	add_node_headers(&h, c->dialect, r, a);
 	http_incoming_answer(
-	    q, (int)a->status, h.lines, h.n, length_of(r, a), c->draining);
+	    q, (int)a->status, h.lines, h.n, body_length(r, a), c->draining);
 }
 
 static void
-refuse(const struct callers *c, struct http_incoming *q, uint32_t status,
+write_refusal(const struct callers *c, struct http_incoming *q, uint32_t status,
     const char *kind, const char *message, uint64_t retry_after_ms)
 {
 	struct call_answer *a = call_answer_new(OUTCOME_NOT_RUN, status);
@@ -157,7 +157,7 @@
 callers_answer_refuse(const struct callers *c, struct http_incoming *q,
     uint32_t status, const char *kind, const char *message)
 {
-	refuse(c, q, status, kind, message,
+	write_refusal(c, q, status, kind, message,
 	    status == HTTP_UNAVAILABLE ? MS_PER_S : 0);
 }
 
@@ -165,7 +165,7 @@
 callers_answer_behind(
     const struct callers *c, struct http_incoming *q, uint64_t retry_after_ms)
 {
-	refuse(c, q, HTTP_UNAVAILABLE, "behind",
+	write_refusal(c, q, HTTP_UNAVAILABLE, "behind",
 	    "a newer configuration than the one in force here may take this "
 	    "request; send it again after the time in Retry-After.",
 	    retry_after_ms);
--- a/packages/node/src/callers_call.c
+++ b/packages/node/src/callers_call.c
@@ -14,10 +14,10 @@
 #define HTTP_HEAD_TOO_LARGE 431
 
 /* Bodies of known length up to this are read before the call is submitted. */
-#define SMALL_BYTES 32768
+#define BUFFERED_BODY_MAX_BYTES 32768
 
 /* Longest time for reading a small body. */
-#define BODY_MS 5000
+#define BODY_READ_TIMEOUT_MS 5000
 
 static void
 call_free(struct caller_call *call)
@@ -31,12 +31,12 @@
 
 /* The answer has ended, one way or the other. */
 static void
-finish(struct caller_call *call, enum exchange_end end)
+finish_answer(struct caller_call *call, enum exchange_end end)
 {
 	struct http_incoming *q = call->incoming;
 
 	call->incoming = NULL;
-	if (end == EXCHANGE_WHOLE)
+	if (end == EXCHANGE_COMPLETE)
 		http_incoming_end(q);
 	else
 		http_incoming_abort(q);
@@ -55,7 +55,7 @@
 
 	while (http_incoming_output_bytes(call->incoming) <=
 	    HTTP_OUTPUT_LOW_BYTES) {
-		piece = call_exchange_get(x, &end);
+		piece = call_exchange_read_answer(x, &end);
 		if (piece == NULL)
 			break;
 		data = g_bytes_get_data(piece, &len);
@@ -63,7 +63,7 @@
 		g_bytes_unref(piece);
 	}
 	if (piece == NULL && end != EXCHANGE_OPEN)
-		finish(call, end);
+		finish_answer(call, end);
 }
 
 /* The entry has accepted, taken from the body, or answered. */
@@ -71,18 +71,18 @@
 on_entry(struct call_exchange *x, void *arg)
 {
 	struct caller_call *call = arg;
-	const struct call_answer *a = call_exchange_answered(x);
+	const struct call_answer *a = call_exchange_answer_head(x);
 
-	if (a != NULL && !call->answering) {
-		call->answering = true;
+	if (a != NULL && !call->answer_begun) {
+		call->answer_begun = true;
 		callers_answer_write(
 		    call->callers, call->incoming, call_exchange_request(x), a);
 	}
-	if (call->answering) {
+	if (call->answer_begun) {
 		write_answer(call);
 		return;
 	}
-	if (call_exchange_accepted(x) && !call->small) {
+	if (call_exchange_is_accepted(x) && !call->buffered) {
 		http_incoming_continue(call->incoming);
 		if (call_exchange_has_room(x))
 			http_incoming_resume(call->incoming);
@@ -99,7 +99,7 @@
 
 /* A caller that dribbles a small body is turned away; nothing has run. */
 static void
-on_body_late(void *arg)
+on_body_timeout(void *arg)
 {
 	struct caller_call *call = arg;
 	struct http_incoming *q = call->incoming;
@@ -118,26 +118,28 @@
 	call->callers = c;
 	call->incoming = q;
 	call->exchange = call_exchange_new(c->loop);
-	loop_timer_init(&call->timer, c->loop, on_body_late, call);
+	loop_timer_init(&call->timer, c->loop, on_body_timeout, call);
 	atomic_fetch_add(&c->in_flight, 1);
 	return call;
 }
 
 static void
-begin(struct caller_call *call, int64_t body_bytes)
+start_call(struct caller_call *call, int64_t body_bytes)
 {
 	struct http_incoming *q = call->incoming;
 	struct loop *loop = call->callers->loop;
 
-	call->small = body_bytes >= 0 && body_bytes <= SMALL_BYTES;
+	call->buffered =
+	    body_bytes >= 0 && body_bytes <= BUFFERED_BODY_MAX_BYTES;
 	call_exchange_attach_caller(call->exchange, on_entry, call);
 	http_incoming_set_arg(q, call);
 	if (body_bytes == 0) {
-		call_exchange_put_end(call->exchange, EXCHANGE_WHOLE);
+		call_exchange_end_request(call->exchange, EXCHANGE_COMPLETE);
 		submit(call);
-	} else if (call->small) {
+	} else if (call->buffered) {
 		http_incoming_continue(q);
-		loop_timer_set(&call->timer, loop_now_ms(loop) + BODY_MS);
+		loop_timer_set(
+		    &call->timer, loop_now_ms(loop) + BODY_READ_TIMEOUT_MS);
 	} else {
 		http_incoming_pause(q);
 		submit(call);
@@ -155,7 +157,8 @@
 	status = callers_request_read(
 	    c, head, call_exchange_request(call->exchange));
 	if (status == 0) {
-		begin(call, call_exchange_request(call->exchange)->body_bytes);
+		start_call(
+		    call, call_exchange_request(call->exchange)->body_bytes);
 		return;
 	}
 	callers_answer_refuse(c, q, status, "invalid",
@@ -169,9 +172,10 @@
 {
 	struct caller_call *call = http_incoming_arg(q);
 
-	if (call->answering)
+	if (call->answer_begun)
 		return;
-	if (!call_exchange_put(call->exchange, data, len) && !call->small)
+	if (!call_exchange_write_request(call->exchange, data, len) &&
+	    !call->buffered)
 		http_incoming_pause(q);
 }
 
@@ -184,7 +188,7 @@
 	if (call->submitted &&
 	    call_exchange_request(call->exchange)->body_bytes == 0)
 		return;
-	call_exchange_put_end(call->exchange, EXCHANGE_WHOLE);
+	call_exchange_end_request(call->exchange, EXCHANGE_COMPLETE);
 	if (!call->submitted)
 		submit(call);
 }
@@ -194,7 +198,7 @@
 {
 	struct caller_call *call = http_incoming_arg(q);
 
-	if (call->answering)
+	if (call->answer_begun)
 		write_answer(call);
 }
 
@@ -207,7 +211,7 @@
 		return;
 	log_debug("a caller hung up");
 	if (call->submitted)
-		call_exchange_hang_up(call->exchange);
+		call_exchange_disconnect(call->exchange);
 	call_free(call);
 }
 
--- a/packages/node/src/callers_limits.c
+++ b/packages/node/src/callers_limits.c
@@ -13,7 +13,7 @@
 #include "callers_priv.h"
 
 /* A caller may not pause longer than this within a request. */
-#define STALL_MS 10000U
+#define STALL_TIMEOUT_MS 10000U
 
 static void
 widen(struct http_server_limits *l, const struct service_limits *of)
@@ -38,7 +38,7 @@
 		l->head_max_bytes = s->header_max_bytes;
 	if (l->idle_ms == 0)
 		l->idle_ms = s->keep_alive_ms;
-	l->stall_ms = STALL_MS;
+	l->stall_ms = STALL_TIMEOUT_MS;
 }
 
 void
--- a/packages/node/src/callers_priv.h
+++ b/packages/node/src/callers_priv.h
@@ -28,7 +28,7 @@
  * @draining: each answer closes its connection
  * @stopping: callers_stop() was called
  * @deadline_ms: when a drain gives up
- * @tick: keeps @connections fresh while stopping
+ * @refresh_timer: keeps @connections fresh while stopping
  */
 struct callers {
 	const struct settings *settings;
@@ -42,7 +42,7 @@
 	_Atomic bool draining;
 	_Atomic bool stopping;
 	_Atomic uint64_t deadline_ms;
-	struct loop_timer tick;
+	struct loop_timer refresh_timer;
 };
 
 /**
@@ -51,20 +51,20 @@
  * @incoming: the request on its connection, NULL once its answer has ended
  * @exchange: what is shared with the entry, a reference
  * @timer: bounds the time that a small body takes
- * @small: its body is read before the call is submitted
+ * @buffered: its body is read before the call is submitted
  * @submitted: the entry has it
  * @body_ended: the whole body came
- * @answering: the head of the answer was written
+ * @answer_begun: the head of the answer was written
  */
 struct caller_call {
 	struct callers *callers;
 	struct http_incoming *incoming;
 	struct call_exchange *exchange;
 	struct loop_timer timer;
-	bool small;
+	bool buffered;
 	bool submitted;
 	bool body_ended;
-	bool answering;
+	bool answer_begun;
 };
 
 /* callers_call.c */
--- a/packages/node/src/callers_request.c
+++ b/packages/node/src/callers_request.c
@@ -18,7 +18,7 @@
 static const char *const schemes[] = {"http://", "https://"};
 
 static const char *
-find(const struct http_incoming_head *head, const char *name)
+find_header(const struct http_incoming_head *head, const char *name)
 {
 	uint32_t i;
 
@@ -29,7 +29,7 @@
 }
 
 static uint32_t
-count(const struct http_incoming_head *head, const char *name)
+count_headers(const struct http_incoming_head *head, const char *name)
 {
 	uint32_t i, n = 0;
 
@@ -39,7 +39,7 @@
 }
 
 static bool
-add(struct call_request *r, const char *name, const char *value)
+add_header(struct call_request *r, const char *name, const char *value)
 {
 	return call_headers_add(&r->headers, name, (uint32_t)strlen(name),
 	    value, (uint32_t)strlen(value));
@@ -47,30 +47,30 @@
 
 /* A target with a host of its own tells the host (RFC 9112, 3.2.2). */
 static bool
-is_replaced(const struct http_incoming_head *head, const char *name)
+is_replaced_host(const struct http_incoming_head *head, const char *name)
 {
 	return head->target[0] != '/' && g_ascii_strcasecmp(name, "Host") == 0;
 }
 
 /* What the caller sent and may pass. */
 static uint32_t
-pass_headers(const struct call_dialect *d,
+copy_headers(const struct call_dialect *d,
     const struct http_incoming_head *head, struct call_request *r)
 {
-	GTree *named = call_headers_named(find(head, "Connection"));
+	GTree *named = call_headers_named(find_header(head, "Connection"));
 	const struct http_header *h;
-	bool fine = true;
+	bool ok = true;
 	uint32_t i;
 
-	for (i = 0; fine && i < head->n_headers; i++) {
+	for (i = 0; ok && i < head->n_headers; i++) {
 		h = &head->headers[i];
-		if (!is_replaced(head, h->name) &&
+		if (!is_replaced_host(head, h->name) &&
 		    call_header_passes(
 			h->name, named, d->prefix, d->from_callers))
-			fine = add(r, h->name, h->value);
+			ok = add_header(r, h->name, h->value);
 	}
 	call_headers_named_free(named);
-	return fine ? 0 : HTTP_HEADERS_TOO_LARGE;
+	return ok ? 0 : HTTP_HEADERS_TOO_LARGE;
 }
 
 static uint32_t
@@ -78,14 +78,14 @@
     struct call_request *r)
 {
 	const struct call_dialect *d = c->dialect;
-	uint32_t status = pass_headers(d, head, r);
+	uint32_t status = copy_headers(d, head, r);
 
 	if (status != 0)
 		return status;
-	if (head->target[0] != '/' && !add(r, "Host", r->host))
+	if (head->target[0] != '/' && !add_header(r, "Host", r->host))
 		return HTTP_HEADERS_TOO_LARGE;
 	if (d->caller_service != NULL &&
-	    !add(r, d->caller_service, c->settings->upstream_service))
+	    !add_header(r, d->caller_service, c->settings->upstream_service))
 		return HTTP_HEADERS_TOO_LARGE;
 	return 0;
 }
@@ -122,12 +122,12 @@
 static uint32_t
 read_target(const struct http_incoming_head *head, struct call_request *r)
 {
-	if (count(head, "Host") > 1)
+	if (count_headers(head, "Host") > 1)
 		return HTTP_BAD_REQUEST;
 	if (head->target[0] != '/')
 		return read_absolute(head, r);
 	r->path = g_strdup(head->target);
-	r->host = g_strdup(find(head, "Host"));
+	r->host = g_strdup(find_header(head, "Host"));
 	return 0;
 }
 
@@ -159,7 +159,7 @@
 read_deadline(const struct callers *c, const struct http_incoming_head *head,
     struct call_request *r)
 {
-	const char *text = find(head, c->dialect->deadline);
+	const char *text = find_header(head, c->dialect->deadline);
 	uint64_t ms;
 
 	if (text == NULL)
@@ -171,13 +171,13 @@
 }
 
 static uint32_t
-read_names(const struct callers *c, const struct http_incoming_head *head,
+read_identifiers(const struct callers *c, const struct http_incoming_head *head,
     struct call_request *r)
 {
-	const char *key = find(head, HEADER_KEY);
+	const char *key = find_header(head, HEADER_KEY);
 
 	if (c->dialect->caller_names_requests)
-		r->id = g_strdup(find(head, c->dialect->request_id));
+		r->id = g_strdup(find_header(head, c->dialect->request_id));
 	if (!c->dialect->key || key == NULL)
 		return 0;
 	if (*key == '\0' || strlen(key) > MSG_CALL_OPEN_KEY_MAX)
@@ -204,6 +204,6 @@
 	if (status == 0)
 		status = read_deadline(c, head, r);
 	if (status == 0)
-		status = read_names(c, head, r);
+		status = read_identifiers(c, head, r);
 	return status;
 }
--- a/packages/node/src/entry.c
+++ b/packages/node/src/entry.c
@@ -18,7 +18,7 @@
 #define OTHER_LINES_BURST 400
 
 /* Share of a drain's time in which new calls are still taken. */
-#define NOTICE_SHARE 10
+#define NOTICE_DIVISOR 10
 
 static void
 on_drain_timer(void *arg)
@@ -36,7 +36,7 @@
 }
 
 static void
-decisions_new(struct entry *e)
+create_policies(struct entry *e)
 {
 	struct endpoints_config endpoints_cfg;
 	struct ejection_config ejection_cfg;
@@ -66,13 +66,13 @@
 	e->settings = s;
 	e->dialect = dialect;
 	e->incarnation = incarnation;
-	e->done_lines.per_s = DONE_LINES_PER_S;
-	e->done_lines.burst = DONE_LINES_PER_S;
-	e->other_lines.per_s = OTHER_LINES_PER_S;
-	e->other_lines.burst = OTHER_LINES_BURST;
+	e->done_log_limit.per_s = DONE_LINES_PER_S;
+	e->done_log_limit.burst = DONE_LINES_PER_S;
+	e->other_log_limit.per_s = OTHER_LINES_PER_S;
+	e->other_log_limit.burst = OTHER_LINES_BURST;
 	e->loop = loop;
 	e->seed = random_seed();
-	decisions_new(e);
+	create_policies(e);
 	e->services = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, entry_service_free);
 	e->peers = g_hash_table_new_full(
@@ -83,7 +83,7 @@
 }
 
 static void
-look_at_snapshot(void *arg)
+refresh_snapshot(void *arg)
 {
 	struct entry *e = arg;
 
@@ -102,18 +102,18 @@
 void
 entry_snapshot_changed(struct entry *e)
 {
-	loop_post(e->loop, look_at_snapshot, e);
+	loop_post(e->loop, refresh_snapshot, e);
 }
 
 /* The caller has sent more, taken more, or left. */
 static void
-on_news(struct call_exchange *x, void *arg)
+on_exchange_event(struct call_exchange *x, void *arg)
 {
-	struct entry_call *c = call_exchange_bound(x);
+	struct entry_call *c = call_exchange_entry_data(x);
 
 	(void)arg;
-	if (c != NULL && !c->over)
-		entry_call_news(c);
+	if (c != NULL && !c->finished)
+		entry_call_exchange_event(c);
 }
 
 void
@@ -122,7 +122,7 @@
 	atomic_fetch_add(&e->in_flight, 1);
 	metric_add(&metric_calls_in_flight, 1);
 	drain_call_began(&e->drain);
-	call_exchange_attach_entry(x, on_news, e);
+	call_exchange_attach_entry(x, on_exchange_event, e);
 	entry_call_begin(e, call_exchange_ref(x));
 }
 
@@ -135,7 +135,7 @@
 }
 
 /* A drain that was posted to the loop. */
-struct drain_order {
+struct drain_request {
 	struct entry *entry;
 	uint64_t deadline_ms;
 };
@@ -143,30 +143,31 @@
 static void
 begin_drain(void *arg)
 {
-	struct drain_order *order = arg;
-	struct entry *e = order->entry;
+	struct drain_request *request = arg;
+	struct entry *e = request->entry;
 	uint64_t now_ms = loop_now_ms(e->loop);
-	uint64_t left_ms = clock_left_ms(order->deadline_ms, now_ms);
+	uint64_t left_ms = clock_left_ms(request->deadline_ms, now_ms);
 	uint64_t notice_ms = e->settings->drain_notice_ms;
 	uint64_t until_ms;
 
 	if (notice_ms == 0)
-		notice_ms = left_ms / NOTICE_SHARE;
-	until_ms = drain_serves_until_ms(notice_ms, order->deadline_ms, now_ms);
+		notice_ms = left_ms / NOTICE_DIVISOR;
+	until_ms =
+	    drain_serves_until_ms(notice_ms, request->deadline_ms, now_ms);
 	drain_begin(&e->drain, until_ms - now_ms, left_ms, now_ms);
 	loop_timer_set(&e->drain_timer, drain_wake_ms(&e->drain));
 	log_info("draining, %u calls in flight", entry_in_flight(e));
-	g_free(order);
+	g_free(request);
 }
 
 void
 entry_drain(struct entry *e, uint64_t deadline_ms)
 {
-	struct drain_order *order = g_new(struct drain_order, 1);
+	struct drain_request *request = g_new(struct drain_request, 1);
 
-	order->entry = e;
-	order->deadline_ms = deadline_ms;
-	loop_post(e->loop, begin_drain, order);
+	request->entry = e;
+	request->deadline_ms = deadline_ms;
+	loop_post(e->loop, begin_drain, request);
 }
 
 uint32_t
@@ -176,7 +177,7 @@
 }
 
 static void
-break_off_calls(void *arg)
+abort_calls(void *arg)
 {
 	struct entry *e = arg;
 	struct entry_call *c;
@@ -184,9 +185,9 @@
 
 	for (l = e->calls.head; l != NULL; l = l->next) {
 		c = l->data;
-		if (c->over)
+		if (c->finished)
 			continue;
-		call_stopped(c->decision);
+		call_stopped(c->machine);
 		entry_call_run(c);
 	}
 }
@@ -194,7 +195,7 @@
 void
 entry_stop(struct entry *e)
 {
-	loop_post(e->loop, break_off_calls, e);
+	loop_post(e->loop, abort_calls, e);
 }
 
 void
--- a/packages/node/src/entry_answer.c
+++ b/packages/node/src/entry_answer.c
@@ -7,10 +7,10 @@
 #include "call_metrics.h"
 #include "entry_priv.h"
 
-#define STATUS_NOT_RUN 503
-#define STATUS_UNKNOWN_FATE 504
-#define STATUS_TOO_MUCH 413
-#define STATUS_CONFLICTS 409
+#define HTTP_UNAVAILABLE 503
+#define HTTP_GATEWAY_TIMEOUT 504
+#define HTTP_CONTENT_TOO_LARGE 413
+#define HTTP_CONFLICT 409
 
 /* One that stops isn't waited for: other nodes serve at once. */
 #define STOPPING_RETRY_MS 1
@@ -28,7 +28,7 @@
     "it again after the time in Retry-After.";
 
 static struct call_answer *
-own_answer(enum outcome outcome, uint32_t status, const char *kind,
+node_answer(enum outcome outcome, uint32_t status, const char *kind,
     const char *message)
 {
 	struct call_answer *a = call_answer_new(outcome, status);
@@ -39,28 +39,28 @@
 }
 
 static void
-refuse(struct call_exchange *x, uint32_t status, const char *kind,
+answer_refused(struct call_exchange *x, uint32_t status, const char *kind,
     const char *message, uint64_t retry_after_ms)
 {
 	struct call_answer *a;
 
-	a = own_answer(OUTCOME_NOT_RUN, status, kind, message);
+	a = node_answer(OUTCOME_NOT_RUN, status, kind, message);
 	a->retry_after_ms = retry_after_ms;
 	call_metrics_outcome(OUTCOME_NOT_RUN);
-	call_exchange_answer(x, a, NULL, EXCHANGE_WHOLE);
+	call_exchange_begin_answer(x, a, NULL, EXCHANGE_COMPLETE);
 }
 
 void
 entry_answer_stopping(struct call_exchange *x)
 {
-	refuse(x, STATUS_NOT_RUN, "draining",
+	answer_refused(x, HTTP_UNAVAILABLE, "draining",
 	    "this node is stopping; call another one.", STOPPING_RETRY_MS);
 }
 
 void
 entry_answer_starting(struct call_exchange *x)
 {
-	refuse(x, STATUS_NOT_RUN, "unavailable",
+	answer_refused(x, HTTP_UNAVAILABLE, "unavailable",
 	    "no configuration is in force here yet; call another node or try "
 	    "again later.",
 	    ENTRY_STARTING_RETRY_MS);
@@ -71,7 +71,7 @@
 {
 	struct call_answer *a;
 
-	a = own_answer(OUTCOME_NOT_RUN, STATUS_NOT_RUN, "behind",
+	a = node_answer(OUTCOME_NOT_RUN, HTTP_UNAVAILABLE, "behind",
 	    "a newer configuration than the one in force here may take this "
 	    "request; send it again after the time in Retry-After.");
 	a->version = version;
@@ -86,23 +86,23 @@
 
 	a->retry_after_ms = retry_after_ms;
 	call_metrics_outcome(OUTCOME_NOT_RUN);
-	call_exchange_answer(x, a, NULL, EXCHANGE_WHOLE);
+	call_exchange_begin_answer(x, a, NULL, EXCHANGE_COMPLETE);
 }
 
 void
 entry_answer_refuse(struct call_exchange *x, uint32_t status, const char *kind,
     const char *message)
 {
-	refuse(x, status, kind, message, 0);
+	answer_refused(x, status, kind, message, 0);
 }
 
 /* One that is only suspect may come back. */
 static struct call_answer *
-refused_for_crashes(uint64_t retry_after_ms)
+quarantine_answer(uint64_t retry_after_ms)
 {
 	bool suspect = retry_after_ms < QUARANTINE_RETRY_AFTER_MS;
 
-	return own_answer(OUTCOME_NOT_RUN, STATUS_NOT_RUN,
+	return node_answer(OUTCOME_NOT_RUN, HTTP_UNAVAILABLE,
 	    suspect ? "suspected" : "quarantined",
 	    suspect ? suspect_message : quarantined_message);
 }
@@ -117,7 +117,7 @@
 }
 
 void
-entry_answer_give_up(struct entry_call *c, const struct call_action *action)
+entry_answer_failed(struct entry_call *c, const struct call_action *action)
 {
 	struct call_answer *a;
 
@@ -125,25 +125,25 @@
 	    action->outcome == OUTCOME_NOT_RUN) {
 		a = behind_answer(c->snapshot->version);
 	} else if (action->refusal == REFUSAL_KEY_REUSED) {
-		a = own_answer(action->outcome, STATUS_CONFLICTS, "conflict",
+		a = node_answer(action->outcome, HTTP_CONFLICT, "conflict",
 		    "the Idempotency-Key belongs to another request; use a "
 		    "new key.");
 	} else if (action->outcome == OUTCOME_NOT_RUN &&
 	    action->refusal == REFUSAL_QUARANTINED) {
-		a = refused_for_crashes(action->retry_after_ms);
+		a = quarantine_answer(action->retry_after_ms);
 	} else if (action->outcome == OUTCOME_NOT_RUN) {
-		a = own_answer(
-		    OUTCOME_NOT_RUN, STATUS_NOT_RUN, "not_run", NULL);
+		a = node_answer(
+		    OUTCOME_NOT_RUN, HTTP_UNAVAILABLE, "not_run", NULL);
 		a->message = not_run_message(action);
 	} else {
-		a = own_answer(OUTCOME_UNKNOWN, STATUS_UNKNOWN_FATE, "unknown",
-		    unknown_message);
+		a = node_answer(OUTCOME_UNKNOWN, HTTP_GATEWAY_TIMEOUT,
+		    "unknown", unknown_message);
 	}
 	a->retry_after_ms = action->retry_after_ms;
 	if (action->refusal == REFUSAL_SUPERSEDED)
 		a->retry_after_ms = BEHIND_FIRST_MS;
 	a->version = c->snapshot->version;
-	call_exchange_answer(c->exchange, a, NULL, EXCHANGE_WHOLE);
+	call_exchange_begin_answer(c->exchange, a, NULL, EXCHANGE_COMPLETE);
 }
 
 void
@@ -152,9 +152,9 @@
 	struct call_answer *a;
 
 	call_metrics_outcome(o);
-	a = own_answer(o, STATUS_TOO_MUCH, "too_large",
+	a = node_answer(o, HTTP_CONTENT_TOO_LARGE, "too_large",
 	    "the body is larger than the service takes; send less.");
-	call_exchange_answer(c->exchange, a, NULL, EXCHANGE_WHOLE);
+	call_exchange_begin_answer(c->exchange, a, NULL, EXCHANGE_COMPLETE);
 }
 
 void
@@ -163,10 +163,10 @@
 	struct call_answer *a;
 
 	call_metrics_outcome(OUTCOME_UNKNOWN);
-	a = own_answer(
-	    OUTCOME_UNKNOWN, STATUS_UNKNOWN_FATE, "unknown", unknown_message);
+	a = node_answer(
+	    OUTCOME_UNKNOWN, HTTP_GATEWAY_TIMEOUT, "unknown", unknown_message);
 	a->version = c->snapshot->version;
-	call_exchange_answer(c->exchange, a, NULL, EXCHANGE_WHOLE);
+	call_exchange_begin_answer(c->exchange, a, NULL, EXCHANGE_COMPLETE);
 }
 
 void
@@ -176,8 +176,9 @@
 
 	a->committed = true;
 	call_committed(
-	    c->decision, a->action.stream, loop_now_ms(c->entry->loop));
-	call_exchange_answer(c->exchange, a->answer, &a->pieces, EXCHANGE_OPEN);
+	    c->machine, a->action.stream, loop_now_ms(c->entry->loop));
+	call_exchange_begin_answer(
+	    c->exchange, a->answer, &a->pieces, EXCHANGE_OPEN);
 	a->answer = NULL;
 	entry_call_run(c);
 }
@@ -188,11 +189,11 @@
 	struct entry_call *c = a->call;
 
 	if (a->committed) {
-		call_exchange_finish(c->exchange, EXCHANGE_WHOLE);
+		call_exchange_end_answer(c->exchange, EXCHANGE_COMPLETE);
 		return;
 	}
 	a->answer->body_bytes = (int64_t)a->answer_bytes;
-	call_exchange_answer(
-	    c->exchange, a->answer, &a->pieces, EXCHANGE_WHOLE);
+	call_exchange_begin_answer(
+	    c->exchange, a->answer, &a->pieces, EXCHANGE_COMPLETE);
 	a->answer = NULL;
 }
--- a/packages/node/src/entry_attempt.c
+++ b/packages/node/src/entry_attempt.c
@@ -89,19 +89,19 @@
 	uint64_t now_ms = loop_now_ms(c->entry->loop);
 
 	fill_open(a, &open);
-	call_sent(c->decision, a->action.stream, a->peer->incarnation, now_ms);
+	call_sent(c->machine, a->action.stream, a->peer->incarnation, now_ms);
 	a->sent_us = clock_now_us();
-	a->credit_bytes = a->peer->first_bytes;
+	a->credit_bytes = a->peer->initial_credit_bytes;
 	if (a->action.attempt == 1)
 		metric_observe_us(
 		    &metric_entry_us, a->sent_us - c->request->arrived_us);
 	if (call_link_send(&a->peer->link, MSG_CALL_OPEN, &open) != STATUS_OK) {
 		entry_peer_remove(a);
 		entry_attempt_end(a, ENDPOINT_UNREACHABLE);
-		call_lost(c->decision, a->action.stream, now_ms);
+		call_lost(c->machine, a->action.stream, now_ms);
 		return;
 	}
-	entry_attempt_body(a);
+	entry_attempt_send_body(a);
 }
 
 static void
@@ -121,20 +121,19 @@
 	metric_add(&metric_resolves, 1);
 	if (call_link_send(&a->peer->link, MSG_CALL_RESOLVE, &m) != STATUS_OK) {
 		entry_peer_remove(a);
-		call_unresolved(c->decision, a->action.stream, now_ms);
+		call_unresolved(c->machine, a->action.stream, now_ms);
 	}
 }
 
 void
-entry_attempt_turned_away(struct entry_attempt *a)
+entry_attempt_rejected(struct entry_attempt *a)
 {
 	struct entry_call *c = a->call;
 	uint64_t now_ms = loop_now_ms(c->entry->loop);
 
 	entry_attempt_end(a, ENDPOINT_DRAINS);
-	call_sent(c->decision, a->action.stream, 0, now_ms);
-	call_refused(
-	    c->decision, a->action.stream, REFUSAL_STOPPING, 0, now_ms);
+	call_sent(c->machine, a->action.stream, 0, now_ms);
+	call_refused(c->machine, a->action.stream, REFUSAL_STOPPING, 0, now_ms);
 	entry_call_run(c);
 }
 
@@ -150,7 +149,7 @@
 
 /* Tells how long the way was, as far as this attempt can tell. */
 static void
-note_way(const struct entry_attempt *a, enum endpoint_result result)
+record_latency(const struct entry_attempt *a, enum endpoint_result result)
 {
 	struct entry *e = a->call->entry;
 	uint64_t until_us = a->head_us != 0 ? a->head_us : clock_now_us();
@@ -172,7 +171,7 @@
 	if (!a->counted)
 		return;
 	a->counted = false;
-	note_way(a, result);
+	record_latency(a, result);
 	if (a->head_us > a->sent_us)
 		took_us = a->upstream_us;
 	endpoints_ended(e->endpoints, a->action.endpoint, result, took_us,
@@ -188,9 +187,9 @@
 	entry_log_attempt(a, silent ? "silent" : "unreachable");
 	entry_attempt_end(a, silent ? ENDPOINT_SILENT : ENDPOINT_UNREACHABLE);
 	if (a->kind == ATTEMPT_SEND && a->stream == 0)
-		call_unsent(c->decision, a->action.stream, now_ms);
+		call_unsent(c->machine, a->action.stream, now_ms);
 	else
-		call_lost(c->decision, a->action.stream, now_ms);
+		call_lost(c->machine, a->action.stream, now_ms);
 	entry_call_run(c);
 }
 
@@ -198,16 +197,16 @@
 
 /* Whether the chunk that ends @piece at @end ends the body. */
 static bool
-is_last(const struct entry_attempt *a, size_t end, size_t piece_bytes)
+ends_body(const struct entry_attempt *a, size_t end, size_t piece_bytes)
 {
 	const struct entry_body *b = &a->call->body;
 
-	return end == piece_bytes && b->end == EXCHANGE_WHOLE &&
+	return end == piece_bytes && b->end == EXCHANGE_COMPLETE &&
 	    entry_body_piece(b, a->next_piece + 1) == NULL;
 }
 
 static bool
-has_more(const struct entry_attempt *a)
+has_chunk(const struct entry_attempt *a)
 {
 	const struct entry_body *b = &a->call->body;
 
@@ -215,7 +214,7 @@
 		return false;
 	if (entry_body_piece(b, a->next_piece) != NULL)
 		return a->credit_bytes > 0;
-	return b->end == EXCHANGE_WHOLE;
+	return b->end == EXCHANGE_COMPLETE;
 }
 
 static void
@@ -229,7 +228,7 @@
 	len = MIN(len, a->credit_bytes);
 	m->data = data + a->piece_offset;
 	m->data_len = (uint32_t)len;
-	m->fin = is_last(a, a->piece_offset + len, bytes);
+	m->fin = ends_body(a, a->piece_offset + len, bytes);
 	a->credit_bytes -= len;
 	a->piece_offset += len;
 	if (a->piece_offset < bytes)
@@ -247,7 +246,7 @@
 	GBytes *piece;
 
 	entry_body_pull(c, a);
-	if (!has_more(a))
+	if (!has_chunk(a))
 		return false;
 	piece = entry_body_piece(&c->body, a->next_piece);
 	if (piece != NULL)
@@ -256,20 +255,20 @@
 		m.fin = true;
 	a->fin_sent = m.fin;
 	(void)call_link_send(link, MSG_CALL_CHUNK, &m);
-	entry_body_done(&c->body, a->next_piece);
+	entry_body_release(&c->body, a->next_piece);
 	entry_body_pull(c, a);
-	return has_more(a);
+	return has_chunk(a);
 }
 
 void
-entry_attempt_body(struct entry_attempt *a)
+entry_attempt_send_body(struct entry_attempt *a)
 {
 	if (a->kind != ATTEMPT_SEND || a->peer == NULL || a->stream == 0)
 		return;
 	if (a->call->request->body_bytes == 0)
 		return;
 	entry_body_pull(a->call, a);
-	if (has_more(a))
+	if (has_chunk(a))
 		call_link_want(&a->peer->link, &a->sender);
 }
 
--- a/packages/node/src/entry_behind.c
+++ b/packages/node/src/entry_behind.c
@@ -10,63 +10,63 @@
 #define HTTP_TOO_LARGE 413
 
 /**
- * struct known_version - news that were posted to the loop
+ * struct version_update - news that were posted to the loop
  * @entry: the entry
  * @behind: what the version is noted in
  * @version: the version
  */
-struct known_version {
+struct version_update {
 	struct entry *entry;
 	struct behind *behind;
 	uint64_t version;
 };
 
 static void
-take_known(void *arg)
+apply_version(void *arg)
 {
-	struct known_version *known = arg;
-	struct entry *e = known->entry;
+	struct version_update *update = arg;
+	struct entry *e = update->entry;
 
 	(void)entry_snapshot(e);
-	behind_known(known->behind, known->version, loop_now_ms(e->loop));
-	g_free(known);
+	behind_known(update->behind, update->version, loop_now_ms(e->loop));
+	g_free(update);
 }
 
 static void
-post_known(struct entry *e, struct behind *behind, uint64_t version)
+post_version(struct entry *e, struct behind *behind, uint64_t version)
 {
-	struct known_version *known = g_new(struct known_version, 1);
+	struct version_update *update = g_new(struct version_update, 1);
 
-	known->entry = e;
-	known->behind = behind;
-	known->version = version;
-	loop_post(e->loop, take_known, known);
+	update->entry = e;
+	update->behind = behind;
+	update->version = version;
+	loop_post(e->loop, apply_version, update);
 }
 
 void
 entry_version_known(struct entry *e, uint64_t version)
 {
-	post_known(e, &e->behind, version);
+	post_version(e, &e->behind, version);
 }
 
 void
 entry_version_awaited(struct entry *e, uint64_t version)
 {
-	post_known(e, &e->awaited, version);
+	post_version(e, &e->awaited, version);
 }
 
 bool
-entry_is_late(const struct entry *e)
+entry_is_overdue(const struct entry *e)
 {
 	return behind_age_ms(&e->awaited, loop_now_ms(e->loop)) >=
 	    superseded_within_ms(e->settings->in_force_within_ms);
 }
 
 static void
-note(struct entry *e, const struct call_request *r, uint64_t version,
+record_behind(struct entry *e, const struct call_request *r, uint64_t version,
     uint32_t status)
 {
-	metric_add(&metric_behind, 1);
+	metric_add(&metric_behind_refusals, 1);
 	entry_log_behind(e, r, version, status);
 }
 
@@ -81,16 +81,16 @@
 	    &e->behind, version, loop_now_ms(e->loop), r->deadline_ms);
 	if (retry_after_ms == 0)
 		return false;
-	note(e, r, version, status);
+	record_behind(e, r, version, status);
 	entry_answer_behind(x, version, retry_after_ms);
 	return true;
 }
 
 void
-entry_behind_outgrown(struct entry_call *c)
+entry_behind_body_too_large(struct entry_call *c)
 {
 	struct entry *e = c->entry;
-	bool begun = call_attempts(c->decision) > 0;
+	bool begun = call_attempts(c->machine) > 0;
 	uint64_t retry_after_ms;
 
 	(void)entry_snapshot(e);
@@ -101,7 +101,7 @@
 		    c, begun ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN);
 		return;
 	}
-	note(e, c->request, c->snapshot->version, HTTP_TOO_LARGE);
+	record_behind(e, c->request, c->snapshot->version, HTTP_TOO_LARGE);
 	if (begun)
 		entry_answer_unknown(c);
 	else
@@ -121,6 +121,6 @@
 	retry_after_ms = behind_retry_ms(
 	    &e->behind, version, loop_now_ms(e->loop), DEADLINE_NEVER);
 	if (retry_after_ms != 0)
-		note(e, NULL, version, status);
+		record_behind(e, NULL, version, status);
 	return retry_after_ms;
 }
--- a/packages/node/src/entry_body.c
+++ b/packages/node/src/entry_body.c
@@ -16,7 +16,7 @@
 }
 
 void
-entry_body_done(struct entry_body *b, uint64_t i)
+entry_body_release(struct entry_body *b, uint64_t i)
 {
 	if (b->held)
 		return;
@@ -37,7 +37,7 @@
 
 /* Bytes that are here and not sent in @a. */
 static uint64_t
-ahead(const struct entry_body *b, const struct entry_attempt *a)
+unsent_bytes(const struct entry_body *b, const struct entry_attempt *a)
 {
 	uint64_t bytes = 0;
 	uint64_t i = a->next_piece;
@@ -55,7 +55,7 @@
 {
 	if (b->held && b->bytes < ENTRY_BODY_KEEP_BYTES)
 		return true;
-	return a != NULL && ahead(b, a) < BODY_AHEAD_BYTES;
+	return a != NULL && unsent_bytes(b, a) < BODY_AHEAD_BYTES;
 }
 
 void
@@ -65,16 +65,16 @@
 	GBytes *piece;
 
 	while (may_pull(b, a)) {
-		piece = call_exchange_take(c->exchange);
+		piece = call_exchange_read_request(c->exchange);
 		if (piece == NULL) {
-			b->end = b->told;
+			b->end = b->exchange_end;
 			return;
 		}
 		b->bytes += g_bytes_get_size(piece);
 		g_queue_push_tail(&b->pieces, piece);
 		if (b->held && b->bytes > ENTRY_BODY_KEEP_BYTES) {
 			b->held = false;
-			call_body_gone(c->decision);
+			call_body_gone(c->machine);
 		}
 	}
 }
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -27,7 +27,7 @@
 #define HTTP_UNAVAILABLE 503
 
 static struct entry_attempt *
-attempt_of(struct entry_call *c, uint32_t stream)
+find_attempt(struct entry_call *c, uint32_t stream)
 {
 	struct entry_attempt *a;
 	guint i;
@@ -42,7 +42,7 @@
 
 /* The attempt that the request's body goes to. */
 static struct entry_attempt *
-current(struct entry_call *c)
+current_attempt(struct entry_call *c)
 {
 	if (c->attempts->len == 0)
 		return NULL;
@@ -53,7 +53,7 @@
 
 /* Where the beginning of its body isn't here yet, its guard finds out. */
 static bool
-make_print(struct entry_call *c, struct fingerprint *print)
+make_fingerprint(struct entry_call *c, struct fingerprint *print)
 {
 	const struct call_print_parts parts = {.dialect = c->entry->dialect,
 	    .method = c->request->method,
@@ -63,8 +63,8 @@
 	    .body_bytes = c->request->body_bytes,
 	    .body = &c->body.pieces,
 	    .received = c->body.bytes,
-	    .whole =
-		c->request->body_bytes == 0 || c->body.end == EXCHANGE_WHOLE};
+	    .whole = c->request->body_bytes == 0 ||
+		c->body.end == EXCHANGE_COMPLETE};
 
 	if (c->body.first != 0 || !call_print_ready(&parts))
 		return false;
@@ -76,7 +76,7 @@
 reject_quarantined(struct entry_call *c, uint64_t retry_after_ms)
 {
 	call_metrics_refusal(REFUSAL_QUARANTINED);
-	call_quarantined(c->decision, retry_after_ms);
+	call_quarantined(c->machine, retry_after_ms);
 }
 
 /*
@@ -94,8 +94,8 @@
 
 	if (q == NULL ||
 	    (quarantine_is_empty(q) && !quarantine_has_suspects(q, now_ms) &&
-		!call_may_have_run(c->decision)) ||
-	    !make_print(c, &print))
+		!call_may_have_run(c->machine)) ||
+	    !make_fingerprint(c, &print))
 		return true;
 	entry = quarantine_check(q, &print);
 	if (entry != NULL) {
@@ -109,7 +109,7 @@
 		reject_quarantined(c, QUARANTINE_UNDECIDED_RETRY_MS);
 		return false;
 	}
-	if (suspicion == SUSPICION_SUSPECT || call_may_have_run(c->decision))
+	if (suspicion == SUSPICION_SUSPECT || call_may_have_run(c->machine))
 		query->content = print.content;
 	return true;
 }
@@ -117,8 +117,8 @@
 /* The first attempt of a share of the calls goes to a version on trial; one
  * that fails there has its further attempts at the current version. */
 static bool
-choose(struct entry_call *c, struct placement_query *q, uint64_t now_ms,
-    struct placement_choice *out)
+choose_endpoint(struct entry_call *c, struct placement_query *q,
+    uint64_t now_ms, struct placement_choice *out)
 {
 	struct placement *p = c->entry->placement;
 
@@ -138,7 +138,7 @@
 	struct entry *e = c->entry;
 	struct placement_query q = {.service = c->service->id,
 	    .idempotent = c->idempotent,
-	    .not_own = entry_is_late(e)};
+	    .not_own = entry_is_overdue(e)};
 	struct placement_choice choice;
 	const struct endpoint *ep;
 	uint64_t now_ms = loop_now_ms(e->loop);
@@ -149,9 +149,9 @@
 		q.key = c->request->key;
 		q.key_len = strlen(c->request->key);
 	}
-	q.tried = call_tried(c->decision, &q.n_tried);
-	if (!choose(c, &q, now_ms, &choice)) {
-		call_unplaced(c->decision, 0, now_ms);
+	q.tried = call_tried(c->machine, &q.n_tried);
+	if (!choose_endpoint(c, &q, now_ms, &choice)) {
+		call_unplaced(c->machine, 0, now_ms);
 		return;
 	}
 	ep = entry_service_endpoint(c->service, choice.endpoint);
@@ -160,7 +160,7 @@
 	    sizeof(c->placed_host));
 	(void)g_strlcpy(c->placed_version, ep != NULL ? ep->version : "",
 	    sizeof(c->placed_version));
-	call_placed(c->decision, choice.endpoint, now_ms);
+	call_placed(c->machine, choice.endpoint, now_ms);
 }
 
 static void
@@ -172,7 +172,7 @@
 
 	ep = entry_service_endpoint(c->service, action->endpoint);
 	if (ep == NULL) {
-		call_unsent(c->decision, action->stream, loop_now_ms(e->loop));
+		call_unsent(c->machine, action->stream, loop_now_ms(e->loop));
 		return;
 	}
 	a = entry_attempt_new(c, action);
@@ -207,7 +207,7 @@
 static void
 cancel(struct entry_call *c, const struct call_action *action)
 {
-	struct entry_attempt *a = attempt_of(c, action->stream);
+	struct entry_attempt *a = find_attempt(c, action->stream);
 	struct msg_call_cancel m;
 
 	if (a == NULL || a->peer == NULL)
@@ -223,7 +223,7 @@
 
 /* Nothing more is expected of any stream. */
 static void
-forget_streams(struct entry_call *c)
+drop_streams(struct entry_call *c)
 {
 	struct entry_attempt *a;
 	guint i;
@@ -236,12 +236,12 @@
 }
 
 static void
-over(struct entry_call *c)
+finish_call(struct entry_call *c)
 {
-	if (c->over)
+	if (c->finished)
 		return;
-	c->over = true;
-	forget_streams(c);
+	c->finished = true;
+	drop_streams(c);
 	loop_timer_stop(&c->timer);
 	loop_task_defer(&c->free_task);
 	entry_call_ended(c->entry);
@@ -249,7 +249,7 @@
 
 /* Why a call is given up: refused, out of time, or its tries were lost. */
 static const char *
-reason_of(const struct entry_call *c, const struct call_action *action)
+failure_reason(const struct entry_call *c, const struct call_action *action)
 {
 	if (action->refusal != REFUSAL_NONE)
 		return refusal_name(action->refusal);
@@ -263,16 +263,16 @@
 static void
 give_up(struct entry_call *c, const struct call_action *action)
 {
-	entry_log_end(c, action->outcome, reason_of(c, action));
+	entry_log_end(c, action->outcome, failure_reason(c, action));
 	call_metrics_outcome(action->outcome);
 	if (action->refusal == REFUSAL_NO_ENDPOINT ||
 	    action->refusal == REFUSAL_UNREACHABLE)
 		call_metrics_refusal(action->refusal);
-	entry_answer_give_up(c, action);
+	entry_answer_failed(c, action);
 }
 
 static void
-carry_out(struct entry_call *c, const struct call_action *action)
+run_action(struct entry_call *c, const struct call_action *action)
 {
 	struct entry_attempt *a;
 
@@ -290,7 +290,7 @@
 		cancel(c, action);
 		return;
 	case CALL_DELIVER:
-		a = attempt_of(c, action->stream);
+		a = find_attempt(c, action->stream);
 		entry_log_end(c, OUTCOME_DONE, "answered");
 		call_metrics_outcome(OUTCOME_DONE);
 		entry_answer_deliver(a);
@@ -301,7 +301,7 @@
 	case CALL_ABORT:
 		entry_log_end(c, OUTCOME_UNKNOWN, "answer_cut");
 		call_metrics_outcome(OUTCOME_UNKNOWN);
-		call_exchange_finish(c->exchange, EXCHANGE_CUT);
+		call_exchange_end_answer(c->exchange, EXCHANGE_ABORTED);
 		return;
 	}
 }
@@ -311,16 +311,16 @@
 {
 	struct call_action action;
 
-	if (c->acting || c->over)
+	if (c->running_actions || c->finished)
 		return;
-	c->acting = true;
-	while (call_next(c->decision, &action))
-		carry_out(c, &action);
-	c->acting = false;
-	if (call_over(c->decision))
-		over(c);
+	c->running_actions = true;
+	while (call_next(c->machine, &action))
+		run_action(c, &action);
+	c->running_actions = false;
+	if (call_over(c->machine))
+		finish_call(c);
 	else
-		loop_timer_set(&c->timer, call_wake_ms(c->decision));
+		loop_timer_set(&c->timer, call_wake_ms(c->machine));
 }
 
 /* Events */
@@ -330,7 +330,7 @@
 {
 	struct entry_call *c = arg;
 
-	call_tick(c->decision, loop_now_ms(c->entry->loop));
+	call_tick(c->machine, loop_now_ms(c->entry->loop));
 	entry_call_run(c);
 }
 
@@ -342,7 +342,7 @@
 
 /* The configuration's word goes before the setting, be it more or less. */
 static uint64_t
-body_max(const struct entry *e, const struct service_limits *l)
+max_body_bytes(const struct entry *e, const struct service_limits *l)
 {
 	if (l->request_max_bytes == SERVICE_REQUEST_BY_SETTING)
 		return e->settings->request_max_bytes;
@@ -351,43 +351,44 @@
 
 /* The body grew over what the service takes, which nobody knew before. */
 static bool
-outgrown(struct entry_call *c)
+body_exceeds_limit(struct entry_call *c)
 {
-	if (c->body.bytes <= body_max(c->entry, &c->config->limits))
+	if (c->body.bytes <= max_body_bytes(c->entry, &c->config->limits))
 		return false;
-	entry_behind_outgrown(c);
-	call_caller_gone(c->decision, loop_now_ms(c->entry->loop));
+	entry_behind_body_too_large(c);
+	call_caller_gone(c->machine, loop_now_ms(c->entry->loop));
 	entry_call_run(c);
 	return true;
 }
 
 void
-entry_call_news(struct entry_call *c)
+entry_call_exchange_event(struct entry_call *c)
 {
-	struct entry_attempt *a = current(c);
-	struct exchange_news news;
-
-	call_exchange_look(c->exchange, &news);
-	c->body.told = news.up_end;
-	if (news.gone || news.up_end == EXCHANGE_CUT) {
-		entry_log_end(
-		    c, OUTCOME_UNKNOWN, news.gone ? "caller_gone" : "body_cut");
-		call_caller_gone(c->decision, loop_now_ms(c->entry->loop));
+	struct entry_attempt *a = current_attempt(c);
+	struct exchange_events events;
+
+	call_exchange_poll(c->exchange, &events);
+	c->body.exchange_end = events.request_body_end;
+	if (events.disconnected ||
+	    events.request_body_end == EXCHANGE_ABORTED) {
+		entry_log_end(c, OUTCOME_UNKNOWN,
+		    events.disconnected ? "caller_gone" : "body_cut");
+		call_caller_gone(c->machine, loop_now_ms(c->entry->loop));
 		entry_call_run(c);
 		return;
 	}
 	entry_body_pull(c, a);
-	if (outgrown(c) || a == NULL)
+	if (body_exceeds_limit(c) || a == NULL)
 		return;
-	entry_attempt_body(a);
-	if (news.consumed_bytes > 0)
-		entry_attempt_grant(a, news.consumed_bytes);
+	entry_attempt_send_body(a);
+	if (events.consumed_bytes > 0)
+		entry_attempt_grant(a, events.consumed_bytes);
 }
 
 /* Beginning and end */
 
 static void
-configure(const struct entry_call *c, struct call_config *cfg)
+fill_call_config(const struct entry_call *c, struct call_config *cfg)
 {
 	memset(cfg, 0, sizeof(*cfg));
 	cfg->deadline_ms = c->deadline_ms;
@@ -402,7 +403,7 @@
 
 /* The caller's deadline, or the configured time where that ends sooner. */
 static uint64_t
-deadline_of(const struct entry_call *c, uint64_t now_ms)
+effective_deadline_ms(const struct entry_call *c, uint64_t now_ms)
 {
 	uint32_t timeout_ms = c->route->timeout_ms;
 
@@ -423,7 +424,7 @@
 
 /* When its answer is worth less, counted from when the caller first asked. */
 static uint64_t
-target_of(const struct entry_call *c, uint64_t now_ms)
+target_deadline_ms(const struct entry_call *c, uint64_t now_ms)
 {
 	uint64_t asked_ms = 0;
 
@@ -437,7 +438,7 @@
 }
 
 static struct entry_call *
-call_make(
+call_create(
     struct entry *e, struct call_exchange *x, const struct route_match *match)
 {
 	struct entry_call *c = g_new0(struct entry_call, 1);
@@ -456,18 +457,17 @@
 	c->keyed = r->key != NULL && !c->idempotent;
 	c->sequence = ++e->sequence;
 	c->body.held = true;
-	c->deadline_ms = deadline_of(c, now_ms);
-	c->target_ms = target_of(c, now_ms);
+	c->deadline_ms = effective_deadline_ms(c, now_ms);
+	c->target_ms = target_deadline_ms(c, now_ms);
 	c->attempts = g_ptr_array_new_with_free_func(entry_attempt_free);
 	g_queue_init(&c->body.pieces);
 	loop_timer_init(&c->timer, e->loop, on_timer, c);
 	loop_task_init(&c->free_task, e->loop, on_free, c);
-	configure(c, &cfg);
-	c->decision =
-	    call_new(&cfg, &c->service->budget, e->seed ^ c->sequence);
+	fill_call_config(c, &cfg);
+	c->machine = call_new(&cfg, &c->service->budget, e->seed ^ c->sequence);
 	c->link.data = c;
 	g_queue_push_tail_link(&e->calls, &c->link);
-	call_exchange_bind(x, c);
+	call_exchange_set_entry_data(x, c);
 	return c;
 }
 
@@ -488,7 +488,7 @@
 
 /* One service among those that share the route by weight. */
 static void
-split(struct entry *e, struct route_match *match)
+choose_by_weight(struct entry *e, struct route_match *match)
 {
 	const struct service_route *route = match->route;
 	struct route_match shares[SNAPSHOT_SHARES_MAX];
@@ -507,7 +507,7 @@
 }
 
 static bool
-routed(struct entry *e, struct call_exchange *x, struct route_match *match)
+route_call(struct entry *e, struct call_exchange *x, struct route_match *match)
 {
 	const struct call_request *r = call_exchange_request(x);
 	enum http_method method;
@@ -532,12 +532,12 @@
 		return refuse(e, x, HTTP_BAD_METHOD, "invalid",
 		    "the route does not take this method; use another.");
 	case ROUTE_FOUND:
-		split(e, match);
+		choose_by_weight(e, match);
 		break;
 	}
 	if (r->body_bytes > 0 &&
 	    (uint64_t)r->body_bytes >
-		body_max(e, &match->service->config->limits))
+		max_body_bytes(e, &match->service->config->limits))
 		return refuse(e, x, HTTP_TOO_LARGE, "too_large",
 		    "the body is larger than the service takes; send less.");
 	return true;
@@ -548,18 +548,18 @@
 {
 	struct route_match match;
 	struct entry_call *c;
-	struct exchange_news news;
+	struct exchange_events events;
 
-	if (!routed(e, x, &match)) {
+	if (!route_call(e, x, &match)) {
 		entry_call_ended(e);
 		call_exchange_unref(x);
 		return;
 	}
-	c = call_make(e, x, &match);
+	c = call_create(e, x, &match);
 	call_exchange_accept(x);
-	call_exchange_look(x, &news);
-	c->body.told = news.up_end;
-	call_start(c->decision, loop_now_ms(e->loop));
+	call_exchange_poll(x, &events);
+	c->body.exchange_end = events.request_body_end;
+	call_start(c->machine, loop_now_ms(e->loop));
 	entry_call_run(c);
 }
 
@@ -571,8 +571,8 @@
 	g_queue_unlink(&c->entry->calls, &c->link);
 	g_ptr_array_free(c->attempts, TRUE);
 	entry_body_clear(&c->body);
-	call_free(c->decision);
-	call_exchange_bind(c->exchange, NULL);
+	call_free(c->machine);
+	call_exchange_set_entry_data(c->exchange, NULL);
 	call_exchange_unref(c->exchange);
 	snapshot_unref(c->snapshot);
 	g_free(c);
--- a/packages/node/src/entry_frames.c
+++ b/packages/node/src/entry_frames.c
@@ -16,13 +16,13 @@
 #include "entry_log.h"
 
 static struct entry_attempt *
-stream(struct entry_peer *p, uint32_t number)
+find_attempt(struct entry_peer *p, uint32_t number)
 {
 	return g_hash_table_lookup(p->streams, GUINT_TO_POINTER(number));
 }
 
 static void
-take_load(struct entry_attempt *a, const struct rec_load *load)
+report_load(struct entry_attempt *a, const struct rec_load *load)
 {
 	struct entry *e = a->call->entry;
 	struct load_report r = {.in_flight = load->in_flight,
@@ -34,7 +34,7 @@
 }
 
 static bool
-take_headers(struct call_answer *answer, const struct msg_call_head *m)
+copy_headers(struct call_answer *answer, const struct msg_call_head *m)
 {
 	const struct rec_header *h;
 	uint32_t i;
@@ -49,7 +49,7 @@
 }
 
 static bool
-head_is_sound(const struct entry_attempt *a, const struct msg_call_head *m)
+head_is_valid(const struct entry_attempt *a, const struct msg_call_head *m)
 {
 	return a->answer == NULL && a->head_us == 0 &&
 	    m->request_id_len == REQUEST_ID_BYTES &&
@@ -61,14 +61,14 @@
 {
 	struct msg_call_head m;
 	struct entry_attempt *a;
-	bool fine = true;
+	bool ok = true;
 
 	if (msg_call_head_decode(body, len, &m) != STATUS_OK)
 		return false;
-	a = stream(p, m.stream);
+	a = find_attempt(p, m.stream);
 	if (a != NULL) {
-		fine = head_is_sound(a, &m);
-		if (fine) {
+		ok = head_is_valid(a, &m);
+		if (ok) {
 			a->load = m.load;
 			a->head_us = clock_now_us();
 			a->upstream_us = m.upstream_us;
@@ -77,15 +77,15 @@
 			a->answer->body_bytes = m.body_bytes;
 			a->answer->version = a->call->snapshot->version;
 			a->answer_length = m.body_bytes;
-			fine = take_headers(a->answer, &m);
+			ok = copy_headers(a->answer, &m);
 		}
 	}
 	msg_call_head_clear(&m);
-	return fine;
+	return ok;
 }
 
 static bool
-length_is_right(const struct entry_attempt *a, bool fin)
+length_is_valid(const struct entry_attempt *a, bool fin)
 {
 	if (a->answer_length < 0)
 		return true;
@@ -104,11 +104,11 @@
 	entry_log_attempt(a, "failed");
 	entry_peer_remove(a);
 	entry_attempt_end(a, ENDPOINT_FAILED);
-	take_load(a, load);
+	report_load(a, load);
 	if (a->committed)
-		call_lost(c->decision, a->action.stream, now_ms);
+		call_lost(c->machine, a->action.stream, now_ms);
 	else
-		call_failed(c->decision, a->action.stream, now_ms);
+		call_failed(c->machine, a->action.stream, now_ms);
 	entry_call_run(c);
 }
 
@@ -126,23 +126,23 @@
 }
 
 static void
-answer_whole(struct entry_attempt *a, uint32_t status)
+answer_complete(struct entry_attempt *a, uint32_t status)
 {
 	struct entry_call *c = a->call;
 
 	acknowledge(a);
 	entry_peer_remove(a);
-	a->whole = true;
+	a->complete = true;
 	entry_attempt_end(
 	    a, status >= SERVER_ERROR ? ENDPOINT_FAILED : ENDPOINT_OK);
-	take_load(a, &a->load);
+	report_load(a, &a->load);
 	call_answered(
-	    c->decision, a->action.stream, loop_now_ms(c->entry->loop));
+	    c->machine, a->action.stream, loop_now_ms(c->entry->loop));
 	entry_call_run(c);
 }
 
 static void
-take_piece(struct entry_attempt *a, const struct msg_call_chunk *m)
+append_piece(struct entry_attempt *a, const struct msg_call_chunk *m)
 {
 	GBytes *piece;
 
@@ -151,7 +151,7 @@
 		return;
 	piece = g_bytes_new(m->data, m->data_len);
 	if (a->committed)
-		call_exchange_give(a->call->exchange, piece);
+		call_exchange_write_answer(a->call->exchange, piece);
 	else
 		g_queue_push_tail(&a->pieces, piece);
 }
@@ -164,18 +164,18 @@
 
 	if (msg_call_chunk_decode(body, len, &m) != STATUS_OK)
 		return false;
-	a = stream(p, m.stream);
+	a = find_attempt(p, m.stream);
 	if (a == NULL)
 		return true;
 	if (a->head_us == 0)
 		return false;
-	take_piece(a, &m);
-	if (!length_is_right(a, m.fin)) {
+	append_piece(a, &m);
+	if (!length_is_valid(a, m.fin)) {
 		answer_failed(a, &a->load);
 		return true;
 	}
 	if (m.fin)
-		answer_whole(a, a->status);
+		answer_complete(a, a->status);
 	else if (!a->committed && a->answer_bytes > ENTRY_ANSWER_HOLD_BYTES)
 		entry_answer_commit(a);
 	return true;
@@ -189,16 +189,16 @@
 
 	if (msg_call_credit_decode(body, len, &m) != STATUS_OK)
 		return false;
-	a = stream(p, m.stream);
+	a = find_attempt(p, m.stream);
 	if (a == NULL)
 		return true;
 	a->credit_bytes += m.bytes;
-	entry_attempt_body(a);
+	entry_attempt_send_body(a);
 	return true;
 }
 
 static enum endpoint_result
-result_of(enum refusal r)
+result_of_refusal(enum refusal r)
 {
 	switch (r) {
 	case REFUSAL_DRAINING:
@@ -227,15 +227,15 @@
 	if (msg_call_refused_decode(body, len, &m) != STATUS_OK ||
 	    m.refusal > REFUSAL_LAST)
 		return false;
-	a = stream(p, m.stream);
+	a = find_attempt(p, m.stream);
 	if (a == NULL)
 		return true;
 	c = a->call;
 	entry_peer_remove(a);
-	entry_attempt_end(a, result_of((enum refusal)m.refusal));
-	take_load(a, &m.load);
+	entry_attempt_end(a, result_of_refusal((enum refusal)m.refusal));
+	report_load(a, &m.load);
 	entry_log_attempt(a, refusal_name((enum refusal)m.refusal));
-	call_refused(c->decision, a->action.stream, (enum refusal)m.refusal,
+	call_refused(c->machine, a->action.stream, (enum refusal)m.refusal,
 	    m.retry_after_ms, loop_now_ms(c->entry->loop));
 	entry_call_run(c);
 	return true;
@@ -249,7 +249,7 @@
 
 	if (msg_call_failed_decode(body, len, &m) != STATUS_OK)
 		return false;
-	a = stream(p, m.stream);
+	a = find_attempt(p, m.stream);
 	if (a == NULL)
 		return true;
 	answer_failed(a, &m.load);
@@ -267,7 +267,7 @@
 	if (msg_call_resolved_decode(body, len, &m) != STATUS_OK ||
 	    m.resolution > RESOLUTION_UNKNOWN)
 		return false;
-	a = stream(p, m.stream);
+	a = find_attempt(p, m.stream);
 	if (a == NULL || a->kind != ATTEMPT_RESOLVE)
 		return a == NULL;
 	c = a->call;
@@ -276,7 +276,7 @@
 	if (r != RESOLUTION_ATTACHED && r != RESOLUTION_ANSWER)
 		entry_peer_remove(a);
 	call_resolved(
-	    c->decision, a->action.stream, r, loop_now_ms(c->entry->loop));
+	    c->machine, a->action.stream, r, loop_now_ms(c->entry->loop));
 	entry_call_run(c);
 	return true;
 }
--- a/packages/node/src/entry_log.c
+++ b/packages/node/src/entry_log.c
@@ -13,7 +13,7 @@
 #define US_PER_MS 1000
 
 static const char *
-name_of(const struct entry_call *c, char *buf, size_t len)
+call_name(const struct entry_call *c, char *buf, size_t len)
 {
 	if (c->request->id != NULL)
 		return c->request->id;
@@ -27,7 +27,7 @@
 	struct entry *e = c->entry;
 	uint64_t now_ms = loop_now_ms(e->loop);
 	struct log_limit *limit =
-	    outcome == OUTCOME_DONE ? &e->done_lines : &e->other_lines;
+	    outcome == OUTCOME_DONE ? &e->done_log_limit : &e->other_log_limit;
 	uint32_t left_out = limit->left_out;
 	char id[24];
 
@@ -39,9 +39,9 @@
 	    "placed=%s load=%u/%u"
 	    " version=%" PRIu64 " outcome=%s reason=%s ms=%" PRIu64
 	    " left_ms=%" PRIu64 " left_out=%u",
-	    name_of(c, id, sizeof(id)), c->route->prefix, c->route->priority,
+	    call_name(c, id, sizeof(id)), c->route->prefix, c->route->priority,
 	    c->config->name, c->placed_host, c->placed_version,
-	    call_attempts(c->decision), placement_reason_name(c->placed.reason),
+	    call_attempts(c->machine), placement_reason_name(c->placed.reason),
 	    c->placed.load, c->placed.slots, c->snapshot->version,
 	    outcome_name(outcome), reason,
 	    (clock_now_us() - c->request->arrived_us) / US_PER_MS,
@@ -52,7 +52,7 @@
 entry_log_refused(struct entry *e, const struct call_request *r,
     uint32_t status, const char *kind)
 {
-	struct log_limit *limit = &e->other_lines;
+	struct log_limit *limit = &e->other_log_limit;
 	uint32_t left_out = limit->left_out;
 
 	if (!log_enabled(LOG_LEVEL_INFO) ||
@@ -68,7 +68,7 @@
 entry_log_behind(struct entry *e, const struct call_request *r,
     uint64_t version, uint32_t status)
 {
-	struct log_limit *limit = &e->other_lines;
+	struct log_limit *limit = &e->other_log_limit;
 	uint32_t left_out = limit->left_out;
 	uint64_t now_ms = loop_now_ms(e->loop);
 
@@ -89,15 +89,15 @@
 	struct entry *e = c->entry;
 	char id[24], text[FINGERPRINT_TEXT_BYTES];
 	uint64_t now_ms = loop_now_ms(e->loop);
-	uint32_t left_out = e->other_lines.left_out;
+	uint32_t left_out = e->other_log_limit.left_out;
 
 	if (!log_enabled(LOG_LEVEL_INFO) ||
-	    !log_limit_take(&e->other_lines, now_ms))
+	    !log_limit_take(&e->other_log_limit, now_ms))
 		return;
 	log_info("call id=%s request=%s prefix=%s refused=quarantined "
 		 "since_ms=%" PRIu64 " crashes=%u asked=%" PRIu64
 		 " left_out=%u",
-	    name_of(c, id, sizeof(id)), fingerprint_text(print, text),
+	    call_name(c, id, sizeof(id)), fingerprint_text(print, text),
 	    c->route->prefix, now_ms - MIN(now_ms, held->since_ms),
 	    held->crashes, held->asked, left_out);
 }
@@ -107,13 +107,13 @@
 {
 	struct entry *e = c->entry;
 	char id[24], text[FINGERPRINT_TEXT_BYTES];
-	uint32_t left_out = e->other_lines.left_out;
+	uint32_t left_out = e->other_log_limit.left_out;
 
 	if (!log_enabled(LOG_LEVEL_INFO) ||
-	    !log_limit_take(&e->other_lines, loop_now_ms(e->loop)))
+	    !log_limit_take(&e->other_log_limit, loop_now_ms(e->loop)))
 		return;
 	log_info("call id=%s request=%s prefix=%s refused=suspect left_out=%u",
-	    name_of(c, id, sizeof(id)), fingerprint_text(print, text),
+	    call_name(c, id, sizeof(id)), fingerprint_text(print, text),
 	    c->route->prefix, left_out);
 }
 
@@ -125,10 +125,10 @@
 	char id[24];
 
 	if (!log_enabled(LOG_LEVEL_INFO) ||
-	    !log_limit_take(&e->other_lines, loop_now_ms(e->loop)))
+	    !log_limit_take(&e->other_log_limit, loop_now_ms(e->loop)))
 		return;
 	log_info("attempt id=%s n=%u %s host=%s ended=%s ms=%" PRIu64,
-	    name_of(c, id, sizeof(id)), a->action.attempt,
+	    call_name(c, id, sizeof(id)), a->action.attempt,
 	    a->kind == ATTEMPT_SEND ? "sent" : "resolved", c->placed_host,
 	    ended,
 	    a->sent_us != 0 ? (clock_now_us() - a->sent_us) / US_PER_MS : 0);
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -12,7 +12,7 @@
 
 /* Time for connecting, the guard's hello included: many round trips, and the
  * queue of a full link. */
-#define DIAL_MS 1500
+#define DIAL_TIMEOUT_MS 1500
 
 /* A connection over which nothing is awaited closes after this time. */
 #define PEER_IDLE_MS 30000
@@ -23,19 +23,19 @@
  * second; to drop its connections then has all calls on them done twice.
  */
 #define PING_AFTER_MS 250
-#define PING_LOST_MS 1500
+#define PING_TIMEOUT_MS 1500
 
 /* A ping or dial without an answer for this long puts the way in doubt: calls
  * go elsewhere, what is under way is still awaited. */
-#define DOUBT_MS 250
+#define SUSPECT_AFTER_MS 250
 
 /* Times between dials to a guard in doubt: doubled from one to the other. */
 #define REDIAL_MS 100
-#define REDIAL_CAP_MS 1600
+#define REDIAL_MAX_MS 1600
 #define REDIAL_SHIFT_MAX 4
 
 static void
-log_drop(const struct entry_peer *p, const char *why)
+log_peer(const struct entry_peer *p, const char *why)
 {
 	char text[ADDR_TEXT_BYTES];
 
@@ -48,28 +48,29 @@
 	uint64_t due_ms = p->silence.due_ms;
 
 	if (p->state == PEER_READY && !p->silence.awaiting)
-		due_ms = p->used_ms + PEER_IDLE_MS;
-	loop_timer_set(&p->timer, MIN(due_ms, p->doubt_ms));
+		due_ms = p->last_used_ms + PEER_IDLE_MS;
+	loop_timer_set(&p->timer, MIN(due_ms, p->suspect_ms));
 }
 
 /* Tells the placement whether calls may be led there. */
 static void
-set_doubt(struct entry_peer *p, bool doubt)
+set_suspected(struct entry_peer *p, bool suspected)
 {
 	uint64_t now_ms = loop_now_ms(p->entry->loop);
 	bool cut = false;
 	guint i;
 
-	p->doubt_ms = DEADLINE_NEVER;
-	if (p->doubt == doubt)
+	p->suspect_ms = DEADLINE_NEVER;
+	if (p->suspected == suspected)
 		return;
-	p->doubt = doubt;
-	log_drop(p, doubt ? "in doubt, nothing is heard" : "heard again");
+	p->suspected = suspected;
+	log_peer(p, suspected ? "in doubt, nothing is heard" : "heard again");
 	for (i = 0; i < p->endpoints->len; i++)
 		cut |= endpoints_doubt(p->entry->endpoints,
-		    g_array_index(p->endpoints, uint64_t, i), doubt, now_ms);
+		    g_array_index(p->endpoints, uint64_t, i), suspected,
+		    now_ms);
 	if (cut)
-		log_drop(p,
+		log_peer(p,
 		    "its data centre is left alone, as another host "
 		    "there is silent too");
 }
@@ -79,7 +80,7 @@
  * of the queue first, since a call that goes on may end its other attempts.
  */
 static void
-turn_waiting_away(struct entry_peer *p)
+fail_unsent_attempts(struct entry_peer *p)
 {
 	GPtrArray *unsent = g_ptr_array_new();
 	GList *l = p->waiting.head, *next;
@@ -102,7 +103,7 @@
 
 /* Whether some endpoint there is still to be called. */
 static bool
-is_wanted(const struct entry_peer *p)
+has_listed_endpoint(const struct entry_peer *p)
 {
 	guint i;
 
@@ -115,20 +116,20 @@
 
 /* The way was lost: dial again by and by, without a call that waits for it. */
 static void
-redial_later(struct entry_peer *p)
+schedule_redial(struct entry_peer *p)
 {
 	uint64_t wait_ms = (uint64_t)REDIAL_MS
-	    << MIN(p->redials, REDIAL_SHIFT_MAX);
+	    << MIN(p->failed_dials, REDIAL_SHIFT_MAX);
 
 	if (p->state != PEER_NONE)
 		return;
-	p->redials++;
+	p->failed_dials++;
 	loop_timer_set(&p->timer,
-	    loop_now_ms(p->entry->loop) + MIN(wait_ms, REDIAL_CAP_MS));
+	    loop_now_ms(p->entry->loop) + MIN(wait_ms, REDIAL_MAX_MS));
 }
 
 static void
-await(struct entry_peer *p)
+update_awaiting(struct entry_peer *p)
 {
 	bool awaiting = g_hash_table_size(p->streams) > 0;
 	bool changed = awaiting != p->silence.awaiting;
@@ -167,15 +168,15 @@
 		g_ptr_array_add(lost, a);
 	}
 	p->state = PEER_NONE;
-	p->leaving = false;
+	p->stopping = false;
 	call_link_clear(&p->link);
 	loop_timer_stop(&p->timer);
-	call_silence_init(&p->silence, PING_AFTER_MS, PING_LOST_MS);
-	set_doubt(p, true);
+	call_silence_init(&p->silence, PING_AFTER_MS, PING_TIMEOUT_MS);
+	set_suspected(p, true);
 	for (i = 0; i < lost->len; i++)
 		entry_attempt_lost(g_ptr_array_index(lost, i), silent);
 	g_ptr_array_free(lost, TRUE);
-	redial_later(p);
+	schedule_redial(p);
 }
 
 static void
@@ -202,9 +203,9 @@
 	conn_close(p->link.conn);
 	call_link_clear(&p->link);
 	p->state = PEER_NONE;
-	p->leaving = false;
+	p->stopping = false;
 	loop_timer_stop(&p->timer);
-	call_silence_init(&p->silence, PING_AFTER_MS, PING_LOST_MS);
+	call_silence_init(&p->silence, PING_AFTER_MS, PING_TIMEOUT_MS);
 }
 
 static void
@@ -213,23 +214,23 @@
 	switch (call_silence_tick(&p->silence, now_ms)) {
 	case SILENCE_PING:
 		peer_ping(p);
-		if (!p->doubt)
-			p->doubt_ms = now_ms + DOUBT_MS;
+		if (!p->suspected)
+			p->suspect_ms = now_ms + SUSPECT_AFTER_MS;
 		break;
 	case SILENCE_LOST:
-		log_drop(p, "connection went silent");
-		metric_add(&metric_silent, 1);
+		log_peer(p, "connection went silent");
+		metric_add(&metric_silent_connections, 1);
 		peer_drop(p, true);
 		return;
 	case SILENCE_NONE:
 		break;
 	}
-	if (!p->silence.awaiting && now_ms >= p->used_ms + PEER_IDLE_MS) {
+	if (!p->silence.awaiting && now_ms >= p->last_used_ms + PEER_IDLE_MS) {
 		close_idle(p);
 		return;
 	}
-	if (now_ms >= p->doubt_ms)
-		set_doubt(p, true);
+	if (now_ms >= p->suspect_ms)
+		set_suspected(p, true);
 	set_timer(p);
 }
 
@@ -238,13 +239,13 @@
 static void
 tick_dialling(struct entry_peer *p, uint64_t now_ms)
 {
-	if (now_ms < p->dial_ms) {
-		set_doubt(p, true);
-		loop_timer_set(&p->timer, p->dial_ms);
-		turn_waiting_away(p);
+	if (now_ms < p->dial_deadline_ms) {
+		set_suspected(p, true);
+		loop_timer_set(&p->timer, p->dial_deadline_ms);
+		fail_unsent_attempts(p);
 		return;
 	}
-	log_drop(p, "no hello in time");
+	log_peer(p, "no hello in time");
 	peer_drop(p, false);
 }
 
@@ -257,7 +258,7 @@
 
 	switch (p->state) {
 	case PEER_NONE:
-		if (is_wanted(p))
+		if (has_listed_endpoint(p))
 			dial(p);
 		break;
 	case PEER_DIALLING:
@@ -284,7 +285,7 @@
 }
 
 static bool
-take_hello(struct entry_peer *p, const uint8_t *body, size_t len)
+handle_hello(struct entry_peer *p, const uint8_t *body, size_t len)
 {
 	struct msg_call_hello hello;
 	struct entry_attempt *a;
@@ -293,11 +294,11 @@
 	    hello.proto != CALL_PROTO)
 		return false;
 	p->incarnation = hello.incarnation;
-	p->first_bytes =
+	p->initial_credit_bytes =
 	    hello.first_bytes != 0 ? hello.first_bytes : CALL_FIRST_BYTES;
 	p->state = PEER_READY;
-	p->used_ms = loop_now_ms(p->entry->loop);
-	p->redials = 0;
+	p->last_used_ms = loop_now_ms(p->entry->loop);
+	p->failed_dials = 0;
 	send_hello(p, &hello);
 	set_timer(p);
 	while ((a = g_queue_pop_head(&p->waiting)) != NULL) {
@@ -312,17 +313,17 @@
     struct conn *conn, uint8_t type, const uint8_t *body, size_t len, void *arg)
 {
 	struct entry_peer *p = arg;
-	bool fine;
+	bool ok;
 
-	call_silence_heard(&p->silence, loop_now_ms(p->entry->loop));
-	set_doubt(p, false);
+	call_silence_received(&p->silence, loop_now_ms(p->entry->loop));
+	set_suspected(p, false);
 	if (p->state == PEER_READY)
-		fine = entry_frame(p, type, body, len);
+		ok = entry_frame(p, type, body, len);
 	else
-		fine = type == MSG_CALL_HELLO && take_hello(p, body, len);
-	if (fine || p->state == PEER_NONE || p->link.conn != conn)
+		ok = type == MSG_CALL_HELLO && handle_hello(p, body, len);
+	if (ok || p->state == PEER_NONE || p->link.conn != conn)
 		return;
-	log_drop(p, "sent a frame that makes no sense; connection closed");
+	log_peer(p, "sent a frame that makes no sense; connection closed");
 	peer_drop(p, false);
 }
 
@@ -358,7 +359,7 @@
 {
 	struct conn_options options;
 	struct conn *conn;
-	uint64_t deadline_ms = loop_now_ms(p->entry->loop) + DIAL_MS;
+	uint64_t deadline_ms = loop_now_ms(p->entry->loop) + DIAL_TIMEOUT_MS;
 
 	call_link_options(&options);
 	options.sent_bytes = &metric_call_sent_bytes;
@@ -367,8 +368,9 @@
 	    &peer_handler, p);
 	call_link_init(&p->link, p->entry->loop, conn);
 	p->state = PEER_DIALLING;
-	p->dial_ms = deadline_ms;
-	loop_timer_set(&p->timer, loop_now_ms(p->entry->loop) + DOUBT_MS);
+	p->dial_deadline_ms = deadline_ms;
+	loop_timer_set(
+	    &p->timer, loop_now_ms(p->entry->loop) + SUSPECT_AFTER_MS);
 }
 
 struct entry_peer *
@@ -385,9 +387,9 @@
 	p->address = address;
 	p->streams = g_hash_table_new(NULL, NULL);
 	p->endpoints = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	p->doubt_ms = DEADLINE_NEVER;
+	p->suspect_ms = DEADLINE_NEVER;
 	g_queue_init(&p->waiting);
-	call_silence_init(&p->silence, PING_AFTER_MS, PING_LOST_MS);
+	call_silence_init(&p->silence, PING_AFTER_MS, PING_TIMEOUT_MS);
 	loop_timer_init(&p->timer, e->loop, on_timer, p);
 	stored = g_new(uint64_t, 1);
 	*stored = key;
@@ -402,7 +404,7 @@
 	char text[ADDR_TEXT_BYTES];
 
 	log_info("guard %s: is stopping", addr_format(&p->address, text));
-	p->leaving = true;
+	p->stopping = true;
 	(void)call_link_send(&p->link, MSG_CALL_GOODBYE_ACK, &ack);
 }
 
@@ -418,7 +420,7 @@
 }
 
 static void
-note_endpoint(struct entry_peer *p, uint64_t id)
+add_endpoint(struct entry_peer *p, uint64_t id)
 {
 	guint i;
 
@@ -427,13 +429,13 @@
 			return;
 	g_array_append_val(p->endpoints, id);
 	(void)endpoints_doubt(
-	    p->entry->endpoints, id, p->doubt, loop_now_ms(p->entry->loop));
+	    p->entry->endpoints, id, p->suspected, loop_now_ms(p->entry->loop));
 }
 
 void
 entry_peer_add(struct entry_peer *p, struct entry_attempt *a)
 {
-	note_endpoint(p, a->action.endpoint);
+	add_endpoint(p, a->action.endpoint);
 	a->peer = p;
 	if (p->state != PEER_READY) {
 		g_queue_push_tail(&p->waiting, a);
@@ -441,14 +443,14 @@
 			dial(p);
 		return;
 	}
-	if (p->leaving && a->kind == ATTEMPT_SEND) {
+	if (p->stopping && a->kind == ATTEMPT_SEND) {
 		a->peer = NULL;
-		entry_attempt_turned_away(a);
+		entry_attempt_rejected(a);
 		return;
 	}
 	a->stream = next_stream(p);
 	g_hash_table_insert(p->streams, GUINT_TO_POINTER(a->stream), a);
-	await(p);
+	update_awaiting(p);
 	entry_attempt_start(a);
 }
 
@@ -466,8 +468,8 @@
 		return;
 	}
 	g_hash_table_remove(p->streams, GUINT_TO_POINTER(a->stream));
-	p->used_ms = loop_now_ms(p->entry->loop);
-	await(p);
+	p->last_used_ms = loop_now_ms(p->entry->loop);
+	update_awaiting(p);
 }
 
 void
--- a/packages/node/src/entry_priv.h
+++ b/packages/node/src/entry_priv.h
@@ -71,8 +71,8 @@
  * @sequence: number of the last call
  * @seed: random number of this process, part of request ids
  * @in_flight: number of calls, atomic for entry_in_flight()
- * @done_lines: bound on lines of calls that were answered
- * @other_lines: bound on lines of all others
+ * @done_log_limit: bound on lines of calls that were answered
+ * @other_log_limit: bound on lines of all others
  */
 struct entry {
 	const struct settings *settings;
@@ -99,8 +99,8 @@
 	uint64_t sequence;
 	uint64_t seed;
 	_Atomic uint32_t in_flight;
-	struct log_limit done_lines;
-	struct log_limit other_lines;
+	struct log_limit done_log_limit;
+	struct log_limit other_log_limit;
 };
 
 /**
@@ -110,7 +110,7 @@
  * @versions: which endpoints get requests, as last told to the decisions
  * @canary: calls that go to a version on trial
  * @list: endpoints last told to the decisions, a reference, or NULL
- * @addresses: endpoint id to index in @list plus one
+ * @endpoint_index: endpoint id to index in @list plus one
  */
 struct entry_service {
 	uint64_t id;
@@ -118,7 +118,7 @@
 	struct service_versions versions;
 	struct canary canary;
 	struct endpoint_list *list;
-	GHashTable *addresses;
+	GHashTable *endpoint_index;
 };
 
 /** enum peer_state - where a connection to a guard stands */
@@ -135,19 +135,19 @@
  * @state: where the connection stands
  * @link: the connection, unless @state is PEER_NONE
  * @incarnation: number of the guard's process, from its hello
- * @first_bytes: bytes of a body that it takes before a credit
+ * @initial_credit_bytes: bytes of a body that it takes before a credit
  * @streams: stream number to struct entry_attempt
  * @waiting: struct entry_attempt that wait for the connection
  * @last_stream: number of the last stream
  * @silence: whether the connection has gone silent
  * @timer: pings, time limit of dialling, closing when idle
- * @used_ms: when a stream was last open
- * @leaving: the guard asked for no more requests
+ * @last_used_ms: when a stream was last open
+ * @stopping: the guard asked for no more requests
  * @endpoints: ids of endpoints that attempts went to there
- * @doubt: nothing is heard from there
- * @doubt_ms: when a ping without answer makes it so; DEADLINE_NEVER
- * @dial_ms: when a dial is given up
- * @redials: dials in a row that failed
+ * @suspected: nothing is heard from there
+ * @suspect_ms: when a ping without answer makes it so; DEADLINE_NEVER
+ * @dial_deadline_ms: when a dial is given up
+ * @failed_dials: dials in a row that failed
  */
 struct entry_peer {
 	struct entry *entry;
@@ -155,19 +155,19 @@
 	enum peer_state state;
 	struct call_link link;
 	uint64_t incarnation;
-	uint32_t first_bytes;
+	uint32_t initial_credit_bytes;
 	GHashTable *streams;
 	GQueue waiting;
 	uint32_t last_stream;
 	struct call_silence silence;
 	struct loop_timer timer;
-	uint64_t used_ms;
-	bool leaving;
+	uint64_t last_used_ms;
+	bool stopping;
 	GArray *endpoints;
-	bool doubt;
-	uint64_t doubt_ms;
-	uint64_t dial_ms;
-	uint32_t redials;
+	bool suspected;
+	uint64_t suspect_ms;
+	uint64_t dial_deadline_ms;
+	uint32_t failed_dials;
 };
 
 /** enum attempt_kind - what a stream is for */
@@ -201,7 +201,7 @@
  * @answer_bytes: bytes of the answer that came
  * @answer_length: length of the answer or BODY_LENGTH_UNKNOWN
  * @committed: the beginning of the answer was given to the caller
- * @whole: the whole answer came
+ * @complete: the whole answer came
  * @ungranted_bytes: consumed by the caller and not granted to the guard yet
  */
 struct entry_attempt {
@@ -228,7 +228,7 @@
 	uint64_t answer_bytes;
 	int64_t answer_length;
 	bool committed;
-	bool whole;
+	bool complete;
 	uint64_t ungranted_bytes;
 };
 
@@ -237,7 +237,7 @@
  * @pieces: GBytes that are held
  * @first: number of the first piece that is held
  * @bytes: bytes that came so far
- * @told: how it ended by the worker's word, behind what waits there
+ * @exchange_end: how it ended by the worker's word, behind what waits there
  * @end: how it ended, behind what is here
  * @held: all of it from the first byte is held
  */
@@ -245,7 +245,7 @@
 	GQueue pieces;
 	uint64_t first;
 	uint64_t bytes;
-	enum exchange_end told;
+	enum exchange_end exchange_end;
 	enum exchange_end end;
 	bool held;
 };
@@ -264,7 +264,7 @@
  * @target_ms: when its answer is worth less, 0 when not told
  * @idempotent: running it twice does no harm
  * @keyed: it has an idempotency key that counts
- * @decision: the state machine
+ * @machine: the state machine
  * @placed: the last placement
  * @placed_host: host of it
  * @placed_version: version of the software there
@@ -273,8 +273,8 @@
  * @attempts: struct entry_attempt, owned
  * @timer: wakes the state machine
  * @free_task: frees the call at the end of the turn
- * @acting: actions are being carried out
- * @over: the exchange has its final word
+ * @running_actions: actions are being carried out
+ * @finished: the exchange has its final word
  */
 struct entry_call {
 	struct entry *entry;
@@ -289,7 +289,7 @@
 	uint64_t target_ms;
 	bool idempotent;
 	bool keyed;
-	struct call *decision;
+	struct call *machine;
 	struct placement_choice placed;
 	char placed_host[HOST_NAME_BYTES];
 	char placed_version[ENDPOINT_VERSION_BYTES];
@@ -298,8 +298,8 @@
 	GPtrArray *attempts;
 	struct loop_timer timer;
 	struct loop_task free_task;
-	bool acting;
-	bool over;
+	bool running_actions;
+	bool finished;
 };
 
 /* entry_service.c */
@@ -355,8 +355,8 @@
 /** entry_attempt_free() - free it; for GPtrArray */
 void entry_attempt_free(void *attempt);
 
-/** entry_attempt_turned_away() - its guard is stopping; nothing was sent */
-void entry_attempt_turned_away(struct entry_attempt *a);
+/** entry_attempt_rejected() - its guard is stopping; nothing was sent */
+void entry_attempt_rejected(struct entry_attempt *a);
 
 /** entry_attempt_start() - the connection is ready: send its first frame */
 void entry_attempt_start(struct entry_attempt *a);
@@ -367,8 +367,8 @@
 /** entry_attempt_end() - it is over: tell the endpoint's record how */
 void entry_attempt_end(struct entry_attempt *a, enum endpoint_result result);
 
-/** entry_attempt_body() - there may be more of the body to send */
-void entry_attempt_body(struct entry_attempt *a);
+/** entry_attempt_send_body() - there may be more of the body to send */
+void entry_attempt_send_body(struct entry_attempt *a);
 
 /** entry_attempt_grant() - the caller consumed @bytes of the answer */
 void entry_attempt_grant(struct entry_attempt *a, uint32_t bytes);
@@ -381,8 +381,8 @@
 /** entry_body_piece() - piece number @i, or NULL when it isn't there (yet) */
 GBytes *entry_body_piece(const struct entry_body *b, uint64_t i);
 
-/** entry_body_done() - pieces before number @i are not needed any more */
-void entry_body_done(struct entry_body *b, uint64_t i);
+/** entry_body_release() - pieces before number @i are not needed any more */
+void entry_body_release(struct entry_body *b, uint64_t i);
 
 /** entry_body_clear() - free what it holds */
 void entry_body_clear(struct entry_body *b);
@@ -395,8 +395,8 @@
 /** entry_call_begin() - a call came in; takes over the reference to @x */
 void entry_call_begin(struct entry *e, struct call_exchange *x);
 
-/** entry_call_news() - something happened at the worker's side */
-void entry_call_news(struct entry_call *c);
+/** entry_call_exchange_event() - something happened at the worker's side */
+void entry_call_exchange_event(struct entry_call *c);
 
 /** entry_call_run() - carry out what the decision wants, after an event */
 void entry_call_run(struct entry_call *c);
@@ -418,17 +418,18 @@
 bool
 entry_behind_refuse(struct entry *e, struct call_exchange *x, uint32_t status);
 
-/** entry_is_late() - whether the time to put a later version in force is up;
+/** entry_is_overdue() - whether the time to put a later version in force is up;
  * hosts that have it are to check what is routed here */
-bool entry_is_late(const struct entry *e);
+bool entry_is_overdue(const struct entry *e);
 
 /**
- * entry_behind_outgrown() - a body is larger than the call's version takes
+ * entry_behind_body_too_large() - a body is larger than the call's version
+ * takes
  *
  * Answers it: the body is too large when no newer version is known of; else
  * the call is to come back, or, once begun, its fate is not known.
  */
-void entry_behind_outgrown(struct entry_call *c);
+void entry_behind_body_too_large(struct entry_call *c);
 
 /* entry_answer.c */
 
@@ -446,9 +447,9 @@
 void entry_answer_refuse(struct call_exchange *x, uint32_t status,
     const char *kind, const char *message);
 
-/** entry_answer_give_up() - final word of a call that has no answer */
+/** entry_answer_failed() - final word of a call that has no answer */
 void
-entry_answer_give_up(struct entry_call *c, const struct call_action *action);
+entry_answer_failed(struct entry_call *c, const struct call_action *action);
 
 /** entry_answer_too_large() - the body outgrew what the service takes */
 void entry_answer_too_large(struct entry_call *c, enum outcome o);
--- a/packages/node/src/entry_service.c
+++ b/packages/node/src/entry_service.c
@@ -31,7 +31,7 @@
 }
 
 static enum endpoint_state
-state_of(enum serving_state s)
+endpoint_state_of(enum serving_state s)
 {
 	switch (s) {
 	case SERVING_STARTING:
@@ -45,7 +45,7 @@
 }
 
 static void
-info_of(const struct entry *e, const struct endpoint *ep,
+fill_info(const struct entry *e, const struct endpoint *ep,
     struct endpoint_info *info)
 {
 	info->id = endpoint_id(ep->host, ep->service);
@@ -54,7 +54,7 @@
 	info->cold_ms = ep->cold_ms;
 	info->host = hash64(ep->host, strlen(ep->host), 0);
 	info->centre = hash64(ep->data_centre, strlen(ep->data_centre), 0);
-	info->state = state_of(ep->state);
+	info->state = endpoint_state_of(ep->state);
 	info->local = g_strcmp0(ep->data_centre, e->settings->data_centre) == 0;
 	info->own = strcmp(ep->host, e->settings->host) == 0;
 }
@@ -84,7 +84,7 @@
 /* Place among the endpoints on trial: those that started first come first, so
  * that later ones don't take their places. */
 static uint32_t
-canary_place(const struct entry_service *s, const struct endpoint *ep)
+canary_rank(const struct entry_service *s, const struct endpoint *ep)
 {
 	uint32_t i, place = 1;
 
@@ -98,20 +98,20 @@
 static void
 set_canary(struct entry *e, struct entry_service *s, uint32_t n_current)
 {
-	bool tries = s->versions.candidate[0] != '\0';
+	bool on_trial = s->versions.candidate[0] != '\0';
 	uint32_t share =
 	    MIN(rollout_share_milli(n_current), e->settings->rollout_share);
 
 	if (s->versions.share_milli != 0)
 		share = s->versions.share_milli;
-	canary_set(&s->canary, tries ? s->versions.order : 0, share,
+	canary_set(&s->canary, on_trial ? s->versions.order : 0, share,
 	    rollout_canaries(n_current, share),
 	    hash64(&s->id, sizeof(s->id), e->seed));
 }
 
 /* Endpoints of a version that is neither current nor on trial are left out. */
 static void
-tell(struct entry *e, struct entry_service *s)
+publish_endpoints(struct entry *e, struct entry_service *s)
 {
 	uint32_t n_listed = s->list != NULL ? s->list->n_endpoints : 0;
 	struct endpoint_info *infos = g_new0(struct endpoint_info, n_listed);
@@ -120,18 +120,19 @@
 	bool current;
 	uint64_t *id;
 
-	g_hash_table_remove_all(s->addresses);
+	g_hash_table_remove_all(s->endpoint_index);
 	for (i = 0; i < n_listed; i++) {
 		ep = &s->list->endpoints[i];
 		current = is_current(&s->versions, ep);
 		if (!current && !is_candidate(&s->versions, ep))
 			continue;
-		info_of(e, ep, &infos[n]);
-		infos[n].canary = current ? 0 : canary_place(s, ep);
+		fill_info(e, ep, &infos[n]);
+		infos[n].canary = current ? 0 : canary_rank(s, ep);
 		n_current += current;
 		id = g_new(uint64_t, 1);
 		*id = infos[n++].id;
-		g_hash_table_insert(s->addresses, id, GUINT_TO_POINTER(i + 1));
+		g_hash_table_insert(
+		    s->endpoint_index, id, GUINT_TO_POINTER(i + 1));
 	}
 	set_canary(e, s, n_current);
 	endpoints_set_service(
@@ -141,7 +142,7 @@
 
 /* Share of the budget that entries spend: calls that a repeated run makes
  * count at the service that they lead to, and nobody counts them ahead. */
-#define OWN_RETRY_PERCENT 75
+#define ENTRY_RETRY_PERCENT 75
 #define PERCENT 100
 
 /*
@@ -150,7 +151,7 @@
  * kept for spans in which nodes join.
  */
 static void
-budget_config(const struct entry *e, const struct service_config *sc,
+fill_retry_config(const struct entry *e, const struct service_config *sc,
     struct retry_config *cfg)
 {
 	uint32_t extra = e->settings->retry_extra;
@@ -161,7 +162,8 @@
 	cfg->budget_percent = sc->retry.budget_percent;
 	if (extra == 0)
 		return;
-	cfg->budget_percent = cfg->budget_percent * OWN_RETRY_PERCENT / PERCENT;
+	cfg->budget_percent =
+	    cfg->budget_percent * ENTRY_RETRY_PERCENT / PERCENT;
 	cfg->burst = MAX(extra / 2 / n_nodes, 1);
 	cfg->reserve_per_s = 0;
 }
@@ -173,9 +175,9 @@
 	struct retry_config cfg;
 
 	s->id = service_id(sc->name);
-	s->addresses =
+	s->endpoint_index =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	budget_config(e, sc, &cfg);
+	fill_retry_config(e, sc, &cfg);
 	retry_budget_init(&s->budget, &cfg, loop_now_ms(e->loop));
 	g_hash_table_insert(e->services, &s->id, s);
 	return s;
@@ -205,17 +207,17 @@
 	uint64_t id = service_id(ss->config->name);
 	struct entry_service *s = g_hash_table_lookup(e->services, &id);
 	struct retry_config cfg;
-	bool fresh = s == NULL;
+	bool is_new = s == NULL;
 
-	if (fresh)
+	if (is_new)
 		s = service_new(e, ss->config);
-	if (fresh || s->list != ss->endpoints ||
+	if (is_new || s->list != ss->endpoints ||
 	    !same_versions(&s->versions, &ss->versions)) {
 		s->versions = ss->versions;
 		set_list(s, ss->endpoints);
-		tell(e, s);
+		publish_endpoints(e, s);
 	}
-	budget_config(e, ss->config, &cfg);
+	fill_retry_config(e, ss->config, &cfg);
 	retry_budget_configure(&s->budget, &cfg);
 	return s;
 }
@@ -223,7 +225,7 @@
 const struct endpoint *
 entry_service_endpoint(const struct entry_service *s, uint64_t id)
 {
-	guint i = GPOINTER_TO_UINT(g_hash_table_lookup(s->addresses, &id));
+	guint i = GPOINTER_TO_UINT(g_hash_table_lookup(s->endpoint_index, &id));
 
 	return i != 0 ? &s->list->endpoints[i - 1] : NULL;
 }
@@ -234,6 +236,6 @@
 	struct entry_service *s = service;
 
 	endpoint_list_unref(s->list);
-	g_hash_table_destroy(s->addresses);
+	g_hash_table_destroy(s->endpoint_index);
 	g_free(s);
 }
--- a/packages/node/test/fixture.h
+++ b/packages/node/test/fixture.h
@@ -61,17 +61,17 @@
 /** fake_upstream_runs() - how often the request with X-Test-Id @id ran */
 int fake_upstream_runs(struct fake_upstream *u, const char *id);
 
-/** fake_upstream_saw() - whether the last request had a header line */
-bool fake_upstream_saw(struct fake_upstream *u, const char *line);
+/** fake_upstream_received() - whether the last request had a header line */
+bool fake_upstream_received(struct fake_upstream *u, const char *line);
 
 /* fixture_link.c: forwards connections, watching the frames. */
 
 /** enum link_fault - what happens when the awaited frame comes */
 enum link_fault {
-	LINK_CUT_BEFORE = 0, /* close; the frame does not arrive */
-	LINK_CUT_AFTER,	     /* close once the frame has been passed on */
-	LINK_MUTE_BEFORE,    /* pass on nothing any more, either way */
-	LINK_MUTE_AFTER,
+	LINK_CUT_BEFORE = 0,   /* close; the frame does not arrive */
+	LINK_CUT_AFTER,	       /* close once the frame has been passed on */
+	LINK_BLACKHOLE_BEFORE, /* pass on nothing any more, either way */
+	LINK_BLACKHOLE_AFTER,
 };
 
 struct fake_link;
--- a/packages/node/test/fixture_link.c
+++ b/packages/node/test/fixture_link.c
@@ -25,15 +25,15 @@
 };
 
 /* Both ways of one connection. */
-struct link_pair {
+struct link_conn {
 	struct fake_link *l;
 	int fds[2];
-	_Atomic bool mute;
-	_Atomic int ways;
+	_Atomic bool blackholed;
+	_Atomic int open_directions;
 };
 
-struct link_way {
-	struct link_pair *pair;
+struct link_direction {
+	struct link_conn *conn;
 	int from;
 };
 
@@ -75,30 +75,31 @@
 }
 
 static bool
-pass(struct link_way *w, const uint8_t *frame, size_t len)
+forward_frame(struct link_direction *w, const uint8_t *frame, size_t len)
 {
-	struct link_pair *p = w->pair;
+	struct link_conn *p = w->conn;
 	int type = frame[HEAD_BYTES - 1];
 	int armed = type;
 	int fault;
 
-	if (p->mute)
+	if (p->blackholed)
 		return true;
 	if (!atomic_compare_exchange_strong(&p->l->armed_type, &armed, 0))
 		return write_all(p->fds[1 - w->from], frame, len);
 	fault = p->l->fault;
-	if (fault == LINK_CUT_AFTER || fault == LINK_MUTE_AFTER)
+	if (fault == LINK_CUT_AFTER || fault == LINK_BLACKHOLE_AFTER)
 		(void)write_all(p->fds[1 - w->from], frame, len);
-	p->mute = fault == LINK_MUTE_BEFORE || fault == LINK_MUTE_AFTER;
+	p->blackholed =
+	    fault == LINK_BLACKHOLE_BEFORE || fault == LINK_BLACKHOLE_AFTER;
 	p->l->hit = true;
-	return p->mute;
+	return p->blackholed;
 }
 
 static void *
 forward(void *arg)
 {
-	struct link_way *w = arg;
-	struct link_pair *p = w->pair;
+	struct link_direction *w = arg;
+	struct link_conn *p = w->conn;
 	uint8_t *buf = g_malloc(BUF_BYTES);
 	uint32_t len;
 
@@ -108,16 +109,16 @@
 		if (len > BUF_BYTES - HEAD_BYTES || len == 0 ||
 		    !read_all(p->fds[w->from], buf + HEAD_BYTES, len - 1))
 			break;
-		if (!pass(w, buf, HEAD_BYTES + len - 1))
+		if (!forward_frame(w, buf, HEAD_BYTES + len - 1))
 			break;
 	}
-	if (!p->mute) {
+	if (!p->blackholed) {
 		(void)shutdown(p->fds[0], SHUT_RDWR);
 		(void)shutdown(p->fds[1], SHUT_RDWR);
 	}
 	g_free(buf);
 	g_free(w);
-	if (atomic_fetch_sub(&p->ways, 1) == 1) {
+	if (atomic_fetch_sub(&p->open_directions, 1) == 1) {
 		close(p->fds[0]);
 		close(p->fds[1]);
 		link_unref(p->l);
@@ -127,12 +128,12 @@
 }
 
 static void
-start_way(struct link_pair *p, int from)
+start_direction(struct link_conn *p, int from)
 {
-	struct link_way *w = g_new0(struct link_way, 1);
+	struct link_direction *w = g_new0(struct link_direction, 1);
 	pthread_t thread;
 
-	w->pair = p;
+	w->conn = p;
 	w->from = from;
 	must(pthread_create(&thread, NULL, forward, w) == 0);
 	(void)pthread_detach(thread);
@@ -142,14 +143,14 @@
 accept_all(void *arg)
 {
 	struct fake_link *l = arg;
-	struct link_pair *p;
+	struct link_conn *p;
 	int fd;
 
 	while ((fd = accept(l->fd, NULL, NULL)) >= 0) {
 		l->connections++;
-		p = g_new0(struct link_pair, 1);
+		p = g_new0(struct link_conn, 1);
 		p->l = l;
-		p->ways = 2;
+		p->open_directions = 2;
 		p->fds[0] = fd;
 		p->fds[1] = caller_connect(l->to);
 		if (p->fds[1] < 0) {
@@ -158,8 +159,8 @@
 			continue;
 		}
 		l->refs++;
-		start_way(p, 0);
-		start_way(p, 1);
+		start_direction(p, 0);
+		start_direction(p, 1);
 	}
 	return NULL;
 }
--- a/packages/node/test/fixture_upstream.c
+++ b/packages/node/test/fixture_upstream.c
@@ -21,7 +21,7 @@
 	struct fake_upstream *u;
 	int fd;
 	char buf[BUF_BYTES];
-	size_t have;
+	size_t buffered;
 };
 
 static size_t
@@ -29,11 +29,11 @@
 {
 	ssize_t n;
 
-	if (c->have > 0) {
-		n = (ssize_t)MIN(max, c->have);
+	if (c->buffered > 0) {
+		n = (ssize_t)MIN(max, c->buffered);
 		memcpy(to, c->buf, (size_t)n);
-		memmove(c->buf, c->buf + n, c->have - (size_t)n);
-		c->have -= (size_t)n;
+		memmove(c->buf, c->buf + n, c->buffered - (size_t)n);
+		c->buffered -= (size_t)n;
 		return (size_t)n;
 	}
 	n = recv(c->fd, to, max, 0);
@@ -58,7 +58,7 @@
 			continue;
 		n = head->len - (size_t)(end + 4 - head->str);
 		memcpy(c->buf, end + 4, n);
-		c->have = n;
+		c->buffered = n;
 		g_string_set_size(head, head->len - n);
 		return true;
 	}
@@ -124,7 +124,7 @@
 }
 
 static unsigned long
-number(const char *head, const char *name)
+query_number(const char *head, const char *name)
 {
 	const char *at = strstr(head, name);
 
@@ -152,7 +152,7 @@
 }
 
 static void
-put(int fd, const void *data, size_t len)
+send_all(int fd, const void *data, size_t len)
 {
 	const char *p = data;
 	ssize_t n;
@@ -180,7 +180,7 @@
 }
 
 static void
-put_pattern(int fd, size_t len, bool chunked, bool whole)
+send_pattern(int fd, size_t len, bool chunked, bool whole)
 {
 	char line[16];
 	size_t n;
@@ -189,23 +189,23 @@
 		n = MIN(len, PATTERN_BYTES);
 		(void)snprintf(line, sizeof(line), "%zx\r\n", n);
 		if (chunked)
-			put(fd, line, strlen(line));
-		put(fd, pattern(), n);
+			send_all(fd, line, strlen(line));
+		send_all(fd, pattern(), n);
 		if (chunked)
-			put(fd, "\r\n", 2);
+			send_all(fd, "\r\n", 2);
 		len -= n;
 	}
 	if (chunked && whole)
-		put(fd, "0\r\n\r\n", 5);
+		send_all(fd, "0\r\n\r\n", 5);
 }
 
 static const char no_content[] = "HTTP/1.1 204 No Content\r\n\r\n";
 
-static const char endless[] = "HTTP/1.1 200 OK\r\n\r\n";
+static const char head_until_close[] = "HTTP/1.1 200 OK\r\n\r\n";
 
 /* Nobody can take what was sent for whole. */
 static void
-reset(int fd)
+set_reset_on_close(int fd)
 {
 	struct linger hard = {.l_onoff = 1};
 
@@ -216,7 +216,7 @@
 static bool
 answer(struct upstream_conn *c, const char *head, uint64_t sum, size_t total)
 {
-	size_t bytes = number(head, "bytes=");
+	size_t bytes = query_number(head, "bytes=");
 	char line[128], text[64];
 
 	if (strstr(head, "do=close") != NULL)
@@ -225,7 +225,7 @@
 		(void)snprintf(line, sizeof(line),
 		    "HTTP/1.1 503 Shed\r\n"
 		    "Bramley-Fate: not_run\r\nContent-Length: 0\r\n\r\n");
-		put(c->fd, line, strlen(line));
+		send_all(c->fd, line, strlen(line));
 		return true;
 	}
 	if (strstr(head, "do=sum") != NULL) {
@@ -235,25 +235,25 @@
 		    "HTTP/1.1 200 OK\r\n"
 		    "Content-Length: %zu\r\n\r\n%s",
 		    strlen(text), text);
-		put(c->fd, line, strlen(line));
+		send_all(c->fd, line, strlen(line));
 		return true;
 	}
 	if (strstr(head, "do=ends") != NULL) {
-		put(c->fd, endless, strlen(endless));
-		put_pattern(c->fd, bytes, false, true);
+		send_all(c->fd, head_until_close, strlen(head_until_close));
+		send_pattern(c->fd, bytes, false, true);
 		if (strstr(head, "reset=1") != NULL)
-			reset(c->fd);
+			set_reset_on_close(c->fd);
 		return false;
 	}
 	if (strstr(head, "do=empty") != NULL) {
-		put(c->fd, no_content, strlen(no_content));
+		send_all(c->fd, no_content, strlen(no_content));
 		return true;
 	}
 	if (strstr(head, "do=chunked") != NULL) {
 		(void)snprintf(line, sizeof(line),
 		    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-		put(c->fd, line, strlen(line));
-		put_pattern(c->fd, bytes, true, strstr(head, "cut=1") == NULL);
+		send_all(c->fd, line, strlen(line));
+		send_pattern(c->fd, bytes, true, strstr(head, "cut=1") == NULL);
 		return strstr(head, "cut=1") == NULL;
 	}
 	(void)snprintf(line, sizeof(line),
@@ -263,16 +263,16 @@
 	(void)send(c->fd, line, strlen(line),
 	    MSG_NOSIGNAL | (bytes > 0 ? MSG_MORE : 0));
 	if (strstr(head, "do=cut") != NULL) {
-		put_pattern(c->fd, bytes / 2, false, true);
+		send_pattern(c->fd, bytes / 2, false, true);
 		return false;
 	}
-	put_pattern(c->fd, bytes, false, true);
+	send_pattern(c->fd, bytes, false, true);
 	return true;
 }
 
 /* Reads nothing, so it can't even see the other side close. */
 static void
-be_deaf(const struct fake_upstream *u)
+wait_for_stop(const struct fake_upstream *u)
 {
 	while (!u->stopping)
 		g_usleep(1000);
@@ -289,7 +289,7 @@
 
 	while (more && read_head(c, head)) {
 		if (strstr(head->str, "do=deaf") != NULL) {
-			be_deaf(c->u);
+			wait_for_stop(c->u);
 			break;
 		}
 		if (!read_body(c, head->str, &sum, &total))
@@ -297,7 +297,7 @@
 		c->u->running++;
 		if (strstr(head->str, "do=shed") == NULL)
 			count_run(c->u, head->str);
-		g_usleep(number(head->str, "ms=") * 1000);
+		g_usleep(query_number(head->str, "ms=") * 1000);
 		more = answer(c, head->str, sum, total);
 		c->u->running--;
 	}
@@ -378,7 +378,7 @@
 }
 
 bool
-fake_upstream_saw(struct fake_upstream *u, const char *line)
+fake_upstream_received(struct fake_upstream *u, const char *line)
 {
 	bool saw;
 
--- a/packages/node/test/test_call_behind.c
+++ b/packages/node/test/test_call_behind.c
@@ -18,7 +18,7 @@
 #define HUGE_BYTES 20000
 
 /* Until what was posted to the traffic thread has been taken in. */
-#define TAKEN_US 50000
+#define POSTED_WAIT_US 50000
 
 static const char json[] =
     "{\"format\":1,\"name\":\"test\",\"services\":["
@@ -32,17 +32,17 @@
 static struct test_node *node;
 
 static void
-know(uint64_t version)
+set_known_version(uint64_t version)
 {
 	entry_version_known(node->entry, version);
-	g_usleep(TAKEN_US);
+	g_usleep(POSTED_WAIT_US);
 }
 
 static void
 start(void)
 {
 	test_host_start(json, &upstream, &node);
-	know(IN_FORCE);
+	set_known_version(IN_FORCE);
 }
 
 static void
@@ -52,7 +52,8 @@
 }
 
 static void
-must_be(const char *what, const struct reply *r, int status, const char *fate)
+check_reply(
+    const char *what, const struct reply *r, int status, const char *fate)
 {
 	ck_assert_msg(r->status == status && strcmp(r->fate, fate) == 0,
 	    "%s: %d %s", what, r->status, r->fate);
@@ -61,34 +62,34 @@
 }
 
 /**
- * struct wrong - a request that the version in force doesn't take
+ * struct refused_request - a request that the version in force doesn't take
  * @method: its method
  * @path: its path
  * @bytes: length of its body
  * @status: what it is told when no newer version is known
  */
-struct wrong {
+struct refused_request {
 	const char *method;
 	const char *path;
 	size_t bytes;
 	int status;
 };
 
-static const struct wrong wrongs[] = {
+static const struct refused_request unroutable[] = {
     {"GET", "/none", 0, 404},
     {"POST", "/look/x", 4, 405},
     {"PUT", "/up/x", 101, 413},
 };
 
 static void
-ask(const struct wrong *w, int status)
+check_request(const struct refused_request *w, int status)
 {
 	char *body = g_strnfill(w->bytes, 'x');
 	struct reply r;
 
 	ck_assert(caller_call(callers_port(node->callers), w->method, w->path,
 	    "X-Test-Id: w\r\n", w->bytes > 0 ? body : NULL, w->bytes, &r));
-	must_be(w->path, &r, status, "not_run");
+	check_reply(w->path, &r, status, "not_run");
 	if (status == 503)
 		ck_assert_str_eq(r.version, "1");
 	ck_assert_int_eq(fake_upstream_runs(upstream, "w"), 0);
@@ -96,39 +97,39 @@
 	g_free(body);
 }
 
-START_TEST(what_a_newer_version_may_take_is_to_come_back)
+START_TEST(refused_request_gets_retry_while_newer_version_is_known)
 {
 	size_t i;
 
 	start();
-	for (i = 0; i < G_N_ELEMENTS(wrongs); i++)
-		ask(&wrongs[i], wrongs[i].status);
-	know(NEWER);
-	for (i = 0; i < G_N_ELEMENTS(wrongs); i++)
-		ask(&wrongs[i], 503);
-	know(IN_FORCE);
-	for (i = 0; i < G_N_ELEMENTS(wrongs); i++)
-		ask(&wrongs[i], wrongs[i].status);
+	for (i = 0; i < G_N_ELEMENTS(unroutable); i++)
+		check_request(&unroutable[i], unroutable[i].status);
+	set_known_version(NEWER);
+	for (i = 0; i < G_N_ELEMENTS(unroutable); i++)
+		check_request(&unroutable[i], 503);
+	set_known_version(IN_FORCE);
+	for (i = 0; i < G_N_ELEMENTS(unroutable); i++)
+		check_request(&unroutable[i], unroutable[i].status);
 	stop();
 }
 END_TEST
 
-START_TEST(what_is_in_force_goes_on)
+START_TEST(routed_request_is_served_while_newer_version_is_known)
 {
 	struct reply r;
 
 	start();
-	know(NEWER);
+	set_known_version(NEWER);
 	ck_assert(caller_call(callers_port(node->callers), "GET",
 	    "/look/x?bytes=26", NULL, NULL, 0, &r));
-	must_be("/look", &r, 200, "done");
+	check_reply("/look", &r, 200, "done");
 	reply_clear(&r);
 	stop();
 }
 END_TEST
 
 static void
-ask_with_head(size_t bytes, int status)
+check_head(size_t bytes, int status)
 {
 	char *large = g_strnfill(bytes, 'x');
 	char *head = g_strdup_printf("X-Large: %s\r\n", large);
@@ -136,27 +137,27 @@
 
 	ck_assert(caller_call(
 	    callers_port(node->callers), "GET", "/look/x", head, NULL, 0, &r));
-	must_be("head", &r, status, "not_run");
+	check_reply("head", &r, status, "not_run");
 	reply_clear(&r);
 	g_free(head);
 	g_free(large);
 }
 
-START_TEST(a_head_that_a_newer_version_may_take_is_to_come_back)
+START_TEST(large_head_gets_retry_while_newer_version_is_known)
 {
 	start();
-	ask_with_head(LARGE_BYTES, 431);
-	know(NEWER);
-	ask_with_head(LARGE_BYTES, 503);
-	know(IN_FORCE);
-	ask_with_head(LARGE_BYTES, 431);
+	check_head(LARGE_BYTES, 431);
+	set_known_version(NEWER);
+	check_head(LARGE_BYTES, 503);
+	set_known_version(IN_FORCE);
+	check_head(LARGE_BYTES, 431);
 	stop();
 }
 END_TEST
 
 /* Sent in pieces, so that its length isn't known before. */
 static void
-ask_with_growing_body(int status)
+check_growing_body(int status)
 {
 	static const char chunk[] = "c8\r\n";
 	char *body = g_strnfill(200, 'x');
@@ -170,29 +171,29 @@
 	ck_assert(write(fd, body, 200) == 200);
 	ck_assert(write(fd, "\r\n0\r\n\r\n", 7) == 7);
 	ck_assert(caller_read(fd, &r));
-	must_be("body", &r, status, "unknown");
+	check_reply("body", &r, status, "unknown");
 	reply_clear(&r);
 	close(fd);
 	g_free(body);
 }
 
-START_TEST(a_body_that_outgrows_an_old_limit_is_not_called_wrong)
+START_TEST(body_over_limit_is_unknown_while_newer_version_is_known)
 {
 	start();
-	ask_with_growing_body(413);
-	know(NEWER);
-	ask_with_growing_body(504);
+	check_growing_body(413);
+	set_known_version(NEWER);
+	check_growing_body(504);
 	stop();
 }
 END_TEST
 
-START_TEST(nothing_is_known_to_be_wrong_without_a_version)
+START_TEST(large_head_gets_retry_without_configuration)
 {
 	start();
 	snapshot_ref_publish(NULL);
 	entry_snapshot_changed(node->entry);
-	g_usleep(TAKEN_US);
-	ask_with_head(HUGE_BYTES, 503);
+	g_usleep(POSTED_WAIT_US);
+	check_head(HUGE_BYTES, 503);
 	stop();
 }
 END_TEST
@@ -201,11 +202,11 @@
 main(void)
 {
 	const TTest *const tests[] = {
-	    what_a_newer_version_may_take_is_to_come_back,
-	    what_is_in_force_goes_on,
-	    a_head_that_a_newer_version_may_take_is_to_come_back,
-	    a_body_that_outgrows_an_old_limit_is_not_called_wrong,
-	    nothing_is_known_to_be_wrong_without_a_version, NULL};
+	    refused_request_gets_retry_while_newer_version_is_known,
+	    routed_request_is_served_while_newer_version_is_known,
+	    large_head_gets_retry_while_newer_version_is_known,
+	    body_over_limit_is_unknown_while_newer_version_is_known,
+	    large_head_gets_retry_without_configuration, NULL};
 
 	return fixture_main("call behind", tests);
 }
--- a/packages/node/test/test_call_drain.c
+++ b/packages/node/test/test_call_drain.c
@@ -19,7 +19,7 @@
 static uint16_t fixed_port;
 
 static void
-fix_port(struct settings *s)
+set_call_port(struct settings *s)
 {
 	s->call_port = fixed_port;
 }
@@ -53,28 +53,28 @@
 }
 
 /**
- * struct tally - what a caller was told
+ * struct outcome_counts - what a caller was told
  * @done: answers
  * @not_run: refusals
- * @bad: unknown fates and answers that are not whole
+ * @unknown: unknown fates and answers that are not whole
  */
-struct tally {
+struct outcome_counts {
 	_Atomic int done;
 	int not_run;
-	int bad;
+	int unknown;
 };
 
 static void *
 caller_main(void *arg)
 {
-	struct tally *t = arg;
+	struct outcome_counts *t = arg;
 	struct reply r;
 
 	while (!stopping) {
 		if (!caller_call(callers_port(nodes[0]->callers), "POST",
 			"/book/x?ms=3", NULL, "seat", 4, &r) ||
 		    !r.whole || strcmp(r.fate, "unknown") == 0)
-			t->bad++;
+			t->unknown++;
 		else if (r.status == 200)
 			t->done++;
 		else
@@ -88,7 +88,7 @@
 static int
 all_served(void *arg)
 {
-	const struct tally *t = arg;
+	const struct outcome_counts *t = arg;
 	int i;
 
 	for (i = 0; i < CALLERS; i++)
@@ -98,35 +98,35 @@
 }
 
 static int
-requests(void *arg)
+requests_in_flight(void *arg)
 {
 	return (int)guard_in_flight(((struct test_node *)arg)->guard);
 }
 
-START_TEST(a_guard_that_stops_under_load_leaves_no_fate_unknown)
+START_TEST(guard_stop_under_load_leaves_no_unknown_outcome)
 {
-	struct tally tallies[CALLERS] = {0};
+	struct outcome_counts counts[CALLERS] = {0};
 	pthread_t threads[CALLERS];
 	int i;
 
 	start(2);
 	for (i = 0; i < CALLERS; i++)
 		ck_assert_int_eq(
-		    pthread_create(&threads[i], NULL, caller_main, &tallies[i]),
+		    pthread_create(&threads[i], NULL, caller_main, &counts[i]),
 		    0);
 	/* The guard is to stop while all of them call. */
-	ck_assert(test_wait_int(all_served, tallies, 1));
+	ck_assert(test_wait_int(all_served, counts, 1));
 	g_usleep(200000);
 	guard_drain(nodes[1]->guard, clock_now_ms() + 5000);
-	ck_assert(test_wait_int(requests, nodes[1], 0));
+	ck_assert(test_wait_int(requests_in_flight, nodes[1], 0));
 	traffic_thread_stop(nodes[1]->traffic);
 	g_usleep(100000);
 	stopping = true;
 	for (i = 0; i < CALLERS; i++) {
 		pthread_join(threads[i], NULL);
-		ck_assert_int_gt(tallies[i].done, 0);
-		ck_assert_int_eq(tallies[i].bad, 0);
-		ck_assert_int_eq(tallies[i].not_run, 0);
+		ck_assert_int_gt(counts[i].done, 0);
+		ck_assert_int_eq(counts[i].unknown, 0);
+		ck_assert_int_eq(counts[i].not_run, 0);
 	}
 	stop();
 }
@@ -147,7 +147,7 @@
 }
 
 /* The new process can't know what the old one ran. */
-START_TEST(a_guard_replaced_at_its_address_vouches_for_nothing)
+START_TEST(replaced_guard_leaves_outcome_unknown)
 {
 	struct test_node *other;
 	struct reply r;
@@ -159,7 +159,7 @@
 	ck_assert(test_wait_int(running, upstreams[1], 1));
 	test_node_stop(nodes[1]);
 	nodes[1] = NULL;
-	other = test_node_start("h2", fix_port);
+	other = test_node_start("h2", set_call_port);
 	test_node_upstream(other, upstreams[1]->port, SERVING_READY);
 	pthread_join(thread, NULL);
 	ck_assert_int_eq(r.status, 504);
@@ -175,8 +175,8 @@
 main(void)
 {
 	const TTest *const tests[] = {
-	    a_guard_that_stops_under_load_leaves_no_fate_unknown,
-	    a_guard_replaced_at_its_address_vouches_for_nothing, NULL};
+	    guard_stop_under_load_leaves_no_unknown_outcome,
+	    replaced_guard_leaves_outcome_unknown, NULL};
 
 	return fixture_main("call drain", tests);
 }
--- a/packages/node/test/test_call_heads.c
+++ b/packages/node/test/test_call_heads.c
@@ -9,7 +9,7 @@
 #include "fixture.h"
 
 /* Below the limit of the configuration, above those of single lines. */
-#define LINES 600
+#define HEADERS 600
 #define NAME_BYTES 300
 #define VALUE_BYTES 40000
 #define PATH_BYTES 20000
@@ -40,7 +40,7 @@
 }
 
 static int
-ask(const char *path, const char *headers)
+get_status(const char *path, const char *headers)
 {
 	struct reply r;
 	int status;
@@ -52,23 +52,23 @@
 	return status;
 }
 
-START_TEST(many_lines_are_taken)
+START_TEST(many_headers_are_accepted)
 {
 	GString *lines = g_string_new(NULL);
 	int i;
 
-	for (i = 0; i < LINES; i++)
+	for (i = 0; i < HEADERS; i++)
 		g_string_append_printf(lines, "X-%d: v%d\r\n", i, i);
 	start();
-	ck_assert_int_eq(ask("/look/x", lines->str), 200);
-	ck_assert(fake_upstream_saw(upstream, "X-0: v0"));
-	ck_assert(fake_upstream_saw(upstream, "X-599: v599"));
+	ck_assert_int_eq(get_status("/look/x", lines->str), 200);
+	ck_assert(fake_upstream_received(upstream, "X-0: v0"));
+	ck_assert(fake_upstream_received(upstream, "X-599: v599"));
 	stop();
 	g_string_free(lines, TRUE);
 }
 END_TEST
 
-START_TEST(long_lines_are_taken)
+START_TEST(long_headers_are_accepted)
 {
 	char *name = g_strnfill(NAME_BYTES, 'n');
 	char *value = g_strnfill(VALUE_BYTES, 'v');
@@ -76,8 +76,8 @@
 	char *lines = g_strdup_printf("%s\r\n", line);
 
 	start();
-	ck_assert_int_eq(ask("/look/x", lines), 200);
-	ck_assert(fake_upstream_saw(upstream, line));
+	ck_assert_int_eq(get_status("/look/x", lines), 200);
+	ck_assert(fake_upstream_received(upstream, line));
 	stop();
 	g_free(lines);
 	g_free(line);
@@ -87,36 +87,36 @@
 END_TEST
 
 /* A list of thousands of names meets thousands of lines. */
-START_TEST(lines_named_by_connection_stay_here)
+START_TEST(connection_options_are_not_forwarded)
 {
 	GString *lines = g_string_new("Connection: keep-alive,, x-0 ,\tX-2");
 	int i;
 
-	for (i = 0; i < LINES; i++)
+	for (i = 0; i < HEADERS; i++)
 		g_string_append_printf(lines, ",Y-%d", i);
 	g_string_append(lines, "\r\n");
-	for (i = 0; i < LINES; i++)
+	for (i = 0; i < HEADERS; i++)
 		g_string_append_printf(
 		    lines, "X-%d: v%d\r\nY-%d: w\r\n", i, i, i);
 	start();
-	ck_assert_int_eq(ask("/look/x", lines->str), 200);
-	ck_assert(!fake_upstream_saw(upstream, "X-0: v0"));
-	ck_assert(fake_upstream_saw(upstream, "X-1: v1"));
-	ck_assert(!fake_upstream_saw(upstream, "X-2: v2"));
-	ck_assert(fake_upstream_saw(upstream, "X-20: v20"));
-	ck_assert(!fake_upstream_saw(upstream, "\nY-"));
+	ck_assert_int_eq(get_status("/look/x", lines->str), 200);
+	ck_assert(!fake_upstream_received(upstream, "X-0: v0"));
+	ck_assert(fake_upstream_received(upstream, "X-1: v1"));
+	ck_assert(!fake_upstream_received(upstream, "X-2: v2"));
+	ck_assert(fake_upstream_received(upstream, "X-20: v20"));
+	ck_assert(!fake_upstream_received(upstream, "\nY-"));
 	stop();
 	g_string_free(lines, TRUE);
 }
 END_TEST
 
-START_TEST(a_long_path_is_taken)
+START_TEST(long_path_is_accepted)
 {
 	char *rest = g_strnfill(PATH_BYTES, 'p');
 	char *path = g_strdup_printf("/look/%s", rest);
 
 	start();
-	ck_assert_int_eq(ask(path, NULL), 200);
+	ck_assert_int_eq(get_status(path, NULL), 200);
 	stop();
 	g_free(path);
 	g_free(rest);
@@ -124,13 +124,13 @@
 END_TEST
 
 /* The whole head is bounded all the same. */
-START_TEST(a_head_above_the_limit_is_refused)
+START_TEST(head_above_limit_is_refused)
 {
 	char *value = g_strnfill(VALUE_BYTES, 'v');
 	char *lines = g_strdup_printf("A: %s\r\nB: %s\r\n", value, value);
 
 	start();
-	ck_assert_int_eq(ask("/look/x", lines), 431);
+	ck_assert_int_eq(get_status("/look/x", lines), 431);
 	stop();
 	g_free(lines);
 	g_free(value);
@@ -138,16 +138,16 @@
 END_TEST
 
 /**
- * struct row - a request and what it is told
+ * struct status_case - a request and what it is told
  * @text: its target, or the value of a header
  * @status: HTTP status
  */
-struct row {
+struct status_case {
 	const char *text;
 	int status;
 };
 
-static const struct row deadlines[] = {
+static const struct status_case deadlines[] = {
     {"2500", 200},
     {"2500.75", 200},
     {"2500.", 200},
@@ -160,7 +160,7 @@
     {".", 400},
 };
 
-START_TEST(deadlines_are_taken_as_decimals)
+START_TEST(decimal_deadlines_are_accepted)
 {
 	char *line;
 	size_t i;
@@ -169,7 +169,8 @@
 	for (i = 0; i < G_N_ELEMENTS(deadlines); i++) {
 		line = g_strdup_printf(
 		    "Bramley-Deadline-Ms: %s\r\n", deadlines[i].text);
-		ck_assert_msg(ask("/look/x", line) == deadlines[i].status, "%s",
+		ck_assert_msg(
+		    get_status("/look/x", line) == deadlines[i].status, "%s",
 		    deadlines[i].text);
 		g_free(line);
 	}
@@ -177,7 +178,7 @@
 }
 END_TEST
 
-static const struct row targets[] = {
+static const struct status_case targets[] = {
     {"http://named.example/named/x", 200},
     {"HTTP://named.example:8080/named/x?bytes=3", 200},
     {"https://named.example/named/x", 200},
@@ -189,26 +190,29 @@
     {"ftp://named.example/named/x", 400},
 };
 
-START_TEST(a_target_with_a_host_is_taken)
+START_TEST(absolute_form_target_is_accepted)
 {
 	size_t i;
 
 	start();
 	for (i = 0; i < G_N_ELEMENTS(targets); i++)
-		ck_assert_msg(ask(targets[i].text, NULL) == targets[i].status,
+		ck_assert_msg(
+		    get_status(targets[i].text, NULL) == targets[i].status,
 		    "%s", targets[i].text);
 	stop();
 }
 END_TEST
 
 /* The caller said "Host: test"; who is asked is the host of the target. */
-START_TEST(the_host_of_a_target_replaces_the_header)
+START_TEST(absolute_form_host_replaces_host_header)
 {
 	start();
-	ck_assert_int_eq(ask("http://named.example/named/x?a=b", NULL), 200);
-	ck_assert(fake_upstream_saw(upstream, "GET /named/x?a=b HTTP/1.1"));
-	ck_assert(fake_upstream_saw(upstream, "Host: named.example"));
-	ck_assert(!fake_upstream_saw(upstream, "Host: test"));
+	ck_assert_int_eq(
+	    get_status("http://named.example/named/x?a=b", NULL), 200);
+	ck_assert(
+	    fake_upstream_received(upstream, "GET /named/x?a=b HTTP/1.1"));
+	ck_assert(fake_upstream_received(upstream, "Host: named.example"));
+	ck_assert(!fake_upstream_received(upstream, "Host: test"));
 	stop();
 }
 END_TEST
@@ -216,11 +220,11 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {many_lines_are_taken,
-	    long_lines_are_taken, lines_named_by_connection_stay_here,
-	    a_long_path_is_taken, a_head_above_the_limit_is_refused,
-	    deadlines_are_taken_as_decimals, a_target_with_a_host_is_taken,
-	    the_host_of_a_target_replaces_the_header, NULL};
+	const TTest *const tests[] = {many_headers_are_accepted,
+	    long_headers_are_accepted, connection_options_are_not_forwarded,
+	    long_path_is_accepted, head_above_limit_is_refused,
+	    decimal_deadlines_are_accepted, absolute_form_target_is_accepted,
+	    absolute_form_host_replaces_host_header, NULL};
 
 	return fixture_main("call heads", tests);
 }
--- a/packages/node/test/test_call_keys.c
+++ b/packages/node/test/test_call_keys.c
@@ -11,14 +11,14 @@
 
 #define WINDOW_MS 1000
 #define SUSPICION_MS 100
-#define OLD_MS (WINDOW_MS + 3 * SUSPICION_MS)
+#define START_WAIT_MS (WINDOW_MS + 3 * SUSPICION_MS)
 
 static struct fake_upstream *upstreams[2];
 static struct test_node *nodes[2];
 static struct fake_endpoint endpoints[2];
 
 static void
-tweak(struct settings *s)
+set_short_windows(struct settings *s)
 {
 	s->fate_window_ms = WINDOW_MS;
 	s->suspicion_ms = SUSPICION_MS;
@@ -33,14 +33,14 @@
 
 	for (i = 0; i < 2; i++) {
 		upstreams[i] = fake_upstream_start();
-		nodes[i] = test_node_start(hosts[i], tweak);
+		nodes[i] = test_node_start(hosts[i], set_short_windows);
 		endpoints[i].host = hosts[i];
 		endpoints[i].port = guard_addr(nodes[i]->guard).port;
 	}
 	test_snapshot(endpoints, n);
 	for (i = 0; i < 2; i++)
 		test_node_upstream(nodes[i], upstreams[i]->port, SERVING_READY);
-	g_usleep(OLD_MS * 1000);
+	g_usleep(START_WAIT_MS * 1000);
 }
 
 static void
@@ -76,7 +76,7 @@
 }
 
 static void
-expect(int through, const char *key, const char *body, int status,
+expect_reply(int through, const char *key, const char *body, int status,
     const char *fate)
 {
 	struct reply r;
@@ -95,9 +95,9 @@
 	start(2);
 	for (i = 0; i < 8; i++) {
 		(void)snprintf(key, sizeof(key), "k%d", i);
-		expect(0, key, "seat 1", 200, "done");
-		expect(1, key, "seat 1", 200, "done");
-		expect(0, key, "seat 2", 409, "not_run");
+		expect_reply(0, key, "seat 1", 200, "done");
+		expect_reply(1, key, "seat 1", 200, "done");
+		expect_reply(0, key, "seat 2", 409, "not_run");
 		ck_assert_int_eq(runs(key), 1);
 	}
 	stop();
@@ -133,7 +133,7 @@
 END_TEST
 
 /* What ran at the earlier home is not run again; what did not, may be. */
-START_TEST(a_new_home_asks_the_earlier_one)
+START_TEST(new_home_resolves_keys_of_the_earlier_one)
 {
 	struct reply r;
 	char key[16];
@@ -142,7 +142,7 @@
 	start(1);
 	for (i = 0; i < 12; i++) {
 		(void)snprintf(key, sizeof(key), "k%d", i);
-		expect(0, key, "seat", 200, "done");
+		expect_reply(0, key, "seat", 200, "done");
 	}
 	test_snapshot(endpoints, 2);
 	g_usleep(50000);
@@ -154,7 +154,7 @@
 		settled += r.status == 200;
 		reply_clear(&r);
 		(void)snprintf(key, sizeof(key), "n%d", i);
-		expect(1, key, "seat", 200, "done");
+		expect_reply(1, key, "seat", 200, "done");
 		ck_assert_int_eq(runs(key), 1);
 	}
 	ck_assert_int_lt(settled, 12);
@@ -168,7 +168,7 @@
 {
 	const TTest *const tests[] = {a_repeated_key_gets_the_first_answer,
 	    a_key_repeated_while_it_runs_gets_the_same_answer,
-	    a_new_home_asks_the_earlier_one, NULL};
+	    new_home_resolves_keys_of_the_earlier_one, NULL};
 
 	return fixture_main("call keys", tests);
 }
--- a/packages/node/test/test_call_path.c
+++ b/packages/node/test/test_call_path.c
@@ -48,10 +48,12 @@
 	ck_assert_uint_eq(r.body->len, 26);
 	ck_assert_int_eq(memcmp(r.body->data, "abcdefghijklm", 13), 0);
 	ck_assert_int_eq(fake_upstream_runs(upstream, "a"), 1);
-	ck_assert(fake_upstream_saw(upstream, "GET /look/x?bytes=26 HTTP"));
-	ck_assert(fake_upstream_saw(upstream, "\r\nBramley-Request-Id: "));
-	ck_assert(fake_upstream_saw(upstream, "\r\nBramley-Deadline-Ms: "));
-	ck_assert(!fake_upstream_saw(upstream, "\r\nTE: "));
+	ck_assert(
+	    fake_upstream_received(upstream, "GET /look/x?bytes=26 HTTP"));
+	ck_assert(fake_upstream_received(upstream, "\r\nBramley-Request-Id: "));
+	ck_assert(
+	    fake_upstream_received(upstream, "\r\nBramley-Deadline-Ms: "));
+	ck_assert(!fake_upstream_received(upstream, "\r\nTE: "));
 	reply_clear(&r);
 	stop();
 }
@@ -94,7 +96,7 @@
     {"POST", "/book/x?bytes=3000000", 200, "done", 3000000, 1},
 };
 
-START_TEST(a_caller_is_told_what_happened)
+START_TEST(outcome_is_reported_to_the_caller)
 {
 	const struct answer_case *a;
 	char headers[64], id[16];
@@ -128,7 +130,7 @@
 }
 END_TEST
 
-START_TEST(a_long_answer_that_breaks_off_does_not_look_whole)
+START_TEST(truncated_answer_is_not_complete)
 {
 	static const char *const paths[] = {"/look/x?do=cut&bytes=2000000",
 	    "/look/x?do=chunked&cut=1&bytes=2000000"};
@@ -147,7 +149,7 @@
 END_TEST
 
 /* There the end of an answer may be told by the end of the connection. */
-START_TEST(an_old_caller_sees_a_cut_as_a_reset)
+START_TEST(http_1_0_caller_gets_reset_for_truncated_answer)
 {
 	static const char *const paths[] = {
 	    "GET /look/x?do=chunked&bytes=300000 HTTP/1.0\r\n\r\n",
@@ -170,7 +172,7 @@
 }
 END_TEST
 
-START_TEST(a_head_tells_the_length_that_a_get_would_have)
+START_TEST(head_reports_content_length_of_get)
 {
 	char buf[1024];
 	struct reply r;
@@ -195,7 +197,7 @@
 END_TEST
 
 /* libcurl repeats a POST by itself when a reused connection closes. */
-START_TEST(a_booking_on_a_kept_connection_that_closes_runs_once)
+START_TEST(booking_on_closed_kept_alive_connection_runs_once)
 {
 	struct reply r;
 	int i;
@@ -216,7 +218,7 @@
 }
 END_TEST
 
-START_TEST(an_upstream_that_is_down_or_draining_runs_nothing)
+START_TEST(upstream_that_is_down_or_draining_runs_nothing)
 {
 	struct reply r;
 
@@ -242,7 +244,7 @@
 
 /* All processes end at once, and callers come back twice: what they are told
  * must span the 0.5 to 0.7 s until a node that starts has its configuration. */
-START_TEST(a_node_without_a_configuration_says_when_to_come_back)
+START_TEST(node_without_configuration_sends_retry_after)
 {
 	struct reply r;
 	double after_s;
@@ -259,7 +261,7 @@
 }
 END_TEST
 
-START_TEST(a_deadline_that_passes_is_told)
+START_TEST(passed_deadline_is_reported)
 {
 	struct reply r;
 
@@ -277,7 +279,7 @@
 END_TEST
 
 /* The caller is told when to come back; the others are not touched. */
-START_TEST(a_caller_over_its_limit_is_turned_away)
+START_TEST(caller_over_its_limit_is_rejected)
 {
 	struct guard_endpoint ep = {.service = "search",
 	    .slots = 8,
@@ -320,7 +322,7 @@
  * it took 2.3 to more than 3 s, which is the service's own time. */
 #define UPLOAD_DEADLINE "Bramley-Deadline-Ms: 60000\r\n"
 
-START_TEST(a_large_upload_arrives_whole)
+START_TEST(large_upload_arrives_complete)
 {
 	uint8_t *body = g_malloc(UPLOAD_BYTES);
 	char want[64];
@@ -345,7 +347,7 @@
 
 /* A port on which connections are taken and nothing is ever said. */
 static int
-silent_port(uint16_t *port)
+listen_silently(uint16_t *port)
 {
 	struct sockaddr_in at = {.sin_family = AF_INET};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -364,7 +366,7 @@
  * bookings too, and they run once.  The deadline is shorter than a dial may
  * take, and many times what the doubt needs.
  */
-START_TEST(a_call_to_a_silent_host_goes_elsewhere)
+START_TEST(call_to_silent_host_is_sent_to_another)
 {
 	struct fake_endpoint eps[] = {{.host = "h1"}, {.host = "h3"}};
 	struct test_node *entry;
@@ -374,7 +376,7 @@
 
 	start();
 	entry = test_node_start("h0", NULL);
-	fd = silent_port(&eps[1].port);
+	fd = listen_silently(&eps[1].port);
 	eps[0].port = guard_addr(node->guard).port;
 	test_snapshot(eps, 2);
 	for (i = 0; i < 10; i++) {
@@ -398,16 +400,15 @@
 main(void)
 {
 	const TTest *const tests[] = {a_lookup_gets_its_answer,
-	    a_call_to_a_silent_host_goes_elsewhere,
-	    a_caller_is_told_what_happened,
-	    a_long_answer_that_breaks_off_does_not_look_whole,
-	    an_old_caller_sees_a_cut_as_a_reset,
-	    a_head_tells_the_length_that_a_get_would_have,
-	    a_booking_on_a_kept_connection_that_closes_runs_once,
-	    an_upstream_that_is_down_or_draining_runs_nothing,
-	    a_node_without_a_configuration_says_when_to_come_back,
-	    a_caller_over_its_limit_is_turned_away,
-	    a_deadline_that_passes_is_told, a_large_upload_arrives_whole, NULL};
+	    call_to_silent_host_is_sent_to_another,
+	    outcome_is_reported_to_the_caller, truncated_answer_is_not_complete,
+	    http_1_0_caller_gets_reset_for_truncated_answer,
+	    head_reports_content_length_of_get,
+	    booking_on_closed_kept_alive_connection_runs_once,
+	    upstream_that_is_down_or_draining_runs_nothing,
+	    node_without_configuration_sends_retry_after,
+	    caller_over_its_limit_is_rejected, passed_deadline_is_reported,
+	    large_upload_arrives_complete, NULL};
 
 	return fixture_main("call path", tests);
 }
--- a/packages/node/test/test_call_print.c
+++ b/packages/node/test/test_call_print.c
@@ -16,8 +16,8 @@
 #define CALLER_HEADER "X-Entry-Service"
 
 static void
-print_of(const struct call_dialect *d, const char *service, const char *address,
-    const char *path, struct fingerprint *out)
+make_print(const struct call_dialect *d, const char *service,
+    const char *address, const char *path, struct fingerprint *out)
 {
 	struct call_headers headers;
 	GQueue body = G_QUEUE_INIT;
@@ -37,28 +37,28 @@
 	call_headers_clear(&headers);
 }
 
-START_TEST(the_service_of_the_entry_is_no_caller)
+START_TEST(entry_service_is_not_part_of_the_fingerprint)
 {
 	const struct call_dialect d = {.caller_service = CALLER_HEADER};
 	struct fingerprint a, b, other;
 
-	print_of(&d, "search", "10.0.0.1", "/a", &a);
-	print_of(&d, "booking", "10.0.0.2", "/a", &b);
-	print_of(&d, "search", "10.0.0.1", "/b", &other);
+	make_print(&d, "search", "10.0.0.1", "/a", &a);
+	make_print(&d, "booking", "10.0.0.2", "/a", &b);
+	make_print(&d, "search", "10.0.0.1", "/b", &other);
 	ck_assert(fingerprint_equal(&a, &b));
 	ck_assert_uint_ne(a.caller, 0);
 	ck_assert(!fingerprint_equal(&a, &other));
 }
 END_TEST
 
-START_TEST(callers_known_by_address_are_told_apart)
+START_TEST(caller_address_is_part_of_the_fingerprint)
 {
 	const struct call_dialect d = {.caller_service = NULL};
 	struct fingerprint a, b, again;
 
-	print_of(&d, NULL, "10.0.0.1", "/a", &a);
-	print_of(&d, NULL, "10.0.0.2", "/a", &b);
-	print_of(&d, NULL, "10.0.0.1", "/a", &again);
+	make_print(&d, NULL, "10.0.0.1", "/a", &a);
+	make_print(&d, NULL, "10.0.0.2", "/a", &b);
+	make_print(&d, NULL, "10.0.0.1", "/a", &again);
 	ck_assert(!fingerprint_equal(&a, &b));
 	ck_assert_uint_eq(a.content, b.content);
 	ck_assert(fingerprint_equal(&a, &again));
@@ -71,8 +71,8 @@
 	Suite *suite = suite_create("call_print");
 	TCase *tc = tcase_create("call_print");
 
-	tcase_add_test(tc, the_service_of_the_entry_is_no_caller);
-	tcase_add_test(tc, callers_known_by_address_are_told_apart);
+	tcase_add_test(tc, entry_service_is_not_part_of_the_fingerprint);
+	tcase_add_test(tc, caller_address_is_part_of_the_fingerprint);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/node/test/test_call_quarantine.c
+++ b/packages/node/test/test_call_quarantine.c
@@ -16,8 +16,8 @@
 #define WAITING 3
 #define CALLER "127.0.0.1"
 /* Far below the time that the running one takes. */
-#define AT_ONCE_MS 400
-#define STEP_US 5000
+#define REFUSAL_MAX_MS 400
+#define POLL_US 5000
 
 static struct fake_upstream *upstream;
 static struct test_node *node;
@@ -47,7 +47,7 @@
 }
 
 static void
-tell(enum quarantine_kind kind)
+publish_item(enum quarantine_kind kind)
 {
 	const struct fingerprint_parts parts = {
 	    .method = "GET", .host = "test", .path = PATH, .caller = CALLER};
@@ -62,17 +62,17 @@
 	guard_take_news(node->guard, &item);
 }
 
-/** struct asked - a call in a thread of its own */
-struct asked {
+/** struct async_call - a call in a thread of its own */
+struct async_call {
 	pthread_t thread;
 	struct reply reply;
 	uint64_t ended_ms;
 };
 
 static void *
-ask(void *arg)
+async_call_main(void *arg)
 {
-	struct asked *a = arg;
+	struct async_call *a = arg;
 
 	ck_assert(caller_call(
 	    callers_port(node->callers), "GET", PATH, "", NULL, 0, &a->reply));
@@ -81,9 +81,10 @@
 }
 
 static void
-ask_begin(struct asked *a)
+async_call_start(struct async_call *a)
 {
-	ck_assert_int_eq(pthread_create(&a->thread, NULL, ask, a), 0);
+	ck_assert_int_eq(
+	    pthread_create(&a->thread, NULL, async_call_main, a), 0);
 }
 
 static int
@@ -94,35 +95,35 @@
 }
 
 static void
-check_refused(struct asked *a, uint64_t from_ms)
+join_refused(struct async_call *a, uint64_t from_ms)
 {
 	(void)pthread_join(a->thread, NULL);
 	ck_assert_int_eq(a->reply.status, 503);
 	ck_assert_str_eq(a->reply.fate, "not_run");
-	ck_assert_uint_lt(a->ended_ms, from_ms + AT_ONCE_MS);
+	ck_assert_uint_lt(a->ended_ms, from_ms + REFUSAL_MAX_MS);
 	reply_clear(&a->reply);
 }
 
-START_TEST(what_waits_is_answered_at_once_and_what_runs_runs_on)
+START_TEST(quarantine_refuses_queued_requests_and_keeps_the_running_one)
 {
-	struct asked first, waiting[WAITING], late;
+	struct async_call first, waiting[WAITING], late;
 	uint64_t held_ms;
 	int i;
 
 	start();
-	ask_begin(&first);
+	async_call_start(&first);
 	ck_assert(test_wait_int(running, NULL, 1));
 	for (i = 0; i < WAITING; i++)
-		ask_begin(&waiting[i]);
+		async_call_start(&waiting[i]);
 	while (guard_in_flight(node->guard) < 1 + WAITING)
-		g_usleep(STEP_US);
+		g_usleep(POLL_US);
 	held_ms = clock_now_ms();
-	tell(QUARANTINE_HELD);
+	publish_item(QUARANTINE_HELD);
 	for (i = 0; i < WAITING; i++)
-		check_refused(&waiting[i], held_ms);
+		join_refused(&waiting[i], held_ms);
 	held_ms = clock_now_ms();
-	ask_begin(&late);
-	check_refused(&late, held_ms);
+	async_call_start(&late);
+	join_refused(&late, held_ms);
 	(void)pthread_join(first.thread, NULL);
 	ck_assert_int_eq(first.reply.status, 200);
 	reply_clear(&first.reply);
@@ -132,20 +133,20 @@
 
 /* While one copy of a suspect runs, a second one is not started, and what runs
  * runs on; its answer clears it. */
-START_TEST(one_copy_of_a_suspect_runs_until_it_is_answered)
+START_TEST(one_copy_of_a_suspect_runs_at_a_time)
 {
-	struct asked first, second, third;
+	struct async_call first, second, third;
 
 	start();
-	tell(QUARANTINE_CRASH);
-	ask_begin(&first);
+	publish_item(QUARANTINE_CRASH);
+	async_call_start(&first);
 	ck_assert(test_wait_int(running, NULL, 1));
-	ask_begin(&second);
-	check_refused(&second, clock_now_ms());
+	async_call_start(&second);
+	join_refused(&second, clock_now_ms());
 	(void)pthread_join(first.thread, NULL);
 	ck_assert_int_eq(first.reply.status, 200);
 	reply_clear(&first.reply);
-	ask_begin(&third);
+	async_call_start(&third);
 	(void)pthread_join(third.thread, NULL);
 	ck_assert_int_eq(third.reply.status, 200);
 	reply_clear(&third.reply);
@@ -155,31 +156,31 @@
 
 START_TEST(undecided_request_is_refused_at_once)
 {
-	struct asked a;
+	struct async_call a;
 	uint64_t from_ms;
 	int i;
 
 	start();
 	for (i = 0; i < QUARANTINE_CRASHES; i++)
-		tell(QUARANTINE_CRASH);
-	g_usleep(STEP_US * 4);
+		publish_item(QUARANTINE_CRASH);
+	g_usleep(POLL_US * 4);
 	from_ms = clock_now_ms();
-	ask_begin(&a);
-	check_refused(&a, from_ms);
+	async_call_start(&a);
+	join_refused(&a, from_ms);
 	ck_assert_int_eq(upstream->running, 0);
 	stop();
 }
 END_TEST
 
-START_TEST(others_are_served_and_a_release_ends_it)
+START_TEST(other_requests_are_served_and_clearing_ends_the_quarantine)
 {
 	struct reply r;
 	int i;
 
 	start();
 	for (i = 0; i < 2; i++) {
-		tell(i == 0 ? QUARANTINE_HELD : QUARANTINE_CLEARED);
-		g_usleep(STEP_US * 4);
+		publish_item(i == 0 ? QUARANTINE_HELD : QUARANTINE_CLEARED);
+		g_usleep(POLL_US * 4);
 		ck_assert(caller_call(callers_port(node->callers), "GET",
 		    OTHER_PATH, "", NULL, 0, &r));
 		ck_assert_int_eq(r.status, 200);
@@ -197,10 +198,10 @@
 main(void)
 {
 	const TTest *const tests[] = {
-	    what_waits_is_answered_at_once_and_what_runs_runs_on,
-	    one_copy_of_a_suspect_runs_until_it_is_answered,
+	    quarantine_refuses_queued_requests_and_keeps_the_running_one,
+	    one_copy_of_a_suspect_runs_at_a_time,
 	    undecided_request_is_refused_at_once,
-	    others_are_served_and_a_release_ends_it,
+	    other_requests_are_served_and_clearing_ends_the_quarantine,
 	    NULL,
 	};
 
--- a/packages/node/test/test_call_silence.c
+++ b/packages/node/test/test_call_silence.c
@@ -7,14 +7,14 @@
 #include "fixture.h"
 
 #define PING_AFTER_MS 200
-#define LOST_AFTER_MS 400
+#define PING_TIMEOUT_MS 400
 
 static struct call_silence
 awaiting(uint64_t now_ms)
 {
 	struct call_silence s;
 
-	call_silence_init(&s, PING_AFTER_MS, LOST_AFTER_MS);
+	call_silence_init(&s, PING_AFTER_MS, PING_TIMEOUT_MS);
 	call_silence_await(&s, true, now_ms);
 	return s;
 }
@@ -40,19 +40,19 @@
 }
 END_TEST
 
-START_TEST(what_is_heard_starts_the_wait_anew)
+START_TEST(received_data_restarts_the_wait)
 {
 	struct call_silence s = awaiting(1000);
 
 	ck_assert_int_eq(call_silence_tick(&s, 1200), SILENCE_PING);
-	call_silence_heard(&s, 1500);
+	call_silence_received(&s, 1500);
 	ck_assert_int_eq(call_silence_tick(&s, 1600), SILENCE_NONE);
 	ck_assert_int_eq(call_silence_tick(&s, 1700), SILENCE_PING);
 }
 END_TEST
 
 /* The other side may have answered long ago; it is asked once more. */
-START_TEST(a_process_that_was_paused_blames_nobody)
+START_TEST(pause_of_this_process_is_not_silence)
 {
 	struct call_silence s = awaiting(1000);
 
@@ -67,8 +67,8 @@
 {
 	const TTest *const tests[] = {nothing_is_due_while_nothing_is_awaited,
 	    a_quiet_connection_is_pinged_then_lost,
-	    what_is_heard_starts_the_wait_anew,
-	    a_process_that_was_paused_blames_nobody, NULL};
+	    received_data_restarts_the_wait,
+	    pause_of_this_process_is_not_silence, NULL};
 
 	return fixture_main("call silence", tests);
 }
--- a/packages/node/test/test_call_wire.c
+++ b/packages/node/test/test_call_wire.c
@@ -1,6 +1,6 @@
 /*
- * Tests on the level of frames: a guard that is sent nonsense, and an entry
- * that gets answers which are crossed, doubled, cut short or too long.
+ * Tests on the level of frames: a guard that is sent nonsense, and an
+ * entry that gets answers which are crossed, doubled, cut short or too long.
  */
 #include <arpa/inet.h>
 #include <pthread.h>
@@ -22,7 +22,7 @@
 #define FRAME_MAX 131072
 
 /* More than fits in all the buffers up to an upstream that reads nothing. */
-#define UNWANTED_BYTES (64 << 20)
+#define UNREAD_BYTES (64 << 20)
 
 static struct fake_upstream *upstream;
 static struct test_node *node;
@@ -46,7 +46,7 @@
 /* Frames over a plain socket */
 
 static void
-put(int fd, enum msg_type type, const void *msg)
+send_frame(int fd, enum msg_type type, const void *msg)
 {
 	GByteArray *body = g_byte_array_new();
 	GByteArray *out = g_byte_array_new();
@@ -66,7 +66,7 @@
 
 /* The next frame; Return: its type, 0 when the connection has ended. */
 static int
-get(int fd, uint8_t *body, size_t *len)
+read_frame(int fd, uint8_t *body, size_t *len)
 {
 	uint8_t head[FRAME_HEADER_BYTES];
 	uint32_t n;
@@ -82,14 +82,14 @@
 
 /* Frames up to one of a type; false when the connection ends first. */
 static bool
-await(int fd, enum msg_type type)
+wait_for_frame(int fd, enum msg_type type)
 {
 	static uint8_t body[FRAME_MAX];
 	size_t len;
 	int got;
 
 	do {
-		got = get(fd, body, &len);
+		got = read_frame(fd, body, &len);
 	} while (got != 0 && got != (int)type);
 	return got != 0;
 }
@@ -98,7 +98,7 @@
 
 /* A connection to the guard, greeted by an entry that is slow to read. */
 static int
-greet_as(uint32_t late_ms, uint8_t refusals)
+connect_entry_as(uint32_t delay_ms, uint8_t refusals)
 {
 	static uint8_t body[FRAME_MAX];
 	struct msg_call_hello hello;
@@ -107,31 +107,31 @@
 	int fd = caller_connect(guard_addr(node->guard).port);
 	size_t len;
 
-	ck_assert_int_eq(get(fd, body, &len), MSG_CALL_HELLO);
+	ck_assert_int_eq(read_frame(fd, body, &len), MSG_CALL_HELLO);
 	ck_assert_int_eq(msg_call_hello_decode(body, len, &hello), STATUS_OK);
-	g_usleep(late_ms * 1000);
+	g_usleep(delay_ms * 1000);
 	ack.echo = hello.sent_ms;
 	ack.sent_ms = clock_now_ms();
-	put(fd, MSG_CALL_HELLO_ACK, &ack);
+	send_frame(fd, MSG_CALL_HELLO_ACK, &ack);
 	return fd;
 }
 
 static int
-greet_after(uint32_t late_ms)
+connect_entry_after(uint32_t delay_ms)
 {
-	return greet_as(late_ms, REFUSAL_LAST);
+	return connect_entry_as(delay_ms, REFUSAL_LAST);
 }
 
 static int
-greet_knowing(uint8_t refusals)
+connect_entry_supporting(uint8_t refusals)
 {
-	return greet_as(0, refusals);
+	return connect_entry_as(0, refusals);
 }
 
 static int
-greet(void)
+connect_entry(void)
 {
-	return greet_after(0);
+	return connect_entry_after(0);
 }
 
 static void
@@ -151,7 +151,7 @@
 	    .sent_ms = clock_now_ms(),
 	    .body_bytes = body_bytes};
 
-	put(fd, MSG_CALL_OPEN, &m);
+	send_frame(fd, MSG_CALL_OPEN, &m);
 }
 
 static void
@@ -161,7 +161,7 @@
 }
 
 static void
-send_nothing_known(int fd)
+send_undecodable_open(int fd)
 {
 	static const uint8_t frame[] = {0, 0, 0, 3, MSG_CALL_OPEN, 0xc1, 0xc1};
 
@@ -183,34 +183,34 @@
 	    .stream = 1, .data = data, .data_len = sizeof(data)};
 	int i;
 
-	open_request(fd, 1, UNWANTED_BYTES);
-	for (i = 0; i < UNWANTED_BYTES / CALL_CHUNK_BYTES; i++)
-		put(fd, MSG_CALL_CHUNK, &m);
+	open_request(fd, 1, UNREAD_BYTES);
+	for (i = 0; i < UNREAD_BYTES / CALL_CHUNK_BYTES; i++)
+		send_frame(fd, MSG_CALL_CHUNK, &m);
 }
 
 static void
-send_more_than_said(int fd)
+send_more_than_declared(int fd)
 {
 	struct msg_call_chunk m = {
 	    .stream = 1, .data = (const uint8_t *)"four", .data_len = 4};
 
 	open_request(fd, 1, 3);
-	put(fd, MSG_CALL_CHUNK, &m);
+	send_frame(fd, MSG_CALL_CHUNK, &m);
 }
 
 static void
-send_nameless(int fd)
+send_resolve_without_id(int fd)
 {
 	struct msg_call_resolve m = {.stream = 1};
 
-	put(fd, MSG_CALL_RESOLVE, &m);
+	send_frame(fd, MSG_CALL_RESOLVE, &m);
 }
 
-static void (*const nonsense[])(int fd) = {send_nothing_known,
-    send_same_stream_twice, send_more_than_granted, send_more_than_said,
-    send_nameless};
+static void (*const protocol_errors[])(int fd) = {send_undecodable_open,
+    send_same_stream_twice, send_more_than_granted, send_more_than_declared,
+    send_resolve_without_id};
 
-START_TEST(nonsense_ends_its_connection_and_no_other)
+START_TEST(protocol_error_closes_only_its_connection)
 {
 	struct fake_endpoint ep = {.host = "h1"};
 	struct reply r;
@@ -220,10 +220,10 @@
 	start();
 	ep.port = guard_addr(node->guard).port;
 	test_snapshot(&ep, 1);
-	for (i = 0; i < G_N_ELEMENTS(nonsense); i++) {
-		fd = greet();
-		nonsense[i](fd);
-		ck_assert_msg(!await(fd, MSG_NONE), "case %zu", i);
+	for (i = 0; i < G_N_ELEMENTS(protocol_errors); i++) {
+		fd = connect_entry();
+		protocol_errors[i](fd);
+		ck_assert_msg(!wait_for_frame(fd, MSG_NONE), "case %zu", i);
 		close(fd);
 		ck_assert(caller_call(callers_port(node->callers), "GET",
 		    "/look/x", NULL, NULL, 0, &r));
@@ -234,14 +234,14 @@
 }
 END_TEST
 
-START_TEST(a_request_before_the_hello_is_not_taken)
+START_TEST(request_before_hello_is_rejected)
 {
 	int fd;
 
 	start();
 	fd = caller_connect(guard_addr(node->guard).port);
 	open_request(fd, 1, 0);
-	ck_assert(!await(fd, MSG_CALL_REFUSED));
+	ck_assert(!wait_for_frame(fd, MSG_CALL_REFUSED));
 	close(fd);
 	stop();
 }
@@ -252,48 +252,48 @@
  * much older than they look.  That one must not start too late says nothing
  * of when its caller stops waiting: only the entry knows.
  */
-START_TEST(what_runs_is_not_cut_before_its_caller_leaves)
+START_TEST(running_request_is_not_aborted_for_uncertain_age)
 {
 	int fd;
 
 	start();
-	fd = greet_after(400);
+	fd = connect_entry_after(400);
 	open_path(fd, 1, 0, "/book/x?ms=500", 800);
-	ck_assert(await(fd, MSG_CALL_HEAD));
+	ck_assert(wait_for_frame(fd, MSG_CALL_HEAD));
 	close(fd);
 	stop();
 }
 END_TEST
 
 /* With the same doubt about its age, one with less time left is not begun. */
-START_TEST(what_may_be_too_old_is_not_started)
+START_TEST(possibly_expired_request_is_not_started)
 {
 	int fd;
 
 	start();
-	fd = greet_after(400);
+	fd = connect_entry_after(400);
 	open_path(fd, 1, 0, "/book/x?ms=1", 300);
-	ck_assert(await(fd, MSG_CALL_REFUSED));
+	ck_assert(wait_for_frame(fd, MSG_CALL_REFUSED));
 	close(fd);
 	stop();
 }
 END_TEST
 
-START_TEST(a_draining_guard_waits_for_the_promise)
+START_TEST(draining_guard_waits_for_goodbye_ack)
 {
 	struct msg_call_goodbye_ack ack = {0};
 	int fd, i;
 
 	start();
-	fd = greet();
+	fd = connect_entry();
 	guard_drain(node->guard, clock_now_ms() + 5000);
-	ck_assert(await(fd, MSG_CALL_GOODBYE));
+	ck_assert(wait_for_frame(fd, MSG_CALL_GOODBYE));
 	/* It crossed the goodbye. */
 	open_request(fd, 2, 0);
-	ck_assert(await(fd, MSG_CALL_REFUSED));
+	ck_assert(wait_for_frame(fd, MSG_CALL_REFUSED));
 	g_usleep(100000);
 	ck_assert_uint_eq(guard_in_flight(node->guard), 1);
-	put(fd, MSG_CALL_GOODBYE_ACK, &ack);
+	send_frame(fd, MSG_CALL_GOODBYE_ACK, &ack);
 	for (i = 0; i < 100 && guard_in_flight(node->guard) > 0; i++)
 		g_usleep(10000);
 	ck_assert_uint_eq(guard_in_flight(node->guard), 0);
@@ -323,7 +323,7 @@
 	    .status = 200,
 	    .body_bytes = body_bytes};
 
-	put(fd, MSG_CALL_HEAD, &head);
+	send_frame(fd, MSG_CALL_HEAD, &head);
 }
 
 static void
@@ -334,7 +334,7 @@
 	    .data_len = (uint32_t)strlen(text),
 	    .fin = fin};
 
-	put(fd, MSG_CALL_CHUNK, &chunk);
+	send_frame(fd, MSG_CALL_CHUNK, &chunk);
 }
 
 static void
@@ -349,7 +349,7 @@
 }
 
 static void
-answer_doubled(int fd, const struct msg_call_open *m)
+answer_duplicate_chunk(int fd, const struct msg_call_open *m)
 {
 	put_head(fd, m, 4);
 	put_chunk(fd, m, "fa", false);
@@ -365,7 +365,7 @@
 }
 
 static void
-answer_headless(int fd, const struct msg_call_open *m)
+answer_without_head(int fd, const struct msg_call_open *m)
 {
 	put_chunk(fd, m, "fake", true);
 }
@@ -380,13 +380,13 @@
 
 /* Frames of a stream that is over or was never opened are not looked at. */
 static void
-answer_after_strays(int fd, const struct msg_call_open *m)
+answer_after_unknown_streams(int fd, const struct msg_call_open *m)
 {
-	struct msg_call_open stray = *m;
+	struct msg_call_open unknown = *m;
 
-	stray.stream = m->stream + 7;
-	put_head(fd, &stray, 4);
-	put_chunk(fd, &stray, "evil", true);
+	unknown.stream = m->stream + 7;
+	put_head(fd, &unknown, 4);
+	put_chunk(fd, &unknown, "evil", true);
 	put_head(fd, m, 4);
 	put_chunk(fd, m, "good", true);
 	put_chunk(fd, m, "late", true);
@@ -404,8 +404,8 @@
 	size_t len;
 	int type;
 
-	put(fd, MSG_CALL_HELLO, &hello);
-	while ((type = get(fd, body, &len)) != 0) {
+	send_frame(fd, MSG_CALL_HELLO, &hello);
+	while ((type = read_frame(fd, body, &len)) != 0) {
 		if (type != MSG_CALL_OPEN)
 			continue;
 		ck_assert_int_eq(
@@ -429,22 +429,22 @@
 }
 
 /**
- * struct wrong_answer - an answer, and what the caller is told
+ * struct answer_case - an answer, and what the caller is told
  * @answer: sends it
  * @status: status that the caller gets
  */
-struct wrong_answer {
+struct answer_case {
 	void (*answer)(int fd, const struct msg_call_open *m);
 	int status;
 };
 
-static const struct wrong_answer wrong[] = {
+static const struct answer_case answer_cases[] = {
     {answer_other_request, 504},
-    {answer_doubled, 504},
+    {answer_duplicate_chunk, 504},
     {answer_short, 504},
-    {answer_headless, 504},
+    {answer_without_head, 504},
     {answer_two_heads, 504},
-    {answer_after_strays, 200},
+    {answer_after_unknown_streams, 200},
 };
 
 static uint16_t
@@ -463,7 +463,7 @@
 
 /* The guard takes the news before what is sent to it after this. */
 static void
-hold_off(const char *path)
+quarantine_path(const char *path)
 {
 	const struct fingerprint_parts parts = {
 	    .method = "POST", .host = "", .path = path, .caller = ""};
@@ -480,16 +480,16 @@
 }
 
 static int
-refusal_of(const char *path, uint8_t known)
+get_refusal(const char *path, uint8_t known)
 {
 	static uint8_t body[FRAME_MAX];
 	struct msg_call_refused m;
-	int fd = greet_knowing(known), got;
+	int fd = connect_entry_supporting(known), got;
 	size_t len;
 
 	open_path(fd, 1, 0, path, 3000);
 	do {
-		got = get(fd, body, &len);
+		got = read_frame(fd, body, &len);
 		ck_assert_int_ne(got, 0);
 	} while (got != MSG_CALL_REFUSED);
 	ck_assert_int_eq(msg_call_refused_decode(body, len, &m), STATUS_OK);
@@ -499,13 +499,13 @@
 
 /* An entry of an earlier build ends a connection on which it is told what it
  * doesn't know, with all calls on it. */
-START_TEST(an_older_entry_is_told_a_refusal_that_it_knows)
+START_TEST(older_entry_gets_a_refusal_it_supports)
 {
 	start();
-	hold_off("/book/x");
+	quarantine_path("/book/x");
 	ck_assert_int_eq(
-	    refusal_of("/book/x", REFUSAL_LAST), REFUSAL_QUARANTINED);
-	ck_assert_int_eq(refusal_of("/book/x", 0), REFUSAL_CALLER_LIMIT);
+	    get_refusal("/book/x", REFUSAL_LAST), REFUSAL_QUARANTINED);
+	ck_assert_int_eq(get_refusal("/book/x", 0), REFUSAL_CALLER_LIMIT);
 	ck_assert(refusal_is_final(REFUSAL_CALLER_LIMIT));
 	stop();
 }
@@ -516,14 +516,14 @@
 #define WITHIN_MS 300
 
 static void
-tweak_within(struct settings *s)
+set_in_force_within(struct settings *s)
 {
 	s->in_force_within_ms = WITHIN_MS;
 }
 
 /* How a guard answers a request that was routed by a version. */
 static int
-answer_to(const char *path, uint64_t version)
+get_version_refusal(const char *path, uint64_t version)
 {
 	static uint8_t body[FRAME_MAX];
 	static uint8_t last_id = 100;
@@ -539,12 +539,12 @@
 	    .sent_ms = clock_now_ms(),
 	    .version = version};
 	struct msg_call_refused m;
-	int fd = greet(), got;
+	int fd = connect_entry(), got;
 	size_t len;
 
-	put(fd, MSG_CALL_OPEN, &open);
+	send_frame(fd, MSG_CALL_OPEN, &open);
 	do {
-		got = get(fd, body, &len);
+		got = read_frame(fd, body, &len);
 		ck_assert_int_ne(got, 0);
 	} while (got != MSG_CALL_REFUSED && got != MSG_CALL_HEAD);
 	(void)close(fd);
@@ -556,28 +556,32 @@
 
 /* A host that is far behind sends what its version routes; the version in force
  * here has dropped that route, or leads it to another service. */
-START_TEST(a_route_of_a_version_whose_time_is_up_is_checked)
+START_TEST(route_of_an_overdue_version_is_checked)
 {
 	struct fake_endpoint ep = {.host = "h1"};
 
 	upstream = fake_upstream_start();
-	node = test_node_start("h1", tweak_within);
+	node = test_node_start("h1", set_in_force_within);
 	test_snapshot(&ep, 1);
 	test_node_upstream(node, upstream->port, SERVING_READY);
 	/* For a while both are right. */
-	ck_assert_int_eq(answer_to("/gone/x", IN_FORCE - 1), REFUSAL_NONE);
+	ck_assert_int_eq(
+	    get_version_refusal("/gone/x", IN_FORCE - 1), REFUSAL_NONE);
 	g_usleep((WITHIN_MS + 100) * 1000);
 	ck_assert_int_eq(
-	    answer_to("/gone/x", IN_FORCE - 1), REFUSAL_SUPERSEDED);
-	ck_assert_int_eq(answer_to("/look/x", IN_FORCE - 1), REFUSAL_NONE);
+	    get_version_refusal("/gone/x", IN_FORCE - 1), REFUSAL_SUPERSEDED);
+	ck_assert_int_eq(
+	    get_version_refusal("/look/x", IN_FORCE - 1), REFUSAL_NONE);
 	/* This host may be the one that is behind. */
-	ck_assert_int_eq(answer_to("/gone/x", IN_FORCE), REFUSAL_NONE);
-	ck_assert_int_eq(answer_to("/gone/x", IN_FORCE + 1), REFUSAL_NONE);
+	ck_assert_int_eq(
+	    get_version_refusal("/gone/x", IN_FORCE), REFUSAL_NONE);
+	ck_assert_int_eq(
+	    get_version_refusal("/gone/x", IN_FORCE + 1), REFUSAL_NONE);
 	stop();
 }
 END_TEST
 
-START_TEST(a_wrong_answer_is_not_passed_on)
+START_TEST(invalid_answer_is_not_forwarded)
 {
 	struct fake_endpoint ep = {.host = "h9"};
 	struct fake_guard g;
@@ -589,11 +593,11 @@
 	ep.port = guard_listen(&g);
 	test_snapshot(&ep, 1);
 	ck_assert_int_eq(pthread_create(&thread, NULL, guard_main, &g), 0);
-	for (i = 0; i < G_N_ELEMENTS(wrong); i++) {
-		g.answer = wrong[i].answer;
+	for (i = 0; i < G_N_ELEMENTS(answer_cases); i++) {
+		g.answer = answer_cases[i].answer;
 		ck_assert(caller_call(callers_port(node->callers), "POST",
 		    "/book/x", "Bramley-Deadline-Ms: 400\r\n", "seat", 4, &r));
-		ck_assert_msg(r.whole && r.status == wrong[i].status,
+		ck_assert_msg(r.whole && r.status == answer_cases[i].status,
 		    "case %zu: %d %s", i, r.status, r.fate);
 		if (r.status == 200)
 			ck_assert_int_eq(memcmp(r.body->data, "good", 4), 0);
@@ -611,14 +615,14 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {nonsense_ends_its_connection_and_no_other,
-	    a_request_before_the_hello_is_not_taken,
-	    what_runs_is_not_cut_before_its_caller_leaves,
-	    what_may_be_too_old_is_not_started,
-	    a_draining_guard_waits_for_the_promise,
-	    an_older_entry_is_told_a_refusal_that_it_knows,
-	    a_route_of_a_version_whose_time_is_up_is_checked,
-	    a_wrong_answer_is_not_passed_on, NULL};
+	const TTest *const tests[] = {protocol_error_closes_only_its_connection,
+	    request_before_hello_is_rejected,
+	    running_request_is_not_aborted_for_uncertain_age,
+	    possibly_expired_request_is_not_started,
+	    draining_guard_waits_for_goodbye_ack,
+	    older_entry_gets_a_refusal_it_supports,
+	    route_of_an_overdue_version_is_checked,
+	    invalid_answer_is_not_forwarded, NULL};
 
 	return fixture_main("call wire", tests);
 }
--- a/packages/node/test/test_callers.c
+++ b/packages/node/test/test_callers.c
@@ -16,7 +16,7 @@
 #include "fixture.h"
 
 #define IDLE_CALLERS 2000
-#define HELD_BACK_BYTES (32U << 20)
+#define BLOCKED_UPLOAD_BYTES (32U << 20)
 
 static struct fake_upstream *upstream;
 static struct test_node *node;
@@ -50,7 +50,7 @@
 	ck_assert(caller_read(fd, r));
 }
 
-START_TEST(a_connection_is_kept_while_threads_abound)
+START_TEST(connections_are_kept_alive)
 {
 	struct reply r;
 	int fd, i;
@@ -102,7 +102,7 @@
 }
 END_TEST
 
-START_TEST(callers_that_say_nothing_do_not_starve_others)
+START_TEST(callers_that_send_nothing_do_not_starve_others)
 {
 	int fds[128];
 	struct reply r;
@@ -132,7 +132,7 @@
 }
 
 static int
-requests(void *arg)
+requests_in_flight(void *arg)
 {
 	(void)arg;
 	return (int)guard_in_flight(node->guard);
@@ -148,7 +148,7 @@
 	ck_assert(test_wait_int(running, NULL, 1));
 	close(fd);
 	/* The slot is free long before the upstream answers. */
-	ck_assert(test_wait_int(requests, NULL, 0));
+	ck_assert(test_wait_int(requests_in_flight, NULL, 0));
 	ck_assert_int_eq(upstream->running, 1);
 	stop();
 }
@@ -156,7 +156,7 @@
 
 /* Sends until the other side takes no more; Return: bytes taken. */
 static size_t
-fill(int fd, size_t most)
+send_until_blocked(int fd, size_t most)
 {
 	static char buf[65536];
 	struct pollfd p = {.fd = fd, .events = POLLOUT};
@@ -174,7 +174,7 @@
 }
 
 /* The upstream reads nothing, so nothing but the buffers is taken. */
-START_TEST(an_upload_is_held_back_and_holds_back_no_lookup)
+START_TEST(blocked_upload_does_not_block_lookups)
 {
 	struct reply r;
 	int fd;
@@ -184,7 +184,8 @@
 	ck_assert(caller_send(fd, "PUT", "/up/x?do=deaf",
 	    "Content-Length: 1000000000\r\nBramley-Deadline-Ms: 1200\r\n", NULL,
 	    0));
-	ck_assert_uint_lt(fill(fd, HELD_BACK_BYTES), HELD_BACK_BYTES);
+	ck_assert_uint_lt(
+	    send_until_blocked(fd, BLOCKED_UPLOAD_BYTES), BLOCKED_UPLOAD_BYTES);
 	ck_assert(caller_call(
 	    callers_port(node->callers), "GET", "/look/x", NULL, NULL, 0, &r));
 	ck_assert_int_eq(r.status, 200);
@@ -195,7 +196,7 @@
 END_TEST
 
 /* Byte by byte, so that no single read is late. */
-START_TEST(a_caller_that_dribbles_its_body_holds_no_worker)
+START_TEST(slow_small_body_times_out)
 {
 	struct reply r;
 	int fd, i;
@@ -222,7 +223,7 @@
 }
 END_TEST
 
-START_TEST(what_is_too_large_is_refused_with_a_remedy)
+START_TEST(oversized_request_is_refused_with_a_message)
 {
 	char *long_header = g_strnfill(20000, 'x');
 	char *header = g_strdup_printf("X-Long: %s\r\n", long_header);
@@ -252,21 +253,21 @@
 END_TEST
 
 /**
- * struct late_call - a caller in a thread of its own
+ * struct async_call - a caller in a thread of its own
  * @path: what it asks for
  * @reply: what it got
  * @got: whether an answer came
  */
-struct late_call {
+struct async_call {
 	const char *path;
 	struct reply reply;
 	bool got;
 };
 
 static void *
-late_main(void *arg)
+async_call_main(void *arg)
 {
-	struct late_call *l = arg;
+	struct async_call *l = arg;
 
 	l->got = caller_call(callers_port(node->callers), "GET", l->path, NULL,
 	    NULL, 0, &l->reply);
@@ -274,21 +275,22 @@
 }
 
 static int
-calls(void *arg)
+calls_in_flight(void *arg)
 {
 	(void)arg;
 	return (int)callers_in_flight(node->callers);
 }
 
-START_TEST(a_drain_cuts_no_answer)
+START_TEST(drain_aborts_no_answer)
 {
-	struct late_call slow = {.path = "/look/x?ms=300&bytes=4000000"};
+	struct async_call slow = {.path = "/look/x?ms=300&bytes=4000000"};
 	uint64_t deadline_ms;
 	pthread_t thread;
 	struct reply r;
 
 	start();
-	ck_assert_int_eq(pthread_create(&thread, NULL, late_main, &slow), 0);
+	ck_assert_int_eq(
+	    pthread_create(&thread, NULL, async_call_main, &slow), 0);
 	ck_assert(test_wait_int(running, NULL, 1));
 	deadline_ms = clock_now_ms() + node->settings.drain_ms;
 	callers_drain(node->callers, deadline_ms);
@@ -298,8 +300,8 @@
 	ck_assert_str_eq(r.fate, "not_run");
 	ck_assert(r.closes);
 	reply_clear(&r);
-	ck_assert(test_wait_int(calls, NULL, 0));
-	ck_assert(test_wait_int(requests, NULL, 0));
+	ck_assert(test_wait_int(calls_in_flight, NULL, 0));
+	ck_assert(test_wait_int(requests_in_flight, NULL, 0));
 	callers_stop(node->callers);
 	pthread_join(thread, NULL);
 	ck_assert(slow.got && slow.reply.whole);
@@ -309,22 +311,22 @@
 }
 END_TEST
 
-#define HAMMERS 8
+#define LOAD_CALLERS 8
 
 /**
- * struct hammer - a caller that goes on until it is turned away
+ * struct load_caller - a caller that goes on until it is turned away
  * @answered: calls with a whole answer
  * @cut: calls that were sent and got none
  */
-struct hammer {
+struct load_caller {
 	_Atomic int answered;
 	int cut;
 };
 
 static void *
-hammer_main(void *arg)
+load_main(void *arg)
 {
-	struct hammer *h = arg;
+	struct load_caller *h = arg;
 	struct reply r;
 	int fd = -1;
 
@@ -351,36 +353,35 @@
 static int
 has_answer(void *arg)
 {
-	const struct hammer *h = arg;
+	const struct load_caller *h = arg;
 
 	return h->answered > 0;
 }
 
-START_TEST(a_planned_stop_under_load_cuts_no_call)
+START_TEST(planned_stop_under_load_aborts_no_call)
 {
-	struct hammer hammers[HAMMERS] = {0};
-	pthread_t threads[HAMMERS];
+	struct load_caller loads[LOAD_CALLERS] = {0};
+	pthread_t threads[LOAD_CALLERS];
 	uint64_t deadline_ms;
 	int i;
 
 	start();
-	for (i = 0; i < HAMMERS; i++)
+	for (i = 0; i < LOAD_CALLERS; i++)
 		ck_assert_int_eq(
-		    pthread_create(&threads[i], NULL, hammer_main, &hammers[i]),
-		    0);
+		    pthread_create(&threads[i], NULL, load_main, &loads[i]), 0);
 	/* Each has begun, also on a machine with much else to do. */
-	for (i = 0; i < HAMMERS; i++)
-		ck_assert(test_wait_int(has_answer, &hammers[i], 1));
+	for (i = 0; i < LOAD_CALLERS; i++)
+		ck_assert(test_wait_int(has_answer, &loads[i], 1));
 	deadline_ms = clock_now_ms() + node->settings.drain_ms;
 	callers_drain(node->callers, deadline_ms);
 	guard_drain(node->guard, deadline_ms);
 	g_usleep(100000);
 	callers_stop(node->callers);
-	for (i = 0; i < HAMMERS; i++) {
+	for (i = 0; i < LOAD_CALLERS; i++) {
 		pthread_join(threads[i], NULL);
-		ck_assert_int_eq(hammers[i].cut, 0);
+		ck_assert_int_eq(loads[i].cut, 0);
 	}
-	ck_assert(test_wait_int(requests, NULL, 0));
+	ck_assert(test_wait_int(requests_in_flight, NULL, 0));
 	stop();
 }
 END_TEST
@@ -434,15 +435,14 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {a_connection_is_kept_while_threads_abound,
+	const TTest *const tests[] = {connections_are_kept_alive,
 	    idle_callers_do_not_starve_others,
-	    callers_that_say_nothing_do_not_starve_others,
+	    callers_that_send_nothing_do_not_starve_others,
 	    a_caller_that_hangs_up_cancels_its_lookup,
-	    an_upload_is_held_back_and_holds_back_no_lookup,
-	    a_caller_that_dribbles_its_body_holds_no_worker,
-	    what_is_too_large_is_refused_with_a_remedy,
-	    limits_of_the_configuration_hold, a_drain_cuts_no_answer,
-	    a_planned_stop_under_load_cuts_no_call, NULL};
+	    blocked_upload_does_not_block_lookups, slow_small_body_times_out,
+	    oversized_request_is_refused_with_a_message,
+	    limits_of_the_configuration_hold, drain_aborts_no_answer,
+	    planned_stop_under_load_aborts_no_call, NULL};
 
 	return fixture_main("callers", tests);
 }
