--- a/packages/node/include/node/call_dialect.h
+++ b/packages/node/include/node/call_dialect.h
@@ -14,7 +14,7 @@
  * @from_callers: such headers that are passed to upstreams; ends with NULL
  * @from_upstreams: such headers that are passed to callers; ends with NULL
  * @request_id: name of a request
- * @caller_names_requests: callers choose it, and upstreams' answers repeat it;
+ * @caller_sets_request_id: callers choose it, and upstreams' answers repeat it;
  *	else the guard names each attempt
  * @key: Idempotency-Key is spoken: a key is one request; else it is an
  *	ordinary header
@@ -27,14 +27,14 @@
  * @not_run_value: the value that says so, NULL for any
  * @signature: a success without it is no answer of the upstream
  * @load: an upstream's running and waiting requests and its slots
- * @retry_fractions: Retry-After may hold a fraction of a second
+ * @fractional_retry_after: Retry-After may hold a fraction of a second
  */
 struct call_dialect {
 	const char *prefix;
 	const char *const *from_callers;
 	const char *const *from_upstreams;
 	const char *request_id;
-	bool caller_names_requests;
+	bool caller_sets_request_id;
 	bool key;
 	const char *deadline;
 	const char *caller_service;
@@ -45,7 +45,7 @@
 	const char *not_run_value;
 	const char *signature;
 	const char *load;
-	bool retry_fractions;
+	bool fractional_retry_after;
 };
 
 /** call_dialect_own - the product's own names, docs/API.md */
--- a/packages/node/src/call_headers.c
+++ b/packages/node/src/call_headers.c
@@ -89,7 +89,7 @@
 }
 
 GTree *
-call_headers_named(const char *connection)
+call_headers_conn_options(const char *connection)
 {
 	GTree *names = NULL;
 	size_t len;
@@ -111,7 +111,7 @@
 }
 
 void
-call_headers_named_free(GTree *names)
+call_headers_conn_options_free(GTree *names)
 {
 	if (names != NULL)
 		g_tree_unref(names);
@@ -127,7 +127,7 @@
 }
 
 bool
-call_header_passes(
+call_header_is_forwarded(
     const char *name, GTree *named, const char *prefix, const char *const *kept)
 {
 	size_t i;
--- a/packages/node/src/call_headers.h
+++ b/packages/node/src/call_headers.h
@@ -57,31 +57,31 @@
 struct rec_header *call_headers_rec(const struct call_headers *h);
 
 /**
- * call_headers_named() - what a Connection header names
+ * call_headers_conn_options() - what a Connection header names
  * @connection: its value, or NULL
  *
  * A tree, since a head may have thousands of lines and such a list thousands of
  * names, which a caller may choose so that they share one hash.
  *
- * Return: the names, for call_headers_named_free(); NULL when no header that
- * would be passed on is among them.
+ * Return: the names, for call_headers_conn_options_free(); NULL when no header
+ * that would be passed on is among them.
  */
-GTree *call_headers_named(const char *connection);
+GTree *call_headers_conn_options(const char *connection);
 
-/** call_headers_named_free() - free names; NULL is allowed */
-void call_headers_named_free(GTree *names);
+/** call_headers_conn_options_free() - free names; NULL is allowed */
+void call_headers_conn_options_free(GTree *names);
 
 /**
- * call_header_passes() - whether a header is passed on
+ * call_header_is_forwarded() - whether a header is passed on
  * @name: zero-terminated name
- * @named: call_headers_named() of the message's Connection header
+ * @named: call_headers_conn_options() of the message's Connection header
  * @prefix: beginning of the names of this system's own headers
  * @kept: names with this beginning that pass; ends with NULL
  *
  * Hop-by-hop headers, those named by Connection, the length of the body and
  * headers of this system are not.
  */
-bool call_header_passes(const char *name, GTree *named, const char *prefix,
-    const char *const *kept);
+bool call_header_is_forwarded(const char *name, GTree *named,
+    const char *prefix, const char *const *kept);
 
 #endif
--- a/packages/node/src/call_link.c
+++ b/packages/node/src/call_link.c
@@ -92,7 +92,7 @@
 }
 
 void
-call_link_want(struct call_link *link, struct call_sender *s)
+call_link_enqueue(struct call_link *link, struct call_sender *s)
 {
 	if (s->link != NULL)
 		return;
@@ -103,7 +103,7 @@
 }
 
 void
-call_link_forget(struct call_sender *s)
+call_link_dequeue(struct call_sender *s)
 {
 	if (s->link == NULL)
 		return;
--- a/packages/node/src/call_link.h
+++ b/packages/node/src/call_link.h
@@ -29,15 +29,15 @@
 
 /* Bytes of a request's body that an entry may send before the first credit: all
  * of most bookings. */
-#define CALL_UNASKED_BYTES 16384
+#define CALL_INITIAL_CREDIT_BYTES 16384
 
 /* The same where the guard doesn't tell; and bytes from which on a request is
  * begun though its body isn't complete. */
-#define CALL_FIRST_BYTES 65536
+#define CALL_BODY_PREFIX_BYTES 65536
 
 /* Bytes of all bodies that may be on their way to a host: 0.1 s on a link of 5
  * Mbit/s, and what fills one of 100 over 5 ms. */
-#define CALL_BODIES_BYTES 65536
+#define CALL_BODIES_WINDOW_BYTES 65536
 
 /* Bytes that may be under way, each way, once a request runs. */
 #define CALL_WINDOW_BYTES 262144
@@ -105,11 +105,11 @@
 enum status
 call_link_send(struct call_link *link, enum msg_type type, const void *msg);
 
-/** call_link_want() - @s has a chunk to send; it gets its turn */
-void call_link_want(struct call_link *link, struct call_sender *s);
+/** call_link_enqueue() - @s has a chunk to send; it gets its turn */
+void call_link_enqueue(struct call_link *link, struct call_sender *s);
 
-/** call_link_forget() - @s has nothing to send any more */
-void call_link_forget(struct call_sender *s);
+/** call_link_dequeue() - @s has nothing to send any more */
+void call_link_dequeue(struct call_sender *s);
 
 /** call_link_writable() - the output buffer has emptied; give turns */
 void call_link_writable(struct call_link *link);
--- a/packages/node/src/callers_answer.c
+++ b/packages/node/src/callers_answer.c
@@ -48,7 +48,7 @@
 {
 	if (after_ms == 0)
 		return;
-	if (d->retry_fractions)
+	if (d->fractional_retry_after)
 		(void)g_snprintf(h->retry_after, sizeof(h->retry_after),
 		    "%" PRIu64 ".%03" PRIu64, after_ms / MS_PER_S,
 		    after_ms % MS_PER_S);
--- a/packages/node/src/callers_request.c
+++ b/packages/node/src/callers_request.c
@@ -57,7 +57,8 @@
 copy_headers(const struct call_dialect *d,
     const struct http_incoming_head *head, struct call_request *r)
 {
-	GTree *named = call_headers_named(find_header(head, "Connection"));
+	GTree *named =
+	    call_headers_conn_options(find_header(head, "Connection"));
 	const struct http_header *h;
 	bool ok = true;
 	uint32_t i;
@@ -65,11 +66,11 @@
 	for (i = 0; ok && i < head->n_headers; i++) {
 		h = &head->headers[i];
 		if (!is_replaced_host(head, h->name) &&
-		    call_header_passes(
+		    call_header_is_forwarded(
 			h->name, named, d->prefix, d->from_callers))
 			ok = add_header(r, h->name, h->value);
 	}
-	call_headers_named_free(named);
+	call_headers_conn_options_free(named);
 	return ok ? 0 : HTTP_HEADERS_TOO_LARGE;
 }
 
@@ -176,7 +177,7 @@
 {
 	const char *key = find_header(head, HEADER_KEY);
 
-	if (c->dialect->caller_names_requests)
+	if (c->dialect->caller_sets_request_id)
 		r->id = g_strdup(find_header(head, c->dialect->request_id));
 	if (!c->dialect->key || key == NULL)
 		return 0;
--- a/packages/node/src/entry_attempt.c
+++ b/packages/node/src/entry_attempt.c
@@ -269,7 +269,7 @@
 		return;
 	entry_body_pull(a->call, a);
 	if (has_chunk(a))
-		call_link_want(&a->peer->link, &a->sender);
+		call_link_enqueue(&a->peer->link, &a->sender);
 }
 
 /* The answer's body */
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -295,7 +295,7 @@
 		return false;
 	p->incarnation = hello.incarnation;
 	p->initial_credit_bytes =
-	    hello.first_bytes != 0 ? hello.first_bytes : CALL_FIRST_BYTES;
+	    hello.first_bytes != 0 ? hello.first_bytes : CALL_BODY_PREFIX_BYTES;
 	p->state = PEER_READY;
 	p->last_used_ms = loop_now_ms(p->entry->loop);
 	p->failed_dials = 0;
@@ -461,7 +461,7 @@
 
 	if (p == NULL)
 		return;
-	call_link_forget(&a->sender);
+	call_link_dequeue(&a->sender);
 	a->peer = NULL;
 	if (a->stream == 0) {
 		g_queue_remove(&p->waiting, a);
--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -129,7 +129,7 @@
 	guard_quarantine_init(g);
 	g_mutex_init(&g->counts_lock);
 	drain_init(&g->drain);
-	body_window_init(&g->window, CALL_BODIES_BYTES);
+	body_window_init(&g->window, CALL_BODIES_WINDOW_BYTES);
 	loop_timer_init(&g->tick, loop, tick, g);
 	return g;
 }
--- a/packages/node/src/guard_conn.c
+++ b/packages/node/src/guard_conn.c
@@ -33,7 +33,7 @@
 	struct msg_call_hello m = {.proto = CALL_PROTO,
 	    .incarnation = g->incarnation,
 	    .sent_ms = loop_now_ms(g->loop),
-	    .first_bytes = CALL_UNASKED_BYTES};
+	    .first_bytes = CALL_INITIAL_CREDIT_BYTES};
 
 	(void)g_strlcpy(m.host, g->settings->host, sizeof(m.host));
 	(void)call_link_send(&gc->link, MSG_CALL_HELLO, &m);
--- a/packages/node/src/guard_credit.c
+++ b/packages/node/src/guard_credit.c
@@ -28,10 +28,10 @@
 	uint64_t total =
 	    r->body_bytes < 0 ? BODY_LENGTH_OPEN : (uint64_t)r->body_bytes;
 
-	body_window_open(&g->window, &r->share, r, total, CALL_UNASKED_BYTES,
-	    loop_now_ms(g->loop));
-	body_window_want(
-	    &g->window, &r->share, CALL_FIRST_BYTES - CALL_UNASKED_BYTES);
+	body_window_open(&g->window, &r->share, r, total,
+	    CALL_INITIAL_CREDIT_BYTES, loop_now_ms(g->loop));
+	body_window_want(&g->window, &r->share,
+	    CALL_BODY_PREFIX_BYTES - CALL_INITIAL_CREDIT_BYTES);
 	pump(g);
 }
 
@@ -53,7 +53,7 @@
 	struct guard *g = r->guard;
 
 	if (!r->wide)
-		bytes += CALL_WINDOW_BYTES - CALL_FIRST_BYTES;
+		bytes += CALL_WINDOW_BYTES - CALL_BODY_PREFIX_BYTES;
 	r->wide = true;
 	body_window_want(&g->window, &r->share, bytes);
 	pump(g);
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -74,7 +74,7 @@
 	const char *named;
 	uint32_t i;
 
-	if (!d->caller_names_requests)
+	if (!d->caller_sets_request_id)
 		return false;
 	named = find(headers, n, d->request_id);
 	for (i = 0; named != NULL && i < call_headers_count(&r->headers); i++) {
@@ -130,7 +130,8 @@
 take_headers(
     struct guard_request *r, const struct http_header *headers, uint32_t n)
 {
-	GTree *named = call_headers_named(find(headers, n, "Connection"));
+	GTree *named =
+	    call_headers_conn_options(find(headers, n, "Connection"));
 	const char *length = find(headers, n, CONTENT_LENGTH);
 	const struct http_header *h;
 	uint32_t i;
@@ -140,13 +141,13 @@
 
 	for (i = 0; i < n; i++) {
 		h = &headers[i];
-		if (!call_header_passes(h->name, named,
+		if (!call_header_is_forwarded(h->name, named,
 			r->guard->dialect->prefix,
 			r->guard->dialect->from_upstreams))
 			continue;
 		take_header(r->answer, h->name, h->value);
 	}
-	call_headers_named_free(named);
+	call_headers_conn_options_free(named);
 }
 
 static enum http_flow
@@ -315,7 +316,7 @@
 		h = call_headers_at(&r->headers, i);
 		set_header(headers, &n, h->name, h->value);
 	}
-	if (!d->caller_names_requests)
+	if (!d->caller_sets_request_id)
 		set_header(headers, &n, d->request_id, id);
 	set_header(headers, &n, d->deadline, left);
 	if (d->target != NULL && instance[0] != '\0')
--- a/packages/node/src/guard_out.c
+++ b/packages/node/src/guard_out.c
@@ -34,7 +34,7 @@
 void
 guard_out_free(struct guard_out *o)
 {
-	call_link_forget(&o->sender);
+	call_link_dequeue(&o->sender);
 	g_hash_table_remove(o->conn->streams, GUINT_TO_POINTER(o->stream));
 	g_queue_unlink(&o->answer->outs, &o->node);
 	if (o->request != NULL && o->request->source == o)
@@ -125,7 +125,7 @@
 	if (!o->head_sent)
 		send_head(o, u);
 	if (has_chunk(o))
-		call_link_want(&o->conn->link, &o->sender);
+		call_link_enqueue(&o->conn->link, &o->sender);
 }
 
 void
@@ -133,7 +133,7 @@
 {
 	o->credit_bytes += bytes;
 	if (o->head_sent && has_chunk(o))
-		call_link_want(&o->conn->link, &o->sender);
+		call_link_enqueue(&o->conn->link, &o->sender);
 }
 
 void
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -206,7 +206,7 @@
 static bool
 body_suffices(const struct guard_request *r)
 {
-	return r->fin || r->received >= CALL_FIRST_BYTES;
+	return r->fin || r->received >= CALL_BODY_PREFIX_BYTES;
 }
 
 void
@@ -253,7 +253,7 @@
 static bool
 length_is_right(const struct guard_request *r)
 {
-	if (r->received > MAX(r->share.granted_bytes, CALL_FIRST_BYTES))
+	if (r->received > MAX(r->share.granted_bytes, CALL_BODY_PREFIX_BYTES))
 		return false;
 	if (r->body_bytes < 0)
 		return true;
