--- a/packages/node/bench/bench_call.c
+++ b/packages/node/bench/bench_call.c
@@ -1,10 +1,11 @@
 /*
- * Bench of the call path: what two nodes add to a call, beside direct calls
- * to the same upstream in the same run, and the processor time per call.
+ * Benchmark of the call path: the latency that two nodes add to a call,
+ * compared with direct calls to the same upstream in the same run, and the
+ * processor time per call.
  *
- * Three processes: callers and upstream here, the entry's node and the
- * guard's node in a process each.  Usage: bench_call [seconds [rate]]; with a
- * rate of 0 only the most that the nodes carry is measured.
+ * Three processes: callers and upstream in this one, the entry's node and the
+ * guard's node in one each.  Usage: bench_call [seconds [rate]]; with a rate of
+ * 0 only the maximum rate is measured.
  */
 #include <inttypes.h>
 #include <pthread.h>
@@ -30,10 +31,10 @@
 #define PEAK_FIELD "VmHWM:"
 
 /**
- * struct child - a node in a process of its own
- * @pid: the process
- * @request_fd: pipe to it
- * @reply_fd: pipe from it
+ * struct child - a node in a child process
+ * @pid: process id
+ * @request_fd: pipe to the child
+ * @reply_fd: pipe from the child
  */
 struct child {
 	pid_t pid;
@@ -43,16 +44,16 @@
 
 /**
  * struct load - one phase of load
- * @port: where the calls go
+ * @port: port that is called
  * @method: method of the calls
  * @path: their path
  * @body: their body, or NULL
- * @rate: calls per second; 0 for as many as go
- * @until_us: when it ends
- * @began_us: when it began
+ * @rate: calls per second; 0 for the maximum
+ * @until_us: monotonic end time
+ * @began_us: monotonic start time
  * @next: number of the next call
  * @threads: number of callers
- * @samples_us: time of each call
+ * @samples_us: latency of each call
  * @n_samples: number of calls
  * @failed: calls that failed
  */
@@ -92,7 +93,8 @@
 	return fine;
 }
 
-/* Calls are timed from when they were due, so that waiting counts. */
+/* Latency counts from the time a call was due, so that queueing at the caller
+ * is included. */
 static void *
 caller_main(void *arg)
 {
@@ -181,7 +183,8 @@
 	s->keep_alive_ms = 15000;
 }
 
-/* Answers each question with its processor time until the pipe closes. */
+/* Answers each byte on the pipe with the process's processor time, until the
+ * pipe is closed. */
 static void
 child_main(uint16_t upstream, uint16_t guard, int request_fd, int reply_fd)
 {
@@ -306,7 +309,7 @@
 	report("  through two nodes", l);
 }
 
-/* Resident memory of a child, at its highest. */
+/* Peak resident memory of a child. */
 static long
 child_peak_kb(const struct child *c)
 {
@@ -327,9 +330,10 @@
 
 /**
  * struct upload - a large upload
- * @port: where it goes
- * @took_us: how long it took
- * @fine: it arrived whole
+ * @port: port that is called
+ * @took_us: duration
+ * @fine: the upload arrived complete
+ * @over: the upload has ended
  */
 struct upload {
 	uint16_t port;
@@ -357,7 +361,7 @@
 	return NULL;
 }
 
-/* Lookups while one upload after the other goes over the same nodes. */
+/* Lookups during a large upload through the same nodes. */
 static void
 run_beside_upload(struct load *l, const struct child *entry,
     const struct child *guard, uint64_t rate)
--- a/packages/node/include/node/call_dialect.h
+++ b/packages/node/include/node/call_dialect.h
@@ -1,6 +1,6 @@
 /*
- * How callers and upstreams are spoken to: names of the headers that carry
- * what this system has to say beside the request itself.
+ * Dialect: names of the HTTP headers in which this system exchanges its own
+ * data with callers and upstreams.
  */
 #ifndef NODE_CALL_DIALECT_H
 #define NODE_CALL_DIALECT_H
@@ -8,25 +8,26 @@
 #include <stdbool.h>
 
 /**
- * struct call_dialect - names of headers; NULL for what isn't told
- * @prefix: headers with this beginning are the system's own: what callers or
- *	upstreams send under it stays here, unless it is in a list below
- * @from_callers: such headers that are passed to upstreams; ends with NULL
- * @from_upstreams: such headers that are passed to callers; ends with NULL
- * @request_id: name of a request
- * @caller_sets_request_id: callers choose it, and upstreams' answers repeat it;
- *	else the guard names each attempt
- * @key: Idempotency-Key is spoken: a key is one request; else it is an
- *	ordinary header
+ * struct call_dialect - header names; NULL for a header that isn't used
+ * @prefix: headers whose names begin with it belong to this system: those that
+ *	callers or upstreams send aren't forwarded, unless listed below
+ * @from_callers: such headers that are forwarded to upstreams; ends with NULL
+ * @from_upstreams: such headers that are forwarded to callers; ends with NULL
+ * @request_id: id of a request
+ * @caller_sets_request_id: callers choose the id, and upstreams' answers repeat
+ *	it; otherwise the guard generates an id for each attempt
+ * @key: Idempotency-Key is interpreted: all calls with one key are one request;
+ *	otherwise it is forwarded as an ordinary header
  * @deadline: time left, in milliseconds, from callers and to upstreams
- * @caller_service: told to upstreams: service of the host where a call began
- * @target: told to upstreams: instance that an attempt is for
- * @fate: told to callers: "done", "not_run" or "unknown"
- * @version: told to callers: version of the configuration
- * @not_run: an upstream says by it that it has not run a request
- * @not_run_value: the value that says so, NULL for any
- * @signature: a success without it is no answer of the upstream
- * @load: an upstream's running and waiting requests and its slots
+ * @caller_service: sent to upstreams: service of the host where a call entered
+ * @target: sent to upstreams: instance that an attempt is for
+ * @fate: sent to callers: outcome of the request, "done", "not_run" or
+ *	"unknown"
+ * @version: sent to callers: version of the configuration
+ * @not_run: an upstream declares with it that it has not run a request
+ * @not_run_value: value of @not_run that declares it; NULL for any value
+ * @signature: a successful answer without it didn't come from the upstream
+ * @load: an upstream's running and queued requests and its slots
  * @fractional_retry_after: Retry-After may hold a fraction of a second
  */
 struct call_dialect {
@@ -48,7 +49,7 @@
 	bool fractional_retry_after;
 };
 
-/** call_dialect_own - the product's own names, docs/API.md */
+/** call_dialect_own - the product's own header names, docs/API.md */
 extern const struct call_dialect call_dialect_own;
 
 #endif
--- a/packages/node/include/node/entry.h
+++ b/packages/node/include/node/entry.h
@@ -1,9 +1,10 @@
 /*
- * Entry: the part of the traffic thread that places the calls which came in at
- * this node on endpoints, follows each to its fate, and talks to the guards.
+ * Entry: the part of the traffic thread that places the calls received by this
+ * node on endpoints, tracks each until its outcome is known, and keeps the
+ * connections to the guards.
  *
- * It feeds the decisions of package traffic (placement, retry, the state
- * machine of a call) with what happens and carries out what they answer.
+ * Package traffic decides (placement, retries, the state machine of a call);
+ * the entry reports events to it and runs the actions that it returns.
  */
 #ifndef NODE_ENTRY_H
 #define NODE_ENTRY_H
@@ -20,10 +21,10 @@
 struct settings;
 
 /**
- * entry_new() - make an entry
+ * entry_new() - create an entry
  * @s: settings of the node; must outlive the entry
- * @dialect: how callers are spoken to; must outlive the entry
- * @incarnation: incarnation of this process, told to guards
+ * @dialect: header names; must outlive the entry
+ * @incarnation: incarnation of this process, sent to guards
  * @loop: loop of the traffic thread
  */
 struct entry *
@@ -34,21 +35,22 @@
  * entry_snapshot_changed() - a new snapshot was published
  * @e: the entry
  *
- * Any thread may call it.  New calls use the snapshot in force anyhow; this
- * lets the entry forget what it keeps on endpoints that are gone.
+ * Any thread may call it.  New calls read the snapshot in force in any case;
+ * this makes the entry release the state of endpoints that were removed.
  */
 void entry_snapshot_changed(struct entry *e);
 
 /**
- * entry_watch_snapshot() - be told of new snapshots in the traffic thread
+ * entry_watch_snapshot() - set a callback for new snapshots, in the traffic
+ * thread
  * @e: the entry
  * @fn: called after each change
- * @arg: given to @fn
+ * @arg: passed to @fn
  */
 void entry_watch_snapshot(struct entry *e, void (*fn)(void *arg), void *arg);
 
 /**
- * entry_version_known() - the newest version that this node knows of changed
+ * entry_version_known() - the newest version that this node has seen changed
  * @e: the entry
  * @version: the version, in force here or not; 0 for none
  *
@@ -57,57 +59,65 @@
 void entry_version_known(struct entry *e, uint64_t version);
 
 /**
- * entry_version_awaited() - the newest version that this node is to get changed
+ * entry_version_awaited() - the newest version that this node should apply
+ * changed
  * @e: the entry
- * @version: the version, that some node has read and this one can use as far as
- *	is known; in force here or not
+ * @version: a version that some node has read and that this node is not known
+ *	to reject; in force here or not
  *
  * Any thread may call it.
  */
 void entry_version_awaited(struct entry *e, uint64_t version);
 
 /**
- * entry_behind_head() - a request's head is refused by the limits in force
+ * entry_behind_head() - a request's head exceeds the limits in force
  * @e: the entry
- * @status: HTTP status that it would get
+ * @status: HTTP status of the refusal
  *
  * In the traffic thread.
  *
- * Return: 0 when that stands; else the time after which the caller is to come
- * back, since a newer version is known of, or none is in force yet.
+ * Return: 0 when the refusal is final; otherwise the time in milliseconds after
+ * which the caller should retry, since a newer version is known, or none is in
+ * force yet.
  */
 uint64_t entry_behind_head(struct entry *e, uint32_t status);
 
 /**
- * entry_submit() - hand a call to the entry
+ * entry_submit() - submit a call to the entry
  * @e: the entry
  * @x: the call; see node/call_exchange.h
  *
- * In the traffic thread; the answer never comes before this returns.
+ * In the traffic thread; the answer is never delivered before this returns.
  */
 void entry_submit(struct entry *e, struct call_exchange *x);
 
 /**
- * entry_drain() - take no new call from now on
+ * entry_drain() - announce the stop, then refuse new calls
  * @e: the entry
- * @deadline_ms: monotonic time at which what still runs is given up
+ * @deadline_ms: monotonic time at which calls still in flight are aborted
  *
- * Any thread may call it.  New calls are answered not_run.  Follow
- * entry_in_flight() down to 0.
+ * Any thread may call it.  New calls are still accepted for drain_notice_ms (a
+ * tenth of the remaining time by default), then answered not_run.  The drain is
+ * complete when entry_in_flight() is 0.
  */
 void entry_drain(struct entry *e, uint64_t deadline_ms);
 
-/** entry_in_flight() - calls that are not ended */
+/** entry_in_flight() - calls that have not ended */
 uint32_t entry_in_flight(const struct entry *e);
 
-/** entry_stop() - break off calls in flight; any thread may call it */
+/** entry_stop() - abort calls in flight; any thread may call it */
 void entry_stop(struct entry *e);
 
-/** entry_use_quarantine() - requests that are not to be run; before its thread
- * starts, which feeds @q too; borrowed */
+/**
+ * entry_use_quarantine() - set the quarantined requests, which are refused
+ *
+ * To be called before the traffic thread starts, which also updates @q; @q is
+ * borrowed.
+ */
 void entry_use_quarantine(struct entry *e, struct quarantine *q);
 
-/** entry_free() - free it, once its thread has stopped; NULL is allowed */
+/** entry_free() - free the entry, once the traffic thread has stopped; NULL is
+ * allowed */
 void entry_free(struct entry *e);
 
 #endif
--- a/packages/node/src/call_dialect.c
+++ b/packages/node/src/call_dialect.c
@@ -1,5 +1,5 @@
 /*
- * The product's own names of headers.
+ * The product's own header names.
  */
 #include <stddef.h>
 
--- a/packages/node/src/call_exchange.c
+++ b/packages/node/src/call_exchange.c
@@ -1,16 +1,16 @@
 /*
- * A call as the server for callers and the entry share it.
+ * The state of a call that the server for callers and the entry share.
  */
 #include "call_exchange.h"
 
-/* The entry is told of consumed bytes in pieces of this size. */
+/* The entry is notified each time this many bytes were consumed. */
 #define NOTIFY_CONSUMED_BYTES 32768
 
 /**
- * struct exchange_body - a body on its way
- * @pieces: GBytes that wait
- * @bytes: bytes that wait
- * @end: how it ended
+ * struct exchange_body - the buffer of a body
+ * @pieces: buffered GBytes
+ * @bytes: buffered bytes
+ * @end: how the body ended
  */
 struct exchange_body {
 	GQueue pieces;
@@ -19,10 +19,10 @@
 };
 
 /**
- * struct exchange_observer - who is told of the other side's doings
- * @fn: what is called
- * @arg: given to it
- * @task: calls it at the end of the turn
+ * struct exchange_observer - callback for changes by the other side
+ * @fn: the callback, or NULL
+ * @arg: passed to @fn
+ * @task: calls @fn at the end of the loop's iteration
  */
 struct exchange_observer {
 	exchange_fn *fn;
@@ -33,16 +33,16 @@
 /**
  * struct call_exchange - a call
  * @refs: references
- * @request: what was asked
- * @caller: the server for callers
- * @entry: the entry
+ * @request: the request
+ * @caller: observer of the server for callers
+ * @entry: observer of the entry
  * @request_body: the request's body
  * @answer_body: the answer's body
- * @answer: head of the answer
- * @consumed_bytes: consumed by the caller and not looked at
- * @accepted: the entry wants the body
- * @disconnected: the caller is gone
- * @entry_data: the entry's own
+ * @answer: head of the answer, or NULL
+ * @consumed_bytes: consumed by the caller since the last poll
+ * @accepted: the entry reads the request's body
+ * @disconnected: the caller has closed its connection
+ * @entry_data: the entry's state of the call
  */
 struct call_exchange {
 	uint32_t refs;
@@ -176,7 +176,7 @@
 		loop_task_defer(&observer->task);
 }
 
-/* The caller's side */
+/* Side of the server for callers */
 
 void
 call_exchange_attach_caller(struct call_exchange *x, exchange_fn *fn, void *arg)
@@ -241,7 +241,7 @@
 	defer_notify(&x->entry);
 }
 
-/* The entry's side */
+/* Side of the entry */
 
 void
 call_exchange_attach_entry(struct call_exchange *x, exchange_fn *fn, void *arg)
--- a/packages/node/src/call_exchange.h
+++ b/packages/node/src/call_exchange.h
@@ -1,11 +1,11 @@
 /*
- * A call as the server for callers and the entry share it: the request, the
- * request's body on its way up, and the answer on its way down.
+ * Exchange: the state of a call that the server for callers and the entry
+ * share: the request, its body, and the answer.
  *
- * Both live in the traffic thread.  What one side does is told to the other
- * at the end of the turn, so that neither is called from within its own call.
- * What waits for the caller is bounded by the entry, which takes no more from
- * the guard than the caller has consumed.
+ * Both sides run in the traffic thread.  A change by one side is notified to
+ * the other at the end of the loop's iteration, so that callbacks aren't
+ * reentrant.  The buffered part of the answer is bounded by the entry, which
+ * grants the guard no more credit than the caller has consumed.
  */
 #ifndef CALL_EXCHANGE_H
 #define CALL_EXCHANGE_H
@@ -20,7 +20,7 @@
 
 #include "call_headers.h"
 
-/* Most bytes of a request's body that wait for the entry. */
+/* Limit of the buffered part of a request's body. */
 #define EXCHANGE_REQUEST_BUFFER_BYTES 131072
 
 /* Length of a body that is not known in advance. */
@@ -29,17 +29,17 @@
 struct call_exchange;
 
 /**
- * struct call_request - what a caller asked for; set before the submit
+ * struct call_request - a caller's request; complete before entry_submit()
  * @method: HTTP method
- * @path: path and query as they came, owned
- * @headers: headers that are passed on
- * @host: host that the caller named, owned, or NULL
- * @id: the caller's own name of the request, owned, or NULL
+ * @path: path and query as received, owned
+ * @headers: headers that are forwarded
+ * @host: host of the request's target or Host header, owned, or NULL
+ * @id: request id that the caller sent, owned, or NULL
  * @key: Idempotency-Key, owned, or NULL
  * @caller: address of the caller
  * @body_bytes: length of the body or BODY_LENGTH_UNKNOWN
- * @deadline_ms: monotonic deadline that the caller named, or DEADLINE_NEVER
- * @arrived_us: monotonic time when the request had been read
+ * @deadline_ms: monotonic deadline that the caller sent, or DEADLINE_NEVER
+ * @arrived_us: monotonic time at which the head had been read
  */
 struct call_request {
 	char method[MSG_CALL_OPEN_METHOD_MAX + 1];
@@ -55,16 +55,16 @@
 };
 
 /**
- * struct call_answer - the head of what the caller is told
- * @outcome: fate of the request
+ * struct call_answer - head of the answer to the caller
+ * @outcome: outcome of the request
  * @status: HTTP status
- * @headers: headers of the upstream's answer; empty when the node answers
+ * @headers: headers of the upstream's answer; empty for an answer of the node
  * @body_bytes: length of the body, or BODY_LENGTH_UNKNOWN
  * @version: version of the configuration that placed the call
- * @kind: for an answer of the node itself: kind of the error, static
- * @message: and what went wrong with its remedy, owned; NULL when an upstream
- *	answered
- * @retry_after_ms: when to come back, 0 when it makes no sense
+ * @kind: kind of the error, static; NULL for an upstream's answer
+ * @message: cause of the error and its remedy, owned; NULL for an upstream's
+ *	answer
+ * @retry_after_ms: time until a retry; 0 to send no Retry-After
  */
 struct call_answer {
 	enum outcome outcome;
@@ -80,14 +80,14 @@
 /** call_answer_new() - an empty answer; free with call_answer_free() */
 struct call_answer *call_answer_new(enum outcome outcome, uint32_t status);
 
-/** call_answer_free() - free it; NULL is allowed */
+/** call_answer_free() - free an answer; NULL is allowed */
 void call_answer_free(struct call_answer *a);
 
 /**
  * enum exchange_end - how a body ended
- * @EXCHANGE_OPEN: it goes on
- * @EXCHANGE_COMPLETE: all of it was put in
- * @EXCHANGE_ABORTED: it broke off
+ * @EXCHANGE_OPEN: more may follow
+ * @EXCHANGE_COMPLETE: all of it was written
+ * @EXCHANGE_ABORTED: it was truncated
  */
 enum exchange_end {
 	EXCHANGE_OPEN = 0,
@@ -95,78 +95,82 @@
 	EXCHANGE_ABORTED,
 };
 
-/** exchange_fn - the other side has done something; look what it is */
+/** exchange_fn - callback for a change by the other side; @arg is that of the
+ * attach function */
 typedef void exchange_fn(struct call_exchange *x, void *arg);
 
-/** call_exchange_new() - a new exchange with one reference, the server's */
+/** call_exchange_new() - create an exchange with one reference, the server's */
 struct call_exchange *call_exchange_new(struct loop *loop);
 
 /** call_exchange_ref() - take a reference; Return: @x */
 struct call_exchange *call_exchange_ref(struct call_exchange *x);
 
-/** call_exchange_unref() - give a reference back */
+/** call_exchange_unref() - release a reference; the last one frees the
+ * exchange */
 void call_exchange_unref(struct call_exchange *x);
 
-/** call_exchange_request() - the request; written before the submit only */
+/** call_exchange_request() - the request; written before entry_submit() only */
 struct call_request *call_exchange_request(struct call_exchange *x);
 
-/* The side of the server for callers. */
+/* Side of the server for callers. */
 
-/** call_exchange_attach_caller() - whom to tell of the entry's doings */
+/** call_exchange_attach_caller() - set the callback for changes by the entry */
 void call_exchange_attach_caller(
     struct call_exchange *x, exchange_fn *fn, void *arg);
 
 /**
- * call_exchange_write_request() - put in a piece of the request's body
+ * call_exchange_write_request() - append a piece of the request's body
  * @x: the exchange
  * @data: first byte; copied
  * @len: number of bytes
  *
- * Return: false when EXCHANGE_REQUEST_BUFFER_BYTES wait, so that the caller is
- * to be held back until call_exchange_has_room().
+ * Return: false when EXCHANGE_REQUEST_BUFFER_BYTES are buffered: reading from
+ * the caller must be paused until call_exchange_has_room().
  */
 bool call_exchange_write_request(
     struct call_exchange *x, const uint8_t *data, size_t len);
 
-/** call_exchange_end_request() - the request's body has ended */
+/** call_exchange_end_request() - end the request's body */
 void call_exchange_end_request(struct call_exchange *x, enum exchange_end end);
 
-/** call_exchange_has_room() - whether more of the body is taken */
+/** call_exchange_has_room() - whether the buffer of the request's body is below
+ * its limit */
 bool call_exchange_has_room(const struct call_exchange *x);
 
-/** call_exchange_is_accepted() - whether the entry wants the body */
+/** call_exchange_is_accepted() - whether the entry reads the request's body */
 bool call_exchange_is_accepted(const struct call_exchange *x);
 
-/** call_exchange_answer_head() - head of the answer, or NULL; stays here */
+/** call_exchange_answer_head() - head of the answer, borrowed; NULL before it
+ * is set */
 const struct call_answer *
 call_exchange_answer_head(const struct call_exchange *x);
 
 /**
- * call_exchange_read_answer() - take a piece of the answer's body
+ * call_exchange_read_answer() - remove the next piece of the answer's body
  * @x: the exchange
- * @end: how the body ended, when there is no more
+ * @end: how the body ended, EXCHANGE_OPEN while more may follow
  *
- * Return: a piece, whose reference the caller owns; NULL when there is none
- * now (@end is EXCHANGE_OPEN) or any more.
+ * Return: a piece, whose reference passes to the caller of the function; NULL
+ * when none is buffered.
  */
 GBytes *
 call_exchange_read_answer(struct call_exchange *x, enum exchange_end *end);
 
-/** call_exchange_disconnect() - the caller is gone */
+/** call_exchange_disconnect() - the caller has closed its connection */
 void call_exchange_disconnect(struct call_exchange *x);
 
-/* The entry's side. */
+/* Side of the entry. */
 
-/** call_exchange_attach_entry() - whom to tell of the caller's doings */
+/** call_exchange_attach_entry() - set the callback for changes by the server */
 void
 call_exchange_attach_entry(struct call_exchange *x, exchange_fn *fn, void *arg);
 
 /**
- * struct exchange_events - what happened at the caller's side
- * @request_body_bytes: bytes of the request's body that wait
- * @request_body_end: how it ended; EXCHANGE_OPEN while more may come
- * @consumed_bytes: bytes of the answer's body consumed since the last look
- * @disconnected: the caller is gone
+ * struct exchange_events - changes by the server for callers
+ * @request_body_bytes: buffered bytes of the request's body
+ * @request_body_end: how the body ended; EXCHANGE_OPEN while more may follow
+ * @consumed_bytes: bytes of the answer's body consumed since the last poll
+ * @disconnected: the caller has closed its connection
  */
 struct exchange_events {
 	uint32_t request_body_bytes;
@@ -175,42 +179,44 @@
 	bool disconnected;
 };
 
-/** call_exchange_accept() - the body of the request is wanted */
+/** call_exchange_accept() - start reading the request's body */
 void call_exchange_accept(struct call_exchange *x);
 
-/** call_exchange_poll() - what happened since the last look */
+/** call_exchange_poll() - get the changes since the last poll */
 void
 call_exchange_poll(struct call_exchange *x, struct exchange_events *events);
 
 /**
- * call_exchange_read_request() - take a piece of the request's body
+ * call_exchange_read_request() - remove the next piece of the request's body
  *
- * Return: a piece, whose reference the caller owns; NULL when none waits.
+ * Return: a piece, whose reference passes to the caller of the function; NULL
+ * when none is buffered.
  */
 GBytes *call_exchange_read_request(struct call_exchange *x);
 
 /**
- * call_exchange_begin_answer() - give the head of the answer
+ * call_exchange_begin_answer() - set the head of the answer
  * @x: the exchange
- * @a: the head; taken over
- * @pieces: GBytes, the beginning of the body, which are moved; or NULL
- * @end: EXCHANGE_COMPLETE when that is all, EXCHANGE_OPEN when more will come
+ * @a: the head; ownership passes to the exchange
+ * @pieces: GBytes, the beginning of the body, moved to the exchange; or NULL
+ * @end: EXCHANGE_COMPLETE when @pieces are all of it, EXCHANGE_OPEN when more
+ *	follows
  */
 void call_exchange_begin_answer(struct call_exchange *x, struct call_answer *a,
     GQueue *pieces, enum exchange_end end);
 
-/** call_exchange_write_answer() - give a piece of the body; the reference is
- * taken */
+/** call_exchange_write_answer() - append a piece of the answer's body; its
+ * reference passes to the exchange */
 void call_exchange_write_answer(struct call_exchange *x, GBytes *piece);
 
-/** call_exchange_end_answer() - the answer's body has ended */
+/** call_exchange_end_answer() - end the answer's body */
 void call_exchange_end_answer(struct call_exchange *x, enum exchange_end end);
 
-/** call_exchange_set_entry_data() - remember what the entry keeps on the call
+/** call_exchange_set_entry_data() - attach the entry's state of the call
  */
 void call_exchange_set_entry_data(struct call_exchange *x, void *entry_data);
 
-/** call_exchange_entry_data() - what was set, or NULL */
+/** call_exchange_entry_data() - the entry's state of the call, or NULL */
 void *call_exchange_entry_data(const struct call_exchange *x);
 
 #endif
--- a/packages/node/src/call_headers.c
+++ b/packages/node/src/call_headers.c
@@ -1,5 +1,5 @@
 /*
- * HTTP headers on their way through the call path.
+ * HTTP headers in the call path.
  */
 #include <string.h>
 
@@ -7,7 +7,8 @@
 
 #define TEXT_BLOCK_BYTES 1024
 
-/* Meant for one connection only, or made anew for each. */
+/* Headers that apply to one connection, or are generated for each
+ * connection. */
 static const char *const hop_by_hop[] = {"Connection", "Keep-Alive",
     "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "TE",
     "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"};
@@ -74,7 +75,7 @@
 	return g_ascii_strcasecmp(a, b);
 }
 
-/* What most callers say names no header that would be passed on. */
+/* Options of most requests, which are no header names. */
 static bool
 is_usual(const char *token, size_t len)
 {
--- a/packages/node/src/call_headers.h
+++ b/packages/node/src/call_headers.h
@@ -1,6 +1,6 @@
 /*
- * HTTP headers on their way through the call path: owned copies, and which
- * of them are not passed on.
+ * HTTP headers in the call path: owned copies, and the rule which of them are
+ * forwarded.
  */
 #ifndef CALL_HEADERS_H
 #define CALL_HEADERS_H
@@ -17,18 +17,19 @@
 
 /**
  * struct call_headers - an owned list of headers
- * @items: struct rec_header; names and values are zero-terminated
- * @text: what the items point into
+ * @items: struct rec_header; names and values end with a NUL
+ * @text: storage of the names and values
  */
 struct call_headers {
 	GArray *items;
 	GStringChunk *text;
 };
 
-/** call_headers_init() - an empty list; free with call_headers_clear() */
+/** call_headers_init() - initialise an empty list; free with
+ * call_headers_clear() */
 void call_headers_init(struct call_headers *h);
 
-/** call_headers_clear() - free what the list holds */
+/** call_headers_clear() - free the contents of the list */
 void call_headers_clear(struct call_headers *h);
 
 /**
@@ -39,9 +40,11 @@
  * @value: first byte of the value
  * @value_len: bytes in @value
  *
- * What comes here was bounded by the size of its head.
+ * The number of bytes isn't checked here: the limit of the message's head
+ * bounds it.
  *
- * Return: false when no message can carry it.
+ * Return: false when the list is full, or the name or value is longer than a
+ * message allows.
  */
 bool call_headers_add(struct call_headers *h, const char *name,
     uint32_t name_len, const char *value, uint32_t value_len);
@@ -53,33 +56,35 @@
 const struct rec_header *
 call_headers_at(const struct call_headers *h, uint32_t i);
 
-/** call_headers_rec() - all headers, as messages hold them */
+/** call_headers_rec() - all headers as an array for a message */
 struct rec_header *call_headers_rec(const struct call_headers *h);
 
 /**
- * call_headers_conn_options() - what a Connection header names
+ * call_headers_conn_options() - the options in a Connection header (RFC 9110,
+ * 7.6.1)
  * @connection: its value, or NULL
  *
- * A tree, since a head may have thousands of lines and such a list thousands of
- * names, which a caller may choose so that they share one hash.
+ * A tree and not a hash table, since a head may have thousands of headers and a
+ * Connection header thousands of options, and a caller may choose them so that
+ * their hashes collide.
  *
- * Return: the names, for call_headers_conn_options_free(); NULL when no header
- * that would be passed on is among them.
+ * Return: the header names, for call_headers_conn_options_free(); NULL when it
+ * has no options, or only "close" and "keep-alive".
  */
 GTree *call_headers_conn_options(const char *connection);
 
-/** call_headers_conn_options_free() - free names; NULL is allowed */
+/** call_headers_conn_options_free() - free the options; NULL is allowed */
 void call_headers_conn_options_free(GTree *names);
 
 /**
- * call_header_is_forwarded() - whether a header is passed on
- * @name: zero-terminated name
+ * call_header_is_forwarded() - whether a header is forwarded
+ * @name: name, ends with a NUL
  * @named: call_headers_conn_options() of the message's Connection header
- * @prefix: beginning of the names of this system's own headers
- * @kept: names with this beginning that pass; ends with NULL
+ * @prefix: prefix of the names of this system's own headers
+ * @kept: names with this prefix that are forwarded; ends with NULL
  *
- * Hop-by-hop headers, those named by Connection, the length of the body and
- * headers of this system are not.
+ * Not forwarded are hop-by-hop headers, those listed in Connection,
+ * Content-Length and this system's own headers.
  */
 bool call_header_is_forwarded(const char *name, GTree *named,
     const char *prefix, const char *const *kept);
--- a/packages/node/src/call_link.c
+++ b/packages/node/src/call_link.c
@@ -1,13 +1,13 @@
 /*
- * What entry and guard have in common on a connection between them.
+ * A connection between entry and guard, used by both.
  */
 #include <string.h>
 
 #include "call_link.h"
 
 #define LINK_FRAME_MAX_BYTES (256U * 1024U)
-/* A message longer than this doesn't keep its room: a node has two links to
- * each of the others, and a piece of a body on each would be 4 MB with 65
+/* The buffer of a message longer than this is released: a node has two links to
+ * each other node, and keeping a body's piece on each would take 4 MB with 65
  * hosts. */
 #define SCRATCH_KEEP_BYTES 1024
 #define LINK_OUTPUT_MAX_BYTES (8U * 1024U * 1024U)
--- a/packages/node/src/call_link.h
+++ b/packages/node/src/call_link.h
@@ -1,10 +1,10 @@
 /*
- * What entry and guard have in common on a connection between them: encoding,
- * turns among the streams that have a body to send, and pings.
+ * Link: a connection between entry and guard, used by both: encoding of
+ * messages and round-robin scheduling of the streams that have a body to send.
  *
- * Bodies are sent in chunks, one of each stream in turn, and only while little
- * waits in the output buffer, so that a large body neither fills memory nor
- * holds up the small messages that are sent at once.
+ * Bodies are sent in chunks, one of each stream in turn, and only while the
+ * output buffer is nearly empty, so that a large body neither fills memory nor
+ * delays the small messages, which are sent at once.
  */
 #ifndef CALL_LINK_H
 #define CALL_LINK_H
@@ -21,47 +21,46 @@
 /* Version of the protocol between entry and guard. */
 #define CALL_PROTO 1
 
-/* Largest piece of a body in one frame. */
+/* Limit of a body's part in one frame. */
 #define CALL_CHUNK_BYTES 32768
 
-/* No chunk is added while more than this waits in the output buffer. */
+/* No chunk is added while the output buffer holds more than this. */
 #define CALL_OUTPUT_BYTES 65536
 
-/* Bytes of a request's body that an entry may send before the first credit: all
- * of most bookings. */
+/* Bytes of a request's body that an entry may send before the first credit;
+ * most bookings fit. */
 #define CALL_INITIAL_CREDIT_BYTES 16384
 
-/* The same where the guard doesn't tell; and bytes from which on a request is
- * begun though its body isn't complete. */
+/* A guard starts a request when its body is complete or this much of it was
+ * received.  Also the initial credit of a guard whose hello names none. */
 #define CALL_BODY_PREFIX_BYTES 65536
 
-/* Bytes of all bodies that may be on their way to a host: 0.1 s on a link of 5
- * Mbit/s, and what fills one of 100 over 5 ms. */
+/* Window of all request bodies in transit to a host: 0.1 s on a link of 5
+ * Mbit/s, and the bandwidth-delay product of 100 Mbit/s at 5 ms. */
 #define CALL_BODIES_WINDOW_BYTES 65536
 
-/* Bytes that may be under way, each way, once a request runs. */
+/* Window of a stream in each direction, once its request runs. */
 #define CALL_WINDOW_BYTES 262144
 
-/* Credit for an answer is granted when this much was consumed. */
+/* Credit for an answer is granted each time this much was consumed. */
 #define CALL_GRANT_BYTES 65536
 
 struct call_link;
 struct call_sender;
 
 /**
- * struct call_sender_ops - how a stream sends its body
- * @send: send one chunk on @link; Return: whether there is another one that
- *	may be sent now
+ * struct call_sender_ops - operations of a stream with a body to send
+ * @send: send one chunk on @link; Return: whether another chunk may be sent now
  */
 struct call_sender_ops {
 	bool (*send)(struct call_sender *s, struct call_link *link);
 };
 
 /**
- * struct call_sender - a stream's place in the turns
- * @ops: how it sends
- * @link: where it is queued, or NULL
- * @node: its place in the link's queue
+ * struct call_sender - a stream in the round-robin queue of a link
+ * @ops: operations of the stream
+ * @link: link on which it is queued, or NULL
+ * @node: node in the link's queue
  */
 struct call_sender {
 	const struct call_sender_ops *ops;
@@ -71,10 +70,10 @@
 
 /**
  * struct call_link - one connection
- * @conn: the connection, NULL when it is gone
- * @scratch: room to encode in
- * @ready: struct call_sender that wait for their turn
- * @task: gives turns at the end of the loop's turn
+ * @conn: the connection, NULL once it is closed
+ * @scratch: buffer for encoding
+ * @ready: queued struct call_sender, in round-robin order
+ * @task: sends chunks at the end of the loop's iteration
  */
 struct call_link {
 	struct conn *conn;
@@ -83,35 +82,37 @@
 	struct loop_task task;
 };
 
-/** call_link_options() - options of a connection that carries calls */
+/** call_link_options() - fill in the options of a connection for calls */
 void call_link_options(struct conn_options *o);
 
 /** call_link_init() - start using @conn */
 void
 call_link_init(struct call_link *link, struct loop *loop, struct conn *conn);
 
-/** call_link_clear() - the connection is gone; senders lose their place */
+/** call_link_clear() - detach the closed connection and dequeue all senders */
 void call_link_clear(struct call_link *link);
 
 /**
- * call_link_send() - send a message at once
+ * call_link_send() - send a message ahead of queued chunks
  * @link: the link
  * @type: its type
  * @msg: the message; struct msg_* that belongs to @type
  *
  * Return: see conn_send_frame(); STATUS_UNAVAILABLE when the connection is
- * gone.
+ * closed.
  */
 enum status
 call_link_send(struct call_link *link, enum msg_type type, const void *msg);
 
-/** call_link_enqueue() - @s has a chunk to send; it gets its turn */
+/** call_link_enqueue() - queue @s, which has a chunk to send; no effect when it
+ * is queued */
 void call_link_enqueue(struct call_link *link, struct call_sender *s);
 
-/** call_link_dequeue() - @s has nothing to send any more */
+/** call_link_dequeue() - remove @s from its link's queue; no effect when it
+ * isn't queued */
 void call_link_dequeue(struct call_sender *s);
 
-/** call_link_writable() - the output buffer has emptied; give turns */
+/** call_link_writable() - the output buffer has drained: send queued chunks */
 void call_link_writable(struct call_link *link);
 
 #endif
--- a/packages/node/src/call_metrics.h
+++ b/packages/node/src/call_metrics.h
@@ -1,5 +1,5 @@
 /*
- * Metrics of the call path.
+ * Metrics of the call path; the help texts are in call_metrics.c.
  */
 #ifndef CALL_METRICS_H
 #define CALL_METRICS_H
@@ -23,13 +23,14 @@
 extern struct metric metric_crashes;
 extern struct metric metric_quarantined;
 
-/** call_metrics_register() - register them all, once */
+/** call_metrics_register() - register all metrics; further calls have no
+ * effect */
 void call_metrics_register(void);
 
-/** call_metrics_outcome() - a caller was told @o */
+/** call_metrics_outcome() - count a call that was answered with outcome @o */
 void call_metrics_outcome(enum outcome o);
 
-/** call_metrics_refusal() - a guard or an entry refused for @r */
+/** call_metrics_refusal() - count a refusal by a guard or an entry */
 void call_metrics_refusal(enum refusal r);
 
 #endif
--- a/packages/node/src/call_print.c
+++ b/packages/node/src/call_print.c
@@ -1,5 +1,5 @@
 /*
- * What a call is known by.
+ * Fingerprint of a call.
  */
 #include "call_print.h"
 
@@ -17,7 +17,8 @@
 	return NULL;
 }
 
-/* The service that calls where that is told, else the caller's address. */
+/* The calling service when a header names it, otherwise the caller's
+ * address. */
 const char *
 call_print_caller(const struct call_print_parts *p)
 {
@@ -28,16 +29,17 @@
 	return service != NULL ? service : p->address;
 }
 
-/* The service of the host where a request came in says nothing of who sent it:
- * a caller may try any host. */
+/* A caller_service header names the service of the host where the request
+ * entered.  It doesn't identify the caller, which may use any host, so it isn't
+ * part of the fingerprint. */
 static const char *
 identity_of(const struct call_print_parts *p)
 {
 	return p->dialect->caller_service != NULL ? "" : p->address;
 }
 
-/* A body of unknown length counts by its length once it is known to be short,
- * so that it doesn't matter how it came. */
+/* A short body has the same length in the fingerprint with and without
+ * Content-Length: its received length is used once it is complete. */
 static int64_t
 length_of(const struct call_print_parts *p)
 {
--- a/packages/node/src/call_print.h
+++ b/packages/node/src/call_print.h
@@ -1,5 +1,5 @@
 /*
- * What a call is known by: entry and guard make the same fingerprint of it.
+ * Fingerprint of a call: entry and guard compute the same one.
  */
 #ifndef CALL_PRINT_H
 #define CALL_PRINT_H
@@ -15,15 +15,15 @@
 #include "call_headers.h"
 
 /**
- * struct call_print_parts - a call as entry or guard see it
- * @dialect: how callers are spoken to
+ * struct call_print_parts - the parts of a call that its fingerprint covers
+ * @dialect: header names
  * @method: HTTP method
  * @path: path and query
- * @headers: headers that are passed on
- * @address: where it came from, the caller where no header names one
- * @body_bytes: length of the body, -1 when it isn't known
- * @body: GBytes of the body, from its first byte on
- * @received: bytes of the body that came
+ * @headers: headers that are forwarded
+ * @address: address of the caller, which identifies it when no header does
+ * @body_bytes: length of the body, -1 when unknown
+ * @body: GBytes of the body, from its first byte
+ * @received: received bytes of the body
  * @whole: the body is complete
  */
 struct call_print_parts {
@@ -38,13 +38,13 @@
 	bool whole;
 };
 
-/** call_print_ready() - whether enough of the body is there */
+/** call_print_ready() - whether enough of the body was received */
 bool call_print_ready(const struct call_print_parts *p);
 
-/** call_print_caller() - who calls, by name or address */
+/** call_print_caller() - service or address of the caller */
 const char *call_print_caller(const struct call_print_parts *p);
 
-/** call_print() - the fingerprint, once call_print_ready() */
+/** call_print() - compute the fingerprint; call_print_ready() must be true */
 void call_print(const struct call_print_parts *p, struct fingerprint *out);
 
 #endif
--- a/packages/node/src/call_proto.h
+++ b/packages/node/src/call_proto.h
@@ -1,9 +1,9 @@
 /*
- * The generated messages, for files that also use package traffic.
+ * Wrapper of proto/messages.h for files that also use package traffic.
  *
  * proto/gen/membership.h and traffic/endpoints.h both have an enum
- * endpoint_state.  The call path uses that of traffic; the other one gets
- * another name here.
+ * endpoint_state.  The call path uses the enum of traffic; the generated one is
+ * renamed here.
  */
 #ifndef CALL_PROTO_H
 #define CALL_PROTO_H
--- a/packages/node/src/call_silence.c
+++ b/packages/node/src/call_silence.c
@@ -1,5 +1,5 @@
 /*
- * Whether a connection has gone silent.
+ * Silence detection of a connection.
  */
 #include "base/clock.h"
 
@@ -43,7 +43,7 @@
 		s->due_ms = DEADLINE_NEVER;
 		return SILENCE_LOST;
 	}
-	/* Quiet for the first time, or this process was paused itself. */
+	/* No ping is pending, or this process was paused. */
 	s->ping_pending = true;
 	s->due_ms = now_ms + s->ping_timeout_ms;
 	return SILENCE_PING;
--- a/packages/node/src/callers.c
+++ b/packages/node/src/callers.c
@@ -1,5 +1,5 @@
 /*
- * The HTTP server for callers, its start, drain and stop.
+ * Start, drain and stop of the HTTP server for callers.
  */
 #include "base/clock.h"
 
@@ -9,7 +9,7 @@
 #include "call_metrics.h"
 #include "callers_priv.h"
 
-/* Time in which connections that are being made get through. */
+/* Time for connections in the accept queue to be accepted. */
 #define ACCEPT_SETTLE_MS 50
 #define POLL_US 2000
 #define REFRESH_MS 2
@@ -118,8 +118,8 @@
 }
 
 /*
- * After a drain the open connections end by themselves: each answer closes
- * its connection.  What a caller has sent by then is answered.
+ * During a drain each answer closes its connection, so that connections end
+ * without a request being dropped: requests received until then are answered.
  */
 static void
 wait_for_connections(struct callers *c)
--- a/packages/node/src/callers_answer.c
+++ b/packages/node/src/callers_answer.c
@@ -15,16 +15,16 @@
 #define HTTP_NOT_MODIFIED 304
 #define NUMBER_BYTES 24
 
-/* Headers that are added to those of the upstream. */
+/* Headers that the node adds to those of the upstream. */
 #define NODE_HEADERS_MAX 4
 #define HEADERS_MAX (MSG_CALL_HEAD_HEADERS_MAX + NODE_HEADERS_MAX)
 
 /**
- * struct answer_head - header lines of an answer
- * @lines: the lines
- * @n: their number
- * @version: text of the version
- * @retry_after: text of the time to come back
+ * struct answer_head - headers of an answer
+ * @lines: the headers
+ * @n: number of headers
+ * @version: value of the version header
+ * @retry_after: value of Retry-After
  */
 struct answer_head {
 	struct http_header lines[HEADERS_MAX];
@@ -41,7 +41,7 @@
 	h->n++;
 }
 
-/* Whole seconds are rounded up, so that nobody comes back too early. */
+/* Whole seconds are rounded up, so that no caller retries too early. */
 static void
 add_retry_after(
     struct answer_head *h, const struct call_dialect *d, uint64_t after_ms)
--- a/packages/node/src/callers_call.c
+++ b/packages/node/src/callers_call.c
@@ -1,6 +1,6 @@
 /*
- * A call at the server for callers: its body goes to the entry, its answer to
- * the caller.
+ * A call at the server for callers: moves the request's body to the entry and
+ * the answer to the caller.
  */
 #include <string.h>
 
@@ -13,10 +13,11 @@
 #define HTTP_TIMEOUT 408
 #define HTTP_HEAD_TOO_LARGE 431
 
-/* Bodies of known length up to this are read before the call is submitted. */
+/* Bodies of known length up to this are read completely before the call is
+ * submitted. */
 #define BUFFERED_BODY_MAX_BYTES 32768
 
-/* Longest time for reading a small body. */
+/* Timeout for reading a buffered body. */
 #define BODY_READ_TIMEOUT_MS 5000
 
 static void
@@ -29,7 +30,7 @@
 	g_free(call);
 }
 
-/* The answer has ended, one way or the other. */
+/* Ends the answer: completely, or by aborting the connection. */
 static void
 finish_answer(struct caller_call *call, enum exchange_end end)
 {
@@ -43,7 +44,7 @@
 	call_free(call);
 }
 
-/* Gives the caller what there is of the answer, as far as he takes it. */
+/* Writes the buffered answer until the connection's output buffer is full. */
 static void
 write_answer(struct caller_call *call)
 {
@@ -66,7 +67,7 @@
 		finish_answer(call, end);
 }
 
-/* The entry has accepted, taken from the body, or answered. */
+/* The entry has accepted the body, read a part of it, or answered. */
 static void
 on_entry(struct call_exchange *x, void *arg)
 {
@@ -97,7 +98,7 @@
 	entry_submit(call->callers->entry, call->exchange);
 }
 
-/* A caller that dribbles a small body is turned away; nothing has run. */
+/* Refuses a request whose small body arrives too slowly; it was not run. */
 static void
 on_body_timeout(void *arg)
 {
@@ -223,7 +224,8 @@
 	uint64_t retry_after_ms = 0;
 	char text[160];
 
-	/* The only one of these that the configuration decides. */
+	/* The configuration sets the limit of the head only, so a newer version
+	 * may accept it. */
 	if (code == HTTP_HEAD_TOO_LARGE)
 		retry_after_ms = entry_behind_head(c->entry, (uint32_t)code);
 	if (retry_after_ms != 0) {
--- a/packages/node/src/callers_limits.c
+++ b/packages/node/src/callers_limits.c
@@ -1,9 +1,9 @@
 /*
- * What callers may send, by the settings and by the configuration in force.
+ * Limits for requests, from the settings and from the configuration in force.
  *
- * A connection isn't known to belong to a service before its head is there, so
- * the widest limits of all services count; those of the settings hold where no
- * service says anything.
+ * The service of a request is unknown until its head was read, so the widest
+ * limits of all services apply, and those of the settings where no service sets
+ * one.
  */
 #include <string.h>
 
@@ -12,7 +12,7 @@
 
 #include "callers_priv.h"
 
-/* A caller may not pause longer than this within a request. */
+/* Longest pause of a caller within a request. */
 #define STALL_TIMEOUT_MS 10000U
 
 static void
--- a/packages/node/src/callers_priv.h
+++ b/packages/node/src/callers_priv.h
@@ -1,5 +1,5 @@
 /*
- * Inner structures of the server for callers, shared by its files.
+ * Private structures of the server for callers, shared by its files.
  */
 #ifndef CALLERS_PRIV_H
 #define CALLERS_PRIV_H
@@ -18,17 +18,17 @@
 /**
  * struct callers - the server for callers
  * @settings: settings of the node; borrowed
- * @dialect: names of headers; borrowed
- * @entry: takes the calls; borrowed
+ * @dialect: header names; borrowed
+ * @entry: the entry that calls are submitted to; borrowed
  * @loop: loop of the traffic thread
- * @server: the connections, NULL while not started
- * @port: port that is listened on
- * @connections: open connections, for callers_stop()
- * @in_flight: calls whose answer isn't written whole
+ * @server: the HTTP server, NULL before callers_start()
+ * @port: the listening port
+ * @connections: number of open connections, for callers_stop()
+ * @in_flight: calls whose answer isn't completely written
  * @draining: each answer closes its connection
- * @stopping: callers_stop() was called
- * @deadline_ms: when a drain gives up
- * @refresh_timer: keeps @connections fresh while stopping
+ * @stopping: idle connections were closed by callers_stop()
+ * @deadline_ms: monotonic deadline of the drain
+ * @refresh_timer: updates @connections while stopping
  */
 struct callers {
 	const struct settings *settings;
@@ -49,11 +49,11 @@
  * struct caller_call - a call at the server
  * @callers: the server
  * @incoming: the request on its connection, NULL once its answer has ended
- * @exchange: what is shared with the entry, a reference
- * @timer: bounds the time that a small body takes
- * @buffered: its body is read before the call is submitted
- * @submitted: the entry has it
- * @body_ended: the whole body came
+ * @exchange: state shared with the entry, a reference
+ * @timer: timeout for reading a buffered body
+ * @buffered: the body is read completely before the call is submitted
+ * @submitted: entry_submit() was called
+ * @body_ended: the whole body was received
  * @answer_begun: the head of the answer was written
  */
 struct caller_call {
@@ -69,18 +69,18 @@
 
 /* callers_call.c */
 
-/** callers_handler - what the HTTP server tells of requests */
+/** callers_handler - callbacks of the HTTP server */
 extern const struct http_server_handler callers_handler;
 
 /* callers_request.c */
 
 /**
- * callers_request_read() - read the head of a call
+ * callers_request_read() - convert the head of a request
  * @c: the server
- * @head: the head
- * @r: where it goes
+ * @head: the head as the HTTP server read it
+ * @r: filled in; its headers must be initialised
  *
- * Return: 0, or the HTTP status with which it is refused.
+ * Return: 0, or the HTTP status with which the request is refused.
  */
 uint32_t callers_request_read(const struct callers *c,
     const struct http_incoming_head *head, struct call_request *r);
@@ -91,20 +91,22 @@
 void callers_answer_write(const struct callers *c, struct http_incoming *q,
     const struct call_request *r, const struct call_answer *a);
 
-/** callers_answer_refuse() - a whole answer of the server itself; not run */
+/** callers_answer_refuse() - write a complete answer of the server itself, with
+ * outcome not_run */
 void callers_answer_refuse(const struct callers *c, struct http_incoming *q,
     uint32_t status, const char *kind, const char *message);
 
-/** callers_answer_behind() - not run: a newer version may take the request */
+/** callers_answer_behind() - write the refusal of a request that a newer
+ * version may accept */
 void callers_answer_behind(
     const struct callers *c, struct http_incoming *q, uint64_t retry_after_ms);
 
 /* callers_limits.c */
 
-/** callers_limits() - what callers may send by settings and snapshot */
+/** callers_limits() - get the limits for requests from settings and snapshot */
 void callers_limits(const struct settings *s, struct http_server_limits *l);
 
-/** callers_on_snapshot() - a loop_fn: the limits may have changed */
+/** callers_on_snapshot() - apply the limits of a new snapshot; a loop_fn */
 void callers_on_snapshot(void *arg);
 
 #endif
--- a/packages/node/src/callers_request.c
+++ b/packages/node/src/callers_request.c
@@ -1,5 +1,5 @@
 /*
- * The head of a caller's request.
+ * Conversion of the head of a caller's request.
  */
 #include <string.h>
 
@@ -11,10 +11,11 @@
 #define HTTP_HEADERS_TOO_LARGE 431
 #define DECIMAL 10
 
-/* A day: a later deadline than any request can wait for counts as this. */
+/* One day; longer times are reduced to it, since no request waits so long. */
 #define DEADLINE_MAX_MS 86400000U
 
-/* Of targets with a host; TLS ends before a node, so both lead here. */
+/* Schemes of targets in absolute form.  TLS is terminated in front of a node,
+ * so requests for https:// arrive here too. */
 static const char *const schemes[] = {"http://", "https://"};
 
 static const char *
@@ -45,14 +46,15 @@
 	    value, (uint32_t)strlen(value));
 }
 
-/* A target with a host of its own tells the host (RFC 9112, 3.2.2). */
+/* The host of a target in absolute form replaces the Host header (RFC 9112,
+ * 3.2.2). */
 static bool
 is_replaced_host(const struct http_incoming_head *head, const char *name)
 {
 	return head->target[0] != '/' && g_ascii_strcasecmp(name, "Host") == 0;
 }
 
-/* What the caller sent and may pass. */
+/* Copies the headers that are forwarded. */
 static uint32_t
 copy_headers(const struct call_dialect *d,
     const struct http_incoming_head *head, struct call_request *r)
@@ -91,7 +93,8 @@
 	return 0;
 }
 
-/* What follows the scheme of a target with a host; NULL for another target. */
+/* The part of a target in absolute form after its scheme; NULL for other
+ * targets. */
 static const char *
 authority_of(const char *target)
 {
@@ -119,7 +122,8 @@
 	return 0;
 }
 
-/* Two hosts would be read by different servers in different ways. */
+/* More than one Host header is refused: servers differ in which one they use
+ * (RFC 9112, 3.2). */
 static uint32_t
 read_target(const struct http_incoming_head *head, struct call_request *r)
 {
@@ -138,7 +142,8 @@
 	return text + strspn(text, " \t");
 }
 
-/* "2500", "2500.75": a fraction is dropped, a number too large is cut. */
+/* "2500", "2500.75": a fraction is truncated, a larger number reduced to
+ * DEADLINE_MAX_MS. */
 static bool
 parse_ms(const char *text, uint64_t *ms)
 {
--- a/packages/node/src/entry.c
+++ b/packages/node/src/entry.c
@@ -1,5 +1,5 @@
 /*
- * The entry, its start, drain and stop.
+ * Start, drain and stop of the entry.
  */
 #include "base/clock.h"
 
@@ -10,14 +10,15 @@
 #include "entry_log.h"
 
 /*
- * Lines a second of calls: a line costs about 10 us of processor time, so that
- * all of them take less than a hundredth of a core.
+ * Log lines on calls per second.  A line costs about 10 us of processor time,
+ * so that all of them take less than 1 % of a core.
  */
 #define DONE_LINES_PER_S 20
 #define OTHER_LINES_PER_S 100
 #define OTHER_LINES_BURST 400
 
-/* Share of a drain's time in which new calls are still taken. */
+/* Default of drain_notice_ms: a drain's time divided by this.  Calls are still
+ * accepted meanwhile. */
 #define NOTICE_DIVISOR 10
 
 static void
@@ -105,7 +106,8 @@
 	loop_post(e->loop, refresh_snapshot, e);
 }
 
-/* The caller has sent more, taken more, or left. */
+/* The caller has sent a part of the body, consumed a part of the answer, or
+ * closed its connection. */
 static void
 on_exchange_event(struct call_exchange *x, void *arg)
 {
@@ -134,7 +136,7 @@
 	metric_add(&metric_calls_in_flight, -1);
 }
 
-/* A drain that was posted to the loop. */
+/* Argument of begin_drain(). */
 struct drain_request {
 	struct entry *entry;
 	uint64_t deadline_ms;
--- a/packages/node/src/entry_answer.c
+++ b/packages/node/src/entry_answer.c
@@ -1,5 +1,5 @@
 /*
- * What a caller is told: answers of upstreams, and the entry's own words.
+ * Answers to callers: those of upstreams, and errors of the entry itself.
  */
 #define LOG_PART "entry"
 #include "base/log.h"
@@ -12,7 +12,7 @@
 #define HTTP_CONTENT_TOO_LARGE 413
 #define HTTP_CONFLICT 409
 
-/* One that stops isn't waited for: other nodes serve at once. */
+/* Callers of a stopping node should retry at another node at once. */
 #define STOPPING_RETRY_MS 1
 
 static const char unknown_message[] =
@@ -96,7 +96,7 @@
 	answer_refused(x, status, kind, message, 0);
 }
 
-/* One that is only suspect may come back. */
+/* A request that is only suspected may be retried. */
 static struct call_answer *
 quarantine_answer(uint64_t retry_after_ms)
 {
--- a/packages/node/src/entry_attempt.c
+++ b/packages/node/src/entry_attempt.c
@@ -1,5 +1,6 @@
 /*
- * One stream of a call: an attempt sent to a guard, or a question about one.
+ * One stream of a call: an attempt sent to a guard, or a query for an attempt's
+ * outcome.
  */
 #include <string.h>
 
@@ -80,7 +81,7 @@
 	m->route = entry_route_key(c->route);
 }
 
-/* The decision is told before the first byte can leave. */
+/* The state machine is notified before the first byte can be sent. */
 static void
 send_open(struct entry_attempt *a)
 {
@@ -147,7 +148,8 @@
 	entry_call_run(a->call);
 }
 
-/* Tells how long the way was, as far as this attempt can tell. */
+/* Reports the time spent outside the upstream, as measured by attempts without
+ * a body that got the head of an answer or were cancelled. */
 static void
 record_latency(const struct entry_attempt *a, enum endpoint_result result)
 {
@@ -195,7 +197,8 @@
 
 /* The request's body */
 
-/* Whether the chunk that ends @piece at @end ends the body. */
+/* Whether a chunk that ends at offset @end of the current piece ends the
+ * body. */
 static bool
 ends_body(const struct entry_attempt *a, size_t end, size_t piece_bytes)
 {
--- a/packages/node/src/entry_behind.c
+++ b/packages/node/src/entry_behind.c
@@ -1,5 +1,5 @@
 /*
- * Requests that the version in force doesn't take while a newer one is known.
+ * Requests that the version in force refuses while a newer version is known.
  */
 #include "base/clock.h"
 #include "traffic/superseded.h"
@@ -10,9 +10,9 @@
 #define HTTP_TOO_LARGE 413
 
 /**
- * struct version_update - news that were posted to the loop
+ * struct version_update - argument of apply_version()
  * @entry: the entry
- * @behind: what the version is noted in
+ * @behind: the record to update
  * @version: the version
  */
 struct version_update {
--- a/packages/node/src/entry_body.c
+++ b/packages/node/src/entry_body.c
@@ -1,10 +1,11 @@
 /*
- * A request's body at the entry: taken from the caller's worker as it can be
- * sent, and held from the first byte while it is small.
+ * A request's body at the entry: read from the exchange as fast as it can be
+ * sent, and held from its first byte while it is small, for further attempts.
  */
 #include "entry_priv.h"
 
-/* Bytes of a large body that may wait here beside those in the exchange. */
+/* Unsent bytes of a large body that are buffered here, in addition to the
+ * exchange. */
 #define BODY_AHEAD_BYTES 65536
 
 GBytes *
@@ -35,7 +36,7 @@
 		g_bytes_unref(piece);
 }
 
-/* Bytes that are here and not sent in @a. */
+/* Bytes that are buffered and not sent in @a. */
 static uint64_t
 unsent_bytes(const struct entry_body *b, const struct entry_attempt *a)
 {
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -1,6 +1,6 @@
 /*
- * The life of a call at the entry: events go to the state machine of package
- * traffic, and what it wants is carried out.
+ * Life cycle of a call at the entry: events are reported to the state machine
+ * of package traffic, and its actions are run.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -15,10 +15,11 @@
 #include "call_print.h"
 #include "entry_log.h"
 
-/* After the deadline: time for the guard's word whether it had started. */
+/* Time after the deadline in which the guard may still report whether the
+ * request had started. */
 #define DEADLINE_GRACE_MS 200
 
-/* How long to try to reach a guard for a resolve. */
+/* Time limit for reaching a guard for a resolve. */
 #define RESOLVE_LIMIT_MS 2000
 
 #define HTTP_NOT_FOUND 404
@@ -40,7 +41,7 @@
 	return NULL;
 }
 
-/* The attempt that the request's body goes to. */
+/* The attempt that the request's body is sent to. */
 static struct entry_attempt *
 current_attempt(struct entry_call *c)
 {
@@ -51,7 +52,8 @@
 
 /* Actions */
 
-/* Where the beginning of its body isn't here yet, its guard finds out. */
+/* Return: false while the beginning of the body isn't buffered; then the guard
+ * checks the quarantine. */
 static bool
 make_fingerprint(struct entry_call *c, struct fingerprint *print)
 {
@@ -80,8 +82,9 @@
 }
 
 /*
- * Rejects a call of a request that crashes upstreams, or may do so.  A suspect
- * is led to one upstream, and so is what got no answer from another one.
+ * Refuses a quarantined request and one whose crashes are undecided.  A
+ * suspected request, and one whose earlier attempt may have run, is placed by
+ * its content, so that all copies of it reach the same upstream.
  */
 static bool
 passes_quarantine(struct entry_call *c, struct placement_query *query)
@@ -114,8 +117,8 @@
 	return true;
 }
 
-/* The first attempt of a share of the calls goes to a version on trial; one
- * that fails there has its further attempts at the current version. */
+/* A share of the calls has its first attempt at a version on trial; further
+ * attempts are placed on the current version. */
 static bool
 choose_endpoint(struct entry_call *c, struct placement_query *q,
     uint64_t now_ms, struct placement_choice *out)
@@ -184,7 +187,8 @@
 	entry_peer_add(entry_peer_get(e, a->address), a);
 }
 
-/* The address is that of the attempt, also when the endpoint has left. */
+/* Uses the address of the attempt, since the endpoint may have left the
+ * snapshot. */
 static void
 resolve(struct entry_call *c, const struct call_action *action)
 {
@@ -221,7 +225,7 @@
 	(void)call_link_send(&a->peer->link, MSG_CALL_CANCEL, &m);
 }
 
-/* Nothing more is expected of any stream. */
+/* Detaches all streams; their endpoints record a cancellation. */
 static void
 drop_streams(struct entry_call *c)
 {
@@ -247,7 +251,8 @@
 	entry_call_ended(c->entry);
 }
 
-/* Why a call is given up: refused, out of time, or its tries were lost. */
+/* Cause of a failed call: refused, stopped, deadline passed, or all attempts
+ * failed. */
 static const char *
 failure_reason(const struct entry_call *c, const struct call_action *action)
 {
@@ -340,7 +345,8 @@
 	entry_call_free(arg);
 }
 
-/* The configuration's word goes before the setting, be it more or less. */
+/* A limit in the configuration replaces that of the settings, whether larger or
+ * smaller. */
 static uint64_t
 max_body_bytes(const struct entry *e, const struct service_limits *l)
 {
@@ -349,7 +355,8 @@
 	return l->request_max_bytes;
 }
 
-/* The body grew over what the service takes, which nobody knew before. */
+/* Answers and ends a call whose body of unknown length has exceeded the
+ * service's limit. */
 static bool
 body_exceeds_limit(struct entry_call *c)
 {
@@ -385,7 +392,7 @@
 		entry_attempt_grant(a, events.consumed_bytes);
 }
 
-/* Beginning and end */
+/* Creation and release */
 
 static void
 fill_call_config(const struct entry_call *c, struct call_config *cfg)
@@ -401,7 +408,7 @@
 	cfg->keyed = c->keyed;
 }
 
-/* The caller's deadline, or the configured time where that ends sooner. */
+/* The caller's deadline or the configured timeout, whichever is earlier. */
 static uint64_t
 effective_deadline_ms(const struct entry_call *c, uint64_t now_ms)
 {
@@ -422,7 +429,7 @@
 	return hash64(route->prefix, route->prefix_len, key);
 }
 
-/* When its answer is worth less, counted from when the caller first asked. */
+/* Target time of the answer, counted from the caller's first attempt. */
 static uint64_t
 target_deadline_ms(const struct entry_call *c, uint64_t now_ms)
 {
@@ -471,7 +478,8 @@
 	return c;
 }
 
-/* What the version in force doesn't take a newer one may. */
+/* Refuses a request, as behind when a newer version may accept it; Return:
+ * false. */
 static bool
 refuse(struct entry *e, struct call_exchange *x, uint32_t status,
     const char *kind, const char *message)
@@ -486,7 +494,7 @@
 _Static_assert(
     SNAPSHOT_SHARES_MAX <= SPLIT_PARTS_MAX, "a split takes all shares");
 
-/* One service among those that share the route by weight. */
+/* Chooses one of the services that share the route by weight. */
 static void
 choose_by_weight(struct entry *e, struct route_match *match)
 {
--- a/packages/node/src/entry_frames.c
+++ b/packages/node/src/entry_frames.c
@@ -1,8 +1,8 @@
 /*
- * Frames from guards, checked and handed to the streams they belong to.
+ * Frames from guards: validation and dispatch to their streams.
  *
- * A frame of a stream that is not known (any more) is ignored: it belongs to
- * an attempt that was given up.
+ * A frame of an unknown stream is ignored: its attempt was cancelled or
+ * replaced.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -94,7 +94,7 @@
 	return a->answer_bytes <= (uint64_t)a->answer_length;
 }
 
-/* The answer broke off or is not what its head said. */
+/* The answer was truncated or doesn't match the length in its head. */
 static void
 answer_failed(struct entry_attempt *a, const struct rec_load *load)
 {
@@ -114,7 +114,8 @@
 
 #define SERVER_ERROR 500
 
-/* The answer to a key is kept for those who send the key again. */
+/* Lets the guard drop the answer.  Answers to an idempotency key aren't
+ * acknowledged: they are kept for repetitions of the key. */
 static void
 acknowledge(struct entry_attempt *a)
 {
@@ -204,7 +205,7 @@
 	case REFUSAL_DRAINING:
 	case REFUSAL_STOPPING:
 		return ENDPOINT_DRAINS;
-	/* It has ended, or another one has its address now. */
+	/* The endpoint has ended, or another one has its address now. */
 	case REFUSAL_NO_ENDPOINT:
 		return ENDPOINT_ABSENT;
 	case REFUSAL_CANCELLED:
--- a/packages/node/src/entry_log.c
+++ b/packages/node/src/entry_log.c
@@ -1,5 +1,5 @@
 /*
- * What the entry writes of calls.
+ * Log of calls.
  */
 #include <inttypes.h>
 
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -1,6 +1,6 @@
 /*
- * Connections from the entry to guards: dialled on demand, kept while they
- * are used, pinged while something is awaited, dropped when silent.
+ * Connections from the entry to guards: dialled on demand, closed when idle,
+ * pinged while an answer is awaited, dropped when silent.
  */
 #include "base/clock.h"
 
@@ -10,26 +10,26 @@
 #include "call_metrics.h"
 #include "entry_priv.h"
 
-/* Time for connecting, the guard's hello included: many round trips, and the
- * queue of a full link. */
+/* Timeout for connecting, including the guard's hello: many round trips, plus
+ * the queue of a saturated link. */
 #define DIAL_TIMEOUT_MS 1500
 
-/* A connection over which nothing is awaited closes after this time. */
+/* A connection without streams is closed after this time. */
 #define PEER_IDLE_MS 30000
 
 /*
- * Quiet time before a ping, and time for its answer.  A host whose link is
- * full, or that has used its share of the processor, answers after up to a
- * second; to drop its connections then has all calls on them done twice.
+ * Time without a frame before a ping, and timeout of its answer.  A host whose
+ * link is saturated, or that is throttled by its processor quota, answers after
+ * up to a second; dropping its connections would run all calls on them twice.
  */
 #define PING_AFTER_MS 250
 #define PING_TIMEOUT_MS 1500
 
-/* A ping or dial without an answer for this long puts the way in doubt: calls
- * go elsewhere, what is under way is still awaited. */
+/* A guard is suspected when a ping or dial isn't answered within this time: new
+ * calls are placed elsewhere, answers in flight are still awaited. */
 #define SUSPECT_AFTER_MS 250
 
-/* Times between dials to a guard in doubt: doubled from one to the other. */
+/* Back-off between dials to a suspected guard, doubled after each dial. */
 #define REDIAL_MS 100
 #define REDIAL_MAX_MS 1600
 #define REDIAL_SHIFT_MAX 4
@@ -52,7 +52,7 @@
 	loop_timer_set(&p->timer, MIN(due_ms, p->suspect_ms));
 }
 
-/* Tells the placement whether calls may be led there. */
+/* Sets whether the guard is suspected and reports it to the placement. */
 static void
 set_suspected(struct entry_peer *p, bool suspected)
 {
@@ -76,8 +76,9 @@
 }
 
 /*
- * What was not sent yet goes elsewhere: the way is in doubt.  All are taken out
- * of the queue first, since a call that goes on may end its other attempts.
+ * Fails the attempts that wait for the connection to a suspected guard, so that
+ * they are placed elsewhere.  All are removed from the queue first, since a
+ * call that continues may end its other attempts.
  */
 static void
 fail_unsent_attempts(struct entry_peer *p)
@@ -101,7 +102,7 @@
 	g_ptr_array_free(unsent, TRUE);
 }
 
-/* Whether some endpoint there is still to be called. */
+/* Whether an endpoint of the guard is in the snapshot in force. */
 static bool
 has_listed_endpoint(const struct entry_peer *p)
 {
@@ -114,7 +115,8 @@
 	return false;
 }
 
-/* The way was lost: dial again by and by, without a call that waits for it. */
+/* Redials a lost guard with back-off, also when no call waits for the
+ * connection. */
 static void
 schedule_redial(struct entry_peer *p)
 {
@@ -151,7 +153,7 @@
 	return NULL;
 }
 
-/* Ends the connection; the streams and those that wait are lost. */
+/* Ends the connection; its streams and waiting attempts are lost. */
 static void
 peer_lost(struct entry_peer *p, bool silent)
 {
@@ -196,7 +198,7 @@
 	(void)call_link_send(&p->link, MSG_CALL_PING, &ping);
 }
 
-/* Nothing was lost with it. */
+/* Closes a connection without streams. */
 static void
 close_idle(struct entry_peer *p)
 {
--- a/packages/node/src/entry_priv.h
+++ b/packages/node/src/entry_priv.h
@@ -1,6 +1,6 @@
 /*
- * Inner structures of the entry, shared by its files.  All of it belongs to
- * the entry's thread but for what is marked atomic.
+ * Private structures of the entry, shared by its files.  They are accessed in
+ * the traffic thread only, except for atomic fields.
  */
 #ifndef ENTRY_PRIV_H
 #define ENTRY_PRIV_H
@@ -32,47 +32,46 @@
 #include "call_link.h"
 #include "call_silence.h"
 
-/* A request's body up to this size is kept for another attempt. */
+/* A request's body up to this size is held for further attempts. */
 #define ENTRY_BODY_KEEP_BYTES 65536
 
-/* An answer up to this size is given to the caller when it is whole. */
+/* An answer up to this size is delivered only when it is complete. */
 #define ENTRY_ANSWER_HOLD_BYTES 65536
 
-/* A node that can't serve yet says to come back after this: a starting node has
- * its configuration in force 0.5 to 0.7 s after its start, and callers come
- * back twice.  Told 1 ms, they had spent both returns before: of 1,770 requests
- * in the 2 s after all processes were killed 648 were refused, 176 so. */
+/* Retry-After of a node without a configuration.  A starting node has its
+ * configuration in force 0.5 to 0.7 s after its start, and callers retry twice.
+ * With 1 ms they had used both retries by then: of 1,770 requests in the 2 s
+ * after all processes were killed 648 were refused, 176 for that reason. */
 #define ENTRY_STARTING_RETRY_MS 400
 
 /**
  * struct entry - the entry of a node
  * @settings: settings of the node; borrowed
  * @incarnation: number of this process
- * @dialect: how callers are spoken to; borrowed
+ * @dialect: header names; borrowed
  * @loop: event loop of the traffic thread
- * @endpoints: what is known of all endpoints
- * @ejection: which of them are left out
- * @placement: chooses among them
- * @patience: how long callers of each route wait
- * @splits: rounds of the routes that services share by weight
+ * @endpoints: state of all endpoints
+ * @ejection: endpoints that are ejected
+ * @placement: chooses an endpoint for each attempt
+ * @patience: how long callers of each route wait for an answer
+ * @splits: round-robin state of routes that services share by weight
  * @snapshot: snapshot last seen, a reference
- * @generation: counts the snapshots seen
- * @awaited: the version in force against the newest that some node could read
- * @behind: version in force against the newest one known of
- * @awaited: version in force against the newest one that some node could read
- * @quarantine: requests that are no longer run, borrowed; NULL for none
- * @watcher: told of new snapshots, or NULL
- * @watcher_arg: given to it
- * @services: service id to struct entry_service
- * @peers: address key to struct entry_peer
+ * @generation: number of snapshots seen
+ * @behind: version in force and the newest one known
+ * @awaited: version in force and the newest one that some node could read
+ * @quarantine: quarantined requests, borrowed; NULL for none
+ * @watcher: callback for new snapshots, or NULL
+ * @watcher_arg: passed to @watcher
+ * @services: map of service id to struct entry_service
+ * @peers: map of address key to struct entry_peer
  * @calls: struct entry_call that are not freed
- * @drain: the stop of this entry
- * @drain_timer: when the drain has to be looked at
- * @sequence: number of the last call
+ * @drain: state of this entry's drain
+ * @drain_timer: next step of the drain
+ * @sequence: sequence number of the last call
  * @seed: random number of this process, part of request ids
  * @in_flight: number of calls, atomic for entry_in_flight()
- * @done_log_limit: bound on lines of calls that were answered
- * @other_log_limit: bound on lines of all others
+ * @done_log_limit: rate limit of log lines on answered calls
+ * @other_log_limit: rate limit of all other log lines on calls
  */
 struct entry {
 	const struct settings *settings;
@@ -104,13 +103,14 @@
 };
 
 /**
- * struct entry_service - what the entry keeps on a service
+ * struct entry_service - the entry's state of a service
  * @id: see service_id()
- * @budget: its retry budget
- * @versions: which endpoints get requests, as last told to the decisions
- * @canary: calls that go to a version on trial
- * @list: endpoints last told to the decisions, a reference, or NULL
- * @endpoint_index: endpoint id to index in @list plus one
+ * @budget: retry budget
+ * @versions: software versions that get requests, as last published to
+ *	@endpoints of the entry
+ * @canary: share of the calls that go to a version on trial
+ * @list: list of endpoints last published, a reference, or NULL
+ * @endpoint_index: map of endpoint id to its index in @list plus one
  */
 struct entry_service {
 	uint64_t id;
@@ -121,7 +121,7 @@
 	GHashTable *endpoint_index;
 };
 
-/** enum peer_state - where a connection to a guard stands */
+/** enum peer_state - state of the connection to a guard */
 enum peer_state {
 	PEER_NONE = 0,
 	PEER_DIALLING,
@@ -132,22 +132,23 @@
  * struct entry_peer - a guard and the connection to it
  * @entry: the entry
  * @address: where the guard listens
- * @state: where the connection stands
+ * @state: state of the connection
  * @link: the connection, unless @state is PEER_NONE
  * @incarnation: number of the guard's process, from its hello
- * @initial_credit_bytes: bytes of a body that it takes before a credit
- * @streams: stream number to struct entry_attempt
- * @waiting: struct entry_attempt that wait for the connection
+ * @initial_credit_bytes: bytes of a body that may be sent before a credit
+ * @streams: map of stream number to struct entry_attempt
+ * @waiting: struct entry_attempt queued until the connection is ready
  * @last_stream: number of the last stream
- * @silence: whether the connection has gone silent
- * @timer: pings, time limit of dialling, closing when idle
- * @last_used_ms: when a stream was last open
+ * @silence: silence detection of the connection
+ * @timer: next ping, dial timeout, redial or idle timeout
+ * @last_used_ms: monotonic time at which a stream was last open
  * @stopping: the guard asked for no more requests
- * @endpoints: ids of endpoints that attempts went to there
- * @suspected: nothing is heard from there
- * @suspect_ms: when a ping without answer makes it so; DEADLINE_NEVER
- * @dial_deadline_ms: when a dial is given up
- * @failed_dials: dials in a row that failed
+ * @endpoints: ids of the guard's endpoints that attempts were placed on
+ * @suspected: the guard doesn't answer; other endpoints are preferred
+ * @suspect_ms: monotonic time at which a ping without an answer sets
+ *	@suspected, or DEADLINE_NEVER
+ * @dial_deadline_ms: monotonic deadline of the dial
+ * @failed_dials: consecutive dials that failed
  */
 struct entry_peer {
 	struct entry *entry;
@@ -170,7 +171,7 @@
 	uint32_t failed_dials;
 };
 
-/** enum attempt_kind - what a stream is for */
+/** enum attempt_kind - purpose of a stream */
 enum attempt_kind {
 	ATTEMPT_SEND = 0,
 	ATTEMPT_RESOLVE,
@@ -178,31 +179,33 @@
 
 /**
  * struct entry_attempt - one stream of a call
- * @sender: its turns for the request's body
+ * @sender: sends the request's body
  * @call: the call
- * @kind: what it is for
- * @action: the decision that led to it
- * @id: name of the attempt
+ * @kind: purpose of the stream
+ * @action: action of the state machine that requested the attempt
+ * @id: request id of the attempt
  * @address: where the guard listens
- * @peer: the guard; NULL when the stream is over
- * @stream: number of the stream on the connection, 0 while not sent
- * @counted: endpoints_began() was told and endpoints_ended() not yet
- * @sent_us: when it was sent
- * @head_us: when the head of the answer came, 0 before
- * @upstream_us: time that the upstream took, without waiting at the guard
- * @next_piece: number of the body's piece to be sent next
- * @piece_offset: bytes of it that were sent
+ * @peer: the guard; NULL once the stream has ended
+ * @stream: number of the stream on the connection, 0 until sent
+ * @counted: endpoints_began() was called and endpoints_ended() not yet
+ * @sent_us: monotonic time at which the attempt was sent
+ * @head_us: monotonic time at which the head of the answer was received, 0
+ *	before
+ * @upstream_us: time in the upstream, without queueing at the guard
+ * @next_piece: index of the body's piece to be sent next
+ * @piece_offset: bytes of that piece that were sent
  * @fin_sent: the end of the body was sent
  * @credit_bytes: bytes of the body that may be sent
  * @status: HTTP status of the answer
- * @load: load that the head carried
- * @answer: head of the answer, until it is given to the exchange
- * @pieces: GBytes of the answer that are not given yet
- * @answer_bytes: bytes of the answer that came
+ * @load: load of the endpoint, from the answer's head
+ * @answer: head of the answer, until passed to the exchange
+ * @pieces: GBytes of the answer that aren't passed to the exchange yet
+ * @answer_bytes: received bytes of the answer
  * @answer_length: length of the answer or BODY_LENGTH_UNKNOWN
- * @committed: the beginning of the answer was given to the caller
- * @complete: the whole answer came
- * @ungranted_bytes: consumed by the caller and not granted to the guard yet
+ * @committed: delivery of the answer to the caller has begun
+ * @complete: the whole answer was received
+ * @ungranted_bytes: bytes consumed by the caller for which the guard got no
+ *	credit yet
  */
 struct entry_attempt {
 	struct call_sender sender;
@@ -235,11 +238,11 @@
 /**
  * struct entry_body - a request's body at the entry
  * @pieces: GBytes that are held
- * @first: number of the first piece that is held
- * @bytes: bytes that came so far
- * @exchange_end: how it ended by the worker's word, behind what waits there
- * @end: how it ended, behind what is here
- * @held: all of it from the first byte is held
+ * @first: index of the first piece that is held
+ * @bytes: bytes read from the exchange so far
+ * @exchange_end: how the body ends after the pieces in the exchange
+ * @end: how the body ends after @pieces
+ * @held: the body is held from its first byte
  */
 struct entry_body {
 	GQueue pieces;
@@ -253,28 +256,30 @@
 /**
  * struct entry_call - a call
  * @entry: the entry
- * @link: its place in the entry's list
- * @exchange: what is shared with the caller's worker, a reference
- * @request: the request in it
+ * @link: node in the entry's list of calls
+ * @exchange: state shared with the server for callers, a reference
+ * @request: the request in @exchange
  * @snapshot: snapshot that placed it, a reference
  * @service: the service
- * @config: its configuration in @snapshot
+ * @config: configuration of @service in @snapshot
  * @route: the route in @snapshot
- * @deadline_ms: the caller's deadline, or the route's if that is sooner
- * @target_ms: when its answer is worth less, 0 when not told
- * @idempotent: running it twice does no harm
- * @keyed: it has an idempotency key that counts
+ * @deadline_ms: monotonic deadline: the caller's or the route's, the earlier
+ *	one
+ * @target_ms: monotonic time after which the answer loses value, 0 when not
+ *	configured
+ * @idempotent: the request may run more than once
+ * @keyed: the request's idempotency key is in effect
  * @machine: the state machine
- * @placed: the last placement
- * @placed_host: host of it
- * @placed_version: version of the software there
- * @sequence: number of the call
+ * @placed: the last placement, for the log
+ * @placed_host: host of the last placement
+ * @placed_version: version of the software on @placed_host
+ * @sequence: sequence number of the call
  * @body: the request's body
  * @attempts: struct entry_attempt, owned
  * @timer: wakes the state machine
  * @free_task: frees the call at the end of the turn
- * @running_actions: actions are being carried out
- * @finished: the exchange has its final word
+ * @running_actions: entry_call_run() is active, so nested calls return
+ * @finished: the call has ended and is about to be freed
  */
 struct entry_call {
 	struct entry *entry;
@@ -307,165 +312,182 @@
 /** entry_snapshot() - the snapshot in force, borrowed until the next call */
 struct snapshot *entry_snapshot(struct entry *e);
 
-/** entry_service_get() - a service, with its endpoints told to @e's decisions
+/** entry_service_get() - get a service; publishes its endpoints to the
+ * placement when they changed
  */
 struct entry_service *
 entry_service_get(struct entry *e, const struct snapshot_service *ss);
 
-/** entry_service_endpoint() - an endpoint of a service, or NULL */
+/** entry_service_endpoint() - get an endpoint of a service, or NULL */
 const struct endpoint *
 entry_service_endpoint(const struct entry_service *s, uint64_t id);
 
-/** entry_service_free() - free it; for GHashTable */
+/** entry_service_free() - free a service; for GHashTable */
 void entry_service_free(void *service);
 
 /* entry_peer.c */
 
-/** entry_peer_get() - the guard at an address, made if needed */
+/** entry_peer_get() - get the guard at an address, created on first use */
 struct entry_peer *entry_peer_get(struct entry *e, struct net_addr address);
 
-/** entry_peer_goodbye() - the guard asks for no more requests */
+/** entry_peer_goodbye() - the guard is stopping and accepts no more requests */
 void entry_peer_goodbye(struct entry_peer *p, uint64_t sent_ms);
 
-/** entry_peer_add() - send @a as soon as the connection is ready */
+/** entry_peer_add() - send @a as soon as the connection is ready; dials if
+ * needed */
 void entry_peer_add(struct entry_peer *p, struct entry_attempt *a);
 
-/** entry_peer_remove() - @a is over; frames for it are ignored from now on */
+/** entry_peer_remove() - detach @a; later frames of its stream are ignored */
 void entry_peer_remove(struct entry_attempt *a);
 
-/** entry_peer_free() - close the connection; for GHashTable */
+/** entry_peer_free() - close the connection and free the peer; for
+ * GHashTable */
 void entry_peer_free(void *peer);
 
 /* entry_frames.c */
 
 /**
- * entry_frame() - a frame came from a guard
+ * entry_frame() - handle a frame of a guard
  *
- * Return: false when the connection is to be closed for it.
+ * Return: false when the frame is invalid and the connection must be closed.
  */
 bool entry_frame(
     struct entry_peer *p, uint8_t type, const uint8_t *body, size_t len);
 
 /* entry_attempt.c */
 
-/** entry_attempt_new() - a stream for a SEND or RESOLVE of @c */
+/** entry_attempt_new() - create an attempt for a CALL_SEND or CALL_RESOLVE of
+ * @c */
 struct entry_attempt *
 entry_attempt_new(struct entry_call *c, const struct call_action *action);
 
-/** entry_attempt_free() - free it; for GPtrArray */
+/** entry_attempt_free() - free an attempt; for GPtrArray */
 void entry_attempt_free(void *attempt);
 
-/** entry_attempt_rejected() - its guard is stopping; nothing was sent */
+/** entry_attempt_rejected() - the guard is stopping; nothing was sent */
 void entry_attempt_rejected(struct entry_attempt *a);
 
-/** entry_attempt_start() - the connection is ready: send its first frame */
+/** entry_attempt_start() - the connection is ready: send the first frame */
 void entry_attempt_start(struct entry_attempt *a);
 
-/** entry_attempt_lost() - its connection was lost or could not be made */
+/** entry_attempt_lost() - the connection was lost or could not be
+ * established */
 void entry_attempt_lost(struct entry_attempt *a, bool silent);
 
-/** entry_attempt_end() - it is over: tell the endpoint's record how */
+/** entry_attempt_end() - record the attempt's result at its endpoint */
 void entry_attempt_end(struct entry_attempt *a, enum endpoint_result result);
 
-/** entry_attempt_send_body() - there may be more of the body to send */
+/** entry_attempt_send_body() - queue the attempt when it has a chunk of the
+ * body to send */
 void entry_attempt_send_body(struct entry_attempt *a);
 
-/** entry_attempt_grant() - the caller consumed @bytes of the answer */
+/** entry_attempt_grant() - grant credit for @bytes of the answer that the
+ * caller consumed */
 void entry_attempt_grant(struct entry_attempt *a, uint32_t bytes);
 
 /* entry_body.c */
 
-/** entry_body_pull() - take from the exchange what fits */
+/** entry_body_pull() - read the body from the exchange up to the buffer's
+ * limit */
 void entry_body_pull(struct entry_call *c, struct entry_attempt *a);
 
-/** entry_body_piece() - piece number @i, or NULL when it isn't there (yet) */
+/** entry_body_piece() - get the piece at index @i, or NULL when it isn't
+ * held */
 GBytes *entry_body_piece(const struct entry_body *b, uint64_t i);
 
-/** entry_body_release() - pieces before number @i are not needed any more */
+/** entry_body_release() - free the pieces before index @i, unless the body is
+ * held */
 void entry_body_release(struct entry_body *b, uint64_t i);
 
-/** entry_body_clear() - free what it holds */
+/** entry_body_clear() - free all pieces */
 void entry_body_clear(struct entry_body *b);
 
 /* entry_call.c */
 
-/** entry_route_key() - number of a route, whatever service it leads to */
+/** entry_route_key() - hash of a route's match, independent of its service */
 uint64_t entry_route_key(const struct service_route *route);
 
-/** entry_call_begin() - a call came in; takes over the reference to @x */
+/** entry_call_begin() - begin a call; the reference to @x passes to the
+ * entry */
 void entry_call_begin(struct entry *e, struct call_exchange *x);
 
-/** entry_call_exchange_event() - something happened at the worker's side */
+/** entry_call_exchange_event() - the server for callers has changed the
+ * exchange */
 void entry_call_exchange_event(struct entry_call *c);
 
-/** entry_call_run() - carry out what the decision wants, after an event */
+/** entry_call_run() - run the actions of the state machine, after an event */
 void entry_call_run(struct entry_call *c);
 
-/** entry_call_free() - free it */
+/** entry_call_free() - free a call */
 void entry_call_free(struct entry_call *c);
 
 /* entry_behind.c */
 
 /**
- * entry_behind_refuse() - a request looks wrong by the version in force
+ * entry_behind_refuse() - refuse a request as behind when a newer version is
+ * known
  * @e: the entry
  * @x: the request
- * @status: HTTP status that it would get
+ * @status: HTTP status of the refusal by the version in force
  *
- * Return: whether it was answered instead that it is to come back, since a
- * newer version is known of.
+ * Return: whether the request was answered with a retry, since a newer version
+ * is known.
  */
 bool
 entry_behind_refuse(struct entry *e, struct call_exchange *x, uint32_t status);
 
-/** entry_is_overdue() - whether the time to put a later version in force is up;
- * hosts that have it are to check what is routed here */
+/** entry_is_overdue() - whether the time to apply a newer version has passed;
+ * hosts that have applied it check the requests routed by this node */
 bool entry_is_overdue(const struct entry *e);
 
 /**
- * entry_behind_body_too_large() - a body is larger than the call's version
- * takes
+ * entry_behind_body_too_large() - answer a call whose body exceeds the limit of
+ * its version
  *
- * Answers it: the body is too large when no newer version is known of; else
- * the call is to come back, or, once begun, its fate is not known.
+ * The answer is too_large when no newer version is known.  Otherwise the caller
+ * should retry, or, once an attempt has begun, the outcome is unknown.
  */
 void entry_behind_body_too_large(struct entry_call *c);
 
 /* entry_answer.c */
 
-/** entry_answer_stopping() - not run: this node stops, others serve */
+/** entry_answer_stopping() - answer not_run: this node is stopping */
 void entry_answer_stopping(struct call_exchange *x);
 
-/** entry_answer_starting() - not run: this node has no configuration yet */
+/** entry_answer_starting() - answer not_run: this node has no configuration
+ * yet */
 void entry_answer_starting(struct call_exchange *x);
 
-/** entry_answer_behind() - not run: a newer version may know the request */
+/** entry_answer_behind() - answer not_run: a newer version may accept the
+ * request */
 void entry_answer_behind(
     struct call_exchange *x, uint64_t version, uint64_t retry_after_ms);
 
-/** entry_answer_refuse() - the entry itself answers: the call was not run */
+/** entry_answer_refuse() - answer not_run with an error of the entry, without
+ * Retry-After */
 void entry_answer_refuse(struct call_exchange *x, uint32_t status,
     const char *kind, const char *message);
 
-/** entry_answer_failed() - final word of a call that has no answer */
+/** entry_answer_failed() - answer a call that got no answer from an upstream */
 void
 entry_answer_failed(struct entry_call *c, const struct call_action *action);
 
-/** entry_answer_too_large() - the body outgrew what the service takes */
+/** entry_answer_too_large() - answer that the body exceeds the service's
+ * limit */
 void entry_answer_too_large(struct entry_call *c, enum outcome o);
 
-/** entry_answer_unknown() - broken off; the request may or may not have run */
+/** entry_answer_unknown() - answer that the request may or may not have run */
 void entry_answer_unknown(struct entry_call *c);
 
-/** entry_answer_commit() - give the beginning of an answer */
+/** entry_answer_commit() - begin delivery of an incomplete answer */
 void entry_answer_commit(struct entry_attempt *a);
 
-/** entry_answer_deliver() - give the rest of an answer */
+/** entry_answer_deliver() - deliver the rest of a complete answer */
 void entry_answer_deliver(struct entry_attempt *a);
 
 /* entry.c */
 
-/** entry_call_ended() - a call has its final word */
+/** entry_call_ended() - a call has ended */
 void entry_call_ended(struct entry *e);
 
 #endif
--- a/packages/node/src/entry_service.c
+++ b/packages/node/src/entry_service.c
@@ -1,6 +1,6 @@
 /*
- * Services as the entry sees them: endpoints of the snapshot in force are
- * told to the placement decisions when a call for the service comes.
+ * The entry's state of services: endpoints of the snapshot in force are
+ * published to the placement at the next call of their service.
  */
 #include <string.h>
 
@@ -81,8 +81,8 @@
 	return strcmp(a->host, b->host) < 0;
 }
 
-/* Place among the endpoints on trial: those that started first come first, so
- * that later ones don't take their places. */
+/* Rank among the endpoints on trial, by start time, so that later endpoints
+ * don't displace earlier ones. */
 static uint32_t
 canary_rank(const struct entry_service *s, const struct endpoint *ep)
 {
@@ -109,7 +109,8 @@
 	    hash64(&s->id, sizeof(s->id), e->seed));
 }
 
-/* Endpoints of a version that is neither current nor on trial are left out. */
+/* Publishes the endpoints to the placement, without those of a version that is
+ * neither current nor on trial. */
 static void
 publish_endpoints(struct entry *e, struct entry_service *s)
 {
@@ -140,15 +141,16 @@
 	g_free(infos);
 }
 
-/* Share of the budget that entries spend: calls that a repeated run makes
- * count at the service that they lead to, and nobody counts them ahead. */
+/* Share of the retry budget that entries use.  The rest is a reserve: the calls
+ * that a repeated run makes count at the services called, and can't be counted
+ * in advance. */
 #define ENTRY_RETRY_PERCENT 75
 #define PERCENT 100
 
 /*
- * Retries beyond the share are granted to all nodes together.  Half of them
- * are divided among the nodes and may be used at any time; the other half is
- * kept for spans in which nodes join.
+ * retry_extra is the number of retries beyond the budget for all nodes
+ * together.  Half of them are divided among the nodes and may be used at any
+ * time; the other half is reserved for periods in which nodes join.
  */
 static void
 fill_retry_config(const struct entry *e, const struct service_config *sc,
--- a/packages/node/test/fixture_caller.c
+++ b/packages/node/test/fixture_caller.c
@@ -1,5 +1,5 @@
 /*
- * A caller: HTTP over a blocking socket, strict about whole answers.
+ * A caller: HTTP over a blocking socket; detects truncated answers.
  */
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
@@ -201,7 +201,7 @@
 	r->body = NULL;
 }
 
-/* Each test is a case of its own, so that CK_RUN_CASE can choose it. */
+/* Each test is its own test case, so that CK_RUN_CASE can select it. */
 int
 fixture_main(const char *name, const TTest *const *tests)
 {
--- a/packages/node/test/fixture_link.c
+++ b/packages/node/test/fixture_link.c
@@ -1,5 +1,5 @@
 /*
- * A link between entry and guard that fails at a chosen frame.
+ * A proxy between entry and guard with fault injection at a chosen frame.
  */
 #include <arpa/inet.h>
 #include <pthread.h>
@@ -24,7 +24,7 @@
 	_Atomic bool hit;
 };
 
-/* Both ways of one connection. */
+/* Both directions of one connection. */
 struct link_conn {
 	struct fake_link *l;
 	int fds[2];
--- a/packages/node/test/fixture_node.c
+++ b/packages/node/test/fixture_node.c
@@ -1,5 +1,5 @@
 /*
- * The call path of a node in this process, and snapshots for it.
+ * The call path of a node in this process, and its snapshots.
  */
 #include <arpa/inet.h>
 #include <string.h>
@@ -32,9 +32,9 @@
     "\"service\":\"search\",\"idempotent\":false}]}";
 
 /*
- * Ports of each process are a block of its own, below those that the system
- * gives to connections: between the choice of a port and its use another
- * test's process or connection could take one that the system had chosen.
+ * Each process uses its own block of ports, below the ephemeral range.  A port
+ * chosen by the system could be taken by another process or connection between
+ * its choice and its use.
  */
 #define PORTS_FROM 10000U
 #define PORT_BLOCK 64U
--- a/packages/node/test/fixture_upstream.c
+++ b/packages/node/test/fixture_upstream.c
@@ -1,5 +1,5 @@
 /*
- * A fake upstream: does what a request's query asks for and counts runs.
+ * A fake upstream: behaves as a request's query says and counts runs.
  */
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
@@ -203,7 +203,8 @@
 
 static const char head_until_close[] = "HTTP/1.1 200 OK\r\n\r\n";
 
-/* Nobody can take what was sent for whole. */
+/* Makes close() send a reset, so that an answer without a length is
+ * truncated. */
 static void
 set_reset_on_close(int fd)
 {
@@ -270,7 +271,8 @@
 	return true;
 }
 
-/* Reads nothing, so it can't even see the other side close. */
+/* Reads nothing until the upstream stops, so the connection's end isn't
+ * detected either. */
 static void
 wait_for_stop(const struct fake_upstream *u)
 {
--- a/packages/node/test/test_call_behind.c
+++ b/packages/node/test/test_call_behind.c
@@ -1,6 +1,6 @@
 /*
- * Tests of what callers are told while a newer version is known than the one
- * in force: what that doesn't take is no proof of a wrong request.
+ * Tests of refusals while a version newer than the one in force is known: that
+ * newer version may accept the request, so it is answered with a retry.
  */
 #include <string.h>
 #include <unistd.h>
@@ -13,11 +13,12 @@
 #define IN_FORCE 1
 #define NEWER 2
 
-/* A head above the limit of the configuration, and above the settings'. */
+/* A head above the limit of the configuration, and one above that of the
+ * settings. */
 #define LARGE_BYTES 4000
 #define HUGE_BYTES 20000
 
-/* Until what was posted to the traffic thread has been taken in. */
+/* Time for a task posted to the traffic thread to run. */
 #define POSTED_WAIT_US 50000
 
 static const char json[] =
@@ -62,11 +63,11 @@
 }
 
 /**
- * struct refused_request - a request that the version in force doesn't take
- * @method: its method
- * @path: its path
- * @bytes: length of its body
- * @status: what it is told when no newer version is known
+ * struct refused_request - a request that the version in force refuses
+ * @method: method
+ * @path: path
+ * @bytes: length of the body
+ * @status: HTTP status when no newer version is known
  */
 struct refused_request {
 	const char *method;
@@ -155,7 +156,7 @@
 }
 END_TEST
 
-/* Sent in pieces, so that its length isn't known before. */
+/* The body is chunked, so that its length isn't known in advance. */
 static void
 check_growing_body(int status)
 {
--- a/packages/node/test/test_call_drain.c
+++ b/packages/node/test/test_call_drain.c
@@ -1,5 +1,5 @@
 /*
- * Tests of planned stops and replacements of a guard while others call it.
+ * Tests of stops and replacements of a guard during calls.
  */
 #include <string.h>
 #include <unistd.h>
@@ -53,10 +53,10 @@
 }
 
 /**
- * struct outcome_counts - what a caller was told
+ * struct outcome_counts - outcomes of a caller's requests
  * @done: answers
  * @not_run: refusals
- * @unknown: unknown fates and answers that are not whole
+ * @unknown: unknown outcomes, truncated and missing answers
  */
 struct outcome_counts {
 	_Atomic int done;
@@ -84,7 +84,7 @@
 	return NULL;
 }
 
-/* Each caller has been answered. */
+/* Whether each caller got an answer. */
 static int
 all_served(void *arg)
 {
@@ -114,7 +114,7 @@
 		ck_assert_int_eq(
 		    pthread_create(&threads[i], NULL, caller_main, &counts[i]),
 		    0);
-	/* The guard is to stop while all of them call. */
+	/* All callers must be active when the guard stops. */
 	ck_assert(test_wait_int(all_served, counts, 1));
 	g_usleep(200000);
 	guard_drain(nodes[1]->guard, clock_now_ms() + 5000);
@@ -146,7 +146,7 @@
 	return NULL;
 }
 
-/* The new process can't know what the old one ran. */
+/* The new process has no record of the requests of the old one. */
 START_TEST(replaced_guard_leaves_outcome_unknown)
 {
 	struct test_node *other;
--- a/packages/node/test/test_call_faults.c
+++ b/packages/node/test/test_call_faults.c
@@ -1,6 +1,6 @@
 /*
- * Faults between entry and guard, and at the upstream: what the caller is
- * told, and how often its request ran.
+ * Tests of faults between entry and guard: the answer to the caller, and the
+ * number of runs of its request.
  */
 #include <stdio.h>
 #include <string.h>
@@ -31,7 +31,7 @@
 	snapshot_ref_publish(NULL);
 }
 
-/* A link that was not used yet leads to the guard. */
+/* Routes calls to the guard through a new link. */
 static void
 link_start(void)
 {
@@ -48,8 +48,8 @@
 {
 	char headers[128];
 
-	/* Long enough for two silent links on a machine with much else to do:
-	 * it is not the time that is tested. */
+	/* Long enough for two silent links on a loaded machine; the time isn't
+	 * tested. */
 	(void)snprintf(headers, sizeof(headers),
 	    "X-Test-Id: %s\r\nBramley-Deadline-Ms: 10000\r\n", id);
 	return caller_call(callers_port(node->callers), method, path, headers,
@@ -57,10 +57,10 @@
 }
 
 /**
- * struct fault_case - one fault, and what must come of it
+ * struct fault_case - a fault and the expected answer
  * @type: frame at which the link fails
- * @fault: how it fails
- * @status: status of the answer
+ * @fault: kind of fault
+ * @status: HTTP status of the answer
  */
 struct fault_case {
 	uint8_t type;
@@ -68,7 +68,7 @@
 	int status;
 };
 
-/* The link works again at once, so that each call can be settled. */
+/* Only one frame is affected, so that each call can be resolved. */
 static const struct fault_case faults[] = {
     {MSG_CALL_HELLO, LINK_CUT_BEFORE, 200},
     {MSG_CALL_HELLO_ACK, LINK_CUT_BEFORE, 200},
--- a/packages/node/test/test_call_heads.c
+++ b/packages/node/test/test_call_heads.c
@@ -1,14 +1,14 @@
 /*
- * Tests of heads of requests that the limits in force allow: many lines, long
- * ones, long paths, targets with a host, and deadlines as a caller may write
- * them.
+ * Tests of the heads of requests: many and long headers, long paths, targets in
+ * absolute form, formats of deadlines, and the limit of the whole head.
  */
 #include <string.h>
 #include <unistd.h>
 
 #include "fixture.h"
 
-/* Below the limit of the configuration, above those of single lines. */
+/* Sizes below the configured limit of the head and above the defaults for a
+ * single header. */
 #define HEADERS 600
 #define NAME_BYTES 300
 #define VALUE_BYTES 40000
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-/* A list of thousands of names meets thousands of lines. */
+/* A Connection header with many options, and as many headers that they name. */
 START_TEST(connection_options_are_not_forwarded)
 {
 	GString *lines = g_string_new("Connection: keep-alive,, x-0 ,\tX-2");
@@ -123,7 +123,7 @@
 }
 END_TEST
 
-/* The whole head is bounded all the same. */
+/* The limit applies to the sum of all headers. */
 START_TEST(head_above_limit_is_refused)
 {
 	char *value = g_strnfill(VALUE_BYTES, 'v');
@@ -138,8 +138,8 @@
 END_TEST
 
 /**
- * struct status_case - a request and what it is told
- * @text: its target, or the value of a header
+ * struct status_case - a request and its expected status
+ * @text: target, or value of a header
  * @status: HTTP status
  */
 struct status_case {
@@ -203,7 +203,7 @@
 }
 END_TEST
 
-/* The caller said "Host: test"; who is asked is the host of the target. */
+/* The request has "Host: test" in addition; the host of the target applies. */
 START_TEST(absolute_form_host_replaces_host_header)
 {
 	start();
--- a/packages/node/test/test_call_keys.c
+++ b/packages/node/test/test_call_keys.c
@@ -1,5 +1,5 @@
 /*
- * Tests of idempotency keys over the whole call path.
+ * Tests of idempotency keys through the whole call path.
  */
 #include <pthread.h>
 #include <stdio.h>
@@ -24,7 +24,7 @@
 	s->suspicion_ms = SUSPICION_MS;
 }
 
-/* Two nodes with an upstream each; @n of them in the snapshot. */
+/* Starts two nodes with an upstream each; the first @n are in the snapshot. */
 static void
 start(uint32_t n)
 {
@@ -62,7 +62,8 @@
 	    fake_upstream_runs(upstreams[1], id);
 }
 
-/* A booking through a node, with @key as key and as id of the test. */
+/* Sends a booking through node @through; @key is its idempotency key and test
+ * id. */
 static void
 book(int through, const char *key, const char *path, const char *body,
     struct reply *r)
@@ -132,7 +133,8 @@
 }
 END_TEST
 
-/* What ran at the earlier home is not run again; what did not, may be. */
+/* Requests that ran at the earlier home of their key don't run again; new ones
+ * do. */
 START_TEST(new_home_resolves_keys_of_the_earlier_one)
 {
 	struct reply r;
--- a/packages/node/test/test_call_path.c
+++ b/packages/node/test/test_call_path.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the call path as a whole: caller, entry, guard, upstream.
+ * Tests of the whole call path: caller, entry, guard, upstream.
  */
 #include <stdio.h>
 #include <string.h>
@@ -60,13 +60,13 @@
 END_TEST
 
 /**
- * struct answer_case - what an upstream does, and what the caller is told
+ * struct answer_case - behaviour of an upstream and the expected answer
  * @method: method of the request
- * @path: path, whose query says what the upstream does
- * @status: status that the caller gets
- * @fate: fate that the caller is told
- * @bytes: length of the body; -1 when it does not matter
- * @runs: how often it ran; -1 when it does not matter
+ * @path: path, whose query sets the upstream's behaviour
+ * @status: HTTP status of the answer
+ * @fate: outcome in the answer
+ * @bytes: length of the answer's body; -1 for any
+ * @runs: number of runs of the request; -1 for any
  */
 struct answer_case {
 	const char *method;
@@ -148,7 +148,8 @@
 }
 END_TEST
 
-/* There the end of an answer may be told by the end of the connection. */
+/* With HTTP/1.0 the end of the connection may end the body, so a truncated
+ * answer needs a reset. */
 START_TEST(http_1_0_caller_gets_reset_for_truncated_answer)
 {
 	static const char *const paths[] = {
@@ -230,7 +231,7 @@
 	ck_assert_str_ne(r.retry_after, "");
 	reply_clear(&r);
 	ck_assert_int_eq(fake_upstream_runs(upstream, "d"), 0);
-	/* Nothing was sent to it, which costs no retry. */
+	/* Nothing was sent to the upstream, so the retry budget isn't used. */
 	test_node_upstream(node, 1, SERVING_READY);
 	call("POST", "/book/x", NULL, "seat", &r);
 	ck_assert_int_eq(r.status, 503);
@@ -242,8 +243,9 @@
 }
 END_TEST
 
-/* All processes end at once, and callers come back twice: what they are told
- * must span the 0.5 to 0.7 s until a node that starts has its configuration. */
+/* After all processes were killed at once, a starting node has its
+ * configuration after 0.5 to 0.7 s.  Callers retry twice, so two times
+ * Retry-After must cover that. */
 START_TEST(node_without_configuration_sends_retry_after)
 {
 	struct reply r;
@@ -278,7 +280,7 @@
 }
 END_TEST
 
-/* The caller is told when to come back; the others are not touched. */
+/* A refusal for the caller's rate limit has outcome not_run and Retry-After. */
 START_TEST(caller_over_its_limit_is_rejected)
 {
 	struct guard_endpoint ep = {.service = "search",
@@ -318,8 +320,8 @@
 	return sum;
 }
 
-/* How fast it arrives is not asked here: with a sanitizer, beside other work,
- * it took 2.3 to more than 3 s, which is the service's own time. */
+/* The speed isn't tested: with a sanitizer on a loaded machine the upload took
+ * 2.3 to more than 3 s, the timeout of the service. */
 #define UPLOAD_DEADLINE "Bramley-Deadline-Ms: 60000\r\n"
 
 START_TEST(large_upload_arrives_complete)
@@ -345,7 +347,7 @@
 }
 END_TEST
 
-/* A port on which connections are taken and nothing is ever said. */
+/* Listens on a port without ever sending anything. */
 static int
 listen_silently(uint16_t *port)
 {
@@ -361,10 +363,10 @@
 }
 
 /*
- * Behind a cut a host's guard never answers the dial.  A call that waits for it
- * was not sent, so that it goes elsewhere as soon as the way is in doubt;
- * bookings too, and they run once.  The deadline is shorter than a dial may
- * take, and many times what the doubt needs.
+ * During a network partition a dial to a guard isn't answered.  A call that
+ * waits for the dial was not sent, so it must be placed elsewhere once the
+ * guard is suspected; bookings too, and they run once.  The deadline is shorter
+ * than the dial timeout and several times the delay until a guard is suspected.
  */
 START_TEST(call_to_silent_host_is_sent_to_another)
 {
--- a/packages/node/test/test_call_print.c
+++ b/packages/node/test/test_call_print.c
@@ -1,9 +1,9 @@
 /*
- * Which calls are the same request.
+ * Tests of the fingerprint that identifies repetitions of a request.
  *
- * A request that crashes upstreams comes in at any host.  Where only the
- * service of that host is known of the caller, it must not tell requests apart:
- * each service would have crashes of its own to give.
+ * A request that crashes upstreams may enter at any host.  When a header names
+ * only the service of that host, it must not be part of the fingerprint:
+ * otherwise the crashes would be counted separately for each service.
  */
 #include <string.h>
 
--- a/packages/node/test/test_call_quarantine.c
+++ b/packages/node/test/test_call_quarantine.c
@@ -1,6 +1,7 @@
 /*
- * A request that is quarantined, at entry and guard: what waits is answered at
- * once, what runs runs on, what is new is refused, and others are served.
+ * Tests of a quarantined request at entry and guard: queued copies are refused
+ * at once, a running copy continues, new ones are refused, other requests are
+ * served.
  */
 #include <string.h>
 
@@ -15,14 +16,14 @@
 #define OTHER_PATH "/look/y"
 #define WAITING 3
 #define CALLER "127.0.0.1"
-/* Far below the time that the running one takes. */
+/* Far below the run time of the first request. */
 #define REFUSAL_MAX_MS 400
 #define POLL_US 5000
 
 static struct fake_upstream *upstream;
 static struct test_node *node;
 
-/* With one slot, so that all calls but one wait. */
+/* The upstream has one slot, so that all calls but one are queued. */
 static void
 start(void)
 {
@@ -131,8 +132,8 @@
 }
 END_TEST
 
-/* While one copy of a suspect runs, a second one is not started, and what runs
- * runs on; its answer clears it. */
+/* While one copy of a suspected request runs, a second one is refused and the
+ * first one continues; its answer clears the suspicion. */
 START_TEST(one_copy_of_a_suspect_runs_at_a_time)
 {
 	struct async_call first, second, third;
--- a/packages/node/test/test_call_silence.c
+++ b/packages/node/test/test_call_silence.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the decision whether a connection has gone silent.
+ * Tests of the silence detection of a connection.
  */
 #include "base/clock.h"
 
@@ -51,7 +51,7 @@
 }
 END_TEST
 
-/* The other side may have answered long ago; it is asked once more. */
+/* The answer may be unread in the socket buffer, so another ping is sent. */
 START_TEST(pause_of_this_process_is_not_silence)
 {
 	struct call_silence s = awaiting(1000);
--- a/packages/node/test/test_call_wire.c
+++ b/packages/node/test/test_call_wire.c
@@ -1,6 +1,6 @@
 /*
- * Tests on the level of frames: a guard that is sent nonsense, and an
- * entry that gets answers which are crossed, doubled, cut short or too long.
+ * Tests of the protocol between entry and guard: invalid frames to a guard, and
+ * answers to an entry that are mismatched, duplicated, truncated or too long.
  */
 #include <arpa/inet.h>
 #include <pthread.h>
@@ -21,7 +21,7 @@
 
 #define FRAME_MAX 131072
 
-/* More than fits in all the buffers up to an upstream that reads nothing. */
+/* More than the buffers up to an upstream that reads nothing can hold. */
 #define UNREAD_BYTES (64 << 20)
 
 static struct fake_upstream *upstream;
@@ -64,7 +64,7 @@
 	return len == 0 || recv(fd, buf, len, MSG_WAITALL) == (ssize_t)len;
 }
 
-/* The next frame; Return: its type, 0 when the connection has ended. */
+/* Reads a frame; Return: its type, 0 when the connection has ended. */
 static int
 read_frame(int fd, uint8_t *body, size_t *len)
 {
@@ -80,7 +80,7 @@
 	return head[FRAME_LENGTH_BYTES];
 }
 
-/* Frames up to one of a type; false when the connection ends first. */
+/* Skips frames up to one of a type; false when the connection ends first. */
 static bool
 wait_for_frame(int fd, enum msg_type type)
 {
@@ -96,7 +96,7 @@
 
 /* The guard */
 
-/* A connection to the guard, greeted by an entry that is slow to read. */
+/* Connects to the guard as an entry that answers the hello after a delay. */
 static int
 connect_entry_as(uint32_t delay_ms, uint8_t refusals)
 {
@@ -248,9 +248,10 @@
 END_TEST
 
 /*
- * A busy entry answered the hello after 400 ms, so its requests may be that
- * much older than they look.  That one must not start too late says nothing
- * of when its caller stops waiting: only the entry knows.
+ * The entry answered the hello after 400 ms, so its requests may be up to 400
+ * ms older than their timestamps say.  The guard uses that bound to refuse a
+ * late start, but must not abort a running request by it: only the entry knows
+ * when the caller stops waiting.
  */
 START_TEST(running_request_is_not_aborted_for_uncertain_age)
 {
@@ -265,7 +266,8 @@
 }
 END_TEST
 
-/* With the same doubt about its age, one with less time left is not begun. */
+/* With the same uncertainty of its age, a request with less time left isn't
+ * started. */
 START_TEST(possibly_expired_request_is_not_started)
 {
 	int fd;
@@ -288,7 +290,7 @@
 	fd = connect_entry();
 	guard_drain(node->guard, clock_now_ms() + 5000);
 	ck_assert(wait_for_frame(fd, MSG_CALL_GOODBYE));
-	/* It crossed the goodbye. */
+	/* A request that was sent before the goodbye was received. */
 	open_request(fd, 2, 0);
 	ck_assert(wait_for_frame(fd, MSG_CALL_REFUSED));
 	g_usleep(100000);
@@ -305,9 +307,9 @@
 /* The entry */
 
 /**
- * struct fake_guard - a guard that answers wrongly
- * @fd: where it listens
- * @answer: sends what it answers to a call_open
+ * struct fake_guard - a guard with invalid answers
+ * @fd: listening socket
+ * @answer: sends the answer to a call_open
  */
 struct fake_guard {
 	int fd;
@@ -378,7 +380,7 @@
 	put_chunk(fd, m, "fake", true);
 }
 
-/* Frames of a stream that is over or was never opened are not looked at. */
+/* Frames of a stream that has ended or was never opened are ignored. */
 static void
 answer_after_unknown_streams(int fd, const struct msg_call_open *m)
 {
@@ -429,9 +431,10 @@
 }
 
 /**
- * struct answer_case - an answer, and what the caller is told
- * @answer: sends it
- * @status: status that the caller gets
+ * struct answer_case - an answer of the guard and the expected answer to the
+ * caller
+ * @answer: sends the guard's answer
+ * @status: HTTP status for the caller
  */
 struct answer_case {
 	void (*answer)(int fd, const struct msg_call_open *m);
@@ -461,7 +464,7 @@
 	return ntohs(sin.sin_port);
 }
 
-/* The guard takes the news before what is sent to it after this. */
+/* The guard applies the item before it reads frames that are sent later. */
 static void
 quarantine_path(const char *path)
 {
@@ -497,8 +500,8 @@
 	return m.refusal;
 }
 
-/* An entry of an earlier build ends a connection on which it is told what it
- * doesn't know, with all calls on it. */
+/* An entry of an earlier build closes a connection, with all calls on it, on
+ * which it receives a refusal that it doesn't support. */
 START_TEST(older_entry_gets_a_refusal_it_supports)
 {
 	start();
@@ -521,7 +524,8 @@
 	s->in_force_within_ms = WITHIN_MS;
 }
 
-/* How a guard answers a request that was routed by a version. */
+/* Gets the guard's refusal of a request that was routed by a version, or
+ * REFUSAL_NONE. */
 static int
 get_version_refusal(const char *path, uint64_t version)
 {
@@ -554,8 +558,8 @@
 	return m.refusal;
 }
 
-/* A host that is far behind sends what its version routes; the version in force
- * here has dropped that route, or leads it to another service. */
+/* An entry that is far behind routes by its old version; the version in force
+ * at the guard may have removed the route or assigned it to another service. */
 START_TEST(route_of_an_overdue_version_is_checked)
 {
 	struct fake_endpoint ep = {.host = "h1"};
@@ -564,7 +568,7 @@
 	node = test_node_start("h1", set_in_force_within);
 	test_snapshot(&ep, 1);
 	test_node_upstream(node, upstream->port, SERVING_READY);
-	/* For a while both are right. */
+	/* Until the time has passed, both versions are valid. */
 	ck_assert_int_eq(
 	    get_version_refusal("/gone/x", IN_FORCE - 1), REFUSAL_NONE);
 	g_usleep((WITHIN_MS + 100) * 1000);
@@ -572,7 +576,7 @@
 	    get_version_refusal("/gone/x", IN_FORCE - 1), REFUSAL_SUPERSEDED);
 	ck_assert_int_eq(
 	    get_version_refusal("/look/x", IN_FORCE - 1), REFUSAL_NONE);
-	/* This host may be the one that is behind. */
+	/* The same version, and a newer one: the guard may be behind itself. */
 	ck_assert_int_eq(
 	    get_version_refusal("/gone/x", IN_FORCE), REFUSAL_NONE);
 	ck_assert_int_eq(
--- a/packages/node/test/test_callers.c
+++ b/packages/node/test/test_callers.c
@@ -1,6 +1,6 @@
 /*
- * Tests of the server for callers: kept-alive connections, limits, hang-ups,
- * bodies that are held back, and the drain.
+ * Tests of the server for callers: keep-alive, limits, disconnects, flow
+ * control of bodies, and the drain.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -71,7 +71,8 @@
 }
 END_TEST
 
-/* Each asked once and stays connected; CivetWeb binds a thread to each. */
+/* Each caller sends one request and stays connected.  A server with a thread
+ * per connection, such as CivetWeb, would run out of threads. */
 START_TEST(idle_callers_do_not_starve_others)
 {
 	struct rlimit files = {.rlim_cur = 8192, .rlim_max = 8192};
@@ -92,7 +93,8 @@
 	ck_assert(caller_call(
 	    callers_port(node->callers), "GET", "/look/x", NULL, NULL, 0, &r));
 	ck_assert_int_eq(r.status, 200);
-	/* Less than the keep-alive time: no thread had to be waited for. */
+	/* Less than the keep-alive time: no idle connection had to end
+	 * first. */
 	ck_assert_uint_lt(
 	    clock_now_ms() - began_ms, node->settings.keep_alive_ms / 2);
 	reply_clear(&r);
@@ -147,14 +149,14 @@
 	ck_assert(caller_send(fd, "GET", "/look/x?ms=1000", NULL, NULL, 0));
 	ck_assert(test_wait_int(running, NULL, 1));
 	close(fd);
-	/* The slot is free long before the upstream answers. */
+	/* The slot is released long before the upstream answers. */
 	ck_assert(test_wait_int(requests_in_flight, NULL, 0));
 	ck_assert_int_eq(upstream->running, 1);
 	stop();
 }
 END_TEST
 
-/* Sends until the other side takes no more; Return: bytes taken. */
+/* Sends until the socket blocks for 300 ms; Return: bytes sent. */
 static size_t
 send_until_blocked(int fd, size_t most)
 {
@@ -173,7 +175,7 @@
 	return total;
 }
 
-/* The upstream reads nothing, so nothing but the buffers is taken. */
+/* The upstream reads nothing, so only buffers are filled. */
 START_TEST(blocked_upload_does_not_block_lookups)
 {
 	struct reply r;
@@ -195,7 +197,7 @@
 }
 END_TEST
 
-/* Byte by byte, so that no single read is late. */
+/* Sends single bytes, so that no single read times out. */
 START_TEST(slow_small_body_times_out)
 {
 	struct reply r;
@@ -253,10 +255,10 @@
 END_TEST
 
 /**
- * struct async_call - a caller in a thread of its own
- * @path: what it asks for
- * @reply: what it got
- * @got: whether an answer came
+ * struct async_call - a call in its own thread
+ * @path: path of the request
+ * @reply: the answer
+ * @got: whether an answer was received
  */
 struct async_call {
 	const char *path;
@@ -314,9 +316,9 @@
 #define LOAD_CALLERS 8
 
 /**
- * struct load_caller - a caller that goes on until it is turned away
- * @answered: calls with a whole answer
- * @cut: calls that were sent and got none
+ * struct load_caller - a caller that repeats its call until it can't connect
+ * @answered: calls with a complete answer
+ * @cut: calls that were sent and got no complete answer
  */
 struct load_caller {
 	_Atomic int answered;
@@ -369,7 +371,7 @@
 	for (i = 0; i < LOAD_CALLERS; i++)
 		ck_assert_int_eq(
 		    pthread_create(&threads[i], NULL, load_main, &loads[i]), 0);
-	/* Each has begun, also on a machine with much else to do. */
+	/* Each caller got an answer, also on a loaded machine. */
 	for (i = 0; i < LOAD_CALLERS; i++)
 		ck_assert(test_wait_int(has_answer, &loads[i], 1));
 	deadline_ms = clock_now_ms() + node->settings.drain_ms;
@@ -392,7 +394,7 @@
     "\"idle_ms\":300}}],\"routes\":[{\"prefix\":\"/look\","
     "\"methods\":[\"GET\"],\"service\":\"search\"}]}";
 
-/* Limits of the configuration replace those of the settings while it runs. */
+/* Limits of a new configuration replace those of the settings at run time. */
 START_TEST(limits_of_the_configuration_hold)
 {
 	struct fake_endpoint ep = {.host = "h1"};
