--- a/packages/node/src/callers_answer.c
+++ b/packages/node/src/callers_answer.c
@@ -166,7 +166,7 @@
     const struct callers *c, struct http_incoming *q, uint64_t retry_after_ms)
 {
 	write_refusal(c, q, HTTP_UNAVAILABLE, "behind",
-	    "a newer configuration than the one in force here may take this "
+	    "a newer configuration than the one in force here may accept this "
 	    "request; send it again after the time in Retry-After.",
 	    retry_after_ms);
 }
--- a/packages/node/src/callers_call.c
+++ b/packages/node/src/callers_call.c
@@ -107,7 +107,7 @@
 
 	call->incoming = NULL;
 	callers_answer_refuse(call->callers, q, HTTP_TIMEOUT, "timeout",
-	    "the body came too slowly; send it faster.");
+	    "the body arrived too slowly; send it faster.");
 	call_free(call);
 }
 
@@ -163,8 +163,8 @@
 		return;
 	}
 	callers_answer_refuse(c, q, status, "invalid",
-	    "the request's head can't be taken; check its path, deadline, "
-	    "length and number of headers.");
+	    "the request's head is invalid; check its path, deadline, length "
+	    "and number of headers.");
 	call_free(call);
 }
 
@@ -210,7 +210,7 @@
 
 	if (call == NULL)
 		return;
-	log_debug("a caller hung up");
+	log_debug("a caller closed its connection");
 	if (call->submitted)
 		call_exchange_disconnect(call->exchange);
 	call_free(call);
@@ -234,8 +234,8 @@
 	}
 	callers_limits(c->settings, &limits);
 	(void)g_snprintf(text, sizeof(text),
-	    "the request can't be read; its first line and headers must be "
-	    "well formed and take at most %u bytes.",
+	    "the request is malformed or too large; its first line and "
+	    "headers must be well formed and at most %u bytes.",
 	    limits.head_max_bytes);
 	callers_answer_refuse(c, q, (uint32_t)code, "invalid", text);
 }
--- a/packages/node/src/entry_answer.c
+++ b/packages/node/src/entry_answer.c
@@ -16,7 +16,7 @@
 #define STOPPING_RETRY_MS 1
 
 static const char unknown_message[] =
-    "the request may or may not have run; ask for its effect, or send it "
+    "the request may or may not have run; query its effect, or send it "
     "again with the same Idempotency-Key if it had one.";
 
 static const char quarantined_message[] =
@@ -72,7 +72,7 @@
 	struct call_answer *a;
 
 	a = node_answer(OUTCOME_NOT_RUN, HTTP_UNAVAILABLE, "behind",
-	    "a newer configuration than the one in force here may take this "
+	    "a newer configuration than the one in force here may accept this "
 	    "request; send it again after the time in Retry-After.");
 	a->version = version;
 	return a;
@@ -153,7 +153,7 @@
 
 	call_metrics_outcome(o);
 	a = node_answer(o, HTTP_CONTENT_TOO_LARGE, "too_large",
-	    "the body is larger than the service takes; send less.");
+	    "the body exceeds the service's limit; send a smaller one.");
 	call_exchange_begin_answer(c->exchange, a, NULL, EXCHANGE_COMPLETE);
 }
 
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -535,10 +535,10 @@
 	    e->snapshot, method, r->host, r->path, strlen(r->path), match)) {
 	case ROUTE_NO_PATH:
 		return refuse(e, x, HTTP_NOT_FOUND, "not_found",
-		    "no route leads there; check the path.");
+		    "no route matches the request; check its path.");
 	case ROUTE_NO_METHOD:
 		return refuse(e, x, HTTP_BAD_METHOD, "invalid",
-		    "the route does not take this method; use another.");
+		    "the route does not accept this method; use another one.");
 	case ROUTE_FOUND:
 		choose_by_weight(e, match);
 		break;
@@ -547,7 +547,8 @@
 	    (uint64_t)r->body_bytes >
 		max_body_bytes(e, &match->service->config->limits))
 		return refuse(e, x, HTTP_TOO_LARGE, "too_large",
-		    "the body is larger than the service takes; send less.");
+		    "the body exceeds the service's limit; send a smaller "
+		    "one.");
 	return true;
 }
 
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -64,15 +64,15 @@
 	if (p->suspected == suspected)
 		return;
 	p->suspected = suspected;
-	log_peer(p, suspected ? "in doubt, nothing is heard" : "heard again");
+	log_peer(p, suspected ? "suspected, no answer" : "heard again");
 	for (i = 0; i < p->endpoints->len; i++)
 		cut |= endpoints_doubt(p->entry->endpoints,
 		    g_array_index(p->endpoints, uint64_t, i), suspected,
 		    now_ms);
 	if (cut)
 		log_peer(p,
-		    "its data centre is left alone, as another host "
-		    "there is silent too");
+		    "its data centre is treated as unreachable: two "
+		    "of its hosts do not answer");
 }
 
 /*
@@ -220,7 +220,7 @@
 			p->suspect_ms = now_ms + SUSPECT_AFTER_MS;
 		break;
 	case SILENCE_LOST:
-		log_peer(p, "connection went silent");
+		log_peer(p, "connection silent, ping not answered");
 		metric_add(&metric_silent_connections, 1);
 		peer_drop(p, true);
 		return;
@@ -247,7 +247,7 @@
 		fail_unsent_attempts(p);
 		return;
 	}
-	log_peer(p, "no hello in time");
+	log_peer(p, "no hello before the dial timeout");
 	peer_drop(p, false);
 }
 
@@ -325,7 +325,7 @@
 		ok = type == MSG_CALL_HELLO && handle_hello(p, body, len);
 	if (ok || p->state == PEER_NONE || p->link.conn != conn)
 		return;
-	log_peer(p, "sent a frame that makes no sense; connection closed");
+	log_peer(p, "invalid frame, connection closed");
 	peer_drop(p, false);
 }
 
@@ -405,7 +405,7 @@
 	struct msg_call_goodbye_ack ack = {.echo = sent_ms};
 	char text[ADDR_TEXT_BYTES];
 
-	log_info("guard %s: is stopping", addr_format(&p->address, text));
+	log_info("guard %s: stopping", addr_format(&p->address, text));
 	p->stopping = true;
 	(void)call_link_send(&p->link, MSG_CALL_GOODBYE_ACK, &ack);
 }
