--- a/packages/node/bench/bench_call.c
+++ b/packages/node/bench/bench_call.c
@@ -77,20 +77,20 @@
 {
 	size_t len = l->body != NULL ? strlen(l->body) : 0;
 	struct reply r = {0};
-	bool fine;
+	bool ok;
 
 	if (*fd < 0)
 		*fd = caller_connect(l->port);
 	if (*fd < 0)
 		return false;
-	fine = caller_send(*fd, l->method, l->path, NULL, l->body, len) &&
+	ok = caller_send(*fd, l->method, l->path, NULL, l->body, len) &&
 	    caller_read(*fd, &r) && r.status == 200 && r.whole;
-	if (!fine || r.closes) {
+	if (!ok || r.closes) {
 		close(*fd);
 		*fd = -1;
 	}
 	reply_clear(&r);
-	return fine;
+	return ok;
 }
 
 /* Latency counts from the time a call was due, so that queueing at the caller
@@ -257,16 +257,16 @@
 /* Reports */
 
 static void
-report(const char *what, const struct load *l)
+report(const char *label, const struct load *l)
 {
 	printf("%-28s %9" PRIu64 " calls %5" PRIu64
 	       " failed  p50 %6u  p99 %6u  p99.9 %6u us\n",
-	    what, l->n_samples, l->failed, quantile(l, 0.5), quantile(l, 0.99),
+	    label, l->n_samples, l->failed, quantile(l, 0.5), quantile(l, 0.99),
 	    quantile(l, 0.999));
 }
 
 static void
-compare_latency(const char *what, struct load *direct, struct load *through,
+compare_latency(const char *label, struct load *direct, struct load *through,
     uint64_t seconds)
 {
 	int i;
@@ -279,7 +279,7 @@
 	}
 	sort(direct);
 	sort(through);
-	printf("%s\n", what);
+	printf("%s\n", label);
 	report("  direct", direct);
 	report("  through two nodes", through);
 	printf("  added: p50 %d us, p99 %d us\n",
@@ -288,7 +288,7 @@
 }
 
 static void
-run_max_rate(const char *what, struct load *l, const struct child *entry,
+run_max_rate(const char *label, struct load *l, const struct child *entry,
     const struct child *guard, uint64_t seconds)
 {
 	uint64_t entry_us = child_cpu_us(entry);
@@ -304,7 +304,7 @@
 	sort(l);
 	printf("%s: %" PRIu64 " calls/s; processor time per call: entry's "
 	       "node %" PRIu64 " us, guard's node %" PRIu64 " us\n",
-	    what, calls / seconds, (child_cpu_us(entry) - entry_us) / calls,
+	    label, calls / seconds, (child_cpu_us(entry) - entry_us) / calls,
 	    (child_cpu_us(guard) - guard_us) / calls);
 	report("  through two nodes", l);
 }
@@ -332,14 +332,14 @@
  * struct upload - a large upload
  * @port: port that is called
  * @took_us: duration
- * @fine: the upload arrived complete
- * @over: the upload has ended
+ * @complete: the upload arrived complete
+ * @ended: the upload has ended
  */
 struct upload {
 	uint16_t port;
 	uint64_t took_us;
-	_Atomic bool fine;
-	_Atomic bool over;
+	_Atomic bool complete;
+	_Atomic bool ended;
 };
 
 static void *
@@ -350,14 +350,14 @@
 	uint64_t began_us = clock_now_us();
 	struct reply r;
 
-	u->fine =
+	u->complete =
 	    caller_call(u->port, "PUT", "/up/x?do=sum",
 		"Bramley-Deadline-Ms: 60000\r\n", body, UPLOAD_BYTES, &r) &&
 	    r.status == 200;
 	u->took_us = clock_now_us() - began_us;
 	reply_clear(&r);
 	g_free(body);
-	u->over = true;
+	u->ended = true;
 	return NULL;
 }
 
@@ -376,14 +376,14 @@
 	l->threads = THREADS;
 	if (pthread_create(&thread, NULL, upload_main, &u) != 0)
 		abort();
-	while (!u.over)
+	while (!u.ended)
 		run_load(l, US_PER_S / ROUNDS);
 	(void)pthread_join(thread, NULL);
 	sort(l);
 	printf("%u MB upload beside lookups at %" PRIu64 "/s: %s, %" PRIu64
 	       " MB/s; highest memory before and after: entry's node %ld "
 	       "and %ld KB, guard's node %ld and %ld KB\n",
-	    UPLOAD_BYTES >> 20, rate, u.fine ? "whole" : "FAILED",
+	    UPLOAD_BYTES >> 20, rate, u.complete ? "whole" : "FAILED",
 	    (uint64_t)UPLOAD_BYTES / MAX(u.took_us, 1), before_kb[0],
 	    child_peak_kb(entry), before_kb[1], child_peak_kb(guard));
 	report("  lookups meanwhile", l);
@@ -401,7 +401,7 @@
 	struct load through = direct;
 	struct fake_upstream *upstream;
 	struct child entry, guard;
-	char what[64];
+	char label[64];
 
 	upstream = fake_upstream_start();
 	through.port =
@@ -409,18 +409,18 @@
 	direct.port = upstream->port;
 	direct.samples_us = g_new(uint32_t, SAMPLES_MAX);
 	through.samples_us = g_new(uint32_t, SAMPLES_MAX);
-	(void)snprintf(what, sizeof(what), "lookups at %" PRIu64 "/s", rate);
+	(void)snprintf(label, sizeof(label), "lookups at %" PRIu64 "/s", rate);
 	if (rate > 0)
-		compare_latency(what, &direct, &through, seconds);
+		compare_latency(label, &direct, &through, seconds);
 	if (rate > 0)
 		run_beside_upload(&through, &entry, &guard, rate);
 	through.rate = rate;
 	direct.method = through.method = "POST";
 	direct.path = through.path = "/book/x?bytes=512";
 	direct.body = through.body = "{\"seat\":7}";
-	(void)snprintf(what, sizeof(what), "bookings at %" PRIu64 "/s", rate);
+	(void)snprintf(label, sizeof(label), "bookings at %" PRIu64 "/s", rate);
 	if (rate > 0)
-		compare_latency(what, &direct, &through, seconds);
+		compare_latency(label, &direct, &through, seconds);
 	run_max_rate("most bookings", &through, &entry, &guard, seconds / 2);
 	through.method = "GET";
 	through.path = "/look/x?bytes=512";
--- a/packages/node/include/node/callers.h
+++ b/packages/node/include/node/callers.h
@@ -37,7 +37,7 @@
 uint16_t callers_port(const struct callers *c);
 
 /**
- * callers_drain() - reject new calls and close connections after their answers
+ * callers_drain() - refuse new calls and close connections after their answers
  * @c: the server
  * @deadline_ms: monotonic time at which calls still in flight are aborted
  *
--- a/packages/node/src/callers_call.c
+++ b/packages/node/src/callers_call.c
@@ -10,8 +10,8 @@
 #include "call_metrics.h"
 #include "callers_priv.h"
 
-#define HTTP_TIMEOUT 408
-#define HTTP_HEAD_TOO_LARGE 431
+#define HTTP_REQUEST_TIMEOUT 408
+#define HTTP_HEADERS_TOO_LARGE 431
 
 /* Bodies of known length up to this are read completely before the call is
  * submitted. */
@@ -106,7 +106,7 @@
 	struct http_incoming *q = call->incoming;
 
 	call->incoming = NULL;
-	callers_answer_refuse(call->callers, q, HTTP_TIMEOUT, "timeout",
+	callers_answer_refuse(call->callers, q, HTTP_REQUEST_TIMEOUT, "timeout",
 	    "the body arrived too slowly; send it faster.");
 	call_free(call);
 }
@@ -226,7 +226,7 @@
 
 	/* The configuration sets the limit of the head only, so a newer version
 	 * may accept it. */
-	if (code == HTTP_HEAD_TOO_LARGE)
+	if (code == HTTP_HEADERS_TOO_LARGE)
 		retry_after_ms = entry_behind_head(c->entry, (uint32_t)code);
 	if (retry_after_ms != 0) {
 		callers_answer_behind(c, q, retry_after_ms);
--- a/packages/node/src/callers_limits.c
+++ b/packages/node/src/callers_limits.c
@@ -16,11 +16,11 @@
 #define STALL_TIMEOUT_MS 10000U
 
 static void
-widen(struct http_server_limits *l, const struct service_limits *of)
+widen_limits(struct http_server_limits *l, const struct service_limits *limits)
 {
-	l->head_max_bytes = MAX(l->head_max_bytes, of->head_max_bytes);
-	l->head_ms = MAX(l->head_ms, of->head_ms);
-	l->idle_ms = MAX(l->idle_ms, of->idle_ms);
+	l->head_max_bytes = MAX(l->head_max_bytes, limits->head_max_bytes);
+	l->head_ms = MAX(l->head_ms, limits->head_ms);
+	l->idle_ms = MAX(l->idle_ms, limits->idle_ms);
 }
 
 void
@@ -31,7 +31,7 @@
 
 	memset(l, 0, sizeof(*l));
 	for (i = 0; snapshot != NULL && i < snapshot->n_services; i++)
-		widen(l, &snapshot->services[i].config->limits);
+		widen_limits(l, &snapshot->services[i].config->limits);
 	if (snapshot != NULL)
 		snapshot_unref(snapshot);
 	if (l->head_max_bytes == 0)
--- a/packages/node/src/entry_attempt.c
+++ b/packages/node/src/entry_attempt.c
@@ -127,7 +127,7 @@
 }
 
 void
-entry_attempt_rejected(struct entry_attempt *a)
+entry_attempt_refused(struct entry_attempt *a)
 {
 	struct entry_call *c = a->call;
 	uint64_t now_ms = loop_now_ms(c->entry->loop);
--- a/packages/node/src/entry_behind.c
+++ b/packages/node/src/entry_behind.c
@@ -7,7 +7,7 @@
 #include "call_metrics.h"
 #include "entry_log.h"
 
-#define HTTP_TOO_LARGE 413
+#define HTTP_CONTENT_TOO_LARGE 413
 
 /**
  * struct version_update - argument of apply_version()
@@ -101,7 +101,8 @@
 		    c, begun ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN);
 		return;
 	}
-	record_behind(e, c->request, c->snapshot->version, HTTP_TOO_LARGE);
+	record_behind(
+	    e, c->request, c->snapshot->version, HTTP_CONTENT_TOO_LARGE);
 	if (begun)
 		entry_answer_unknown(c);
 	else
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -23,8 +23,8 @@
 #define RESOLVE_LIMIT_MS 2000
 
 #define HTTP_NOT_FOUND 404
-#define HTTP_BAD_METHOD 405
-#define HTTP_TOO_LARGE 413
+#define HTTP_METHOD_NOT_ALLOWED 405
+#define HTTP_CONTENT_TOO_LARGE 413
 #define HTTP_UNAVAILABLE 503
 
 static struct entry_attempt *
@@ -75,7 +75,7 @@
 }
 
 static void
-reject_quarantined(struct entry_call *c, uint64_t retry_after_ms)
+refuse_quarantined(struct entry_call *c, uint64_t retry_after_ms)
 {
 	call_metrics_refusal(REFUSAL_QUARANTINED);
 	call_quarantined(c->machine, retry_after_ms);
@@ -103,13 +103,13 @@
 	entry = quarantine_check(q, &print);
 	if (entry != NULL) {
 		entry_log_quarantined(c, &print, entry);
-		reject_quarantined(c, quarantine_retry_after_ms(entry, now_ms));
+		refuse_quarantined(c, quarantine_retry_after_ms(entry, now_ms));
 		return false;
 	}
 	suspicion = quarantine_suspicion(q, &print, now_ms);
 	if (suspicion == SUSPICION_UNDECIDED) {
 		entry_log_undecided(c, &print);
-		reject_quarantined(c, QUARANTINE_UNDECIDED_RETRY_MS);
+		refuse_quarantined(c, QUARANTINE_UNDECIDED_RETRY_MS);
 		return false;
 	}
 	if (suspicion == SUSPICION_SUSPECT || call_may_have_run(c->machine))
@@ -537,7 +537,7 @@
 		return refuse(e, x, HTTP_NOT_FOUND, "not_found",
 		    "no route matches the request; check its path.");
 	case ROUTE_NO_METHOD:
-		return refuse(e, x, HTTP_BAD_METHOD, "invalid",
+		return refuse(e, x, HTTP_METHOD_NOT_ALLOWED, "invalid",
 		    "the route does not accept this method; use another one.");
 	case ROUTE_FOUND:
 		choose_by_weight(e, match);
@@ -546,7 +546,7 @@
 	if (r->body_bytes > 0 &&
 	    (uint64_t)r->body_bytes >
 		max_body_bytes(e, &match->service->config->limits))
-		return refuse(e, x, HTTP_TOO_LARGE, "too_large",
+		return refuse(e, x, HTTP_CONTENT_TOO_LARGE, "too_large",
 		    "the body exceeds the service's limit; send a smaller "
 		    "one.");
 	return true;
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -57,7 +57,7 @@
 set_suspected(struct entry_peer *p, bool suspected)
 {
 	uint64_t now_ms = loop_now_ms(p->entry->loop);
-	bool cut = false;
+	bool unreachable = false;
 	guint i;
 
 	p->suspect_ms = DEADLINE_NEVER;
@@ -66,10 +66,10 @@
 	p->suspected = suspected;
 	log_peer(p, suspected ? "suspected, no answer" : "heard again");
 	for (i = 0; i < p->endpoints->len; i++)
-		cut |= endpoints_doubt(p->entry->endpoints,
+		unreachable |= endpoints_doubt(p->entry->endpoints,
 		    g_array_index(p->endpoints, uint64_t, i), suspected,
 		    now_ms);
-	if (cut)
+	if (unreachable)
 		log_peer(p,
 		    "its data centre is treated as unreachable: two "
 		    "of its hosts do not answer");
@@ -447,7 +447,7 @@
 	}
 	if (p->stopping && a->kind == ATTEMPT_SEND) {
 		a->peer = NULL;
-		entry_attempt_rejected(a);
+		entry_attempt_refused(a);
 		return;
 	}
 	a->stream = next_stream(p);
--- a/packages/node/src/entry_priv.h
+++ b/packages/node/src/entry_priv.h
@@ -364,8 +364,8 @@
 /** entry_attempt_free() - free an attempt; for GPtrArray */
 void entry_attempt_free(void *attempt);
 
-/** entry_attempt_rejected() - the guard is stopping; nothing was sent */
-void entry_attempt_rejected(struct entry_attempt *a);
+/** entry_attempt_refused() - the guard is stopping; nothing was sent */
+void entry_attempt_refused(struct entry_attempt *a);
 
 /** entry_attempt_start() - the connection is ready: send the first frame */
 void entry_attempt_start(struct entry_attempt *a);
--- a/packages/node/test/fixture_caller.c
+++ b/packages/node/test/fixture_caller.c
@@ -56,18 +56,18 @@
     const void *body, size_t len)
 {
 	GString *s = g_string_new(NULL);
-	bool fine;
+	bool ok;
 
 	g_string_printf(s, "%s %s HTTP/1.1\r\nHost: test\r\n%s", method, path,
 	    headers != NULL ? headers : "");
 	if (body != NULL)
 		g_string_append_printf(s, "Content-Length: %zu\r\n", len);
 	g_string_append(s, "\r\n");
-	fine = send_all(fd, s->str, s->len);
+	ok = send_all(fd, s->str, s->len);
 	g_string_free(s, TRUE);
-	if (fine && body != NULL)
-		fine = send_all(fd, body, len);
-	return fine;
+	if (ok && body != NULL)
+		ok = send_all(fd, body, len);
+	return ok;
 }
 
 static bool
@@ -182,15 +182,15 @@
     const char *headers, const void *body, size_t len, struct reply *r)
 {
 	int fd = caller_connect(port);
-	bool fine;
+	bool ok;
 
 	memset(r, 0, sizeof(*r));
 	if (fd < 0)
 		return false;
-	fine = caller_send(fd, method, path, headers, body, len);
-	fine = caller_read(fd, r) && fine;
+	ok = caller_send(fd, method, path, headers, body, len);
+	ok = caller_read(fd, r) && ok;
 	close(fd);
-	return fine;
+	return ok;
 }
 
 void
--- a/packages/node/test/test_call_behind.c
+++ b/packages/node/test/test_call_behind.c
@@ -54,12 +54,12 @@
 
 static void
 check_reply(
-    const char *what, const struct reply *r, int status, const char *fate)
+    const char *label, const struct reply *r, int status, const char *fate)
 {
 	ck_assert_msg(r->status == status && strcmp(r->fate, fate) == 0,
-	    "%s: %d %s", what, r->status, r->fate);
+	    "%s: %d %s", label, r->status, r->fate);
 	if (status == 503)
-		ck_assert_msg(r->retry_after[0] != '\0', "%s", what);
+		ck_assert_msg(r->retry_after[0] != '\0', "%s", label);
 }
 
 /**
--- a/packages/node/test/test_call_path.c
+++ b/packages/node/test/test_call_path.c
@@ -281,7 +281,7 @@
 END_TEST
 
 /* A refusal for the caller's rate limit has outcome not_run and Retry-After. */
-START_TEST(caller_over_its_limit_is_rejected)
+START_TEST(caller_over_its_limit_is_refused)
 {
 	struct guard_endpoint ep = {.service = "search",
 	    .slots = 8,
@@ -409,7 +409,7 @@
 	    booking_on_closed_kept_alive_connection_runs_once,
 	    upstream_that_is_down_or_draining_runs_nothing,
 	    node_without_configuration_sends_retry_after,
-	    caller_over_its_limit_is_rejected, passed_deadline_is_reported,
+	    caller_over_its_limit_is_refused, passed_deadline_is_reported,
 	    large_upload_arrives_complete, NULL};
 
 	return fixture_main("call path", tests);
--- a/packages/node/test/test_call_quarantine.c
+++ b/packages/node/test/test_call_quarantine.c
@@ -48,7 +48,7 @@
 }
 
 static void
-publish_item(enum quarantine_kind kind)
+apply_item(enum quarantine_kind kind)
 {
 	const struct fingerprint_parts parts = {
 	    .method = "GET", .host = "test", .path = PATH, .caller = CALLER};
@@ -119,7 +119,7 @@
 	while (guard_in_flight(node->guard) < 1 + WAITING)
 		g_usleep(POLL_US);
 	held_ms = clock_now_ms();
-	publish_item(QUARANTINE_HELD);
+	apply_item(QUARANTINE_HELD);
 	for (i = 0; i < WAITING; i++)
 		join_refused(&waiting[i], held_ms);
 	held_ms = clock_now_ms();
@@ -139,7 +139,7 @@
 	struct async_call first, second, third;
 
 	start();
-	publish_item(QUARANTINE_CRASH);
+	apply_item(QUARANTINE_CRASH);
 	async_call_start(&first);
 	ck_assert(test_wait_int(running, NULL, 1));
 	async_call_start(&second);
@@ -163,7 +163,7 @@
 
 	start();
 	for (i = 0; i < QUARANTINE_CRASHES; i++)
-		publish_item(QUARANTINE_CRASH);
+		apply_item(QUARANTINE_CRASH);
 	g_usleep(POLL_US * 4);
 	from_ms = clock_now_ms();
 	async_call_start(&a);
@@ -180,7 +180,7 @@
 
 	start();
 	for (i = 0; i < 2; i++) {
-		publish_item(i == 0 ? QUARANTINE_HELD : QUARANTINE_CLEARED);
+		apply_item(i == 0 ? QUARANTINE_HELD : QUARANTINE_CLEARED);
 		g_usleep(POLL_US * 4);
 		ck_assert(caller_call(callers_port(node->callers), "GET",
 		    OTHER_PATH, "", NULL, 0, &r));
--- a/packages/node/test/test_call_wire.c
+++ b/packages/node/test/test_call_wire.c
@@ -234,7 +234,7 @@
 }
 END_TEST
 
-START_TEST(request_before_hello_is_rejected)
+START_TEST(request_before_hello_closes_the_connection)
 {
 	int fd;
 
@@ -620,7 +620,7 @@
 main(void)
 {
 	const TTest *const tests[] = {protocol_error_closes_only_its_connection,
-	    request_before_hello_is_rejected,
+	    request_before_hello_closes_the_connection,
 	    running_request_is_not_aborted_for_uncertain_age,
 	    possibly_expired_request_is_not_started,
 	    draining_guard_waits_for_goodbye_ack,
