--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -358,7 +358,7 @@
 /* Answers and ends a call whose body of unknown length has exceeded the
  * service's limit. */
 static bool
-body_exceeds_limit(struct entry_call *c)
+refuse_oversized_body(struct entry_call *c)
 {
 	if (c->body.bytes <= max_body_bytes(c->entry, &c->config->limits))
 		return false;
@@ -385,7 +385,7 @@
 		return;
 	}
 	entry_body_pull(c, a);
-	if (body_exceeds_limit(c) || a == NULL)
+	if (refuse_oversized_body(c) || a == NULL)
 		return;
 	entry_attempt_send_body(a);
 	if (events.consumed_bytes > 0)
@@ -433,15 +433,15 @@
 static uint64_t
 target_deadline_ms(const struct entry_call *c, uint64_t now_ms)
 {
-	uint64_t asked_ms = 0;
+	uint64_t waited_ms = 0;
 
 	if (c->route->target_ms == 0)
 		return 0;
 	if (c->request->deadline_ms != DEADLINE_NEVER)
-		asked_ms = patience_asked_ms(c->entry->patience,
+		waited_ms = patience_asked_ms(c->entry->patience,
 		    entry_route_key(c->route),
 		    clock_left_ms(c->request->deadline_ms, now_ms));
-	return now_ms + c->route->target_ms - MIN(asked_ms, now_ms);
+	return now_ms + c->route->target_ms - MIN(waited_ms, now_ms);
 }
 
 static struct entry_call *
--- a/packages/node/src/entry_service.c
+++ b/packages/node/src/entry_service.c
@@ -86,13 +86,13 @@
 static uint32_t
 canary_rank(const struct entry_service *s, const struct endpoint *ep)
 {
-	uint32_t i, place = 1;
+	uint32_t i, rank = 1;
 
 	for (i = 0; i < s->list->n_endpoints; i++)
 		if (is_candidate(&s->versions, &s->list->endpoints[i]) &&
 		    starts_before(&s->list->endpoints[i], ep))
-			place++;
-	return place;
+			rank++;
+	return rank;
 }
 
 static void
--- a/packages/node/test/test_callers.c
+++ b/packages/node/test/test_callers.c
@@ -43,7 +43,7 @@
 }
 
 static void
-ask(int fd, const char *method, const char *path, const char *headers,
+send_and_read(int fd, const char *method, const char *path, const char *headers,
     struct reply *r)
 {
 	ck_assert(caller_send(fd, method, path, headers, NULL, 0));
@@ -58,10 +58,10 @@
 	start();
 	for (i = 0; i < 64; i++) {
 		fd = dial();
-		ask(fd, "GET", "/look/x", NULL, &r);
+		send_and_read(fd, "GET", "/look/x", NULL, &r);
 		ck_assert(!r.closes);
 		reply_clear(&r);
-		ask(fd, "GET", "/look/x", NULL, &r);
+		send_and_read(fd, "GET", "/look/x", NULL, &r);
 		ck_assert_int_eq(r.status, 200);
 		ck_assert(!r.closes);
 		reply_clear(&r);
@@ -85,7 +85,7 @@
 	start();
 	for (i = 0; i < IDLE_CALLERS; i++) {
 		fds[i] = dial();
-		ask(fds[i], "GET", "/look/x", NULL, &r);
+		send_and_read(fds[i], "GET", "/look/x", NULL, &r);
 		ck_assert_int_eq(r.status, 200);
 		reply_clear(&r);
 	}
@@ -234,7 +234,7 @@
 
 	start();
 	fd = dial();
-	ask(fd, "PUT", "/up/x", "Content-Length: 9000000000\r\n", &r);
+	send_and_read(fd, "PUT", "/up/x", "Content-Length: 9000000000\r\n", &r);
 	ck_assert_int_eq(r.status, 413);
 	ck_assert_str_eq(r.fate, "not_run");
 	g_byte_array_append(r.body, (const uint8_t *)"", 1);
@@ -242,7 +242,7 @@
 	reply_clear(&r);
 	close(fd);
 	fd = dial();
-	ask(fd, "GET", "/look/x", header, &r);
+	send_and_read(fd, "GET", "/look/x", header, &r);
 	ck_assert_int_eq(r.status, 431);
 	g_byte_array_append(r.body, (const uint8_t *)"", 1);
 	ck_assert_ptr_nonnull(strstr((char *)r.body->data, "16384 bytes"));
@@ -407,7 +407,7 @@
 
 	start();
 	fd = dial();
-	ask(fd, "GET", "/look/x", head, &r);
+	send_and_read(fd, "GET", "/look/x", head, &r);
 	ck_assert_int_eq(r.status, 200);
 	reply_clear(&r);
 	close(fd);
@@ -416,12 +416,12 @@
 	entry_snapshot_changed(node->entry);
 	g_usleep(50000);
 	fd = dial();
-	ask(fd, "GET", "/look/x", head, &r);
+	send_and_read(fd, "GET", "/look/x", head, &r);
 	ck_assert_int_eq(r.status, 431);
 	reply_clear(&r);
 	close(fd);
 	fd = dial();
-	ask(fd, "GET", "/look/x", NULL, &r);
+	send_and_read(fd, "GET", "/look/x", NULL, &r);
 	ck_assert_int_eq(r.status, 200);
 	reply_clear(&r);
 	asked_ms = clock_now_ms();
