--- a/packages/node/src/callers_call.c
+++ b/packages/node/src/callers_call.c
@@ -224,8 +224,8 @@
 	uint64_t retry_after_ms = 0;
 	char text[160];
 
-	/* The configuration sets the limit of the head only, so a newer version
-	 * may accept it. */
+	/* Of these errors only this one depends on the configuration, so that a
+	 * newer version may accept the request. */
 	if (code == HTTP_HEADERS_TOO_LARGE)
 		retry_after_ms = entry_behind_head(c->entry, (uint32_t)code);
 	if (retry_after_ms != 0) {
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -429,7 +429,8 @@
 	return hash64(route->prefix, route->prefix_len, key);
 }
 
-/* Target time of the answer, counted from the caller's first attempt. */
+/* Target time of the answer, counted from when the caller first sent the
+ * request. */
 static uint64_t
 target_deadline_ms(const struct entry_call *c, uint64_t now_ms)
 {
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -19,8 +19,8 @@
 
 /*
  * Time without a frame before a ping, and timeout of its answer.  A host whose
- * link is saturated, or that is throttled by its processor quota, answers after
- * up to a second; dropping its connections would run all calls on them twice.
+ * link is saturated, or that has used up its processor quota, answers after up
+ * to a second; dropping its connections would run all calls on them twice.
  */
 #define PING_AFTER_MS 250
 #define PING_TIMEOUT_MS 1500
--- a/packages/node/src/entry_priv.h
+++ b/packages/node/src/entry_priv.h
@@ -142,7 +142,7 @@
  * @silence: silence detection of the connection
  * @timer: next ping, dial timeout, redial or idle timeout
  * @last_used_ms: monotonic time at which a stream was last open
- * @stopping: the guard asked for no more requests
+ * @stopping: the guard is stopping and accepts no more requests
  * @endpoints: ids of the guard's endpoints that attempts were placed on
  * @suspected: the guard doesn't answer; other endpoints are preferred
  * @suspect_ms: monotonic time at which a ping without an answer sets
@@ -265,8 +265,8 @@
  * @route: the route in @snapshot
  * @deadline_ms: monotonic deadline: the caller's or the route's, the earlier
  *	one
- * @target_ms: monotonic time after which the answer loses value, 0 when not
- *	configured
+ * @target_ms: monotonic target time of the answer, which loses value after it;
+ *	0 when not configured
  * @idempotent: the request may run more than once
  * @keyed: the request's idempotency key is in effect
  * @machine: the state machine
@@ -277,7 +277,7 @@
  * @body: the request's body
  * @attempts: struct entry_attempt, owned
  * @timer: wakes the state machine
- * @free_task: frees the call at the end of the turn
+ * @free_task: frees the call at the end of the loop's iteration
  * @running_actions: entry_call_run() is active, so nested calls return
  * @finished: the call has ended and is about to be freed
  */
--- a/packages/node/src/entry_service.c
+++ b/packages/node/src/entry_service.c
@@ -141,9 +141,9 @@
 	g_free(infos);
 }
 
-/* Share of the retry budget that entries use.  The rest is a reserve: the calls
- * that a repeated run makes count at the services called, and can't be counted
- * in advance. */
+/* Share of the retry budget that entries use.  The rest is a reserve: a request
+ * that runs again may call other services itself, and its calls there, which
+ * count at those services, can't be counted in advance. */
 #define ENTRY_RETRY_PERCENT 75
 #define PERCENT 100
 
--- a/packages/node/test/test_call_faults.c
+++ b/packages/node/test/test_call_faults.c
@@ -68,7 +68,8 @@
 	int status;
 };
 
-/* Only one frame is affected, so that each call can be resolved. */
+/* A fault affects one connection; a new one works, so that each call can be
+ * resolved. */
 static const struct fault_case faults[] = {
     {MSG_CALL_HELLO, LINK_CUT_BEFORE, 200},
     {MSG_CALL_HELLO_ACK, LINK_CUT_BEFORE, 200},
--- a/packages/node/test/test_call_wire.c
+++ b/packages/node/test/test_call_wire.c
@@ -250,8 +250,8 @@
 /*
  * The entry answered the hello after 400 ms, so its requests may be up to 400
  * ms older than their timestamps say.  The guard uses that bound to refuse a
- * late start, but must not abort a running request by it: only the entry knows
- * when the caller stops waiting.
+ * late start, but must not abort a running request by it: only the entry
+ * detects that the caller has stopped waiting.
  */
 START_TEST(running_request_is_not_aborted_for_uncertain_age)
 {
