--- a/packages/node/bench/bench_call.c
+++ b/packages/node/bench/bench_call.c
@@ -1,10 +1,11 @@
 /*
- * Bench of the call path: what two nodes add to a call, beside direct calls
- * to the same upstream in the same run, and the processor time per call.
+ * Benchmark of the call path: the latency that two nodes add to a call,
+ * compared with direct calls to the same upstream in the same run, and the
+ * processor time per call.
  *
- * Three processes: callers and upstream here, the entry's node and the
- * guard's node in a process each.  Usage: bench_call [seconds [rate]]; with a
- * rate of 0 only the most that the nodes carry is measured.
+ * Three processes: callers and upstream in this one, the entry's node and the
+ * guard's node in one each.  Usage: bench_call [seconds [rate]]; with a rate of
+ * 0 only the maximum rate is measured.
  */
 #include <inttypes.h>
 #include <pthread.h>
@@ -22,7 +23,7 @@
 #include "fixture.h"
 
 #define THREADS 16
-#define THREADS_MOST 48
+#define MAX_THREADS 48
 #define ROUNDS 5
 #define US_PER_S 1000000
 #define SAMPLES_MAX 4000000
@@ -30,29 +31,29 @@
 #define PEAK_FIELD "VmHWM:"
 
 /**
- * struct child - a node in a process of its own
- * @pid: the process
- * @ask: pipe to it
- * @tell: pipe from it
+ * struct child - a node in a child process
+ * @pid: process id
+ * @request_fd: pipe to the child
+ * @reply_fd: pipe from the child
  */
 struct child {
 	pid_t pid;
-	int ask;
-	int tell;
+	int request_fd;
+	int reply_fd;
 };
 
 /**
  * struct load - one phase of load
- * @port: where the calls go
+ * @port: port that is called
  * @method: method of the calls
  * @path: their path
  * @body: their body, or NULL
- * @rate: calls per second; 0 for as many as go
- * @until_us: when it ends
- * @began_us: when it began
+ * @rate: calls per second; 0 for the maximum
+ * @until_us: monotonic end time
+ * @began_us: monotonic start time
  * @next: number of the next call
  * @threads: number of callers
- * @samples_us: time of each call
+ * @samples_us: latency of each call
  * @n_samples: number of calls
  * @failed: calls that failed
  */
@@ -72,27 +73,28 @@
 };
 
 static bool
-one_call(const struct load *l, int *fd)
+make_call(const struct load *l, int *fd)
 {
 	size_t len = l->body != NULL ? strlen(l->body) : 0;
 	struct reply r = {0};
-	bool fine;
+	bool ok;
 
 	if (*fd < 0)
 		*fd = caller_connect(l->port);
 	if (*fd < 0)
 		return false;
-	fine = caller_send(*fd, l->method, l->path, NULL, l->body, len) &&
+	ok = caller_send(*fd, l->method, l->path, NULL, l->body, len) &&
 	    caller_read(*fd, &r) && r.status == 200 && r.whole;
-	if (!fine || r.closes) {
+	if (!ok || r.closes) {
 		close(*fd);
 		*fd = -1;
 	}
 	reply_clear(&r);
-	return fine;
+	return ok;
 }
 
-/* Calls are timed from when they were due, so that waiting counts. */
+/* Latency counts from the time a call was due, so that queueing at the caller
+ * is included. */
 static void *
 caller_main(void *arg)
 {
@@ -111,7 +113,7 @@
 		}
 		if (due_us >= l->until_us)
 			break;
-		if (!one_call(l, &fd)) {
+		if (!make_call(l, &fd)) {
 			l->failed++;
 			continue;
 		}
@@ -127,7 +129,7 @@
 static void
 run_load(struct load *l, uint64_t for_us)
 {
-	pthread_t threads[THREADS_MOST];
+	pthread_t threads[MAX_THREADS];
 	int i;
 
 	l->next = 0;
@@ -141,7 +143,7 @@
 }
 
 static int
-by_size(const void *a, const void *b)
+compare_samples(const void *a, const void *b)
 {
 	const uint32_t *x = a, *y = b;
 
@@ -160,7 +162,7 @@
 sort(struct load *l)
 {
 	qsort(l->samples_us, MIN(l->n_samples, SAMPLES_MAX),
-	    sizeof(l->samples_us[0]), by_size);
+	    sizeof(l->samples_us[0]), compare_samples);
 }
 
 /* Children */
@@ -176,14 +178,15 @@
 }
 
 static void
-many_threads(struct settings *s)
+set_keep_alive(struct settings *s)
 {
 	s->keep_alive_ms = 15000;
 }
 
-/* Answers each question with its processor time until the pipe closes. */
+/* Answers each byte on the pipe with the process's processor time, until the
+ * pipe is closed. */
 static void
-child_main(uint16_t upstream, uint16_t guard, int ask, int tell)
+child_main(uint16_t upstream, uint16_t guard, int request_fd, int reply_fd)
 {
 	struct fake_endpoint ep = {.host = "h2", .port = guard};
 	struct test_node *n;
@@ -192,18 +195,18 @@
 	char c;
 
 	log_start(LOG_LEVEL_WARNING, "bench");
-	n = test_node_start(upstream != 0 ? "h2" : "h1", many_threads);
+	n = test_node_start(upstream != 0 ? "h2" : "h1", set_keep_alive);
 	if (upstream != 0)
 		test_node_upstream(n, upstream, SERVING_READY);
 	else
 		test_snapshot(&ep, 1);
 	port = upstream != 0 ? guard_addr(n->guard).port
 			     : callers_port(n->callers);
-	if (write(tell, &port, sizeof(port)) != sizeof(port))
+	if (write(reply_fd, &port, sizeof(port)) != sizeof(port))
 		_exit(1);
-	while (read(ask, &c, 1) == 1) {
+	while (read(request_fd, &c, 1) == 1) {
 		us = cpu_us();
-		if (write(tell, &us, sizeof(us)) != sizeof(us))
+		if (write(reply_fd, &us, sizeof(us)) != sizeof(us))
 			break;
 	}
 	_exit(0);
@@ -212,22 +215,22 @@
 static uint16_t
 child_start(struct child *c, uint16_t upstream, uint16_t guard)
 {
-	int ask[2], tell[2];
+	int request_pipe[2], reply_pipe[2];
 	uint16_t port;
 
-	if (pipe(ask) != 0 || pipe(tell) != 0)
+	if (pipe(request_pipe) != 0 || pipe(reply_pipe) != 0)
 		abort();
 	c->pid = fork();
 	if (c->pid == 0) {
-		close(ask[1]);
-		close(tell[0]);
-		child_main(upstream, guard, ask[0], tell[1]);
+		close(request_pipe[1]);
+		close(reply_pipe[0]);
+		child_main(upstream, guard, request_pipe[0], reply_pipe[1]);
 	}
-	close(ask[0]);
-	close(tell[1]);
-	c->ask = ask[1];
-	c->tell = tell[0];
-	if (read(c->tell, &port, sizeof(port)) != sizeof(port))
+	close(request_pipe[0]);
+	close(reply_pipe[1]);
+	c->request_fd = request_pipe[1];
+	c->reply_fd = reply_pipe[0];
+	if (read(c->reply_fd, &port, sizeof(port)) != sizeof(port))
 		abort();
 	return port;
 }
@@ -237,8 +240,8 @@
 {
 	uint64_t us = 0;
 
-	if (write(c->ask, "?", 1) != 1 ||
-	    read(c->tell, &us, sizeof(us)) != sizeof(us))
+	if (write(c->request_fd, "?", 1) != 1 ||
+	    read(c->reply_fd, &us, sizeof(us)) != sizeof(us))
 		abort();
 	return us;
 }
@@ -246,24 +249,24 @@
 static void
 child_stop(const struct child *c)
 {
-	close(c->ask);
+	close(c->request_fd);
 	(void)waitpid(c->pid, NULL, 0);
-	close(c->tell);
+	close(c->reply_fd);
 }
 
 /* Reports */
 
 static void
-report(const char *what, const struct load *l)
+report(const char *label, const struct load *l)
 {
 	printf("%-28s %9" PRIu64 " calls %5" PRIu64
 	       " failed  p50 %6u  p99 %6u  p99.9 %6u us\n",
-	    what, l->n_samples, l->failed, quantile(l, 0.5), quantile(l, 0.99),
+	    label, l->n_samples, l->failed, quantile(l, 0.5), quantile(l, 0.99),
 	    quantile(l, 0.999));
 }
 
 static void
-compare(const char *what, struct load *direct, struct load *through,
+compare_latency(const char *label, struct load *direct, struct load *through,
     uint64_t seconds)
 {
 	int i;
@@ -276,7 +279,7 @@
 	}
 	sort(direct);
 	sort(through);
-	printf("%s\n", what);
+	printf("%s\n", label);
 	report("  direct", direct);
 	report("  through two nodes", through);
 	printf("  added: p50 %d us, p99 %d us\n",
@@ -285,7 +288,7 @@
 }
 
 static void
-most(const char *what, struct load *l, const struct child *entry,
+run_max_rate(const char *label, struct load *l, const struct child *entry,
     const struct child *guard, uint64_t seconds)
 {
 	uint64_t entry_us = child_cpu_us(entry);
@@ -295,18 +298,18 @@
 	l->n_samples = 0;
 	l->failed = 0;
 	l->rate = 0;
-	l->threads = THREADS_MOST;
+	l->threads = MAX_THREADS;
 	run_load(l, seconds * US_PER_S);
 	calls = MAX(l->n_samples, 1);
 	sort(l);
 	printf("%s: %" PRIu64 " calls/s; processor time per call: entry's "
 	       "node %" PRIu64 " us, guard's node %" PRIu64 " us\n",
-	    what, calls / seconds, (child_cpu_us(entry) - entry_us) / calls,
+	    label, calls / seconds, (child_cpu_us(entry) - entry_us) / calls,
 	    (child_cpu_us(guard) - guard_us) / calls);
 	report("  through two nodes", l);
 }
 
-/* Resident memory of a child, at its highest. */
+/* Peak resident memory of a child. */
 static long
 child_peak_kb(const struct child *c)
 {
@@ -327,15 +330,16 @@
 
 /**
  * struct upload - a large upload
- * @port: where it goes
- * @took_us: how long it took
- * @fine: it arrived whole
+ * @port: port that is called
+ * @took_us: duration
+ * @complete: the upload arrived complete
+ * @ended: the upload has ended
  */
 struct upload {
 	uint16_t port;
 	uint64_t took_us;
-	_Atomic bool fine;
-	_Atomic bool over;
+	_Atomic bool complete;
+	_Atomic bool ended;
 };
 
 static void *
@@ -346,20 +350,20 @@
 	uint64_t began_us = clock_now_us();
 	struct reply r;
 
-	u->fine =
+	u->complete =
 	    caller_call(u->port, "PUT", "/up/x?do=sum",
 		"Bramley-Deadline-Ms: 60000\r\n", body, UPLOAD_BYTES, &r) &&
 	    r.status == 200;
 	u->took_us = clock_now_us() - began_us;
 	reply_clear(&r);
 	g_free(body);
-	u->over = true;
+	u->ended = true;
 	return NULL;
 }
 
-/* Lookups while one upload after the other goes over the same nodes. */
+/* Lookups during a large upload through the same nodes. */
 static void
-beside_upload(struct load *l, const struct child *entry,
+run_beside_upload(struct load *l, const struct child *entry,
     const struct child *guard, uint64_t rate)
 {
 	struct upload u = {.port = l->port};
@@ -372,14 +376,14 @@
 	l->threads = THREADS;
 	if (pthread_create(&thread, NULL, upload_main, &u) != 0)
 		abort();
-	while (!u.over)
+	while (!u.ended)
 		run_load(l, US_PER_S / ROUNDS);
 	(void)pthread_join(thread, NULL);
 	sort(l);
 	printf("%u MB upload beside lookups at %" PRIu64 "/s: %s, %" PRIu64
 	       " MB/s; highest memory before and after: entry's node %ld "
 	       "and %ld KB, guard's node %ld and %ld KB\n",
-	    UPLOAD_BYTES >> 20, rate, u.fine ? "whole" : "FAILED",
+	    UPLOAD_BYTES >> 20, rate, u.complete ? "whole" : "FAILED",
 	    (uint64_t)UPLOAD_BYTES / MAX(u.took_us, 1), before_kb[0],
 	    child_peak_kb(entry), before_kb[1], child_peak_kb(guard));
 	report("  lookups meanwhile", l);
@@ -397,7 +401,7 @@
 	struct load through = direct;
 	struct fake_upstream *upstream;
 	struct child entry, guard;
-	char what[64];
+	char label[64];
 
 	upstream = fake_upstream_start();
 	through.port =
@@ -405,23 +409,23 @@
 	direct.port = upstream->port;
 	direct.samples_us = g_new(uint32_t, SAMPLES_MAX);
 	through.samples_us = g_new(uint32_t, SAMPLES_MAX);
-	(void)snprintf(what, sizeof(what), "lookups at %" PRIu64 "/s", rate);
+	(void)snprintf(label, sizeof(label), "lookups at %" PRIu64 "/s", rate);
 	if (rate > 0)
-		compare(what, &direct, &through, seconds);
+		compare_latency(label, &direct, &through, seconds);
 	if (rate > 0)
-		beside_upload(&through, &entry, &guard, rate);
+		run_beside_upload(&through, &entry, &guard, rate);
 	through.rate = rate;
 	direct.method = through.method = "POST";
 	direct.path = through.path = "/book/x?bytes=512";
 	direct.body = through.body = "{\"seat\":7}";
-	(void)snprintf(what, sizeof(what), "bookings at %" PRIu64 "/s", rate);
+	(void)snprintf(label, sizeof(label), "bookings at %" PRIu64 "/s", rate);
 	if (rate > 0)
-		compare(what, &direct, &through, seconds);
-	most("most bookings", &through, &entry, &guard, seconds / 2);
+		compare_latency(label, &direct, &through, seconds);
+	run_max_rate("most bookings", &through, &entry, &guard, seconds / 2);
 	through.method = "GET";
 	through.path = "/look/x?bytes=512";
 	through.body = NULL;
-	most("most lookups", &through, &entry, &guard, seconds / 2);
+	run_max_rate("most lookups", &through, &entry, &guard, seconds / 2);
 	child_stop(&entry);
 	child_stop(&guard);
 	g_free(direct.samples_us);
--- a/packages/node/src/call_exchange.h
+++ b/packages/node/src/call_exchange.h
@@ -1,11 +1,11 @@
 /*
- * A call as the server for callers and the entry share it: the request, the
- * request's body on its way up, and the answer on its way down.
+ * Exchange: the state of a call that the server for callers and the entry
+ * share: the request, its body, and the answer.
  *
- * Both live in the traffic thread.  What one side does is told to the other
- * at the end of the turn, so that neither is called from within its own call.
- * What waits for the caller is bounded by the entry, which takes no more from
- * the guard than the caller has consumed.
+ * Both sides run in the traffic thread.  A change by one side is notified to
+ * the other at the end of the loop's iteration, so that callbacks aren't
+ * reentrant.  The buffered part of the answer is bounded by the entry, which
+ * grants the guard no more credit than the caller has consumed.
  */
 #ifndef CALL_EXCHANGE_H
 #define CALL_EXCHANGE_H
@@ -20,8 +20,8 @@
 
 #include "call_headers.h"
 
-/* Most bytes of a request's body that wait for the entry. */
-#define EXCHANGE_UP_BYTES 131072
+/* Limit of the buffered part of a request's body. */
+#define EXCHANGE_REQUEST_BUFFER_BYTES 131072
 
 /* Length of a body that is not known in advance. */
 #define BODY_LENGTH_UNKNOWN (-1)
@@ -29,17 +29,17 @@
 struct call_exchange;
 
 /**
- * struct call_request - what a caller asked for; set before the submit
+ * struct call_request - a caller's request; complete before entry_submit()
  * @method: HTTP method
- * @path: path and query as they came, owned
- * @headers: headers that are passed on
- * @host: host that the caller named, owned, or NULL
- * @id: the caller's own name of the request, owned, or NULL
+ * @path: path and query as received, owned
+ * @headers: headers that are forwarded
+ * @host: host of the request's target or Host header, owned, or NULL
+ * @id: request id that the caller sent, owned, or NULL
  * @key: Idempotency-Key, owned, or NULL
  * @caller: address of the caller
  * @body_bytes: length of the body or BODY_LENGTH_UNKNOWN
- * @deadline_ms: monotonic deadline that the caller named, or DEADLINE_NEVER
- * @arrived_us: monotonic time when the request had been read
+ * @deadline_ms: monotonic deadline that the caller sent, or DEADLINE_NEVER
+ * @arrived_us: monotonic time at which the head had been read
  */
 struct call_request {
 	char method[MSG_CALL_OPEN_METHOD_MAX + 1];
@@ -55,16 +55,16 @@
 };
 
 /**
- * struct call_answer - the head of what the caller is told
- * @outcome: fate of the request
+ * struct call_answer - head of the answer to the caller
+ * @outcome: outcome of the request
  * @status: HTTP status
- * @headers: headers of the upstream's answer; empty when the node answers
+ * @headers: headers of the upstream's answer; empty for an answer of the node
  * @body_bytes: length of the body, or BODY_LENGTH_UNKNOWN
  * @version: version of the configuration that placed the call
- * @kind: for an answer of the node itself: kind of the error, static
- * @message: and what went wrong with its remedy, owned; NULL when an upstream
- *	answered
- * @retry_after_ms: when to come back, 0 when it makes no sense
+ * @kind: kind of the error, static; NULL for an upstream's answer
+ * @message: cause of the error and its remedy, owned; NULL for an upstream's
+ *	answer
+ * @retry_after_ms: time until a retry; 0 to send no Retry-After
  */
 struct call_answer {
 	enum outcome outcome;
@@ -80,132 +80,143 @@
 /** call_answer_new() - an empty answer; free with call_answer_free() */
 struct call_answer *call_answer_new(enum outcome outcome, uint32_t status);
 
-/** call_answer_free() - free it; NULL is allowed */
+/** call_answer_free() - free an answer; NULL is allowed */
 void call_answer_free(struct call_answer *a);
 
 /**
  * enum exchange_end - how a body ended
- * @EXCHANGE_OPEN: it goes on
- * @EXCHANGE_WHOLE: all of it was put in
- * @EXCHANGE_CUT: it broke off
+ * @EXCHANGE_OPEN: more may follow
+ * @EXCHANGE_COMPLETE: all of it was written
+ * @EXCHANGE_ABORTED: it was truncated
  */
 enum exchange_end {
 	EXCHANGE_OPEN = 0,
-	EXCHANGE_WHOLE,
-	EXCHANGE_CUT,
+	EXCHANGE_COMPLETE,
+	EXCHANGE_ABORTED,
 };
 
-/** exchange_fn - the other side has done something; look what it is */
+/** exchange_fn - callback for a change by the other side; @arg is that of the
+ * attach function */
 typedef void exchange_fn(struct call_exchange *x, void *arg);
 
-/** call_exchange_new() - a new exchange with one reference, the server's */
+/** call_exchange_new() - create an exchange with one reference, the server's */
 struct call_exchange *call_exchange_new(struct loop *loop);
 
 /** call_exchange_ref() - take a reference; Return: @x */
 struct call_exchange *call_exchange_ref(struct call_exchange *x);
 
-/** call_exchange_unref() - give a reference back */
+/** call_exchange_unref() - release a reference; the last one frees the
+ * exchange */
 void call_exchange_unref(struct call_exchange *x);
 
-/** call_exchange_request() - the request; written before the submit only */
+/** call_exchange_request() - the request; written before entry_submit() only */
 struct call_request *call_exchange_request(struct call_exchange *x);
 
-/* The side of the server for callers. */
+/* Side of the server for callers. */
 
-/** call_exchange_attach_caller() - whom to tell of the entry's doings */
+/** call_exchange_attach_caller() - set the callback for changes by the entry */
 void call_exchange_attach_caller(
     struct call_exchange *x, exchange_fn *fn, void *arg);
 
 /**
- * call_exchange_put() - put in a piece of the request's body
+ * call_exchange_write_request() - append a piece of the request's body
  * @x: the exchange
  * @data: first byte; copied
  * @len: number of bytes
  *
- * Return: false when EXCHANGE_UP_BYTES wait, so that the caller is to be held
- * back until call_exchange_has_room().
+ * Return: false when EXCHANGE_REQUEST_BUFFER_BYTES are buffered: reading from
+ * the caller must be paused until call_exchange_has_room().
  */
-bool
-call_exchange_put(struct call_exchange *x, const uint8_t *data, size_t len);
+bool call_exchange_write_request(
+    struct call_exchange *x, const uint8_t *data, size_t len);
 
-/** call_exchange_put_end() - the request's body has ended */
-void call_exchange_put_end(struct call_exchange *x, enum exchange_end end);
+/** call_exchange_end_request() - end the request's body */
+void call_exchange_end_request(struct call_exchange *x, enum exchange_end end);
 
-/** call_exchange_has_room() - whether more of the body is taken */
+/** call_exchange_has_room() - whether the buffer of the request's body is below
+ * its limit */
 bool call_exchange_has_room(const struct call_exchange *x);
 
-/** call_exchange_accepted() - whether the entry wants the body */
-bool call_exchange_accepted(const struct call_exchange *x);
+/** call_exchange_is_accepted() - whether the entry reads the request's body */
+bool call_exchange_is_accepted(const struct call_exchange *x);
 
-/** call_exchange_answered() - head of the answer, or NULL; stays here */
-const struct call_answer *call_exchange_answered(const struct call_exchange *x);
+/** call_exchange_answer_head() - head of the answer, borrowed; NULL before it
+ * is set */
+const struct call_answer *
+call_exchange_answer_head(const struct call_exchange *x);
 
 /**
- * call_exchange_get() - take a piece of the answer's body
+ * call_exchange_read_answer() - remove the next piece of the answer's body
  * @x: the exchange
- * @end: how the body ended, when there is no more
+ * @end: how the body ended, EXCHANGE_OPEN while more may follow
  *
- * Return: a piece, whose reference the caller owns; NULL when there is none
- * now (@end is EXCHANGE_OPEN) or any more.
+ * Return: a piece, whose reference passes to the caller of the function; NULL
+ * when none is buffered.
  */
-GBytes *call_exchange_get(struct call_exchange *x, enum exchange_end *end);
+GBytes *
+call_exchange_read_answer(struct call_exchange *x, enum exchange_end *end);
 
-/** call_exchange_hang_up() - the caller is gone */
-void call_exchange_hang_up(struct call_exchange *x);
+/** call_exchange_disconnect() - the caller has closed its connection */
+void call_exchange_disconnect(struct call_exchange *x);
 
-/* The entry's side. */
+/* Side of the entry. */
 
-/** call_exchange_attach_entry() - whom to tell of the caller's doings */
+/** call_exchange_attach_entry() - set the callback for changes by the server */
 void
 call_exchange_attach_entry(struct call_exchange *x, exchange_fn *fn, void *arg);
 
 /**
- * struct exchange_news - what happened at the caller's side
- * @up_bytes: bytes of the request's body that wait
- * @up_end: how it ended; EXCHANGE_OPEN while more may come
- * @consumed_bytes: bytes of the answer's body consumed since the last look
- * @gone: the caller is gone
+ * struct exchange_events - changes by the server for callers
+ * @request_body_bytes: buffered bytes of the request's body
+ * @request_body_end: how the body ended; EXCHANGE_OPEN while more may follow
+ * @consumed_bytes: bytes of the answer's body consumed since the last poll
+ * @disconnected: the caller has closed its connection
  */
-struct exchange_news {
-	uint32_t up_bytes;
-	enum exchange_end up_end;
+struct exchange_events {
+	uint32_t request_body_bytes;
+	enum exchange_end request_body_end;
 	uint32_t consumed_bytes;
-	bool gone;
+	bool disconnected;
 };
 
-/** call_exchange_accept() - the body of the request is wanted */
+/** call_exchange_accept() - start reading the request's body */
 void call_exchange_accept(struct call_exchange *x);
 
-/** call_exchange_look() - what happened since the last look */
-void call_exchange_look(struct call_exchange *x, struct exchange_news *news);
+/** call_exchange_poll() - get the changes since the last poll */
+void
+call_exchange_poll(struct call_exchange *x, struct exchange_events *events);
 
 /**
- * call_exchange_take() - take a piece of the request's body
+ * call_exchange_read_request() - remove the next piece of the request's body
  *
- * Return: a piece, whose reference the caller owns; NULL when none waits.
+ * Return: a piece, whose reference passes to the caller of the function; NULL
+ * when none is buffered.
  */
-GBytes *call_exchange_take(struct call_exchange *x);
+GBytes *call_exchange_read_request(struct call_exchange *x);
 
 /**
- * call_exchange_answer() - give the head of the answer
+ * call_exchange_begin_answer() - set the head of the answer
  * @x: the exchange
- * @a: the head; taken over
- * @pieces: GBytes, the beginning of the body, which are moved; or NULL
- * @end: EXCHANGE_WHOLE when that is all, EXCHANGE_OPEN when more will come
+ * @a: the head; ownership passes to the exchange
+ * @pieces: GBytes, the beginning of the body, moved to the exchange; or NULL
+ * @end: EXCHANGE_COMPLETE when @pieces are all of it, EXCHANGE_OPEN when more
+ *	follows
  */
-void call_exchange_answer(struct call_exchange *x, struct call_answer *a,
+void call_exchange_begin_answer(struct call_exchange *x, struct call_answer *a,
     GQueue *pieces, enum exchange_end end);
 
-/** call_exchange_give() - give a piece of the body; the reference is taken */
-void call_exchange_give(struct call_exchange *x, GBytes *piece);
+/** call_exchange_write_answer() - append a piece of the answer's body; its
+ * reference passes to the exchange */
+void call_exchange_write_answer(struct call_exchange *x, GBytes *piece);
 
-/** call_exchange_finish() - the answer's body has ended */
-void call_exchange_finish(struct call_exchange *x, enum exchange_end end);
+/** call_exchange_end_answer() - end the answer's body */
+void call_exchange_end_answer(struct call_exchange *x, enum exchange_end end);
 
-/** call_exchange_bind() - remember what the entry keeps on the call */
-void call_exchange_bind(struct call_exchange *x, void *bound);
+/** call_exchange_set_entry_data() - attach the entry's state of the call
+ */
+void call_exchange_set_entry_data(struct call_exchange *x, void *entry_data);
 
-/** call_exchange_bound() - what was bound, or NULL */
-void *call_exchange_bound(const struct call_exchange *x);
+/** call_exchange_entry_data() - the entry's state of the call, or NULL */
+void *call_exchange_entry_data(const struct call_exchange *x);
 
 #endif
--- a/packages/node/src/call_headers.c
+++ b/packages/node/src/call_headers.c
@@ -1,5 +1,5 @@
 /*
- * HTTP headers on their way through the call path.
+ * HTTP headers in the call path.
  */
 #include <string.h>
 
@@ -7,7 +7,8 @@
 
 #define TEXT_BLOCK_BYTES 1024
 
-/* Meant for one connection only, or made anew for each. */
+/* Headers that apply to one connection, or are generated for each
+ * connection. */
 static const char *const hop_by_hop[] = {"Connection", "Keep-Alive",
     "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "TE",
     "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"};
@@ -74,7 +75,7 @@
 	return g_ascii_strcasecmp(a, b);
 }
 
-/* What most callers say names no header that would be passed on. */
+/* Options of most requests, which are no header names. */
 static bool
 is_usual(const char *token, size_t len)
 {
@@ -89,7 +90,7 @@
 }
 
 GTree *
-call_headers_named(const char *connection)
+call_headers_conn_options(const char *connection)
 {
 	GTree *names = NULL;
 	size_t len;
@@ -111,7 +112,7 @@
 }
 
 void
-call_headers_named_free(GTree *names)
+call_headers_conn_options_free(GTree *names)
 {
 	if (names != NULL)
 		g_tree_unref(names);
@@ -127,7 +128,7 @@
 }
 
 bool
-call_header_passes(
+call_header_is_forwarded(
     const char *name, GTree *named, const char *prefix, const char *const *kept)
 {
 	size_t i;
--- a/packages/node/src/call_metrics.h
+++ b/packages/node/src/call_metrics.h
@@ -1,5 +1,5 @@
 /*
- * Metrics of the call path.
+ * Metrics of the call path; the help texts are in call_metrics.c.
  */
 #ifndef CALL_METRICS_H
 #define CALL_METRICS_H
@@ -11,7 +11,7 @@
 extern struct metric metric_requests_in_flight;
 extern struct metric metric_retries;
 extern struct metric metric_resolves;
-extern struct metric metric_silent;
+extern struct metric metric_silent_connections;
 extern struct metric metric_entry_us;
 extern struct metric metric_guard_us;
 extern struct metric metric_upstream_us;
@@ -19,17 +19,18 @@
 extern struct metric metric_call_received_bytes;
 extern struct metric metric_callers_connections;
 extern struct metric metric_callers_shed;
-extern struct metric metric_behind;
+extern struct metric metric_behind_refusals;
 extern struct metric metric_crashes;
 extern struct metric metric_quarantined;
 
-/** call_metrics_register() - register them all, once */
+/** call_metrics_register() - register all metrics; further calls have no
+ * effect */
 void call_metrics_register(void);
 
-/** call_metrics_outcome() - a caller was told @o */
+/** call_metrics_outcome() - count a call that was answered with outcome @o */
 void call_metrics_outcome(enum outcome o);
 
-/** call_metrics_refusal() - a guard or an entry refused for @r */
+/** call_metrics_refusal() - count a refusal by a guard or an entry */
 void call_metrics_refusal(enum refusal r);
 
 #endif
--- a/packages/node/src/callers_call.c
+++ b/packages/node/src/callers_call.c
@@ -1,6 +1,6 @@
 /*
- * A call at the server for callers: its body goes to the entry, its answer to
- * the caller.
+ * A call at the server for callers: moves the request's body to the entry and
+ * the answer to the caller.
  */
 #include <string.h>
 
@@ -10,14 +10,15 @@
 #include "call_metrics.h"
 #include "callers_priv.h"
 
-#define HTTP_TIMEOUT 408
-#define HTTP_HEAD_TOO_LARGE 431
+#define HTTP_REQUEST_TIMEOUT 408
+#define HTTP_HEADERS_TOO_LARGE 431
 
-/* Bodies of known length up to this are read before the call is submitted. */
-#define SMALL_BYTES 32768
+/* Bodies of known length up to this are read completely before the call is
+ * submitted. */
+#define BUFFERED_BODY_MAX_BYTES 32768
 
-/* Longest time for reading a small body. */
-#define BODY_MS 5000
+/* Timeout for reading a buffered body. */
+#define BODY_READ_TIMEOUT_MS 5000
 
 static void
 call_free(struct caller_call *call)
@@ -29,21 +30,21 @@
 	g_free(call);
 }
 
-/* The answer has ended, one way or the other. */
+/* Ends the answer: completely, or by aborting the connection. */
 static void
-finish(struct caller_call *call, enum exchange_end end)
+finish_answer(struct caller_call *call, enum exchange_end end)
 {
 	struct http_incoming *q = call->incoming;
 
 	call->incoming = NULL;
-	if (end == EXCHANGE_WHOLE)
+	if (end == EXCHANGE_COMPLETE)
 		http_incoming_end(q);
 	else
 		http_incoming_abort(q);
 	call_free(call);
 }
 
-/* Gives the caller what there is of the answer, as far as he takes it. */
+/* Writes the buffered answer until the connection's output buffer is full. */
 static void
 write_answer(struct caller_call *call)
 {
@@ -55,7 +56,7 @@
 
 	while (http_incoming_output_bytes(call->incoming) <=
 	    HTTP_OUTPUT_LOW_BYTES) {
-		piece = call_exchange_get(x, &end);
+		piece = call_exchange_read_answer(x, &end);
 		if (piece == NULL)
 			break;
 		data = g_bytes_get_data(piece, &len);
@@ -63,26 +64,26 @@
 		g_bytes_unref(piece);
 	}
 	if (piece == NULL && end != EXCHANGE_OPEN)
-		finish(call, end);
+		finish_answer(call, end);
 }
 
-/* The entry has accepted, taken from the body, or answered. */
+/* The entry has accepted the body, read a part of it, or answered. */
 static void
 on_entry(struct call_exchange *x, void *arg)
 {
 	struct caller_call *call = arg;
-	const struct call_answer *a = call_exchange_answered(x);
+	const struct call_answer *a = call_exchange_answer_head(x);
 
-	if (a != NULL && !call->answering) {
-		call->answering = true;
+	if (a != NULL && !call->answer_begun) {
+		call->answer_begun = true;
 		callers_answer_write(
 		    call->callers, call->incoming, call_exchange_request(x), a);
 	}
-	if (call->answering) {
+	if (call->answer_begun) {
 		write_answer(call);
 		return;
 	}
-	if (call_exchange_accepted(x) && !call->small) {
+	if (call_exchange_is_accepted(x) && !call->buffered) {
 		http_incoming_continue(call->incoming);
 		if (call_exchange_has_room(x))
 			http_incoming_resume(call->incoming);
@@ -97,16 +98,16 @@
 	entry_submit(call->callers->entry, call->exchange);
 }
 
-/* A caller that dribbles a small body is turned away; nothing has run. */
+/* Refuses a request whose small body arrives too slowly; it was not run. */
 static void
-on_body_late(void *arg)
+on_body_timeout(void *arg)
 {
 	struct caller_call *call = arg;
 	struct http_incoming *q = call->incoming;
 
 	call->incoming = NULL;
-	callers_answer_refuse(call->callers, q, HTTP_TIMEOUT, "timeout",
-	    "the body came too slowly; send it faster.");
+	callers_answer_refuse(call->callers, q, HTTP_REQUEST_TIMEOUT, "timeout",
+	    "the body arrived too slowly; send it faster.");
 	call_free(call);
 }
 
@@ -118,26 +119,28 @@
 	call->callers = c;
 	call->incoming = q;
 	call->exchange = call_exchange_new(c->loop);
-	loop_timer_init(&call->timer, c->loop, on_body_late, call);
+	loop_timer_init(&call->timer, c->loop, on_body_timeout, call);
 	atomic_fetch_add(&c->in_flight, 1);
 	return call;
 }
 
 static void
-begin(struct caller_call *call, int64_t body_bytes)
+start_call(struct caller_call *call, int64_t body_bytes)
 {
 	struct http_incoming *q = call->incoming;
 	struct loop *loop = call->callers->loop;
 
-	call->small = body_bytes >= 0 && body_bytes <= SMALL_BYTES;
+	call->buffered =
+	    body_bytes >= 0 && body_bytes <= BUFFERED_BODY_MAX_BYTES;
 	call_exchange_attach_caller(call->exchange, on_entry, call);
 	http_incoming_set_arg(q, call);
 	if (body_bytes == 0) {
-		call_exchange_put_end(call->exchange, EXCHANGE_WHOLE);
+		call_exchange_end_request(call->exchange, EXCHANGE_COMPLETE);
 		submit(call);
-	} else if (call->small) {
+	} else if (call->buffered) {
 		http_incoming_continue(q);
-		loop_timer_set(&call->timer, loop_now_ms(loop) + BODY_MS);
+		loop_timer_set(
+		    &call->timer, loop_now_ms(loop) + BODY_READ_TIMEOUT_MS);
 	} else {
 		http_incoming_pause(q);
 		submit(call);
@@ -155,12 +158,13 @@
 	status = callers_request_read(
 	    c, head, call_exchange_request(call->exchange));
 	if (status == 0) {
-		begin(call, call_exchange_request(call->exchange)->body_bytes);
+		start_call(
+		    call, call_exchange_request(call->exchange)->body_bytes);
 		return;
 	}
 	callers_answer_refuse(c, q, status, "invalid",
-	    "the request's head can't be taken; check its path, deadline, "
-	    "length and number of headers.");
+	    "the request's head is invalid; check its path, deadline, length "
+	    "and number of headers.");
 	call_free(call);
 }
 
@@ -169,9 +173,10 @@
 {
 	struct caller_call *call = http_incoming_arg(q);
 
-	if (call->answering)
+	if (call->answer_begun)
 		return;
-	if (!call_exchange_put(call->exchange, data, len) && !call->small)
+	if (!call_exchange_write_request(call->exchange, data, len) &&
+	    !call->buffered)
 		http_incoming_pause(q);
 }
 
@@ -184,7 +189,7 @@
 	if (call->submitted &&
 	    call_exchange_request(call->exchange)->body_bytes == 0)
 		return;
-	call_exchange_put_end(call->exchange, EXCHANGE_WHOLE);
+	call_exchange_end_request(call->exchange, EXCHANGE_COMPLETE);
 	if (!call->submitted)
 		submit(call);
 }
@@ -194,7 +199,7 @@
 {
 	struct caller_call *call = http_incoming_arg(q);
 
-	if (call->answering)
+	if (call->answer_begun)
 		write_answer(call);
 }
 
@@ -205,9 +210,9 @@
 
 	if (call == NULL)
 		return;
-	log_debug("a caller hung up");
+	log_debug("a caller closed its connection");
 	if (call->submitted)
-		call_exchange_hang_up(call->exchange);
+		call_exchange_disconnect(call->exchange);
 	call_free(call);
 }
 
@@ -219,8 +224,9 @@
 	uint64_t retry_after_ms = 0;
 	char text[160];
 
-	/* The only one of these that the configuration decides. */
-	if (code == HTTP_HEAD_TOO_LARGE)
+	/* Of these errors only this one depends on the configuration, so that a
+	 * newer version may accept the request. */
+	if (code == HTTP_HEADERS_TOO_LARGE)
 		retry_after_ms = entry_behind_head(c->entry, (uint32_t)code);
 	if (retry_after_ms != 0) {
 		callers_answer_behind(c, q, retry_after_ms);
@@ -228,8 +234,8 @@
 	}
 	callers_limits(c->settings, &limits);
 	(void)g_snprintf(text, sizeof(text),
-	    "the request can't be read; its first line and headers must be "
-	    "well formed and take at most %u bytes.",
+	    "the request is malformed or too large; its first line and "
+	    "headers must be well formed and at most %u bytes.",
 	    limits.head_max_bytes);
 	callers_answer_refuse(c, q, (uint32_t)code, "invalid", text);
 }
--- a/packages/node/src/callers_limits.c
+++ b/packages/node/src/callers_limits.c
@@ -1,9 +1,9 @@
 /*
- * What callers may send, by the settings and by the configuration in force.
+ * Limits for requests, from the settings and from the configuration in force.
  *
- * A connection isn't known to belong to a service before its head is there, so
- * the widest limits of all services count; those of the settings hold where no
- * service says anything.
+ * The service of a request is unknown until its head was read, so the widest
+ * limits of all services apply, and those of the settings where no service sets
+ * one.
  */
 #include <string.h>
 
@@ -12,15 +12,15 @@
 
 #include "callers_priv.h"
 
-/* A caller may not pause longer than this within a request. */
-#define STALL_MS 10000U
+/* Longest pause of a caller within a request. */
+#define STALL_TIMEOUT_MS 10000U
 
 static void
-widen(struct http_server_limits *l, const struct service_limits *of)
+widen_limits(struct http_server_limits *l, const struct service_limits *limits)
 {
-	l->head_max_bytes = MAX(l->head_max_bytes, of->head_max_bytes);
-	l->head_ms = MAX(l->head_ms, of->head_ms);
-	l->idle_ms = MAX(l->idle_ms, of->idle_ms);
+	l->head_max_bytes = MAX(l->head_max_bytes, limits->head_max_bytes);
+	l->head_ms = MAX(l->head_ms, limits->head_ms);
+	l->idle_ms = MAX(l->idle_ms, limits->idle_ms);
 }
 
 void
@@ -31,14 +31,14 @@
 
 	memset(l, 0, sizeof(*l));
 	for (i = 0; snapshot != NULL && i < snapshot->n_services; i++)
-		widen(l, &snapshot->services[i].config->limits);
+		widen_limits(l, &snapshot->services[i].config->limits);
 	if (snapshot != NULL)
 		snapshot_unref(snapshot);
 	if (l->head_max_bytes == 0)
 		l->head_max_bytes = s->header_max_bytes;
 	if (l->idle_ms == 0)
 		l->idle_ms = s->keep_alive_ms;
-	l->stall_ms = STALL_MS;
+	l->stall_ms = STALL_TIMEOUT_MS;
 }
 
 void
--- a/packages/node/src/callers_request.c
+++ b/packages/node/src/callers_request.c
@@ -1,5 +1,5 @@
 /*
- * The head of a caller's request.
+ * Conversion of the head of a caller's request.
  */
 #include <string.h>
 
@@ -11,14 +11,15 @@
 #define HTTP_HEADERS_TOO_LARGE 431
 #define DECIMAL 10
 
-/* A day: a later deadline than any request can wait for counts as this. */
+/* One day; longer times are reduced to it, since no request waits so long. */
 #define DEADLINE_MAX_MS 86400000U
 
-/* Of targets with a host; TLS ends before a node, so both lead here. */
+/* Schemes of targets in absolute form.  TLS is terminated in front of a node,
+ * so requests for https:// arrive here too. */
 static const char *const schemes[] = {"http://", "https://"};
 
 static const char *
-find(const struct http_incoming_head *head, const char *name)
+find_header(const struct http_incoming_head *head, const char *name)
 {
 	uint32_t i;
 
@@ -29,7 +30,7 @@
 }
 
 static uint32_t
-count(const struct http_incoming_head *head, const char *name)
+count_headers(const struct http_incoming_head *head, const char *name)
 {
 	uint32_t i, n = 0;
 
@@ -39,38 +40,40 @@
 }
 
 static bool
-add(struct call_request *r, const char *name, const char *value)
+add_header(struct call_request *r, const char *name, const char *value)
 {
 	return call_headers_add(&r->headers, name, (uint32_t)strlen(name),
 	    value, (uint32_t)strlen(value));
 }
 
-/* A target with a host of its own tells the host (RFC 9112, 3.2.2). */
+/* The host of a target in absolute form replaces the Host header (RFC 9112,
+ * 3.2.2). */
 static bool
-is_replaced(const struct http_incoming_head *head, const char *name)
+is_replaced_host(const struct http_incoming_head *head, const char *name)
 {
 	return head->target[0] != '/' && g_ascii_strcasecmp(name, "Host") == 0;
 }
 
-/* What the caller sent and may pass. */
+/* Copies the headers that are forwarded. */
 static uint32_t
-pass_headers(const struct call_dialect *d,
+copy_headers(const struct call_dialect *d,
     const struct http_incoming_head *head, struct call_request *r)
 {
-	GTree *named = call_headers_named(find(head, "Connection"));
+	GTree *named =
+	    call_headers_conn_options(find_header(head, "Connection"));
 	const struct http_header *h;
-	bool fine = true;
+	bool ok = true;
 	uint32_t i;
 
-	for (i = 0; fine && i < head->n_headers; i++) {
+	for (i = 0; ok && i < head->n_headers; i++) {
 		h = &head->headers[i];
-		if (!is_replaced(head, h->name) &&
-		    call_header_passes(
+		if (!is_replaced_host(head, h->name) &&
+		    call_header_is_forwarded(
 			h->name, named, d->prefix, d->from_callers))
-			fine = add(r, h->name, h->value);
+			ok = add_header(r, h->name, h->value);
 	}
-	call_headers_named_free(named);
-	return fine ? 0 : HTTP_HEADERS_TOO_LARGE;
+	call_headers_conn_options_free(named);
+	return ok ? 0 : HTTP_HEADERS_TOO_LARGE;
 }
 
 static uint32_t
@@ -78,19 +81,20 @@
     struct call_request *r)
 {
 	const struct call_dialect *d = c->dialect;
-	uint32_t status = pass_headers(d, head, r);
+	uint32_t status = copy_headers(d, head, r);
 
 	if (status != 0)
 		return status;
-	if (head->target[0] != '/' && !add(r, "Host", r->host))
+	if (head->target[0] != '/' && !add_header(r, "Host", r->host))
 		return HTTP_HEADERS_TOO_LARGE;
 	if (d->caller_service != NULL &&
-	    !add(r, d->caller_service, c->settings->upstream_service))
+	    !add_header(r, d->caller_service, c->settings->upstream_service))
 		return HTTP_HEADERS_TOO_LARGE;
 	return 0;
 }
 
-/* What follows the scheme of a target with a host; NULL for another target. */
+/* The part of a target in absolute form after its scheme; NULL for other
+ * targets. */
 static const char *
 authority_of(const char *target)
 {
@@ -118,16 +122,17 @@
 	return 0;
 }
 
-/* Two hosts would be read by different servers in different ways. */
+/* More than one Host header is refused: servers differ in which one they use
+ * (RFC 9112, 3.2). */
 static uint32_t
 read_target(const struct http_incoming_head *head, struct call_request *r)
 {
-	if (count(head, "Host") > 1)
+	if (count_headers(head, "Host") > 1)
 		return HTTP_BAD_REQUEST;
 	if (head->target[0] != '/')
 		return read_absolute(head, r);
 	r->path = g_strdup(head->target);
-	r->host = g_strdup(find(head, "Host"));
+	r->host = g_strdup(find_header(head, "Host"));
 	return 0;
 }
 
@@ -137,7 +142,8 @@
 	return text + strspn(text, " \t");
 }
 
-/* "2500", "2500.75": a fraction is dropped, a number too large is cut. */
+/* "2500", "2500.75": a fraction is truncated, a larger number reduced to
+ * DEADLINE_MAX_MS. */
 static bool
 parse_ms(const char *text, uint64_t *ms)
 {
@@ -159,7 +165,7 @@
 read_deadline(const struct callers *c, const struct http_incoming_head *head,
     struct call_request *r)
 {
-	const char *text = find(head, c->dialect->deadline);
+	const char *text = find_header(head, c->dialect->deadline);
 	uint64_t ms;
 
 	if (text == NULL)
@@ -171,13 +177,13 @@
 }
 
 static uint32_t
-read_names(const struct callers *c, const struct http_incoming_head *head,
+read_identifiers(const struct callers *c, const struct http_incoming_head *head,
     struct call_request *r)
 {
-	const char *key = find(head, HEADER_KEY);
+	const char *key = find_header(head, HEADER_KEY);
 
-	if (c->dialect->caller_names_requests)
-		r->id = g_strdup(find(head, c->dialect->request_id));
+	if (c->dialect->caller_sets_request_id)
+		r->id = g_strdup(find_header(head, c->dialect->request_id));
 	if (!c->dialect->key || key == NULL)
 		return 0;
 	if (*key == '\0' || strlen(key) > MSG_CALL_OPEN_KEY_MAX)
@@ -204,6 +210,6 @@
 	if (status == 0)
 		status = read_deadline(c, head, r);
 	if (status == 0)
-		status = read_names(c, head, r);
+		status = read_identifiers(c, head, r);
 	return status;
 }
--- a/packages/node/src/entry_body.c
+++ b/packages/node/src/entry_body.c
@@ -1,10 +1,11 @@
 /*
- * A request's body at the entry: taken from the caller's worker as it can be
- * sent, and held from the first byte while it is small.
+ * A request's body at the entry: read from the exchange as fast as it can be
+ * sent, and held from its first byte while it is small, for further attempts.
  */
 #include "entry_priv.h"
 
-/* Bytes of a large body that may wait here beside those in the exchange. */
+/* Unsent bytes of a large body that are buffered here, in addition to the
+ * exchange. */
 #define BODY_AHEAD_BYTES 65536
 
 GBytes *
@@ -16,7 +17,7 @@
 }
 
 void
-entry_body_done(struct entry_body *b, uint64_t i)
+entry_body_release(struct entry_body *b, uint64_t i)
 {
 	if (b->held)
 		return;
@@ -35,9 +36,9 @@
 		g_bytes_unref(piece);
 }
 
-/* Bytes that are here and not sent in @a. */
+/* Bytes that are buffered and not sent in @a. */
 static uint64_t
-ahead(const struct entry_body *b, const struct entry_attempt *a)
+unsent_bytes(const struct entry_body *b, const struct entry_attempt *a)
 {
 	uint64_t bytes = 0;
 	uint64_t i = a->next_piece;
@@ -55,7 +56,7 @@
 {
 	if (b->held && b->bytes < ENTRY_BODY_KEEP_BYTES)
 		return true;
-	return a != NULL && ahead(b, a) < BODY_AHEAD_BYTES;
+	return a != NULL && unsent_bytes(b, a) < BODY_AHEAD_BYTES;
 }
 
 void
@@ -65,16 +66,16 @@
 	GBytes *piece;
 
 	while (may_pull(b, a)) {
-		piece = call_exchange_take(c->exchange);
+		piece = call_exchange_read_request(c->exchange);
 		if (piece == NULL) {
-			b->end = b->told;
+			b->end = b->exchange_end;
 			return;
 		}
 		b->bytes += g_bytes_get_size(piece);
 		g_queue_push_tail(&b->pieces, piece);
 		if (b->held && b->bytes > ENTRY_BODY_KEEP_BYTES) {
 			b->held = false;
-			call_body_gone(c->decision);
+			call_body_gone(c->machine);
 		}
 	}
 }
--- a/packages/node/src/guard_credit.c
+++ b/packages/node/src/guard_credit.c
@@ -30,9 +30,9 @@
 	    r->body_bytes < 0 ? BODY_LENGTH_OPEN : (uint64_t)r->body_bytes;
 
 	body_window_open(&g->window, &r->body_share, r, total,
-	    CALL_UNASKED_BYTES, loop_now_ms(g->loop));
-	body_window_want(
-	    &g->window, &r->body_share, CALL_FIRST_BYTES - CALL_UNASKED_BYTES);
+	    CALL_INITIAL_CREDIT_BYTES, loop_now_ms(g->loop));
+	body_window_want(&g->window, &r->body_share,
+	    CALL_BODY_PREFIX_BYTES - CALL_INITIAL_CREDIT_BYTES);
 	send_credit(g);
 }
 
@@ -54,7 +54,7 @@
 	struct guard *g = r->guard;
 
 	if (!r->full_window)
-		bytes += CALL_WINDOW_BYTES - CALL_FIRST_BYTES;
+		bytes += CALL_WINDOW_BYTES - CALL_BODY_PREFIX_BYTES;
 	r->full_window = true;
 	body_window_want(&g->window, &r->body_share, bytes);
 	send_credit(g);
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -74,7 +74,7 @@
 	const char *named;
 	uint32_t i;
 
-	if (!d->caller_names_requests)
+	if (!d->caller_sets_request_id)
 		return false;
 	named = find_header(headers, n, d->request_id);
 	for (i = 0; named != NULL && i < call_headers_count(&r->headers); i++) {
@@ -134,7 +134,7 @@
     struct guard_request *r, const struct http_header *headers, uint32_t n)
 {
 	GTree *named =
-	    call_headers_named(find_header(headers, n, "Connection"));
+	    call_headers_conn_options(find_header(headers, n, "Connection"));
 	const char *length = find_header(headers, n, CONTENT_LENGTH);
 	const struct http_header *h;
 	uint32_t i;
@@ -144,13 +144,13 @@
 
 	for (i = 0; i < n; i++) {
 		h = &headers[i];
-		if (!call_header_passes(h->name, named,
+		if (!call_header_is_forwarded(h->name, named,
 			r->guard->dialect->prefix,
 			r->guard->dialect->from_upstreams))
 			continue;
 		add_header(r->answer, h->name, h->value);
 	}
-	call_headers_named_free(named);
+	call_headers_conn_options_free(named);
 }
 
 static enum http_flow
@@ -321,7 +321,7 @@
 		h = call_headers_at(&r->headers, i);
 		set_header(headers, &n, h->name, h->value);
 	}
-	if (!d->caller_names_requests)
+	if (!d->caller_sets_request_id)
 		set_header(headers, &n, d->request_id, id);
 	set_header(headers, &n, d->deadline, time_left);
 	if (d->target != NULL && instance[0] != '\0')
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -208,7 +208,7 @@
 static bool
 has_enough_body(const struct guard_request *r)
 {
-	return r->body_complete || r->received_bytes >= CALL_FIRST_BYTES;
+	return r->body_complete || r->received_bytes >= CALL_BODY_PREFIX_BYTES;
 }
 
 void
@@ -256,7 +256,7 @@
 body_length_is_valid(const struct guard_request *r)
 {
 	if (r->received_bytes >
-	    MAX(r->body_share.granted_bytes, CALL_FIRST_BYTES))
+	    MAX(r->body_share.granted_bytes, CALL_BODY_PREFIX_BYTES))
 		return false;
 	if (r->body_bytes < 0)
 		return true;
--- a/packages/node/test/test_callers.c
+++ b/packages/node/test/test_callers.c
@@ -1,6 +1,6 @@
 /*
- * Tests of the server for callers: kept-alive connections, limits, hang-ups,
- * bodies that are held back, and the drain.
+ * Tests of the server for callers: keep-alive, limits, disconnects, flow
+ * control of bodies, and the drain.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 #include "fixture.h"
 
 #define IDLE_CALLERS 2000
-#define HELD_BACK_BYTES (32U << 20)
+#define BLOCKED_UPLOAD_BYTES (32U << 20)
 
 static struct fake_upstream *upstream;
 static struct test_node *node;
@@ -43,14 +43,14 @@
 }
 
 static void
-ask(int fd, const char *method, const char *path, const char *headers,
+send_and_read(int fd, const char *method, const char *path, const char *headers,
     struct reply *r)
 {
 	ck_assert(caller_send(fd, method, path, headers, NULL, 0));
 	ck_assert(caller_read(fd, r));
 }
 
-START_TEST(a_connection_is_kept_while_threads_abound)
+START_TEST(connections_are_kept_alive)
 {
 	struct reply r;
 	int fd, i;
@@ -58,10 +58,10 @@
 	start();
 	for (i = 0; i < 64; i++) {
 		fd = dial();
-		ask(fd, "GET", "/look/x", NULL, &r);
+		send_and_read(fd, "GET", "/look/x", NULL, &r);
 		ck_assert(!r.closes);
 		reply_clear(&r);
-		ask(fd, "GET", "/look/x", NULL, &r);
+		send_and_read(fd, "GET", "/look/x", NULL, &r);
 		ck_assert_int_eq(r.status, 200);
 		ck_assert(!r.closes);
 		reply_clear(&r);
@@ -71,7 +71,8 @@
 }
 END_TEST
 
-/* Each asked once and stays connected; CivetWeb binds a thread to each. */
+/* Each caller sends one request and stays connected.  A server with a thread
+ * per connection, such as CivetWeb, would run out of threads. */
 START_TEST(idle_callers_do_not_starve_others)
 {
 	struct rlimit files = {.rlim_cur = 8192, .rlim_max = 8192};
@@ -84,7 +85,7 @@
 	start();
 	for (i = 0; i < IDLE_CALLERS; i++) {
 		fds[i] = dial();
-		ask(fds[i], "GET", "/look/x", NULL, &r);
+		send_and_read(fds[i], "GET", "/look/x", NULL, &r);
 		ck_assert_int_eq(r.status, 200);
 		reply_clear(&r);
 	}
@@ -92,7 +93,8 @@
 	ck_assert(caller_call(
 	    callers_port(node->callers), "GET", "/look/x", NULL, NULL, 0, &r));
 	ck_assert_int_eq(r.status, 200);
-	/* Less than the keep-alive time: no thread had to be waited for. */
+	/* Less than the keep-alive time: no idle connection had to end
+	 * first. */
 	ck_assert_uint_lt(
 	    clock_now_ms() - began_ms, node->settings.keep_alive_ms / 2);
 	reply_clear(&r);
@@ -102,7 +104,7 @@
 }
 END_TEST
 
-START_TEST(callers_that_say_nothing_do_not_starve_others)
+START_TEST(callers_that_send_nothing_do_not_starve_others)
 {
 	int fds[128];
 	struct reply r;
@@ -132,7 +134,7 @@
 }
 
 static int
-requests(void *arg)
+requests_in_flight(void *arg)
 {
 	(void)arg;
 	return (int)guard_in_flight(node->guard);
@@ -147,16 +149,16 @@
 	ck_assert(caller_send(fd, "GET", "/look/x?ms=1000", NULL, NULL, 0));
 	ck_assert(test_wait_int(running, NULL, 1));
 	close(fd);
-	/* The slot is free long before the upstream answers. */
-	ck_assert(test_wait_int(requests, NULL, 0));
+	/* The slot is released long before the upstream answers. */
+	ck_assert(test_wait_int(requests_in_flight, NULL, 0));
 	ck_assert_int_eq(upstream->running, 1);
 	stop();
 }
 END_TEST
 
-/* Sends until the other side takes no more; Return: bytes taken. */
+/* Sends until the socket blocks for 300 ms; Return: bytes sent. */
 static size_t
-fill(int fd, size_t most)
+send_until_blocked(int fd, size_t most)
 {
 	static char buf[65536];
 	struct pollfd p = {.fd = fd, .events = POLLOUT};
@@ -173,8 +175,8 @@
 	return total;
 }
 
-/* The upstream reads nothing, so nothing but the buffers is taken. */
-START_TEST(an_upload_is_held_back_and_holds_back_no_lookup)
+/* The upstream reads nothing, so only buffers are filled. */
+START_TEST(blocked_upload_does_not_block_lookups)
 {
 	struct reply r;
 	int fd;
@@ -184,7 +186,8 @@
 	ck_assert(caller_send(fd, "PUT", "/up/x?do=deaf",
 	    "Content-Length: 1000000000\r\nBramley-Deadline-Ms: 1200\r\n", NULL,
 	    0));
-	ck_assert_uint_lt(fill(fd, HELD_BACK_BYTES), HELD_BACK_BYTES);
+	ck_assert_uint_lt(
+	    send_until_blocked(fd, BLOCKED_UPLOAD_BYTES), BLOCKED_UPLOAD_BYTES);
 	ck_assert(caller_call(
 	    callers_port(node->callers), "GET", "/look/x", NULL, NULL, 0, &r));
 	ck_assert_int_eq(r.status, 200);
@@ -194,8 +197,8 @@
 }
 END_TEST
 
-/* Byte by byte, so that no single read is late. */
-START_TEST(a_caller_that_dribbles_its_body_holds_no_worker)
+/* Sends single bytes, so that no single read times out. */
+START_TEST(slow_small_body_times_out)
 {
 	struct reply r;
 	int fd, i;
@@ -222,7 +225,7 @@
 }
 END_TEST
 
-START_TEST(what_is_too_large_is_refused_with_a_remedy)
+START_TEST(oversized_request_is_refused_with_a_message)
 {
 	char *long_header = g_strnfill(20000, 'x');
 	char *header = g_strdup_printf("X-Long: %s\r\n", long_header);
@@ -231,7 +234,7 @@
 
 	start();
 	fd = dial();
-	ask(fd, "PUT", "/up/x", "Content-Length: 9000000000\r\n", &r);
+	send_and_read(fd, "PUT", "/up/x", "Content-Length: 9000000000\r\n", &r);
 	ck_assert_int_eq(r.status, 413);
 	ck_assert_str_eq(r.fate, "not_run");
 	g_byte_array_append(r.body, (const uint8_t *)"", 1);
@@ -239,7 +242,7 @@
 	reply_clear(&r);
 	close(fd);
 	fd = dial();
-	ask(fd, "GET", "/look/x", header, &r);
+	send_and_read(fd, "GET", "/look/x", header, &r);
 	ck_assert_int_eq(r.status, 431);
 	g_byte_array_append(r.body, (const uint8_t *)"", 1);
 	ck_assert_ptr_nonnull(strstr((char *)r.body->data, "16384 bytes"));
@@ -252,21 +255,21 @@
 END_TEST
 
 /**
- * struct late_call - a caller in a thread of its own
- * @path: what it asks for
- * @reply: what it got
- * @got: whether an answer came
+ * struct async_call - a call in its own thread
+ * @path: path of the request
+ * @reply: the answer
+ * @got: whether an answer was received
  */
-struct late_call {
+struct async_call {
 	const char *path;
 	struct reply reply;
 	bool got;
 };
 
 static void *
-late_main(void *arg)
+async_call_main(void *arg)
 {
-	struct late_call *l = arg;
+	struct async_call *l = arg;
 
 	l->got = caller_call(callers_port(node->callers), "GET", l->path, NULL,
 	    NULL, 0, &l->reply);
@@ -274,21 +277,22 @@
 }
 
 static int
-calls(void *arg)
+calls_in_flight(void *arg)
 {
 	(void)arg;
 	return (int)callers_in_flight(node->callers);
 }
 
-START_TEST(a_drain_cuts_no_answer)
+START_TEST(drain_aborts_no_answer)
 {
-	struct late_call slow = {.path = "/look/x?ms=300&bytes=4000000"};
+	struct async_call slow = {.path = "/look/x?ms=300&bytes=4000000"};
 	uint64_t deadline_ms;
 	pthread_t thread;
 	struct reply r;
 
 	start();
-	ck_assert_int_eq(pthread_create(&thread, NULL, late_main, &slow), 0);
+	ck_assert_int_eq(
+	    pthread_create(&thread, NULL, async_call_main, &slow), 0);
 	ck_assert(test_wait_int(running, NULL, 1));
 	deadline_ms = clock_now_ms() + node->settings.drain_ms;
 	callers_drain(node->callers, deadline_ms);
@@ -298,8 +302,8 @@
 	ck_assert_str_eq(r.fate, "not_run");
 	ck_assert(r.closes);
 	reply_clear(&r);
-	ck_assert(test_wait_int(calls, NULL, 0));
-	ck_assert(test_wait_int(requests, NULL, 0));
+	ck_assert(test_wait_int(calls_in_flight, NULL, 0));
+	ck_assert(test_wait_int(requests_in_flight, NULL, 0));
 	callers_stop(node->callers);
 	pthread_join(thread, NULL);
 	ck_assert(slow.got && slow.reply.whole);
@@ -309,22 +313,22 @@
 }
 END_TEST
 
-#define HAMMERS 8
+#define LOAD_CALLERS 8
 
 /**
- * struct hammer - a caller that goes on until it is turned away
- * @answered: calls with a whole answer
- * @cut: calls that were sent and got none
+ * struct load_caller - a caller that repeats its call until it can't connect
+ * @answered: calls with a complete answer
+ * @cut: calls that were sent and got no complete answer
  */
-struct hammer {
+struct load_caller {
 	_Atomic int answered;
 	int cut;
 };
 
 static void *
-hammer_main(void *arg)
+load_main(void *arg)
 {
-	struct hammer *h = arg;
+	struct load_caller *h = arg;
 	struct reply r;
 	int fd = -1;
 
@@ -351,36 +355,35 @@
 static int
 has_answer(void *arg)
 {
-	const struct hammer *h = arg;
+	const struct load_caller *h = arg;
 
 	return h->answered > 0;
 }
 
-START_TEST(a_planned_stop_under_load_cuts_no_call)
+START_TEST(planned_stop_under_load_aborts_no_call)
 {
-	struct hammer hammers[HAMMERS] = {0};
-	pthread_t threads[HAMMERS];
+	struct load_caller loads[LOAD_CALLERS] = {0};
+	pthread_t threads[LOAD_CALLERS];
 	uint64_t deadline_ms;
 	int i;
 
 	start();
-	for (i = 0; i < HAMMERS; i++)
+	for (i = 0; i < LOAD_CALLERS; i++)
 		ck_assert_int_eq(
-		    pthread_create(&threads[i], NULL, hammer_main, &hammers[i]),
-		    0);
-	/* Each has begun, also on a machine with much else to do. */
-	for (i = 0; i < HAMMERS; i++)
-		ck_assert(test_wait_int(has_answer, &hammers[i], 1));
+		    pthread_create(&threads[i], NULL, load_main, &loads[i]), 0);
+	/* Each caller got an answer, also on a loaded machine. */
+	for (i = 0; i < LOAD_CALLERS; i++)
+		ck_assert(test_wait_int(has_answer, &loads[i], 1));
 	deadline_ms = clock_now_ms() + node->settings.drain_ms;
 	callers_drain(node->callers, deadline_ms);
 	guard_drain(node->guard, deadline_ms);
 	g_usleep(100000);
 	callers_stop(node->callers);
-	for (i = 0; i < HAMMERS; i++) {
+	for (i = 0; i < LOAD_CALLERS; i++) {
 		pthread_join(threads[i], NULL);
-		ck_assert_int_eq(hammers[i].cut, 0);
+		ck_assert_int_eq(loads[i].cut, 0);
 	}
-	ck_assert(test_wait_int(requests, NULL, 0));
+	ck_assert(test_wait_int(requests_in_flight, NULL, 0));
 	stop();
 }
 END_TEST
@@ -391,7 +394,7 @@
     "\"idle_ms\":300}}],\"routes\":[{\"prefix\":\"/look\","
     "\"methods\":[\"GET\"],\"service\":\"search\"}]}";
 
-/* Limits of the configuration replace those of the settings while it runs. */
+/* Limits of a new configuration replace those of the settings at run time. */
 START_TEST(limits_of_the_configuration_hold)
 {
 	struct fake_endpoint ep = {.host = "h1"};
@@ -404,7 +407,7 @@
 
 	start();
 	fd = dial();
-	ask(fd, "GET", "/look/x", head, &r);
+	send_and_read(fd, "GET", "/look/x", head, &r);
 	ck_assert_int_eq(r.status, 200);
 	reply_clear(&r);
 	close(fd);
@@ -413,12 +416,12 @@
 	entry_snapshot_changed(node->entry);
 	g_usleep(50000);
 	fd = dial();
-	ask(fd, "GET", "/look/x", head, &r);
+	send_and_read(fd, "GET", "/look/x", head, &r);
 	ck_assert_int_eq(r.status, 431);
 	reply_clear(&r);
 	close(fd);
 	fd = dial();
-	ask(fd, "GET", "/look/x", NULL, &r);
+	send_and_read(fd, "GET", "/look/x", NULL, &r);
 	ck_assert_int_eq(r.status, 200);
 	reply_clear(&r);
 	asked_ms = clock_now_ms();
@@ -434,15 +437,14 @@
 int
 main(void)
 {
-	const TTest *const tests[] = {a_connection_is_kept_while_threads_abound,
+	const TTest *const tests[] = {connections_are_kept_alive,
 	    idle_callers_do_not_starve_others,
-	    callers_that_say_nothing_do_not_starve_others,
+	    callers_that_send_nothing_do_not_starve_others,
 	    a_caller_that_hangs_up_cancels_its_lookup,
-	    an_upload_is_held_back_and_holds_back_no_lookup,
-	    a_caller_that_dribbles_its_body_holds_no_worker,
-	    what_is_too_large_is_refused_with_a_remedy,
-	    limits_of_the_configuration_hold, a_drain_cuts_no_answer,
-	    a_planned_stop_under_load_cuts_no_call, NULL};
+	    blocked_upload_does_not_block_lookups, slow_small_body_times_out,
+	    oversized_request_is_refused_with_a_message,
+	    limits_of_the_configuration_hold, drain_aborts_no_answer,
+	    planned_stop_under_load_aborts_no_call, NULL};
 
 	return fixture_main("callers", tests);
 }
