--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -156,7 +156,8 @@
 	};
 
 	if (head.seq != 0)
-		spread_on_heard(c->spread, control_now(c), &a->addr, &head);
+		spread_on_gossip_head(
+		    c->spread, control_now(c), &a->addr, &head);
 }
 
 static void
@@ -196,20 +197,21 @@
 control_reader_changed(const struct spread_action *a)
 {
 	static const char *const why[] = {
-	    [READER_GROUP_STANDS_BY] = "",
-	    [READER_GROUP_PLACE] = "by its rank",
+	    [READER_GROUP_NOT_READING] = "",
+	    [READER_GROUP_BY_RANK] = "by its rank",
 	    [READER_GROUP_FAILED] = "since others can't",
 	    [READER_GROUP_SILENT] = "since no reader was answered in time",
-	    [READER_GROUP_NOBODY] = "since nobody else is answered",
-	    [READER_GROUP_FEW] = "since too few readers were answered in time",
+	    [READER_GROUP_NONE_ANSWERED] = "since nobody else is answered",
+	    [READER_GROUP_TOO_FEW] =
+		"since too few readers were answered in time",
 	};
 
 	metric_set(&reads_gauge, a->to != 0);
-	metric_add(&takeover_count, a->why > READER_GROUP_PLACE);
+	metric_add(&takeover_count, a->reader_reason > READER_GROUP_BY_RANK);
 	if (a->to != 0)
 		log_info("This node reads the platform for its data centre, as "
 			 "number %" G_GUINT64_FORMAT " of its group, %s.",
-		    a->to, why[a->why]);
+		    a->to, why[a->reader_reason]);
 	else
 		log_info("This node no longer reads the platform for its data "
 			 "centre.");
@@ -238,12 +240,12 @@
 		log_info("This node may serve.");
 		c->dirty = 1;
 		break;
-	case SPREAD_BLAME:
+	case SPREAD_PEER_BANNED:
 		log_warning("Peer %s sent a wrong piece of configuration; "
 			    "check that it runs this release.",
 		    addr_format(&a->peer, text));
 		break;
-	case SPREAD_LATE:
+	case SPREAD_PEER_TIMED_OUT:
 		log_info("Peer %s gave no part of version %" G_GUINT64_FORMAT
 			 " in time; another one is asked.",
 		    addr_format(&a->peer, text), a->to);
@@ -339,7 +341,7 @@
 		    c->membership, control_now(c), &from, 0, type, body, len);
 	else if (control_rollout_receive(c, &from, type, body, len))
 		;
-	else if (quarantine_news_owns(type))
+	else if (quarantine_news_handles(type))
 		quarantine_news_receive(
 		    c->quarantine, control_now(c), &from, type, body, len);
 	else
@@ -369,7 +371,7 @@
 {
 	struct control *c = arg;
 
-	spread_on_part(c->spread, control_now(c), &peer);
+	spread_on_partial_frame(c->spread, control_now(c), &peer);
 }
 
 static void
--- a/packages/node/src/control_api.c
+++ b/packages/node/src/control_api.c
@@ -83,7 +83,7 @@
 		section = g_ptr_array_index(b->sections, i);
 		contents[i] = section->content;
 	}
-	spread_stock(c->spread, contents, b->sections->len);
+	spread_add_contents(c->spread, contents, b->sections->len);
 	g_free(contents);
 }
 
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -59,7 +59,7 @@
 		contents[i] = section->content;
 	}
 	c->given = head;
-	spread_on_given(
+	spread_on_full_version(
 	    c->spread, control_now(c), &head, list, contents, b->sections->len);
 	g_free(contents);
 	g_array_unref(list);
@@ -144,7 +144,7 @@
 	if (a == NULL)
 		return end;
 	end.ok = 1;
-	end.news = a->row;
+	end.has_row = a->row;
 	end.body_ms = a->body_ms;
 	end.position = a->position;
 	return end;
@@ -160,7 +160,7 @@
 	c->following = 0;
 	note_read(c, st);
 	if (st == STATUS_OK)
-		spread_on_head_read(c->spread, control_now(c), &end);
+		spread_on_head_read_ended(c->spread, control_now(c), &end);
 	if (st != STATUS_OK)
 		spread_on_head(c->spread, control_now(c), st, NULL);
 	else if (!take(c, a))
@@ -188,7 +188,7 @@
 
 	if (st == STATUS_OK)
 		(void)take(c, a);
-	spread_on_probed(c->spread, control_now(c), &end);
+	spread_on_probe_ended(c->spread, control_now(c), &end);
 	control_pump(c);
 }
 
@@ -225,7 +225,7 @@
 {
 	c->feed = feed;
 	feed_watch(feed, on_begun, c);
-	spread_follow(c->spread, FEED_WAIT_MS);
+	spread_set_long_poll(c->spread, FEED_WAIT_MS);
 }
 
 void
@@ -236,7 +236,7 @@
 		feed_read(
 		    c->feed, a->from, control_now(c) + a->wait_ms, on_head, c);
 	} else if (a->kind == SPREAD_PROBE_HEAD) {
-		feed_probe(c->feed, a->beyond != 0, on_probe, c);
+		feed_probe(c->feed, a->skip_next != 0, on_probe, c);
 	} else if (a->kind == SPREAD_READ_VERSIONS &&
 	    (c->following || c->fetching)) {
 		loop_post(c->loop, on_followed, c);
--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -66,7 +66,7 @@
 		told.since_wall_ms = r->since_wall_ms;
 		refused_text(told.reason, sizeof(told.reason), r->reason);
 	}
-	spread_refuse(c->spread, control_now(c), &told);
+	spread_set_refusal(c->spread, control_now(c), &told);
 }
 
 static void
@@ -140,7 +140,7 @@
 	if (!can_tell(c))
 		return;
 	act = refused_row_next(&c->refused_row, r,
-	    spread_first_reader(c->spread, control_now(c)) != 0,
+	    spread_is_first_reader(c->spread, control_now(c)) != 0,
 	    control_now(c));
 	if (act != REFUSED_ROW_NONE)
 		c->feed->ops->tell(c->feed, c->settings->data_centre,
@@ -153,7 +153,7 @@
 	if (!can_tell(c))
 		return DEADLINE_NEVER;
 	return refused_row_due_ms(&c->refused_row, &c->refused,
-	    spread_first_reader(c->spread, control_now(c)) != 0);
+	    spread_is_first_reader(c->spread, control_now(c)) != 0);
 }
 
 json_t *
--- a/packages/node/src/control_rollout_orders.c
+++ b/packages/node/src/control_rollout_orders.c
@@ -128,7 +128,7 @@
 is_first_reader(const struct control *c)
 {
 	return membership_phase(c->membership) == MEMBERSHIP_JOINED &&
-	    spread_first_reader(c->spread, control_now(c)) != 0;
+	    spread_is_first_reader(c->spread, control_now(c)) != 0;
 }
 
 static bool
--- a/packages/spread/include/spread/quarantine_news.h
+++ b/packages/spread/include/spread/quarantine_news.h
@@ -116,9 +116,10 @@
 /** quarantine_news_free() - free it; NULL is allowed */
 void quarantine_news_free(struct quarantine_news *n);
 
-/** quarantine_news_owns() - whether a message is for quarantine_news_receive()
+/** quarantine_news_handles() - whether a message is for
+ * quarantine_news_receive()
  */
-bool quarantine_news_owns(uint8_t type);
+bool quarantine_news_handles(uint8_t type);
 
 /** quarantine_news_add() - something of the own host; copied */
 void quarantine_news_add(struct quarantine_news *n,
--- a/packages/spread/include/spread/reader_group_defs.h
+++ b/packages/spread/include/spread/reader_group_defs.h
@@ -6,20 +6,20 @@
 
 /**
  * enum reader_group_reason - why a host reads
- * @READER_GROUP_STANDS_BY: it doesn't
- * @READER_GROUP_PLACE: too few hosts are ranked above it
+ * @READER_GROUP_NOT_READING: it doesn't
+ * @READER_GROUP_BY_RANK: too few hosts are ranked above it
  * @READER_GROUP_FAILED: hosts above it say that they can't read
  * @READER_GROUP_SILENT: no host above it has been answered in time
- * @READER_GROUP_FEW: too few of them have been
- * @READER_GROUP_NOBODY: none of those that read or stand by is answered
+ * @READER_GROUP_TOO_FEW: too few of them have been
+ * @READER_GROUP_NONE_ANSWERED: none of those that read or stand by is answered
  */
 enum reader_group_reason {
-	READER_GROUP_STANDS_BY = 0,
-	READER_GROUP_PLACE,
+	READER_GROUP_NOT_READING = 0,
+	READER_GROUP_BY_RANK,
 	READER_GROUP_FAILED,
 	READER_GROUP_SILENT,
-	READER_GROUP_FEW,
-	READER_GROUP_NOBODY,
+	READER_GROUP_TOO_FEW,
+	READER_GROUP_NONE_ANSWERED,
 };
 
 #endif
--- a/packages/spread/include/spread/spread.h
+++ b/packages/spread/include/spread/spread.h
@@ -54,17 +54,18 @@
 /**
  * enum spread_action_kind - what the caller is to do
  * @SPREAD_READ_HEAD: read the head row; answer with spread_on_head(), or
- *	spread_on_head_read() where spread_follow() was called
+ *	spread_on_head_read_ended() where spread_set_long_poll() was called
  * @SPREAD_PROBE_HEAD: read the head beside a read of it that waits, without
- *	waiting; answer with spread_on_probed()
+ *	waiting; answer with spread_on_probe_ended()
  * @SPREAD_READ_VERSIONS: read the version rows @from to @to, both included;
  *	answer with spread_on_versions()
  * @SPREAD_READ_OBJECT: read the object @digest, a list of sections if @list,
  *	else a section; answer with spread_on_object()
  * @SPREAD_APPLY: the catalog moved to version @to; recompile the snapshot
  * @SPREAD_READY: the node may serve from now on
- * @SPREAD_LATE: the peer @peer gave nothing of version @to in time; log it
- * @SPREAD_BLAME: the peer @peer sent something wrong; log it
+ * @SPREAD_PEER_TIMED_OUT: the peer @peer gave nothing of version @to in time;
+ *log it
+ * @SPREAD_PEER_BANNED: the peer @peer sent something wrong; log it
  * @SPREAD_HALTED: version @to was halted before it was applied here; log it
  * @SPREAD_READER: this node reads the platform for its data centre from now on,
  *	as number @to of its readers, or no longer if @to is 0; log it
@@ -78,8 +79,8 @@
 	SPREAD_READ_OBJECT,
 	SPREAD_APPLY,
 	SPREAD_READY,
-	SPREAD_LATE,
-	SPREAD_BLAME,
+	SPREAD_PEER_TIMED_OUT,
+	SPREAD_PEER_BANNED,
 	SPREAD_HALTED,
 	SPREAD_READER,
 	SPREAD_REFUSED,
@@ -91,10 +92,10 @@
  * @from: first version, or the version that was left
  * @to: last version, or the version that was reached
  * @wait_ms: how long a SPREAD_READ_HEAD may wait for a change, where
- *	spread_follow() was called; 0 and it is answered at once.  @from is the
- *	number of a change that it may go on from, 0 for none.
- * @why: why this node reads the platform, SPREAD_READER
- * @beyond: only what follows the next change is wanted, since the read that
+ *	spread_set_long_poll() was called; 0 and it is answered at once.  @from
+ *is the number of a change that it may go on from, 0 for none.
+ * @reader_reason: why this node reads the platform, SPREAD_READER
+ * @skip_next: only what follows the next change is wanted, since the read that
  *	waits brings that one
  * @list: whether @digest names a list of sections (a root)
  * @digest: object to be read
@@ -107,8 +108,8 @@
 	uint64_t from;
 	uint64_t to;
 	uint32_t wait_ms;
-	enum reader_group_reason why;
-	int beyond;
+	enum reader_group_reason reader_reason;
+	int skip_next;
 	int list;
 	struct digest digest;
 	struct net_addr peer;
@@ -245,13 +246,13 @@
     uint64_t conn, uint8_t type, const uint8_t *body, size_t len);
 
 /**
- * spread_on_part() - part of a frame came from a peer
+ * spread_on_partial_frame() - part of a frame came from a peer
  * @s: the spread
  * @now_ms: monotonic time
  * @peer: address that was dialled
  */
-void
-spread_on_part(struct spread *s, uint64_t now_ms, const struct net_addr *peer);
+void spread_on_partial_frame(
+    struct spread *s, uint64_t now_ms, const struct net_addr *peer);
 
 /**
  * spread_on_closed() - a connection to a peer failed or was closed
@@ -263,7 +264,7 @@
     struct spread *s, uint64_t now_ms, const struct net_addr *peer);
 
 /**
- * spread_on_heard() - a ping or its answer carried a peer's head
+ * spread_on_gossip_head() - a ping or its answer carried a peer's head
  * @s: the spread
  * @now_ms: monotonic time
  * @from: the peer
@@ -273,7 +274,7 @@
  * membership_set_head(): the one whose version it holds, which peers can
  * therefore pull from it.
  */
-void spread_on_heard(struct spread *s, uint64_t now_ms,
+void spread_on_gossip_head(struct spread *s, uint64_t now_ms,
     const struct net_addr *from, const struct rec_head *head);
 
 /**
@@ -291,39 +292,39 @@
 /**
  * struct spread_read_end - how a read of the head, or a probe, ended
  * @ok: whether it was answered
- * @news: whether the answer held the row
+ * @has_row: whether the answer held the row
  * @body_ms: how long the answer itself was on its way, from its first part
  * @position: number of the platform's last change that reads have given, 0 when
  *	there is none
  */
 struct spread_read_end {
 	int ok;
-	int news;
+	int has_row;
 	uint32_t body_ms;
 	uint64_t position;
 };
 
-/** spread_follow() - reads of the head wait for a change for @wait_ms */
-void spread_follow(struct spread *s, uint32_t wait_ms);
+/** spread_set_long_poll() - reads of the head wait for a change for @wait_ms */
+void spread_set_long_poll(struct spread *s, uint32_t wait_ms);
 
 /**
- * spread_on_head_read() - a SPREAD_READ_HEAD that waited was answered
+ * spread_on_head_read_ended() - a SPREAD_READ_HEAD that waited was answered
  * @s: the spread
  * @now_ms: monotonic time
  * @end: how it ended
  *
- * What it told comes by spread_on_given() or spread_on_head().
+ * What it told comes by spread_on_full_version() or spread_on_head().
  */
-void spread_on_head_read(
+void spread_on_head_read_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end);
 
 /** spread_on_head_begun() - the answer to a SPREAD_READ_HEAD, which may take
  * long, has begun to come */
 void spread_on_head_begun(struct spread *s, uint64_t now_ms);
 
-/** spread_on_probed() - a SPREAD_PROBE_HEAD ended, as @end tells; what it told
- * comes by spread_on_given() */
-void spread_on_probed(
+/** spread_on_probe_ended() - a SPREAD_PROBE_HEAD ended, as @end tells; what it
+ * told comes by spread_on_full_version() */
+void spread_on_probe_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end);
 
 /**
@@ -350,7 +351,7 @@
     const struct digest *digest, const uint8_t *data, size_t len);
 
 /**
- * spread_stock() - contents for a version that this node is signing off
+ * spread_add_contents() - contents for a version that this node is signing off
  * @s: the spread
  * @contents: contents of its sections, as far as they are at hand; references
  *	are taken
@@ -359,8 +360,8 @@
  * Call it before spread_on_signed(), which lets them go again.  What is
  * missing is got from peers or the platform.
  */
-void
-spread_stock(struct spread *s, GBytes *const *contents, uint32_t n_contents);
+void spread_add_contents(
+    struct spread *s, GBytes *const *contents, uint32_t n_contents);
 
 /**
  * spread_on_signed() - a sign-off, halt or supersede by this node took effect
@@ -377,7 +378,7 @@
     const struct rec_head *head, const struct spread_version_row *row);
 
 /**
- * spread_on_given() - the platform gave a whole version
+ * spread_on_full_version() - the platform gave a whole version
  * @s: the spread
  * @now_ms: monotonic time
  * @head: head with that version, its root that of the version
@@ -387,9 +388,9 @@
  *
  * For platforms that hold each version as a whole.
  */
-void
-spread_on_given(struct spread *s, uint64_t now_ms, const struct rec_head *head,
-    const GArray *list, GBytes *const *contents, uint32_t n_contents);
+void spread_on_full_version(struct spread *s, uint64_t now_ms,
+    const struct rec_head *head, const GArray *list, GBytes *const *contents,
+    uint32_t n_contents);
 
 /** spread_ready() - whether the node may serve */
 int spread_ready(const struct spread *s);
@@ -411,9 +412,9 @@
  */
 int spread_is_reader(const struct spread *s);
 
-/** spread_first_reader() - whether this node is the first of its data centre's
- * readers that the platform answers */
-int spread_first_reader(const struct spread *s, uint64_t now_ms);
+/** spread_is_first_reader() - whether this node is the first of its data
+ * centre's readers that the platform answers */
+int spread_is_first_reader(const struct spread *s, uint64_t now_ms);
 
 /** spread_floor() - highest version that must be held before serving */
 uint64_t spread_floor(const struct spread *s);
@@ -440,12 +441,12 @@
 spread_progress(const struct spread *s, uint32_t *n);
 
 /**
- * spread_refuse() - what this node's progress reports tell of refusals
+ * spread_set_refusal() - what this node's progress reports tell of refusals
  * @s: the spread
  * @now_ms: monotonic time
  * @r: this node's, with 1 node; all zero when it refuses nothing (more)
  */
-void spread_refuse(
+void spread_set_refusal(
     struct spread *s, uint64_t now_ms, const struct spread_refusal *r);
 
 /** spread_stats() - counters since the start */
--- a/packages/spread/src/intake.c
+++ b/packages/spread/src/intake.c
@@ -310,7 +310,7 @@
 		intake_peer_by_frame(in, now_ms);
 	} else {
 		in->env->stats.pulls_timed_out++;
-		late = env_act(in->env, SPREAD_LATE);
+		late = env_act(in->env, SPREAD_PEER_TIMED_OUT);
 		late->peer = in->peer;
 		late->to = in->target;
 		outbox_close(in->env->out, &in->peer, 0);
--- a/packages/spread/src/intake_peer.c
+++ b/packages/spread/src/intake_peer.c
@@ -155,7 +155,7 @@
 
 	addr = *peer;
 	in->env->stats.peers_blamed++;
-	env_act(in->env, SPREAD_BLAME)->peer = addr;
+	env_act(in->env, SPREAD_PEER_BANNED)->peer = addr;
 	candidates_blame(&in->candidates, now_ms, &addr);
 	in->failures++;
 	if (in->failures == in->env->profile.pull_peers)
--- a/packages/spread/src/probes.c
+++ b/packages/spread/src/probes.c
@@ -117,10 +117,10 @@
 	if (p->wait_ms == 0 || !end->ok)
 		return;
 	took_ms -= MIN(took_ms, end->body_ms);
-	if (end->news)
+	if (end->has_row)
 		p->body_ms = end->body_ms;
 	/* Without news it has waited to the end; else it may have waited. */
-	if (!end->news && took_ms >= p->read_wait_ms)
+	if (!end->has_row && took_ms >= p->read_wait_ms)
 		probes_learn(p, took_ms - p->read_wait_ms);
 	else if (took_ms < SLOW_MS)
 		probes_learn(p, took_ms);
@@ -164,7 +164,7 @@
 		p->refused_ms = now_ms + REFUSED_MS;
 		return;
 	}
-	if (end->news) {
+	if (end->has_row) {
 		p->body_ms = end->body_ms;
 		p->waits_until_ms = 0;
 	}
--- a/packages/spread/src/quarantine_news.c
+++ b/packages/spread/src/quarantine_news.c
@@ -80,7 +80,7 @@
 }
 
 bool
-quarantine_news_owns(uint8_t type)
+quarantine_news_handles(uint8_t type)
 {
 	return type >= MSG_QUARANTINE_NEWS && type <= MSG_QUARANTINE_IDS;
 }
--- a/packages/spread/src/reader_group.c
+++ b/packages/spread/src/reader_group.c
@@ -305,12 +305,12 @@
 	bool reads = reader_group_reads(g);
 
 	if (!reads && now_ms >= g->asked_until_ms)
-		return READER_GROUP_STANDS_BY;
+		return READER_GROUP_NOT_READING;
 	if (now_ms < enough_until_ms(g, 1))
-		return READER_GROUP_STANDS_BY;
+		return READER_GROUP_NOT_READING;
 	if ((!g->begun || g->failing) && !nobody_else(g, now_ms))
-		return READER_GROUP_STANDS_BY;
-	return READER_GROUP_NOBODY;
+		return READER_GROUP_NOT_READING;
+	return READER_GROUP_NONE_ANSWERED;
 }
 
 static enum reader_group_reason
@@ -319,21 +319,21 @@
 	uint32_t readers = g->env->profile.readers;
 
 	if (g->rank == PEERS_RANK_NONE)
-		return READER_GROUP_STANDS_BY;
+		return READER_GROUP_NOT_READING;
 	if (!reader_group_stands_by(g))
 		return work_out_further(g, now_ms);
 	if (g->rank < readers)
-		return READER_GROUP_PLACE;
+		return READER_GROUP_BY_RANK;
 	if (count_relied(g) < readers)
 		return READER_GROUP_FAILED;
 	if (now_ms >= in_turn_ms(g, silent_ms(g)))
 		return READER_GROUP_SILENT;
 	if (now_ms >= in_turn_ms(g, few_ms(g)))
-		return READER_GROUP_FEW;
+		return READER_GROUP_TOO_FEW;
 	/* One that reads goes on until enough others are answered. */
 	if (reader_group_reads(g) && now_ms >= enough_until_ms(g, readers))
 		return g->reason;
-	return READER_GROUP_STANDS_BY;
+	return READER_GROUP_NOT_READING;
 }
 
 /* Tells the further hosts that they are needed; not after a start, when all
@@ -382,7 +382,7 @@
 int
 reader_group_reads(const struct reader_group *g)
 {
-	return g->reason != READER_GROUP_STANDS_BY;
+	return g->reason != READER_GROUP_NOT_READING;
 }
 
 /* The first host above this one that is taken to be answered, or NULL. */
--- a/packages/spread/src/readers.c
+++ b/packages/spread/src/readers.c
@@ -106,9 +106,9 @@
 	if (!reader_group_reads(&r->group))
 		return;
 	a->to = r->group.rank + 1;
-	a->why = r->group.reason;
+	a->reader_reason = r->group.reason;
 	/* Hosts that start together don't read together. */
-	if (r->group.reason != READER_GROUP_PLACE)
+	if (r->group.reason != READER_GROUP_BY_RANK)
 		r->poll_ms = now_ms;
 	backoff_succeeded(&r->backoff);
 }
@@ -147,7 +147,7 @@
 		return;
 	r->env->stats.head_probes++;
 	a = env_act(r->env, SPREAD_PROBE_HEAD);
-	a->beyond = probes_beyond(&r->probes, now_ms);
+	a->skip_next = probes_beyond(&r->probes, now_ms);
 }
 
 void
--- a/packages/spread/src/spread.c
+++ b/packages/spread/src/spread.c
@@ -361,13 +361,14 @@
 }
 
 int
-spread_first_reader(const struct spread *s, uint64_t now_ms)
+spread_is_first_reader(const struct spread *s, uint64_t now_ms)
 {
 	return readers_is_first(&s->readers, now_ms);
 }
 
 void
-spread_refuse(struct spread *s, uint64_t now_ms, const struct spread_refusal *r)
+spread_set_refusal(
+    struct spread *s, uint64_t now_ms, const struct spread_refusal *r)
 {
 	progress_refuse(&s->progress, now_ms, r);
 }
--- a/packages/spread/src/spread_events.c
+++ b/packages/spread/src/spread_events.c
@@ -215,7 +215,8 @@
 }
 
 void
-spread_on_part(struct spread *s, uint64_t now_ms, const struct net_addr *peer)
+spread_on_partial_frame(
+    struct spread *s, uint64_t now_ms, const struct net_addr *peer)
 {
 	intake_on_part(&s->intake, now_ms, peer);
 }
@@ -228,8 +229,8 @@
 }
 
 void
-spread_on_heard(struct spread *s, uint64_t now_ms, const struct net_addr *from,
-    const struct rec_head *head)
+spread_on_gossip_head(struct spread *s, uint64_t now_ms,
+    const struct net_addr *from, const struct rec_head *head)
 {
 	struct rec_head_tag h;
 
@@ -265,13 +266,13 @@
 }
 
 void
-spread_follow(struct spread *s, uint32_t wait_ms)
+spread_set_long_poll(struct spread *s, uint32_t wait_ms)
 {
 	readers_follow(&s->readers, wait_ms);
 }
 
 void
-spread_on_head_read(
+spread_on_head_read_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end)
 {
 	readers_answered(&s->readers, now_ms, end);
@@ -286,7 +287,7 @@
 }
 
 void
-spread_on_probed(
+spread_on_probe_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end)
 {
 	readers_probed(&s->readers, now_ms, end);
@@ -310,8 +311,9 @@
 }
 
 void
-spread_on_given(struct spread *s, uint64_t now_ms, const struct rec_head *head,
-    const GArray *list, GBytes *const *contents, uint32_t n_contents)
+spread_on_full_version(struct spread *s, uint64_t now_ms,
+    const struct rec_head *head, const GArray *list, GBytes *const *contents,
+    uint32_t n_contents)
 {
 	spread_origin(s, now_ms, head);
 	/* Peers may know a later version already.  With versions in quick
@@ -326,7 +328,8 @@
 }
 
 void
-spread_stock(struct spread *s, GBytes *const *contents, uint32_t n_contents)
+spread_add_contents(
+    struct spread *s, GBytes *const *contents, uint32_t n_contents)
 {
 	uint32_t i;
 
--- a/packages/spread/test/test_readers.c
+++ b/packages/spread/test/test_readers.c
@@ -133,7 +133,7 @@
 	asked->probe = a->kind == SPREAD_PROBE_HEAD;
 	if (asked->probe) {
 		r->probes++;
-		after += a->beyond ? 1 : 0;
+		after += a->skip_next ? 1 : 0;
 	}
 	asked->read = store_model_read(&store, now_ms, after, a->wait_ms);
 	(void)store_model_answered(&store, &asked->read, now_ms);
@@ -146,7 +146,7 @@
 	uint64_t found = asked->read.found;
 
 	asked->used = false;
-	end.news = found > 0;
+	end.has_row = found > 0;
 	if (found > r->holds) {
 		r->holds = found;
 		store_model_hold(&store, now_ms, found);
--- a/test/capacity/swarm_config.c
+++ b/test/capacity/swarm_config.c
@@ -207,7 +207,7 @@
 	head.root = row.root;
 	row.parent = version - 1;
 	row.changes = &change;
-	spread_stock(s->spread, &content, 1);
+	spread_add_contents(s->spread, &content, 1);
 	spread_on_signed(s->spread, swarm_spread_ms(s), &head, &row);
 	/* The keepers' word is not waited for. */
 	for (i = 0; i < HOLDS; i++) {
--- a/test/driver/follow.c
+++ b/test/driver/follow.c
@@ -47,7 +47,7 @@
 	n->feed_seq = 0;
 	n->following = 0;
 	memset(&n->given, 0, sizeof(n->given));
-	spread_follow(n->s, FOLLOW_WAIT_MS);
+	spread_set_long_poll(n->s, FOLLOW_WAIT_MS);
 }
 
 static int
@@ -121,8 +121,8 @@
 	n->feed_seq = MAX(n->feed_seq, found);
 	n->given = l->head;
 	n->given.root = v->root;
-	spread_on_given(n->s, world_now_ms(n->w), &n->given, v->list, contents,
-	    v->list->len);
+	spread_on_full_version(n->s, world_now_ms(n->w), &n->given, v->list,
+	    contents, v->list->len);
 	g_free(contents);
 }
 
@@ -134,14 +134,14 @@
 	int known = n->given.seq != 0;
 
 	n->following = 0;
-	read_end.news = r->found > r->seen;
+	read_end.has_row = r->found > r->seen;
 	read_end.position = r->found;
 	if (!read_end.ok) {
 		spread_on_head(n->s, now_ms, r->st, NULL);
 		return;
 	}
-	spread_on_head_read(n->s, now_ms, &read_end);
-	if (read_end.news)
+	spread_on_head_read_ended(n->s, now_ms, &read_end);
+	if (read_end.has_row)
 		give_version(n, r->found);
 	else
 		spread_on_head(n->s, now_ms,
@@ -154,10 +154,10 @@
 {
 	struct spread_read_end read_end = {.ok = r->st == STATUS_OK};
 
-	read_end.news = r->found > r->seen;
-	if (read_end.ok && read_end.news)
+	read_end.has_row = r->found > r->seen;
+	if (read_end.ok && read_end.has_row)
 		give_version(n, r->found);
-	spread_on_probed(n->s, world_now_ms(n->w), &read_end);
+	spread_on_probe_ended(n->s, world_now_ms(n->w), &read_end);
 }
 
 static void
@@ -222,7 +222,7 @@
 	if (a->kind == SPREAD_READ_HEAD)
 		n->feed_seq = MAX(n->feed_seq, a->from);
 	r->seen = n->feed_seq;
-	if (a->kind == SPREAD_PROBE_HEAD && a->beyond)
+	if (a->kind == SPREAD_PROBE_HEAD && a->skip_next)
 		r->seen++;
 	if (a->kind == SPREAD_READ_VERSIONS)
 		r->seen = 0;
--- a/test/driver/node.c
+++ b/test/driver/node.c
@@ -137,7 +137,7 @@
 	head.version = a->head.version;
 	head.in_force = a->head.in_force;
 	head.state = a->head.state == HEAD_HALTED ? HEAD_HALTED : HEAD_ROLLING;
-	spread_on_heard(n->s, world_now_ms(n->w), &a->addr, &head);
+	spread_on_gossip_head(n->s, world_now_ms(n->w), &a->addr, &head);
 }
 
 static void
@@ -163,8 +163,8 @@
 		n->ready = 1;
 		checker_ready(n->w->checker, n->host, catalog_version(n->c));
 		break;
-	case SPREAD_LATE:
-	case SPREAD_BLAME:
+	case SPREAD_PEER_TIMED_OUT:
+	case SPREAD_PEER_BANNED:
 	case SPREAD_HALTED:
 	case SPREAD_READER:
 	case SPREAD_REFUSED:
--- a/test/driver/test_roll.c
+++ b/test/driver/test_roll.c
@@ -74,7 +74,7 @@
 
 	(void)g_snprintf(
 	    r.reason, sizeof(r.reason), "why %u", (unsigned)version);
-	spread_refuse(w->nodes[node].s, world_now_ms(w), &r);
+	spread_set_refusal(w->nodes[node].s, world_now_ms(w), &r);
 }
 
 /* Any node can tell how many refuse a version, the highest, since when, why;
@@ -104,10 +104,10 @@
 		ck_assert_uint_eq(r.since_wall_ms, 4000);
 		ck_assert_str_eq(r.reason, "why 12");
 	}
-	spread_refuse(w->nodes[3].s, world_now_ms(w), &none);
-	spread_refuse(w->nodes[5].s, world_now_ms(w), &none);
-	spread_refuse(w->nodes[39].s, world_now_ms(w), &none);
-	spread_refuse(w->nodes[w->n_nodes - 1].s, world_now_ms(w), &none);
+	spread_set_refusal(w->nodes[3].s, world_now_ms(w), &none);
+	spread_set_refusal(w->nodes[5].s, world_now_ms(w), &none);
+	spread_set_refusal(w->nodes[39].s, world_now_ms(w), &none);
+	spread_set_refusal(w->nodes[w->n_nodes - 1].s, world_now_ms(w), &none);
 	world_run(w, 8000);
 	r = ask_refusals(w, 1);
 	ck_assert_uint_eq(r.nodes, 0);
--- a/test/driver/world.c
+++ b/test/driver/world.c
@@ -209,7 +209,7 @@
 			c = &row.changes[i];
 			content = ledger_object(w->ledger, &c->digest);
 			if (!c->removed)
-				spread_stock(n->s, &content, 1);
+				spread_add_contents(n->s, &content, 1);
 		}
 	}
 	spread_on_signed(
