--- a/packages/spread/include/spread/backoff.h
+++ b/packages/spread/include/spread/backoff.h
@@ -39,7 +39,7 @@
 /** backoff_succeeded() - a request succeeded */
 void backoff_succeeded(struct backoff *b);
 
-/** backoff_open() - whether a request may be made */
-int backoff_open(const struct backoff *b, uint64_t now_ms);
+/** backoff_expired() - whether a request may be made */
+int backoff_expired(const struct backoff *b, uint64_t now_ms);
 
 #endif
--- a/packages/spread/include/spread/budget.h
+++ b/packages/spread/include/spread/budget.h
@@ -11,14 +11,14 @@
  * struct budget - a token bucket
  * @per_s: tokens that come in each second
  * @burst: most tokens that are kept
- * @milli: thousandths of tokens held
- * @at_ms: when @milli was right
+ * @millitokens: thousandths of tokens held
+ * @refilled_ms: when @millitokens was right
  */
 struct budget {
 	uint32_t per_s;
 	uint32_t burst;
-	uint64_t milli;
-	uint64_t at_ms;
+	uint64_t millitokens;
+	uint64_t refilled_ms;
 };
 
 /** budget_init() - a full bucket */
--- a/packages/spread/include/spread/candidates.h
+++ b/packages/spread/include/spread/candidates.h
@@ -10,10 +10,10 @@
 #include "spread/env.h"
 
 #define CANDIDATES_MAX 12
-#define CANDIDATES_BLAMED_MAX 16
+#define CANDIDATES_BANS_MAX 16
 
 /* How long a peer that sent something wrong is not asked again. */
-#define CANDIDATES_BLAME_MS 60000
+#define CANDIDATES_BAN_MS 60000
 
 /**
  * struct candidate - a peer that may be pulled from
@@ -30,11 +30,11 @@
 };
 
 /**
- * struct candidate_blamed - a peer that is kept out
+ * struct candidate_ban - a peer that is kept out
  * @addr: its address
  * @until_ms: for how long
  */
-struct candidate_blamed {
+struct candidate_ban {
 	struct net_addr addr;
 	uint64_t until_ms;
 };
@@ -43,14 +43,14 @@
  * struct candidates - peers that may be pulled from
  * @list: the peers
  * @n: number of them
- * @blamed: peers that are kept out
- * @next_blamed: where the next one goes
+ * @bans: peers that are kept out
+ * @next_ban: where the next one goes
  */
 struct candidates {
 	struct candidate list[CANDIDATES_MAX];
 	uint32_t n;
-	struct candidate_blamed blamed[CANDIDATES_BLAMED_MAX];
-	uint32_t next_blamed;
+	struct candidate_ban bans[CANDIDATES_BANS_MAX];
+	uint32_t next_ban;
 };
 
 /**
@@ -95,8 +95,8 @@
 /** candidates_drop() - @addr did not answer or does not hold what it should */
 void candidates_drop(struct candidates *c, const struct net_addr *addr);
 
-/** candidates_blame() - @addr sent something wrong; keep it out for a while */
-void candidates_blame(
+/** candidates_ban() - @addr sent something wrong; keep it out for a while */
+void candidates_ban(
     struct candidates *c, uint64_t now_ms, const struct net_addr *addr);
 
 /** candidates_prune() - forget peers that hold less than @version */
--- a/packages/spread/include/spread/env.h
+++ b/packages/spread/include/spread/env.h
@@ -54,14 +54,15 @@
 /** env_clear() - free what an environment holds */
 void env_clear(struct spread_env *env);
 
-/** env_act() - add an action of a kind to the queue; the caller fills it in */
+/** env_push_action() - add an action of a kind to the queue; the caller fills
+ * it in */
 struct spread_action *
-env_act(struct spread_env *env, enum spread_action_kind kind);
+env_push_action(struct spread_env *env, enum spread_action_kind kind);
 
-/** env_below() - a random number below @n, 0 when @n is 0 */
-uint32_t env_below(struct spread_env *env, uint32_t n);
+/** env_random_below() - a random number below @n, 0 when @n is 0 */
+uint32_t env_random_below(struct spread_env *env, uint32_t n);
 
-/** env_around() - a random duration from half to one and a half of @ms */
-uint32_t env_around(struct spread_env *env, uint32_t ms);
+/** env_jitter() - a random duration from half to one and a half of @ms */
+uint32_t env_jitter(struct spread_env *env, uint32_t ms);
 
 #endif
--- a/packages/spread/include/spread/floors.h
+++ b/packages/spread/include/spread/floors.h
@@ -35,37 +35,37 @@
 #include "spread/env.h"
 
 /* Hosts that a keeper remembers; the one told of longest ago goes first. */
-#define FLOORS_KEPT_MAX 4096
+#define FLOORS_HOSTS_MAX 4096
 
 /**
  * struct floors - both sides of the floors
  * @env: environment
- * @kept: name of host to struct floor_kept
+ * @hosts: name of host to struct floor_entry
  * @order: the same, told of longest ago first
- * @told: highest version told to the own keepers
+ * @announced: highest version told to the own keepers
  * @acked: highest version that one of them acknowledged
- * @waiting: whether an acknowledgement of @told is being waited for
- * @settle_ms: when that wait ends
+ * @awaiting_ack: whether an acknowledgement of @announced is being waited for
+ * @ack_deadline_ms: when that wait ends
  * @refresh_ms: when the floor is told again
- * @asking: whether the own floor is still being asked for
- * @ask_ms: when it is asked again
- * @enough_ms: when the answers so far are enough
- * @sure: whether a serving peer or the platform was heard
+ * @collecting: whether the own floor is still being asked for
+ * @next_ask_ms: when it is asked again
+ * @collect_until_ms: when the answers so far are enough
+ * @authoritative: whether a serving peer or the platform was heard
  * @floor: highest floor heard
  */
 struct floors {
 	struct spread_env *env;
-	GHashTable *kept;
+	GHashTable *hosts;
 	GQueue order;
-	uint64_t told;
+	uint64_t announced;
 	uint64_t acked;
-	int waiting;
-	uint64_t settle_ms;
+	int awaiting_ack;
+	uint64_t ack_deadline_ms;
 	uint64_t refresh_ms;
-	int asking;
-	uint64_t ask_ms;
-	uint64_t enough_ms;
-	int sure;
+	int collecting;
+	uint64_t next_ask_ms;
+	uint64_t collect_until_ms;
+	int authoritative;
 	uint64_t floor;
 };
 
@@ -75,17 +75,18 @@
 /** floors_clear() - free what the floors hold */
 void floors_clear(struct floors *f);
 
-/** floors_tell() - tell the keepers that the host is about to hold @version */
-void floors_tell(struct floors *f, uint64_t now_ms, uint64_t version);
+/** floors_announce() - tell the keepers that the host is about to hold @version
+ */
+void floors_announce(struct floors *f, uint64_t now_ms, uint64_t version);
 
 /**
- * floors_settled() - whether the host may move to a version now
+ * floors_confirmed() - whether the host may move to a version now
  * @f: floors
  * @version: version that was told
  *
  * Return: 1 when a keeper acknowledged it or the wait is over.
  */
-int floors_settled(const struct floors *f, uint64_t version);
+int floors_confirmed(const struct floors *f, uint64_t version);
 
 /** floors_on_tell() - a host told this node its floor */
 void floors_on_tell(struct floors *f, const struct net_addr *from,
@@ -113,12 +114,13 @@
 void floors_on_platform(struct floors *f, uint64_t now_ms, uint64_t in_force);
 
 /**
- * floors_on_given() - the platform gave the configuration itself
+ * floors_on_full_version() - the platform gave the configuration itself
  *
  * It is the newest that was accepted, so no peer can know of a later one that
  * this host served: there is nothing more to collect.
  */
-void floors_on_given(struct floors *f, uint64_t now_ms, uint64_t in_force);
+void
+floors_on_full_version(struct floors *f, uint64_t now_ms, uint64_t in_force);
 
 /** floors_tick() - ask, tell again, or end a wait */
 void floors_tick(struct floors *f, uint64_t now_ms);
--- a/packages/spread/include/spread/intake.h
+++ b/packages/spread/include/spread/intake.h
@@ -41,7 +41,7 @@
 
 /** enum intake_provider - who is being asked */
 enum intake_provider {
-	INTAKE_NOBODY = 0,
+	INTAKE_NONE = 0,
 	INTAKE_PEER,
 	INTAKE_SOURCE,
 };
@@ -60,14 +60,14 @@
  * @hold_ms: not to be begun before unless a peer offers it
  * @source_ms: when the platform may be asked
  * @source_slot: place in the order in which nodes turn to the platform
- * @turn_ms: when the content may be read from the platform
+ * @content_start_ms: when the content may be read from the platform
  * @budget_ms: when the budget has a read left again
- * @anyone_ms: when a peer that is not known to hold it is asked
+ * @random_peer_ms: when a peer that is not known to hold it is asked
  * @failures: peers that failed since the target was set
  * @by_frame: the pull goes in a frame, since a datagram would not do
- * @heard: peer whose connection brought something last
- * @heard_until_ms: until when that connection is used again
- * @full: whether the whole list is to be asked for
+ * @live_peer: peer whose connection brought something last
+ * @live_until_ms: until when that connection is used again
+ * @need_full: whether the whole list is to be asked for
  * @step: how far it is
  * @provider: who is being asked
  * @peer: the peer, if it is one
@@ -76,7 +76,7 @@
  * @list: pages of changes so far
  * @list_peer: peer that gave the list; port 0 if it was not a peer
  * @stage: the version as it fills
- * @asked: struct digest asked of the platform and not answered yet
+ * @requested: struct digest asked of the platform and not answered yet
  */
 struct intake {
 	struct spread_env *env;
@@ -91,14 +91,14 @@
 	uint64_t hold_ms;
 	uint64_t source_ms;
 	uint32_t source_slot;
-	uint64_t turn_ms;
+	uint64_t content_start_ms;
 	uint64_t budget_ms;
-	uint64_t anyone_ms;
+	uint64_t random_peer_ms;
 	uint32_t failures;
 	int by_frame;
-	struct net_addr heard;
-	uint64_t heard_until_ms;
-	int full;
+	struct net_addr live_peer;
+	uint64_t live_until_ms;
+	int need_full;
 	enum intake_step step;
 	enum intake_provider provider;
 	struct net_addr peer;
@@ -107,7 +107,7 @@
 	struct catalog_delta list;
 	struct net_addr list_peer;
 	struct catalog_stage *stage;
-	GArray *asked;
+	GArray *requested;
 };
 
 /** intake_init() - nothing under way */
@@ -117,44 +117,45 @@
 void intake_clear(struct intake *in);
 
 /**
- * intake_want() - set the version that is wanted
+ * intake_set_target() - set the version that is wanted
  * @in: intake
  * @now_ms: monotonic time
  * @version: the version; not above the one held for none
  *
  * What is under way goes on, if it is not above @version.
  */
-void intake_want(struct intake *in, uint64_t now_ms, uint64_t version);
+void intake_set_target(struct intake *in, uint64_t now_ms, uint64_t version);
 
-/** intake_tag() - the root of @version must begin with @tag, if not 0 */
-void intake_tag(struct intake *in, uint64_t version, uint64_t tag);
+/** intake_expect_tag() - the root of @version must begin with @tag, if not 0 */
+void intake_expect_tag(struct intake *in, uint64_t version, uint64_t tag);
 
-/** intake_tag_of() - first bytes of a root */
-uint64_t intake_tag_of(const struct digest *root);
+/** intake_root_tag() - first bytes of a root */
+uint64_t intake_root_tag(const struct digest *root);
 
-/** intake_under_way() - version that is being taken in, 0 for none */
-uint64_t intake_under_way(const struct intake *in);
+/** intake_version_in_progress() - version that is being taken in, 0 for none */
+uint64_t intake_version_in_progress(const struct intake *in);
 
 /** intake_drop() - give up what is under way; the target stays */
 void intake_drop(struct intake *in);
 
 /**
- * intake_from_source() - the platform itself told of the target
+ * intake_schedule_source() - the platform itself told of the target
  * @in: intake
  * @now_ms: monotonic time
  * @hold_ms: nobody is asked before, unless a peer offers the version
  */
-void intake_from_source(struct intake *in, uint64_t now_ms, uint64_t hold_ms);
+void
+intake_schedule_source(struct intake *in, uint64_t now_ms, uint64_t hold_ms);
 
 /**
- * intake_offered() - a peer holds a version
+ * intake_add_candidate() - a peer holds a version
  * @in: intake
  * @now_ms: monotonic time
  * @from: the peer
  * @version: version that it holds at least
  * @near: whether it is in the own data centre
  */
-void intake_offered(struct intake *in, uint64_t now_ms,
+void intake_add_candidate(struct intake *in, uint64_t now_ms,
     const struct net_addr *from, uint64_t version, int near);
 
 /** intake_tick() - ask whoever is to be asked, give up what is late */
@@ -178,19 +179,19 @@
 void intake_on_sections(
     struct intake *in, uint64_t now_ms, const struct msg_sections *msg);
 
-/** intake_on_garbled() - a peer's answer could not be read */
-void intake_on_garbled(
+/** intake_on_malformed() - a peer's answer could not be read */
+void intake_on_malformed(
     struct intake *in, uint64_t now_ms, const struct net_addr *peer);
 
 /**
- * intake_on_part() - part of an answer came from a peer
+ * intake_on_partial_frame() - part of an answer came from a peer
  *
  * An answer of many KB takes seconds over a slow link; one that is on its way
  * is awaited, so that its bytes aren't thrown away and asked for again.  The
  * connection bounds how long a frame may take altogether.
  */
-void
-intake_on_part(struct intake *in, uint64_t now_ms, const struct net_addr *peer);
+void intake_on_partial_frame(
+    struct intake *in, uint64_t now_ms, const struct net_addr *peer);
 
 /** intake_on_closed() - the connection to a peer is gone */
 void intake_on_closed(
@@ -205,17 +206,18 @@
     const struct digest *digest, const uint8_t *data, size_t len);
 
 /**
- * intake_signed() - this node itself made a version
+ * intake_on_signed() - this node itself made a version
  * @in: intake
  * @now_ms: monotonic time
  * @row: its row
  * @contents: GBytes; contents of its sections, as far as they are at hand
  */
-void intake_signed(struct intake *in, uint64_t now_ms,
+void intake_on_signed(struct intake *in, uint64_t now_ms,
     const struct spread_version_row *row, const GPtrArray *contents);
 
 /**
- * intake_given() - the platform gave a version with all of its content
+ * intake_on_full_version() - the platform gave a version with all of its
+ * content
  * @in: intake
  * @now_ms: monotonic time
  * @head: head with it
@@ -223,9 +225,9 @@
  * @contents: contents of the sections
  * @n_contents: number of @contents
  */
-void
-intake_given(struct intake *in, uint64_t now_ms, const struct rec_head *head,
-    const GArray *list, GBytes *const *contents, uint32_t n_contents);
+void intake_on_full_version(struct intake *in, uint64_t now_ms,
+    const struct rec_head *head, const GArray *list, GBytes *const *contents,
+    uint32_t n_contents);
 
 /** intake_staged() - version that can be committed, 0 for none */
 uint64_t intake_staged(const struct intake *in);
--- a/packages/spread/include/spread/notices.h
+++ b/packages/spread/include/spread/notices.h
@@ -16,7 +16,7 @@
  * @head: head that is passed on, seq 0 for none
  * @rounds_left: rounds still to be sent
  * @next_ms: when the next round is due
- * @heard: notices of this very head that came in
+ * @duplicates: notices of this very head that came in
  * @far: whether to tell other data centres as well
  * @compare_ms: when a relay compares with another data centre next
  */
@@ -25,7 +25,7 @@
 	struct rec_head_tag head;
 	uint32_t rounds_left;
 	uint64_t next_ms;
-	uint32_t heard;
+	uint32_t duplicates;
 	int far;
 	uint64_t compare_ms;
 };
@@ -34,21 +34,21 @@
 void notices_init(struct notices *n, struct spread_env *env, uint64_t now_ms);
 
 /**
- * notices_offer() - pass a head on
+ * notices_start() - pass a head on
  * @n: notices
  * @now_ms: monotonic time
  * @head: head whose version in force this node holds
  * @far: whether to tell other data centres as well
  */
-void notices_offer(struct notices *n, uint64_t now_ms,
+void notices_start(struct notices *n, uint64_t now_ms,
     const struct rec_head_tag *head, int far);
 
-/** notices_heard() - a peer passed a head with @seq on to this node */
-void notices_heard(struct notices *n, uint64_t seq);
+/** notices_on_duplicate() - a peer passed a head with @seq on to this node */
+void notices_on_duplicate(struct notices *n, uint64_t seq);
 
-/** notices_answer() - tell one peer the own head */
+/** notices_reply() - tell one peer the own head */
 void
-notices_answer(struct notices *n, uint64_t now_ms, const struct net_addr *to);
+notices_reply(struct notices *n, uint64_t now_ms, const struct net_addr *to);
 
 /**
  * notices_tick() - send what is due
--- a/packages/spread/include/spread/progress.h
+++ b/packages/spread/include/spread/progress.h
@@ -42,7 +42,7 @@
  * @children: children by this node's table of hosts
  * @n_children: number of @children
  * @change: state of the table of hosts at which the place was worked out
- * @place_ms: when it is worked out again
+ * @next_position_ms: when it is worked out again
  * @held: version served here, 0 for none
  * @newest: newest version known
  * @refusal: version that can't be used here; no nodes for none
@@ -60,7 +60,7 @@
 	struct progress_child children[PROGRESS_ARITY];
 	uint32_t n_children;
 	uint64_t change;
-	uint64_t place_ms;
+	uint64_t next_position_ms;
 	uint64_t held;
 	uint64_t newest;
 	struct spread_refusal refusal;
@@ -78,12 +78,13 @@
 /** progress_clear() - free what the progress holds */
 void progress_clear(struct progress *p);
 
-/** progress_own() - the version served here, or the newest known, changed */
-void progress_own(
+/** progress_set_own() - the version served here, or the newest known, changed
+ */
+void progress_set_own(
     struct progress *p, uint64_t now_ms, uint64_t held, uint64_t newest);
 
-/** progress_refuse() - whether a version is refused here changed */
-void progress_refuse(
+/** progress_set_own_refusal() - whether a version is refused here changed */
+void progress_set_own_refusal(
     struct progress *p, uint64_t now_ms, const struct spread_refusal *r);
 
 /** progress_on_report() - a child reported */
--- a/packages/spread/include/spread/quarantine_news.h
+++ b/packages/spread/include/spread/quarantine_news.h
@@ -90,13 +90,13 @@
  * @datagrams: datagrams sent
  * @bytes: bytes of them
  * @records: records that came and were new
- * @put_off: datagrams that were not sent, since too much was
+ * @postponed: datagrams that were not sent, since too much was
  */
 struct quarantine_counters {
 	uint64_t datagrams;
 	uint64_t bytes;
 	uint64_t records;
-	uint64_t put_off;
+	uint64_t postponed;
 };
 
 struct quarantine_news;
--- a/packages/spread/include/spread/reader_group.h
+++ b/packages/spread/include/spread/reader_group.h
@@ -51,51 +51,53 @@
  * struct reader_group - the group as one host sees it
  * @env: environment
  * @period_ms: longest time from one read's end to the next one's
- * @follows: reads wait for a change, so that their ends can be put in turn
+ * @long_polls: reads wait for a change, so that their ends can be put in turn
  * @hosts: the group by rank
  * @n_hosts: their number
  * @rank: own rank, PEERS_RANK_NONE when this host is not of the group
- * @since_ms: since when it is
+ * @member_since_ms: since when it is
  * @reason: why this host reads
- * @begun: it has been answered since it took over
- * @failing: its own last read failed
- * @lone_ms: when to tell that nobody is answered, without waiting for an end
- * @asked_until_ms: until when a further host is asked to read
- * @wide_until_ms: until when further hosts are told as well
+ * @answered: it has been answered since it took over
+ * @last_read_failed: its own last read failed
+ * @isolation_check_ms: when to tell that nobody is answered, without waiting
+ * for an end
+ * @requested_until_ms: until when a further host is asked to read
+ * @report_all_until_ms: until when further hosts are told as well
  * @position: from where another host may go on
  */
 struct reader_group {
 	struct spread_env *env;
 	uint32_t period_ms;
-	int follows;
+	int long_polls;
 	struct reader_group_host hosts[READER_GROUP_MAX];
 	uint32_t n_hosts;
 	uint32_t rank;
-	uint64_t since_ms;
+	uint64_t member_since_ms;
 	enum reader_group_reason reason;
-	int begun;
-	int failing;
-	uint64_t lone_ms;
-	uint64_t asked_until_ms;
-	uint64_t wide_until_ms;
+	int answered;
+	int last_read_failed;
+	uint64_t isolation_check_ms;
+	uint64_t requested_until_ms;
+	uint64_t report_all_until_ms;
 	struct reader_position position;
 };
 
 /** reader_group_init() - a host that is of no group yet */
 void reader_group_init(struct reader_group *g, struct spread_env *env);
 
-/** reader_group_follow() - reads wait for a change for @wait_ms at most */
-void reader_group_follow(struct reader_group *g, uint32_t wait_ms);
+/** reader_group_set_long_poll() - reads wait for a change for @wait_ms at most
+ */
+void reader_group_set_long_poll(struct reader_group *g, uint32_t wait_ms);
 
 /**
- * reader_group_set() - the ranking may have changed
+ * reader_group_set_hosts() - the ranking may have changed
  * @g: the group
  * @now_ms: monotonic time
  * @addrs: addresses of its hosts by rank
  * @n: their number
  * @rank: own rank among them, PEERS_RANK_NONE for none
  */
-void reader_group_set(struct reader_group *g, uint64_t now_ms,
+void reader_group_set_hosts(struct reader_group *g, uint64_t now_ms,
     const struct net_addr *addrs, uint32_t n, uint32_t rank);
 
 /** reader_group_on_report() - a host told how its read ended */
@@ -103,13 +105,13 @@
     const struct net_addr *from, const struct msg_read_report *msg);
 
 /**
- * reader_group_report() - a read of this host ended; tell the group
+ * reader_group_on_read_ended() - a read of this host ended; tell the group
  * @g: the group
  * @now_ms: monotonic time
  * @answered: whether it was answered
  * @position: number of the last change that reads have given, 0 for none
  */
-void reader_group_report(
+void reader_group_on_read_ended(
     struct reader_group *g, uint64_t now_ms, int answered, uint64_t position);
 
 /** reader_group_tick() - work out whether this host reads; Return: whether that
@@ -119,9 +121,9 @@
 /** reader_group_next_ms() - when reader_group_tick() is due at the latest */
 uint64_t reader_group_next_ms(const struct reader_group *g);
 
-/** reader_group_stands_by() - whether this host is one of those that read or
+/** reader_group_is_active() - whether this host is one of those that read or
  * stand by, rather than a further one or none */
-int reader_group_stands_by(const struct reader_group *g);
+int reader_group_is_active(const struct reader_group *g);
 
 /** reader_group_reads() - whether this host reads */
 int reader_group_reads(const struct reader_group *g);
--- a/packages/spread/include/spread/reader_position.h
+++ b/packages/spread/include/spread/reader_position.h
@@ -11,35 +11,36 @@
 
 /**
  * struct reader_position - what readers told of their positions
- * @told: position that was told at @told_ms, to be used later, 0 for none
- * @told_version: version that came with it
- * @told_ms: when it was told
+ * @reported: position that was told at @reported_ms, to be used later, 0 for
+ * none
+ * @reported_version: version that came with it
+ * @reported_ms: when it was told
  * @settled: position up to which all that was read has spread, 0 for none
  * @settled_version: version that came with it
  */
 struct reader_position {
-	uint64_t told;
-	uint64_t told_version;
-	uint64_t told_ms;
+	uint64_t reported;
+	uint64_t reported_version;
+	uint64_t reported_ms;
 	uint64_t settled;
 	uint64_t settled_version;
 };
 
-/** reader_position_told() - a reader is at a position, and holds @version */
-void reader_position_told(struct reader_position *p, uint64_t now_ms,
+/** reader_position_report() - a reader is at a position, and holds @version */
+void reader_position_report(struct reader_position *p, uint64_t now_ms,
     uint64_t position, uint64_t version);
 
-/** reader_position_settled() - what was read up to a position has spread */
-void reader_position_settled(
+/** reader_position_advance() - what was read up to a position has spread */
+void reader_position_advance(
     struct reader_position *p, uint64_t position, uint64_t version);
 
 /**
- * reader_position_from() - where a host may go on
+ * reader_position_resume() - where a host may go on
  * @p: the positions
  * @held: version that the host holds, 0 for none
  *
  * Return: the position, 0 if the host is to read the whole.
  */
-uint64_t reader_position_from(const struct reader_position *p, uint64_t held);
+uint64_t reader_position_resume(const struct reader_position *p, uint64_t held);
 
 #endif
--- a/packages/spread/include/spread/serve.h
+++ b/packages/spread/include/spread/serve.h
@@ -3,7 +3,7 @@
  *
  * An answer that carries everything is given at once as long as the byte
  * budget lasts.  A peer that needs several answers takes one of join_limit
- * places until it is done or silent; others are told when to come back.
+ * slots until it is done or silent; others are told when to come back.
  */
 #ifndef SPREAD_SERVE_H
 #define SPREAD_SERVE_H
@@ -15,14 +15,14 @@
 #include "spread/env.h"
 
 /* Places there can be at most. */
-#define SERVE_PLACES_MAX 64
+#define SERVE_SLOTS_MAX 64
 
 /**
- * struct serve_place - a peer that is being served in several answers
+ * struct serve_slot - a peer that is being served in several answers
  * @addr: the peer
  * @until_ms: when the place is free again
  */
-struct serve_place {
+struct serve_slot {
 	struct net_addr addr;
 	uint64_t until_ms;
 };
@@ -31,12 +31,12 @@
  * struct serve - state of serving
  * @env: environment
  * @budget: bytes of content that may be sent
- * @places: peers that are being served
+ * @slots: peers that are being served
  */
 struct serve {
 	struct spread_env *env;
 	struct budget budget;
-	struct serve_place places[SERVE_PLACES_MAX];
+	struct serve_slot slots[SERVE_SLOTS_MAX];
 };
 
 /** serve_init() - nobody is being served */
--- a/packages/spread/include/spread/trace.h
+++ b/packages/spread/include/spread/trace.h
@@ -10,7 +10,7 @@
 #include <stdint.h>
 
 /* Versions that are followed at a time; more are seldom under way. */
-#define TRACE_VERSIONS 8
+#define TRACE_VERSIONS_MAX 8
 
 /* A peer that tells no age, or a longer one, is taken to have told this. */
 #define TRACE_AGE_MAX_MS 3600000U
@@ -20,13 +20,13 @@
  * @version: its number, 0 for an unused entry
  * @read_ms: when a node first read it at the platform, by the own clock
  * @known_ms: when this node first heard of it
- * @whole_ms: when all of its content was here, 0 while it was not
+ * @complete_ms: when all of its content was here, 0 while it was not
  */
 struct trace_entry {
 	uint64_t version;
 	uint64_t read_ms;
 	uint64_t known_ms;
-	uint64_t whole_ms;
+	uint64_t complete_ms;
 };
 
 /**
@@ -34,7 +34,7 @@
  * @entries: in no order; the lowest version is replaced
  */
 struct trace {
-	struct trace_entry entries[TRACE_VERSIONS];
+	struct trace_entry entries[TRACE_VERSIONS_MAX];
 };
 
 /**
@@ -59,8 +59,8 @@
 void trace_known(
     struct trace *t, uint64_t now_ms, uint64_t version, uint64_t age_ms);
 
-/** trace_whole() - all content of a version is here */
-void trace_whole(struct trace *t, uint64_t now_ms, uint64_t version);
+/** trace_complete() - all content of a version is here */
+void trace_complete(struct trace *t, uint64_t now_ms, uint64_t version);
 
 /** trace_age_ms() - time since a node first read @version; 0 if not known */
 uint64_t trace_age_ms(const struct trace *t, uint64_t now_ms, uint64_t version);
--- a/packages/spread/src/backoff.c
+++ b/packages/spread/src/backoff.c
@@ -35,7 +35,7 @@
 }
 
 int
-backoff_open(const struct backoff *b, uint64_t now_ms)
+backoff_expired(const struct backoff *b, uint64_t now_ms)
 {
 	return now_ms >= b->until_ms;
 }
--- a/packages/spread/src/budget.c
+++ b/packages/spread/src/budget.c
@@ -12,22 +12,22 @@
 {
 	b->per_s = MAX(per_s, 1);
 	b->burst = MAX(burst, 1);
-	b->milli = (uint64_t)b->burst * MILLI;
-	b->at_ms = now_ms;
+	b->millitokens = (uint64_t)b->burst * MILLI;
+	b->refilled_ms = now_ms;
 }
 
 static void
-budget_fill(struct budget *b, uint64_t now_ms)
+budget_refill(struct budget *b, uint64_t now_ms)
 {
 	uint64_t room, ms;
 
-	if (now_ms <= b->at_ms)
+	if (now_ms <= b->refilled_ms)
 		return;
-	room = (uint64_t)b->burst * MILLI - b->milli;
-	ms = now_ms - b->at_ms;
+	room = (uint64_t)b->burst * MILLI - b->millitokens;
+	ms = now_ms - b->refilled_ms;
 	/* A token a second is a thousandth of a token a millisecond. */
-	b->milli += MIN(room, MIN(ms, room) * b->per_s);
-	b->at_ms = now_ms;
+	b->millitokens += MIN(room, MIN(ms, room) * b->per_s);
+	b->refilled_ms = now_ms;
 }
 
 int
@@ -35,11 +35,11 @@
 {
 	uint64_t cost;
 
-	budget_fill(b, now_ms);
+	budget_refill(b, now_ms);
 	cost = (uint64_t)MIN(n, b->burst) * MILLI;
-	if (b->milli < cost)
+	if (b->millitokens < cost)
 		return 0;
-	b->milli -= cost;
+	b->millitokens -= cost;
 	return 1;
 }
 
@@ -48,9 +48,9 @@
 {
 	uint64_t cost;
 
-	budget_fill(b, now_ms);
+	budget_refill(b, now_ms);
 	cost = (uint64_t)MIN(n, b->burst) * MILLI;
-	if (b->milli >= cost)
+	if (b->millitokens >= cost)
 		return now_ms;
-	return now_ms + (cost - b->milli + b->per_s - 1) / b->per_s;
+	return now_ms + (cost - b->millitokens + b->per_s - 1) / b->per_s;
 }
--- a/packages/spread/src/candidates.c
+++ b/packages/spread/src/candidates.c
@@ -17,14 +17,14 @@
 }
 
 static int
-candidates_is_blamed(
+candidates_is_banned(
     const struct candidates *c, uint64_t now_ms, const struct net_addr *addr)
 {
 	uint32_t i;
 
-	for (i = 0; i < CANDIDATES_BLAMED_MAX; i++)
-		if (now_ms < c->blamed[i].until_ms &&
-		    addr_equal(&c->blamed[i].addr, addr))
+	for (i = 0; i < CANDIDATES_BANS_MAX; i++)
+		if (now_ms < c->bans[i].until_ms &&
+		    addr_equal(&c->bans[i].addr, addr))
 			return 1;
 	return 0;
 }
@@ -48,7 +48,7 @@
 {
 	struct candidate *p;
 
-	if (candidates_is_blamed(c, now_ms, addr))
+	if (candidates_is_banned(c, now_ms, addr))
 		return;
 	p = candidates_find(c, addr);
 	if (p != NULL) {
@@ -86,7 +86,7 @@
 			continue;
 		if (best != NULL && best->near == p->near) {
 			equals++;
-			if (env_below(env, equals) != 0)
+			if (env_random_below(env, equals) != 0)
 				continue;
 		} else {
 			equals = 1;
@@ -134,16 +134,16 @@
 }
 
 void
-candidates_blame(
+candidates_ban(
     struct candidates *c, uint64_t now_ms, const struct net_addr *addr)
 {
-	struct candidate_blamed *b;
+	struct candidate_ban *b;
 
 	candidates_drop(c, addr);
-	b = &c->blamed[c->next_blamed];
+	b = &c->bans[c->next_ban];
 	b->addr = *addr;
-	b->until_ms = now_ms + CANDIDATES_BLAME_MS;
-	c->next_blamed = (c->next_blamed + 1) % CANDIDATES_BLAMED_MAX;
+	b->until_ms = now_ms + CANDIDATES_BAN_MS;
+	c->next_ban = (c->next_ban + 1) % CANDIDATES_BANS_MAX;
 }
 
 void
--- a/packages/spread/src/env.c
+++ b/packages/spread/src/env.c
@@ -34,7 +34,7 @@
 }
 
 struct spread_action *
-env_act(struct spread_env *env, enum spread_action_kind kind)
+env_push_action(struct spread_env *env, enum spread_action_kind kind)
 {
 	struct spread_action *a;
 
@@ -45,7 +45,7 @@
 }
 
 uint32_t
-env_below(struct spread_env *env, uint32_t n)
+env_random_below(struct spread_env *env, uint32_t n)
 {
 	if (n == 0)
 		return 0;
@@ -53,7 +53,7 @@
 }
 
 uint32_t
-env_around(struct spread_env *env, uint32_t ms)
+env_jitter(struct spread_env *env, uint32_t ms)
 {
-	return ms / 2 + env_below(env, ms + 1);
+	return ms / 2 + env_random_below(env, ms + 1);
 }
--- a/packages/spread/src/floors.c
+++ b/packages/spread/src/floors.c
@@ -14,18 +14,18 @@
 
 /* A node that is joining looks this often whether it has: the platform may be
  * read a little later, and ends the asking soon after. */
-#define JOINING_MS 50
+#define JOIN_POLL_MS 50
 
 /* Keepers of the own data centre at most. */
 #define KEEPERS_MAX 8
 
 /**
- * struct floor_kept - what is remembered for a host
+ * struct floor_entry - what is remembered for a host
  * @host: name of the host
  * @version: highest version that it told
  * @link: place in the order of telling
  */
-struct floor_kept {
+struct floor_entry {
 	char host[MEMBER_NAME_BYTES];
 	uint64_t version;
 	GList link;
@@ -36,22 +36,22 @@
 {
 	memset(f, 0, sizeof(*f));
 	f->env = env;
-	f->kept = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+	f->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	g_queue_init(&f->order);
-	f->refresh_ms = now_ms + env_around(env, env->profile.floor_refresh_ms);
-	f->asking = 1;
-	f->ask_ms = now_ms;
-	f->enough_ms = DEADLINE_NEVER;
+	f->refresh_ms = now_ms + env_jitter(env, env->profile.floor_refresh_ms);
+	f->collecting = 1;
+	f->next_ask_ms = now_ms;
+	f->collect_until_ms = DEADLINE_NEVER;
 }
 
 void
 floors_clear(struct floors *f)
 {
-	g_hash_table_destroy(f->kept);
+	g_hash_table_destroy(f->hosts);
 }
 
 static void
-floors_send_tell(struct floors *f, uint64_t version)
+floors_send_announcement(struct floors *f, uint64_t version)
 {
 	struct net_addr to[KEEPERS_MAX + 1];
 	struct msg_floor_tell msg;
@@ -68,41 +68,42 @@
 		outbox_datagram(f->env->out, &to[i], MSG_FLOOR_TELL, body);
 	}
 	if (n == 0)
-		f->waiting = 0;
+		f->awaiting_ack = 0;
 }
 
 void
-floors_tell(struct floors *f, uint64_t now_ms, uint64_t version)
+floors_announce(struct floors *f, uint64_t now_ms, uint64_t version)
 {
-	if (version <= f->told)
+	if (version <= f->announced)
 		return;
-	f->told = version;
-	f->waiting = 1;
-	f->settle_ms = now_ms + f->env->profile.floor_wait_ms;
-	floors_send_tell(f, version);
+	f->announced = version;
+	f->awaiting_ack = 1;
+	f->ack_deadline_ms = now_ms + f->env->profile.floor_wait_ms;
+	floors_send_announcement(f, version);
 }
 
 int
-floors_settled(const struct floors *f, uint64_t version)
+floors_confirmed(const struct floors *f, uint64_t version)
 {
-	return f->told >= version && (f->acked >= version || !f->waiting);
+	return f->announced >= version &&
+	    (f->acked >= version || !f->awaiting_ack);
 }
 
 static void
-floors_keep(struct floors *f, const char *host, uint64_t version)
+floors_store(struct floors *f, const char *host, uint64_t version)
 {
-	struct floor_kept *k, *oldest;
+	struct floor_entry *k, *oldest;
 
-	k = g_hash_table_lookup(f->kept, host);
+	k = g_hash_table_lookup(f->hosts, host);
 	if (k == NULL) {
-		if (g_hash_table_size(f->kept) >= FLOORS_KEPT_MAX) {
+		if (g_hash_table_size(f->hosts) >= FLOORS_HOSTS_MAX) {
 			oldest = g_queue_pop_head_link(&f->order)->data;
-			g_hash_table_remove(f->kept, oldest->host);
+			g_hash_table_remove(f->hosts, oldest->host);
 		}
-		k = g_new0(struct floor_kept, 1);
+		k = g_new0(struct floor_entry, 1);
 		g_strlcpy(k->host, host, sizeof(k->host));
 		k->link.data = k;
-		g_hash_table_insert(f->kept, k->host, k);
+		g_hash_table_insert(f->hosts, k->host, k);
 	} else {
 		g_queue_unlink(&f->order, &k->link);
 	}
@@ -111,11 +112,11 @@
 }
 
 static uint64_t
-floors_kept(const struct floors *f, const char *host)
+floors_lookup(const struct floors *f, const char *host)
 {
-	const struct floor_kept *k;
+	const struct floor_entry *k;
 
-	k = g_hash_table_lookup(f->kept, host);
+	k = g_hash_table_lookup(f->hosts, host);
 	return k == NULL ? 0 : k->version;
 }
 
@@ -128,8 +129,8 @@
 
 	if (msg->host[0] == '\0' || msg->version == 0)
 		return;
-	floors_keep(f, msg->host, msg->version);
-	ack.version = floors_kept(f, msg->host);
+	floors_store(f, msg->host, msg->version);
+	ack.version = floors_lookup(f, msg->host);
 	body = g_byte_array_new();
 	msg_floor_ack_encode(&ack, body);
 	outbox_datagram(f->env->out, from, MSG_FLOOR_ACK, body);
@@ -139,8 +140,8 @@
 floors_on_ack(struct floors *f, const struct msg_floor_ack *msg)
 {
 	f->acked = MAX(f->acked, msg->version);
-	if (f->acked >= f->told)
-		f->waiting = 0;
+	if (f->acked >= f->announced)
+		f->awaiting_ack = 0;
 }
 
 void
@@ -150,7 +151,7 @@
 	struct msg_floor_answer answer;
 	GByteArray *body;
 
-	answer.floor = floors_kept(f, msg->host);
+	answer.floor = floors_lookup(f, msg->host);
 	answer.ready = ready;
 	answer.head = *head;
 	body = g_byte_array_new();
@@ -162,33 +163,33 @@
 floors_on_answer(struct floors *f, const struct msg_floor_answer *msg)
 {
 	f->floor = MAX(f->floor, msg->floor);
-	if (!f->asking || !msg->ready)
+	if (!f->collecting || !msg->ready)
 		return;
-	f->sure = 1;
+	f->authoritative = 1;
 	f->floor = MAX(f->floor, msg->head.in_force);
 }
 
 void
 floors_on_platform(struct floors *f, uint64_t now_ms, uint64_t in_force)
 {
-	if (!f->asking)
+	if (!f->collecting)
 		return;
-	if (f->enough_ms == DEADLINE_NEVER)
-		f->enough_ms = now_ms + f->env->profile.floor_ask_ms;
-	f->sure = 1;
+	if (f->collect_until_ms == DEADLINE_NEVER)
+		f->collect_until_ms = now_ms + f->env->profile.floor_ask_ms;
+	f->authoritative = 1;
 	f->floor = MAX(f->floor, in_force);
 }
 
 void
-floors_on_given(struct floors *f, uint64_t now_ms, uint64_t in_force)
+floors_on_full_version(struct floors *f, uint64_t now_ms, uint64_t in_force)
 {
 	floors_on_platform(f, now_ms, in_force);
-	if (f->asking)
-		f->enough_ms = now_ms;
+	if (f->collecting)
+		f->collect_until_ms = now_ms;
 }
 
 static void
-floors_ask(struct floors *f, uint64_t now_ms)
+floors_query(struct floors *f, uint64_t now_ms)
 {
 	struct net_addr to[KEEPERS_MAX + 1 + ASK_NEAR + ASK_FAR];
 	struct msg_floor_ask msg;
@@ -196,12 +197,13 @@
 	uint32_t i, n;
 
 	if (!peers_joined(f->env)) {
-		f->ask_ms = now_ms + JOINING_MS;
+		f->next_ask_ms = now_ms + JOIN_POLL_MS;
 		return;
 	}
-	f->ask_ms = now_ms + env_around(f->env, f->env->profile.floor_ask_ms);
-	if (f->enough_ms == DEADLINE_NEVER)
-		f->enough_ms = now_ms + f->env->profile.floor_ask_ms;
+	f->next_ask_ms =
+	    now_ms + env_jitter(f->env, f->env->profile.floor_ask_ms);
+	if (f->collect_until_ms == DEADLINE_NEVER)
+		f->collect_until_ms = now_ms + f->env->profile.floor_ask_ms;
 	n = peers_keepers(
 	    f->env, to, MIN(f->env->profile.keepers, KEEPERS_MAX));
 	n += peers_near(f->env, to + n, ASK_NEAR);
@@ -217,20 +219,20 @@
 void
 floors_tick(struct floors *f, uint64_t now_ms)
 {
-	if (f->asking && f->sure && now_ms >= f->enough_ms)
-		f->asking = 0;
-	if (f->asking && now_ms >= f->ask_ms)
-		floors_ask(f, now_ms);
-	if (f->waiting && now_ms >= f->settle_ms) {
-		f->waiting = 0;
+	if (f->collecting && f->authoritative && now_ms >= f->collect_until_ms)
+		f->collecting = 0;
+	if (f->collecting && now_ms >= f->next_ask_ms)
+		floors_query(f, now_ms);
+	if (f->awaiting_ack && now_ms >= f->ack_deadline_ms) {
+		f->awaiting_ack = 0;
 		f->env->stats.floor_unacknowledged++;
 	}
 	if (now_ms < f->refresh_ms)
 		return;
 	f->refresh_ms =
-	    now_ms + env_around(f->env, f->env->profile.floor_refresh_ms);
-	if (f->told > 0)
-		floors_send_tell(f, f->told);
+	    now_ms + env_jitter(f->env, f->env->profile.floor_refresh_ms);
+	if (f->announced > 0)
+		floors_send_announcement(f, f->announced);
 }
 
 uint64_t
@@ -239,17 +241,17 @@
 	uint64_t next;
 
 	next = f->refresh_ms;
-	if (f->asking)
-		next = MIN(next, f->ask_ms);
-	if (f->asking && f->sure)
-		next = MIN(next, f->enough_ms);
-	if (f->waiting)
-		next = MIN(next, f->settle_ms);
+	if (f->collecting)
+		next = MIN(next, f->next_ask_ms);
+	if (f->collecting && f->authoritative)
+		next = MIN(next, f->collect_until_ms);
+	if (f->awaiting_ack)
+		next = MIN(next, f->ack_deadline_ms);
 	return next;
 }
 
 int
 floors_known(const struct floors *f)
 {
-	return !f->asking;
+	return !f->collecting;
 }
--- a/packages/spread/src/intake.c
+++ b/packages/spread/src/intake.c
@@ -11,10 +11,10 @@
 
 /* Pull timeouts that pass without any peer offering a version before the
  * platform is asked although only peers told of it. */
-#define UNOFFERED_TIMEOUTS 4
+#define NO_CANDIDATE_TIMEOUTS 4
 
 /* Missing sections from which on a peer is worth leaving the platform for. */
-#define SWITCH_MISSING 16
+#define SWITCH_MISSING_MIN 16
 
 /* Back-off after a version that could not be taken in. */
 #define RETRY_BASE_MS 200
@@ -34,7 +34,7 @@
 	    p->source_reads_per_s / 2, now_ms);
 	backoff_init(&in->retry, RETRY_BASE_MS, RETRY_CAP_MS);
 	in->budget_ms = DEADLINE_NEVER;
-	in->asked = g_array_new(FALSE, FALSE, sizeof(struct digest));
+	in->requested = g_array_new(FALSE, FALSE, sizeof(struct digest));
 }
 
 static void
@@ -50,15 +50,15 @@
 {
 	intake_clear_list(in);
 	catalog_stage_free(in->stage);
-	g_array_unref(in->asked);
+	g_array_unref(in->requested);
 }
 
 void
 intake_stop(struct intake *in)
 {
-	in->provider = INTAKE_NOBODY;
+	in->provider = INTAKE_NONE;
 	in->deadline_ms = DEADLINE_NEVER;
-	g_array_set_size(in->asked, 0);
+	g_array_set_size(in->requested, 0);
 	if (in->step != INTAKE_LIST)
 		return;
 	intake_clear_list(in);
@@ -76,7 +76,7 @@
 }
 
 uint64_t
-intake_under_way(const struct intake *in)
+intake_version_in_progress(const struct intake *in)
 {
 	if (in->stage != NULL)
 		return catalog_stage_version(in->stage);
@@ -84,16 +84,17 @@
 }
 
 void
-intake_want(struct intake *in, uint64_t now_ms, uint64_t version)
+intake_set_target(struct intake *in, uint64_t now_ms, uint64_t version)
 {
 	if (version == in->target)
 		return;
-	if (intake_under_way(in) > version)
+	if (intake_version_in_progress(in) > version)
 		intake_drop(in);
 	if (in->target <= catalog_version(in->env->catalog))
 		in->source_ms = now_ms +
-		    env_around(in->env,
-			UNOFFERED_TIMEOUTS * in->env->profile.pull_timeout_ms);
+		    env_jitter(in->env,
+			NO_CANDIDATE_TIMEOUTS *
+			    in->env->profile.pull_timeout_ms);
 	/* Pauses are between tries of one version. */
 	if (version > in->target && in->retry.failures > 0) {
 		backoff_succeeded(&in->retry);
@@ -103,7 +104,7 @@
 }
 
 uint64_t
-intake_tag_of(const struct digest *root)
+intake_root_tag(const struct digest *root)
 {
 	uint64_t tag;
 
@@ -112,7 +113,7 @@
 }
 
 void
-intake_tag(struct intake *in, uint64_t version, uint64_t tag)
+intake_expect_tag(struct intake *in, uint64_t version, uint64_t tag)
 {
 	if (tag == 0)
 		return;
@@ -121,37 +122,38 @@
 }
 
 void
-intake_from_source(struct intake *in, uint64_t now_ms, uint64_t hold_ms)
+intake_schedule_source(struct intake *in, uint64_t now_ms, uint64_t hold_ms)
 {
 	in->hold_ms = hold_ms;
-	intake_source_wait(in, MAX(now_ms, hold_ms));
+	intake_source_schedule(in, MAX(now_ms, hold_ms));
 }
 
 void
-intake_offered(struct intake *in, uint64_t now_ms, const struct net_addr *from,
-    uint64_t version, int near)
+intake_add_candidate(struct intake *in, uint64_t now_ms,
+    const struct net_addr *from, uint64_t version, int near)
 {
 	if (version > catalog_version(in->env->catalog))
 		candidates_add(&in->candidates, now_ms, from, version, near);
 }
 
 void
-intake_filled(struct intake *in, uint64_t now_ms)
+intake_check_complete(struct intake *in, uint64_t now_ms)
 {
 	if (in->step != INTAKE_CONTENT ||
 	    catalog_stage_n_missing(in->stage) > 0)
 		return;
-	in->provider = INTAKE_NOBODY;
+	in->provider = INTAKE_NONE;
 	in->deadline_ms = DEADLINE_NEVER;
 	in->step = INTAKE_STAGED;
-	trace_whole(&in->env->trace, now_ms, catalog_stage_version(in->stage));
+	trace_complete(
+	    &in->env->trace, now_ms, catalog_stage_version(in->stage));
 }
 
 /* A version could not be taken in: wait, and ask for the whole list. */
 static void
-intake_refused(struct intake *in, uint64_t now_ms)
+intake_defer_retry(struct intake *in, uint64_t now_ms)
 {
-	in->full = 1;
+	in->need_full = 1;
 	backoff_failed(&in->retry, now_ms, in->env->rng);
 	in->start_ms = MAX(in->start_ms, in->retry.until_ms);
 }
@@ -161,16 +163,17 @@
  * may be wrong; the whole one that comes next is from another peer.
  */
 static int
-intake_is_refusal(const struct intake *in, enum status st)
+intake_version_is_unusable(const struct intake *in, enum status st)
 {
 	return st == STATUS_TOO_LARGE ||
-	    (st == STATUS_INVALID && (in->list_peer.port == 0 || in->full));
+	    (st == STATUS_INVALID &&
+		(in->list_peer.port == 0 || in->need_full));
 }
 
 static void
-intake_tell_refusal(struct intake *in, uint64_t version)
+intake_report_refusal(struct intake *in, uint64_t version)
 {
-	struct spread_action *a = env_act(in->env, SPREAD_REFUSED);
+	struct spread_action *a = env_push_action(in->env, SPREAD_REFUSED);
 
 	a->to = version;
 	(void)g_strlcpy(a->reason, status_message(), sizeof(a->reason));
@@ -178,16 +181,16 @@
 
 /* The staged version can't be had as it is. */
 static void
-intake_unfit(struct intake *in, uint64_t now_ms, enum status st)
+intake_reject_stage(struct intake *in, uint64_t now_ms, enum status st)
 {
-	if (intake_is_refusal(in, st))
-		intake_tell_refusal(in, catalog_stage_version(in->stage));
+	if (intake_version_is_unusable(in, st))
+		intake_report_refusal(in, catalog_stage_version(in->stage));
 	intake_drop(in);
 	candidates_prune(
 	    &in->candidates, catalog_version(in->env->catalog) + 1);
 	if (st == STATUS_INVALID && in->list_peer.port != 0)
-		intake_peer_blame(in, now_ms, &in->list_peer);
-	intake_refused(in, now_ms);
+		intake_peer_ban(in, now_ms, &in->list_peer);
+	intake_defer_retry(in, now_ms);
 }
 
 int
@@ -195,27 +198,27 @@
 {
 	if (st != STATUS_TOO_LARGE)
 		return 0;
-	intake_unfit(in, now_ms, st);
+	intake_reject_stage(in, now_ms, st);
 	return 1;
 }
 
 void
-intake_begun(struct intake *in, uint64_t now_ms, enum status st)
+intake_list_done(struct intake *in, uint64_t now_ms, enum status st)
 {
 	uint64_t version =
 	    in->step == INTAKE_LIST ? in->list.version : in->target;
 
 	intake_clear_list(in);
 	if (st == STATUS_TOO_LARGE)
-		intake_tell_refusal(in, version);
+		intake_report_refusal(in, version);
 	if (st != STATUS_OK) {
 		intake_drop(in);
 		if (st != STATUS_CONFLICT)
-			intake_refused(in, now_ms);
+			intake_defer_retry(in, now_ms);
 		return;
 	}
 	in->step = INTAKE_CONTENT;
-	intake_filled(in, now_ms);
+	intake_check_complete(in, now_ms);
 }
 
 enum status
@@ -226,15 +229,15 @@
 
 /* Ask somebody who is not known to hold the version. */
 static void
-intake_ask_anyone(struct intake *in, uint64_t now_ms)
+intake_ask_random_peer(struct intake *in, uint64_t now_ms)
 {
 	struct net_addr addr;
 	uint32_t n;
 
-	in->anyone_ms =
-	    now_ms + env_around(in->env, in->env->profile.pull_timeout_ms);
+	in->random_peer_ms =
+	    now_ms + env_jitter(in->env, in->env->profile.pull_timeout_ms);
 	n = 0;
-	if (env_below(in->env, 2) == 0)
+	if (env_random_below(in->env, 2) == 0)
 		n = peers_far(in->env, &addr, 1);
 	if (n == 0)
 		n = peers_near(in->env, &addr, 1);
@@ -264,33 +267,33 @@
 	if (!intake_no_candidate(in) &&
 	    in->failures < in->env->profile.pull_peers)
 		return 0;
-	return now_ms >= in->source_ms && intake_source_open(in, now_ms);
+	return now_ms >= in->source_ms && intake_source_available(in, now_ms);
 }
 
 /* Nobody is being asked: find somebody. */
 static void
-intake_choose(struct intake *in, uint64_t now_ms)
+intake_choose_provider(struct intake *in, uint64_t now_ms)
 {
 	struct net_addr addr;
 
 	if (intake_may_ask_source(in, now_ms))
 		intake_source_ask(in, now_ms);
-	if (in->provider != INTAKE_NOBODY)
+	if (in->provider != INTAKE_NONE)
 		return;
 	if (candidates_pick(
 		&in->candidates, in->env, now_ms, in->target, &addr))
 		intake_peer_ask(in, now_ms, &addr);
-	else if (intake_no_candidate(in) && now_ms >= in->anyone_ms)
-		intake_ask_anyone(in, now_ms);
+	else if (intake_no_candidate(in) && now_ms >= in->random_peer_ms)
+		intake_ask_random_peer(in, now_ms);
 }
 
 /* A peer turned up while the platform was being read. */
 static void
-intake_switch(struct intake *in, uint64_t now_ms)
+intake_switch_to_peer(struct intake *in, uint64_t now_ms)
 {
 	struct net_addr addr;
 
-	if (catalog_stage_n_missing(in->stage) < SWITCH_MISSING)
+	if (catalog_stage_n_missing(in->stage) < SWITCH_MISSING_MIN)
 		return;
 	if (!candidates_pick(
 		&in->candidates, in->env, now_ms, in->target, &addr))
@@ -300,17 +303,17 @@
 }
 
 static void
-intake_late(struct intake *in, uint64_t now_ms)
+intake_on_timeout(struct intake *in, uint64_t now_ms)
 {
 	struct spread_action *late;
 
 	if (in->provider == INTAKE_SOURCE) {
 		intake_source_failed(in, now_ms);
 	} else if (in->step == INTAKE_LIST && !in->by_frame) {
-		intake_peer_by_frame(in, now_ms);
+		intake_peer_ask_by_frame(in, now_ms);
 	} else {
 		in->env->stats.pulls_timed_out++;
-		late = env_act(in->env, SPREAD_PEER_TIMED_OUT);
+		late = env_push_action(in->env, SPREAD_PEER_TIMED_OUT);
 		late->peer = in->peer;
 		late->to = in->target;
 		outbox_close(in->env->out, &in->peer, 0);
@@ -326,18 +329,18 @@
 			intake_drop(in);
 		return;
 	}
-	if (in->provider != INTAKE_NOBODY && now_ms >= in->deadline_ms)
-		intake_late(in, now_ms);
+	if (in->provider != INTAKE_NONE && now_ms >= in->deadline_ms)
+		intake_on_timeout(in, now_ms);
 	if (in->provider == INTAKE_SOURCE && in->step == INTAKE_CONTENT) {
-		intake_switch(in, now_ms);
+		intake_switch_to_peer(in, now_ms);
 		if (in->provider == INTAKE_SOURCE)
 			intake_source_ask(in, now_ms);
 	}
-	if (in->provider != INTAKE_NOBODY || in->step == INTAKE_STAGED)
+	if (in->provider != INTAKE_NONE || in->step == INTAKE_STAGED)
 		return;
 	if (in->step == INTAKE_IDLE && now_ms < intake_start_ms(in))
 		return;
-	intake_choose(in, now_ms);
+	intake_choose_provider(in, now_ms);
 }
 
 uint64_t
@@ -357,7 +360,7 @@
 	if (in->budget_ms != DEADLINE_NEVER)
 		source = MAX(source, in->budget_ms);
 	if (next == DEADLINE_NEVER)
-		next = MIN(source, in->anyone_ms);
+		next = MIN(source, in->random_peer_ms);
 	else if (in->failures >= in->env->profile.pull_peers)
 		next = MIN(next, source);
 	return in->step == INTAKE_IDLE ? MAX(next, intake_start_ms(in)) : next;
@@ -365,7 +368,7 @@
 
 /* What is wrong with other content is found when it is missing. */
 static enum status
-intake_given_add(struct intake *in, const uint8_t *data, size_t len)
+intake_add_provided(struct intake *in, const uint8_t *data, size_t len)
 {
 	enum status st = catalog_stage_add(in->stage, data, len);
 
@@ -373,7 +376,7 @@
 }
 
 void
-intake_signed(struct intake *in, uint64_t now_ms,
+intake_on_signed(struct intake *in, uint64_t now_ms,
     const struct spread_version_row *row, const GPtrArray *contents)
 {
 	struct catalog_delta delta;
@@ -397,14 +400,15 @@
 	g_array_unref(delta.changes);
 	for (i = 0; st == STATUS_OK && i < contents->len; i++) {
 		data = g_bytes_get_data(contents->pdata[i], &len);
-		st = intake_given_add(in, data, len);
+		st = intake_add_provided(in, data, len);
 	}
-	intake_begun(in, now_ms, st);
+	intake_list_done(in, now_ms, st);
 }
 
 void
-intake_given(struct intake *in, uint64_t now_ms, const struct rec_head *head,
-    const GArray *list, GBytes *const *contents, uint32_t n_contents)
+intake_on_full_version(struct intake *in, uint64_t now_ms,
+    const struct rec_head *head, const GArray *list, GBytes *const *contents,
+    uint32_t n_contents)
 {
 	const uint8_t *data;
 	enum status st;
@@ -419,9 +423,9 @@
 	    in->env->catalog, head->in_force, &head->root, list, &in->stage);
 	for (i = 0; st == STATUS_OK && i < n_contents; i++) {
 		data = g_bytes_get_data(contents[i], &len);
-		st = intake_given_add(in, data, len);
+		st = intake_add_provided(in, data, len);
 	}
-	intake_begun(in, now_ms, st);
+	intake_list_done(in, now_ms, st);
 }
 
 uint64_t
@@ -439,7 +443,7 @@
 
 	if (st == STATUS_OK)
 		return 1;
-	intake_unfit(in, now_ms, st);
+	intake_reject_stage(in, now_ms, st);
 	return 0;
 }
 
@@ -449,13 +453,13 @@
 	enum status st = catalog_commit(in->env->catalog, in->stage);
 
 	if (st != STATUS_OK) {
-		intake_unfit(in, now_ms, st);
+		intake_reject_stage(in, now_ms, st);
 		return 0;
 	}
 	intake_drop(in);
 	candidates_prune(
 	    &in->candidates, catalog_version(in->env->catalog) + 1);
-	in->full = 0;
+	in->need_full = 0;
 	in->failures = 0;
 	backoff_succeeded(&in->retry);
 	return 1;
--- a/packages/spread/src/intake_peer.c
+++ b/packages/spread/src/intake_peer.c
@@ -13,11 +13,11 @@
 #define CHANGES_MAX 16384
 
 /* Share of a pull's deadline after which a datagram is taken as lost. */
-#define DATAGRAM_SHARE 4
+#define DATAGRAM_TIMEOUT_DIVISOR 4
 
 /* A connection is used again this long after it brought something: a version
  * that needs several answers. */
-#define RENEW_MS 500
+#define CONNECTION_REUSE_MS 500
 
 /* Bounds of the time after which a busy peer is asked again. */
 #define COME_BACK_MIN_MS 20
@@ -36,18 +36,19 @@
  * were made before; waiting for that to show takes half of the time that a
  * version has. */
 static void
-intake_renew(struct intake *in, uint64_t now_ms)
+intake_close_idle(struct intake *in, uint64_t now_ms)
 {
-	if (now_ms >= in->heard_until_ms || !addr_equal(&in->heard, &in->peer))
+	if (now_ms >= in->live_until_ms ||
+	    !addr_equal(&in->live_peer, &in->peer))
 		outbox_close(in->env->out, &in->peer, 0);
 }
 
 /* The connection to the peer asked works. */
 static void
-intake_heard(struct intake *in, uint64_t now_ms)
+intake_mark_live(struct intake *in, uint64_t now_ms)
 {
-	in->heard = in->peer;
-	in->heard_until_ms = now_ms + RENEW_MS;
+	in->live_peer = in->peer;
+	in->live_until_ms = now_ms + CONNECTION_REUSE_MS;
 }
 
 static void
@@ -59,7 +60,7 @@
 
 	in->token = g_rand_int(in->env->rng);
 	msg.token = in->token;
-	msg.have = in->full ? 0 : catalog_version(in->env->catalog);
+	msg.have = in->need_full ? 0 : catalog_version(in->env->catalog);
 	msg.want = want;
 	g_strlcpy(msg.after, after, sizeof(msg.after));
 	msg.packed = true;
@@ -67,18 +68,18 @@
 	msg_pull_encode(&msg, body);
 	in->env->stats.pulls_sent++;
 	if (in->by_frame) {
-		intake_renew(in, now_ms);
+		intake_close_idle(in, now_ms);
 		intake_peer_send(in, now_ms, MSG_PULL, body);
 		return;
 	}
 	in->provider = INTAKE_PEER;
-	in->deadline_ms =
-	    now_ms + in->env->profile.pull_timeout_ms / DATAGRAM_SHARE;
+	in->deadline_ms = now_ms +
+	    in->env->profile.pull_timeout_ms / DATAGRAM_TIMEOUT_DIVISOR;
 	outbox_datagram(in->env->out, &in->peer, MSG_PULL, body);
 }
 
 void
-intake_peer_by_frame(struct intake *in, uint64_t now_ms)
+intake_peer_ask_by_frame(struct intake *in, uint64_t now_ms)
 {
 	in->by_frame = 1;
 	intake_send_pull(in, now_ms, in->list.version, "");
@@ -108,20 +109,20 @@
 {
 	in->peer = *peer;
 	if (in->step == INTAKE_CONTENT) {
-		intake_renew(in, now_ms);
+		intake_close_idle(in, now_ms);
 		intake_send_fetch(in, now_ms);
 		return;
 	}
 	in->step = INTAKE_LIST;
 	in->list.version = in->target;
 	/* A whole bundle does not fit a datagram. */
-	in->by_frame = in->full || catalog_version(in->env->catalog) == 0;
+	in->by_frame = in->need_full || catalog_version(in->env->catalog) == 0;
 	intake_send_pull(in, now_ms, in->target, "");
 }
 
 /* The peer is out; look for another one without waiting. */
 static void
-intake_peer_next(struct intake *in, uint64_t now_ms)
+intake_peer_release(struct intake *in, uint64_t now_ms)
 {
 	intake_stop(in);
 	in->start_ms = now_ms;
@@ -133,8 +134,8 @@
 	candidates_drop(&in->candidates, &in->peer);
 	in->failures++;
 	if (in->failures == in->env->profile.pull_peers)
-		intake_source_wait(in, now_ms);
-	intake_peer_next(in, now_ms);
+		intake_source_schedule(in, now_ms);
+	intake_peer_release(in, now_ms);
 }
 
 static void
@@ -144,55 +145,54 @@
 
 	ms = CLAMP(come_back_ms, COME_BACK_MIN_MS, COME_BACK_MAX_MS);
 	candidates_busy(&in->candidates, &in->peer, now_ms + ms);
-	intake_peer_next(in, now_ms);
+	intake_peer_release(in, now_ms);
 }
 
 void
-intake_peer_blame(
-    struct intake *in, uint64_t now_ms, const struct net_addr *peer)
+intake_peer_ban(struct intake *in, uint64_t now_ms, const struct net_addr *peer)
 {
 	struct net_addr addr;
 
 	addr = *peer;
 	in->env->stats.peers_blamed++;
-	env_act(in->env, SPREAD_PEER_BANNED)->peer = addr;
-	candidates_blame(&in->candidates, now_ms, &addr);
+	env_push_action(in->env, SPREAD_PEER_BANNED)->peer = addr;
+	candidates_ban(&in->candidates, now_ms, &addr);
 	in->failures++;
 	if (in->failures == in->env->profile.pull_peers)
-		intake_source_wait(in, now_ms);
+		intake_source_schedule(in, now_ms);
 }
 
 static void
-intake_peer_bad(struct intake *in, uint64_t now_ms)
+intake_peer_invalid(struct intake *in, uint64_t now_ms)
 {
-	intake_peer_blame(in, now_ms, &in->peer);
-	intake_peer_next(in, now_ms);
+	intake_peer_ban(in, now_ms, &in->peer);
+	intake_peer_release(in, now_ms);
 }
 
 void
-intake_on_garbled(
+intake_on_malformed(
     struct intake *in, uint64_t now_ms, const struct net_addr *peer)
 {
 	if (in->provider == INTAKE_PEER && addr_equal(&in->peer, peer))
-		intake_peer_bad(in, now_ms);
+		intake_peer_invalid(in, now_ms);
 }
 
 /* Whether an answer is the one that is awaited. */
 static int
-intake_awaits(
+intake_expects(
     struct intake *in, uint64_t now_ms, enum intake_step step, uint32_t token)
 {
 	if (in->provider != INTAKE_PEER || in->step != step ||
 	    in->token != token)
 		return 0;
 	if (in->by_frame || step == INTAKE_CONTENT)
-		intake_heard(in, now_ms);
+		intake_mark_live(in, now_ms);
 	return 1;
 }
 
 /* Whether a page of changes makes sense, as the first one or a further one. */
 static int
-intake_page_fits(const struct intake *in, const struct msg_delta *msg)
+intake_page_is_valid(const struct intake *in, const struct msg_delta *msg)
 {
 	uint64_t held;
 
@@ -202,7 +202,7 @@
 	if (msg->result == PULL_FULL && msg->have != 0)
 		return 0;
 	if (in->tag_version == msg->want &&
-	    in->tag != intake_tag_of(&msg->root))
+	    in->tag != intake_root_tag(&msg->root))
 		return 0;
 	if (msg->more && msg->n_changes == 0)
 		return 0;
@@ -300,15 +300,16 @@
 		return 0;
 	if (st == STATUS_OK)
 		return 1;
-	intake_peer_bad(in, now_ms);
+	intake_peer_invalid(in, now_ms);
 	/* What came before it may have been all that was missing. */
-	intake_filled(in, now_ms);
+	intake_check_complete(in, now_ms);
 	return 0;
 }
 
 /* All changes are there: stage them. */
 static void
-intake_listed(struct intake *in, uint64_t now_ms, const struct msg_delta *msg)
+intake_stage_list(
+    struct intake *in, uint64_t now_ms, const struct msg_delta *msg)
 {
 	enum status st;
 
@@ -318,11 +319,11 @@
 	else
 		st = intake_begin_delta(in, &in->list);
 	if (st != STATUS_OK && st != STATUS_CONFLICT) {
-		intake_peer_bad(in, now_ms);
+		intake_peer_invalid(in, now_ms);
 		return;
 	}
-	in->provider = INTAKE_NOBODY;
-	intake_begun(in, now_ms, st);
+	in->provider = INTAKE_NONE;
+	intake_list_done(in, now_ms, st);
 	if (in->step == INTAKE_IDLE)
 		return;
 	if (!intake_take_content(in, now_ms, msg->sections, msg->n_sections))
@@ -330,7 +331,7 @@
 	st = intake_add_patches(in, msg->patches, msg->n_patches);
 	if (intake_too_large(in, now_ms, st))
 		return;
-	intake_filled(in, now_ms);
+	intake_check_complete(in, now_ms);
 	if (in->step == INTAKE_CONTENT)
 		intake_send_fetch(in, now_ms);
 }
@@ -339,14 +340,14 @@
 intake_on_delta(struct intake *in, uint64_t now_ms, const struct msg_delta *msg,
     int in_force)
 {
-	if (!intake_awaits(in, now_ms, INTAKE_LIST, msg->token))
+	if (!intake_expects(in, now_ms, INTAKE_LIST, msg->token))
 		return;
 	if (msg->result == PULL_BUSY) {
 		intake_peer_busy(in, now_ms, msg->come_back_ms);
 		return;
 	}
 	if (msg->result == PULL_LARGE && !in->by_frame) {
-		intake_peer_by_frame(in, now_ms);
+		intake_peer_ask_by_frame(in, now_ms);
 		return;
 	}
 	if (msg->result == PULL_NOT_HERE || msg->result == PULL_LARGE ||
@@ -354,8 +355,8 @@
 		intake_peer_failed(in, now_ms);
 		return;
 	}
-	if (!intake_page_fits(in, msg)) {
-		intake_peer_bad(in, now_ms);
+	if (!intake_page_is_valid(in, msg)) {
+		intake_peer_invalid(in, now_ms);
 		return;
 	}
 	intake_add_page(in, msg);
@@ -363,7 +364,7 @@
 		intake_send_pull(in, now_ms, msg->want,
 		    msg->changes[msg->n_changes - 1].section);
 	else
-		intake_listed(in, now_ms, msg);
+		intake_stage_list(in, now_ms, msg);
 }
 
 void
@@ -373,7 +374,7 @@
 	enum status st;
 	uint32_t before;
 
-	if (!intake_awaits(in, now_ms, INTAKE_CONTENT, msg->token))
+	if (!intake_expects(in, now_ms, INTAKE_CONTENT, msg->token))
 		return;
 	if (msg->result == PULL_BUSY) {
 		intake_peer_busy(in, now_ms, msg->come_back_ms);
@@ -385,7 +386,7 @@
 	st = intake_add_patches(in, msg->patches, msg->n_patches);
 	if (intake_too_large(in, now_ms, st))
 		return;
-	intake_filled(in, now_ms);
+	intake_check_complete(in, now_ms);
 	if (in->step == INTAKE_STAGED)
 		return;
 	if (catalog_stage_n_missing(in->stage) == before)
@@ -395,11 +396,12 @@
 }
 
 void
-intake_on_part(struct intake *in, uint64_t now_ms, const struct net_addr *peer)
+intake_on_partial_frame(
+    struct intake *in, uint64_t now_ms, const struct net_addr *peer)
 {
 	if (in->provider != INTAKE_PEER || !addr_equal(&in->peer, peer))
 		return;
-	intake_heard(in, now_ms);
+	intake_mark_live(in, now_ms);
 	in->deadline_ms = now_ms + in->env->profile.pull_timeout_ms;
 }
 
--- a/packages/spread/src/intake_source.c
+++ b/packages/spread/src/intake_source.c
@@ -15,14 +15,14 @@
 #define PARALLEL_MAX 8
 
 /* After this peers are asked again; what the read gives later is taken. */
-#define READ_LOST_MS 20000
+#define READ_TIMEOUT_MS 20000
 
 /* A node that holds nothing leaves this many times more room before itself,
  * since the one in front of it has the whole configuration to read. */
-#define FULL_FACTOR 10
+#define FULL_READ_FACTOR 10
 
 /* Longest extra room; those in front may be gone, or cut off. */
-#define TURN_MAX_MS 30000
+#define CONTENT_DELAY_MAX_MS 30000
 
 #define MS_PER_S 1000
 #define KEY_BYTES 32
@@ -41,25 +41,26 @@
 	if (in->env->reader_rank != PEERS_RANK_NONE)
 		return in->env->reader_rank * centres + rank;
 	readers = in->env->profile.readers * centres;
-	return readers + env_below(in->env, readers + 1);
+	return readers + env_random_below(in->env, readers + 1);
 }
 
 /* Room that a node leaves for each one in front of it. */
 static uint64_t
-intake_source_room_ms(const struct intake *in)
+intake_source_slot_ms(const struct intake *in)
 {
 	uint64_t room_ms = in->env->profile.source_wait_ms;
 
-	return catalog_version(in->env->catalog) == 0 ? room_ms * FULL_FACTOR
-						      : room_ms;
+	return catalog_version(in->env->catalog) == 0
+	    ? room_ms * FULL_READ_FACTOR
+	    : room_ms;
 }
 
 void
-intake_source_wait(struct intake *in, uint64_t from_ms)
+intake_source_schedule(struct intake *in, uint64_t from_ms)
 {
 	in->source_slot = intake_source_slot(in, from_ms);
 	in->source_ms = MIN(in->source_ms,
-	    from_ms + in->source_slot * intake_source_room_ms(in));
+	    from_ms + in->source_slot * intake_source_slot_ms(in));
 }
 
 /*
@@ -67,22 +68,23 @@
  * room for those in front, so that not all read the same at the same time.
  */
 static void
-intake_source_turn(struct intake *in, uint64_t now_ms)
+intake_source_schedule_content(struct intake *in, uint64_t now_ms)
 {
-	uint64_t room_ms = intake_source_room_ms(in);
+	uint64_t room_ms = intake_source_slot_ms(in);
 	uint64_t read_ms = catalog_stage_n_missing(in->stage) * MS_PER_S /
 	    in->env->profile.source_reads_per_s;
 
-	in->turn_ms = now_ms;
+	in->content_start_ms = now_ms;
 	if (read_ms > room_ms)
-		in->turn_ms +=
-		    MIN(in->source_slot * (read_ms - room_ms), TURN_MAX_MS);
+		in->content_start_ms +=
+		    MIN(in->source_slot * (read_ms - room_ms),
+			CONTENT_DELAY_MAX_MS);
 }
 
 int
-intake_source_open(const struct intake *in, uint64_t now_ms)
+intake_source_available(const struct intake *in, uint64_t now_ms)
 {
-	return backoff_open(&in->source_backoff, now_ms);
+	return backoff_expired(&in->source_backoff, now_ms);
 }
 
 void
@@ -94,7 +96,7 @@
 
 /* Spend one read; 0 if there is none left just now. */
 static int
-intake_source_take(struct intake *in, uint64_t now_ms)
+intake_source_take_token(struct intake *in, uint64_t now_ms)
 {
 	in->budget_ms = DEADLINE_NEVER;
 	if (budget_take(&in->source_budget, now_ms, 1))
@@ -109,30 +111,31 @@
 	struct spread_action *a;
 	uint64_t held;
 
-	if (!intake_source_take(in, now_ms))
+	if (!intake_source_take_token(in, now_ms))
 		return;
 	held = catalog_version(in->env->catalog);
-	a = env_act(in->env, SPREAD_READ_VERSIONS);
+	a = env_push_action(in->env, SPREAD_READ_VERSIONS);
 	a->to = in->target;
 	a->from = held + 1;
-	if (held == 0 || in->full || in->target - held > ROWS_MAX)
+	if (held == 0 || in->need_full || in->target - held > ROWS_MAX)
 		a->from = in->target;
 	in->env->stats.version_reads++;
 	in->step = INTAKE_LIST;
 	in->list.version = in->target;
 	in->provider = INTAKE_SOURCE;
-	in->deadline_ms = now_ms + READ_LOST_MS;
+	in->deadline_ms = now_ms + READ_TIMEOUT_MS;
 	in->list_peer.port = 0;
 }
 
 static int
-intake_was_asked(const struct intake *in, const struct digest *d, uint32_t *at)
+intake_find_request(
+    const struct intake *in, const struct digest *d, uint32_t *at)
 {
 	uint32_t i;
 
-	for (i = 0; i < in->asked->len; i++) {
+	for (i = 0; i < in->requested->len; i++) {
 		if (hash_digest_equal(
-			&g_array_index(in->asked, struct digest, i), d)) {
+			&g_array_index(in->requested, struct digest, i), d)) {
 			*at = i;
 			return 1;
 		}
@@ -146,12 +149,12 @@
 {
 	struct spread_action *a;
 
-	a = env_act(in->env, SPREAD_READ_OBJECT);
+	a = env_push_action(in->env, SPREAD_READ_OBJECT);
 	a->digest = *d;
 	a->list = list;
 	in->env->stats.object_reads++;
 	in->provider = INTAKE_SOURCE;
-	in->deadline_ms = now_ms + READ_LOST_MS;
+	in->deadline_ms = now_ms + READ_TIMEOUT_MS;
 }
 
 static void
@@ -161,19 +164,20 @@
 	GArray *missing;
 	uint32_t i, at;
 
-	if (now_ms < in->turn_ms) {
-		in->budget_ms = in->turn_ms;
-		in->deadline_ms = in->turn_ms + READ_LOST_MS;
+	if (now_ms < in->content_start_ms) {
+		in->budget_ms = in->content_start_ms;
+		in->deadline_ms = in->content_start_ms + READ_TIMEOUT_MS;
 		return;
 	}
 	missing = catalog_stage_missing(in->stage, 2 * PARALLEL_MAX);
-	for (i = 0; i < missing->len && in->asked->len < PARALLEL_MAX; i++) {
+	for (i = 0; i < missing->len && in->requested->len < PARALLEL_MAX;
+	     i++) {
 		d = &g_array_index(missing, struct digest, i);
-		if (intake_was_asked(in, d, &at))
+		if (intake_find_request(in, d, &at))
 			continue;
-		if (!intake_source_take(in, now_ms))
+		if (!intake_source_take_token(in, now_ms))
 			break;
-		g_array_append_vals(in->asked, d, 1);
+		g_array_append_vals(in->requested, d, 1);
 		intake_read_object(in, now_ms, d, 0);
 	}
 	g_array_unref(missing);
@@ -185,7 +189,7 @@
 {
 	if (in->step != INTAKE_CONTENT)
 		return;
-	intake_source_turn(in, now_ms);
+	intake_source_schedule_content(in, now_ms);
 	intake_read_sections(in, now_ms);
 }
 
@@ -201,7 +205,7 @@
 /* Merge the changes of consecutive versions: the last one of a section
  * counts, and the result is sorted by section. */
 static GArray *
-intake_merge(const struct spread_version_row *rows, uint32_t n_rows)
+intake_merge_rows(const struct spread_version_row *rows, uint32_t n_rows)
 {
 	struct rec_section_change *c;
 	GArray *merged;
@@ -226,14 +230,14 @@
 }
 
 static int
-intake_rows_follow(const struct intake *in,
+intake_rows_are_consecutive(const struct intake *in,
     const struct spread_version_row *rows, uint32_t n_rows)
 {
 	uint64_t held;
 	uint32_t i;
 
 	held = catalog_version(in->env->catalog);
-	if (in->full || held == 0)
+	if (in->need_full || held == 0)
 		return 0;
 	for (i = 0; i < n_rows; i++)
 		if (rows[i].whole || rows[i].version != held + 1 + i)
@@ -257,7 +261,7 @@
 	}
 	backoff_succeeded(&in->source_backoff);
 	last = &rows[n_rows - 1];
-	if (!intake_rows_follow(in, rows, n_rows)) {
+	if (!intake_rows_are_consecutive(in, rows, n_rows)) {
 		in->list.root = last->root;
 		intake_read_object(in, now_ms, &last->root, 1);
 		return;
@@ -265,9 +269,9 @@
 	delta.from_version = catalog_version(in->env->catalog);
 	delta.version = last->version;
 	delta.root = last->root;
-	delta.changes = intake_merge(rows, n_rows);
+	delta.changes = intake_merge_rows(rows, n_rows);
 	delta.skips = false;
-	intake_begun(in, now_ms, intake_begin_delta(in, &delta));
+	intake_list_done(in, now_ms, intake_begin_delta(in, &delta));
 	g_array_unref(delta.changes);
 	intake_read_content(in, now_ms);
 }
@@ -288,7 +292,7 @@
 	st = catalog_stage_begin_full(in->env->catalog, in->list.version,
 	    &in->list.root, list, &in->stage);
 	g_array_unref(list);
-	intake_begun(in, now_ms, st);
+	intake_list_done(in, now_ms, st);
 	intake_read_content(in, now_ms);
 }
 
@@ -305,8 +309,8 @@
 	}
 	if (in->step != INTAKE_CONTENT)
 		return;
-	if (intake_was_asked(in, digest, &at))
-		g_array_remove_index_fast(in->asked, at);
+	if (intake_find_request(in, digest, &at))
+		g_array_remove_index_fast(in->requested, at);
 	if (st == STATUS_OK) {
 		st = catalog_stage_add(in->stage, data, len);
 		if (intake_too_large(in, now_ms, st))
@@ -318,7 +322,7 @@
 		return;
 	}
 	backoff_succeeded(&in->source_backoff);
-	intake_filled(in, now_ms);
+	intake_check_complete(in, now_ms);
 	if (in->step == INTAKE_CONTENT && in->provider == INTAKE_SOURCE)
 		intake_read_sections(in, now_ms);
 }
--- a/packages/spread/src/notices.c
+++ b/packages/spread/src/notices.c
@@ -16,32 +16,32 @@
 	memset(&n->head, 0, sizeof(n->head));
 	n->rounds_left = 0;
 	n->next_ms = DEADLINE_NEVER;
-	n->heard = 0;
+	n->duplicates = 0;
 	n->far = 0;
-	n->compare_ms = now_ms + env_around(env, env->profile.anti_entropy_ms);
+	n->compare_ms = now_ms + env_jitter(env, env->profile.anti_entropy_ms);
 }
 
 void
-notices_offer(struct notices *n, uint64_t now_ms,
+notices_start(struct notices *n, uint64_t now_ms,
     const struct rec_head_tag *head, int far)
 {
 	n->head = *head;
 	n->rounds_left = n->env->profile.rounds;
 	n->next_ms = n->rounds_left > 0 ? now_ms : DEADLINE_NEVER;
-	n->heard = 0;
+	n->duplicates = 0;
 	n->far = far;
 }
 
 void
-notices_heard(struct notices *n, uint64_t seq)
+notices_on_duplicate(struct notices *n, uint64_t seq)
 {
 	const struct spread_profile *p;
 
 	p = &n->env->profile;
 	if (seq != n->head.seq || n->rounds_left == p->rounds)
 		return;
-	n->heard++;
-	if (p->quench == 0 || n->heard < p->quench)
+	n->duplicates++;
+	if (p->quench == 0 || n->duplicates < p->quench)
 		return;
 	n->rounds_left = 0;
 	n->next_ms = DEADLINE_NEVER;
@@ -68,7 +68,7 @@
 }
 
 void
-notices_answer(struct notices *n, uint64_t now_ms, const struct net_addr *to)
+notices_reply(struct notices *n, uint64_t now_ms, const struct net_addr *to)
 {
 	notices_send(n, now_ms, to, 1, NOTICE_FAR);
 }
@@ -90,7 +90,7 @@
 	n->rounds_left--;
 	n->next_ms = DEADLINE_NEVER;
 	if (n->rounds_left > 0)
-		n->next_ms = now_ms + env_around(n->env, p->interval_ms);
+		n->next_ms = now_ms + env_jitter(n->env, p->interval_ms);
 }
 
 static void
@@ -99,7 +99,7 @@
 	struct net_addr to;
 
 	n->compare_ms =
-	    now_ms + env_around(n->env, n->env->profile.anti_entropy_ms);
+	    now_ms + env_jitter(n->env, n->env->profile.anti_entropy_ms);
 	if (peers_far(n->env, &to, 1) == 1)
 		notices_send(n, now_ms, &to, 1, NOTICE_COMPARE);
 }
--- a/packages/spread/src/peers.c
+++ b/packages/spread/src/peers.c
@@ -7,10 +7,10 @@
 #include "spread/peers.h"
 
 /* A data centre that was not heard of for so long is taken as cut off. */
-#define IN_TOUCH_MS 30000
+#define REACHABLE_MS 30000
 
 /* Tries to find one more different neighbour by chance. */
-#define TRIES 3
+#define TRIES_PER_PEER 3
 
 int
 peers_joined(const struct spread_env *env)
@@ -22,7 +22,8 @@
 }
 
 static int
-peers_has(const struct net_addr *addrs, uint32_t n, const struct net_addr *a)
+peers_contains(
+    const struct net_addr *addrs, uint32_t n, const struct net_addr *a)
 {
 	uint32_t i;
 
@@ -39,12 +40,12 @@
 	uint32_t found, tries;
 
 	found = 0;
-	for (tries = 0; found < n && tries < n * TRIES; tries++) {
+	for (tries = 0; found < n && tries < n * TRIES_PER_PEER; tries++) {
 		m = membership_random(
 		    env->members, env->data_centre, MEMBER_STATES_LIVE);
 		if (m == NULL)
 			break;
-		if (!peers_has(addrs, found, &m->address))
+		if (!peers_contains(addrs, found, &m->address))
 			addrs[found++] = m->address;
 	}
 	return found;
@@ -52,7 +53,7 @@
 
 /* Names of the other data centres that have live hosts. */
 static uint32_t
-peers_other_centres(const struct spread_env *env, const char **names)
+peers_other_data_centres(const struct spread_env *env, const char **names)
 {
 	const struct membership_data_centre *dc;
 	GArray *list;
@@ -78,9 +79,9 @@
 	uint32_t left, pick, found;
 
 	found = 0;
-	left = peers_other_centres(env, names);
+	left = peers_other_data_centres(env, names);
 	while (found < n && left > 0) {
-		pick = env_below(env, left);
+		pick = env_random_below(env, left);
 		m = membership_random(
 		    env->members, names[pick], MEMBER_STATES_LIVE);
 		names[pick] = names[--left];
@@ -109,7 +110,7 @@
 }
 
 static const char *
-peers_first_centre(const struct spread_env *env)
+peers_keeper_data_centre(const struct spread_env *env)
 {
 	const char *names[PEERS_DATA_CENTRES_MAX];
 	const char *best;
@@ -118,7 +119,7 @@
 
 	best = NULL;
 	best_score = 0;
-	n = peers_other_centres(env, names);
+	n = peers_other_data_centres(env, names);
 	for (i = 0; i < n; i++) {
 		score = hash_rendezvous(env->host, names[i]);
 		if (best == NULL || score > best_score) {
@@ -142,7 +143,7 @@
 	for (i = 0; i < found && kept < n; i++)
 		if (strcmp(ranked[i]->host, env->host) != 0)
 			addrs[kept++] = ranked[i]->address;
-	other = peers_first_centre(env);
+	other = peers_keeper_data_centre(env);
 	if (other == NULL)
 		return kept;
 	found = membership_rank(env->members, other, env->host, ranked, 1);
@@ -169,7 +170,7 @@
 		dc = &g_array_index(list, struct membership_data_centre, i);
 		if (strcmp(dc->name, env->data_centre) == 0)
 			continue;
-		if (dc->live == 0 || dc->heard_ms + IN_TOUCH_MS < now_ms)
+		if (dc->live == 0 || dc->heard_ms + REACHABLE_MS < now_ms)
 			continue;
 		++*count;
 		if (hash_rendezvous(key, dc->name) > own)
--- a/packages/spread/src/progress.c
+++ b/packages/spread/src/progress.c
@@ -10,7 +10,7 @@
 #include "membership/membership.h"
 
 /* How often a changed table of hosts is looked at. */
-#define PLACE_MS 2000
+#define POSITION_INTERVAL_MS 2000
 
 /* Reports that are missed before a child is no longer counted. */
 #define MISSED_REPORTS 3
@@ -21,17 +21,17 @@
  * longer pauses up to progress_refresh_ms.  Under a steady stream of changes
  * the next report comes first.
  */
-#define REPEAT_AFTER 8
+#define REPEAT_FACTOR 8
 
 void
 progress_init(struct progress *p, struct spread_env *env, uint64_t now_ms)
 {
 	memset(p, 0, sizeof(*p));
 	p->env = env;
-	p->place_ms = now_ms;
+	p->next_position_ms = now_ms;
 	p->report_ms = DEADLINE_NEVER;
 	p->pause_ms = env->profile.progress_refresh_ms;
-	p->refresh_ms = now_ms + env_around(env, p->pause_ms);
+	p->refresh_ms = now_ms + env_jitter(env, p->pause_ms);
 	p->answers = g_array_new(FALSE, TRUE, sizeof(struct spread_progress));
 }
 
@@ -42,19 +42,19 @@
 }
 
 /* Live hosts of one data centre, or the first host of each. */
-struct progress_view {
+struct progress_host_list {
 	const char *data_centre;
 	GPtrArray *hosts;
 };
 
 static void
-progress_visit(const struct member *m, void *ctx)
+progress_add_live_host(const struct member *m, void *ctx)
 {
-	struct progress_view *view;
+	struct progress_host_list *list;
 
-	view = ctx;
-	if (member_is_live(m) && strcmp(m->data_centre, view->data_centre) == 0)
-		g_ptr_array_add(view->hosts, (gpointer)m);
+	list = ctx;
+	if (member_is_live(m) && strcmp(m->data_centre, list->data_centre) == 0)
+		g_ptr_array_add(list->hosts, (gpointer)m);
 }
 
 static gint
@@ -67,7 +67,7 @@
 }
 
 static void
-progress_dirty(struct progress *p, uint64_t now_ms)
+progress_schedule_report(struct progress *p, uint64_t now_ms)
 {
 	if (p->report_ms == DEADLINE_NEVER)
 		p->report_ms = now_ms + p->env->profile.progress_ms;
@@ -96,40 +96,40 @@
 }
 
 static void
-progress_place(struct progress *p, uint64_t now_ms)
+progress_update_position(struct progress *p, uint64_t now_ms)
 {
-	struct progress_view view;
+	struct progress_host_list list;
 	const struct member *m;
 	struct net_addr parent;
 	uint32_t i;
 
-	p->place_ms = now_ms + env_around(p->env, PLACE_MS);
+	p->next_position_ms = now_ms + env_jitter(p->env, POSITION_INTERVAL_MS);
 	if (p->change == membership_change(p->env->members))
 		return;
 	p->change = membership_change(p->env->members);
-	view.data_centre = p->env->data_centre;
-	view.hosts = g_ptr_array_new();
-	membership_each(p->env->members, progress_visit, &view);
-	g_ptr_array_sort(view.hosts, progress_by_name);
-	for (i = 0; i < view.hosts->len; i++) {
-		m = g_ptr_array_index(view.hosts, i);
+	list.data_centre = p->env->data_centre;
+	list.hosts = g_ptr_array_new();
+	membership_each(p->env->members, progress_add_live_host, &list);
+	g_ptr_array_sort(list.hosts, progress_by_name);
+	for (i = 0; i < list.hosts->len; i++) {
+		m = g_ptr_array_index(list.hosts, i);
 		if (strcmp(m->host, p->env->host) == 0)
 			break;
 	}
-	if (i < view.hosts->len) {
+	if (i < list.hosts->len) {
 		parent = p->parent;
 		p->has_parent = i > 0;
 		if (i > 0) {
 			m = g_ptr_array_index(
-			    view.hosts, (i - 1) / PROGRESS_ARITY);
+			    list.hosts, (i - 1) / PROGRESS_ARITY);
 			p->parent = m->address;
 		}
-		progress_set_children(p, view.hosts, i * PROGRESS_ARITY + 1);
+		progress_set_children(p, list.hosts, i * PROGRESS_ARITY + 1);
 		if (!addr_equal(&parent, &p->parent))
 			memset(&p->sent, 0, sizeof(p->sent));
-		progress_dirty(p, now_ms);
+		progress_schedule_report(p, now_ms);
 	}
-	g_ptr_array_unref(view.hosts);
+	g_ptr_array_unref(list.hosts);
 }
 
 void
@@ -159,7 +159,7 @@
 }
 
 static bool
-progress_same(
+progress_reports_equal(
     const struct msg_progress_report *a, const struct msg_progress_report *b)
 {
 	return a->version == b->version && a->holding == b->holding &&
@@ -171,7 +171,7 @@
 
 /* The refusals that a child reported. */
 static struct spread_refusal
-progress_refusal(const struct msg_progress_report *msg)
+progress_decode_refusal(const struct msg_progress_report *msg)
 {
 	struct spread_refusal r = {
 	    msg->refusing, msg->refused, msg->refused_since_ms, ""};
@@ -181,7 +181,7 @@
 }
 
 static void
-progress_set_refusal(
+progress_encode_refusal(
     struct msg_progress_report *sum, const struct spread_refusal *r)
 {
 	sum->refusing = r->nodes;
@@ -210,32 +210,32 @@
 		if (c->heard_ms == 0 || now_ms >= c->heard_ms + oldest)
 			continue;
 		progress_add(sum, &c->sum);
-		part = progress_refusal(&c->sum);
+		part = progress_decode_refusal(&c->sum);
 		spread_refusal_add(&refusal, &part);
 	}
-	progress_set_refusal(sum, &refusal);
+	progress_encode_refusal(sum, &refusal);
 }
 
 void
-progress_own(
+progress_set_own(
     struct progress *p, uint64_t now_ms, uint64_t held, uint64_t newest)
 {
 	if (p->held == held && p->newest == newest)
 		return;
 	p->held = held;
 	p->newest = newest;
-	progress_dirty(p, now_ms);
+	progress_schedule_report(p, now_ms);
 }
 
 void
-progress_refuse(
+progress_set_own_refusal(
     struct progress *p, uint64_t now_ms, const struct spread_refusal *r)
 {
 	if (p->refusal.nodes == r->nodes && p->refusal.version == r->version &&
 	    strcmp(p->refusal.reason, r->reason) == 0)
 		return;
 	p->refusal = *r;
-	progress_dirty(p, now_ms);
+	progress_schedule_report(p, now_ms);
 }
 
 void
@@ -249,15 +249,15 @@
 		c = &p->children[i];
 		if (!addr_equal(&c->addr, from))
 			continue;
-		if (!progress_same(&c->sum, msg))
-			progress_dirty(p, now_ms);
+		if (!progress_reports_equal(&c->sum, msg))
+			progress_schedule_report(p, now_ms);
 		c->sum = *msg;
 		c->heard_ms = MAX(now_ms, 1);
 	}
 }
 
 static void
-progress_fill(
+progress_fill_answer(
     const struct progress *p, uint64_t now_ms, struct msg_progress_answer *msg)
 {
 	struct msg_progress_report sum;
@@ -284,7 +284,7 @@
 
 	if (p->has_parent)
 		return;
-	progress_fill(p, now_ms, &answer);
+	progress_fill_answer(p, now_ms, &answer);
 	answer.token = msg->token;
 	body = g_byte_array_new();
 	msg_progress_answer_encode(&answer, body);
@@ -322,7 +322,7 @@
 }
 
 static void
-progress_visit_first(const struct member *m, void *ctx)
+progress_add_root(const struct member *m, void *ctx)
 {
 	GHashTable *first;
 	const struct member *known;
@@ -349,7 +349,7 @@
 
 	msg.token = ++p->token;
 	first = g_hash_table_new(g_str_hash, g_str_equal);
-	membership_each(p->env->members, progress_visit_first, first);
+	membership_each(p->env->members, progress_add_root, first);
 	g_hash_table_iter_init(&it, first);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		m = value;
@@ -363,23 +363,23 @@
 	g_hash_table_destroy(first);
 	if (p->has_parent)
 		return;
-	progress_fill(p, now_ms, &own);
+	progress_fill_answer(p, now_ms, &own);
 	own.token = p->token;
 	progress_on_answer(p, now_ms, &own);
 }
 
 static void
-progress_schedule(struct progress *p, uint64_t now_ms, int changed)
+progress_schedule_refresh(struct progress *p, uint64_t now_ms, int changed)
 {
 	const struct spread_profile *profile = &p->env->profile;
 	uint32_t pause_ms;
 
 	if (changed)
-		pause_ms = REPEAT_AFTER * profile->progress_ms;
+		pause_ms = REPEAT_FACTOR * profile->progress_ms;
 	else
 		pause_ms = 2 * p->pause_ms;
 	p->pause_ms = MIN(pause_ms, profile->progress_refresh_ms);
-	p->refresh_ms = now_ms + env_around(p->env, p->pause_ms);
+	p->refresh_ms = now_ms + env_jitter(p->env, p->pause_ms);
 }
 
 static void
@@ -393,10 +393,10 @@
 	if (!p->has_parent)
 		return;
 	progress_sum(p, now_ms, &sum);
-	changed = !progress_same(&sum, &p->sent);
+	changed = !progress_reports_equal(&sum, &p->sent);
 	if (!changed && now_ms < p->refresh_ms)
 		return;
-	progress_schedule(p, now_ms, changed);
+	progress_schedule_refresh(p, now_ms, changed);
 	p->sent = sum;
 	p->env->stats.progress_sent++;
 	body = g_byte_array_new();
@@ -407,17 +407,17 @@
 void
 progress_tick(struct progress *p, uint64_t now_ms)
 {
-	if (now_ms >= p->place_ms)
-		progress_place(p, now_ms);
+	if (now_ms >= p->next_position_ms)
+		progress_update_position(p, now_ms);
 	if (now_ms >= p->report_ms || now_ms >= p->refresh_ms)
 		progress_report(p, now_ms);
 	if (now_ms >= p->refresh_ms)
 		p->refresh_ms = now_ms +
-		    env_around(p->env, p->env->profile.progress_refresh_ms);
+		    env_jitter(p->env, p->env->profile.progress_refresh_ms);
 }
 
 uint64_t
 progress_next_ms(const struct progress *p)
 {
-	return MIN(p->place_ms, MIN(p->report_ms, p->refresh_ms));
+	return MIN(p->next_position_ms, MIN(p->report_ms, p->refresh_ms));
 }
--- a/packages/spread/src/quarantine_news.c
+++ b/packages/spread/src/quarantine_news.c
@@ -16,11 +16,11 @@
 #define ENVELOPE_BYTES 1
 
 /**
- * struct held_record - a record and how often it is still to be passed on
+ * struct news_record - a record and how often it is still to be passed on
  * @item: the record
  * @rounds_left: times that it is still to be passed on
  */
-struct held_record {
+struct news_record {
 	struct quarantine_item item;
 	uint32_t rounds_left;
 };
@@ -30,8 +30,8 @@
  * @peers: hosts to talk to; borrowed
  * @out: where datagrams go; borrowed
  * @host: own name
- * @records: struct held_record, in the order in which they came
- * @fresh: struct quarantine_item that came from peers and were not popped
+ * @records: struct news_record, in the order in which they came
+ * @received: struct quarantine_item that came from peers and were not popped
  * @round_ms: when fresh records are passed on; DEADLINE_NEVER for none
  * @compare_ms: when the next comparison is begun
  * @budget: bytes that may be sent now
@@ -43,7 +43,7 @@
 	struct outbox *out;
 	char host[MSG_QUARANTINE_NEWS_HOST_MAX + 1];
 	GPtrArray *records;
-	GQueue fresh;
+	GQueue received;
 	uint64_t round_ms;
 	uint64_t compare_ms;
 	struct budget budget;
@@ -61,7 +61,7 @@
 	n->out = out;
 	(void)g_strlcpy(n->host, host, sizeof(n->host));
 	n->records = g_ptr_array_new_with_free_func(g_free);
-	g_queue_init(&n->fresh);
+	g_queue_init(&n->received);
 	n->round_ms = DEADLINE_NEVER;
 	budget_init(
 	    &n->budget, QUARANTINE_BYTES_PER_S, QUARANTINE_BURST_BYTES, now_ms);
@@ -75,7 +75,7 @@
 	if (n == NULL)
 		return;
 	g_ptr_array_unref(n->records);
-	g_queue_clear_full(&n->fresh, g_free);
+	g_queue_clear_full(&n->received, g_free);
 	g_free(n);
 }
 
@@ -85,7 +85,7 @@
 	return type >= MSG_QUARANTINE_NEWS && type <= MSG_QUARANTINE_IDS;
 }
 
-static struct held_record *
+static struct news_record *
 record_at(const struct quarantine_news *n, guint i)
 {
 	return g_ptr_array_index(n->records, i);
@@ -110,7 +110,7 @@
 }
 
 static bool
-has(const struct quarantine_news *n, uint64_t id)
+has_record(const struct quarantine_news *n, uint64_t id)
 {
 	guint i;
 
@@ -123,7 +123,7 @@
 /* What goes first when there is no more room: the evidence before what was
  * concluded from it, and quarantined requests last. */
 static uint32_t
-worth(enum quarantine_kind kind)
+retention_priority(enum quarantine_kind kind)
 {
 	switch (kind) {
 	case QUARANTINE_HELD:
@@ -137,10 +137,11 @@
 }
 
 static bool
-goes_before(const struct quarantine_item *a, const struct quarantine_item *b)
+evicted_before(const struct quarantine_item *a, const struct quarantine_item *b)
 {
-	if (worth(a->kind) != worth(b->kind))
-		return worth(a->kind) < worth(b->kind);
+	if (retention_priority(a->kind) != retention_priority(b->kind))
+		return retention_priority(a->kind) <
+		    retention_priority(b->kind);
 	return a->at_ms < b->at_ms;
 }
 
@@ -153,10 +154,10 @@
 	if (n->records->len < QUARANTINE_ITEMS_MAX)
 		return true;
 	for (i = 1; i < n->records->len; i++)
-		if (goes_before(
+		if (evicted_before(
 			&record_at(n, i)->item, &record_at(n, first)->item))
 			first = i;
-	if (goes_before(item, &record_at(n, first)->item))
+	if (evicted_before(item, &record_at(n, first)->item))
 		return false;
 	g_ptr_array_remove_index(n->records, first);
 	return true;
@@ -164,14 +165,14 @@
 
 /* Return: whether it was new. */
 static bool
-take(struct quarantine_news *n, const struct quarantine_item *item,
+insert_record(struct quarantine_news *n, const struct quarantine_item *item,
     uint64_t now_ms)
 {
-	struct held_record *r;
+	struct news_record *r;
 
-	if (has(n, item->id) || !make_room(n, item))
+	if (has_record(n, item->id) || !make_room(n, item))
 		return false;
-	r = g_new(struct held_record, 1);
+	r = g_new(struct news_record, 1);
 	r->item = *item;
 	r->rounds_left = QUARANTINE_ROUNDS;
 	g_ptr_array_add(n->records, r);
@@ -183,13 +184,13 @@
 quarantine_news_add(struct quarantine_news *n,
     const struct quarantine_item *item, uint64_t now_ms)
 {
-	(void)take(n, item, now_ms);
+	(void)insert_record(n, item, now_ms);
 }
 
 bool
 quarantine_news_pop(struct quarantine_news *n, struct quarantine_item *out)
 {
-	struct quarantine_item *item = g_queue_pop_head(&n->fresh);
+	struct quarantine_item *item = g_queue_pop_head(&n->received);
 
 	if (item == NULL)
 		return false;
@@ -202,11 +203,11 @@
 
 /* Return: false when too much was sent lately; @body is freed all the same. */
 static bool
-send(struct quarantine_news *n, const struct net_addr *to, enum msg_type type,
-    GByteArray *body, uint64_t now_ms)
+send_msg(struct quarantine_news *n, const struct net_addr *to,
+    enum msg_type type, GByteArray *body, uint64_t now_ms)
 {
 	if (!budget_take(&n->budget, now_ms, body->len + ENVELOPE_BYTES)) {
-		n->counters.put_off++;
+		n->counters.postponed++;
 		g_byte_array_unref(body);
 		return false;
 	}
@@ -217,8 +218,8 @@
 }
 
 static void
-to_record(const struct quarantine_item *item, struct rec_quarantine_record *r,
-    uint64_t now_ms)
+item_to_record(const struct quarantine_item *item,
+    struct rec_quarantine_record *r, uint64_t now_ms)
 {
 	memset(r, 0, sizeof(*r));
 	r->id = item->id;
@@ -249,13 +250,13 @@
 /* Sends records from number @from on, as many as a datagram takes.
  * Return: the number of the first that was left. */
 static guint
-send_some(struct quarantine_news *n, const struct net_addr *to,
+send_page(struct quarantine_news *n, const struct net_addr *to,
     GPtrArray *records, guint from, uint64_t now_ms)
 {
 	struct rec_quarantine_record list[MSG_QUARANTINE_NEWS_RECORDS_MAX];
 	struct msg_quarantine_news m = {.records = list};
 	GByteArray *body = g_byte_array_new();
-	const struct held_record *r;
+	const struct news_record *r;
 	uint32_t bytes = 0;
 	guint i;
 
@@ -263,19 +264,19 @@
 	for (i = from; i < records->len && m.n_records < G_N_ELEMENTS(list);
 	     i++) {
 		r = g_ptr_array_index(records, i);
-		to_record(&r->item, &list[m.n_records], now_ms);
+		item_to_record(&r->item, &list[m.n_records], now_ms);
 		bytes += encoded_bytes(&list[m.n_records]);
 		if (m.n_records > 0 && bytes > NEWS_BYTES)
 			break;
 		m.n_records++;
 	}
 	msg_quarantine_news_encode(&m, body);
-	return send(n, to, MSG_QUARANTINE_NEWS, body, now_ms) ? i : from;
+	return send_msg(n, to, MSG_QUARANTINE_NEWS, body, now_ms) ? i : from;
 }
 
 /* Return: how many of the records were sent. */
 static guint
-send_all(struct quarantine_news *n, const struct net_addr *to,
+send_pages(struct quarantine_news *n, const struct net_addr *to,
     GPtrArray *records, uint64_t now_ms)
 {
 	uint32_t datagrams;
@@ -284,7 +285,7 @@
 	for (datagrams = 0;
 	     datagrams < QUARANTINE_ANSWER_MAX && from < records->len;
 	     datagrams++) {
-		next = send_some(n, to, records, from, now_ms);
+		next = send_page(n, to, records, from, now_ms);
 		if (next == from)
 			break;
 		from = next;
@@ -304,11 +305,11 @@
 	for (m.n_ids = 0; m.n_ids < n->records->len; m.n_ids++)
 		ids[m.n_ids] = record_at(n, m.n_ids)->item.id;
 	msg_quarantine_ids_encode(&m, body);
-	(void)send(n, to, MSG_QUARANTINE_IDS, body, now_ms);
+	(void)send_msg(n, to, MSG_QUARANTINE_IDS, body, now_ms);
 }
 
 static uint64_t
-digest(const struct quarantine_news *n)
+ids_digest(const struct quarantine_news *n)
 {
 	uint64_t sum = 0;
 	guint i;
@@ -323,19 +324,19 @@
 send_digest(
     struct quarantine_news *n, const struct net_addr *to, uint64_t now_ms)
 {
-	struct msg_quarantine_digest m = {.digest = digest(n)};
+	struct msg_quarantine_digest m = {.digest = ids_digest(n)};
 	GByteArray *body = g_byte_array_new();
 
 	(void)g_strlcpy(m.host, n->host, sizeof(m.host));
 	msg_quarantine_digest_encode(&m, body);
-	(void)send(n, to, MSG_QUARANTINE_DIGEST, body, now_ms);
+	(void)send_msg(n, to, MSG_QUARANTINE_DIGEST, body, now_ms);
 }
 
 /* Receiving */
 
 static bool
-from_record(const struct rec_quarantine_record *r, struct quarantine_item *item,
-    uint64_t now_ms)
+record_to_item(const struct rec_quarantine_record *r,
+    struct quarantine_item *item, uint64_t now_ms)
 {
 	if (r->id == 0 || r->n_prints > QUARANTINE_PRINTS_MAX ||
 	    (r->kind != QUARANTINE_CRASH && r->n_prints != 1))
@@ -365,16 +366,16 @@
 
 	n->joined = true;
 	for (i = 0; i < m->n_records; i++) {
-		if (!from_record(&m->records[i], &item, now_ms) ||
-		    !take(n, &item, now_ms))
+		if (!record_to_item(&m->records[i], &item, now_ms) ||
+		    !insert_record(n, &item, now_ms))
 			continue;
 		n->counters.records++;
-		g_queue_push_tail(&n->fresh, g_memdup2(&item, sizeof(item)));
+		g_queue_push_tail(&n->received, g_memdup2(&item, sizeof(item)));
 	}
 }
 
 static bool
-names(const struct msg_quarantine_ids *m, uint64_t id)
+contains_id(const struct msg_quarantine_ids *m, uint64_t id)
 {
 	uint32_t i;
 
@@ -384,25 +385,25 @@
 	return false;
 }
 
-/* Sends what the peer lacks, and asks for what lacks here. */
+/* Sends what the peer missing, and asks for what missing here. */
 static void
 on_ids(struct quarantine_news *n, const struct net_addr *from,
     const struct msg_quarantine_ids *m, uint64_t now_ms)
 {
-	GPtrArray *lacks = g_ptr_array_new();
-	bool wants = false;
+	GPtrArray *missing = g_ptr_array_new();
+	bool lacks_ids = false;
 	uint32_t i;
 
 	for (i = 0; i < n->records->len; i++)
-		if (!names(m, record_at(n, i)->item.id))
-			g_ptr_array_add(lacks, record_at(n, i));
-	for (i = 0; i < m->n_ids && !wants; i++)
-		wants = !has(n, m->ids[i]);
-	(void)send_all(n, from, lacks, now_ms);
+		if (!contains_id(m, record_at(n, i)->item.id))
+			g_ptr_array_add(missing, record_at(n, i));
+	for (i = 0; i < m->n_ids && !lacks_ids; i++)
+		lacks_ids = !has_record(n, m->ids[i]);
+	(void)send_pages(n, from, missing, now_ms);
 	/* One that has just started waits for an answer, be it an empty one. */
-	if ((wants || m->n_ids == 0) && !m->answer)
+	if ((lacks_ids || m->n_ids == 0) && !m->answer)
 		send_ids(n, from, true, now_ms);
-	g_ptr_array_unref(lacks);
+	g_ptr_array_unref(missing);
 	n->joined = true;
 }
 
@@ -410,7 +411,7 @@
 on_digest(struct quarantine_news *n, const struct net_addr *from,
     const struct msg_quarantine_digest *m, uint64_t now_ms)
 {
-	if (m->digest != digest(n))
+	if (m->digest != ids_digest(n))
 		send_ids(n, from, false, now_ms);
 }
 
@@ -448,26 +449,27 @@
 
 /* What is to be passed on, conclusions before evidence. */
 static GPtrArray *
-fresh_records(const struct quarantine_news *n)
+records_to_send(const struct quarantine_news *n)
 {
 	GPtrArray *fresh = g_ptr_array_new();
-	uint32_t least = worth(QUARANTINE_HELD) + 1;
-	struct held_record *r;
+	uint32_t least = retention_priority(QUARANTINE_HELD) + 1;
+	struct news_record *r;
 	guint i;
 
 	while (least-- > 0)
 		for (i = 0; i < n->records->len; i++) {
 			r = record_at(n, i);
-			if (r->rounds_left > 0 && worth(r->item.kind) == least)
+			if (r->rounds_left > 0 &&
+			    retention_priority(r->item.kind) == least)
 				g_ptr_array_add(fresh, r);
 		}
 	return fresh;
 }
 
 static void
-pass_on(struct quarantine_news *n, uint64_t now_ms)
+send_round(struct quarantine_news *n, uint64_t now_ms)
 {
-	GPtrArray *fresh = fresh_records(n);
+	GPtrArray *fresh = records_to_send(n);
 	uint32_t pause_ms = QUARANTINE_COMPARE_MS;
 	struct net_addr to;
 	guint sent = 0, i;
@@ -476,17 +478,17 @@
 		if (!n->peers->random(n->peers, &to))
 			continue;
 		pause_ms = QUARANTINE_ROUND_MS;
-		sent = MAX(sent, send_all(n, &to, fresh, now_ms));
+		sent = MAX(sent, send_pages(n, &to, fresh, now_ms));
 	}
 	for (i = 0; i < sent; i++)
-		((struct held_record *)fresh->pdata[i])->rounds_left--;
+		((struct news_record *)fresh->pdata[i])->rounds_left--;
 	n->round_ms = fresh->len > 0 ? now_ms + pause_ms : DEADLINE_NEVER;
 	g_ptr_array_unref(fresh);
 }
 
 /* A node that has just started has nothing, and asks until it was answered. */
 static void
-compare(struct quarantine_news *n, uint64_t now_ms)
+begin_comparison(struct quarantine_news *n, uint64_t now_ms)
 {
 	bool full = n->records->len == QUARANTINE_ITEMS_MAX;
 	struct net_addr to;
@@ -505,9 +507,9 @@
 quarantine_news_tick(struct quarantine_news *n, uint64_t now_ms)
 {
 	if (now_ms >= n->round_ms)
-		pass_on(n, now_ms);
+		send_round(n, now_ms);
 	if (now_ms >= n->compare_ms)
-		compare(n, now_ms);
+		begin_comparison(n, now_ms);
 }
 
 uint64_t
--- a/packages/spread/src/reader_group.c
+++ b/packages/spread/src/reader_group.c
@@ -12,15 +12,15 @@
 
 /* An answer, its way here and the turn of a thread on a tenth of a core; an
  * answer later than that is to be doubted. */
-#define SLACK_MS 200
+#define ANSWER_SLACK_MS 200
 
 /* What the host before needs to take over and to tell: a read and a datagram.
  */
-#define STEP_MS 150
+#define TAKEOVER_STEP_MS 150
 
 /* Who has not been answered for so long while nobody else is says so, without
  * waiting for its read to fail. */
-#define LONE_MS 400
+#define ISOLATED_MS 400
 
 void
 reader_group_init(struct reader_group *g, struct spread_env *env)
@@ -28,35 +28,35 @@
 	memset(g, 0, sizeof(*g));
 	g->env = env;
 	g->rank = PEERS_RANK_NONE;
-	g->lone_ms = DEADLINE_NEVER;
+	g->isolation_check_ms = DEADLINE_NEVER;
 	/* Polls come after half to one and a half of their mean time. */
 	g->period_ms = env->profile.head_poll_ms * 3 / 2;
 }
 
 void
-reader_group_follow(struct reader_group *g, uint32_t wait_ms)
+reader_group_set_long_poll(struct reader_group *g, uint32_t wait_ms)
 {
-	g->follows = wait_ms > 0;
-	if (g->follows)
+	g->long_polls = wait_ms > 0;
+	if (g->long_polls)
 		g->period_ms = wait_ms;
 }
 
 /* Hosts that read or stand by; those after them are the further ones. */
 static uint32_t
-near_size(const struct reader_group *g)
+active_size(const struct reader_group *g)
 {
 	return MIN(
 	    g->env->profile.readers + READER_GROUP_STANDBYS, READER_GROUP_MAX);
 }
 
 int
-reader_group_stands_by(const struct reader_group *g)
+reader_group_is_active(const struct reader_group *g)
 {
-	return g->rank < near_size(g);
+	return g->rank < active_size(g);
 }
 
 static struct reader_group_host *
-group_find(struct reader_group *g, const struct net_addr *addr)
+reader_group_find(struct reader_group *g, const struct net_addr *addr)
 {
 	uint32_t i;
 
@@ -67,7 +67,7 @@
 }
 
 void
-reader_group_set(struct reader_group *g, uint64_t now_ms,
+reader_group_set_hosts(struct reader_group *g, uint64_t now_ms,
     const struct net_addr *addrs, uint32_t n, uint32_t rank)
 {
 	struct reader_group_host hosts[READER_GROUP_MAX] = {0};
@@ -77,29 +77,29 @@
 	n = MIN(n, READER_GROUP_MAX);
 	for (i = 0; i < n; i++) {
 		hosts[i].addr = addrs[i];
-		known = group_find(g, &addrs[i]);
+		known = reader_group_find(g, &addrs[i]);
 		if (known != NULL)
 			hosts[i] = *known;
 	}
 	memcpy(g->hosts, hosts, sizeof(hosts));
 	g->n_hosts = n;
 	if (rank != PEERS_RANK_NONE && g->rank == PEERS_RANK_NONE)
-		g->since_ms = now_ms;
+		g->member_since_ms = now_ms;
 	g->rank = rank;
 }
 
 /* Two rounds of reports, so that one may be lost. */
 static void
-widen(struct reader_group *g, uint64_t now_ms)
+include_reserves(struct reader_group *g, uint64_t now_ms)
 {
-	g->wide_until_ms = now_ms + 2 * (uint64_t)g->period_ms;
+	g->report_all_until_ms = now_ms + 2 * (uint64_t)g->period_ms;
 }
 
 void
 reader_group_on_report(struct reader_group *g, uint64_t now_ms,
     const struct net_addr *from, const struct msg_read_report *msg)
 {
-	struct reader_group_host *host = group_find(g, from);
+	struct reader_group_host *host = reader_group_find(g, from);
 
 	if (host == NULL)
 		return;
@@ -107,16 +107,17 @@
 		host->failed_ms = now_ms;
 	host->failed = !msg->answered;
 	if (msg->nobody)
-		g->asked_until_ms = now_ms + g->period_ms + SLACK_MS;
-	if (msg->nobody || host - g->hosts >= near_size(g))
-		widen(g, now_ms);
+		g->requested_until_ms = now_ms + g->period_ms + ANSWER_SLACK_MS;
+	if (msg->nobody || host - g->hosts >= active_size(g))
+		include_reserves(g, now_ms);
 	if (!msg->answered) {
-		reader_position_settled(
+		reader_position_advance(
 		    &g->position, msg->position, msg->version);
 		return;
 	}
 	host->answered_ms = now_ms;
-	reader_position_told(&g->position, now_ms, msg->position, msg->version);
+	reader_position_report(
+	    &g->position, now_ms, msg->position, msg->version);
 }
 
 /* Until when a host counts as answered. */
@@ -128,12 +129,12 @@
 		return host->failed_ms;
 	if (host->answered_ms == 0)
 		return 0;
-	return host->answered_ms + g->period_ms + SLACK_MS;
+	return host->answered_ms + g->period_ms + ANSWER_SLACK_MS;
 }
 
 /* Whether no host but this one counts as answered. */
 static bool
-nobody_else(const struct reader_group *g, uint64_t now_ms)
+no_other_answered(const struct reader_group *g, uint64_t now_ms)
 {
 	uint32_t i;
 
@@ -150,8 +151,8 @@
 	uint32_t i, n = g->n_hosts;
 	GByteArray *body;
 
-	if (now_ms >= g->wide_until_ms && reader_group_stands_by(g))
-		n = MIN(n, near_size(g));
+	if (now_ms >= g->report_all_until_ms && reader_group_is_active(g))
+		n = MIN(n, active_size(g));
 	for (i = 0; i < n; i++) {
 		if (i == g->rank)
 			continue;
@@ -174,15 +175,15 @@
 	struct msg_read_report msg = {.answered = false,
 	    .position = g->position.settled,
 	    .version = g->position.settled_version,
-	    .nobody = nobody_else(g, now_ms)};
+	    .nobody = no_other_answered(g, now_ms)};
 
 	if (msg.nobody)
-		widen(g, now_ms);
+		include_reserves(g, now_ms);
 	send_report(g, now_ms, &msg);
 }
 
 void
-reader_group_report(
+reader_group_on_read_ended(
     struct reader_group *g, uint64_t now_ms, int answered, uint64_t position)
 {
 	struct msg_read_report msg = {.answered = true,
@@ -190,19 +191,19 @@
 	    .version = version_held(g),
 	    .nobody = false};
 
-	g->failing = !answered;
+	g->last_read_failed = !answered;
 	if (!answered) {
 		report_failure(g, now_ms);
 		return;
 	}
-	g->begun = 1;
-	g->lone_ms = DEADLINE_NEVER;
+	g->answered = 1;
+	g->isolation_check_ms = DEADLINE_NEVER;
 	send_report(g, now_ms, &msg);
 }
 
 /* Hosts above this one that have not said that they fail. */
 static uint32_t
-count_relied(const struct reader_group *g)
+count_not_failed(const struct reader_group *g)
 {
 	uint32_t i, n = 0;
 
@@ -214,9 +215,9 @@
 /* Latest time at which a host above this one was answered; the time before
  * this host was of the group doesn't count against them. */
 static uint64_t
-heard_ms(const struct reader_group *g)
+last_answered_ms(const struct reader_group *g)
 {
-	uint64_t ms = g->since_ms;
+	uint64_t ms = g->member_since_ms;
 	uint32_t i;
 
 	for (i = 0; i < g->rank; i++)
@@ -227,11 +228,12 @@
 
 /* When nobody above has been heard of for too long. */
 static uint64_t
-silent_ms(const struct reader_group *g)
+silence_deadline_ms(const struct reader_group *g)
 {
-	uint32_t turns = g->follows ? g->env->profile.readers : 1;
+	uint32_t turns = g->long_polls ? g->env->profile.readers : 1;
 
-	return heard_ms(g) + g->period_ms / MAX(turns, 1U) + SLACK_MS;
+	return last_answered_ms(g) + g->period_ms / MAX(turns, 1U) +
+	    ANSWER_SLACK_MS;
 }
 
 /* When fewer than @wanted hosts above count as answered; 0 if that is so. */
@@ -258,9 +260,9 @@
 /* When too few hosts above are answered.  Those that this host has never heard
  * of may just not have told yet. */
 static uint64_t
-few_ms(const struct reader_group *g)
+too_few_deadline_ms(const struct reader_group *g)
 {
-	uint64_t first_ms = g->since_ms + g->period_ms + SLACK_MS;
+	uint64_t first_ms = g->member_since_ms + g->period_ms + ANSWER_SLACK_MS;
 
 	return MAX(first_ms, enough_until_ms(g, g->env->profile.readers));
 }
@@ -279,7 +281,7 @@
 /* Hosts above this one that may still take over: they have not said that they
  * fail, and don't count as answered at a time. */
 static uint32_t
-count_awaited(const struct reader_group *g, uint64_t at_ms)
+count_may_take_over(const struct reader_group *g, uint64_t at_ms)
 {
 	uint32_t i, n = 0;
 
@@ -292,43 +294,45 @@
 
 /* When this host takes over though it could from @at_ms on. */
 static uint64_t
-in_turn_ms(const struct reader_group *g, uint64_t at_ms)
+takeover_ms(const struct reader_group *g, uint64_t at_ms)
 {
-	return at_ms + (uint64_t)STEP_MS * count_awaited(g, at_ms);
+	return at_ms +
+	    (uint64_t)TAKEOVER_STEP_MS * count_may_take_over(g, at_ms);
 }
 
 /* A further host reads when it is asked to, and goes on while it is answered
  * and none above it is. */
 static enum reader_group_reason
-work_out_further(const struct reader_group *g, uint64_t now_ms)
+decide_reserve_reason(const struct reader_group *g, uint64_t now_ms)
 {
 	bool reads = reader_group_reads(g);
 
-	if (!reads && now_ms >= g->asked_until_ms)
+	if (!reads && now_ms >= g->requested_until_ms)
 		return READER_GROUP_NOT_READING;
 	if (now_ms < enough_until_ms(g, 1))
 		return READER_GROUP_NOT_READING;
-	if ((!g->begun || g->failing) && !nobody_else(g, now_ms))
+	if ((!g->answered || g->last_read_failed) &&
+	    !no_other_answered(g, now_ms))
 		return READER_GROUP_NOT_READING;
 	return READER_GROUP_NONE_ANSWERED;
 }
 
 static enum reader_group_reason
-work_out(const struct reader_group *g, uint64_t now_ms)
+decide_reason(const struct reader_group *g, uint64_t now_ms)
 {
 	uint32_t readers = g->env->profile.readers;
 
 	if (g->rank == PEERS_RANK_NONE)
 		return READER_GROUP_NOT_READING;
-	if (!reader_group_stands_by(g))
-		return work_out_further(g, now_ms);
+	if (!reader_group_is_active(g))
+		return decide_reserve_reason(g, now_ms);
 	if (g->rank < readers)
 		return READER_GROUP_BY_RANK;
-	if (count_relied(g) < readers)
+	if (count_not_failed(g) < readers)
 		return READER_GROUP_FAILED;
-	if (now_ms >= in_turn_ms(g, silent_ms(g)))
+	if (now_ms >= takeover_ms(g, silence_deadline_ms(g)))
 		return READER_GROUP_SILENT;
-	if (now_ms >= in_turn_ms(g, few_ms(g)))
+	if (now_ms >= takeover_ms(g, too_few_deadline_ms(g)))
 		return READER_GROUP_TOO_FEW;
 	/* One that reads goes on until enough others are answered. */
 	if (reader_group_reads(g) && now_ms >= enough_until_ms(g, readers))
@@ -339,31 +343,31 @@
 /* Tells the further hosts that they are needed; not after a start, when all
  * read the whole row by slow links. */
 static void
-report_alone(struct reader_group *g, uint64_t now_ms)
+report_isolation(struct reader_group *g, uint64_t now_ms)
 {
-	if (now_ms < g->lone_ms)
+	if (now_ms < g->isolation_check_ms)
 		return;
-	g->lone_ms = now_ms + LONE_MS;
-	if (version_held(g) != 0 && nobody_else(g, now_ms))
+	g->isolation_check_ms = now_ms + ISOLATED_MS;
+	if (version_held(g) != 0 && no_other_answered(g, now_ms))
 		report_failure(g, now_ms);
 }
 
 int
 reader_group_tick(struct reader_group *g, uint64_t now_ms)
 {
-	enum reader_group_reason reason = work_out(g, now_ms);
+	enum reader_group_reason reason = decide_reason(g, now_ms);
 	int before = reader_group_reads(g);
 
 	g->reason = reason;
 	if (before == reader_group_reads(g)) {
-		report_alone(g, now_ms);
+		report_isolation(g, now_ms);
 		return 0;
 	}
-	g->begun = 0;
-	g->failing = 0;
-	g->lone_ms = DEADLINE_NEVER;
-	if (!before && reader_group_stands_by(g))
-		g->lone_ms = now_ms + LONE_MS;
+	g->answered = 0;
+	g->last_read_failed = 0;
+	g->isolation_check_ms = DEADLINE_NEVER;
+	if (!before && reader_group_is_active(g))
+		g->isolation_check_ms = now_ms + ISOLATED_MS;
 	return 1;
 }
 
@@ -371,12 +375,13 @@
 reader_group_next_ms(const struct reader_group *g)
 {
 	if (reader_group_reads(g))
-		return g->lone_ms;
-	if (!reader_group_stands_by(g))
+		return g->isolation_check_ms;
+	if (!reader_group_is_active(g))
 		return DEADLINE_NEVER;
-	if (count_relied(g) < g->env->profile.readers)
+	if (count_not_failed(g) < g->env->profile.readers)
 		return 0;
-	return MIN(in_turn_ms(g, silent_ms(g)), in_turn_ms(g, few_ms(g)));
+	return MIN(takeover_ms(g, silence_deadline_ms(g)),
+	    takeover_ms(g, too_few_deadline_ms(g)));
 }
 
 int
@@ -387,7 +392,7 @@
 
 /* The first host above this one that is taken to be answered, or NULL. */
 static const struct reader_group_host *
-first_above(const struct reader_group *g, uint64_t now_ms)
+first_answered_above(const struct reader_group *g, uint64_t now_ms)
 {
 	const struct reader_group_host *host;
 	uint32_t i;
@@ -403,23 +408,24 @@
 int
 reader_group_is_first(const struct reader_group *g, uint64_t now_ms)
 {
-	if (!reader_group_reads(g) || g->failing)
+	if (!reader_group_reads(g) || g->last_read_failed)
 		return 0;
-	if (g->rank > 0 && now_ms < g->since_ms + g->period_ms + SLACK_MS &&
-	    count_relied(g) > 0)
+	if (g->rank > 0 &&
+	    now_ms < g->member_since_ms + g->period_ms + ANSWER_SLACK_MS &&
+	    count_not_failed(g) > 0)
 		return 0;
-	return first_above(g, now_ms) == NULL;
+	return first_answered_above(g, now_ms) == NULL;
 }
 
 uint32_t
 reader_group_wait_ms(const struct reader_group *g, uint64_t now_ms)
 {
-	const struct reader_group_host *first = first_above(g, now_ms);
+	const struct reader_group_host *first = first_answered_above(g, now_ms);
 	uint32_t readers = MAX(g->env->profile.readers, 1U);
 	uint64_t turn_ms;
 
 	/* One that takes over looks at once. */
-	if (!g->begun)
+	if (!g->answered)
 		return 0;
 	if (first == NULL)
 		return g->period_ms;
@@ -434,5 +440,5 @@
 uint64_t
 reader_group_position(const struct reader_group *g)
 {
-	return reader_position_from(&g->position, version_held(g));
+	return reader_position_resume(&g->position, version_held(g));
 }
--- a/packages/spread/src/reader_position.c
+++ b/packages/spread/src/reader_position.c
@@ -7,21 +7,21 @@
 #define SETTLED_MS 3000
 
 void
-reader_position_told(struct reader_position *p, uint64_t now_ms,
+reader_position_report(struct reader_position *p, uint64_t now_ms,
     uint64_t position, uint64_t version)
 {
 	if (position == 0)
 		return;
-	if (p->told != 0 && now_ms < p->told_ms + SETTLED_MS)
+	if (p->reported != 0 && now_ms < p->reported_ms + SETTLED_MS)
 		return;
-	reader_position_settled(p, p->told, p->told_version);
-	p->told = position;
-	p->told_version = version;
-	p->told_ms = now_ms;
+	reader_position_advance(p, p->reported, p->reported_version);
+	p->reported = position;
+	p->reported_version = version;
+	p->reported_ms = now_ms;
 }
 
 void
-reader_position_settled(
+reader_position_advance(
     struct reader_position *p, uint64_t position, uint64_t version)
 {
 	if (position <= p->settled)
@@ -31,7 +31,7 @@
 }
 
 uint64_t
-reader_position_from(const struct reader_position *p, uint64_t held)
+reader_position_resume(const struct reader_position *p, uint64_t held)
 {
 	return held != 0 && p->settled_version <= held ? p->settled : 0;
 }
--- a/packages/spread/src/readers.c
+++ b/packages/spread/src/readers.c
@@ -10,21 +10,21 @@
 #define READERS_KEY "readers"
 
 /* How often a changed table of hosts is looked at. */
-#define RANK_MS 1000
+#define RANK_INTERVAL_MS 1000
 
 /* A node that is joining looks this often whether it has. */
-#define JOINING_MS 50
+#define JOIN_POLL_MS 50
 
 /*
  * After it has joined it compares its table with others (membership/settle.c);
  * by then most hosts that started with it are known, so that few take
  * themselves for readers.  Until a reader has read, nobody serves.
  */
-#define SETTLE_MS 100
+#define TABLE_SETTLE_MS 100
 
 /* The shell's own timeout of a read is shorter than this: 2 s of waiting, 1.5 s
  * for an answer to begin and 45 s for the largest to come. */
-#define READ_LOST_MS 60000
+#define READ_TIMEOUT_MS 60000
 
 /* A platform that is back is read by one or another reader within some 0.3 s,
  * so that a change is in force in time: the mean of the first of two. */
@@ -37,62 +37,64 @@
 	backoff_init(&r->backoff, env->profile.backoff_base_ms,
 	    MIN(env->profile.backoff_cap_ms, BACKOFF_CAP_MS));
 	reader_group_init(&r->group, env);
-	r->rank_ms = now_ms;
+	r->next_rank_ms = now_ms;
 	r->change = 0;
-	r->poll_ms = now_ms + env_below(env, env->profile.head_poll_ms);
+	r->poll_ms = now_ms + env_random_below(env, env->profile.head_poll_ms);
 	r->alone_ms = now_ms + env->profile.alone_poll_ms +
-	    env_below(env, env->profile.alone_poll_ms);
-	r->settled_ms = DEADLINE_NEVER;
+	    env_random_below(env, env->profile.alone_poll_ms);
+	r->table_settled_ms = DEADLINE_NEVER;
 	probes_init(&r->probes);
 	r->reading = 0;
-	r->asked_ms = 0;
-	r->reading_ms = 0;
+	r->read_start_ms = 0;
+	r->read_deadline_ms = 0;
 }
 
 /* Whether the table is too young to tell who reads; sets the next look. */
 static int
-readers_too_early(struct readers *r, uint64_t now_ms)
+readers_table_unsettled(struct readers *r, uint64_t now_ms)
 {
 	int joined = peers_joined(r->env);
 
-	if (joined && r->settled_ms == DEADLINE_NEVER)
-		r->settled_ms = now_ms + SETTLE_MS;
+	if (joined && r->table_settled_ms == DEADLINE_NEVER)
+		r->table_settled_ms = now_ms + TABLE_SETTLE_MS;
 	else if (!joined)
-		r->settled_ms = DEADLINE_NEVER;
-	if (now_ms >= MIN(r->alone_ms, r->settled_ms))
+		r->table_settled_ms = DEADLINE_NEVER;
+	if (now_ms >= MIN(r->alone_ms, r->table_settled_ms))
 		return 0;
-	r->rank_ms = MIN(now_ms + JOINING_MS, MIN(r->alone_ms, r->settled_ms));
+	r->next_rank_ms =
+	    MIN(now_ms + JOIN_POLL_MS, MIN(r->alone_ms, r->table_settled_ms));
 	return 1;
 }
 
 static void
-readers_rank(struct readers *r, uint64_t now_ms)
+readers_update_rank(struct readers *r, uint64_t now_ms)
 {
 	struct net_addr addrs[READER_GROUP_MAX];
 	uint32_t n, own;
 
 	n = peers_ranked(r->env, READERS_KEY, addrs, READER_GROUP_MAX, &own);
-	reader_group_set(&r->group, now_ms, addrs, n, own);
+	reader_group_set_hosts(&r->group, now_ms, addrs, n, own);
 	r->env->reader_rank =
 	    own < r->env->profile.readers ? own : PEERS_RANK_NONE;
 }
 
 static void
-readers_work_out(struct readers *r, uint64_t now_ms)
+readers_refresh_rank(struct readers *r, uint64_t now_ms)
 {
 	uint64_t change;
 
-	if (readers_too_early(r, now_ms)) {
-		reader_group_set(&r->group, now_ms, NULL, 0, PEERS_RANK_NONE);
+	if (readers_table_unsettled(r, now_ms)) {
+		reader_group_set_hosts(
+		    &r->group, now_ms, NULL, 0, PEERS_RANK_NONE);
 		r->env->reader_rank = PEERS_RANK_NONE;
 		return;
 	}
-	r->rank_ms = now_ms + env_around(r->env, RANK_MS);
+	r->next_rank_ms = now_ms + env_jitter(r->env, RANK_INTERVAL_MS);
 	change = membership_change(r->env->members);
 	if (change == r->change && r->group.rank != PEERS_RANK_NONE)
 		return;
 	r->change = change;
-	readers_rank(r, now_ms);
+	readers_update_rank(r, now_ms);
 }
 
 static void
@@ -102,7 +104,7 @@
 
 	if (!reader_group_tick(&r->group, now_ms))
 		return;
-	a = env_act(r->env, SPREAD_READER);
+	a = env_push_action(r->env, SPREAD_READER);
 	if (!reader_group_reads(&r->group))
 		return;
 	a->to = r->group.rank + 1;
@@ -117,7 +119,7 @@
 readers_due(const struct readers *r, uint64_t now_ms)
 {
 	return readers_is_reader(r) && !r->reading && now_ms >= r->poll_ms &&
-	    backoff_open(&r->backoff, now_ms);
+	    backoff_expired(&r->backoff, now_ms);
 }
 
 static void
@@ -126,14 +128,14 @@
 	struct spread_action *a;
 
 	r->reading = 1;
-	r->asked_ms = now_ms;
-	r->reading_ms = now_ms + READ_LOST_MS;
-	r->poll_ms = now_ms + env_around(r->env, r->env->profile.head_poll_ms);
+	r->read_start_ms = now_ms;
+	r->read_deadline_ms = now_ms + READ_TIMEOUT_MS;
+	r->poll_ms = now_ms + env_jitter(r->env, r->env->profile.head_poll_ms);
 	r->env->stats.head_reads++;
-	a = env_act(r->env, SPREAD_READ_HEAD);
+	a = env_push_action(r->env, SPREAD_READ_HEAD);
 	a->wait_ms = reader_group_wait_ms(&r->group, now_ms);
 	a->from = reader_group_position(&r->group);
-	probes_read(&r->probes, now_ms, a->wait_ms, r->group.rank,
+	probes_on_read_started(&r->probes, now_ms, a->wait_ms, r->group.rank,
 	    r->env->profile.readers);
 }
 
@@ -143,11 +145,11 @@
 	struct spread_action *a;
 
 	if (!readers_is_reader(r) || !r->reading ||
-	    !probes_take(&r->probes, now_ms))
+	    !probes_start(&r->probes, now_ms))
 		return;
 	r->env->stats.head_probes++;
-	a = env_act(r->env, SPREAD_PROBE_HEAD);
-	a->skip_next = probes_beyond(&r->probes, now_ms);
+	a = env_push_action(r->env, SPREAD_PROBE_HEAD);
+	a->skip_next = probes_skip_next(&r->probes, now_ms);
 }
 
 void
@@ -155,11 +157,11 @@
 {
 	static const struct spread_read_end lost = {0};
 
-	if (now_ms >= r->rank_ms)
-		readers_work_out(r, now_ms);
+	if (now_ms >= r->next_rank_ms)
+		readers_refresh_rank(r, now_ms);
 	readers_tick_group(r, now_ms);
-	if (r->reading && now_ms >= r->reading_ms)
-		readers_answered(r, now_ms, &lost);
+	if (r->reading && now_ms >= r->read_deadline_ms)
+		readers_on_read_ended(r, now_ms, &lost);
 	if (readers_due(r, now_ms))
 		readers_read(r, now_ms);
 	readers_probe(r, now_ms);
@@ -168,24 +170,26 @@
 uint64_t
 readers_next_ms(const struct readers *r)
 {
-	uint64_t next = MIN(r->rank_ms, reader_group_next_ms(&r->group));
+	uint64_t next = MIN(r->next_rank_ms, reader_group_next_ms(&r->group));
 
 	if (!readers_is_reader(r))
 		return next;
 	if (r->reading)
 		return MIN(
-		    MIN(next, r->reading_ms), probes_next_ms(&r->probes));
+		    MIN(next, r->read_deadline_ms), probes_next_ms(&r->probes));
 	return MIN(next, MAX(r->poll_ms, r->backoff.until_ms));
 }
 
 void
-readers_answered(
+readers_on_read_ended(
     struct readers *r, uint64_t now_ms, const struct spread_read_end *end)
 {
 	if (r->reading)
-		probes_read_ended(&r->probes, now_ms - r->asked_ms, end);
+		probes_on_read_ended(
+		    &r->probes, now_ms - r->read_start_ms, end);
 	if (r->reading)
-		reader_group_report(&r->group, now_ms, end->ok, end->position);
+		reader_group_on_read_ended(
+		    &r->group, now_ms, end->ok, end->position);
 	r->reading = 0;
 	if (end->ok)
 		backoff_succeeded(&r->backoff);
@@ -194,34 +198,34 @@
 }
 
 void
-readers_probed(
+readers_on_probe_ended(
     struct readers *r, uint64_t now_ms, const struct spread_read_end *end)
 {
-	probes_ended(&r->probes, now_ms, end);
+	probes_on_ended(&r->probes, now_ms, end);
 }
 
 void
 readers_read_now(struct readers *r, uint64_t now_ms)
 {
-	if (reader_group_stands_by(&r->group))
+	if (reader_group_is_active(&r->group))
 		return;
 	r->alone_ms = now_ms;
-	r->rank_ms = now_ms;
+	r->next_rank_ms = now_ms;
 	r->poll_ms = now_ms;
 }
 
 void
-readers_follow(struct readers *r, uint32_t wait_ms)
+readers_set_long_poll(struct readers *r, uint32_t wait_ms)
 {
-	probes_follow(&r->probes, wait_ms);
-	reader_group_follow(&r->group, wait_ms);
+	probes_set_long_poll(&r->probes, wait_ms);
+	reader_group_set_long_poll(&r->group, wait_ms);
 }
 
 void
-readers_begun(struct readers *r, uint64_t now_ms)
+readers_on_answer_begun(struct readers *r, uint64_t now_ms)
 {
 	if (r->reading)
-		reader_group_report(&r->group, now_ms, 1, 0);
+		reader_group_on_read_ended(&r->group, now_ms, 1, 0);
 }
 
 void
--- a/packages/spread/src/serve.c
+++ b/packages/spread/src/serve.c
@@ -9,16 +9,16 @@
 #include "proto/pack.h"
 
 /* Changes in one answer. */
-#define PAGE_CHANGES 1024
+#define PAGE_CHANGES_MAX 1024
 
 /* A peer that is silent for so long gives up its place. */
-#define PLACE_MS 1500
+#define SLOT_IDLE_MS 1500
 
 /* Peers that are turned away come back after half of this to one and a half. */
 #define COME_BACK_MS 300
 
 /* Largest answer in a datagram: fits every path without being cut up. */
-#define DATAGRAM_BYTES 1200
+#define DATAGRAM_BYTES_MAX 1200
 
 /* Rough size of a change in an answer, for the budget. */
 #define CHANGE_BYTES 64
@@ -38,36 +38,36 @@
 
 /* Take or keep a place for a peer; 0 when all are taken. */
 static int
-serve_place(struct serve *s, uint64_t now_ms, const struct net_addr *addr)
+serve_take_slot(struct serve *s, uint64_t now_ms, const struct net_addr *addr)
 {
-	struct serve_place *p, *unused;
+	struct serve_slot *p, *unused;
 	uint32_t i, n;
 
 	unused = NULL;
-	n = MIN(s->env->profile.join_limit, SERVE_PLACES_MAX);
+	n = MIN(s->env->profile.join_limit, SERVE_SLOTS_MAX);
 	for (i = 0; i < n; i++) {
-		p = &s->places[i];
+		p = &s->slots[i];
 		if (now_ms >= p->until_ms)
 			unused = p;
 		else if (addr_equal(&p->addr, addr))
 			break;
 	}
-	p = i < n ? &s->places[i] : unused;
+	p = i < n ? &s->slots[i] : unused;
 	if (p == NULL)
 		return 0;
 	p->addr = *addr;
-	p->until_ms = now_ms + PLACE_MS;
+	p->until_ms = now_ms + SLOT_IDLE_MS;
 	return 1;
 }
 
 static void
-serve_leave(struct serve *s, const struct net_addr *addr)
+serve_release_slot(struct serve *s, const struct net_addr *addr)
 {
 	uint32_t i;
 
-	for (i = 0; i < SERVE_PLACES_MAX; i++)
-		if (addr_equal(&s->places[i].addr, addr))
-			s->places[i].until_ms = 0;
+	for (i = 0; i < SERVE_SLOTS_MAX; i++)
+		if (addr_equal(&s->slots[i].addr, addr))
+			s->slots[i].until_ms = 0;
 }
 
 static GByteArray *
@@ -82,7 +82,7 @@
 
 /* Leave out what an answer would carry. */
 static void
-serve_empty(struct msg_delta *msg, enum pull_result result)
+serve_clear_reply(struct msg_delta *msg, enum pull_result result)
 {
 	msg->result = result;
 	msg->more = 0;
@@ -119,9 +119,9 @@
 	GByteArray *body;
 
 	body = serve_encode_delta(msg);
-	if (conn == 0 && body->len > DATAGRAM_BYTES) {
+	if (conn == 0 && body->len > DATAGRAM_BYTES_MAX) {
 		g_byte_array_unref(body);
-		serve_empty(msg, PULL_LARGE);
+		serve_clear_reply(msg, PULL_LARGE);
 		body = serve_encode_delta(msg);
 	}
 	if (msg->result == PULL_BUSY)
@@ -163,7 +163,7 @@
 
 /* The whole list of a version as changes from nothing. */
 static enum status
-serve_full(struct serve *s, uint64_t version, struct catalog_delta *delta)
+serve_full_list(struct serve *s, uint64_t version, struct catalog_delta *delta)
 {
 	struct rec_section_change change;
 	const struct rec_section_ref *ref;
@@ -204,7 +204,7 @@
 	if (i == changes->len)
 		return;
 	msg->changes = &g_array_index(changes, struct rec_section_change, i);
-	msg->n_changes = MIN(changes->len - i, PAGE_CHANGES);
+	msg->n_changes = MIN(changes->len - i, PAGE_CHANGES_MAX);
 	msg->more = i + msg->n_changes < changes->len;
 }
 
@@ -285,7 +285,7 @@
 
 /* Add the content of changed sections as far as it fits; 1 if all did. */
 static int
-serve_inline(struct serve *s, const struct msg_delta *msg, uint32_t limit,
+serve_add_changes(struct serve *s, const struct msg_delta *msg, uint32_t limit,
     struct serve_contents *contents)
 {
 	uint32_t i;
@@ -334,8 +334,9 @@
 	/* A peer that is only too far behind has most of the content. */
 	if (!msg->more && pull->after[0] == '\0' &&
 	    (msg->result == PULL_DELTA || pull->have == 0))
-		whole = serve_inline(s, msg,
-		    conn == 0 ? DATAGRAM_BYTES : s->env->profile.reply_bytes,
+		whole = serve_add_changes(s, msg,
+		    conn == 0 ? DATAGRAM_BYTES_MAX
+			      : s->env->profile.reply_bytes,
 		    &contents);
 	msg->sections =
 	    (struct rec_section_data *)(void *)contents.sections->data;
@@ -345,12 +346,12 @@
 	msg->n_patches = contents.patches->len;
 	whole = whole && !msg->more;
 	if (!whole && conn == 0)
-		serve_empty(msg, PULL_LARGE);
-	else if ((!whole && !serve_place(s, now_ms, from)) ||
+		serve_clear_reply(msg, PULL_LARGE);
+	else if ((!whole && !serve_take_slot(s, now_ms, from)) ||
 	    !budget_take(&s->budget, now_ms, serve_cost(msg)))
-		serve_empty(msg, PULL_BUSY);
+		serve_clear_reply(msg, PULL_BUSY);
 	if (msg->result == PULL_BUSY)
-		msg->come_back_ms = env_around(s->env, COME_BACK_MS);
+		msg->come_back_ms = env_jitter(s->env, COME_BACK_MS);
 	serve_send_delta(s, from, conn, msg, pull->packed);
 	contents_clear(&contents);
 }
@@ -376,7 +377,7 @@
 		st = catalog_delta(s->env->catalog, msg->have, target, &delta);
 	if (st == STATUS_NOT_FOUND && target > msg->have &&
 	    target <= catalog_version(s->env->catalog))
-		st = serve_full(s, target, &delta);
+		st = serve_full_list(s, target, &delta);
 	if (st != STATUS_OK) {
 		reply.result = PULL_NOT_HERE;
 		serve_send_delta(s, from, conn, &reply, false);
@@ -416,10 +417,10 @@
 	reply->result = PULL_NOT_HERE;
 	if (contents->bytes == 0)
 		return;
-	if (!serve_place(s, now_ms, from) ||
+	if (!serve_take_slot(s, now_ms, from) ||
 	    !budget_take(&s->budget, now_ms, contents->bytes)) {
 		reply->result = PULL_BUSY;
-		reply->come_back_ms = env_around(s->env, COME_BACK_MS);
+		reply->come_back_ms = env_jitter(s->env, COME_BACK_MS);
 		return;
 	}
 	reply->result = PULL_DELTA;
@@ -449,7 +450,7 @@
 	}
 	serve_fill_sections(s, now_ms, from, &contents, &reply);
 	if (i == msg->n_wants)
-		serve_leave(s, from);
+		serve_release_slot(s, from);
 	serve_send_sections(s, from, conn, &reply, msg->packed);
 	contents_clear(&contents);
 }
--- a/packages/spread/src/spread.c
+++ b/packages/spread/src/spread.c
@@ -23,7 +23,7 @@
 	serve_init(&s->serve, &s->env, now_ms);
 	floors_init(&s->floors, &s->env, now_ms);
 	progress_init(&s->progress, &s->env, now_ms);
-	s->stock =
+	s->pending_contents =
 	    g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
 	return s;
 }
@@ -36,20 +36,20 @@
 	intake_clear(&s->intake);
 	floors_clear(&s->floors);
 	progress_clear(&s->progress);
-	g_ptr_array_unref(s->stock);
+	g_ptr_array_unref(s->pending_contents);
 	env_clear(&s->env);
 	g_free(s);
 }
 
 /* Each sign-off raises seq and version by one, each halt only seq. */
 uint64_t
-spread_halts(const struct rec_head_tag *head)
+spread_halt_count(const struct rec_head_tag *head)
 {
 	return head->seq - head->version;
 }
 
 static int
-spread_plausible(const struct rec_head_tag *head)
+spread_head_is_consistent(const struct rec_head_tag *head)
 {
 	enum head_state state;
 
@@ -68,11 +68,11 @@
 	if (version == 0)
 		return 0;
 	if (version == catalog_version(s->env.catalog))
-		return intake_tag_of(catalog_root(s->env.catalog));
+		return intake_root_tag(catalog_root(s->env.catalog));
 	if (catalog_list(s->env.catalog, version, &root, &list) != STATUS_OK)
 		return 0;
 	g_array_unref(list);
-	return intake_tag_of(&root);
+	return intake_root_tag(&root);
 }
 
 /*
@@ -81,7 +81,8 @@
  * overrule the true one.  Heads that pings carry have no tag.
  */
 static int
-spread_genuine(const struct spread *s, const struct rec_head_tag *head)
+spread_tag_is_consistent(
+    const struct spread *s, const struct rec_head_tag *head)
 {
 	uint64_t tag;
 
@@ -92,24 +93,24 @@
 }
 
 static void
-spread_remember(struct spread *s, const struct rec_head_tag *head)
+spread_record_head(struct spread *s, const struct rec_head_tag *head)
 {
 	s->heads[s->next_head] = *head;
-	s->next_head = (s->next_head + 1) % SPREAD_HEADS;
+	s->next_head = (s->next_head + 1) % SPREAD_HEADS_MAX;
 }
 
 /* A version was halted since the known head: what is under way may be it. */
 static void
-spread_halted(struct spread *s, const struct rec_head_tag *head)
+spread_on_halt(struct spread *s, const struct rec_head_tag *head)
 {
 	uint64_t under_way;
 
-	under_way = intake_under_way(&s->intake);
+	under_way = intake_version_in_progress(&s->intake);
 	if (under_way > 0 && under_way != head->in_force)
 		intake_drop(&s->intake);
 	if (head->state == HEAD_HALTED &&
 	    head->version > catalog_version(s->env.catalog))
-		env_act(&s->env, SPREAD_HALTED)->to = head->version;
+		env_push_action(&s->env, SPREAD_HALTED)->to = head->version;
 }
 
 /*
@@ -117,7 +118,7 @@
  * that comes later, too high by some fault, must not hold it up for ever.
  */
 static uint64_t
-spread_wanted(const struct spread *s)
+spread_target(const struct spread *s)
 {
 	if (s->ready)
 		return s->known.in_force;
@@ -125,30 +126,32 @@
 }
 
 int
-spread_adopt(struct spread *s, uint64_t now_ms, const struct rec_head_tag *head)
+spread_adopt_head(
+    struct spread *s, uint64_t now_ms, const struct rec_head_tag *head)
 {
-	if (!spread_plausible(head) || head->seq < s->known.seq ||
-	    !spread_genuine(s, head))
+	if (!spread_head_is_consistent(head) || head->seq < s->known.seq ||
+	    !spread_tag_is_consistent(s, head))
 		return 0;
-	intake_tag(&s->intake, head->in_force, head->tag);
+	intake_expect_tag(&s->intake, head->in_force, head->tag);
 	if (head->seq == s->known.seq)
 		return 0;
-	if (spread_halts(head) != spread_halts(&s->known))
-		spread_halted(s, head);
+	if (spread_halt_count(head) != spread_halt_count(&s->known))
+		spread_on_halt(s, head);
 	s->known = *head;
-	s->shown.seq = head->seq;
-	s->shown.version = head->version;
-	s->shown.in_force = head->in_force;
-	s->shown.state = head->state;
-	memset(&s->shown.root, 0, sizeof(s->shown.root));
-	s->origin = 0;
-	spread_remember(s, head);
-	intake_want(&s->intake, now_ms, spread_wanted(s));
+	s->public_head.seq = head->seq;
+	s->public_head.version = head->version;
+	s->public_head.in_force = head->in_force;
+	s->public_head.state = head->state;
+	memset(&s->public_head.root, 0, sizeof(s->public_head.root));
+	s->from_origin = 0;
+	spread_record_head(s, head);
+	intake_set_target(&s->intake, now_ms, spread_target(s));
 	return 1;
 }
 
 void
-spread_origin(struct spread *s, uint64_t now_ms, const struct rec_head *head)
+spread_adopt_origin_head(
+    struct spread *s, uint64_t now_ms, const struct rec_head *head)
 {
 	struct rec_head_tag h;
 
@@ -156,18 +159,18 @@
 	h.version = head->version;
 	h.in_force = head->in_force;
 	h.state = head->state;
-	h.tag = intake_tag_of(&head->root);
+	h.tag = intake_root_tag(&head->root);
 	trace_known(&s->env.trace, now_ms, head->in_force, 0);
-	if (!spread_adopt(s, now_ms, &h))
+	if (!spread_adopt_head(s, now_ms, &h))
 		return;
-	s->shown = *head;
-	s->origin = 1;
+	s->public_head = *head;
+	s->from_origin = 1;
 }
 
 uint64_t
 spread_hold_ms(const struct spread *s)
 {
-	return s->ready ? s->moved_ms + s->env.profile.batch_ms : 0;
+	return s->ready ? s->committed_ms + s->env.profile.batch_ms : 0;
 }
 
 /* The head that the version held came with. */
@@ -178,11 +181,11 @@
 	uint32_t i;
 
 	best = NULL;
-	for (i = 0; i < SPREAD_HEADS; i++) {
+	for (i = 0; i < SPREAD_HEADS_MAX; i++) {
 		h = &s->heads[i];
-		if (h->seq == 0 || h->seq <= s->offered.seq ||
+		if (h->seq == 0 || h->seq <= s->held_head.seq ||
 		    h->in_force > catalog_version(s->env.catalog) ||
-		    spread_halts(h) != spread_halts(&s->known))
+		    spread_halt_count(h) != spread_halt_count(&s->known))
 			continue;
 		if (best == NULL || h->seq > best->seq)
 			best = h;
@@ -192,7 +195,7 @@
 
 /* Tell others what is held here, if that has become something newer. */
 static void
-spread_offer(struct spread *s, uint64_t now_ms)
+spread_publish_head(struct spread *s, uint64_t now_ms)
 {
 	struct rec_gossip_head gossip = {0};
 	const struct rec_head_tag *head;
@@ -202,10 +205,10 @@
 	head = spread_held_head(s);
 	if (head == NULL)
 		return;
-	s->offered = *head;
-	s->offered.tag = spread_held_tag(s, head->in_force);
+	s->held_head = *head;
+	s->held_head.tag = spread_held_tag(s, head->in_force);
 	if (head->seq == s->known.seq)
-		notices_offer(&s->notices, now_ms, head, s->origin);
+		notices_start(&s->notices, now_ms, head, s->from_origin);
 	gossip.seq = head->seq;
 	gossip.version = head->version;
 	gossip.in_force = head->in_force;
@@ -223,13 +226,13 @@
 	if (!intake_commit(&s->intake, now_ms))
 		return;
 	s->env.stats.versions_applied++;
-	a = env_act(&s->env, SPREAD_APPLY);
+	a = env_push_action(&s->env, SPREAD_APPLY);
 	a->from = from;
 	a->to = catalog_version(s->env.catalog);
 	a->steps = trace_steps(&s->env.trace, now_ms, a->to);
-	s->moved_ms = now_ms;
-	if (a->to == s->shown.in_force)
-		s->shown.root = *catalog_root(s->env.catalog);
+	s->committed_ms = now_ms;
+	if (a->to == s->public_head.in_force)
+		s->public_head.root = *catalog_root(s->env.catalog);
 }
 
 /*
@@ -238,33 +241,33 @@
  * never gets there, and would wait for it after a restart.
  */
 static int
-spread_move(struct spread *s, uint64_t now_ms, uint64_t version)
+spread_try_commit(struct spread *s, uint64_t now_ms, uint64_t version)
 {
 	if (!intake_check(&s->intake, now_ms))
 		return 1;
-	floors_tell(&s->floors, now_ms, version);
-	if (!floors_settled(&s->floors, version))
+	floors_announce(&s->floors, now_ms, version);
+	if (!floors_confirmed(&s->floors, version))
 		return 0;
 	spread_commit(s, now_ms);
 	return 1;
 }
 
 static void
-spread_take_in(struct spread *s, uint64_t now_ms)
+spread_run_intake(struct spread *s, uint64_t now_ms)
 {
 	uint64_t version;
 
-	intake_want(&s->intake, now_ms, spread_wanted(s));
+	intake_set_target(&s->intake, now_ms, spread_target(s));
 	intake_tick(&s->intake, now_ms);
 	version = intake_staged(&s->intake);
-	if (version == 0 || (s->origin && now_ms < spread_hold_ms(s)))
+	if (version == 0 || (s->from_origin && now_ms < spread_hold_ms(s)))
 		return;
-	if (spread_move(s, now_ms, version))
+	if (spread_try_commit(s, now_ms, version))
 		intake_tick(&s->intake, now_ms);
 }
 
 static void
-spread_become_ready(struct spread *s)
+spread_update_ready(struct spread *s)
 {
 	uint64_t held;
 
@@ -273,12 +276,12 @@
 	    held < s->floors.floor)
 		return;
 	s->ready = 1;
-	env_act(&s->env, SPREAD_READY)->to = held;
+	env_push_action(&s->env, SPREAD_READY)->to = held;
 }
 
 /* The version that calls are served by, 0 while none are. */
 static uint64_t
-spread_serving(const struct spread *s)
+spread_served_version(const struct spread *s)
 {
 	enum membership_phase phase = membership_phase(s->env.members);
 
@@ -289,12 +292,13 @@
 }
 
 void
-spread_settle(struct spread *s, uint64_t now_ms)
+spread_advance(struct spread *s, uint64_t now_ms)
 {
-	spread_take_in(s, now_ms);
-	spread_offer(s, now_ms);
-	spread_become_ready(s);
-	progress_own(&s->progress, now_ms, spread_serving(s), s->known.version);
+	spread_run_intake(s, now_ms);
+	spread_publish_head(s, now_ms);
+	spread_update_ready(s);
+	progress_set_own(
+	    &s->progress, now_ms, spread_served_version(s), s->known.version);
 	notices_tick(&s->notices, now_ms, readers_is_reader(&s->readers));
 }
 
@@ -309,7 +313,7 @@
 	next = MIN(next, intake_next_ms(&s->intake));
 	next = MIN(next, floors_next_ms(&s->floors));
 	next = MIN(next, progress_next_ms(&s->progress));
-	if (s->origin && intake_staged(&s->intake) > s->floors.told)
+	if (s->from_origin && intake_staged(&s->intake) > s->floors.announced)
 		next = MIN(next, spread_hold_ms(s));
 	return next;
 }
@@ -319,7 +323,7 @@
 {
 	readers_tick(&s->readers, now_ms);
 	floors_tick(&s->floors, now_ms);
-	spread_settle(s, now_ms);
+	spread_advance(s, now_ms);
 	progress_tick(&s->progress, now_ms);
 }
 
@@ -332,7 +336,7 @@
 const struct rec_head *
 spread_head(const struct spread *s)
 {
-	return &s->shown;
+	return &s->public_head;
 }
 
 uint64_t
@@ -370,7 +374,7 @@
 spread_set_refusal(
     struct spread *s, uint64_t now_ms, const struct spread_refusal *r)
 {
-	progress_refuse(&s->progress, now_ms, r);
+	progress_set_own_refusal(&s->progress, now_ms, r);
 }
 
 const struct spread_progress *
--- a/packages/spread/src/spread_events.c
+++ b/packages/spread/src/spread_events.c
@@ -10,31 +10,33 @@
 
 /* A peer holds the version in force of a head, first read @age_ms ago. */
 static int
-spread_heard(struct spread *s, uint64_t now_ms, const struct net_addr *from,
-    const struct rec_head_tag *head, uint32_t age_ms, int near)
+spread_on_peer_head(struct spread *s, uint64_t now_ms,
+    const struct net_addr *from, const struct rec_head_tag *head,
+    uint32_t age_ms, int near)
 {
 	int newer;
 
-	newer = spread_adopt(s, now_ms, head);
+	newer = spread_adopt_head(s, now_ms, head);
 	/* Others have it already: there is nothing to hold back any more. */
 	if (head->seq == s->known.seq) {
-		s->origin = 0;
+		s->from_origin = 0;
 		trace_known(&s->env.trace, now_ms, head->in_force, age_ms);
 	}
-	if (spread_halts(head) == spread_halts(&s->known))
-		intake_offered(&s->intake, now_ms, from, head->in_force, near);
+	if (spread_halt_count(head) == spread_halt_count(&s->known))
+		intake_add_candidate(
+		    &s->intake, now_ms, from, head->in_force, near);
 	return newer;
 }
 
 /* The same, in a message that carries the tag of the version in force. */
 static int
-spread_heard_tagged(struct spread *s, uint64_t now_ms,
+spread_on_tagged_head(struct spread *s, uint64_t now_ms,
     const struct net_addr *from, const struct rec_head_tag *head,
     uint32_t age_ms, int near)
 {
 	if ((head->tag == 0) != (head->in_force == 0))
 		return 0;
-	return spread_heard(s, now_ms, from, head, age_ms, near);
+	return spread_on_peer_head(s, now_ms, from, head, age_ms, near);
 }
 
 static void
@@ -46,13 +48,13 @@
 	if (msg_notice_decode(body, len, &msg) != STATUS_OK)
 		return;
 	s->env.stats.notices_heard++;
-	if (spread_heard_tagged(s, now_ms, from, &msg.head, msg.age_ms,
+	if (spread_on_tagged_head(s, now_ms, from, &msg.head, msg.age_ms,
 		msg.kind == NOTICE_NEAR))
 		s->env.stats.notices_new++;
 	else if (msg.kind == NOTICE_NEAR)
-		notices_heard(&s->notices, msg.head.seq);
-	if (msg.kind == NOTICE_COMPARE && msg.head.seq < s->offered.seq)
-		notices_answer(&s->notices, now_ms, from);
+		notices_on_duplicate(&s->notices, msg.head.seq);
+	if (msg.kind == NOTICE_COMPARE && msg.head.seq < s->held_head.seq)
+		notices_reply(&s->notices, now_ms, from);
 }
 
 static void
@@ -72,11 +74,11 @@
 		floors_on_ack(&s->floors, &ack);
 	} else if (type == MSG_FLOOR_ASK &&
 	    msg_floor_ask_decode(body, len, &ask) == STATUS_OK) {
-		floors_on_ask(&s->floors, from, &ask, &s->offered, s->ready);
+		floors_on_ask(&s->floors, from, &ask, &s->held_head, s->ready);
 	} else if (type == MSG_FLOOR_ANSWER &&
 	    msg_floor_answer_decode(body, len, &answer) == STATUS_OK) {
 		floors_on_answer(&s->floors, &answer);
-		spread_heard_tagged(s, now_ms, from, &answer.head, 0, 0);
+		spread_on_tagged_head(s, now_ms, from, &answer.head, 0, 0);
 	}
 }
 
@@ -115,12 +117,12 @@
 	int in_force;
 
 	if ((msg->head.tag == 0) == (msg->head.in_force == 0))
-		spread_adopt(s, now_ms, &msg->head);
+		spread_adopt_head(s, now_ms, &msg->head);
 	if (msg->head.seq == s->known.seq)
 		trace_known(
 		    &s->env.trace, now_ms, msg->head.in_force, msg->age_ms);
 	in_force = msg->want == msg->head.in_force &&
-	    spread_halts(&msg->head) == spread_halts(&s->known);
+	    spread_halt_count(&msg->head) == spread_halt_count(&s->known);
 	intake_on_delta(&s->intake, now_ms, msg, in_force);
 }
 
@@ -140,7 +142,7 @@
 		intake_on_sections(&s->intake, now_ms, &sections);
 		msg_sections_clear(&sections);
 	} else {
-		intake_on_garbled(&s->intake, now_ms, from);
+		intake_on_malformed(&s->intake, now_ms, from);
 	}
 }
 
@@ -155,7 +157,7 @@
 	if (msg_packed_decode(body, len, &msg) == STATUS_OK)
 		inner = pack_decode(msg.data, msg.data_len, msg.bytes);
 	if (inner == NULL) {
-		intake_on_garbled(&s->intake, now_ms, from);
+		intake_on_malformed(&s->intake, now_ms, from);
 		return;
 	}
 	spread_on_answer(s, now_ms, from, msg.inner, inner->data, inner->len);
@@ -169,7 +171,7 @@
 	struct msg_pull msg;
 
 	if (msg_pull_decode(body, len, &msg) == STATUS_OK)
-		serve_pull(&s->serve, now_ms, from, conn, &msg, &s->offered);
+		serve_pull(&s->serve, now_ms, from, conn, &msg, &s->held_head);
 }
 
 void
@@ -190,7 +192,7 @@
 		spread_on_read_report(s, now_ms, from, body, len);
 	else
 		return;
-	spread_settle(s, now_ms);
+	spread_advance(s, now_ms);
 }
 
 void
@@ -207,10 +209,10 @@
 		msg_fetch_clear(&fetch);
 	} else if (type == MSG_DELTA || type == MSG_SECTIONS) {
 		spread_on_answer(s, now_ms, from, type, body, len);
-		spread_settle(s, now_ms);
+		spread_advance(s, now_ms);
 	} else if (type == MSG_PACKED) {
 		spread_on_packed(s, now_ms, from, body, len);
-		spread_settle(s, now_ms);
+		spread_advance(s, now_ms);
 	}
 }
 
@@ -218,14 +220,14 @@
 spread_on_partial_frame(
     struct spread *s, uint64_t now_ms, const struct net_addr *peer)
 {
-	intake_on_part(&s->intake, now_ms, peer);
+	intake_on_partial_frame(&s->intake, now_ms, peer);
 }
 
 void
 spread_on_closed(struct spread *s, uint64_t now_ms, const struct net_addr *peer)
 {
 	intake_on_closed(&s->intake, now_ms, peer);
-	spread_settle(s, now_ms);
+	spread_advance(s, now_ms);
 }
 
 void
@@ -238,9 +240,9 @@
 	h.version = head->version;
 	h.in_force = head->in_force;
 	h.state = head->state;
-	h.tag = intake_tag_of(&head->root);
-	spread_heard(s, now_ms, from, &h, 0, 1);
-	spread_settle(s, now_ms);
+	h.tag = intake_root_tag(&head->root);
+	spread_on_peer_head(s, now_ms, from, &h, 0, 1);
+	spread_advance(s, now_ms);
 }
 
 void
@@ -252,46 +254,46 @@
 
 	answered = st == STATUS_OK || st == STATUS_NOT_FOUND;
 	end.ok = answered;
-	readers_answered(&s->readers, now_ms, &end);
+	readers_on_read_ended(&s->readers, now_ms, &end);
 	if (st == STATUS_OK) {
-		spread_origin(s, now_ms, head);
+		spread_adopt_origin_head(s, now_ms, head);
 		if (head->in_force > catalog_version(s->env.catalog))
-			intake_from_source(
+			intake_schedule_source(
 			    &s->intake, now_ms, spread_hold_ms(s));
 	}
 	if (answered)
 		floors_on_platform(
 		    &s->floors, now_ms, st == STATUS_OK ? head->in_force : 0);
-	spread_settle(s, now_ms);
+	spread_advance(s, now_ms);
 }
 
 void
 spread_set_long_poll(struct spread *s, uint32_t wait_ms)
 {
-	readers_follow(&s->readers, wait_ms);
+	readers_set_long_poll(&s->readers, wait_ms);
 }
 
 void
 spread_on_head_read_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end)
 {
-	readers_answered(&s->readers, now_ms, end);
-	spread_settle(s, now_ms);
+	readers_on_read_ended(&s->readers, now_ms, end);
+	spread_advance(s, now_ms);
 }
 
 void
 spread_on_head_begun(struct spread *s, uint64_t now_ms)
 {
-	readers_begun(&s->readers, now_ms);
-	spread_settle(s, now_ms);
+	readers_on_answer_begun(&s->readers, now_ms);
+	spread_advance(s, now_ms);
 }
 
 void
 spread_on_probe_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end)
 {
-	readers_probed(&s->readers, now_ms, end);
-	spread_settle(s, now_ms);
+	readers_on_probe_ended(&s->readers, now_ms, end);
+	spread_advance(s, now_ms);
 }
 
 void
@@ -299,7 +301,7 @@
     const struct spread_version_row *rows, uint32_t n_rows)
 {
 	intake_on_versions(&s->intake, now_ms, st, rows, n_rows);
-	spread_settle(s, now_ms);
+	spread_advance(s, now_ms);
 }
 
 void
@@ -307,7 +309,7 @@
     const struct digest *digest, const uint8_t *data, size_t len)
 {
 	intake_on_object(&s->intake, now_ms, st, digest, data, len);
-	spread_settle(s, now_ms);
+	spread_advance(s, now_ms);
 }
 
 void
@@ -315,16 +317,16 @@
     const struct rec_head *head, const GArray *list, GBytes *const *contents,
     uint32_t n_contents)
 {
-	spread_origin(s, now_ms, head);
+	spread_adopt_origin_head(s, now_ms, head);
 	/* Peers may know a later version already.  With versions in quick
 	 * succession the latest is always under way: take what is here. */
 	if (head->in_force > catalog_version(s->env.catalog) &&
 	    head->in_force <= s->known.in_force)
-		intake_given(
+		intake_on_full_version(
 		    &s->intake, now_ms, head, list, contents, n_contents);
-	floors_on_given(&s->floors, now_ms, head->in_force);
+	floors_on_full_version(&s->floors, now_ms, head->in_force);
 	floors_tick(&s->floors, now_ms);
-	spread_settle(s, now_ms);
+	spread_advance(s, now_ms);
 }
 
 void
@@ -334,18 +336,18 @@
 	uint32_t i;
 
 	for (i = 0; i < n_contents; i++)
-		g_ptr_array_add(s->stock, g_bytes_ref(contents[i]));
+		g_ptr_array_add(s->pending_contents, g_bytes_ref(contents[i]));
 }
 
 void
 spread_on_signed(struct spread *s, uint64_t now_ms, const struct rec_head *head,
     const struct spread_version_row *row)
 {
-	spread_origin(s, now_ms, head);
+	spread_adopt_origin_head(s, now_ms, head);
 	if (row != NULL && row->version == s->known.in_force)
-		intake_signed(&s->intake, now_ms, row, s->stock);
+		intake_on_signed(&s->intake, now_ms, row, s->pending_contents);
 	if (head->in_force > catalog_version(s->env.catalog))
-		intake_from_source(&s->intake, now_ms, spread_hold_ms(s));
-	g_ptr_array_set_size(s->stock, 0);
-	spread_settle(s, now_ms);
+		intake_schedule_source(&s->intake, now_ms, spread_hold_ms(s));
+	g_ptr_array_set_size(s->pending_contents, 0);
+	spread_advance(s, now_ms);
 }
--- a/packages/spread/src/spread_priv.h
+++ b/packages/spread/src/spread_priv.h
@@ -13,7 +13,7 @@
 #include "spread/serve.h"
 
 /* Heads that are remembered, to tell which one a version came with. */
-#define SPREAD_HEADS 8
+#define SPREAD_HEADS_MAX 8
 
 /**
  * struct spread - one node's spread
@@ -25,13 +25,15 @@
  * @floors: what restarted hosts held
  * @progress: sums of the roll
  * @known: newest head heard
- * @offered: newest head whose version in force is held
+ * @held_head: newest head whose version in force is held
  * @heads: heads heard lately
  * @next_head: where the next one goes
- * @shown: @known for other packages; its root zero when not known
- * @moved_ms: when the node came to hold its version
- * @stock: GBytes; contents for a version that is being signed off here
- * @origin: @known came from the platform or a sign-off here, not from a peer
+ * @public_head: @known for other packages; its root zero when not known
+ * @committed_ms: when the node came to hold its version
+ * @pending_contents: GBytes; contents for a version that is being signed off
+ * here
+ * @from_origin: @known came from the platform or a sign-off here, not from a
+ * peer
  * @ready: whether the node may serve
  */
 struct spread {
@@ -43,33 +45,34 @@
 	struct floors floors;
 	struct progress progress;
 	struct rec_head_tag known;
-	struct rec_head_tag offered;
-	struct rec_head_tag heads[SPREAD_HEADS];
-	struct rec_head shown;
-	uint64_t moved_ms;
+	struct rec_head_tag held_head;
+	struct rec_head_tag heads[SPREAD_HEADS_MAX];
+	struct rec_head public_head;
+	uint64_t committed_ms;
 	uint32_t next_head;
-	GPtrArray *stock;
-	int origin;
+	GPtrArray *pending_contents;
+	int from_origin;
 	int ready;
 };
 
 /**
- * spread_adopt() - a head was heard
+ * spread_adopt_head() - a head was heard
  * @s: the spread
  * @now_ms: monotonic time
  * @head: the head
  *
  * Return: 1 when it is newer than the one known, else 0.
  */
-int spread_adopt(
+int spread_adopt_head(
     struct spread *s, uint64_t now_ms, const struct rec_head_tag *head);
 
-/** spread_halts() - number of halts up to a head */
-uint64_t spread_halts(const struct rec_head_tag *head);
+/** spread_halt_count() - number of halts up to a head */
+uint64_t spread_halt_count(const struct rec_head_tag *head);
 
-/** spread_origin() - a head was heard from the platform or a sign-off here */
-void
-spread_origin(struct spread *s, uint64_t now_ms, const struct rec_head *head);
+/** spread_adopt_origin_head() - a head was heard from the platform or a
+ * sign-off here */
+void spread_adopt_origin_head(
+    struct spread *s, uint64_t now_ms, const struct rec_head *head);
 
 /**
  * spread_hold_ms() - when a version that no peer offers may be taken up
@@ -81,7 +84,7 @@
  */
 uint64_t spread_hold_ms(const struct spread *s);
 
-/** spread_settle() - do what an event has made possible; ends each event */
-void spread_settle(struct spread *s, uint64_t now_ms);
+/** spread_advance() - do what an event has made possible; ends each event */
+void spread_advance(struct spread *s, uint64_t now_ms);
 
 #endif
--- a/packages/spread/src/trace.c
+++ b/packages/spread/src/trace.c
@@ -10,7 +10,7 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < TRACE_VERSIONS; i++)
+	for (i = 0; i < TRACE_VERSIONS_MAX; i++)
 		if (version != 0 && t->entries[i].version == version)
 			return &t->entries[i];
 	return NULL;
@@ -19,12 +19,12 @@
 /* The entry of a version, in place of the lowest one; NULL if all are higher.
  */
 static struct trace_entry *
-trace_take(struct trace *t, uint64_t now_ms, uint64_t version)
+trace_get_entry(struct trace *t, uint64_t now_ms, uint64_t version)
 {
 	struct trace_entry *e, *lowest = &t->entries[0];
 	uint32_t i;
 
-	for (i = 0; i < TRACE_VERSIONS; i++) {
+	for (i = 0; i < TRACE_VERSIONS_MAX; i++) {
 		e = &t->entries[i];
 		if (e->version == version)
 			return e;
@@ -36,7 +36,7 @@
 	lowest->version = version;
 	lowest->read_ms = now_ms;
 	lowest->known_ms = now_ms;
-	lowest->whole_ms = 0;
+	lowest->complete_ms = 0;
 	return lowest;
 }
 
@@ -47,7 +47,7 @@
 
 	if (version == 0)
 		return;
-	e = trace_take(t, now_ms, version);
+	e = trace_get_entry(t, now_ms, version);
 	if (e == NULL)
 		return;
 	age_ms = MIN(age_ms, TRACE_AGE_MAX_MS);
@@ -55,15 +55,15 @@
 }
 
 void
-trace_whole(struct trace *t, uint64_t now_ms, uint64_t version)
+trace_complete(struct trace *t, uint64_t now_ms, uint64_t version)
 {
 	struct trace_entry *e;
 
 	if (version == 0)
 		return;
-	e = trace_take(t, now_ms, version);
-	if (e != NULL && e->whole_ms == 0)
-		e->whole_ms = now_ms;
+	e = trace_get_entry(t, now_ms, version);
+	if (e != NULL && e->complete_ms == 0)
+		e->complete_ms = now_ms;
 }
 
 uint64_t
@@ -79,13 +79,13 @@
 {
 	const struct trace_entry *e = trace_find(t, version);
 	struct spread_steps steps = {0};
-	uint64_t whole_ms;
+	uint64_t complete_ms;
 
 	if (e == NULL)
 		return steps;
-	whole_ms = e->whole_ms != 0 ? e->whole_ms : now_ms;
+	complete_ms = e->complete_ms != 0 ? e->complete_ms : now_ms;
 	steps.age_ms = now_ms - e->read_ms;
-	steps.wait_ms = whole_ms - e->known_ms;
-	steps.keep_ms = now_ms - whole_ms;
+	steps.wait_ms = complete_ms - e->known_ms;
+	steps.keep_ms = now_ms - complete_ms;
 	return steps;
 }
--- a/packages/spread/test/test_reader_group.c
+++ b/packages/spread/test/test_reader_group.c
@@ -81,8 +81,9 @@
 	for (i = 0; i < HOSTS; i++) {
 		env_init(&hosts[i].env, &cfg, NULL, held);
 		reader_group_init(&hosts[i].group, &hosts[i].env);
-		reader_group_follow(&hosts[i].group, PERIOD_MS);
-		reader_group_set(&hosts[i].group, now_ms, addrs, HOSTS, i);
+		reader_group_set_long_poll(&hosts[i].group, PERIOD_MS);
+		reader_group_set_hosts(
+		    &hosts[i].group, now_ms, addrs, HOSTS, i);
 		hosts[i].ends_ms = DEADLINE_NEVER;
 	}
 }
@@ -135,7 +136,7 @@
 	h->ends_ms = DEADLINE_NEVER;
 	if (h->fate == WELL && n_answered < G_N_ELEMENTS(answered_ms))
 		answered_ms[n_answered++] = now_ms;
-	reader_group_report(&h->group, now_ms, h->fate == WELL, now_ms);
+	reader_group_on_read_ended(&h->group, now_ms, h->fate == WELL, now_ms);
 	deliver(i);
 }
 
@@ -205,7 +206,7 @@
 	ck_assert(!reader_group_reads(&hosts[3].group));
 	/* It looks at once, and doesn't wait for the next change. */
 	run(ANSWER_MS + 2);
-	ck_assert(hosts[2].group.begun);
+	ck_assert(hosts[2].group.answered);
 }
 END_TEST
 
@@ -323,7 +324,8 @@
 	joined[0].port = 0;
 	memcpy(&joined[1], addrs, (HOSTS - 1) * sizeof(addrs[0]));
 	for (i = 0; i < HOSTS - 1; i++)
-		reader_group_set(&hosts[i].group, now_ms, joined, HOSTS, i + 1);
+		reader_group_set_hosts(
+		    &hosts[i].group, now_ms, joined, HOSTS, i + 1);
 	for (i = 0; i < 5000; i++) {
 		run(1);
 		ck_assert(reader_group_reads(&hosts[0].group));
--- a/packages/spread/test/test_readers.c
+++ b/packages/spread/test/test_readers.c
@@ -75,8 +75,8 @@
 	cfg.profile.readers = readers;
 	env_init(&r->env, &cfg, NULL, NULL);
 	readers_init(&r->readers, &r->env, 0);
-	readers_follow(&r->readers, WAIT_MS);
-	r->readers.rank_ms = DEADLINE_NEVER;
+	readers_set_long_poll(&r->readers, WAIT_MS);
+	r->readers.next_rank_ms = DEADLINE_NEVER;
 }
 
 /* Hosts of which so many read by their rank. */
@@ -93,7 +93,7 @@
 		addrs[i].ip = i + 1;
 	}
 	for (i = 0; i < n_readers; i++)
-		reader_group_set(
+		reader_group_set_hosts(
 		    &reader[i].readers.group, 0, addrs, n_readers, i);
 }
 
@@ -154,9 +154,9 @@
 		store.needless++;
 	}
 	if (asked->probe)
-		readers_probed(&r->readers, now_ms, &end);
+		readers_on_probe_ended(&r->readers, now_ms, &end);
 	else
-		readers_answered(&r->readers, now_ms, &end);
+		readers_on_read_ended(&r->readers, now_ms, &end);
 }
 
 /* Reports are heard at once. */
@@ -463,18 +463,18 @@
 	struct probes p;
 
 	probes_init(&p);
-	probes_follow(&p, WAIT_MS);
-	probes_read(&p, 0, WAIT_MS, 0, READERS);
-	probes_read_ended(&p, WAIT_MS + LATE_MS, &late);
-	probes_read(&p, 4000, WAIT_MS, 0, READERS);
+	probes_set_long_poll(&p, WAIT_MS);
+	probes_on_read_started(&p, 0, WAIT_MS, 0, READERS);
+	probes_on_read_ended(&p, WAIT_MS + LATE_MS, &late);
+	probes_on_read_started(&p, 4000, WAIT_MS, 0, READERS);
 	ck_assert_uint_eq(probes_next_ms(&p), 4000 + LATE_MS / 2);
-	ck_assert(probes_take(&p, 4000 + LATE_MS / 2));
-	probes_ended(&p, 4700, &refused);
-	ck_assert(!probes_take(&p, 4000 + LATE_MS));
-	probes_read(&p, 9000, WAIT_MS, 0, READERS);
-	ck_assert(!probes_take(&p, 9600));
-	probes_read(&p, 10000, WAIT_MS, 0, READERS);
-	ck_assert(probes_take(&p, 10000 + LATE_MS / 2));
+	ck_assert(probes_start(&p, 4000 + LATE_MS / 2));
+	probes_on_ended(&p, 4700, &refused);
+	ck_assert(!probes_start(&p, 4000 + LATE_MS));
+	probes_on_read_started(&p, 9000, WAIT_MS, 0, READERS);
+	ck_assert(!probes_start(&p, 9600));
+	probes_on_read_started(&p, 10000, WAIT_MS, 0, READERS);
+	ck_assert(probes_start(&p, 10000 + LATE_MS / 2));
 }
 END_TEST
 
@@ -482,7 +482,7 @@
 START_TEST(reads_that_do_not_wait_are_not_probed)
 {
 	start(LATE_MS, 1);
-	readers_follow(&reader[0].readers, 0);
+	readers_set_long_poll(&reader[0].readers, 0);
 	change_each(330);
 	run();
 	ck_assert_uint_eq(probes(), 0);
--- a/packages/spread/test/test_spread.c
+++ b/packages/spread/test/test_spread.c
@@ -27,7 +27,7 @@
 
 	rng = g_rand_new_with_seed(1);
 	backoff_init(&b, 500, 10000);
-	ck_assert(backoff_open(&b, 0));
+	ck_assert(backoff_expired(&b, 0));
 	for (i = 0; i < 40; i++) {
 		bound = MIN(500ULL << MIN(i, 10), 10000);
 		longest = 0;
@@ -38,11 +38,11 @@
 			longest = MAX(longest, b.until_ms - 1000);
 		}
 		ck_assert_uint_gt(longest, bound / 2);
-		ck_assert(!backoff_open(&b, 1000));
-		ck_assert(backoff_open(&b, b.until_ms));
+		ck_assert(!backoff_expired(&b, 1000));
+		ck_assert(backoff_expired(&b, b.until_ms));
 	}
 	backoff_succeeded(&b);
-	ck_assert(backoff_open(&b, 0));
+	ck_assert(backoff_expired(&b, 0));
 	g_rand_free(rng);
 }
 END_TEST
@@ -119,10 +119,10 @@
 	ck_assert_uint_eq(c.n, CANDIDATES_MAX);
 	/* One that is blamed stays out for a while. */
 	a = addr(100);
-	candidates_blame(&c, 0, &a);
-	candidates_add(&c, CANDIDATES_BLAME_MS - 1, &a, 11, 0);
+	candidates_ban(&c, 0, &a);
+	candidates_add(&c, CANDIDATES_BAN_MS - 1, &a, 11, 0);
 	ck_assert(!candidates_pick(&c, &env, 0, 11, &got));
-	candidates_add(&c, CANDIDATES_BLAME_MS, &a, 11, 0);
+	candidates_add(&c, CANDIDATES_BAN_MS, &a, 11, 0);
 	ck_assert(candidates_pick(&c, &env, 0, 11, &got));
 	candidates_prune(&c, 11);
 	ck_assert_uint_eq(c.n, 1);
@@ -154,8 +154,8 @@
 
 	env_init(env, &cfg, NULL, catalog_new(CATALOG_BYTES));
 	intake_init(in, env, 0);
-	intake_want(in, 0, 1);
-	intake_offered(in, 0, &peer, 1, 1);
+	intake_set_target(in, 0, 1);
+	intake_add_candidate(in, 0, &peer, 1, 1);
 	intake_tick(in, 0);
 	ck_assert_int_eq(in->provider, INTAKE_PEER);
 	ck_assert_int_eq(in->by_frame, 1);
@@ -184,13 +184,13 @@
 
 	intake_asking(&in, &env);
 	for (t = 800; t <= 3200; t += 800) {
-		intake_on_part(&in, t, &peer);
+		intake_on_partial_frame(&in, t, &peer);
 		intake_tick(&in, t + 799);
 	}
 	ck_assert_uint_eq(env.stats.pulls_sent, 1);
 	ck_assert_uint_eq(env.stats.pulls_timed_out, 0);
 	/* Bytes of somebody else don't help one that is silent. */
-	intake_on_part(&in, 4100, &other);
+	intake_on_partial_frame(&in, 4100, &other);
 	intake_tick(&in, 4200);
 	ck_assert_uint_eq(env.stats.pulls_timed_out, 1);
 	intake_end(&in, &env);
@@ -217,7 +217,7 @@
 	ck_assert_int_eq(bundle_parse(small, strlen(small), &b), STATUS_OK);
 	bundle_to_sections(b, &list, &head.root);
 	section = g_ptr_array_index(b->sections, 0);
-	intake_given(in, now_ms, &head, list, &section->content, 1);
+	intake_on_full_version(in, now_ms, &head, list, &section->content, 1);
 	ck_assert_uint_eq(intake_staged(in), version);
 	ck_assert(!intake_commit(in, now_ms));
 	g_array_unref(list);
@@ -284,8 +284,8 @@
 		g_array_append_val(list, ref);
 	}
 	intake_of_nothing(&in, &env);
-	intake_given(&in, 0, &head, list, NULL, 0);
-	ck_assert_uint_eq(intake_under_way(&in), 0);
+	intake_on_full_version(&in, 0, &head, list, NULL, 0);
+	ck_assert_uint_eq(intake_version_in_progress(&in), 0);
 	ck_refused(&env, "split the bundle");
 	g_array_unref(list);
 	intake_end(&in, &env);
@@ -312,21 +312,21 @@
 	data.data = (uint8_t *)g_bytes_get_data(section->content, &len);
 	data.data_len = (uint32_t)len;
 	intake_of_nothing(&in, &env);
-	intake_want(&in, 0, 10);
-	intake_given(&in, 0, &head, list, NULL, 0);
+	intake_set_target(&in, 0, 10);
+	intake_on_full_version(&in, 0, &head, list, NULL, 0);
 	ck_assert_int_eq(in.step, INTAKE_CONTENT);
 	in.stage->added_bytes = CONFIG_MAX_BYTES;
 	if (_i == 0) {
 		intake_on_object(&in, 0, STATUS_OK, &section->config->digest,
 		    data.data, data.data_len);
 	} else {
-		intake_offered(&in, 0, &peer, 10, 1);
+		intake_add_candidate(&in, 0, &peer, 10, 1);
 		intake_tick(&in, 0);
 		ck_assert_int_eq(in.provider, INTAKE_PEER);
 		msg.token = in.token;
 		intake_on_sections(&in, 0, &msg);
 	}
-	ck_assert_uint_eq(intake_under_way(&in), 0);
+	ck_assert_uint_eq(intake_version_in_progress(&in), 0);
 	ck_refused(&env, "split the bundle");
 	ck_assert_uint_gt(in.start_ms, 0);
 	g_array_unref(list);
@@ -346,13 +346,13 @@
 
 	intake_of_nothing(&in, &env);
 	for (version = 1; version <= 10; version++) {
-		intake_want(&in, version, version);
+		intake_set_target(&in, version, version);
 		give_and_commit(&in, version, version);
 		give_and_commit(&in, version, version);
 	}
 	ck_assert_uint_gt(in.start_ms, 10);
-	intake_want(&in, 11, 11);
-	intake_offered(&in, 11, &peer, 11, 1);
+	intake_set_target(&in, 11, 11);
+	intake_add_candidate(&in, 11, &peer, 11, 1);
 	intake_tick(&in, 11);
 	ck_assert_int_eq(in.provider, INTAKE_PEER);
 	intake_end(&in, &env);
--- a/packages/spread/test/test_trace.c
+++ b/packages/spread/test/test_trace.c
@@ -13,7 +13,7 @@
 	struct spread_steps s;
 
 	trace_known(&t, 1000, 7, 300);
-	trace_whole(&t, 1400, 7);
+	trace_complete(&t, 1400, 7);
 	s = trace_steps(&t, 1450, 7);
 	ck_assert_uint_eq(s.age_ms, 750);
 	ck_assert_uint_eq(s.wait_ms, 400);
@@ -51,7 +51,7 @@
 	struct trace t = {0};
 	uint64_t v;
 
-	for (v = 1; v <= TRACE_VERSIONS + 3; v++)
+	for (v = 1; v <= TRACE_VERSIONS_MAX + 3; v++)
 		trace_known(&t, 1000 + v, v, 0);
 	ck_assert_uint_eq(trace_age_ms(&t, 2000, 3), 0);
 	ck_assert_uint_eq(trace_age_ms(&t, 2000, 4), 996);
