--- a/packages/spread/src/intake_source.c
+++ b/packages/spread/src/intake_source.c
@@ -48,11 +48,11 @@
 static uint64_t
 intake_source_slot_ms(const struct intake *in)
 {
-	uint64_t room_ms = in->env->profile.source_wait_ms;
+	uint64_t slot_ms = in->env->profile.source_wait_ms;
 
 	return catalog_version(in->env->catalog) == 0
-	    ? room_ms * FULL_READ_FACTOR
-	    : room_ms;
+	    ? slot_ms * FULL_READ_FACTOR
+	    : slot_ms;
 }
 
 void
@@ -70,14 +70,14 @@
 static void
 intake_source_schedule_content(struct intake *in, uint64_t now_ms)
 {
-	uint64_t room_ms = intake_source_slot_ms(in);
+	uint64_t slot_ms = intake_source_slot_ms(in);
 	uint64_t read_ms = catalog_stage_n_missing(in->stage) * MS_PER_S /
 	    in->env->profile.source_reads_per_s;
 
 	in->content_start_ms = now_ms;
-	if (read_ms > room_ms)
+	if (read_ms > slot_ms)
 		in->content_start_ms +=
-		    MIN(in->source_slot * (read_ms - room_ms),
+		    MIN(in->source_slot * (read_ms - slot_ms),
 			CONTENT_DELAY_MAX_MS);
 }
 
--- a/packages/spread/src/quarantine_news.c
+++ b/packages/spread/src/quarantine_news.c
@@ -32,7 +32,7 @@
  * @host: own name
  * @records: struct news_record, in the order in which they came
  * @received: struct quarantine_item that came from peers and were not popped
- * @round_ms: when fresh records are passed on; DEADLINE_NEVER for none
+ * @round_ms: when records records are passed on; DEADLINE_NEVER for none
  * @compare_ms: when the next comparison is begun
  * @budget: bytes that may be sent now
  * @joined: whether a first comparison was answered
@@ -451,7 +451,7 @@
 static GPtrArray *
 records_to_send(const struct quarantine_news *n)
 {
-	GPtrArray *fresh = g_ptr_array_new();
+	GPtrArray *records = g_ptr_array_new();
 	uint32_t least = retention_priority(QUARANTINE_HELD) + 1;
 	struct news_record *r;
 	guint i;
@@ -461,15 +461,15 @@
 			r = record_at(n, i);
 			if (r->rounds_left > 0 &&
 			    retention_priority(r->item.kind) == least)
-				g_ptr_array_add(fresh, r);
+				g_ptr_array_add(records, r);
 		}
-	return fresh;
+	return records;
 }
 
 static void
 send_round(struct quarantine_news *n, uint64_t now_ms)
 {
-	GPtrArray *fresh = records_to_send(n);
+	GPtrArray *records = records_to_send(n);
 	uint32_t pause_ms = QUARANTINE_COMPARE_MS;
 	struct net_addr to;
 	guint sent = 0, i;
@@ -478,12 +478,12 @@
 		if (!n->peers->random(n->peers, &to))
 			continue;
 		pause_ms = QUARANTINE_ROUND_MS;
-		sent = MAX(sent, send_pages(n, &to, fresh, now_ms));
+		sent = MAX(sent, send_pages(n, &to, records, now_ms));
 	}
 	for (i = 0; i < sent; i++)
-		((struct news_record *)fresh->pdata[i])->rounds_left--;
-	n->round_ms = fresh->len > 0 ? now_ms + pause_ms : DEADLINE_NEVER;
-	g_ptr_array_unref(fresh);
+		((struct news_record *)records->pdata[i])->rounds_left--;
+	n->round_ms = records->len > 0 ? now_ms + pause_ms : DEADLINE_NEVER;
+	g_ptr_array_unref(records);
 }
 
 /* A node that has just started has nothing, and asks until it was answered. */
