--- a/packages/spread/include/spread/backoff.h
+++ b/packages/spread/include/spread/backoff.h
@@ -1,5 +1,6 @@
 /*
- * Back-off with full jitter and a cap, for requests to the platform.
+ * Exponential back-off with full jitter and a cap, for requests to the
+ * platform.
  */
 #ifndef SPREAD_BACKOFF_H
 #define SPREAD_BACKOFF_H
@@ -10,10 +11,10 @@
 
 /**
  * struct backoff - state of a back-off
- * @base_ms: longest wait after the first failure
- * @cap_ms: longest wait at all
- * @failures: failures since the last success
- * @until_ms: no request before this time
+ * @base_ms: upper bound of the wait after the first failure
+ * @cap_ms: upper bound of any wait
+ * @failures: consecutive failures since the last success
+ * @until_ms: earliest time of the next request
  */
 struct backoff {
 	uint32_t base_ms;
@@ -22,24 +23,24 @@
 	uint64_t until_ms;
 };
 
-/** backoff_init() - no failure yet */
+/** backoff_init() - start without failures */
 void backoff_init(struct backoff *b, uint32_t base_ms, uint32_t cap_ms);
 
 /**
- * backoff_failed() - a request failed
+ * backoff_failed() - record a failed request and schedule the next one
  * @b: the back-off
  * @now_ms: monotonic time
- * @rng: random numbers
+ * @rng: source of random numbers
  *
- * Waits for a time chosen evenly from zero to the bound, which doubles with
- * each failure, so that nodes that failed together don't return together.
+ * The wait is uniformly distributed between zero and a bound that doubles with
+ * each failure, so that nodes that failed together don't retry together.
  */
 void backoff_failed(struct backoff *b, uint64_t now_ms, GRand *rng);
 
-/** backoff_succeeded() - a request succeeded */
+/** backoff_succeeded() - reset the back-off after a successful request */
 void backoff_succeeded(struct backoff *b);
 
-/** backoff_expired() - whether a request may be made */
+/** backoff_expired() - whether the next request may be made */
 int backoff_expired(const struct backoff *b, uint64_t now_ms);
 
 #endif
--- a/packages/spread/include/spread/candidates.h
+++ b/packages/spread/include/spread/candidates.h
@@ -1,5 +1,5 @@
 /*
- * Candidates: peers that are known to hold a version, to pull from.
+ * Candidates: peers that are known to hold a version and can be pulled from.
  */
 #ifndef SPREAD_CANDIDATES_H
 #define SPREAD_CANDIDATES_H
@@ -12,15 +12,15 @@
 #define CANDIDATES_MAX 12
 #define CANDIDATES_BANS_MAX 16
 
-/* How long a peer that sent something wrong is not asked again. */
+/* A peer that sent an invalid answer is not asked again for this long. */
 #define CANDIDATES_BAN_MS 60000
 
 /**
- * struct candidate - a peer that may be pulled from
- * @addr: its address
- * @version: version that it holds at least
- * @after_ms: not to be asked before; it was busy
- * @near: whether it is in the own data centre
+ * struct candidate - a peer that can be pulled from
+ * @addr: address of the peer
+ * @version: the peer holds this version or a later one
+ * @after_ms: earliest time of the next request; set when the peer was busy
+ * @near: whether the peer is in this node's data centre
  */
 struct candidate {
 	struct net_addr addr;
@@ -30,9 +30,9 @@
 };
 
 /**
- * struct candidate_ban - a peer that is kept out
- * @addr: its address
- * @until_ms: for how long
+ * struct candidate_ban - a peer that is excluded for a while
+ * @addr: address of the peer
+ * @until_ms: when the ban expires
  */
 struct candidate_ban {
 	struct net_addr addr;
@@ -40,11 +40,11 @@
 };
 
 /**
- * struct candidates - peers that may be pulled from
- * @list: the peers
- * @n: number of them
- * @bans: peers that are kept out
- * @next_ban: where the next one goes
+ * struct candidates - the peers that can be pulled from
+ * @list: the peers, in no order
+ * @n: number of entries in @list
+ * @bans: ring of the latest bans
+ * @next_ban: index in @bans that the next ban overwrites
  */
 struct candidates {
 	struct candidate list[CANDIDATES_MAX];
@@ -54,52 +54,56 @@
 };
 
 /**
- * candidates_add() - a peer was heard to hold a version
+ * candidates_add() - add a peer or raise the version of a known one
  * @c: candidates
  * @now_ms: monotonic time
- * @addr: the peer
- * @version: version that it holds at least
- * @near: whether it is in the own data centre
+ * @addr: address of the peer
+ * @version: the peer holds this version or a later one
+ * @near: whether the peer is in this node's data centre
  *
- * When there is no room, the peer that holds the oldest version goes.
+ * A banned peer is ignored.  When the list is full, the entry with the oldest
+ * version is replaced, if that version is older than @version.
  */
 void candidates_add(struct candidates *c, uint64_t now_ms,
     const struct net_addr *addr, uint64_t version, int near);
 
 /**
- * candidates_pick() - a peer to ask now
+ * candidates_pick() - choose a peer to ask now
  * @c: candidates
  * @env: environment
  * @now_ms: monotonic time
- * @version: version that it must hold
- * @addr: where its address goes
+ * @version: the peer must hold this version or a later one
+ * @addr: set to the address of the peer
  *
- * Those of the own data centre go first; among equals chance decides.
+ * Peers of this node's data centre are preferred; the choice among equals is
+ * random.
  *
- * Return: 1 when there is one, else 0.
+ * Return: 1 if a peer was found, else 0.
  */
 int candidates_pick(const struct candidates *c, struct spread_env *env,
     uint64_t now_ms, uint64_t version, struct net_addr *addr);
 
 /**
- * candidates_next_ms() - when a busy peer that holds @version may be asked
+ * candidates_next_ms() - earliest time at which a holder of @version can be
+ * asked
  *
- * Return: the time, or DEADLINE_NEVER when no peer holds the version.
+ * Return: the time, or DEADLINE_NEVER if no candidate holds the version.
  */
 uint64_t candidates_next_ms(const struct candidates *c, uint64_t version);
 
-/** candidates_busy() - @addr asked to come back at @after_ms */
+/** candidates_busy() - don't ask @addr, which was busy, before @after_ms */
 void candidates_busy(
     struct candidates *c, const struct net_addr *addr, uint64_t after_ms);
 
-/** candidates_drop() - @addr did not answer or does not hold what it should */
+/** candidates_drop() - remove a peer that failed or lacks its version */
 void candidates_drop(struct candidates *c, const struct net_addr *addr);
 
-/** candidates_ban() - @addr sent something wrong; keep it out for a while */
+/** candidates_ban() - remove a peer that sent an invalid answer and ignore it
+ * for CANDIDATES_BAN_MS */
 void candidates_ban(
     struct candidates *c, uint64_t now_ms, const struct net_addr *addr);
 
-/** candidates_prune() - forget peers that hold less than @version */
+/** candidates_prune() - remove the peers that hold less than @version */
 void candidates_prune(struct candidates *c, uint64_t version);
 
 #endif
--- a/packages/spread/include/spread/env.h
+++ b/packages/spread/include/spread/env.h
@@ -1,6 +1,6 @@
 /*
- * What the modules of the spread share: settings, neighbours, output, random
- * numbers.  Owned by struct spread.
+ * Environment that the modules of this package share: settings, host table,
+ * outbox, action queue and random numbers.  Owned by struct spread.
  */
 #ifndef SPREAD_ENV_H
 #define SPREAD_ENV_H
@@ -14,17 +14,18 @@
 #include "spread/spread.h"
 
 /**
- * struct spread_env - shared by the modules of one node's spread
- * @profile: numbers of the spread
- * @host: own host
- * @data_centre: own data centre
+ * struct spread_env - environment of one node's modules
+ * @profile: tuning parameters
+ * @host: name of this host
+ * @data_centre: name of this host's data centre
  * @members: table of hosts; borrowed
  * @catalog: the node's configuration; borrowed
- * @out: messages to be sent
- * @actions: struct spread_action, oldest first
+ * @out: outgoing messages
+ * @actions: queue of struct spread_action, oldest first
  * @rng: random numbers from the node's seed
- * @reader_rank: own rank among the readers, or PEERS_RANK_NONE
- * @trace: steps of the last versions
+ * @reader_rank: this host's rank among the readers of its data centre, or
+ *	PEERS_RANK_NONE
+ * @trace: when the latest versions passed each step
  * @stats: counters
  */
 struct spread_env {
@@ -42,8 +43,8 @@
 };
 
 /**
- * env_init() - prepare an environment
- * @env: the environment; clear with env_clear()
+ * env_init() - initialise an environment
+ * @env: the environment; release with env_clear()
  * @config: settings; copied
  * @m: table of hosts; borrowed
  * @c: the node's configuration; borrowed
@@ -51,18 +52,20 @@
 void env_init(struct spread_env *env, const struct spread_config *config,
     struct membership *m, struct catalog *c);
 
-/** env_clear() - free what an environment holds */
+/** env_clear() - free the resources of an environment */
 void env_clear(struct spread_env *env);
 
-/** env_push_action() - add an action of a kind to the queue; the caller fills
- * it in */
+/** env_push_action() - append a zeroed action of a kind to the queue
+ *
+ * Return: the action, for the caller to fill in; owned by the queue.
+ */
 struct spread_action *
 env_push_action(struct spread_env *env, enum spread_action_kind kind);
 
-/** env_random_below() - a random number below @n, 0 when @n is 0 */
+/** env_random_below() - uniform random number below @n; 0 if @n is 0 */
 uint32_t env_random_below(struct spread_env *env, uint32_t n);
 
-/** env_jitter() - a random duration from half to one and a half of @ms */
+/** env_jitter() - uniform random duration between 0.5 and 1.5 times @ms */
 uint32_t env_jitter(struct spread_env *env, uint32_t ms);
 
 #endif
--- a/packages/spread/include/spread/notices.h
+++ b/packages/spread/include/spread/notices.h
@@ -1,6 +1,6 @@
 /*
- * Notices: passes a new head on to random peers for a bounded number of
- * rounds, and to other data centres if this node is a relay.
+ * Notices: gossips a new head to random peers for a bounded number of rounds,
+ * and to other data centres if this node is a relay.
  */
 #ifndef SPREAD_NOTICES_H
 #define SPREAD_NOTICES_H
@@ -11,14 +11,15 @@
 #include "spread/env.h"
 
 /**
- * struct notices - state of passing on
+ * struct notices - state of the gossip
  * @env: environment
- * @head: head that is passed on, seq 0 for none
+ * @head: head that is gossiped, seq 0 for none
  * @rounds_left: rounds still to be sent
  * @next_ms: when the next round is due
- * @duplicates: notices of this very head that came in
- * @far: whether to tell other data centres as well
- * @compare_ms: when a relay compares with another data centre next
+ * @duplicates: notices of @head received from peers since the first round
+ * @far: whether other data centres are notified even if this node is no relay
+ * @compare_ms: when a relay next sends its head to another data centre for
+ *	comparison (anti-entropy)
  */
 struct notices {
 	struct spread_env *env;
@@ -30,28 +31,29 @@
 	uint64_t compare_ms;
 };
 
-/** notices_init() - nothing to pass on yet */
+/** notices_init() - start without a head to gossip */
 void notices_init(struct notices *n, struct spread_env *env, uint64_t now_ms);
 
 /**
- * notices_start() - pass a head on
+ * notices_start() - start gossiping a head
  * @n: notices
  * @now_ms: monotonic time
  * @head: head whose version in force this node holds
- * @far: whether to tell other data centres as well
+ * @far: whether other data centres are notified as well
  */
 void notices_start(struct notices *n, uint64_t now_ms,
     const struct rec_head_tag *head, int far);
 
-/** notices_on_duplicate() - a peer passed a head with @seq on to this node */
+/** notices_on_duplicate() - count a received notice of a head with @seq; enough
+ * of them end the rounds early */
 void notices_on_duplicate(struct notices *n, uint64_t seq);
 
-/** notices_reply() - tell one peer the own head */
+/** notices_reply() - send this node's head to one peer */
 void
 notices_reply(struct notices *n, uint64_t now_ms, const struct net_addr *to);
 
 /**
- * notices_tick() - send what is due
+ * notices_tick() - send the notices that are due
  * @n: notices
  * @now_ms: monotonic time
  * @relay: whether this node is a relay
--- a/packages/spread/include/spread/peers.h
+++ b/packages/spread/include/spread/peers.h
@@ -1,5 +1,6 @@
 /*
- * Peers: a thin adapter that finds neighbours in the table of hosts.
+ * Peers: selects peers from the table of hosts.  Near peers are in this host's
+ * data centre, far peers in another one.
  */
 #ifndef SPREAD_PEERS_H
 #define SPREAD_PEERS_H
@@ -9,67 +10,71 @@
 #include "proto/addr.h"
 #include "spread/env.h"
 
-/* Most data centres that are looked at. */
+/* Data centres considered; further ones are ignored. */
 #define PEERS_DATA_CENTRES_MAX 128
 
-/** PEERS_RANK_NONE - the own host is not among the first in rank */
+/** PEERS_RANK_NONE - this host is not among the ranked hosts */
 #define PEERS_RANK_NONE UINT32_MAX
 
-/** peers_joined() - whether the table of hosts can be relied on */
+/** peers_joined() - whether this host has joined, so that its table of hosts is
+ * reliable */
 int peers_joined(const struct spread_env *env);
 
 /**
- * peers_near() - different live hosts of the own data centre, by chance
+ * peers_near() - distinct random live hosts of this host's data centre
  * @env: environment
- * @addrs: where their addresses go; room for @n
- * @n: how many are wanted
+ * @addrs: set to their addresses; room for @n
+ * @n: number of hosts wanted
  *
- * Return: how many were found.
+ * Return: number of hosts found.
  */
 uint32_t peers_near(struct spread_env *env, struct net_addr *addrs, uint32_t n);
 
 /**
- * peers_far() - live hosts of different other data centres, by chance
+ * peers_far() - random live hosts, each of a different other data centre
  * @env: environment
- * @addrs: where their addresses go; room for @n
- * @n: how many are wanted
+ * @addrs: set to their addresses; room for @n
+ * @n: number of hosts wanted
  *
- * Return: how many were found.
+ * Return: number of hosts found.
  */
 uint32_t peers_far(struct spread_env *env, struct net_addr *addrs, uint32_t n);
 
 /**
- * peers_ranked() - the first hosts of the own data centre for a key
+ * peers_ranked() - the first hosts of this host's data centre by rendezvous
+ * rank
  * @env: environment
  * @key: key of the ranking
- * @addrs: where their addresses go, by rank; room for @n
- * @n: how many are wanted; at most MEMBERSHIP_RANK_MAX
- * @own: where the own host's rank goes, PEERS_RANK_NONE when it is none of them
+ * @addrs: set to their addresses, by rank; room for @n
+ * @n: number of hosts wanted; at most MEMBERSHIP_RANK_MAX
+ * @own: set to this host's rank, PEERS_RANK_NONE if it is not among them
  *
- * Return: how many were found.
+ * Return: number of hosts found.
  */
 uint32_t peers_ranked(const struct spread_env *env, const char *key,
     struct net_addr *addrs, uint32_t n, uint32_t *own);
 
 /**
- * peers_keepers() - who remembers what the own host held
+ * peers_keepers() - the hosts that store this host's floor
  * @env: environment
- * @addrs: where their addresses go; room for @n + 1
- * @n: how many of the own data centre; one of another is added
+ * @addrs: set to their addresses; room for @n + 1
+ * @n: number of keepers in this host's data centre; one of another data centre
+ *	is added
  *
- * Return: how many were found.
+ * Return: number of hosts found.
  */
 uint32_t
 peers_keepers(const struct spread_env *env, struct net_addr *addrs, uint32_t n);
 
 /**
- * peers_data_centre_rank() - rank of the own data centre among those in touch
+ * peers_data_centre_rank() - rendezvous rank of this host's data centre among
+ * the reachable ones
  * @env: environment
  * @now_ms: monotonic time
  * @key: key of the ranking
- * @count: where the number of data centres in touch goes
+ * @count: set to the number of reachable data centres
  *
- * Return: 0 for the first.
+ * Return: the rank, 0 for the first.
  */
 uint32_t peers_data_centre_rank(const struct spread_env *env, uint64_t now_ms,
     const char *key, uint32_t *count);
--- a/packages/spread/include/spread/probes.h
+++ b/packages/spread/include/spread/probes.h
@@ -1,15 +1,16 @@
 /*
- * Probes: reads of the platform's head beside the one that waits there.
+ * Probes: reads of the platform's head beside the long poll.
  *
- * A read that waits ends with the first change, and while its answer is on the
- * way nothing tells of the next one.  Where answers take long that change is
- * two answers old when a reader holds it.  Probes don't wait: as one is asked
- * for each half of an answer's time, it is one and a half old at most.  They
- * cost calls, so a reader probes only while the store is known to be slow, and
- * a link on which the row itself takes long carries it once and not twice.
+ * A long poll ends with the first change, and while its answer is in transit
+ * nothing reports the next change.  With a slow store that next change is two
+ * answer times old when a reader has it.  Probes return at once instead of
+ * waiting: one probe is sent per half of an answer time, so that a change is at
+ * most one and a half answer times old.  Probes cost calls, so a reader only
+ * probes while the store is known to be slow, and not at all over a link on
+ * which the row itself takes long, since that link would carry the row twice.
  *
- * Readers of a data centre are woken by the same change; each rank has times
- * of its own, so that they don't go on asking at the same moments.
+ * One change wakes all readers of a data centre; the schedule depends on the
+ * rank, so that their probes don't stay synchronised.
  */
 #ifndef SPREAD_PROBES_H
 #define SPREAD_PROBES_H
@@ -18,27 +19,27 @@
 
 #include "spread/spread.h"
 
-/* Probes under way at most: an answer's time over the least spacing. */
+/* Most probes in flight: an answer time divided by the least spacing. */
 #define PROBES_MAX 3
 
 /**
  * struct probes - state of the probing
- * @rank: own rank among the readers of the data centre
- * @readers: their number
- * @wait_ms: how long a read of the head may wait; 0 and nothing is probed
- * @read_wait_ms: how long the one under way may
- * @slow_latency_ms: how long the store takes for an answer, 0 when that is
- *short
- * @body_ms: how long the row took last on the way here
- * @late_reads: answers in a row that brought news late, by a change that came
- *late or by a store that is slow
- * @next_measure_ms: late_reads are not looked into before
- * @refused_until_ms: nothing is probed before, since a probe was refused
- * @waits_until_ms: until when the read under way waits for the next change, 0
- *	if there is none or the change has come
+ * @rank: this host's rank among the readers of its data centre
+ * @readers: number of readers of the data centre
+ * @wait_ms: longest wait of a long poll; without long polls 0, and there are no
+ *	probes
+ * @read_wait_ms: longest wait of the long poll in flight
+ * @slow_latency_ms: time that the store takes for an answer, 0 if it is short
+ * @body_ms: transfer time of the last row
+ * @late_reads: consecutive reads that delivered a row late, because either the
+ *	change came late or the store is slow
+ * @next_measure_ms: no probe measures a store that is taken to be fast before
+ * @refused_until_ms: no probe is sent before, since the store refused one
+ * @waits_until_ms: until when the long poll in flight waits for the next
+ *	change, 0 if there is none or the change has come
  * @due_ms: when the next probe is due
- * @started_ms: when the probes under way were asked for, oldest first
- * @n_in_flight: their number
+ * @started_ms: start times of the probes in flight, oldest first
+ * @n_in_flight: number of probes in flight
  */
 struct probes {
 	uint32_t rank;
@@ -56,49 +57,50 @@
 	uint32_t n_in_flight;
 };
 
-/** probes_init() - a store that is quick, and whose reads don't wait */
+/** probes_init() - start with a fast store and without long polls */
 void probes_init(struct probes *p);
 
 /** probes_set_long_poll() - reads of the head wait for a change for @wait_ms */
 void probes_set_long_poll(struct probes *p, uint32_t wait_ms);
 
 /**
- * probes_on_read_started() - the read that waits was asked for
+ * probes_on_read_started() - a long poll was started
  * @p: the probing
  * @now_ms: monotonic time
- * @wait_ms: how long it may wait
- * @rank: own rank among the readers of the data centre
- * @readers: their number
+ * @wait_ms: longest wait of the long poll
+ * @rank: this host's rank among the readers of its data centre
+ * @readers: number of readers of the data centre
  */
 void probes_on_read_started(struct probes *p, uint64_t now_ms, uint32_t wait_ms,
     uint32_t rank, uint32_t readers);
 
 /**
- * probes_on_read_ended() - the read that waits ended
+ * probes_on_read_ended() - the long poll ended
  * @p: the probing
- * @took_ms: how long it took
- * @end: how it ended
+ * @took_ms: its duration
+ * @end: its result
  */
 void probes_on_read_ended(
     struct probes *p, uint64_t took_ms, const struct spread_read_end *end);
 
 /**
- * probes_start() - ask for a probe if one is due
+ * probes_start() - start a probe if one is due
  *
- * Return: whether one is to be asked for now; probes_skip_next() then tells
- * which.
+ * Return: whether the caller is to send a probe now; probes_skip_next() returns
+ * its kind.
  */
 int probes_start(struct probes *p, uint64_t now_ms);
 
 /**
- * probes_skip_next() - whether only what follows the next change is wanted
+ * probes_skip_next() - whether a probe is to skip the next change and ask for
+ * the changes after it
  *
- * The read that waits brings the next change by itself; a probe that gave it
- * as well would be the same row once more.
+ * The long poll delivers the next change by itself; a probe that returned that
+ * change as well would transfer the same row twice.
  */
 int probes_skip_next(const struct probes *p, uint64_t now_ms);
 
-/** probes_on_ended() - the oldest probe under way ended, as @end tells */
+/** probes_on_ended() - the oldest probe in flight ended with result @end */
 void probes_on_ended(
     struct probes *p, uint64_t now_ms, const struct spread_read_end *end);
 
--- a/packages/spread/include/spread/profile.h
+++ b/packages/spread/include/spread/profile.h
@@ -1,7 +1,7 @@
 /*
- * Numbers that decide how fast and at what cost configuration spreads.
+ * Tuning parameters: how fast configuration spreads, and at what cost.
  *
- * docs/design/distribution.md gives the measurements behind them.
+ * docs/design/distribution.md lists the measurements behind the values.
  */
 #ifndef SPREAD_PROFILE_H
 #define SPREAD_PROFILE_H
@@ -9,38 +9,40 @@
 #include <stdint.h>
 
 /**
- * struct spread_profile - settings of the spread
- * @fanout: peers of the own data centre that get a notice in each round
- * @rounds: rounds in which a node passes a new head on
- * @interval_ms: time between two rounds
- * @quench: notices of the same head heard that end the rounds early
- * @relay_fanout: other data centres that a relay tells in each round
- * @readers: nodes of a data centre that poll the platform, and that relay
+ * struct spread_profile - tuning parameters
+ * @fanout: near peers notified in each round of gossip
+ * @rounds: rounds in which a node gossips a new head
+ * @interval_ms: mean time between two rounds
+ * @quench: received notices of the same head that end the rounds early; 0 to
+ *	send all rounds
+ * @relay_fanout: other data centres that a relay notifies in each round
+ * @readers: hosts of a data centre that read the platform and act as relays
  * @head_poll_ms: mean time between two polls of one reader
- * @alone_poll_ms: a node that could not join for so long, or twice that, polls
- *	by itself
+ * @alone_poll_ms: a node that hasn't joined polls by itself after once to twice
+ *	this time
  * @batch_ms: least time between two versions that a node takes up; versions
  *	that come closer together are merged
- * @anti_entropy_ms: mean time between two comparisons of a relay with another
- *	data centre
- * @pull_timeout_ms: deadline of a pull or fetch from a peer
- * @pull_peers: peers that may fail before the platform is read
+ * @anti_entropy_ms: mean time between two comparisons of a relay's head with
+ *	another data centre's
+ * @pull_timeout_ms: timeout of a pull or fetch from a peer
+ * @pull_peers: failures of peers after which the platform is read
  * @reply_bytes: content that one answer to a pull or fetch carries at most
- * @join_limit: pulls of more than one answer that are served at once
+ * @join_limit: peers served at once whose pulls need several answers
  * @serve_bytes_per_s: content served to peers
- * @source_reads_per_s: reads of objects and versions that all readers of all
- *	data centres together may ask of the platform
- * @source_wait_ms: longest random wait before a new version is read from the
- *	platform, in which a peer may offer it
+ * @source_reads_per_s: reads of versions and objects that a node may request
+ *	from the platform, half as many in a burst; meant as the limit for all
+ *	readers of all data centres together, which read one after another
+ * @source_wait_ms: time slot of each node in the order in which nodes read a
+ *	new version from the platform; a peer may offer the version meanwhile
  * @backoff_base_ms: first back-off from the platform, doubled on each failure
  * @backoff_cap_ms: longest back-off
  * @floor_wait_ms: longest wait for a keeper's acknowledgement
- * @floor_ask_ms: time for which a starting node collects floors
- * @floor_refresh_ms: mean time between two retellings of the floor
- * @keepers: peers of the own data centre that remember the floor; one of
- *	another data centre does so too
+ * @floor_ask_ms: time during which a starting node collects floors
+ * @floor_refresh_ms: mean time between two announcements of the same floor
+ * @keepers: hosts of this data centre that store a host's floor; one of another
+ *	data centre is added
  * @progress_ms: least time between two progress reports
- * @progress_refresh_ms: mean time between two reports without a change
+ * @progress_refresh_ms: longest mean time between two reports without a change
  */
 struct spread_profile {
 	uint32_t fanout;
@@ -70,17 +72,17 @@
 	uint32_t progress_refresh_ms;
 };
 
-/** spread_profile_registry() - convergence first */
+/** spread_profile_registry() - profile for the fastest convergence */
 const struct spread_profile *spread_profile_registry(void);
 
-/** spread_profile_crew() - control bytes first */
+/** spread_profile_crew() - profile for the fewest control bytes */
 const struct spread_profile *spread_profile_crew(void);
 
 /**
- * spread_profile_find() - a profile by the name that settings give it
+ * spread_profile_find() - look up a profile by its name in the settings
  * @name: "registry" or "crew"
  *
- * Return: the profile, or NULL.
+ * Return: the profile, or NULL if the name is unknown.
  */
 const struct spread_profile *spread_profile_find(const char *name);
 
--- a/packages/spread/include/spread/progress.h
+++ b/packages/spread/include/spread/progress.h
@@ -1,14 +1,15 @@
 /*
- * Progress: adds up on the way how many nodes serve the newest version.
+ * Progress: aggregates how many nodes serve the newest version.
  *
- * The live hosts of a data centre, sorted by name, are a tree of arity
+ * The live hosts of a data centre, sorted by name, form a tree of arity
  * PROGRESS_ARITY: host i reports to host (i - 1) / PROGRESS_ARITY.  Each node
- * reports the sums over its subtree when they change, at most once in
- * progress_ms, and then again after ever longer pauses.  The first host of a
- * data centre has the sums of all, and tells whoever asks.
+ * reports the sums over its subtree when they change, at most once per
+ * progress_ms, and repeats them after increasing pauses.  The first host of a
+ * data centre, the root, has the sums over all of its hosts and returns them on
+ * request.
  *
- * Nodes that see different tables of hosts for a moment can make the sums
- * wrong for that moment; they are for watching, nothing is decided by them.
+ * While nodes have different tables of hosts the sums can be wrong.  They are
+ * for monitoring only; no decision depends on them.
  */
 #ifndef SPREAD_PROGRESS_H
 #define SPREAD_PROGRESS_H
@@ -24,9 +25,9 @@
 
 /**
  * struct progress_child - last report of a child in the tree
- * @addr: the child
- * @heard_ms: when it reported, 0 for never
- * @sum: what it reported
+ * @addr: address of the child
+ * @heard_ms: when its last report arrived, 0 for never
+ * @sum: its last report
  */
 struct progress_child {
 	struct net_addr addr;
@@ -35,23 +36,23 @@
 };
 
 /**
- * struct progress - place in the tree and sums
+ * struct progress - position in the tree, and sums
  * @env: environment
  * @has_parent: whether there is a parent; the root has none
  * @parent: address of the parent
- * @children: children by this node's table of hosts
- * @n_children: number of @children
- * @change: state of the table of hosts at which the place was worked out
- * @next_position_ms: when it is worked out again
+ * @children: children according to this node's table of hosts
+ * @n_children: number of entries in @children
+ * @change: change counter of the table of hosts that the position is based on
+ * @next_position_ms: when the position is next updated
  * @held: version served here, 0 for none
  * @newest: newest version known
- * @refusal: version that can't be used here; no nodes for none
- * @sent: what was reported last
- * @report_ms: when the next report is due
- * @refresh_ms: when a report is sent even without a change
- * @pause_ms: pause before that; grows while nothing changes
+ * @refusal: version that can't be used here; zero nodes for none
+ * @sent: last report sent
+ * @report_ms: when a changed report is due
+ * @refresh_ms: when an unchanged report is repeated
+ * @pause_ms: pause before @refresh_ms; grows while nothing changes
  * @answers: struct spread_progress of each data centre that answered
- * @token: number of the last question
+ * @token: identifies the answers to the last request
  */
 struct progress {
 	struct spread_env *env;
@@ -72,41 +73,40 @@
 	uint32_t token;
 };
 
-/** progress_init() - a node that holds nothing */
+/** progress_init() - initialise a node that holds no version */
 void progress_init(struct progress *p, struct spread_env *env, uint64_t now_ms);
 
-/** progress_clear() - free what the progress holds */
+/** progress_clear() - free the resources of the progress */
 void progress_clear(struct progress *p);
 
-/** progress_set_own() - the version served here, or the newest known, changed
- */
+/** progress_set_own() - set the version served here and the newest one known */
 void progress_set_own(
     struct progress *p, uint64_t now_ms, uint64_t held, uint64_t newest);
 
-/** progress_set_own_refusal() - whether a version is refused here changed */
+/** progress_set_own_refusal() - set the version refused here, if any */
 void progress_set_own_refusal(
     struct progress *p, uint64_t now_ms, const struct spread_refusal *r);
 
-/** progress_on_report() - a child reported */
+/** progress_on_report() - handle a child's report */
 void progress_on_report(struct progress *p, uint64_t now_ms,
     const struct net_addr *from, const struct msg_progress_report *msg);
 
-/** progress_on_ask() - somebody asks for the sums of this data centre */
+/** progress_on_ask() - answer a request for the sums of this data centre */
 void progress_on_ask(struct progress *p, uint64_t now_ms,
     const struct net_addr *from, const struct msg_progress_ask *msg);
 
-/** progress_on_answer() - a data centre told its sums */
+/** progress_on_answer() - handle a data centre's sums */
 void progress_on_answer(
     struct progress *p, uint64_t now_ms, const struct msg_progress_answer *msg);
 
-/** progress_ask() - ask the root of each data centre for its sums */
+/** progress_ask() - request the sums from the root of each data centre */
 void progress_ask(struct progress *p, uint64_t now_ms);
 
-/** progress_sum() - sums over the own subtree */
+/** progress_sum() - compute the sums over this node's subtree */
 void progress_sum(
     const struct progress *p, uint64_t now_ms, struct msg_progress_report *sum);
 
-/** progress_tick() - report if it is due */
+/** progress_tick() - send a report if one is due */
 void progress_tick(struct progress *p, uint64_t now_ms);
 
 /** progress_next_ms() - when progress_tick() is due */
--- a/packages/spread/include/spread/reader_group.h
+++ b/packages/spread/include/spread/reader_group.h
@@ -1,20 +1,24 @@
 /*
- * Reader group: the hosts of a data centre that read the platform for it, and
- * those that stand by.
+ * Reader group: decides which hosts of a data centre read the platform.
  *
- * The first `readers` hosts by rank read.  Whoever reads tells the group how
- * each read ended.  A host that stands by reads as well while fewer than that
- * are known to be answered: at once when one of them says that it failed, and
- * when too long nothing is heard, since a reader may be refused, unanswered,
- * frozen, slow, killed, cut off or not begun yet while its place is held.  Of
- * those that stand by the first takes over first; the next ones see its reports
- * and stay.  Two hosts that rank the group differently cost an extra read.
+ * The group is the first READER_GROUP_MAX hosts by rank: the readers, the
+ * standbys after them, and the reserves after those.  Readers and standbys are
+ * its active part.
  *
- * While nobody of these is answered, they tell the further hosts of the group,
- * which read then as well, until one is.
+ * The first `readers` hosts by rank read.  Each host that reads reports the
+ * result of each read to the group.  A standby takes over while fewer than
+ * `readers` hosts are known to get answers: at once when one of them reports a
+ * failure, and after a timeout without reports, since a reader may be refused,
+ * unanswered, frozen, slow, killed, cut off or not started yet while it still
+ * ranks first.  Among standbys the first by rank takes over first; the next
+ * ones receive its reports and don't read.  Two hosts that rank the group
+ * differently cost an extra read.
  *
- * Readers that follow changes are answered in turn, so that the group hears of
- * one of them each period / readers.
+ * While no active host gets an answer, they notify the reserves, which then
+ * read too, until one gets an answer.
+ *
+ * The waits of long polls are chosen so that the readers are answered in turn,
+ * and the group receives a report every period / readers.
  */
 #ifndef SPREAD_READER_GROUP_H
 #define SPREAD_READER_GROUP_H
@@ -26,19 +30,19 @@
 #include "spread/reader_group_defs.h"
 #include "spread/reader_position.h"
 
-/* Hosts that stand by.  Where the platform turns away a third of the hosts, all
- * six that read or stand by are among them once in 700 times. */
+/* Number of standbys.  If the platform rejects a third of the hosts, the six
+ * active hosts (two readers) are all among them once in 700 cases. */
 #define READER_GROUP_STANDBYS 4
 
-/* MEMBERSHIP_RANK_MAX hosts at most, the further ones with them. */
+/* Size of the group, reserves included; at most MEMBERSHIP_RANK_MAX. */
 #define READER_GROUP_MAX 16
 
 /**
  * struct reader_group_host - a host of the group
- * @addr: its address
- * @answered_ms: when it last told of an answered read, 0 for never
- * @failed: what it told last is that a read failed
- * @failed_ms: when it first told so
+ * @addr: address of the host
+ * @answered_ms: when it last reported an answered read, 0 for never
+ * @failed: whether its last report was of a failed read
+ * @failed_ms: time of the first such report since its last answered read
  */
 struct reader_group_host {
 	struct net_addr addr;
@@ -48,22 +52,22 @@
 };
 
 /**
- * struct reader_group - the group as one host sees it
+ * struct reader_group - this host's view of the group
  * @env: environment
- * @period_ms: longest time from one read's end to the next one's
- * @long_polls: reads wait for a change, so that their ends can be put in turn
+ * @period_ms: longest time between the ends of two consecutive reads of a host
+ * @long_polls: reads are long polls, whose ends can be scheduled in turn
  * @hosts: the group by rank
- * @n_hosts: their number
- * @rank: own rank, PEERS_RANK_NONE when this host is not of the group
- * @member_since_ms: since when it is
- * @reason: why this host reads
- * @answered: it has been answered since it took over
- * @last_read_failed: its own last read failed
- * @isolation_check_ms: when to tell that nobody is answered, without waiting
- * for an end
- * @requested_until_ms: until when a further host is asked to read
- * @report_all_until_ms: until when further hosts are told as well
- * @position: from where another host may go on
+ * @n_hosts: number of entries in @hosts
+ * @rank: this host's rank, PEERS_RANK_NONE if it is not in the group
+ * @member_since_ms: when this host entered the group
+ * @reason: why this host reads, if it does
+ * @answered: a read of this host was answered since it began to read
+ * @last_read_failed: the last read of this host failed
+ * @isolation_check_ms: when to notify the reserves if no host is answered,
+ *	without waiting for the read in flight to fail
+ * @requested_until_ms: until when this host, as a reserve, is requested to read
+ * @report_all_until_ms: until when reports go to the reserves as well
+ * @position: position in the platform's changes from which a host can resume
  */
 struct reader_group {
 	struct spread_env *env;
@@ -82,7 +86,7 @@
 	struct reader_position position;
 };
 
-/** reader_group_init() - a host that is of no group yet */
+/** reader_group_init() - initialise a host that is not in a group */
 void reader_group_init(struct reader_group *g, struct spread_env *env);
 
 /** reader_group_set_long_poll() - reads wait for a change for @wait_ms at most
@@ -90,57 +94,59 @@
 void reader_group_set_long_poll(struct reader_group *g, uint32_t wait_ms);
 
 /**
- * reader_group_set_hosts() - the ranking may have changed
+ * reader_group_set_hosts() - set the group after the ranking may have changed
  * @g: the group
  * @now_ms: monotonic time
  * @addrs: addresses of its hosts by rank
- * @n: their number
- * @rank: own rank among them, PEERS_RANK_NONE for none
+ * @n: number of hosts
+ * @rank: this host's rank among them, PEERS_RANK_NONE for none
  */
 void reader_group_set_hosts(struct reader_group *g, uint64_t now_ms,
     const struct net_addr *addrs, uint32_t n, uint32_t rank);
 
-/** reader_group_on_report() - a host told how its read ended */
+/** reader_group_on_report() - handle a host's report of a read */
 void reader_group_on_report(struct reader_group *g, uint64_t now_ms,
     const struct net_addr *from, const struct msg_read_report *msg);
 
 /**
- * reader_group_on_read_ended() - a read of this host ended; tell the group
+ * reader_group_on_read_ended() - report the end of a read of this host
  * @g: the group
  * @now_ms: monotonic time
- * @answered: whether it was answered
- * @position: number of the last change that reads have given, 0 for none
+ * @answered: whether the read was answered
+ * @position: number of the last change that reads delivered, 0 for none
  */
 void reader_group_on_read_ended(
     struct reader_group *g, uint64_t now_ms, int answered, uint64_t position);
 
-/** reader_group_tick() - work out whether this host reads; Return: whether that
- * has changed */
+/** reader_group_tick() - decide whether this host reads
+ *
+ * Return: whether the decision changed.
+ */
 int reader_group_tick(struct reader_group *g, uint64_t now_ms);
 
-/** reader_group_next_ms() - when reader_group_tick() is due at the latest */
+/** reader_group_next_ms() - latest time of the next reader_group_tick() */
 uint64_t reader_group_next_ms(const struct reader_group *g);
 
-/** reader_group_is_active() - whether this host is one of those that read or
- * stand by, rather than a further one or none */
+/** reader_group_is_active() - whether this host is a reader or standby by rank
+ */
 int reader_group_is_active(const struct reader_group *g);
 
 /** reader_group_reads() - whether this host reads */
 int reader_group_reads(const struct reader_group *g);
 
-/** reader_group_is_first() - whether this host reads, and none that ranks above
- * it does */
+/** reader_group_is_first() - whether this host reads and no host above it by
+ * rank is answered */
 int reader_group_is_first(const struct reader_group *g, uint64_t now_ms);
 
-/** reader_group_wait_ms() - how long the next read may wait for a change */
+/** reader_group_wait_ms() - how long the next long poll may wait */
 uint32_t reader_group_wait_ms(const struct reader_group *g, uint64_t now_ms);
 
 /**
- * reader_group_position() - change from which this host's reads may go on
+ * reader_group_position() - change from which this host's reads can resume
  * @g: the group
  *
- * What the group has read but not spread yet is read again, and all by a host
- * that holds less than the others.
+ * Changes that the group has read but not spread yet are read again.  A host
+ * that holds less than the others reads everything.
  *
  * Return: the position, 0 for none.
  */
--- a/packages/spread/include/spread/reader_group_defs.h
+++ b/packages/spread/include/spread/reader_group_defs.h
@@ -6,12 +6,12 @@
 
 /**
  * enum reader_group_reason - why a host reads
- * @READER_GROUP_NOT_READING: it doesn't
- * @READER_GROUP_BY_RANK: too few hosts are ranked above it
- * @READER_GROUP_FAILED: hosts above it say that they can't read
- * @READER_GROUP_SILENT: no host above it has been answered in time
- * @READER_GROUP_TOO_FEW: too few of them have been
- * @READER_GROUP_NONE_ANSWERED: none of those that read or stand by is answered
+ * @READER_GROUP_NOT_READING: it doesn't read
+ * @READER_GROUP_BY_RANK: it is one of the first hosts by rank
+ * @READER_GROUP_FAILED: hosts above it report failed reads
+ * @READER_GROUP_SILENT: no host above it was answered in time
+ * @READER_GROUP_TOO_FEW: too few hosts above it were answered in time
+ * @READER_GROUP_NONE_ANSWERED: no active host is answered
  */
 enum reader_group_reason {
 	READER_GROUP_NOT_READING = 0,
--- a/packages/spread/include/spread/serve.h
+++ b/packages/spread/include/spread/serve.h
@@ -1,9 +1,10 @@
 /*
- * Serve: answers the pulls and fetches of peers, within limits.
+ * Serve: answers pulls and fetches of peers, within limits.
  *
- * An answer that carries everything is given at once as long as the byte
- * budget lasts.  A peer that needs several answers takes one of join_limit
- * slots until it is done or silent; others are told when to come back.
+ * An answer that carries everything is sent at once as long as the byte budget
+ * lasts.  A peer that needs several answers occupies one of join_limit slots
+ * until it is done or has sent nothing for a while; other peers are told when
+ * to retry.
  */
 #ifndef SPREAD_SERVE_H
 #define SPREAD_SERVE_H
@@ -14,13 +15,13 @@
 #include "spread/budget.h"
 #include "spread/env.h"
 
-/* Places there can be at most. */
+/* Upper bound of join_limit. */
 #define SERVE_SLOTS_MAX 64
 
 /**
- * struct serve_slot - a peer that is being served in several answers
- * @addr: the peer
- * @until_ms: when the place is free again
+ * struct serve_slot - a peer that is served in several answers
+ * @addr: address of the peer
+ * @until_ms: when the slot is released
  */
 struct serve_slot {
 	struct net_addr addr;
@@ -31,7 +32,7 @@
  * struct serve - state of serving
  * @env: environment
  * @budget: bytes of content that may be sent
- * @slots: peers that are being served
+ * @slots: peers that are served in several answers
  */
 struct serve {
 	struct spread_env *env;
@@ -39,23 +40,24 @@
 	struct serve_slot slots[SERVE_SLOTS_MAX];
 };
 
-/** serve_init() - nobody is being served */
+/** serve_init() - start with all slots free */
 void serve_init(struct serve *s, struct spread_env *env, uint64_t now_ms);
 
 /**
  * serve_pull() - answer a pull
  * @s: serve
  * @now_ms: monotonic time
- * @from: the peer
+ * @from: address of the peer
  * @conn: connection to answer on, 0 for a datagram
  * @msg: the pull
- * @head: own head
+ * @head: this node's head
  *
- * A datagram is answered in one, or with "large" if that does not fit.
+ * The answer to a datagram is a datagram; its result is "large" if the content
+ * doesn't fit one.
  *
- * If the version held is the one in force and no older than what is asked
- * for, the changes to that one are given, so that versions close together are
- * merged; else those to exactly the version asked for.
+ * If the version held here is in force and newer than the requested one, the
+ * answer carries the changes up to the held version, so that versions close
+ * together are merged; else up to exactly the requested version.
  */
 void serve_pull(struct serve *s, uint64_t now_ms, const struct net_addr *from,
     uint64_t conn, const struct msg_pull *msg, const struct rec_head_tag *head);
--- a/packages/spread/include/spread/spread.h
+++ b/packages/spread/include/spread/spread.h
@@ -1,17 +1,17 @@
 /*
- * Spread: takes an accepted version to this node and passes it on.
+ * Spread: brings an accepted version to this node and passes it on.
  *
- * The composition of the modules readers, notices, pulls, source, floors and
- * progress around one catalog and one membership table.  It is told of
- * everything that happens with the time, and leaves what is to be sent in
- * its outbox and what is to be done in its action queue; its caller empties
- * both after each event.
+ * Composes the modules readers, notices, intake, serve, floors and progress
+ * around one catalog and one membership table.  The caller passes in every
+ * event together with the time.  The spread leaves messages in its outbox and
+ * work for the caller in its action queue; the caller empties both after each
+ * event.
  *
- * It holds to this whatever arrives, in whatever order:
- * - the catalog only moves to a higher version, and only to a whole version
- *   whose root has been checked;
- * - the node is not ready before it holds the highest floor that it has heard
- *   of (spread/floors.h says what that covers and what not).
+ * Invariants, whatever arrives and in whatever order:
+ * - the catalog only moves to a higher version, and only to a complete version
+ *   whose root has been verified;
+ * - the node is not ready before it holds the highest floor that it received
+ *   (spread/floors.h defines what that guarantees and what not).
  */
 #ifndef SPREAD_SPREAD_H
 #define SPREAD_SPREAD_H
@@ -35,10 +35,10 @@
 struct spread;
 
 /**
- * struct spread_config - what a node is told at start
- * @profile: numbers of the spread; copied
- * @host: name of the own host; copied
- * @data_centre: name of the own data centre; copied
+ * struct spread_config - settings of a node at start
+ * @profile: tuning parameters; copied
+ * @host: name of this host; copied
+ * @data_centre: name of this host's data centre; copied
  * @seed: seed of all random choices
  */
 struct spread_config {
@@ -48,29 +48,30 @@
 	uint64_t seed;
 };
 
-/* Room for why a version is refused, zero included. */
+/* Size of the reason of a refusal, including the terminating zero. */
 #define SPREAD_REASON_BYTES 128
 
 /**
- * enum spread_action_kind - what the caller is to do
- * @SPREAD_READ_HEAD: read the head row; answer with spread_on_head(), or
- *	spread_on_head_read_ended() where spread_set_long_poll() was called
- * @SPREAD_PROBE_HEAD: read the head beside a read of it that waits, without
- *	waiting; answer with spread_on_probe_ended()
+ * enum spread_action_kind - work for the caller
+ * @SPREAD_READ_HEAD: read the head row; answer with spread_on_head(), or with
+ *	spread_on_head_read_ended() after spread_set_long_poll()
+ * @SPREAD_PROBE_HEAD: read the head beside the long poll in flight, without
+ *	waiting for a change; answer with spread_on_probe_ended()
  * @SPREAD_READ_VERSIONS: read the version rows @from to @to, both included;
  *	answer with spread_on_versions()
  * @SPREAD_READ_OBJECT: read the object @digest, a list of sections if @list,
  *	else a section; answer with spread_on_object()
  * @SPREAD_APPLY: the catalog moved to version @to; recompile the snapshot
  * @SPREAD_READY: the node may serve from now on
- * @SPREAD_PEER_TIMED_OUT: the peer @peer gave nothing of version @to in time;
- *log it
- * @SPREAD_PEER_BANNED: the peer @peer sent something wrong; log it
+ * @SPREAD_PEER_TIMED_OUT: the peer @peer delivered nothing of version @to in
+ *	time; log it
+ * @SPREAD_PEER_BANNED: the peer @peer sent an invalid answer and is banned; log
+ *	it
  * @SPREAD_HALTED: version @to was halted before it was applied here; log it
  * @SPREAD_READER: this node reads the platform for its data centre from now on,
  *	as number @to of its readers, or no longer if @to is 0; log it
- * @SPREAD_REFUSED: version @to can't be put together here for @reason; it is
- *	tried again after a pause
+ * @SPREAD_REFUSED: version @to can't be staged or committed here because of
+ *	@reason; the attempt is repeated after a pause
  */
 enum spread_action_kind {
 	SPREAD_READ_HEAD = 0,
@@ -87,20 +88,20 @@
 };
 
 /**
- * struct spread_action - one thing for the caller to do
- * @kind: what
+ * struct spread_action - one piece of work for the caller
+ * @kind: kind of the work
  * @from: first version, or the version that was left
  * @to: last version, or the version that was reached
- * @wait_ms: how long a SPREAD_READ_HEAD may wait for a change, where
- *	spread_set_long_poll() was called; 0 and it is answered at once.  @from
- *is the number of a change that it may go on from, 0 for none.
+ * @wait_ms: longest wait of a SPREAD_READ_HEAD for a change, after
+ *	spread_set_long_poll(); 0 to be answered at once.  @from is then the
+ *	number of the change after which the read resumes, 0 for none.
  * @reader_reason: why this node reads the platform, SPREAD_READER
- * @skip_next: only what follows the next change is wanted, since the read that
- *	waits brings that one
- * @list: whether @digest names a list of sections (a root)
+ * @skip_next: only the changes after the next one are wanted, since the long
+ *	poll in flight delivers the next one; SPREAD_PROBE_HEAD
+ * @list: whether @digest is that of a list of sections (a root)
  * @digest: object to be read
- * @peer: peer that is blamed, or late
- * @steps: what the version reached took
+ * @peer: peer that was banned or timed out
+ * @steps: durations of the steps of the version that was reached
  * @reason: why a version is refused
  */
 struct spread_action {
@@ -120,11 +121,11 @@
 /**
  * struct spread_version_row - a version row as read from the platform
  * @version: its number
- * @parent: version that the operator started from; for people
+ * @parent: version that the operator started from; informational
  * @root: root of the version
- * @changes: sections that changed since the version numbered one lower,
- *	halted or not; borrowed
- * @n_changes: number of @changes
+ * @changes: sections that changed since the version numbered one lower, whether
+ *	that one was halted or not; borrowed
+ * @n_changes: number of entries in @changes
  * @whole: the changes are too many for a row; the list is read instead
  */
 struct spread_version_row {
@@ -137,10 +138,10 @@
 };
 
 /**
- * struct spread_refusal - nodes that can't use the newest version they saw
- * @nodes: their number
- * @version: highest version refused, 0 when its number can't be read
- * @since_wall_ms: when the earliest refusal began, wall clock; 0 for none
+ * struct spread_refusal - nodes that can't use the newest version they know
+ * @nodes: number of those nodes
+ * @version: highest version refused, 0 if its number can't be read
+ * @since_wall_ms: start of the earliest refusal, wall clock; 0 for none
  * @reason: why @version is refused
  */
 struct spread_refusal {
@@ -151,22 +152,23 @@
 };
 
 /**
- * spread_refusal_add() - add nodes to others
- * @sum: a sum; all zero for none
- * @part: what is added: numbers as sum, maximum and minimum
+ * spread_refusal_add() - add the refusals of other nodes to a sum
+ * @sum: the sum; all zero for none
+ * @part: the refusals to add: nodes are summed, the highest version is kept
+ *	with its reason, and the earliest start
  */
 void spread_refusal_add(
     struct spread_refusal *sum, const struct spread_refusal *part);
 
 /**
- * struct spread_progress - how far a version has come in one data centre
+ * struct spread_progress - rollout progress of a version in one data centre
  * @data_centre: the data centre
- * @version: version that @holding counts
- * @holding: nodes that hold this version or a later one
+ * @version: version that @holding refers to
+ * @holding: nodes that hold @version or a later one
  * @nodes: nodes counted
  * @lowest: lowest version in force on any of them
- * @refusal: nodes of it that refuse a version
- * @at_ms: when the data centre's root said so
+ * @refusal: nodes among them that refuse a version
+ * @at_ms: when the answer of the data centre's root arrived
  */
 struct spread_progress {
 	char data_centre[32];
@@ -178,7 +180,7 @@
 	uint64_t at_ms;
 };
 
-/** struct spread_stats - counters since the start, for metrics */
+/** struct spread_stats - counters since the start, exported as metrics */
 struct spread_stats {
 	uint64_t notices_sent;
 	uint64_t notices_heard;
@@ -198,7 +200,7 @@
 };
 
 /**
- * spread_new() - start spreading
+ * spread_new() - create the spread of a node
  * @config: settings of the node
  * @m: table of hosts; borrowed, must outlive the spread
  * @c: the node's configuration; borrowed, must outlive the spread.  Only the
@@ -210,35 +212,35 @@
 struct spread *spread_new(const struct spread_config *config,
     struct membership *m, struct catalog *c, uint64_t now_ms);
 
-/** spread_free() - stop spreading; NULL is ignored */
+/** spread_free() - free the spread; NULL is ignored */
 void spread_free(struct spread *s);
 
 /** spread_next_ms() - when spread_tick() is due, DEADLINE_NEVER if not */
 uint64_t spread_next_ms(const struct spread *s);
 
-/** spread_tick() - do what is due at @now_ms */
+/** spread_tick() - run the work that is due at @now_ms */
 void spread_tick(struct spread *s, uint64_t now_ms);
 
 /**
- * spread_on_datagram() - a datagram of the spread's messages came
+ * spread_on_datagram() - handle a received datagram
  * @s: the spread
  * @now_ms: monotonic time
- * @from: sender
- * @type: type of the message; others than the spread's are ignored
- * @body: the message; not trusted
+ * @from: address of the sender
+ * @type: type of the message; types of other modules are ignored
+ * @body: the message; untrusted
  * @len: number of bytes
  */
 void spread_on_datagram(struct spread *s, uint64_t now_ms,
     const struct net_addr *from, uint8_t type, const uint8_t *body, size_t len);
 
 /**
- * spread_on_frame() - a frame of the spread's messages came
+ * spread_on_frame() - handle a received frame
  * @s: the spread
  * @now_ms: monotonic time
  * @from: peer_port address of the peer, as far as it is known
  * @conn: connection to answer on
- * @type: type of the message; others than the spread's are ignored
- * @body: the message; not trusted
+ * @type: type of the message; types of other modules are ignored
+ * @body: the message; untrusted
  * @len: number of bytes
  */
 void
@@ -246,7 +248,7 @@
     uint64_t conn, uint8_t type, const uint8_t *body, size_t len);
 
 /**
- * spread_on_partial_frame() - part of a frame came from a peer
+ * spread_on_partial_frame() - part of a frame arrived from a peer
  * @s: the spread
  * @now_ms: monotonic time
  * @peer: address that was dialled
@@ -255,7 +257,7 @@
     struct spread *s, uint64_t now_ms, const struct net_addr *peer);
 
 /**
- * spread_on_closed() - a connection to a peer failed or was closed
+ * spread_on_closed() - a connection to a peer was closed or could not be opened
  * @s: the spread
  * @now_ms: monotonic time
  * @peer: address that was dialled
@@ -267,22 +269,22 @@
  * spread_on_gossip_head() - a ping or its answer carried a peer's head
  * @s: the spread
  * @now_ms: monotonic time
- * @from: the peer
- * @head: head that the peer holds, its root zero when not known
+ * @from: address of the peer
+ * @head: head that the peer holds, its root zero if unknown
  *
- * The spread itself hands the own head to the membership, with
- * membership_set_head(): the one whose version it holds, which peers can
- * therefore pull from it.
+ * In the other direction, the spread passes this node's head to the membership
+ * with membership_set_head(): the head of the version held, which peers can
+ * therefore pull from this node.
  */
 void spread_on_gossip_head(struct spread *s, uint64_t now_ms,
     const struct net_addr *from, const struct rec_head *head);
 
 /**
- * spread_on_head() - answer to SPREAD_READ_HEAD
+ * spread_on_head() - result of a SPREAD_READ_HEAD that was not a long poll
  * @s: the spread
  * @now_ms: monotonic time
- * @st: STATUS_OK, STATUS_NOT_FOUND when there is no head row yet,
- *	STATUS_OVERLOADED when the platform throttles, or why it failed
+ * @st: STATUS_OK, STATUS_NOT_FOUND if there is no head row yet,
+ *	STATUS_OVERLOADED if the platform throttles, or another error
  * @head: the head row, its root that of the version in force or zero; NULL
  *	unless STATUS_OK
  */
@@ -290,12 +292,12 @@
     const struct rec_head *head);
 
 /**
- * struct spread_read_end - how a read of the head, or a probe, ended
+ * struct spread_read_end - result of a long poll or of a probe
  * @ok: whether it was answered
- * @has_row: whether the answer held the row
- * @body_ms: how long the answer itself was on its way, from its first part
- * @position: number of the platform's last change that reads have given, 0 when
- *	there is none
+ * @has_row: whether the answer contained the row
+ * @body_ms: transfer time of the answer, from its first part
+ * @position: number of the platform's last change that reads delivered, 0 for
+ *	none
  */
 struct spread_read_end {
 	int ok;
@@ -308,57 +310,58 @@
 void spread_set_long_poll(struct spread *s, uint32_t wait_ms);
 
 /**
- * spread_on_head_read_ended() - a SPREAD_READ_HEAD that waited was answered
+ * spread_on_head_read_ended() - the long poll of a SPREAD_READ_HEAD ended
  * @s: the spread
  * @now_ms: monotonic time
- * @end: how it ended
+ * @end: its result
  *
- * What it told comes by spread_on_full_version() or spread_on_head().
+ * The row itself is passed to spread_on_full_version() or spread_on_head().
  */
 void spread_on_head_read_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end);
 
-/** spread_on_head_begun() - the answer to a SPREAD_READ_HEAD, which may take
- * long, has begun to come */
+/** spread_on_head_begun() - the first part of the answer to a SPREAD_READ_HEAD
+ * arrived; the rest may take long */
 void spread_on_head_begun(struct spread *s, uint64_t now_ms);
 
-/** spread_on_probe_ended() - a SPREAD_PROBE_HEAD ended, as @end tells; what it
- * told comes by spread_on_full_version() */
+/** spread_on_probe_ended() - a SPREAD_PROBE_HEAD ended with result @end; its
+ * row is passed to spread_on_full_version() */
 void spread_on_probe_ended(
     struct spread *s, uint64_t now_ms, const struct spread_read_end *end);
 
 /**
- * spread_on_versions() - answer to SPREAD_READ_VERSIONS
+ * spread_on_versions() - result of a SPREAD_READ_VERSIONS
  * @s: the spread
  * @now_ms: monotonic time
  * @st: as for spread_on_head()
  * @rows: the rows that exist, in order of their versions
- * @n_rows: number of @rows
+ * @n_rows: number of entries in @rows
  */
 void spread_on_versions(struct spread *s, uint64_t now_ms, enum status st,
     const struct spread_version_row *rows, uint32_t n_rows);
 
 /**
- * spread_on_object() - answer to SPREAD_READ_OBJECT
+ * spread_on_object() - result of a SPREAD_READ_OBJECT
  * @s: the spread
  * @now_ms: monotonic time
  * @st: as for spread_on_head()
- * @digest: the object that was asked for
- * @data: its content; checked against @digest here
+ * @digest: the requested object
+ * @data: its content; verified against @digest here
  * @len: number of bytes
  */
 void spread_on_object(struct spread *s, uint64_t now_ms, enum status st,
     const struct digest *digest, const uint8_t *data, size_t len);
 
 /**
- * spread_add_contents() - contents for a version that this node is signing off
+ * spread_add_contents() - provide contents of a version that this node is
+ * signing off
  * @s: the spread
- * @contents: contents of its sections, as far as they are at hand; references
+ * @contents: contents of those of its sections that are available; references
  *	are taken
- * @n_contents: number of @contents
+ * @n_contents: number of entries in @contents
  *
- * Call it before spread_on_signed(), which lets them go again.  What is
- * missing is got from peers or the platform.
+ * Call this before spread_on_signed(), which releases the contents.  Missing
+ * contents are fetched from peers or the platform.
  */
 void spread_add_contents(
     struct spread *s, GBytes *const *contents, uint32_t n_contents);
@@ -368,25 +371,25 @@
  * @s: the spread
  * @now_ms: monotonic time
  * @head: the head row as written, its root that of the version in force
- * @row: row of the new version, NULL after a halt; its @whole is not looked
- *	at, since a version without changes at hand is passed as NULL
+ * @row: row of the new version, NULL after a halt or if its changes are not
+ *	available; @whole of the row is ignored
  *
- * This is what lets a version spread at once.  A version whose signing node
- * does not get to it is found by the readers.
+ * This call lets a version spread at once.  Without it, because the signing
+ * node ended first for example, the readers find the version.
  */
 void spread_on_signed(struct spread *s, uint64_t now_ms,
     const struct rec_head *head, const struct spread_version_row *row);
 
 /**
- * spread_on_full_version() - the platform gave a whole version
+ * spread_on_full_version() - the platform delivered a version with all content
  * @s: the spread
  * @now_ms: monotonic time
- * @head: head with that version, its root that of the version
+ * @head: head with that version in force, its root that of the version
  * @list: struct rec_section_ref, sorted by service; all of its sections
  * @contents: contents of the sections; references are taken
- * @n_contents: number of @contents
+ * @n_contents: number of entries in @contents
  *
- * For platforms that hold each version as a whole.
+ * For platforms that store each version as a whole.
  */
 void spread_on_full_version(struct spread *s, uint64_t now_ms,
     const struct rec_head *head, const GArray *list, GBytes *const *contents,
@@ -395,7 +398,7 @@
 /** spread_ready() - whether the node may serve */
 int spread_ready(const struct spread *s);
 
-/** spread_head() - newest head that the node knows, seq 0 if none */
+/** spread_head() - newest head that the node knows, seq 0 for none */
 const struct rec_head *spread_head(const struct spread *s);
 
 /**
@@ -403,36 +406,35 @@
  * @s: the spread
  * @now_ms: monotonic time
  *
- * For a few nodes that are told so by something else than the table of hosts:
- * after a loss of all power nobody serves before one of them has read.
+ * For a few nodes, selected by other means than the table of hosts: after a
+ * power loss of the whole fleet no node serves before one of them has read.
  */
 void spread_read_now(struct spread *s, uint64_t now_ms);
 
-/** spread_is_reader() - whether this node is one of its data centre's readers
- */
+/** spread_is_reader() - whether this node reads for its data centre */
 int spread_is_reader(const struct spread *s);
 
-/** spread_is_first_reader() - whether this node is the first of its data
- * centre's readers that the platform answers */
+/** spread_is_first_reader() - whether this node is the first reader of its data
+ * centre that the platform answers */
 int spread_is_first_reader(const struct spread *s, uint64_t now_ms);
 
-/** spread_floor() - highest version that must be held before serving */
+/** spread_floor() - lowest version that the node must hold before it serves */
 uint64_t spread_floor(const struct spread *s);
 
 /**
- * spread_progress_ask() - ask every data centre how far the roll has come
+ * spread_progress_ask() - request the rollout progress of every data centre
  * @s: the spread
  * @now_ms: monotonic time
  *
- * Costs a datagram and its answer for each data centre, so it is meant for
- * when somebody watches.
+ * Costs a datagram and its answer per data centre, so call it only while
+ * someone watches the progress.
  */
 void spread_progress_ask(struct spread *s, uint64_t now_ms);
 
 /**
- * spread_progress() - what the data centres answered last
+ * spread_progress() - latest answers of the data centres
  * @s: the spread
- * @n: where their number goes
+ * @n: set to the number of entries
  *
  * Return: one entry for each data centre that has answered; borrowed until
  * the next event.
@@ -441,10 +443,10 @@
 spread_progress(const struct spread *s, uint32_t *n);
 
 /**
- * spread_set_refusal() - what this node's progress reports tell of refusals
+ * spread_set_refusal() - set the refusal in this node's progress reports
  * @s: the spread
  * @now_ms: monotonic time
- * @r: this node's, with 1 node; all zero when it refuses nothing (more)
+ * @r: this node's refusal, with 1 node; all zero if it refuses no version
  */
 void spread_set_refusal(
     struct spread *s, uint64_t now_ms, const struct spread_refusal *r);
@@ -452,15 +454,15 @@
 /** spread_stats() - counters since the start */
 const struct spread_stats *spread_stats(const struct spread *s);
 
-/** spread_outbox() - what is to be sent */
+/** spread_outbox() - outgoing messages, for the caller to send */
 struct outbox *spread_outbox(struct spread *s);
 
 /**
- * spread_pop() - take the oldest action out of the queue
+ * spread_pop() - remove the oldest action from the queue
  * @s: the spread
- * @action: where it goes
+ * @action: set to the action
  *
- * Return: 1 when there was one, else 0.
+ * Return: 1 if there was one, else 0.
  */
 int spread_pop(struct spread *s, struct spread_action *action);
 
--- a/packages/spread/include/spread/trace.h
+++ b/packages/spread/include/spread/trace.h
@@ -1,26 +1,26 @@
 /*
- * Trace: when the last versions passed each step on their way to this node.
+ * Trace: when the latest versions passed each step on their way to this node.
  *
- * Decides nothing: it is what logs and metrics are made of, so ages that peers
- * tell are taken as they come, within a bound.
+ * The trace is for logs and metrics only; no decision depends on it, so ages
+ * reported by peers are accepted as they are, within a bound.
  */
 #ifndef SPREAD_TRACE_H
 #define SPREAD_TRACE_H
 
 #include <stdint.h>
 
-/* Versions that are followed at a time; more are seldom under way. */
+/* Versions traced at a time; more are seldom in progress. */
 #define TRACE_VERSIONS_MAX 8
 
-/* A peer that tells no age, or a longer one, is taken to have told this. */
+/* Longer ages reported by peers are reduced to this. */
 #define TRACE_AGE_MAX_MS 3600000U
 
 /**
- * struct trace_entry - one version
+ * struct trace_entry - times of one version, by this node's monotonic clock
  * @version: its number, 0 for an unused entry
- * @read_ms: when a node first read it at the platform, by the own clock
- * @known_ms: when this node first heard of it
- * @complete_ms: when all of its content was here, 0 while it was not
+ * @read_ms: when the first node read the version from the platform
+ * @known_ms: when this node first learned of the version
+ * @complete_ms: when all of its content was here, 0 before
  */
 struct trace_entry {
 	uint64_t version;
@@ -30,18 +30,19 @@
 };
 
 /**
- * struct trace - the last versions
- * @entries: in no order; the lowest version is replaced
+ * struct trace - the latest versions
+ * @entries: in no order; the lowest version is replaced first
  */
 struct trace {
 	struct trace_entry entries[TRACE_VERSIONS_MAX];
 };
 
 /**
- * struct spread_steps - how long a version took to come in force here
- * @age_ms: since a node first read it at the platform, as far as peers told
- * @wait_ms: from when it was known here until all of it was here
- * @keep_ms: from then until the floor was kept and the version was taken
+ * struct spread_steps - durations of the steps until a version was in force
+ * here
+ * @age_ms: since the first node read it from the platform, as peers reported
+ * @wait_ms: from when this node learned of it until all content was here
+ * @keep_ms: from then until the floor was announced and the version committed
  */
 struct spread_steps {
 	uint64_t age_ms;
@@ -50,11 +51,11 @@
 };
 
 /**
- * trace_known() - a version was heard of
+ * trace_known() - this node learned of a version
  * @t: the trace
  * @now_ms: monotonic time
  * @version: its number
- * @age_ms: time since a node first read it at the platform; 0 when not told
+ * @age_ms: time since the first node read it from the platform; 0 if unknown
  */
 void trace_known(
     struct trace *t, uint64_t now_ms, uint64_t version, uint64_t age_ms);
@@ -62,10 +63,10 @@
 /** trace_complete() - all content of a version is here */
 void trace_complete(struct trace *t, uint64_t now_ms, uint64_t version);
 
-/** trace_age_ms() - time since a node first read @version; 0 if not known */
+/** trace_age_ms() - time since the first node read @version; 0 if unknown */
 uint64_t trace_age_ms(const struct trace *t, uint64_t now_ms, uint64_t version);
 
-/** trace_steps() - what a version that is taken now has needed */
+/** trace_steps() - durations of the steps of a version committed at @now_ms */
 struct spread_steps
 trace_steps(const struct trace *t, uint64_t now_ms, uint64_t version);
 
--- a/packages/spread/src/backoff.c
+++ b/packages/spread/src/backoff.c
@@ -1,9 +1,9 @@
 /*
- * Back-off with full jitter and a cap.
+ * Exponential back-off with full jitter and a cap.
  */
 #include "spread/backoff.h"
 
-/* More doublings than this are beyond any cap. */
+/* More doublings than this exceed any cap. */
 #define DOUBLINGS_MAX 20
 
 void
--- a/packages/spread/src/budget.c
+++ b/packages/spread/src/budget.c
@@ -25,7 +25,7 @@
 		return;
 	room = (uint64_t)b->burst * MILLI - b->millitokens;
 	ms = now_ms - b->refilled_ms;
-	/* A token a second is a thousandth of a token a millisecond. */
+	/* One token per second is one millitoken per millisecond. */
 	b->millitokens += MIN(room, MIN(ms, room) * b->per_s);
 	b->refilled_ms = now_ms;
 }
--- a/packages/spread/src/candidates.c
+++ b/packages/spread/src/candidates.c
@@ -1,5 +1,5 @@
 /*
- * Peers that are known to hold a version.
+ * Peers that are known to hold a version and can be pulled from.
  */
 #include "spread/candidates.h"
 
--- a/packages/spread/src/env.c
+++ b/packages/spread/src/env.c
@@ -1,5 +1,5 @@
 /*
- * What the modules of the spread share.
+ * Environment shared by the modules of this package.
  */
 #include "spread/env.h"
 
--- a/packages/spread/src/floors.c
+++ b/packages/spread/src/floors.c
@@ -8,22 +8,23 @@
 #include "base/clock.h"
 #include "spread/peers.h"
 
-/* Random peers that are asked besides the keepers. */
+/* Random peers asked in addition to the keepers. */
 #define ASK_NEAR 3
 #define ASK_FAR 1
 
-/* A node that is joining looks this often whether it has: the platform may be
- * read a little later, and ends the asking soon after. */
+/* A node that is joining checks this often whether it has joined.  A joined
+ * node asks its peers, and collecting ends soon after the platform, which may
+ * be read a little later, has answered. */
 #define JOIN_POLL_MS 50
 
-/* Keepers of the own data centre at most. */
+/* Most keepers in this data centre. */
 #define KEEPERS_MAX 8
 
 /**
- * struct floor_entry - what is remembered for a host
+ * struct floor_entry - the floor stored for a host
  * @host: name of the host
- * @version: highest version that it told
- * @link: place in the order of telling
+ * @version: highest version that it announced
+ * @link: link in floors.order
  */
 struct floor_entry {
 	char host[MEMBER_NAME_BYTES];
--- a/packages/spread/src/intake.c
+++ b/packages/spread/src/intake.c
@@ -1,5 +1,5 @@
 /*
- * Gets one version whole into a stage: what is wanted, and who is asked.
+ * Collects one version in a stage: sets the target and chooses the provider.
  */
 #include "spread/intake.h"
 
@@ -9,14 +9,15 @@
 #include "intake_priv.h"
 #include "spread/peers.h"
 
-/* Pull timeouts that pass without any peer offering a version before the
- * platform is asked although only peers told of it. */
+/* Number of pull timeouts without an offer from any peer after which the
+ * platform is read, although only peers announced the version. */
 #define NO_CANDIDATE_TIMEOUTS 4
 
-/* Missing sections from which on a peer is worth leaving the platform for. */
+/* Missing sections from which on the intake switches from the platform to a
+ * peer that offers the version. */
 #define SWITCH_MISSING_MIN 16
 
-/* Back-off after a version that could not be taken in. */
+/* Back-off after a version that could not be staged or committed. */
 #define RETRY_BASE_MS 200
 #define RETRY_CAP_MS 30000
 
@@ -95,7 +96,7 @@
 		    env_jitter(in->env,
 			NO_CANDIDATE_TIMEOUTS *
 			    in->env->profile.pull_timeout_ms);
-	/* Pauses are between tries of one version. */
+	/* The pauses apply to attempts at the same version only. */
 	if (version > in->target && in->retry.failures > 0) {
 		backoff_succeeded(&in->retry);
 		in->start_ms = MIN(in->start_ms, now_ms);
@@ -149,7 +150,8 @@
 	    &in->env->trace, now_ms, catalog_stage_version(in->stage));
 }
 
-/* A version could not be taken in: wait, and ask for the whole list. */
+/* A version could not be staged or committed: pause, then request its whole
+ * list. */
 static void
 intake_defer_retry(struct intake *in, uint64_t now_ms)
 {
@@ -159,8 +161,9 @@
 }
 
 /*
- * Whether a failed check is the version's own fault.  A list that a peer gave
- * may be wrong; the whole one that comes next is from another peer.
+ * Whether a failed check proves the version itself unusable.  A peer's list may
+ * be wrong, so the first failure leads to a request for the whole list, which
+ * another peer answers.
  */
 static int
 intake_version_is_unusable(const struct intake *in, enum status st)
@@ -179,7 +182,7 @@
 	(void)g_strlcpy(a->reason, status_message(), sizeof(a->reason));
 }
 
-/* The staged version can't be had as it is. */
+/* Discards a stage that failed its check or commit with @st. */
 static void
 intake_reject_stage(struct intake *in, uint64_t now_ms, enum status st)
 {
@@ -227,7 +230,7 @@
 	return catalog_stage_begin(in->env->catalog, delta, &in->stage);
 }
 
-/* Ask somebody who is not known to hold the version. */
+/* Asks a random peer, which may not hold the version. */
 static void
 intake_ask_random_peer(struct intake *in, uint64_t now_ms)
 {
@@ -252,7 +255,7 @@
 	    DEADLINE_NEVER;
 }
 
-/* When a version that is not under way may be begun. */
+/* Earliest time at which collecting a new version starts. */
 static uint64_t
 intake_start_ms(const struct intake *in)
 {
@@ -270,7 +273,8 @@
 	return now_ms >= in->source_ms && intake_source_available(in, now_ms);
 }
 
-/* Nobody is being asked: find somebody. */
+/* No request is outstanding: asks the platform, a candidate or a random peer.
+ */
 static void
 intake_choose_provider(struct intake *in, uint64_t now_ms)
 {
@@ -287,7 +291,7 @@
 		intake_ask_random_peer(in, now_ms);
 }
 
-/* A peer turned up while the platform was being read. */
+/* A candidate appeared while the platform is being read. */
 static void
 intake_switch_to_peer(struct intake *in, uint64_t now_ms)
 {
@@ -366,7 +370,8 @@
 	return in->step == INTAKE_IDLE ? MAX(next, intake_start_ms(in)) : next;
 }
 
-/* What is wrong with other content is found when it is missing. */
+/* Adds provided content.  Content that is invalid or not needed is ignored; a
+ * section that is then missing is requested later. */
 static enum status
 intake_add_provided(struct intake *in, const uint8_t *data, size_t len)
 {
--- a/packages/spread/src/intake_peer.c
+++ b/packages/spread/src/intake_peer.c
@@ -1,22 +1,22 @@
 /*
- * Gets a version from a peer.
+ * Collects a version from peers.
  */
 #include <string.h>
 
 #include "base/clock.h"
 #include "intake_priv.h"
 
-/* Sections that one fetch asks for. */
+/* Most sections requested by one fetch. */
 #define FETCH_MAX 128
 
-/* Changes of one version that are taken from a peer. */
+/* Most changes of one version accepted from a peer. */
 #define CHANGES_MAX 16384
 
-/* Share of a pull's deadline after which a datagram is taken as lost. */
+/* A pull by datagram is lost after pull_timeout_ms divided by this. */
 #define DATAGRAM_TIMEOUT_DIVISOR 4
 
-/* A connection is used again this long after it brought something: a version
- * that needs several answers. */
+/* A connection is reused for this long after it delivered data, which serves a
+ * version that needs several answers. */
 #define CONNECTION_REUSE_MS 500
 
 /* Bounds of the time after which a busy peer is asked again. */
@@ -32,9 +32,10 @@
 	outbox_frame(in->env->out, &in->peer, 0, type, body);
 }
 
-/* A connection that has been idle may have gone silent, and with it all that
- * were made before; waiting for that to show takes half of the time that a
- * version has. */
+/* Closes the connection to the peer if it has been idle.  An idle connection
+ * may be dead without notice, and so may all connections opened before;
+ * detecting that by a timeout takes half of the time within which a version is
+ * to arrive. */
 static void
 intake_close_idle(struct intake *in, uint64_t now_ms)
 {
@@ -43,7 +44,7 @@
 		outbox_close(in->env->out, &in->peer, 0);
 }
 
-/* The connection to the peer asked works. */
+/* Marks the connection to the peer as live. */
 static void
 intake_mark_live(struct intake *in, uint64_t now_ms)
 {
@@ -120,7 +121,7 @@
 	intake_send_pull(in, now_ms, in->target, "");
 }
 
-/* The peer is out; look for another one without waiting. */
+/* Abandons the request to the peer; the next peer is chosen without a pause. */
 static void
 intake_peer_release(struct intake *in, uint64_t now_ms)
 {
@@ -177,7 +178,7 @@
 		intake_peer_invalid(in, now_ms);
 }
 
-/* Whether an answer is the one that is awaited. */
+/* Whether an answer belongs to the outstanding request. */
 static int
 intake_expects(
     struct intake *in, uint64_t now_ms, enum intake_step step, uint32_t token)
@@ -190,7 +191,8 @@
 	return 1;
 }
 
-/* Whether a page of changes makes sense, as the first one or a further one. */
+/* Whether a page of changes is valid, as the first page or after the pages
+ * received before. */
 static int
 intake_page_is_valid(const struct intake *in, const struct msg_delta *msg)
 {
@@ -265,7 +267,8 @@
 	return st;
 }
 
-/* Add content that a peer sent as differences; what doesn't fit is fetched. */
+/* Adds content that a peer sent as patches.  A section whose patch can't be
+ * applied stays missing and is fetched. */
 static enum status
 intake_add_patches(struct intake *in, const struct rec_section_patch *patches,
     uint32_t n_patches)
@@ -289,7 +292,10 @@
 	return STATUS_OK;
 }
 
-/* Take content that a peer sent; 0 if it was wrong or gave the version up. */
+/* Adds content that a peer sent.
+ *
+ * Return: 0 if the content was invalid or made the version too large, else 1.
+ */
 static int
 intake_take_content(struct intake *in, uint64_t now_ms,
     const struct rec_section_data *sections, uint32_t n_sections)
@@ -301,12 +307,12 @@
 	if (st == STATUS_OK)
 		return 1;
 	intake_peer_invalid(in, now_ms);
-	/* What came before it may have been all that was missing. */
+	/* The sections before the invalid one may complete the version. */
 	intake_check_complete(in, now_ms);
 	return 0;
 }
 
-/* All changes are there: stage them. */
+/* Stages the changes after the last page has arrived. */
 static void
 intake_stage_list(
     struct intake *in, uint64_t now_ms, const struct msg_delta *msg)
--- a/packages/spread/src/intake_priv.h
+++ b/packages/spread/src/intake_priv.h
@@ -1,60 +1,65 @@
 /*
- * Parts of the intake that its files share.
+ * Declarations shared by the source files of the intake.
  */
 #ifndef SPREAD_INTAKE_PRIV_H
 #define SPREAD_INTAKE_PRIV_H
 
 #include "spread/intake.h"
 
-/** intake_stop() - nobody is being asked any more */
+/** intake_stop() - abandon the outstanding request */
 void intake_stop(struct intake *in);
 
-/** intake_list_done() - the list is complete and staged, or was refused */
+/** intake_list_done() - the list was staged, or failed with status @st */
 void intake_list_done(struct intake *in, uint64_t now_ms, enum status st);
 
 /**
- * intake_too_large() - give the staged version up if content makes it too large
+ * intake_too_large() - reject the staged version if content makes it too large
  * @in: intake; a version is staged
  * @now_ms: monotonic time
- * @st: what adding the content returned
+ * @st: result of adding the content
  *
- * The content is the version's own by its digest, whoever sent it.
+ * The digest proves that the content belongs to the version, so the fault is
+ * not the sender's.
  *
- * Return: whether it did.
+ * Return: whether the version was rejected.
  */
 int intake_too_large(struct intake *in, uint64_t now_ms, enum status st);
 
-/** intake_check_complete() - move on if no content is missing */
+/** intake_check_complete() - advance to INTAKE_STAGED if no content is missing
+ */
 void intake_check_complete(struct intake *in, uint64_t now_ms);
 
-/** intake_begin_delta() - stage changes; takes nothing over */
+/** intake_begin_delta() - stage changes; @delta stays the caller's */
 enum status
 intake_begin_delta(struct intake *in, const struct catalog_delta *delta);
 
-/** intake_peer_ask() - ask @peer for what is needed now */
+/** intake_peer_ask() - request the list or missing content from @peer */
 void intake_peer_ask(
     struct intake *in, uint64_t now_ms, const struct net_addr *peer);
 
-/** intake_peer_ask_by_frame() - ask the peer again over a connection */
+/** intake_peer_ask_by_frame() - repeat a pull over a connection */
 void intake_peer_ask_by_frame(struct intake *in, uint64_t now_ms);
 
-/** intake_peer_failed() - the peer was silent or does not hold the version */
+/** intake_peer_failed() - drop a peer that timed out or lacks the version */
 void intake_peer_failed(struct intake *in, uint64_t now_ms);
 
-/** intake_peer_ban() - @peer sent something wrong */
+/** intake_peer_ban() - ban @peer, which sent an invalid answer */
 void intake_peer_ban(
     struct intake *in, uint64_t now_ms, const struct net_addr *peer);
 
-/** intake_source_available() - whether the platform may be asked now */
+/** intake_source_available() - whether the back-off from the platform expired
+ */
 int intake_source_available(const struct intake *in, uint64_t now_ms);
 
-/** intake_source_schedule() - the platform may be asked in the own turn */
+/** intake_source_schedule() - schedule a read of the platform in this node's
+ * slot, counted from @from_ms */
 void intake_source_schedule(struct intake *in, uint64_t from_ms);
 
-/** intake_source_ask() - ask the platform for what is needed now */
+/** intake_source_ask() - request the list or missing content from the platform
+ */
 void intake_source_ask(struct intake *in, uint64_t now_ms);
 
-/** intake_source_failed() - the platform failed; back off */
+/** intake_source_failed() - back off after a failed read of the platform */
 void intake_source_failed(struct intake *in, uint64_t now_ms);
 
 #endif
--- a/packages/spread/src/intake_source.c
+++ b/packages/spread/src/intake_source.c
@@ -1,5 +1,5 @@
 /*
- * Gets a version from the platform.
+ * Collects a version from the platform.
  */
 #include <string.h>
 
@@ -8,28 +8,32 @@
 #include "intake_priv.h"
 #include "spread/peers.h"
 
-/* Versions whose changes are read and merged; else the list is read. */
+/* Most versions whose rows are read and merged; beyond that the whole list is
+ * read. */
 #define ROWS_MAX 50
 
-/* Objects that are read at the same time. */
+/* Most objects read concurrently. */
 #define PARALLEL_MAX 8
 
-/* After this peers are asked again; what the read gives later is taken. */
+/* A read without a result for this long counts as failed, and peers are asked
+ * again; a result that arrives later is still used. */
 #define READ_TIMEOUT_MS 20000
 
-/* A node that holds nothing leaves this many times more room before itself,
- * since the one in front of it has the whole configuration to read. */
+/* Slots are this many times longer for a node that holds no version, since the
+ * node before it reads the whole configuration. */
 #define FULL_READ_FACTOR 10
 
-/* Longest extra room; those in front may be gone, or cut off. */
+/* Longest extra delay before the content is read; the nodes of the slots before
+ * may be gone or cut off. */
 #define CONTENT_DELAY_MAX_MS 30000
 
 #define MS_PER_S 1000
 #define KEY_BYTES 32
 
-/* Place in the order in which nodes turn to the platform for a version: first
- * the first readers of all data centres by the version's rank of data centres,
- * then the second ones; nodes that are no readers come last. */
+/* This node's slot in the order in which nodes read a version from the
+ * platform: the first readers of all data centres, by the version's rank of
+ * data centres, then the second readers and so on; nodes that are no readers
+ * come last, in a random slot. */
 static uint32_t
 intake_source_slot(const struct intake *in, uint64_t now_ms)
 {
@@ -44,7 +48,7 @@
 	return readers + env_random_below(in->env, readers + 1);
 }
 
-/* Room that a node leaves for each one in front of it. */
+/* Length of a slot. */
 static uint64_t
 intake_source_slot_ms(const struct intake *in)
 {
@@ -64,8 +68,9 @@
 }
 
 /*
- * The list is known, and with it how long the content takes to read: more
- * room for those in front, so that not all read the same at the same time.
+ * Schedules the reads of the content.  The staged list tells how long they
+ * take: if longer than a slot, the start is delayed further, so that the nodes
+ * don't all read the same content at the same time.
  */
 static void
 intake_source_schedule_content(struct intake *in, uint64_t now_ms)
@@ -94,7 +99,10 @@
 	intake_stop(in);
 }
 
-/* Spend one read; 0 if there is none left just now. */
+/* Takes one read from the budget, or schedules a retry.
+ *
+ * Return: 1 if a read was available, else 0.
+ */
 static int
 intake_source_take_token(struct intake *in, uint64_t now_ms)
 {
@@ -183,7 +191,7 @@
 	g_array_unref(missing);
 }
 
-/* Begin to read what the list names and is not at hand. */
+/* Schedules and starts the reads of missing content. */
 static void
 intake_read_content(struct intake *in, uint64_t now_ms)
 {
@@ -202,8 +210,8 @@
 		intake_read_versions(in, now_ms);
 }
 
-/* Merge the changes of consecutive versions: the last one of a section
- * counts, and the result is sorted by section. */
+/* Merges the changes of consecutive versions: the last change of a section
+ * wins.  The result is sorted by section. */
 static GArray *
 intake_merge_rows(const struct spread_version_row *rows, uint32_t n_rows)
 {
--- a/packages/spread/src/notices.c
+++ b/packages/spread/src/notices.c
@@ -1,12 +1,12 @@
 /*
- * Passes a new head on to random peers.
+ * Gossips a new head to random peers.
  */
 #include "spread/notices.h"
 
 #include "base/clock.h"
 #include "spread/peers.h"
 
-/* Most peers that are told in one round. */
+/* Most peers notified in one round. */
 #define FANOUT_MAX 32
 
 void
--- a/packages/spread/src/peers.c
+++ b/packages/spread/src/peers.c
@@ -1,15 +1,16 @@
 /*
- * Finds neighbours in the table of hosts.
+ * Selects peers from the table of hosts.
  */
 #include <string.h>
 
 #include "membership/membership.h"
 #include "spread/peers.h"
 
-/* A data centre that was not heard of for so long is taken as cut off. */
+/* A data centre without news for this long counts as unreachable. */
 #define REACHABLE_MS 30000
 
-/* Tries to find one more different neighbour by chance. */
+/* Random draws per wanted peer; draws of a peer that was already found are
+ * lost. */
 #define TRIES_PER_PEER 3
 
 int
--- a/packages/spread/src/probes.c
+++ b/packages/spread/src/probes.c
@@ -1,5 +1,5 @@
 /*
- * Reads of the platform's head beside the one that waits there.
+ * Probes: reads of the platform's head beside the long poll.
  */
 #include "spread/probes.h"
 
@@ -8,34 +8,37 @@
 #include "base/clock.h"
 
 /*
- * An answer that takes so long is late.  A change waits for two of them where
- * nothing is probed, and the last host has it up to 1.4 s after the first one
- * (docs/design/platform.md): 2 x 0.55 s + 1.4 s are the 2.5 s within which
- * operators expect it in force.
+ * Answers that take this long count as late.  Without probes a change is up to
+ * two answer times old when a reader has it, and the last host has it up to
+ * 1.4 s after the first (docs/design/platform.md): 2 x 0.55 s + 1.4 s is the
+ * 2.5 s within which operators expect a change in force.
  */
 #define SLOW_MS 500
 
-/* Late news in a row before one probe looks into it; a change each 1.5 s, as
- * deployments were seen to have, makes two of them in a fifth of the reads. */
+/* Consecutive late reads after which one probe measures the store.  With a
+ * change each 1.5 s, as observed in deployments, two late reads in a row occur
+ * in a fifth of the reads even if the store is fast. */
 #define LATE_READS_MIN 2
 
 /*
- * A quick store is not looked into more often; readers of a higher rank wait up
- * to twice as long, so that one or another looks every ten seconds.  With a
- * change and so a read each 1.5 s that is one call in 27.
+ * Least time between two measurements of a fast store.  The interval grows with
+ * the rank of the reader, up to twice as long, so that one of the readers
+ * measures about every ten seconds.  With a change, and so a read, each 1.5 s
+ * that is one call in 27.
  */
 #define MEASURE_INTERVAL_MS 30000
 
-/* A store that refused a probe is left alone for so long: some reads, that it
- * answers by waiting, and no more calls that it can't take. */
+/* Pause after the store refused a probe: long enough for some long polls, and
+ * no extra calls while the store is overloaded. */
 #define REFUSED_PAUSE_MS 5000
 
-/* Probes have half of an answer's time between them, and readers of a higher
- * rank up to a quarter less. */
+/* Probes are spaced by an answer time divided by SPACING_PARTS, and for readers
+ * of a higher rank by up to a RANK_PARTS-th less. */
 #define SPACING_PARTS 2
 #define RANK_PARTS 4
 
-/* The row may come twice in an answer's time, for half of that time. */
+/* Probes may transfer the row twice per answer time, as long as the transfers
+ * take no more than half of that time together. */
 #define BODY_PARTS 4
 
 void
@@ -51,7 +54,7 @@
 	p->wait_ms = wait_ms;
 }
 
-/* The part of a time that falls to the own rank. */
+/* The share of a time that corresponds to this host's rank; 0 for the first. */
 static uint32_t
 probes_rank_offset_ms(const struct probes *p, uint32_t ms)
 {
@@ -68,7 +71,7 @@
 	return most_ms - probes_rank_offset_ms(p, most_ms / RANK_PARTS);
 }
 
-/* Whether the row may come a second time while it is on the way. */
+/* Whether the link can carry the row a second time. */
 static int
 probes_link_has_room(const struct probes *p)
 {
@@ -100,7 +103,7 @@
 		p->due_ms = now_ms;
 }
 
-/* The store is known to have taken so long. */
+/* Sets the time that the store takes for an answer. */
 static void
 probes_set_latency(struct probes *p, uint64_t took_ms)
 {
@@ -120,7 +123,8 @@
 	took_ms -= MIN(took_ms, end->body_ms);
 	if (end->has_row)
 		p->body_ms = end->body_ms;
-	/* Without news it has waited to the end; else it may have waited. */
+	/* A long poll without a row waited to its end.  A long poll with a row
+	 * may have waited, so a long one doesn't give the latency. */
 	if (!end->has_row && took_ms >= p->read_wait_ms)
 		probes_set_latency(p, took_ms - p->read_wait_ms);
 	else if (took_ms < SLOW_MS)
--- a/packages/spread/src/profile.c
+++ b/packages/spread/src/profile.c
@@ -1,5 +1,5 @@
 /*
- * The two profiles.
+ * The profiles "registry" and "crew".
  */
 #include "spread/profile.h"
 
--- a/packages/spread/src/progress.c
+++ b/packages/spread/src/progress.c
@@ -1,5 +1,5 @@
 /*
- * Adds up on the way how many nodes hold the newest version.
+ * Aggregates how many nodes serve the newest version.
  */
 #include "spread/progress.h"
 
@@ -9,17 +9,18 @@
 #include "base/clock.h"
 #include "membership/membership.h"
 
-/* How often a changed table of hosts is looked at. */
+/* Mean time between two checks for changes of the table of hosts. */
 #define POSITION_INTERVAL_MS 2000
 
-/* Reports that are missed before a child is no longer counted. */
+/* Missed reports, each of progress_refresh_ms, after which a child is no longer
+ * counted. */
 #define MISSED_REPORTS 3
 
 /*
- * A report can be lost, and a parent that does not know the child yet ignores
- * it.  So it is sent again after progress_ms times this, then after ever
- * longer pauses up to progress_refresh_ms.  Under a steady stream of changes
- * the next report comes first.
+ * A report can be lost, and a parent whose table lacks the child ignores it. An
+ * unchanged report is therefore repeated after this many times progress_ms,
+ * then after doubled pauses up to progress_refresh_ms.  Under a steady stream
+ * of changes the next changed report comes first.
  */
 #define REPEAT_FACTOR 8
 
@@ -41,7 +42,7 @@
 	g_array_unref(p->answers);
 }
 
-/* Live hosts of one data centre, or the first host of each. */
+/* Collects the live hosts of one data centre. */
 struct progress_host_list {
 	const char *data_centre;
 	GPtrArray *hosts;
@@ -73,7 +74,7 @@
 		p->report_ms = now_ms + p->env->profile.progress_ms;
 }
 
-/* Take over the children, with the last reports of those there were. */
+/* Replaces the children; those that stay keep their last report. */
 static void
 progress_set_children(
     struct progress *p, const GPtrArray *hosts, uint32_t first)
@@ -169,7 +170,7 @@
 	    strcmp(a->reason, b->reason) == 0;
 }
 
-/* The refusals that a child reported. */
+/* The refusals in a report. */
 static struct spread_refusal
 progress_decode_refusal(const struct msg_progress_report *msg)
 {
--- a/packages/spread/src/quarantine_news.c
+++ b/packages/spread/src/quarantine_news.c
@@ -1,5 +1,5 @@
 /*
- * Passes crashes and quarantined requests on to all nodes.
+ * Distributes records of crashes and of quarantined requests to all nodes.
  */
 #include "spread/quarantine_news.h"
 
@@ -9,16 +9,16 @@
 #include "base/hash.h"
 #include "spread/budget.h"
 
-/* Room for records in a datagram, below the largest that is sent. */
+/* Most bytes of records in a datagram, below the limit of a datagram. */
 #define NEWS_BYTES 1300
 #define DIGEST_SEED 21
 /* The type byte that the envelope of a datagram adds. */
 #define ENVELOPE_BYTES 1
 
 /**
- * struct news_record - a record and how often it is still to be passed on
+ * struct news_record - a record and its remaining rounds of gossip
  * @item: the record
- * @rounds_left: times that it is still to be passed on
+ * @rounds_left: rounds still to be sent
  */
 struct news_record {
 	struct quarantine_item item;
@@ -26,16 +26,16 @@
 };
 
 /**
- * struct quarantine_news - what is known
- * @peers: hosts to talk to; borrowed
- * @out: where datagrams go; borrowed
- * @host: own name
- * @records: struct news_record, in the order in which they came
- * @received: struct quarantine_item that came from peers and were not popped
- * @round_ms: when records records are passed on; DEADLINE_NEVER for none
- * @compare_ms: when the next comparison is begun
- * @budget: bytes that may be sent now
- * @joined: whether a first comparison was answered
+ * struct quarantine_news - the set of records known here
+ * @peers: selects hosts to exchange records with; borrowed
+ * @out: outbox for datagrams; borrowed
+ * @host: name of this host
+ * @records: struct news_record, in order of arrival
+ * @received: struct quarantine_item from peers that were not popped yet
+ * @round_ms: when the next round of gossip is due; DEADLINE_NEVER for none
+ * @compare_ms: when the next comparison is due
+ * @budget: bytes that may be sent
+ * @joined: whether a peer's records or ids have been received
  * @counters: totals
  */
 struct quarantine_news {
@@ -120,8 +120,8 @@
 	return false;
 }
 
-/* What goes first when there is no more room: the evidence before what was
- * concluded from it, and quarantined requests last. */
+/* Priority in eviction and sending: evidence (crashes) is lower than the
+ * conclusions drawn from it, and quarantined requests are the highest. */
 static uint32_t
 retention_priority(enum quarantine_kind kind)
 {
@@ -145,7 +145,10 @@
 	return a->at_ms < b->at_ms;
 }
 
-/* Return: false when @item itself is what goes first. */
+/* Evicts a record if the set is full.
+ *
+ * Return: false if @item itself would be evicted first.
+ */
 static bool
 make_room(struct quarantine_news *n, const struct quarantine_item *item)
 {
@@ -163,7 +166,7 @@
 	return true;
 }
 
-/* Return: whether it was new. */
+/* Return: whether the record was new and was added. */
 static bool
 insert_record(struct quarantine_news *n, const struct quarantine_item *item,
     uint64_t now_ms)
@@ -201,7 +204,10 @@
 
 /* Sending */
 
-/* Return: false when too much was sent lately; @body is freed all the same. */
+/* Consumes @body.
+ *
+ * Return: false if the byte limit is reached; nothing is sent then.
+ */
 static bool
 send_msg(struct quarantine_news *n, const struct net_addr *to,
     enum msg_type type, GByteArray *body, uint64_t now_ms)
@@ -247,8 +253,10 @@
 	return bytes;
 }
 
-/* Sends records from number @from on, as many as a datagram takes.
- * Return: the number of the first that was left. */
+/* Sends records from index @from on, as many as fit a datagram.
+ *
+ * Return: index of the first record that was not sent.
+ */
 static guint
 send_page(struct quarantine_news *n, const struct net_addr *to,
     GPtrArray *records, guint from, uint64_t now_ms)
@@ -274,7 +282,7 @@
 	return send_msg(n, to, MSG_QUARANTINE_NEWS, body, now_ms) ? i : from;
 }
 
-/* Return: how many of the records were sent. */
+/* Return: number of records sent. */
 static guint
 send_pages(struct quarantine_news *n, const struct net_addr *to,
     GPtrArray *records, uint64_t now_ms)
@@ -385,7 +393,8 @@
 	return false;
 }
 
-/* Sends what the peer missing, and asks for what missing here. */
+/* Sends the records that the peer lacks, and requests those that are missing
+ * here. */
 static void
 on_ids(struct quarantine_news *n, const struct net_addr *from,
     const struct msg_quarantine_ids *m, uint64_t now_ms)
@@ -400,7 +409,8 @@
 	for (i = 0; i < m->n_ids && !lacks_ids; i++)
 		lacks_ids = !has_record(n, m->ids[i]);
 	(void)send_pages(n, from, missing, now_ms);
-	/* One that has just started waits for an answer, be it an empty one. */
+	/* A peer without records has just started and repeats its request until
+	 * it is answered, so answer even if there is nothing to send. */
 	if ((lacks_ids || m->n_ids == 0) && !m->answer)
 		send_ids(n, from, true, now_ms);
 	g_ptr_array_unref(missing);
@@ -447,7 +457,7 @@
 
 /* Time */
 
-/* What is to be passed on, conclusions before evidence. */
+/* Records with rounds left, by descending priority. */
 static GPtrArray *
 records_to_send(const struct quarantine_news *n)
 {
@@ -486,7 +496,8 @@
 	g_ptr_array_unref(records);
 }
 
-/* A node that has just started has nothing, and asks until it was answered. */
+/* Sends the digest of the ids to a random host.  A node without records sends
+ * an empty list of ids instead, until it has received an answer. */
 static void
 begin_comparison(struct quarantine_news *n, uint64_t now_ms)
 {
--- a/packages/spread/src/reader_group.c
+++ b/packages/spread/src/reader_group.c
@@ -1,5 +1,5 @@
 /*
- * Who of a data centre reads the platform for it just now.
+ * Decides which hosts of a data centre read the platform.
  */
 #include "spread/reader_group.h"
 
@@ -10,16 +10,16 @@
 #include "membership/membership.h"
 #include "spread/peers.h"
 
-/* An answer, its way here and the turn of a thread on a tenth of a core; an
- * answer later than that is to be doubted. */
+/* Time for the answer of the platform, for the report of it, and for a thread
+ * to be scheduled on a tenth of a core; a later report counts as missing. */
 #define ANSWER_SLACK_MS 200
 
-/* What the host before needs to take over and to tell: a read and a datagram.
- */
+/* Time that the standby before needs to take over and report: a read and a
+ * datagram. */
 #define TAKEOVER_STEP_MS 150
 
-/* Who has not been answered for so long while nobody else is says so, without
- * waiting for its read to fail. */
+/* A host that has read for this long without an answer, while no other host is
+ * answered, notifies the reserves without waiting for its read to fail. */
 #define ISOLATED_MS 400
 
 void
@@ -29,7 +29,8 @@
 	g->env = env;
 	g->rank = PEERS_RANK_NONE;
 	g->isolation_check_ms = DEADLINE_NEVER;
-	/* Polls come after half to one and a half of their mean time. */
+	/* The time between two polls is jittered to 0.5 to 1.5 times the mean.
+	 */
 	g->period_ms = env->profile.head_poll_ms * 3 / 2;
 }
 
@@ -41,7 +42,7 @@
 		g->period_ms = wait_ms;
 }
 
-/* Hosts that read or stand by; those after them are the further ones. */
+/* Number of readers and standbys by rank; the hosts after them are reserves. */
 static uint32_t
 active_size(const struct reader_group *g)
 {
@@ -88,7 +89,8 @@
 	g->rank = rank;
 }
 
-/* Two rounds of reports, so that one may be lost. */
+/* Sends reports to the reserves as well, for two rounds since one may be lost.
+ */
 static void
 include_reserves(struct reader_group *g, uint64_t now_ms)
 {
@@ -132,7 +134,7 @@
 	return host->answered_ms + g->period_ms + ANSWER_SLACK_MS;
 }
 
-/* Whether no host but this one counts as answered. */
+/* Whether no host other than this one counts as answered. */
 static bool
 no_other_answered(const struct reader_group *g, uint64_t now_ms)
 {
@@ -201,7 +203,7 @@
 	send_report(g, now_ms, &msg);
 }
 
-/* Hosts above this one that have not said that they fail. */
+/* Hosts above this one whose last report is not a failure. */
 static uint32_t
 count_not_failed(const struct reader_group *g)
 {
@@ -212,8 +214,8 @@
 	return n;
 }
 
-/* Latest time at which a host above this one was answered; the time before
- * this host was of the group doesn't count against them. */
+/* Latest answer of a host above this one.  The time before this host entered
+ * the group doesn't count against them. */
 static uint64_t
 last_answered_ms(const struct reader_group *g)
 {
@@ -226,7 +228,7 @@
 	return ms;
 }
 
-/* When nobody above has been heard of for too long. */
+/* When the hosts above this one have been silent for too long. */
 static uint64_t
 silence_deadline_ms(const struct reader_group *g)
 {
@@ -236,7 +238,8 @@
 	    ANSWER_SLACK_MS;
 }
 
-/* When fewer than @wanted hosts above count as answered; 0 if that is so. */
+/* When fewer than @wanted hosts above this one count as answered; 0 if fewer do
+ * already. */
 static uint64_t
 enough_until_ms(const struct reader_group *g, uint32_t wanted)
 {
@@ -257,8 +260,8 @@
 	return wanted == 0 || wanted > n ? 0 : until[wanted - 1];
 }
 
-/* When too few hosts above are answered.  Those that this host has never heard
- * of may just not have told yet. */
+/* When too few hosts above this one are answered.  A host that this host hasn't
+ * heard of yet may just not have reported. */
 static uint64_t
 too_few_deadline_ms(const struct reader_group *g)
 {
@@ -267,7 +270,7 @@
 	return MAX(first_ms, enough_until_ms(g, g->env->profile.readers));
 }
 
-/* Hosts above this one that count as answered at a time. */
+/* Hosts above this one that count as answered at @at_ms. */
 static uint32_t
 count_answered(const struct reader_group *g, uint64_t at_ms)
 {
@@ -278,8 +281,8 @@
 	return n;
 }
 
-/* Hosts above this one that may still take over: they have not said that they
- * fail, and don't count as answered at a time. */
+/* Hosts above this one that may still take over: their last report is not a
+ * failure, and they don't count as answered at @at_ms. */
 static uint32_t
 count_may_take_over(const struct reader_group *g, uint64_t at_ms)
 {
@@ -292,7 +295,8 @@
 	return n;
 }
 
-/* When this host takes over though it could from @at_ms on. */
+/* When this host takes over, if a takeover is possible from @at_ms on: after
+ * the hosts above it had their turn. */
 static uint64_t
 takeover_ms(const struct reader_group *g, uint64_t at_ms)
 {
@@ -300,8 +304,8 @@
 	    (uint64_t)TAKEOVER_STEP_MS * count_may_take_over(g, at_ms);
 }
 
-/* A further host reads when it is asked to, and goes on while it is answered
- * and none above it is. */
+/* A reserve reads when it is requested to, and continues while it is answered
+ * and no host above it is. */
 static enum reader_group_reason
 decide_reserve_reason(const struct reader_group *g, uint64_t now_ms)
 {
@@ -334,14 +338,14 @@
 		return READER_GROUP_SILENT;
 	if (now_ms >= takeover_ms(g, too_few_deadline_ms(g)))
 		return READER_GROUP_TOO_FEW;
-	/* One that reads goes on until enough others are answered. */
+	/* A standby that reads continues until enough others are answered. */
 	if (reader_group_reads(g) && now_ms >= enough_until_ms(g, readers))
 		return g->reason;
 	return READER_GROUP_NOT_READING;
 }
 
-/* Tells the further hosts that they are needed; not after a start, when all
- * read the whole row by slow links. */
+/* Notifies the reserves that they are needed, but not after a start, when all
+ * hosts read the whole row over slow links. */
 static void
 report_isolation(struct reader_group *g, uint64_t now_ms)
 {
@@ -390,7 +394,7 @@
 	return g->reason != READER_GROUP_NOT_READING;
 }
 
-/* The first host above this one that is taken to be answered, or NULL. */
+/* The first host above this one that counts as answered, or NULL. */
 static const struct reader_group_host *
 first_answered_above(const struct reader_group *g, uint64_t now_ms)
 {
@@ -424,7 +428,7 @@
 	uint32_t readers = MAX(g->env->profile.readers, 1U);
 	uint64_t turn_ms;
 
-	/* One that takes over looks at once. */
+	/* The first read after a takeover returns at once. */
 	if (!g->answered)
 		return 0;
 	if (first == NULL)
--- a/packages/spread/src/reader_position.c
+++ b/packages/spread/src/reader_position.c
@@ -1,9 +1,10 @@
 /*
- * Positions that readers told, and what of them has spread.
+ * Positions reported by readers, and up to which all changes have spread.
  */
 #include "spread/reader_position.h"
 
-/* What was read so long ago is known to peers. */
+/* Time after which a reported position counts as settled: peers have the
+ * changes read up to it by then. */
 #define SETTLED_MS 3000
 
 void
--- a/packages/spread/src/readers.c
+++ b/packages/spread/src/readers.c
@@ -1,5 +1,5 @@
 /*
- * Whether and when this node polls the platform's head row.
+ * Decides whether and when this node reads the platform's head row.
  */
 #include "spread/readers.h"
 
@@ -9,25 +9,27 @@
 
 #define READERS_KEY "readers"
 
-/* How often a changed table of hosts is looked at. */
+/* Mean time between two checks for changes of the table of hosts. */
 #define RANK_INTERVAL_MS 1000
 
-/* A node that is joining looks this often whether it has. */
+/* A node that is joining checks this often whether it has joined. */
 #define JOIN_POLL_MS 50
 
 /*
- * After it has joined it compares its table with others (membership/settle.c);
- * by then most hosts that started with it are known, so that few take
- * themselves for readers.  Until a reader has read, nobody serves.
+ * Time after joining during which the node compares its table with others
+ * (membership/settle.c).  By then the table contains most hosts that started at
+ * the same time, so that few hosts take themselves for readers.  The time is
+ * short because no node serves until a reader has read.
  */
 #define TABLE_SETTLE_MS 100
 
-/* The shell's own timeout of a read is shorter than this: 2 s of waiting, 1.5 s
- * for an answer to begin and 45 s for the largest to come. */
+/* Longer than the caller's own timeout of a read: 2 s of waiting, 1.5 s until
+ * the answer begins and 45 s for the largest answer. */
 #define READ_TIMEOUT_MS 60000
 
-/* A platform that is back is read by one or another reader within some 0.3 s,
- * so that a change is in force in time: the mean of the first of two. */
+/* Cap of the back-off: after an outage of the platform one of the readers reads
+ * within some 0.3 s, the mean of the earlier of two reads, so that a change is
+ * in force in time. */
 #define BACKOFF_CAP_MS 1000
 
 void
@@ -49,7 +51,8 @@
 	r->read_deadline_ms = 0;
 }
 
-/* Whether the table is too young to tell who reads; sets the next look. */
+/* Whether the table of hosts is not complete enough yet to compute the rank;
+ * schedules the next check. */
 static int
 readers_table_unsettled(struct readers *r, uint64_t now_ms)
 {
@@ -109,7 +112,8 @@
 		return;
 	a->to = r->group.rank + 1;
 	a->reader_reason = r->group.reason;
-	/* Hosts that start together don't read together. */
+	/* Readers by rank keep their random time of the first read, so that
+	 * hosts that start together don't read together. */
 	if (r->group.reason != READER_GROUP_BY_RANK)
 		r->poll_ms = now_ms;
 	backoff_succeeded(&r->backoff);
--- a/packages/spread/src/serve.c
+++ b/packages/spread/src/serve.c
@@ -1,5 +1,5 @@
 /*
- * Answers the pulls and fetches of peers, within limits.
+ * Answers pulls and fetches of peers, within limits.
  */
 #include "spread/serve.h"
 
@@ -8,22 +8,22 @@
 #include "config/catalog.h"
 #include "proto/pack.h"
 
-/* Changes in one answer. */
+/* Most changes in one answer. */
 #define PAGE_CHANGES_MAX 1024
 
-/* A peer that is silent for so long gives up its place. */
+/* The slot of a peer that sends nothing for this long is released. */
 #define SLOT_IDLE_MS 1500
 
-/* Peers that are turned away come back after half of this to one and a half. */
+/* Mean time after which a rejected peer is to retry. */
 #define COME_BACK_MS 300
 
-/* Largest answer in a datagram: fits every path without being cut up. */
+/* Largest answer in a datagram: fits the MTU of every path. */
 #define DATAGRAM_BYTES_MAX 1200
 
-/* Rough size of a change in an answer, for the budget. */
+/* Approximate size of a change in an answer, for the budget. */
 #define CHANGE_BYTES 64
 
-/* Size of a difference besides its data and hunks, and of a hunk. */
+/* Size of a patch without its data and hunks, and of a hunk. */
 #define PATCH_BYTES 40
 #define HUNK_BYTES 14
 
@@ -36,7 +36,10 @@
 	    env->profile.serve_bytes_per_s, now_ms);
 }
 
-/* Take or keep a place for a peer; 0 when all are taken. */
+/* Takes or renews a slot for a peer.
+ *
+ * Return: 0 if all slots are taken, else 1.
+ */
 static int
 serve_take_slot(struct serve *s, uint64_t now_ms, const struct net_addr *addr)
 {
@@ -80,7 +83,7 @@
 	return body;
 }
 
-/* Leave out what an answer would carry. */
+/* Sets a result without content. */
 static void
 serve_clear_reply(struct msg_delta *msg, enum pull_result result)
 {
@@ -91,8 +94,8 @@
 	msg->n_patches = 0;
 }
 
-/* Sends an answer by frame, compressed if the asker takes that and it pays.
- * Takes over @body. */
+/* Sends an answer as a frame, compressed if the peer accepts that and it saves
+ * bytes.  Consumes @body. */
 static void
 serve_send_frame(struct serve *s, const struct net_addr *to, uint64_t conn,
     enum msg_type type, GByteArray *body, bool packed)
@@ -145,14 +148,14 @@
 	serve_send_frame(s, to, conn, MSG_SECTIONS, body, packed);
 }
 
-/* Version whose changes a pull gets. */
+/* The version up to which a pull gets the changes. */
 static uint64_t
 serve_target(const struct serve *s, const struct msg_pull *pull,
     const struct rec_head_tag *head)
 {
 	uint64_t held;
 
-	/* Further pages are of the version that the first one was of. */
+	/* Pages after the first belong to the version of the first. */
 	if (pull->after[0] != '\0')
 		return pull->want;
 	held = catalog_version(s->env->catalog);
@@ -161,7 +164,7 @@
 	return pull->want;
 }
 
-/* The whole list of a version as changes from nothing. */
+/* The whole list of a version, as changes from nothing. */
 static enum status
 serve_full_list(struct serve *s, uint64_t version, struct catalog_delta *delta)
 {
@@ -189,7 +192,7 @@
 	return STATUS_OK;
 }
 
-/* Cut the page that follows @after out of all changes. */
+/* Selects the page of changes that follows the section @after. */
 static void
 serve_page(const GArray *changes, const char *after, struct msg_delta *msg)
 {
@@ -220,10 +223,10 @@
 }
 
 /**
- * struct serve_contents - what goes with the changes of an answer
+ * struct serve_contents - content that accompanies the changes of an answer
  * @sections: struct rec_section_data, whole sections
- * @patches: struct rec_section_patch, differences
- * @bytes: what both take, near enough
+ * @patches: struct rec_section_patch, patches of sections
+ * @bytes: approximate size of both
  */
 struct serve_contents {
 	GArray *sections;
@@ -261,7 +264,10 @@
 	g_array_unref(contents->patches);
 }
 
-/* Add the content of a change, as a difference if there is one. */
+/* Adds the content of a change, as a patch if there is one.
+ *
+ * Return: 0 if the content is not available, else 1.
+ */
 static int
 serve_add_change(struct serve *s, const struct msg_delta *msg,
     const struct rec_section_change *c, struct serve_contents *contents)
@@ -283,7 +289,10 @@
 	return 1;
 }
 
-/* Add the content of changed sections as far as it fits; 1 if all did. */
+/* Adds the content of the changed sections, up to @limit bytes.
+ *
+ * Return: 1 if all of it was added, else 0.
+ */
 static int
 serve_add_changes(struct serve *s, const struct msg_delta *msg, uint32_t limit,
     struct serve_contents *contents)
@@ -313,8 +322,8 @@
 	return bytes;
 }
 
-/* Turn a delta into an answer; the peer is told to come back if it costs
- * more than there is. */
+/* Answers a pull with the changes of @delta, or with "busy" if the answer
+ * exceeds the limits. */
 static void
 serve_answer(struct serve *s, uint64_t now_ms, const struct net_addr *from,
     uint64_t conn, const struct msg_pull *pull, struct catalog_delta *delta,
@@ -331,7 +340,8 @@
 	serve_page(delta->changes, pull->after, msg);
 	contents_init(&contents);
 	whole = 0;
-	/* A peer that is only too far behind has most of the content. */
+	/* A peer that needs the whole list because it is too far behind has
+	 * most of the content already. */
 	if (!msg->more && pull->after[0] == '\0' &&
 	    (msg->result == PULL_DELTA || pull->have == 0))
 		whole = serve_add_changes(s, msg,
@@ -387,7 +397,7 @@
 	catalog_delta_clear(&delta);
 }
 
-/* Add what a peer asked for, if it is held here. */
+/* Adds a requested section, if it is held here. */
 static void
 serve_add_want(struct serve *s, const struct rec_section_want *want,
     struct serve_contents *contents)
@@ -408,7 +418,7 @@
 	contents->bytes += (uint32_t)g_bytes_get_size(content);
 }
 
-/* What was added, or that it has to wait. */
+/* Fills the reply with @contents, or with "busy" if they exceed the limits. */
 static void
 serve_fill_sections(struct serve *s, uint64_t now_ms,
     const struct net_addr *from, const struct serve_contents *contents,
--- a/packages/spread/src/spread.c
+++ b/packages/spread/src/spread.c
@@ -1,5 +1,5 @@
 /*
- * Composition of the spread: heads, and what follows from an event.
+ * Composition of the spread: heads, and the steps that follow an event.
  */
 #include "spread/spread.h"
 
@@ -41,7 +41,7 @@
 	g_free(s);
 }
 
-/* Each sign-off raises seq and version by one, each halt only seq. */
+/* Each sign-off raises seq and version by one, each halt raises only seq. */
 uint64_t
 spread_halt_count(const struct rec_head_tag *head)
 {
@@ -58,7 +58,7 @@
 	    head->version > 0 && head->state == state;
 }
 
-/* Tag of a version that is or was held here; 0 when it can't be told. */
+/* Tag of a version that is or was held here, 0 if unknown. */
 static uint64_t
 spread_held_tag(const struct spread *s, uint64_t version)
 {
@@ -76,9 +76,10 @@
 }
 
 /*
- * A head whose version in force is held here needs no content to prove it, so
- * its tag must be that version's; bytes that only look like a head must not
- * overrule the true one.  Heads that pings carry have no tag.
+ * Whether the tag of a head is that of its version in force, if that version is
+ * held here.  Such a head is adopted without fetching content that would prove
+ * it, so this check keeps bytes that only look like a head from replacing the
+ * true one.  Heads from pings carry no tag.
  */
 static int
 spread_tag_is_consistent(
@@ -99,7 +100,8 @@
 	s->next_head = (s->next_head + 1) % SPREAD_HEADS_MAX;
 }
 
-/* A version was halted since the known head: what is under way may be it. */
+/* A version was halted since the known head: it may be the version in progress.
+ */
 static void
 spread_on_halt(struct spread *s, const struct rec_head_tag *head)
 {
@@ -114,8 +116,8 @@
 }
 
 /*
- * The version to get to.  A node that is ready has reached its floor; one
- * that comes later, too high by some fault, must not hold it up for ever.
+ * The version to collect.  A ready node has reached its floor; a floor that
+ * arrives later, and is too high by some fault, must not block it for ever.
  */
 static uint64_t
 spread_target(const struct spread *s)
@@ -173,7 +175,7 @@
 	return s->ready ? s->committed_ms + s->env.profile.batch_ms : 0;
 }
 
-/* The head that the version held came with. */
+/* The newest head, above the one published, whose version in force is held. */
 static const struct rec_head_tag *
 spread_held_head(const struct spread *s)
 {
@@ -193,7 +195,8 @@
 	return best;
 }
 
-/* Tell others what is held here, if that has become something newer. */
+/* Gossips the head of the version held, if it is newer than the one published.
+ */
 static void
 spread_publish_head(struct spread *s, uint64_t now_ms)
 {
@@ -236,9 +239,11 @@
 }
 
 /*
- * Move to the staged version once its keepers know; Return: 0 while they are
- * waited for.  A version that can't be put together is not told: this host
- * never gets there, and would wait for it after a restart.
+ * Moves to the staged version once a keeper has acknowledged it or the wait for
+ * that is over.  A version that fails its check is not announced: this host
+ * never reaches it, and would wait for it after a restart.
+ *
+ * Return: 0 while waiting for the keepers, else 1.
  */
 static int
 spread_try_commit(struct spread *s, uint64_t now_ms, uint64_t version)
@@ -279,7 +284,7 @@
 	env_push_action(&s->env, SPREAD_READY)->to = held;
 }
 
-/* The version that calls are served by, 0 while none are. */
+/* The version that this node serves calls with, 0 while it serves none. */
 static uint64_t
 spread_served_version(const struct spread *s)
 {
--- a/packages/spread/src/spread_events.c
+++ b/packages/spread/src/spread_events.c
@@ -1,5 +1,5 @@
 /*
- * Composition of the spread: messages of peers and answers of the platform.
+ * Composition of the spread: messages from peers and results from the platform.
  */
 #include <string.h>
 
@@ -8,7 +8,8 @@
 #include "spread/spread.h"
 #include "spread_priv.h"
 
-/* A peer holds the version in force of a head, first read @age_ms ago. */
+/* A peer holds the version in force of @head, which the first node read @age_ms
+ * ago. */
 static int
 spread_on_peer_head(struct spread *s, uint64_t now_ms,
     const struct net_addr *from, const struct rec_head_tag *head,
@@ -17,7 +18,8 @@
 	int newer;
 
 	newer = spread_adopt_head(s, now_ms, head);
-	/* Others have it already: there is nothing to hold back any more. */
+	/* Other nodes hold the version, so holding it back would not merge it
+	 * with the next one any more. */
 	if (head->seq == s->known.seq) {
 		s->from_origin = 0;
 		trace_known(&s->env.trace, now_ms, head->in_force, age_ms);
@@ -28,7 +30,8 @@
 	return newer;
 }
 
-/* The same, in a message that carries the tag of the version in force. */
+/* As spread_on_peer_head(), for messages that carry the tag of the version in
+ * force. */
 static int
 spread_on_tagged_head(struct spread *s, uint64_t now_ms,
     const struct net_addr *from, const struct rec_head_tag *head,
@@ -146,7 +149,8 @@
 	}
 }
 
-/* An answer that came compressed; one packed within another is nonsense. */
+/* Handles a compressed answer.  A compressed answer inside another one is
+ * malformed. */
 static void
 spread_on_packed(struct spread *s, uint64_t now_ms, const struct net_addr *from,
     const uint8_t *body, size_t len)
@@ -319,7 +323,8 @@
 {
 	spread_adopt_origin_head(s, now_ms, head);
 	/* Peers may know a later version already.  With versions in quick
-	 * succession the latest is always under way: take what is here. */
+	 * succession the latest one is always in progress, so take this one,
+	 * whose content is here. */
 	if (head->in_force > catalog_version(s->env.catalog) &&
 	    head->in_force <= s->known.in_force)
 		intake_on_full_version(
--- a/packages/spread/src/spread_priv.h
+++ b/packages/spread/src/spread_priv.h
@@ -1,5 +1,5 @@
 /*
- * Parts of the composition that its files share.
+ * Declarations shared by spread.c and spread_events.c.
  */
 #ifndef SPREAD_SPREAD_PRIV_H
 #define SPREAD_SPREAD_PRIV_H
@@ -12,28 +12,28 @@
 #include "spread/readers.h"
 #include "spread/serve.h"
 
-/* Heads that are remembered, to tell which one a version came with. */
+/* Latest heads kept, to find the head that announced the version held. */
 #define SPREAD_HEADS_MAX 8
 
 /**
  * struct spread - one node's spread
- * @env: what the modules share
- * @readers: polling of the platform
- * @notices: passing on
- * @intake: version under way
+ * @env: environment of the modules
+ * @readers: reads of the platform's head
+ * @notices: gossip of the head
+ * @intake: version being collected
  * @serve: answers to peers
- * @floors: what restarted hosts held
- * @progress: sums of the roll
- * @known: newest head heard
+ * @floors: this host's floor and those it stores for other hosts
+ * @progress: sums of the rollout progress
+ * @known: newest head known
  * @held_head: newest head whose version in force is held
- * @heads: heads heard lately
- * @next_head: where the next one goes
- * @public_head: @known for other packages; its root zero when not known
- * @committed_ms: when the node came to hold its version
- * @pending_contents: GBytes; contents for a version that is being signed off
- * here
- * @from_origin: @known came from the platform or a sign-off here, not from a
- * peer
+ * @heads: ring of the latest heads
+ * @public_head: @known with the root of its version in force, which is zero if
+ *	unknown; returned by spread_head()
+ * @committed_ms: when the catalog last moved
+ * @next_head: index in @heads that the next head overwrites
+ * @pending_contents: GBytes; contents for a version being signed off here
+ * @from_origin: @known came from the platform or a sign-off here, and not from
+ *a peer
  * @ready: whether the node may serve
  */
 struct spread {
@@ -56,12 +56,12 @@
 };
 
 /**
- * spread_adopt_head() - a head was heard
+ * spread_adopt_head() - make a head the known one if it is newer
  * @s: the spread
  * @now_ms: monotonic time
  * @head: the head
  *
- * Return: 1 when it is newer than the one known, else 0.
+ * Return: 1 if the head is newer than the known one, else 0.
  */
 int spread_adopt_head(
     struct spread *s, uint64_t now_ms, const struct rec_head_tag *head);
@@ -69,22 +69,23 @@
 /** spread_halt_count() - number of halts up to a head */
 uint64_t spread_halt_count(const struct rec_head_tag *head);
 
-/** spread_adopt_origin_head() - a head was heard from the platform or a
- * sign-off here */
+/** spread_adopt_origin_head() - adopt a head from the platform or a sign-off
+ * here */
 void spread_adopt_origin_head(
     struct spread *s, uint64_t now_ms, const struct rec_head *head);
 
 /**
- * spread_hold_ms() - when a version that no peer offers may be taken up
+ * spread_hold_ms() - earliest time to take up a version that no peer offers
  * @s: the spread
  *
- * A version that comes from the platform or from a sign-off here waits until
- * batch_ms after the one before, so that versions close together are merged
- * where they enter the spread. What peers offer is taken up at once.
+ * A version from the platform or a sign-off here waits until batch_ms after the
+ * previous one, so that versions close together are merged where they enter the
+ * fleet.  A version offered by a peer is taken up at once.
  */
 uint64_t spread_hold_ms(const struct spread *s);
 
-/** spread_advance() - do what an event has made possible; ends each event */
+/** spread_advance() - run the steps that an event made possible; called at the
+ * end of each event */
 void spread_advance(struct spread *s, uint64_t now_ms);
 
 #endif
--- a/packages/spread/src/trace.c
+++ b/packages/spread/src/trace.c
@@ -1,5 +1,5 @@
 /*
- * When the last versions passed each step on their way to this node.
+ * When the latest versions passed each step on their way to this node.
  */
 #include "spread/trace.h"
 
@@ -16,8 +16,8 @@
 	return NULL;
 }
 
-/* The entry of a version, in place of the lowest one; NULL if all are higher.
- */
+/* The entry of a version, which replaces the lowest one if it is new; NULL if
+ * all entries are higher. */
 static struct trace_entry *
 trace_get_entry(struct trace *t, uint64_t now_ms, uint64_t version)
 {
