--- a/packages/spread/test/store_model.c
+++ b/packages/spread/test/store_model.c
@@ -35,9 +35,9 @@
 	return g_array_index(s->changes, uint64_t, i);
 }
 
-/* Changes accepted up to a moment, it included. */
+/* Changes accepted_until up to a moment, it included. */
 static uint64_t
-accepted(struct store_model *s, uint64_t now_ms)
+accepted_until(struct store_model *s, uint64_t now_ms)
 {
 	while (s->n_accepted < s->changes->len &&
 	    change_ms(s, s->n_accepted) <= now_ms)
@@ -46,7 +46,7 @@
 }
 
 uint64_t
-store_model_number(const struct store_model *s, uint64_t changes)
+store_model_counter(const struct store_model *s, uint64_t changes)
 {
 	return changes * s->step;
 }
@@ -64,11 +64,11 @@
 
 /* What the answer says is settled. */
 static void
-look_up(struct store_model *s, struct store_read *read, uint64_t now_ms)
+complete_read(struct store_model *s, struct store_read *read, uint64_t now_ms)
 {
-	uint64_t n = accepted(s, now_ms);
+	uint64_t n = accepted_until(s, now_ms);
 
-	if (store_model_number(s, n) > read->after) {
+	if (store_model_counter(s, n) > read->after) {
 		read->found = n;
 		read->at_ms = now_ms + s->answer_ms + s->body_ms;
 		s->copies++;
@@ -82,7 +82,7 @@
     struct store_model *s, struct store_read *read, uint64_t now_ms)
 {
 	if (read->at_ms == 0)
-		look_up(s, read, now_ms);
+		complete_read(s, read, now_ms);
 	return read->at_ms != 0 && now_ms >= read->at_ms;
 }
 
--- a/packages/spread/test/store_model.h
+++ b/packages/spread/test/store_model.h
@@ -23,7 +23,7 @@
  * @step: numbers of the store's counter that each change takes
  * @calls: reads asked for
  * @copies: answers that held the row
- * @needless: answers that held the row as the reader had it
+ * @duplicates: answers that held the row as the reader had it
  */
 struct store_model {
 	GArray *changes;
@@ -34,7 +34,7 @@
 	uint32_t step;
 	uint32_t calls;
 	uint32_t copies;
-	uint32_t needless;
+	uint32_t duplicates;
 };
 
 /**
@@ -75,8 +75,8 @@
 bool store_model_answered(
     struct store_model *s, struct store_read *read, uint64_t now_ms);
 
-/** store_model_number() - the store's counter after so many changes */
-uint64_t store_model_number(const struct store_model *s, uint64_t changes);
+/** store_model_counter() - the store's counter after so many changes */
+uint64_t store_model_counter(const struct store_model *s, uint64_t changes);
 
 /** store_model_hold() - a reader holds the first @found changes */
 void store_model_hold(struct store_model *s, uint64_t now_ms, uint64_t found);
--- a/packages/spread/test/test_reader_group.c
+++ b/packages/spread/test/test_reader_group.c
@@ -21,24 +21,24 @@
 #define READERS 2
 
 /* Those that read or stand by; the others are further ones. */
-#define STANDING (READERS + READER_GROUP_STANDBYS)
+#define ACTIVE (READERS + READER_GROUP_STANDBYS)
 #define PERIOD_MS 1800
 
 /* Version that all hosts hold. */
-#define HELD 4
+#define HELD_VERSION 4
 
 /* An answer and its way, as the readers see it. */
 #define ANSWER_MS 5
 
 /* When silence is noticed, half a period, since two are answered in turn, and
  * when the next host takes over after @n that could have. */
-#define SILENT_MS(n) (PERIOD_MS / 2 + 250 + 150 * ((n)-1))
+#define SILENCE_MS(n) (PERIOD_MS / 2 + 250 + 150 * ((n)-1))
 
 /** struct host - a host of the group and its read under way */
 struct host {
 	struct spread_env env;
 	struct reader_group group;
-	enum { WELL, REFUSED, SILENT } fate;
+	enum { ANSWERED, REFUSED, SILENT } outcome;
 	uint64_t ends_ms;
 	uint32_t reads;
 };
@@ -53,7 +53,7 @@
 static uint32_t n_answered;
 
 static struct catalog *
-catalog_of(uint64_t version)
+new_catalog(uint64_t version)
 {
 	struct bundle *bundle = fix_bundle(fix_good);
 	struct catalog *c = catalog_new(0);
@@ -74,7 +74,7 @@
 	cfg.profile.readers = READERS;
 	now_ms = 1000;
 	n_answered = 0;
-	held = catalog_of(HELD);
+	held = new_catalog(HELD_VERSION);
 	memset(hosts, 0, sizeof(hosts));
 	for (i = 0; i < HOSTS; i++)
 		addrs[i].ip = i + 1;
@@ -126,17 +126,18 @@
 	if (h->ends_ms == DEADLINE_NEVER && reader_group_reads(&h->group)) {
 		h->reads++;
 		h->ends_ms = now_ms + ANSWER_MS;
-		if (h->fate == WELL)
+		if (h->outcome == ANSWERED)
 			h->ends_ms += reader_group_wait_ms(&h->group, now_ms);
-		else if (h->fate == SILENT)
+		else if (h->outcome == SILENT)
 			h->ends_ms += PERIOD_MS + 1500;
 	}
 	if (now_ms < h->ends_ms)
 		return;
 	h->ends_ms = DEADLINE_NEVER;
-	if (h->fate == WELL && n_answered < G_N_ELEMENTS(answered_ms))
+	if (h->outcome == ANSWERED && n_answered < G_N_ELEMENTS(answered_ms))
 		answered_ms[n_answered++] = now_ms;
-	reader_group_on_read_ended(&h->group, now_ms, h->fate == WELL, now_ms);
+	reader_group_on_read_ended(
+	    &h->group, now_ms, h->outcome == ANSWERED, now_ms);
 	deliver(i);
 }
 
@@ -152,7 +153,7 @@
 }
 
 static uint32_t
-reading(void)
+count_reading(void)
 {
 	uint32_t i, n = 0;
 
@@ -186,7 +187,7 @@
 	from_ms = now_ms;
 	reads = hosts[0].reads + hosts[1].reads;
 	run(30000);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 	ck_assert_uint_le(longest_gap_ms(from_ms), PERIOD_MS / READERS + 50);
 	/* No more reads than without turns. */
 	ck_assert_uint_le(hosts[0].reads + hosts[1].reads - reads,
@@ -198,7 +199,7 @@
 START_TEST(a_reader_that_is_refused_is_replaced_at_once)
 {
 	run(10000);
-	hosts[0].fate = REFUSED;
+	hosts[0].outcome = REFUSED;
 	hosts[0].ends_ms = now_ms;
 	run(2);
 	ck_assert(reader_group_reads(&hosts[2].group));
@@ -217,7 +218,7 @@
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
-		hosts[i].fate = SILENT;
+		hosts[i].outcome = SILENT;
 		hosts[i].ends_ms = DEADLINE_NEVER;
 	}
 }
@@ -233,11 +234,11 @@
 	from_ms = now_ms;
 	run(20000);
 	ck_assert_uint_le(
-	    longest_gap_ms(from_ms), MAX(PERIOD_MS, SILENT_MS(n)) + 300);
+	    longest_gap_ms(from_ms), MAX(PERIOD_MS, SILENCE_MS(n)) + 300);
 }
 END_TEST
 
-START_TEST(the_first_answer_after_silence_is_in_time)
+START_TEST(the_first_answer_after_silence_is_on_time)
 {
 	uint32_t n = (uint32_t)_i, before;
 	uint64_t from_ms;
@@ -248,7 +249,7 @@
 	before = n_answered;
 	while (n_answered == before && now_ms < from_ms + 10000)
 		run(1);
-	ck_assert_uint_le(now_ms - from_ms, SILENT_MS(n) + ANSWER_MS);
+	ck_assert_uint_le(now_ms - from_ms, SILENCE_MS(n) + ANSWER_MS);
 }
 END_TEST
 
@@ -261,7 +262,7 @@
 }
 
 /* Two are silent, and others fail after that has shown. */
-START_TEST(hosts_that_fail_late_hold_nobody_back)
+START_TEST(late_failures_do_not_delay_a_takeover)
 {
 	run(10000);
 	report(4, 1, true);
@@ -275,46 +276,46 @@
 END_TEST
 
 /* One of two is frozen: the data centre has two again. */
-START_TEST(a_reader_that_tells_nothing_is_replaced)
+START_TEST(a_silent_reader_is_replaced)
 {
 	run(10000);
-	hosts[1].fate = SILENT;
+	hosts[1].outcome = SILENT;
 	hosts[1].ends_ms = DEADLINE_NEVER;
 	run(PERIOD_MS + 300);
 	ck_assert(reader_group_reads(&hosts[2].group));
 	run(5000);
 	ck_assert(reader_group_reads(&hosts[2].group));
 	ck_assert(!reader_group_reads(&hosts[3].group));
-	hosts[1].fate = WELL;
+	hosts[1].outcome = ANSWERED;
 	hosts[1].ends_ms = DEADLINE_NEVER;
 	run(2 * PERIOD_MS);
 	ck_assert(!reader_group_reads(&hosts[2].group));
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 }
 END_TEST
 
 /* While the platform is away all of them try, and no others when it is back. */
-START_TEST(all_try_while_nobody_is_answered)
+START_TEST(all_hosts_read_while_none_is_answered)
 {
 	uint32_t i;
 
 	run(10000);
 	for (i = 0; i < HOSTS; i++) {
-		hosts[i].fate = REFUSED;
+		hosts[i].outcome = REFUSED;
 		hosts[i].ends_ms = DEADLINE_NEVER;
 	}
 	run(3000);
-	ck_assert_uint_eq(reading(), HOSTS);
+	ck_assert_uint_eq(count_reading(), HOSTS);
 	for (i = 0; i < HOSTS; i++)
-		hosts[i].fate = WELL;
+		hosts[i].outcome = ANSWERED;
 	run(2 * PERIOD_MS + 500);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 }
 END_TEST
 
 /* A host that ranks first has joined, but not begun to read; the one that it
  * displaces goes on until it has. */
-START_TEST(a_reader_that_is_displaced_waits_for_its_successor)
+START_TEST(a_displaced_reader_reads_until_its_successor_does)
 {
 	struct net_addr joined[HOSTS];
 	uint32_t i;
@@ -336,17 +337,17 @@
 END_TEST
 
 /* After a start nobody has told yet; only the first ones read. */
-START_TEST(those_that_stand_by_wait_after_a_start)
+START_TEST(standbys_do_not_read_after_a_start)
 {
 	run(PERIOD_MS / 2);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 	run(20000);
 	ck_assert_uint_eq(hosts[2].reads, 0);
 }
 END_TEST
 
 /* What was read just now may not have spread: it is read again. */
-START_TEST(a_position_is_gone_on_from_when_it_has_spread)
+START_TEST(a_position_is_used_after_it_has_settled)
 {
 	uint64_t position;
 
@@ -373,15 +374,15 @@
 }
 
 /* A host that lacks what others hold reads the whole. */
-START_TEST(a_position_is_gone_on_from_with_its_version_only)
+START_TEST(a_position_needs_the_version_reported_with_it)
 {
-	learn_position(77, HELD + 1);
+	learn_position(77, HELD_VERSION + 1);
 	ck_assert_uint_eq(reader_group_position(&hosts[2].group), 0);
 }
 END_TEST
 
 /* So does one that was started just now, whatever the others hold. */
-START_TEST(a_host_that_holds_nothing_reads_the_whole)
+START_TEST(a_host_without_a_version_reads_everything)
 {
 	hosts[2].env.catalog = NULL;
 	learn_position(77, 0);
@@ -392,74 +393,74 @@
 END_TEST
 
 static void
-strike_all_but(uint32_t well, int fate)
+fail_all_but(uint32_t well, int outcome)
 {
 	uint32_t i;
 
 	for (i = 0; i < HOSTS; i++) {
 		if (i == well)
 			continue;
-		hosts[i].fate = fate;
-		hosts[i].ends_ms = fate == SILENT ? DEADLINE_NEVER : now_ms;
+		hosts[i].outcome = outcome;
+		hosts[i].ends_ms = outcome == SILENT ? DEADLINE_NEVER : now_ms;
 	}
 }
 
 /* The platform answers a single host, which neither reads nor stands by: it
  * reads soon, alone of the further hosts, until those before it can. */
-START_TEST(a_further_host_reads_while_nobody_else_is_answered)
+START_TEST(a_reserve_reads_while_no_other_host_is_answered)
 {
-	uint32_t well = STANDING + (uint32_t)_i / 2, i;
+	uint32_t well = ACTIVE + (uint32_t)_i / 2, i;
 	uint64_t from_ms;
 
 	run(10000);
-	ck_assert_uint_eq(reading(), READERS);
-	strike_all_but(well, _i % 2 == 0 ? REFUSED : SILENT);
+	ck_assert_uint_eq(count_reading(), READERS);
+	fail_all_but(well, _i % 2 == 0 ? REFUSED : SILENT);
 	from_ms = now_ms;
 	run(20000);
 	ck_assert_uint_le(longest_gap_ms(from_ms), PERIOD_MS + 200);
 	ck_assert(reader_group_is_first(&hosts[well].group, now_ms));
-	ck_assert_uint_eq(reading(), STANDING + 1);
+	ck_assert_uint_eq(count_reading(), ACTIVE + 1);
 	for (i = 0; i < HOSTS; i++)
-		hosts[i].fate = WELL;
+		hosts[i].outcome = ANSWERED;
 	run(2 * PERIOD_MS + 2000);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 	ck_assert(reader_group_is_first(&hosts[0].group, now_ms));
 }
 END_TEST
 
 /* It goes on from where the readers were. */
-START_TEST(a_further_host_knows_the_position)
+START_TEST(a_reserve_knows_the_position)
 {
 	run(20000);
-	ck_assert_uint_eq(reader_group_position(&hosts[STANDING].group), 0);
-	strike_all_but(HOSTS, REFUSED);
+	ck_assert_uint_eq(reader_group_position(&hosts[ACTIVE].group), 0);
+	fail_all_but(HOSTS, REFUSED);
 	run(10);
-	ck_assert(reader_group_reads(&hosts[STANDING].group));
-	ck_assert_uint_gt(reader_group_position(&hosts[STANDING].group), 0);
+	ck_assert(reader_group_reads(&hosts[ACTIVE].group));
+	ck_assert_uint_gt(reader_group_position(&hosts[ACTIVE].group), 0);
 }
 END_TEST
 
 /* All that could tell them is silent, from the start on. */
-START_TEST(further_hosts_are_not_asked_before_there_is_a_version)
+START_TEST(reserves_are_not_notified_without_a_version)
 {
 	uint32_t i;
 
 	for (i = 0; i < HOSTS; i++)
 		hosts[i].env.catalog = NULL;
-	strike_all_but(HOSTS, SILENT);
+	fail_all_but(HOSTS, SILENT);
 	run(PERIOD_MS);
-	ck_assert(!reader_group_reads(&hosts[STANDING].group));
+	ck_assert(!reader_group_reads(&hosts[ACTIVE].group));
 	/* What is not told is not due over and over either. */
 	ck_assert_uint_gt(reader_group_next_ms(&hosts[0].group), now_ms);
 }
 END_TEST
 
-START_TEST(the_first_that_is_answered_is_the_first)
+START_TEST(the_first_answered_host_is_the_first_reader)
 {
 	run(10000);
 	ck_assert(reader_group_is_first(&hosts[0].group, now_ms));
 	ck_assert(!reader_group_is_first(&hosts[1].group, now_ms));
-	hosts[0].fate = REFUSED;
+	hosts[0].outcome = REFUSED;
 	hosts[0].ends_ms = now_ms;
 	run(2);
 	ck_assert(!reader_group_is_first(&hosts[0].group, now_ms));
@@ -469,7 +470,7 @@
 END_TEST
 
 /* Reports of hosts that are not of the group, or rank below, change nothing. */
-START_TEST(reports_of_others_do_not_count)
+START_TEST(reports_of_strangers_and_lower_ranks_do_not_count)
 {
 	struct msg_read_report failed = {.answered = false};
 	struct net_addr stranger = {.ip = 99};
@@ -492,25 +493,23 @@
 	tcase_add_test(tc, the_first_hosts_read_in_turn);
 	tcase_add_test(tc, a_reader_that_is_refused_is_replaced_at_once);
 	tcase_add_loop_test(
-	    tc, silence_is_noticed_within_half_a_period, READERS, STANDING);
+	    tc, silence_is_noticed_within_half_a_period, READERS, ACTIVE);
 	tcase_add_loop_test(
-	    tc, the_first_answer_after_silence_is_in_time, READERS, STANDING);
-	tcase_add_test(tc, hosts_that_fail_late_hold_nobody_back);
-	tcase_add_test(tc, a_reader_that_tells_nothing_is_replaced);
-	tcase_add_test(tc, all_try_while_nobody_is_answered);
-	tcase_add_test(tc, a_reader_that_is_displaced_waits_for_its_successor);
-	tcase_add_test(tc, those_that_stand_by_wait_after_a_start);
-	tcase_add_test(tc, a_position_is_gone_on_from_when_it_has_spread);
-	tcase_add_test(tc, a_position_is_gone_on_from_with_its_version_only);
-	tcase_add_test(tc, a_host_that_holds_nothing_reads_the_whole);
-	tcase_add_loop_test(tc,
-	    a_further_host_reads_while_nobody_else_is_answered, 0,
-	    2 * (HOSTS - STANDING));
-	tcase_add_test(tc, a_further_host_knows_the_position);
-	tcase_add_test(
-	    tc, further_hosts_are_not_asked_before_there_is_a_version);
-	tcase_add_test(tc, the_first_that_is_answered_is_the_first);
-	tcase_add_test(tc, reports_of_others_do_not_count);
+	    tc, the_first_answer_after_silence_is_on_time, READERS, ACTIVE);
+	tcase_add_test(tc, late_failures_do_not_delay_a_takeover);
+	tcase_add_test(tc, a_silent_reader_is_replaced);
+	tcase_add_test(tc, all_hosts_read_while_none_is_answered);
+	tcase_add_test(tc, a_displaced_reader_reads_until_its_successor_does);
+	tcase_add_test(tc, standbys_do_not_read_after_a_start);
+	tcase_add_test(tc, a_position_is_used_after_it_has_settled);
+	tcase_add_test(tc, a_position_needs_the_version_reported_with_it);
+	tcase_add_test(tc, a_host_without_a_version_reads_everything);
+	tcase_add_loop_test(tc, a_reserve_reads_while_no_other_host_is_answered,
+	    0, 2 * (HOSTS - ACTIVE));
+	tcase_add_test(tc, a_reserve_knows_the_position);
+	tcase_add_test(tc, reserves_are_not_notified_without_a_version);
+	tcase_add_test(tc, the_first_answered_host_is_the_first_reader);
+	tcase_add_test(tc, reports_of_strangers_and_lower_ranks_do_not_count);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/spread/test/test_reader_rank.c
+++ b/packages/spread/test/test_reader_rank.c
@@ -62,11 +62,11 @@
 
 /* When the first read is asked for; DEADLINE_NEVER for none. */
 static uint64_t
-first_read_ms(uint64_t most_ms)
+first_read_ms(uint64_t limit_ms)
 {
 	uint64_t now_ms;
 
-	for (now_ms = 0; now_ms <= most_ms; now_ms += STEP_MS) {
+	for (now_ms = 0; now_ms <= limit_ms; now_ms += STEP_MS) {
 		membership_tick(m, now_ms);
 		if (now_ms >= readers_next_ms(&readers))
 			readers_tick(&readers, now_ms);
@@ -92,7 +92,7 @@
 END_TEST
 
 /* One that reaches nobody asks the platform all the same. */
-START_TEST(a_node_that_joins_nobody_reads_alone)
+START_TEST(a_node_that_cannot_join_reads_by_itself)
 {
 	uint64_t read_ms;
 
@@ -106,7 +106,7 @@
 
 /* Few nodes are told to: the row may take 0.2 s on a slow link, and until it
  * is here nobody serves. */
-START_TEST(a_node_that_is_told_to_reads_before_it_has_joined)
+START_TEST(read_now_reads_before_the_node_has_joined)
 {
 	begin(60000);
 	readers_tick(&readers, 0);
@@ -127,8 +127,8 @@
 
 	tcase_add_loop_test(
 	    tc, a_reader_reads_soon_after_it_has_joined, 1, 150);
-	tcase_add_test(tc, a_node_that_joins_nobody_reads_alone);
-	tcase_add_test(tc, a_node_that_is_told_to_reads_before_it_has_joined);
+	tcase_add_test(tc, a_node_that_cannot_join_reads_by_itself);
+	tcase_add_test(tc, read_now_reads_before_the_node_has_joined);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/spread/test/test_readers.c
+++ b/packages/spread/test/test_readers.c
@@ -26,24 +26,25 @@
 #define GROUP (2 + READER_GROUP_STANDBYS)
 #define WAIT_MS 2000
 #define POLL_MS 100
-#define PLAY_MS 120000
+#define RUN_MS 120000
 
 /* By then the readers know how slow the store is. */
-#define KNOWN_MS 10000
+#define MEASURED_MS 10000
 
 /* The store as it was in the trouble that was seen, and on a calm day. */
-#define LATE_MS 1150
-#define CALM_MS 4
+#define SLOW_MS 1150
+#define FAST_MS 4
 
 /* One and a half answers: 1.73 s of the 2.5 s for a change, so that 0.7 s are
  * left from the first reader to the last host. */
-#define OLDEST_MS (LATE_MS + LATE_MS / 2 + 1)
+#define AGE_MAX_MS (SLOW_MS + SLOW_MS / 2 + 1)
 
 /* Reads of one reader under way: the one that waits, and probes. */
-#define UNDER_WAY (1 + PROBES_MAX)
+#define IN_FLIGHT_MAX (1 + PROBES_MAX)
 
-/** struct asked - a read under way; @probe: one beside that which waits */
-struct asked {
+/** struct read_in_flight - a read under way; @probe: one beside that which
+ * waits */
+struct read_in_flight {
 	bool used;
 	bool probe;
 	struct store_read read;
@@ -54,7 +55,7 @@
 	struct spread_env env;
 	struct readers readers;
 	uint64_t holds;
-	struct asked asked[UNDER_WAY];
+	struct read_in_flight reads[IN_FLIGHT_MAX];
 	uint32_t probes;
 };
 
@@ -113,47 +114,47 @@
 	store_model_clear(&store);
 }
 
-static struct asked *
-free_place(struct reader *r)
+static struct read_in_flight *
+find_unused_read(struct reader *r)
 {
 	uint32_t i = 0;
 
-	while (r->asked[i].used)
-		ck_assert_uint_lt(++i, UNDER_WAY);
-	return &r->asked[i];
+	while (r->reads[i].used)
+		ck_assert_uint_lt(++i, IN_FLIGHT_MAX);
+	return &r->reads[i];
 }
 
 static void
-ask(struct reader *r, uint64_t now_ms, const struct spread_action *a)
+start_read(struct reader *r, uint64_t now_ms, const struct spread_action *a)
 {
-	uint64_t after = store_model_number(&store, r->holds);
-	struct asked *asked = free_place(r);
+	uint64_t after = store_model_counter(&store, r->holds);
+	struct read_in_flight *f = find_unused_read(r);
 
-	asked->used = true;
-	asked->probe = a->kind == SPREAD_PROBE_HEAD;
-	if (asked->probe) {
+	f->used = true;
+	f->probe = a->kind == SPREAD_PROBE_HEAD;
+	if (f->probe) {
 		r->probes++;
 		after += a->skip_next ? 1 : 0;
 	}
-	asked->read = store_model_read(&store, now_ms, after, a->wait_ms);
-	(void)store_model_answered(&store, &asked->read, now_ms);
+	f->read = store_model_read(&store, now_ms, after, a->wait_ms);
+	(void)store_model_answered(&store, &f->read, now_ms);
 }
 
 static void
-take(struct reader *r, uint64_t now_ms, struct asked *asked)
+finish_read(struct reader *r, uint64_t now_ms, struct read_in_flight *f)
 {
 	struct spread_read_end end = {.ok = 1, .body_ms = store.body_ms};
-	uint64_t found = asked->read.found;
+	uint64_t found = f->read.found;
 
-	asked->used = false;
+	f->used = false;
 	end.has_row = found > 0;
 	if (found > r->holds) {
 		r->holds = found;
 		store_model_hold(&store, now_ms, found);
 	} else if (found > 0) {
-		store.needless++;
+		store.duplicates++;
 	}
-	if (asked->probe)
+	if (f->probe)
 		readers_on_probe_ended(&r->readers, now_ms, &end);
 	else
 		readers_on_read_ended(&r->readers, now_ms, &end);
@@ -184,14 +185,14 @@
 	struct spread_action *a;
 	uint32_t i;
 
-	for (i = 0; i < UNDER_WAY; i++)
-		if (r->asked[i].used &&
-		    store_model_answered(&store, &r->asked[i].read, now_ms))
-			take(r, now_ms, &r->asked[i]);
+	for (i = 0; i < IN_FLIGHT_MAX; i++)
+		if (r->reads[i].used &&
+		    store_model_answered(&store, &r->reads[i].read, now_ms))
+			finish_read(r, now_ms, &r->reads[i]);
 	readers_tick(&r->readers, now_ms);
 	while ((a = g_queue_pop_head(r->env.actions)) != NULL) {
 		if (a->kind != SPREAD_READER)
-			ask(r, now_ms, a);
+			start_read(r, now_ms, a);
 		g_free(a);
 	}
 	deliver((uint32_t)(r - reader), now_ms);
@@ -203,23 +204,23 @@
 	uint64_t now_ms;
 	uint32_t i;
 
-	for (now_ms = 0; now_ms < PLAY_MS; now_ms++)
+	for (now_ms = 0; now_ms < RUN_MS; now_ms++)
 		for (i = 0; i < n_readers; i++)
 			run_reader(&reader[i], now_ms);
 }
 
 static void
-change_each(uint32_t ms)
+change_every(uint32_t ms)
 {
 	uint64_t at_ms;
 
-	for (at_ms = ms; at_ms < PLAY_MS; at_ms += ms)
+	for (at_ms = ms; at_ms < RUN_MS; at_ms += ms)
 		store_model_change(&store, at_ms);
 }
 
 /* Changes at random moments, @ms apart in the mean. */
 static void
-change_about_each(uint32_t ms, uint32_t seed)
+change_randomly(uint32_t ms, uint32_t seed)
 {
 	GRand *rng = g_rand_new_with_seed(seed);
 	uint64_t at_ms = 0;
@@ -227,7 +228,7 @@
 	for (;;) {
 		at_ms +=
 		    1 + (uint64_t)(-log(1 - g_rand_double(rng)) * (double)ms);
-		if (at_ms >= PLAY_MS)
+		if (at_ms >= RUN_MS)
 			break;
 		store_model_change(&store, at_ms);
 	}
@@ -245,85 +246,85 @@
 }
 
 static uint64_t
-tell(const char *what)
+print_result(const char *what)
 {
-	uint64_t oldest_ms = store_model_oldest_ms(&store, KNOWN_MS);
+	uint64_t oldest_ms = store_model_oldest_ms(&store, MEASURED_MS);
 
 	printf("%s: %u readers, answers after %u ms, %u changes: oldest %u ms,"
 	       " %u calls, %u probes, %u copies, %u of them needless\n",
 	    what, n_readers, store.answer_ms, store.changes->len,
 	    (unsigned int)oldest_ms, store.calls, probes(), store.copies,
-	    store.needless);
+	    store.duplicates);
 	return oldest_ms;
 }
 
-START_TEST(changes_in_quick_succession_are_held_in_time)
+START_TEST(changes_in_quick_succession_arrive_in_time)
 {
-	start(LATE_MS, (uint32_t)_i);
-	change_each(330);
+	start(SLOW_MS, (uint32_t)_i);
+	change_every(330);
 	run();
-	ck_assert_uint_le(tell("each 330 ms"), OLDEST_MS);
+	ck_assert_uint_le(print_result("each 330 ms"), AGE_MAX_MS);
 	stop();
 }
 END_TEST
 
-START_TEST(changes_at_random_are_held_in_time)
+START_TEST(changes_at_random_arrive_in_time)
 {
 	uint32_t seed;
 
 	for (seed = 1; seed <= 10; seed++) {
-		start(LATE_MS, (uint32_t)_i);
-		change_about_each(1500, seed);
+		start(SLOW_MS, (uint32_t)_i);
+		change_randomly(1500, seed);
 		run();
-		ck_assert_uint_le(tell("at random"), OLDEST_MS);
+		ck_assert_uint_le(print_result("at random"), AGE_MAX_MS);
 		stop();
 	}
 }
 END_TEST
 
 /* The change that follows another one at once is the one that waited. */
-START_TEST(a_change_just_after_another_is_held_in_time)
+START_TEST(a_change_just_after_another_arrives_in_time)
 {
 	uint64_t at_ms;
 
-	start(LATE_MS, (uint32_t)_i);
-	for (at_ms = 5000; at_ms < PLAY_MS; at_ms += 7777) {
+	start(SLOW_MS, (uint32_t)_i);
+	for (at_ms = 5000; at_ms < RUN_MS; at_ms += 7777) {
 		store_model_change(&store, at_ms);
 		store_model_change(&store, at_ms + 5);
 	}
 	run();
-	ck_assert_uint_le(tell("in pairs"), OLDEST_MS);
+	ck_assert_uint_le(print_result("in pairs"), AGE_MAX_MS);
 	stop();
 }
 END_TEST
 
 /* Others write to the store as well, so the next change has no number yet. */
-START_TEST(numbers_of_others_do_no_harm)
+START_TEST(gaps_in_the_numbers_do_no_harm)
 {
-	start(LATE_MS, (uint32_t)_i);
+	start(SLOW_MS, (uint32_t)_i);
 	store.step = 3;
-	change_about_each(1500, 11);
+	change_randomly(1500, 11);
 	run();
-	ck_assert_uint_le(tell("others write"), OLDEST_MS);
+	ck_assert_uint_le(print_result("others write"), AGE_MAX_MS);
 	stop();
 }
 END_TEST
 
 /* A change that a read waits for comes once: that read brings it. */
-START_TEST(a_change_that_is_waited_for_comes_once)
+START_TEST(a_change_during_a_long_poll_is_delivered_once)
 {
 	const struct probes *p = &reader[0].readers.probes;
-	uint64_t now_ms, next_ms = KNOWN_MS;
+	uint64_t now_ms, next_ms = MEASURED_MS;
 
-	start(LATE_MS, 1);
-	for (now_ms = 0; now_ms < PLAY_MS; now_ms++) {
+	start(SLOW_MS, 1);
+	for (now_ms = 0; now_ms < RUN_MS; now_ms++) {
 		run_reader(&reader[0], now_ms);
 		if (now_ms < next_ms || p->waits_until_ms < now_ms + 1)
 			continue;
 		store_model_change(&store, now_ms + 1);
 		next_ms = now_ms + 5003;
 	}
-	(void)tell("waited for");
+	(void)print_result("waited for");
 	ck_assert_uint_gt(probes(), 0);
 	ck_assert_uint_gt(store.changes->len, 20);
 	ck_assert_uint_eq(store.copies, store.changes->len);
@@ -333,15 +334,15 @@
 
 /* One that comes between two reads that wait is brought by probes, again and
  * again until the first of them is answered. */
-START_TEST(the_row_comes_less_than_twice)
+START_TEST(the_row_is_delivered_less_than_twice)
 {
 	uint32_t each_ms, copies = 0, changes = 0;
 
 	for (each_ms = 5003; each_ms < 9000; each_ms += 500) {
-		start(LATE_MS, 1);
-		change_each(each_ms);
+		start(SLOW_MS, 1);
+		change_every(each_ms);
 		run();
-		(void)tell("one by one");
+		(void)print_result("one by one");
 		copies += store.copies;
 		changes += store.changes->len;
 		stop();
@@ -354,12 +355,12 @@
 /* On a link that carries the row in a second, two of them are too many. */
 START_TEST(a_slow_link_carries_the_row_once)
 {
-	start(LATE_MS, 1);
+	start(SLOW_MS, 1);
 	store.body_ms = 1000;
-	change_each(330);
+	change_every(330);
 	run();
-	(void)tell("slow link");
-	ck_assert_uint_le(probes(), PLAY_MS / 30000 + 1);
+	(void)print_result("slow link");
+	ck_assert_uint_le(probes(), RUN_MS / 30000 + 1);
 	stop();
 }
 END_TEST
@@ -380,83 +381,83 @@
 
 	start_group(answer, GROUP, 2);
 	store.body_ms = body;
-	change_about_each(1400, 3);
+	change_randomly(1400, 3);
 	run();
 	printf("row %u ms, ", body);
-	oldest_ms = tell("large rows");
+	oldest_ms = print_result("large rows");
 	if (answer + body <= 1000)
 		ck_assert_uint_le(oldest_ms, 2500 - 450);
 	stop();
 }
 END_TEST
 
-START_TEST(a_calm_store_is_not_called_more)
+START_TEST(a_fast_store_gets_few_probes)
 {
 	uint32_t each_ms[] = {330, 700, 1200, 1500, 3000, 30000};
 
-	start(CALM_MS, READERS);
+	start(FAST_MS, READERS);
 	if (_i < (int)G_N_ELEMENTS(each_ms))
-		change_each(each_ms[_i]);
+		change_every(each_ms[_i]);
 	else
-		change_about_each(1500, (uint32_t)_i);
+		change_randomly(1500, (uint32_t)_i);
 	run();
-	ck_assert_uint_le(tell("calm"), 2 * POLL_MS);
+	ck_assert_uint_le(print_result("calm"), 2 * POLL_MS);
 	ck_assert_uint_le(probes() * 100, (store.calls - probes()) * 5);
 	stop();
 }
 END_TEST
 
 /* Changes keep coming, so that no read tells by itself whether it waited. */
-START_TEST(it_begins_with_the_trouble)
+START_TEST(probes_begin_when_the_store_becomes_slow)
 {
-	uint64_t now_ms, from_ms = PLAY_MS / 2;
+	uint64_t now_ms, from_ms = RUN_MS / 2;
 	uint32_t i, late_ms;
 
-	start(CALM_MS, READERS);
-	change_about_each(1500, (uint32_t)_i);
-	for (now_ms = 0; now_ms < PLAY_MS; now_ms++) {
+	start(FAST_MS, READERS);
+	change_randomly(1500, (uint32_t)_i);
+	for (now_ms = 0; now_ms < RUN_MS; now_ms++) {
 		if (now_ms == from_ms)
-			store.answer_ms = LATE_MS;
+			store.answer_ms = SLOW_MS;
 		for (i = 0; i < n_readers; i++)
 			run_reader(&reader[i], now_ms);
 	}
-	(void)tell("it begins");
+	(void)print_result("it begins");
 	for (late_ms = 0; late_ms < 60000; late_ms += 1000)
 		if (store_model_oldest_ms(&store, from_ms + late_ms) <=
-		    OLDEST_MS)
+		    AGE_MAX_MS)
 			break;
 	printf("seed %d: known after %u ms\n", _i, late_ms);
-	ck_assert_uint_le(late_ms, KNOWN_MS);
+	ck_assert_uint_le(late_ms, MEASURED_MS);
 	stop();
 }
 END_TEST
 
 /* A store that is quick again is probed no more. */
-START_TEST(it_ends_with_the_trouble)
+START_TEST(probes_end_when_the_store_becomes_fast)
 {
 	uint32_t i, before;
 	uint64_t now_ms;
 
-	start(LATE_MS, READERS);
-	change_about_each(1500, 5);
-	for (now_ms = 0; now_ms < PLAY_MS / 2; now_ms++)
+	start(SLOW_MS, READERS);
+	change_randomly(1500, 5);
+	for (now_ms = 0; now_ms < RUN_MS / 2; now_ms++)
 		for (i = 0; i < n_readers; i++)
 			run_reader(&reader[i], now_ms);
 	before = probes();
 	ck_assert_uint_gt(before, 0);
-	store.answer_ms = CALM_MS;
-	for (; now_ms < PLAY_MS; now_ms++)
+	store.answer_ms = FAST_MS;
+	for (; now_ms < RUN_MS; now_ms++)
 		for (i = 0; i < n_readers; i++)
 			run_reader(&reader[i], now_ms);
-	(void)tell("calm again");
-	ck_assert_uint_le(
-	    probes() - before, n_readers * (UNDER_WAY + PLAY_MS / 2 / 30000));
+	(void)print_result("calm again");
+	ck_assert_uint_le(probes() - before,
+	    n_readers * (IN_FLIGHT_MAX + RUN_MS / 2 / 30000));
 	stop();
 }
 END_TEST
 
 /* What the store refuses is asked for no more for a while. */
-START_TEST(a_refused_probe_is_not_repeated)
+START_TEST(a_refused_probe_is_not_repeated_at_once)
 {
 	static const struct spread_read_end late = {.ok = 1};
 	static const struct spread_read_end refused = {0};
@@ -465,25 +466,25 @@
 	probes_init(&p);
 	probes_set_long_poll(&p, WAIT_MS);
 	probes_on_read_started(&p, 0, WAIT_MS, 0, READERS);
-	probes_on_read_ended(&p, WAIT_MS + LATE_MS, &late);
+	probes_on_read_ended(&p, WAIT_MS + SLOW_MS, &late);
 	probes_on_read_started(&p, 4000, WAIT_MS, 0, READERS);
-	ck_assert_uint_eq(probes_next_ms(&p), 4000 + LATE_MS / 2);
-	ck_assert(probes_start(&p, 4000 + LATE_MS / 2));
+	ck_assert_uint_eq(probes_next_ms(&p), 4000 + SLOW_MS / 2);
+	ck_assert(probes_start(&p, 4000 + SLOW_MS / 2));
 	probes_on_ended(&p, 4700, &refused);
-	ck_assert(!probes_start(&p, 4000 + LATE_MS));
+	ck_assert(!probes_start(&p, 4000 + SLOW_MS));
 	probes_on_read_started(&p, 9000, WAIT_MS, 0, READERS);
 	ck_assert(!probes_start(&p, 9600));
 	probes_on_read_started(&p, 10000, WAIT_MS, 0, READERS);
-	ck_assert(probes_start(&p, 10000 + LATE_MS / 2));
+	ck_assert(probes_start(&p, 10000 + SLOW_MS / 2));
 }
 END_TEST
 
 /* Where reads don't wait there is nothing to look for beside them. */
-START_TEST(reads_that_do_not_wait_are_not_probed)
+START_TEST(there_are_no_probes_without_long_polls)
 {
-	start(LATE_MS, 1);
+	start(SLOW_MS, 1);
 	readers_set_long_poll(&reader[0].readers, 0);
-	change_each(330);
+	change_every(330);
 	run();
 	ck_assert_uint_eq(probes(), 0);
 	stop();
@@ -501,20 +502,21 @@
 	tcase_set_timeout(tc, 60);
 	tcase_add_loop_test(tc, large_rows_of_a_late_store, 0, 16);
 	tcase_add_loop_test(
-	    tc, changes_in_quick_succession_are_held_in_time, 1, READERS + 1);
+	    tc, changes_in_quick_succession_arrive_in_time, 1, READERS + 1);
 	tcase_add_loop_test(
-	    tc, changes_at_random_are_held_in_time, 1, READERS + 1);
+	    tc, changes_at_random_arrive_in_time, 1, READERS + 1);
 	tcase_add_loop_test(
-	    tc, a_change_just_after_another_is_held_in_time, 1, READERS + 1);
-	tcase_add_loop_test(tc, numbers_of_others_do_no_harm, 1, READERS + 1);
-	tcase_add_test(tc, a_change_that_is_waited_for_comes_once);
-	tcase_add_test(tc, the_row_comes_less_than_twice);
+	    tc, a_change_just_after_another_arrives_in_time, 1, READERS + 1);
+	tcase_add_loop_test(tc, gaps_in_the_numbers_do_no_harm, 1, READERS + 1);
+	tcase_add_test(tc, a_change_during_a_long_poll_is_delivered_once);
+	tcase_add_test(tc, the_row_is_delivered_less_than_twice);
 	tcase_add_test(tc, a_slow_link_carries_the_row_once);
-	tcase_add_loop_test(tc, a_calm_store_is_not_called_more, 0, 10);
-	tcase_add_loop_test(tc, it_begins_with_the_trouble, 1, 11);
-	tcase_add_test(tc, it_ends_with_the_trouble);
-	tcase_add_test(tc, a_refused_probe_is_not_repeated);
-	tcase_add_test(tc, reads_that_do_not_wait_are_not_probed);
+	tcase_add_loop_test(tc, a_fast_store_gets_few_probes, 0, 10);
+	tcase_add_loop_test(
+	    tc, probes_begin_when_the_store_becomes_slow, 1, 11);
+	tcase_add_test(tc, probes_end_when_the_store_becomes_fast);
+	tcase_add_test(tc, a_refused_probe_is_not_repeated_at_once);
+	tcase_add_test(tc, there_are_no_probes_without_long_polls);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/spread/test/test_spread.c
+++ b/packages/spread/test/test_spread.c
@@ -145,7 +145,7 @@
 
 /* An intake that has asked a peer for version 1, by frame. */
 static void
-intake_asking(struct intake *in, struct spread_env *env)
+intake_start_pull(struct intake *in, struct spread_env *env)
 {
 	struct spread_config cfg = {.profile = *spread_profile_registry(),
 	    .host = "h1",
@@ -182,7 +182,7 @@
 	struct intake in;
 	uint64_t t;
 
-	intake_asking(&in, &env);
+	intake_start_pull(&in, &env);
 	for (t = 800; t <= 3200; t += 800) {
 		intake_on_partial_frame(&in, t, &peer);
 		intake_tick(&in, t + 799);
@@ -198,7 +198,7 @@
 END_TEST
 
 /* Too small for any version, as the commit finds. */
-#define CATALOG_NONE_BYTES 1
+#define TINY_CATALOG_BYTES 1
 
 static const char small[] =
     "{\"format\":1,\"name\":\"x\",\"services\":[{\"name\":\"a\"}],"
@@ -206,7 +206,7 @@
 
 /* Gives the intake a version whole, and lets it commit that. */
 static void
-give_and_commit(struct intake *in, uint64_t now_ms, uint64_t version)
+deliver_and_commit(struct intake *in, uint64_t now_ms, uint64_t version)
 {
 	struct rec_head head = {
 	    .seq = version, .version = version, .in_force = version};
@@ -225,13 +225,13 @@
 }
 
 static void
-intake_of_nothing(struct intake *in, struct spread_env *env)
+intake_with_tiny_catalog(struct intake *in, struct spread_env *env)
 {
 	struct spread_config cfg = {.profile = *spread_profile_registry(),
 	    .host = "h1",
 	    .data_centre = "dc1"};
 
-	env_init(env, &cfg, NULL, catalog_new(CATALOG_NONE_BYTES));
+	env_init(env, &cfg, NULL, catalog_new(TINY_CATALOG_BYTES));
 	intake_init(in, env, 0);
 }
 
@@ -242,8 +242,8 @@
 	struct spread_action *a;
 	struct intake in;
 
-	intake_of_nothing(&in, &env);
-	give_and_commit(&in, 0, 10);
+	intake_with_tiny_catalog(&in, &env);
+	deliver_and_commit(&in, 0, 10);
 	a = g_queue_pop_head(env.actions);
 	ck_assert_ptr_nonnull(a);
 	ck_assert_int_eq(a->kind, SPREAD_REFUSED);
@@ -257,7 +257,7 @@
 
 /* The refusal that an intake told, of version 10 and no other. */
 static void
-ck_refused(struct spread_env *env, const char *reason)
+ck_refusal(struct spread_env *env, const char *reason)
 {
 	struct spread_action *a = g_queue_pop_head(env->actions);
 
@@ -283,10 +283,10 @@
 		g_snprintf(ref.section, sizeof(ref.section), "s%05u", i);
 		g_array_append_val(list, ref);
 	}
-	intake_of_nothing(&in, &env);
+	intake_with_tiny_catalog(&in, &env);
 	intake_on_full_version(&in, 0, &head, list, NULL, 0);
 	ck_assert_uint_eq(intake_version_in_progress(&in), 0);
-	ck_refused(&env, "split the bundle");
+	ck_refusal(&env, "split the bundle");
 	g_array_unref(list);
 	intake_end(&in, &env);
 }
@@ -311,7 +311,7 @@
 	section = g_ptr_array_index(b->sections, 0);
 	data.data = (uint8_t *)g_bytes_get_data(section->content, &len);
 	data.data_len = (uint32_t)len;
-	intake_of_nothing(&in, &env);
+	intake_with_tiny_catalog(&in, &env);
 	intake_set_target(&in, 0, 10);
 	intake_on_full_version(&in, 0, &head, list, NULL, 0);
 	ck_assert_int_eq(in.step, INTAKE_CONTENT);
@@ -327,7 +327,7 @@
 		intake_on_sections(&in, 0, &msg);
 	}
 	ck_assert_uint_eq(intake_version_in_progress(&in), 0);
-	ck_refused(&env, "split the bundle");
+	ck_refusal(&env, "split the bundle");
 	ck_assert_uint_gt(in.start_ms, 0);
 	g_array_unref(list);
 	bundle_free(b);
@@ -344,11 +344,11 @@
 	struct intake in;
 	uint64_t version;
 
-	intake_of_nothing(&in, &env);
+	intake_with_tiny_catalog(&in, &env);
 	for (version = 1; version <= 10; version++) {
 		intake_set_target(&in, version, version);
-		give_and_commit(&in, version, version);
-		give_and_commit(&in, version, version);
+		deliver_and_commit(&in, version, version);
+		deliver_and_commit(&in, version, version);
 	}
 	ck_assert_uint_gt(in.start_ms, 10);
 	intake_set_target(&in, 11, 11);
--- a/packages/spread/test/test_trace.c
+++ b/packages/spread/test/test_trace.c
@@ -22,7 +22,7 @@
 }
 END_TEST
 
-START_TEST(the_earliest_read_that_is_told_counts)
+START_TEST(the_earliest_reported_read_counts)
 {
 	struct trace t = {0};
 
@@ -35,7 +35,7 @@
 END_TEST
 
 /* A peer may tell anything. */
-START_TEST(an_age_beyond_the_own_clock_is_cut)
+START_TEST(an_age_beyond_the_clock_is_reduced)
 {
 	struct trace t = {0};
 
@@ -46,7 +46,7 @@
 }
 END_TEST
 
-START_TEST(old_versions_make_room)
+START_TEST(the_lowest_version_is_replaced_first)
 {
 	struct trace t = {0};
 	uint64_t v;
@@ -68,9 +68,9 @@
 	TCase *tc = tcase_create("trace");
 
 	tcase_add_test(tc, steps_add_up);
-	tcase_add_test(tc, the_earliest_read_that_is_told_counts);
-	tcase_add_test(tc, an_age_beyond_the_own_clock_is_cut);
-	tcase_add_test(tc, old_versions_make_room);
+	tcase_add_test(tc, the_earliest_reported_read_counts);
+	tcase_add_test(tc, an_age_beyond_the_clock_is_reduced);
+	tcase_add_test(tc, the_lowest_version_is_replaced_first);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
