--- a/packages/spread/test/test_reader_rank.c
+++ b/packages/spread/test/test_reader_rank.c
@@ -84,9 +84,9 @@
 	begin(join_ms);
 	read_ms = first_read_ms(2000);
 	ck_assert_msg(read_ms >= join_ms + 50,
-	    "%llu: the table is not compared yet", (unsigned long long)read_ms);
-	ck_assert_msg(read_ms <= join_ms + READ_WITHIN_MS, "%llu: callers wait",
-	    (unsigned long long)read_ms);
+	    "%llu: read before the table settled", (unsigned long long)read_ms);
+	ck_assert_msg(read_ms <= join_ms + READ_WITHIN_MS,
+	    "%llu: read too late after joining", (unsigned long long)read_ms);
 	end();
 }
 END_TEST
--- a/packages/spread/test/test_readers.c
+++ b/packages/spread/test/test_readers.c
@@ -324,7 +324,7 @@
 		store_model_change(&store, now_ms + 1);
 		next_ms = now_ms + 5003;
 	}
-	(void)print_result("waited for");
+	(void)print_result("during a long poll");
 	ck_assert_uint_gt(probes(), 0);
 	ck_assert_uint_gt(store.changes->len, 20);
 	ck_assert_uint_eq(store.copies, store.changes->len);
@@ -401,7 +401,7 @@
 	else
 		change_randomly(1500, (uint32_t)_i);
 	run();
-	ck_assert_uint_le(print_result("calm"), 2 * POLL_MS);
+	ck_assert_uint_le(print_result("fast store"), 2 * POLL_MS);
 	ck_assert_uint_le(probes() * 100, (store.calls - probes()) * 5);
 	stop();
 }
@@ -421,7 +421,7 @@
 		for (i = 0; i < n_readers; i++)
 			run_reader(&reader[i], now_ms);
 	}
-	(void)print_result("it begins");
+	(void)print_result("becomes slow");
 	for (late_ms = 0; late_ms < 60000; late_ms += 1000)
 		if (store_model_oldest_ms(&store, from_ms + late_ms) <=
 		    AGE_MAX_MS)
@@ -449,7 +449,7 @@
 	for (; now_ms < RUN_MS; now_ms++)
 		for (i = 0; i < n_readers; i++)
 			run_reader(&reader[i], now_ms);
-	(void)print_result("calm again");
+	(void)print_result("fast again");
 	ck_assert_uint_le(probes() - before,
 	    n_readers * (IN_FLIGHT_MAX + RUN_MS / 2 / 30000));
 	stop();
