--- a/packages/spread/test/store_model.c
+++ b/packages/spread/test/store_model.c
@@ -1,5 +1,5 @@
 /*
- * A store with one row that operators change.
+ * Model of a store with one row that operators change.
  */
 #include "store_model.h"
 
@@ -35,7 +35,7 @@
 	return g_array_index(s->changes, uint64_t, i);
 }
 
-/* Changes accepted_until up to a moment, it included. */
+/* Number of changes accepted up to and including @now_ms. */
 static uint64_t
 accepted_until(struct store_model *s, uint64_t now_ms)
 {
@@ -62,7 +62,8 @@
 	return read;
 }
 
-/* What the answer says is settled. */
+/* Completes a read if there is a change or its wait is over; this fixes the
+ * content of the answer. */
 static void
 complete_read(struct store_model *s, struct store_read *read, uint64_t now_ms)
 {
--- a/packages/spread/test/store_model.h
+++ b/packages/spread/test/store_model.h
@@ -1,9 +1,10 @@
 /*
- * A store with one row that operators change, as seen by one reader: answers
- * come late, and a read that waits ends with the change that comes first.
+ * Model of a store with one row that operators change: answers are delayed, and
+ * a long poll ends with the first change.
  *
- * Worst for the reader: what an answer says is looked up when the read is
- * asked for, or when the change ends its wait; all of the delay comes after.
+ * The model is the worst case for a reader: the content of an answer is looked
+ * up when the read starts or when a change ends its wait, and all of the delay
+ * follows the lookup.
  */
 #ifndef SPREAD_STORE_MODEL_H
 #define SPREAD_STORE_MODEL_H
@@ -15,15 +16,15 @@
 
 /**
  * struct store_model - the store
- * @changes: uint64_t, when each change is accepted, in order
- * @held: uint64_t, when the first reader held each; 0 while none does
+ * @changes: uint64_t, time at which each change is accepted, ascending
+ * @held: uint64_t, time at which the first reader held each change; 0 before
  * @n_accepted: changes accepted so far
- * @answer_ms: how long an answer takes
- * @body_ms: how long the row takes on a reader's link
- * @step: numbers of the store's counter that each change takes
- * @calls: reads asked for
- * @copies: answers that held the row
- * @duplicates: answers that held the row as the reader had it
+ * @answer_ms: time that the store takes for an answer
+ * @body_ms: transfer time of the row over a reader's link
+ * @step: increment of the store's counter per change
+ * @calls: reads started
+ * @copies: answers that contained the row
+ * @duplicates: answers that contained a row that the reader already had
  */
 struct store_model {
 	GArray *changes;
@@ -38,11 +39,12 @@
 };
 
 /**
- * struct store_read - a read under way
- * @after: number after which changes are wanted
- * @waits_until_ms: when it is answered without one
- * @at_ms: when its answer is whole, 0 while it waits
- * @found: changes that the answer holds, 0 for an answer without the row
+ * struct store_read - a read in flight
+ * @after: counter value after which changes are wanted
+ * @waits_until_ms: when the read is answered without a change
+ * @at_ms: when its answer is complete, 0 while it waits
+ * @found: number of changes contained in the answer, 0 for an answer without
+ *	the row
  */
 struct store_read {
 	uint64_t after;
@@ -51,38 +53,38 @@
 	uint64_t found;
 };
 
-/** store_model_init() - a store that answers after @answer_ms */
+/** store_model_init() - initialise a store that answers after @answer_ms */
 void store_model_init(struct store_model *s, uint32_t answer_ms);
 
-/** store_model_clear() - free what it holds */
+/** store_model_clear() - free the resources of the store */
 void store_model_clear(struct store_model *s);
 
-/** store_model_change() - a change that is accepted at @at_ms */
+/** store_model_change() - add a change that is accepted at @at_ms */
 void store_model_change(struct store_model *s, uint64_t at_ms);
 
 /**
- * store_model_read() - ask
+ * store_model_read() - start a read
  * @s: the store
- * @now_ms: when
- * @after: number of the store's counter after which changes are wanted
- * @wait_ms: how long to wait for one
+ * @now_ms: current time
+ * @after: counter value after which changes are wanted
+ * @wait_ms: longest wait for a change
  */
 struct store_read store_model_read(
     struct store_model *s, uint64_t now_ms, uint64_t after, uint32_t wait_ms);
 
-/** store_model_answered() - whether a read is answered; to be asked for each
- * millisecond from that of the read on */
+/** store_model_answered() - whether a read is answered; to be called for each
+ * millisecond from the start of the read on */
 bool store_model_answered(
     struct store_model *s, struct store_read *read, uint64_t now_ms);
 
-/** store_model_counter() - the store's counter after so many changes */
+/** store_model_counter() - the store's counter after @changes changes */
 uint64_t store_model_counter(const struct store_model *s, uint64_t changes);
 
 /** store_model_hold() - a reader holds the first @found changes */
 void store_model_hold(struct store_model *s, uint64_t now_ms, uint64_t found);
 
-/** store_model_oldest_ms() - the longest time from a change to its hold,
- * among those accepted from @from_ms on that are held */
+/** store_model_oldest_ms() - longest time from a change until a reader held it,
+ * among the held changes accepted from @from_ms on */
 uint64_t store_model_oldest_ms(const struct store_model *s, uint64_t from_ms);
 
 #endif
--- a/packages/spread/test/test_reader_group.c
+++ b/packages/spread/test/test_reader_group.c
@@ -1,10 +1,10 @@
 /*
- * Who of a data centre reads the platform for it, whatever becomes of those
- * that do.
+ * Which hosts of a data centre read the platform, whatever happens to the
+ * readers.
  *
- * Seen: a change was in force seconds late since all readers were among the
- * hosts that the platform turned away.  Cause: a reader kept its place as long
- * as it lived.
+ * Guards against this failure: a change was in force seconds late because all
+ * readers were among the hosts that the platform rejected.  A reader used to
+ * keep its role as long as it was alive.
  */
 #include <string.h>
 
@@ -20,21 +20,29 @@
 #define HOSTS 16
 #define READERS 2
 
-/* Those that read or stand by; the others are further ones. */
+/* Readers and standbys; the other hosts are reserves. */
 #define ACTIVE (READERS + READER_GROUP_STANDBYS)
 #define PERIOD_MS 1800
 
 /* Version that all hosts hold. */
 #define HELD_VERSION 4
 
-/* An answer and its way, as the readers see it. */
+/* Time from a read to its answer if there is a change. */
 #define ANSWER_MS 5
 
-/* When silence is noticed, half a period, since two are answered in turn, and
- * when the next host takes over after @n that could have. */
+/* Time after which silence is noticed (half a period, since two readers are
+ * answered in turn), and after which the next host takes over if @n hosts above
+ * it could have. */
 #define SILENCE_MS(n) (PERIOD_MS / 2 + 250 + 150 * ((n)-1))
 
-/** struct host - a host of the group and its read under way */
+/**
+ * struct host - a simulated host of the group
+ * @env: environment
+ * @group: module under test
+ * @outcome: how its reads end
+ * @ends_ms: when its read in flight ends, DEADLINE_NEVER for none
+ * @reads: reads started so far
+ */
 struct host {
 	struct spread_env env;
 	struct reader_group group;
@@ -48,7 +56,7 @@
 static struct net_addr addrs[HOSTS];
 static uint64_t now_ms;
 
-/* Ends of answered reads, of any host. */
+/* End times of the answered reads of all hosts. */
 static uint64_t answered_ms[1000];
 static uint32_t n_answered;
 
@@ -115,7 +123,7 @@
 	}
 }
 
-/* Lets a host begin or end a read; the feed's position is the time. */
+/* Starts or ends a read of a host; the position in the feed is the time. */
 static void
 step(uint32_t i)
 {
@@ -189,7 +197,7 @@
 	run(30000);
 	ck_assert_uint_eq(count_reading(), READERS);
 	ck_assert_uint_le(longest_gap_ms(from_ms), PERIOD_MS / READERS + 50);
-	/* No more reads than without turns. */
+	/* Reading in turn costs no extra reads. */
 	ck_assert_uint_le(hosts[0].reads + hosts[1].reads - reads,
 	    READERS * (30000 / PERIOD_MS + 1));
 	ck_assert_uint_eq(hosts[2].reads, 0);
@@ -205,13 +213,13 @@
 	ck_assert(reader_group_reads(&hosts[2].group));
 	ck_assert_int_eq(hosts[2].group.reason, READER_GROUP_FAILED);
 	ck_assert(!reader_group_reads(&hosts[3].group));
-	/* It looks at once, and doesn't wait for the next change. */
+	/* Its first read returns at once instead of waiting for a change. */
 	run(ANSWER_MS + 2);
 	ck_assert(hosts[2].group.answered);
 }
 END_TEST
 
-/* The reads of the first @n hosts are not answered any more. */
+/* Stops answering the reads of the first @n hosts. */
 static void
 silence_first(uint32_t n)
 {
@@ -223,7 +231,7 @@
 	}
 }
 
-/* However many of the first ones are away, one that isn't is answered soon. */
+/* However many of the first hosts are silent, another host is answered soon. */
 START_TEST(silence_is_noticed_within_half_a_period)
 {
 	uint32_t n = (uint32_t)_i;
@@ -261,7 +269,7 @@
 	reader_group_on_report(&hosts[to].group, now_ms, &addrs[from], &msg);
 }
 
-/* Two are silent, and others fail after that has shown. */
+/* Two hosts are silent, and others report failures after that was detected. */
 START_TEST(late_failures_do_not_delay_a_takeover)
 {
 	run(10000);
@@ -275,7 +283,7 @@
 }
 END_TEST
 
-/* One of two is frozen: the data centre has two again. */
+/* One of two readers is frozen; a standby makes them two again. */
 START_TEST(a_silent_reader_is_replaced)
 {
 	run(10000);
@@ -294,7 +302,8 @@
 }
 END_TEST
 
-/* While the platform is away all of them try, and no others when it is back. */
+/* During an outage of the platform all hosts read; after it only the readers
+ * do. */
 START_TEST(all_hosts_read_while_none_is_answered)
 {
 	uint32_t i;
@@ -313,8 +322,8 @@
 }
 END_TEST
 
-/* A host that ranks first has joined, but not begun to read; the one that it
- * displaces goes on until it has. */
+/* A host that joined ranks first but has not begun to read; the reader that it
+ * displaces continues until it has. */
 START_TEST(a_displaced_reader_reads_until_its_successor_does)
 {
 	struct net_addr joined[HOSTS];
@@ -336,7 +345,7 @@
 }
 END_TEST
 
-/* After a start nobody has told yet; only the first ones read. */
+/* After a start no host has reported yet; only the readers by rank read. */
 START_TEST(standbys_do_not_read_after_a_start)
 {
 	run(PERIOD_MS / 2);
@@ -346,7 +355,7 @@
 }
 END_TEST
 
-/* What was read just now may not have spread: it is read again. */
+/* Changes read just now may not have spread, so they are read again. */
 START_TEST(a_position_is_used_after_it_has_settled)
 {
 	uint64_t position;
@@ -361,7 +370,7 @@
 }
 END_TEST
 
-/* Lets host 2 learn of a position that has had the time to spread. */
+/* Reports a position to host 2, and lets it settle. */
 static void
 learn_position(uint64_t position, uint64_t version)
 {
@@ -373,7 +382,7 @@
 	ck_assert_uint_eq(hosts[2].group.position.settled, position);
 }
 
-/* A host that lacks what others hold reads the whole. */
+/* A host that holds less than the others reads everything. */
 START_TEST(a_position_needs_the_version_reported_with_it)
 {
 	learn_position(77, HELD_VERSION + 1);
@@ -381,7 +390,7 @@
 }
 END_TEST
 
-/* So does one that was started just now, whatever the others hold. */
+/* A host that has just started reads everything, whatever the others hold. */
 START_TEST(a_host_without_a_version_reads_everything)
 {
 	hosts[2].env.catalog = NULL;
@@ -405,8 +414,8 @@
 	}
 }
 
-/* The platform answers a single host, which neither reads nor stands by: it
- * reads soon, alone of the further hosts, until those before it can. */
+/* The platform answers a single host, which is a reserve.  It soon reads, as
+ * the only reserve, until hosts above it are answered again. */
 START_TEST(a_reserve_reads_while_no_other_host_is_answered)
 {
 	uint32_t well = ACTIVE + (uint32_t)_i / 2, i;
@@ -428,7 +437,7 @@
 }
 END_TEST
 
-/* It goes on from where the readers were. */
+/* A reserve resumes at the position of the readers. */
 START_TEST(a_reserve_knows_the_position)
 {
 	run(20000);
@@ -440,7 +449,7 @@
 }
 END_TEST
 
-/* All that could tell them is silent, from the start on. */
+/* All active hosts are unanswered from the start on. */
 START_TEST(reserves_are_not_notified_without_a_version)
 {
 	uint32_t i;
@@ -450,7 +459,7 @@
 	fail_all_but(HOSTS, SILENT);
 	run(PERIOD_MS);
 	ck_assert(!reader_group_reads(&hosts[ACTIVE].group));
-	/* What is not told is not due over and over either. */
+	/* The skipped notification must not leave the tick permanently due. */
 	ck_assert_uint_gt(reader_group_next_ms(&hosts[0].group), now_ms);
 }
 END_TEST
@@ -469,7 +478,7 @@
 }
 END_TEST
 
-/* Reports of hosts that are not of the group, or rank below, change nothing. */
+/* Reports of hosts outside the group or of a lower rank change nothing. */
 START_TEST(reports_of_strangers_and_lower_ranks_do_not_count)
 {
 	struct msg_read_report failed = {.answered = false};
--- a/packages/spread/test/test_reader_rank.c
+++ b/packages/spread/test/test_reader_rank.c
@@ -1,10 +1,10 @@
 /*
- * When a node that has started takes itself for a reader.
+ * When a node that has started computes its rank and reads as a reader.
  *
- * The load: all hosts of a fleet have lost power, callers are there, and nobody
- * serves before a reader has read.  Read too early, while the table is short,
- * each host takes itself for a reader and the store is asked by all of them;
- * read late, all callers wait.
+ * Case: all hosts of a fleet restart after a power loss, callers are waiting,
+ * and no node serves before a reader has read.  If hosts compute their rank too
+ * early, while their tables are short, each of them takes itself for a reader
+ * and all of them read the store; if too late, all callers wait.
  */
 #include <string.h>
 
@@ -20,8 +20,9 @@
 #define ALONE_MS 300
 #define POLL_MS 100
 
-/* A reader reads within this after it has joined: a third of the time within
- * which a version is to be in force on a host that starts among others. */
+/* A reader reads within this time after it has joined: a third of the time
+ * within which a version is to be in force on a host that starts among others.
+ */
 #define READ_WITHIN_MS 250
 
 static struct membership *m;
@@ -29,7 +30,8 @@
 static struct spread_env env;
 static struct readers readers;
 
-/* A node that is joined @join_ms after its start, since nobody is there. */
+/* Starts a node that counts as joined after @join_ms, since there is no other.
+ */
 static void
 begin(uint32_t join_ms)
 {
@@ -60,7 +62,7 @@
 	outbox_free(out);
 }
 
-/* When the first read is asked for; DEADLINE_NEVER for none. */
+/* Time of the first read, DEADLINE_NEVER for none up to @limit_ms. */
 static uint64_t
 first_read_ms(uint64_t limit_ms)
 {
@@ -91,7 +93,7 @@
 }
 END_TEST
 
-/* One that reaches nobody asks the platform all the same. */
+/* A node that reaches no other node reads the platform nevertheless. */
 START_TEST(a_node_that_cannot_join_reads_by_itself)
 {
 	uint64_t read_ms;
@@ -104,8 +106,8 @@
 }
 END_TEST
 
-/* Few nodes are told to: the row may take 0.2 s on a slow link, and until it
- * is here nobody serves. */
+/* Few nodes are told to read at once: the row may take 0.2 s over a slow link,
+ * and no node serves until it has arrived. */
 START_TEST(read_now_reads_before_the_node_has_joined)
 {
 	begin(60000);
--- a/packages/spread/test/test_readers.c
+++ b/packages/spread/test/test_readers.c
@@ -1,12 +1,12 @@
 /*
- * Readers of a data centre against a store that answers late: how old a change
- * is when the first of them holds it, and what that costs in calls and in
- * copies of the row.
+ * Readers of a data centre against a store with slow answers: how old a change
+ * is when the first reader holds it, and what that costs in calls and in copies
+ * of the row.
  *
- * Seen: a route accepted while the store answered in about 1.1 s was refused
- * 2.6 s later.  How: it was accepted just after the store had looked up the
- * answer to the only read that a reader had under way.  Cause: the read after
- * it took as long again.
+ * Guards against this failure: a route accepted while the store answered in
+ * about 1.1 s was still refused 2.6 s later.  The store had looked up the
+ * answer to the reader's only read just before the change, and the next read
+ * took as long again.
  */
 #include <math.h>
 #include <stdio.h>
@@ -22,35 +22,46 @@
 
 #define READERS 4
 
-/* A group: two that read, and those that stand by. */
+/* Active hosts of a group: two readers and the standbys. */
 #define GROUP (2 + READER_GROUP_STANDBYS)
 #define WAIT_MS 2000
 #define POLL_MS 100
 #define RUN_MS 120000
 
-/* By then the readers know how slow the store is. */
+/* By this time the readers have measured the store. */
 #define MEASURED_MS 10000
 
-/* The store as it was in the trouble that was seen, and on a calm day. */
+/* Answer time of the store in the observed failure, and of a fast store. */
 #define SLOW_MS 1150
 #define FAST_MS 4
 
-/* One and a half answers: 1.73 s of the 2.5 s for a change, so that 0.7 s are
- * left from the first reader to the last host. */
+/* One and a half answer times: 1.73 s of the 2.5 s allowed for a change, which
+ * leaves 0.7 s from the first reader to the last host. */
 #define AGE_MAX_MS (SLOW_MS + SLOW_MS / 2 + 1)
 
-/* Reads of one reader under way: the one that waits, and probes. */
+/* Most reads of one reader in flight: the long poll and the probes. */
 #define IN_FLIGHT_MAX (1 + PROBES_MAX)
 
-/** struct read_in_flight - a read under way; @probe: one beside that which
- * waits */
+/**
+ * struct read_in_flight - a read in flight
+ * @used: whether the entry is in use
+ * @probe: whether the read is a probe, not a long poll
+ * @read: the read at the store
+ */
 struct read_in_flight {
 	bool used;
 	bool probe;
 	struct store_read read;
 };
 
-/** struct reader - a reader, how many changes it holds and what it asked */
+/**
+ * struct reader - a simulated reader
+ * @env: environment
+ * @readers: module under test
+ * @holds: number of changes that the reader holds
+ * @reads: its reads in flight
+ * @probes: probes sent so far
+ */
 struct reader {
 	struct spread_env env;
 	struct readers readers;
@@ -80,7 +91,7 @@
 	r->readers.next_rank_ms = DEADLINE_NEVER;
 }
 
-/* Hosts of which so many read by their rank. */
+/* Starts @hosts hosts, of which the first @readers read. */
 static void
 start_group(uint32_t answer_ms, uint32_t hosts, uint32_t readers)
 {
@@ -160,7 +171,7 @@
 		readers_on_read_ended(&r->readers, now_ms, &end);
 }
 
-/* Reports are heard at once. */
+/* Delivers the read reports of a host without delay. */
 static void
 deliver(uint32_t from, uint64_t now_ms)
 {
@@ -218,7 +229,7 @@
 		store_model_change(&store, at_ms);
 }
 
-/* Changes at random moments, @ms apart in the mean. */
+/* Changes at exponentially distributed intervals with mean @ms. */
 static void
 change_randomly(uint32_t ms, uint32_t seed)
 {
@@ -282,7 +293,8 @@
 }
 END_TEST
 
-/* The change that follows another one at once is the one that waited. */
+/* A change that follows another one at once comes too late for the answer that
+ * carries the first. */
 START_TEST(a_change_just_after_another_arrives_in_time)
 {
 	uint64_t at_ms;
@@ -298,7 +310,8 @@
 }
 END_TEST
 
-/* Others write to the store as well, so the next change has no number yet. */
+/* Other writers use numbers of the counter too, so the number of the next
+ * change is not known in advance. */
 START_TEST(gaps_in_the_numbers_do_no_harm)
 {
 	start(SLOW_MS, (uint32_t)_i);
@@ -310,7 +323,7 @@
 }
 END_TEST
 
-/* A change that a read waits for comes once: that read brings it. */
+/* A change during a long poll is delivered by that long poll only. */
 START_TEST(a_change_during_a_long_poll_is_delivered_once)
 {
 	const struct probes *p = &reader[0].readers.probes;
@@ -332,8 +345,8 @@
 }
 END_TEST
 
-/* One that comes between two reads that wait is brought by probes, again and
- * again until the first of them is answered. */
+/* A change between two long polls is delivered by probes, repeatedly until the
+ * first of them is answered. */
 START_TEST(the_row_is_delivered_less_than_twice)
 {
 	uint32_t each_ms, copies = 0, changes = 0;
@@ -352,7 +365,7 @@
 }
 END_TEST
 
-/* On a link that carries the row in a second, two of them are too many. */
+/* A link that needs a second for the row is too slow to carry it twice. */
 START_TEST(a_slow_link_carries_the_row_once)
 {
 	start(SLOW_MS, 1);
@@ -366,10 +379,10 @@
 END_TEST
 
 /*
- * Large rows, links that need a while for them, and a store that is late: how
- * old a change is when the first host of a data centre holds it.  What can be
- * in force in 2.5 s, of which 0.45 s go from that host to the last one, is; the
- * others are measured (docs/CAPACITY.md).
+ * Large rows over slow links from a slow store: how old a change is when the
+ * first host of a data centre holds it.  Asserted where the change can be in
+ * force within 2.5 s, of which 0.45 s pass between the first host and the last;
+ * the other combinations are only measured (docs/CAPACITY.md).
  */
 START_TEST(large_rows_of_a_late_store)
 {
@@ -407,7 +420,8 @@
 }
 END_TEST
 
-/* Changes keep coming, so that no read tells by itself whether it waited. */
+/* Changes keep coming, so a single read doesn't show whether the store was slow
+ * or the read waited for a change. */
 START_TEST(probes_begin_when_the_store_becomes_slow)
 {
 	uint64_t now_ms, from_ms = RUN_MS / 2;
@@ -432,7 +446,7 @@
 }
 END_TEST
 
-/* A store that is quick again is probed no more. */
+/* A store that has become fast is probed only for measurements. */
 START_TEST(probes_end_when_the_store_becomes_fast)
 {
 	uint32_t i, before;
@@ -456,7 +470,7 @@
 }
 END_TEST
 
-/* What the store refuses is asked for no more for a while. */
+/* After a refused probe no probe is sent for a while. */
 START_TEST(a_refused_probe_is_not_repeated_at_once)
 {
 	static const struct spread_read_end late = {.ok = 1};
@@ -479,7 +493,7 @@
 }
 END_TEST
 
-/* Where reads don't wait there is nothing to look for beside them. */
+/* Probes are only needed beside long polls. */
 START_TEST(there_are_no_probes_without_long_polls)
 {
 	start(SLOW_MS, 1);
--- a/packages/spread/test/test_spread.c
+++ b/packages/spread/test/test_spread.c
@@ -1,6 +1,6 @@
 /*
- * Small parts of the spread by themselves: back-off, budget, candidates,
- * profiles.  The modules together are tested on the driver.
+ * Unit tests of single modules: back-off, budget, candidates, profiles, intake.
+ * The driver's tests cover the modules together.
  */
 #include <string.h>
 
@@ -47,7 +47,8 @@
 }
 END_TEST
 
-/* Takes at most burst + rate * time; what is refused is told when. */
+/* At most burst + rate * time tokens are taken; after a refusal the bucket
+ * returns the time at which the tokens are available. */
 START_TEST(test_budget)
 {
 	static const struct {
@@ -102,14 +103,15 @@
 		a = addr(i);
 		candidates_add(&c, 0, &a, 10, i == 3);
 	}
-	/* The near one first; busy, another one; only those new enough. */
+	/* A near candidate is preferred, a busy one skipped, an old one
+	 * ignored. */
 	ck_assert(candidates_pick(&c, &env, 0, 10, &got));
 	ck_assert_uint_eq(got.ip, 3);
 	candidates_busy(&c, &got, 50);
 	ck_assert(candidates_pick(&c, &env, 49, 10, &got));
 	ck_assert_uint_ne(got.ip, 3);
 	ck_assert(!candidates_pick(&c, &env, 50, 11, &got));
-	/* Newer ones push older ones out, not the other way round. */
+	/* A newer candidate replaces an older one, not the other way round. */
 	a = addr(100);
 	candidates_add(&c, 0, &a, 11, 0);
 	ck_assert(candidates_pick(&c, &env, 0, 11, &got));
@@ -117,7 +119,7 @@
 	a = addr(101);
 	candidates_add(&c, 0, &a, 9, 0);
 	ck_assert_uint_eq(c.n, CANDIDATES_MAX);
-	/* One that is blamed stays out for a while. */
+	/* A banned candidate is ignored until the ban expires. */
 	a = addr(100);
 	candidates_ban(&c, 0, &a);
 	candidates_add(&c, CANDIDATES_BAN_MS - 1, &a, 11, 0);
@@ -143,7 +145,7 @@
 
 #define CATALOG_BYTES (1024 * 1024)
 
-/* An intake that has asked a peer for version 1, by frame. */
+/* Starts an intake that has sent a peer a pull of version 1 by frame. */
 static void
 intake_start_pull(struct intake *in, struct spread_env *env)
 {
@@ -172,8 +174,9 @@
 }
 
 /*
- * 240 KB of new routes over 5 Mbit/s that calls use too: parts keep coming for
- * three seconds.  Asked anew after each second, they never got there.
+ * 240 KB of new routes arrive over a 5 Mbit/s link that calls use too: parts
+ * keep arriving for three seconds.  With a fixed deadline of one second the
+ * request was repeated again and again, and the answer never completed.
  */
 START_TEST(test_slow_answer)
 {
@@ -189,7 +192,7 @@
 	}
 	ck_assert_uint_eq(env.stats.pulls_sent, 1);
 	ck_assert_uint_eq(env.stats.pulls_timed_out, 0);
-	/* Bytes of somebody else don't help one that is silent. */
+	/* Bytes from another peer don't extend the deadline. */
 	intake_on_partial_frame(&in, 4100, &other);
 	intake_tick(&in, 4200);
 	ck_assert_uint_eq(env.stats.pulls_timed_out, 1);
@@ -197,14 +200,15 @@
 }
 END_TEST
 
-/* Too small for any version, as the commit finds. */
+/* A catalog too small for any version; the commit fails. */
 #define TINY_CATALOG_BYTES 1
 
 static const char small[] =
     "{\"format\":1,\"name\":\"x\",\"services\":[{\"name\":\"a\"}],"
     "\"routes\":[]}";
 
-/* Gives the intake a version whole, and lets it commit that. */
+/* Delivers a complete version to the intake and checks that its commit fails.
+ */
 static void
 deliver_and_commit(struct intake *in, uint64_t now_ms, uint64_t version)
 {
@@ -235,7 +239,7 @@
 	intake_init(in, env, 0);
 }
 
-/* A version that can't be put together here is told, with its reason. */
+/* A version that can't be committed is reported with its reason. */
 START_TEST(test_refused_commit)
 {
 	struct spread_env env = {0};
@@ -255,7 +259,7 @@
 }
 END_TEST
 
-/* The refusal that an intake told, of version 10 and no other. */
+/* Checks that version 10, and no other, was reported as refused. */
 static void
 ck_refusal(struct spread_env *env, const char *reason)
 {
@@ -269,7 +273,7 @@
 	ck_assert(g_queue_is_empty(env->actions));
 }
 
-/* The platform gives more sections than a version may have. */
+/* The platform delivers more sections than a version may have. */
 START_TEST(test_refused_list)
 {
 	struct rec_head head = {.seq = 10, .version = 10, .in_force = 10};
@@ -292,7 +296,7 @@
 }
 END_TEST
 
-/* Content that makes a version too large, from the platform and from a peer. */
+/* Content from the platform or from a peer makes a version too large. */
 START_TEST(test_refused_content)
 {
 	struct rec_head head = {.seq = 10, .version = 10, .in_force = 10};
@@ -335,8 +339,8 @@
 }
 END_TEST
 
-/* Ten versions that can't be put together: the eleventh is asked for at once,
- * not after the pauses between tries of those before. */
+/* Ten versions can't be committed.  The eleventh is requested at once, not
+ * after the pauses between attempts at the earlier ones. */
 START_TEST(test_refused_holds_no_later_one_back)
 {
 	struct spread_env env = {0};
--- a/packages/spread/test/test_trace.c
+++ b/packages/spread/test/test_trace.c
@@ -1,5 +1,5 @@
 /*
- * What each step of a version's way to this node took.
+ * Durations of the steps of a version on its way to this node.
  */
 #include <check.h>
 
@@ -34,7 +34,7 @@
 }
 END_TEST
 
-/* A peer may tell anything. */
+/* Ages reported by peers are untrusted. */
 START_TEST(an_age_beyond_the_clock_is_reduced)
 {
 	struct trace t = {0};
