--- a/packages/spread/src/spread.c
+++ b/packages/spread/src/spread.c
@@ -105,10 +105,10 @@
 static void
 spread_on_halt(struct spread *s, const struct rec_head_tag *head)
 {
-	uint64_t under_way;
+	uint64_t in_progress;
 
-	under_way = intake_version_in_progress(&s->intake);
-	if (under_way > 0 && under_way != head->in_force)
+	in_progress = intake_version_in_progress(&s->intake);
+	if (in_progress > 0 && in_progress != head->in_force)
 		intake_drop(&s->intake);
 	if (head->state == HEAD_HALTED &&
 	    head->version > catalog_version(s->env.catalog))
