--- a/packages/spread/include/spread/candidates.h
+++ b/packages/spread/include/spread/candidates.h
@@ -9,6 +9,7 @@
 #include "proto/addr.h"
 #include "spread/env.h"
 
+/* Capacity for candidates and for bans. */
 #define CANDIDATES_MAX 12
 #define CANDIDATES_BANS_MAX 16
 
@@ -84,8 +85,7 @@
     uint64_t now_ms, uint64_t version, struct net_addr *addr);
 
 /**
- * candidates_next_ms() - earliest time at which a holder of @version can be
- * asked
+ * candidates_next_ms() - when a candidate that holds @version can be asked
  *
  * Return: the time, or DEADLINE_NEVER if no candidate holds the version.
  */
--- a/packages/spread/include/spread/progress.h
+++ b/packages/spread/include/spread/progress.h
@@ -21,6 +21,7 @@
 #include "proto/messages.h"
 #include "spread/env.h"
 
+/* Most children of a host in the tree. */
 #define PROGRESS_ARITY 16
 
 /**
--- a/packages/spread/include/spread/reader_group.h
+++ b/packages/spread/include/spread/reader_group.h
@@ -89,8 +89,7 @@
 /** reader_group_init() - initialise a host that is not in a group */
 void reader_group_init(struct reader_group *g, struct spread_env *env);
 
-/** reader_group_set_long_poll() - reads wait for a change for @wait_ms at most
- */
+/** reader_group_set_long_poll() - reads wait for a change for @wait_ms */
 void reader_group_set_long_poll(struct reader_group *g, uint32_t wait_ms);
 
 /**
@@ -127,8 +126,8 @@
 /** reader_group_next_ms() - latest time of the next reader_group_tick() */
 uint64_t reader_group_next_ms(const struct reader_group *g);
 
-/** reader_group_is_active() - whether this host is a reader or standby by rank
- */
+/** reader_group_is_active() - whether the rank makes this host a reader or
+ * standby, rather than a reserve or no member */
 int reader_group_is_active(const struct reader_group *g);
 
 /** reader_group_reads() - whether this host reads */
--- a/packages/spread/include/spread/readers.h
+++ b/packages/spread/include/spread/readers.h
@@ -70,8 +70,7 @@
 /** readers_read_now() - let a node that hasn't joined read at once */
 void readers_read_now(struct readers *r, uint64_t now_ms);
 
-/** readers_on_answer_begun() - the first part of the answer to a read arrived
- */
+/** readers_on_answer_begun() - the answer to a read began to arrive */
 void readers_on_answer_begun(struct readers *r, uint64_t now_ms);
 
 /** readers_on_report() - handle a host's report of a read */
--- a/packages/spread/include/spread/spread.h
+++ b/packages/spread/include/spread/spread.h
@@ -180,7 +180,24 @@
 	uint64_t at_ms;
 };
 
-/** struct spread_stats - counters since the start, exported as metrics */
+/**
+ * struct spread_stats - counters since the start, exported as metrics
+ * @notices_sent: notices sent to peers
+ * @notices_heard: notices received from peers
+ * @notices_new: received notices whose head was newer than the known one
+ * @pulls_sent: pulls sent to peers, each page and repetition included
+ * @pulls_served: pulls of peers answered, other than with "busy"
+ * @pulls_refused: pulls of peers answered with "busy"
+ * @pulls_timed_out: pulls and fetches that timed out on a connection
+ * @peers_blamed: invalid answers for which a peer was banned
+ * @head_reads: reads of the head requested, probes not included
+ * @head_probes: probes of the head requested
+ * @version_reads: reads of version rows requested
+ * @object_reads: reads of objects requested
+ * @versions_applied: versions that the catalog moved to
+ * @floor_unacknowledged: announced floors that no keeper acknowledged in time
+ * @progress_sent: progress reports sent
+ */
 struct spread_stats {
 	uint64_t notices_sent;
 	uint64_t notices_heard;
--- a/packages/spread/src/floors.c
+++ b/packages/spread/src/floors.c
@@ -12,9 +12,9 @@
 #define ASK_NEAR 3
 #define ASK_FAR 1
 
-/* A node that is joining checks this often whether it has joined.  A joined
- * node asks its peers, and collecting ends soon after the platform, which may
- * be read a little later, has answered. */
+/* Interval at which a joining node checks whether it has joined.  The interval
+ * is short because the platform may be read soon after joining, and its answer
+ * ends the collecting soon after that. */
 #define JOIN_POLL_MS 50
 
 /* Most keepers in this data centre. */
--- a/packages/spread/src/intake.c
+++ b/packages/spread/src/intake.c
@@ -273,8 +273,7 @@
 	return now_ms >= in->source_ms && intake_source_available(in, now_ms);
 }
 
-/* No request is outstanding: asks the platform, a candidate or a random peer.
- */
+/* Sends the next request: to the platform, a candidate or a random peer. */
 static void
 intake_choose_provider(struct intake *in, uint64_t now_ms)
 {
--- a/packages/spread/src/intake_priv.h
+++ b/packages/spread/src/intake_priv.h
@@ -25,8 +25,7 @@
  */
 int intake_too_large(struct intake *in, uint64_t now_ms, enum status st);
 
-/** intake_check_complete() - advance to INTAKE_STAGED if no content is missing
- */
+/** intake_check_complete() - go to INTAKE_STAGED if no content is missing */
 void intake_check_complete(struct intake *in, uint64_t now_ms);
 
 /** intake_begin_delta() - stage changes; @delta stays the caller's */
@@ -47,16 +46,14 @@
 void intake_peer_ban(
     struct intake *in, uint64_t now_ms, const struct net_addr *peer);
 
-/** intake_source_available() - whether the back-off from the platform expired
- */
+/** intake_source_available() - whether the back-off from the source expired */
 int intake_source_available(const struct intake *in, uint64_t now_ms);
 
 /** intake_source_schedule() - schedule a read of the platform in this node's
  * slot, counted from @from_ms */
 void intake_source_schedule(struct intake *in, uint64_t from_ms);
 
-/** intake_source_ask() - request the list or missing content from the platform
- */
+/** intake_source_ask() - read the list or missing content from the platform */
 void intake_source_ask(struct intake *in, uint64_t now_ms);
 
 /** intake_source_failed() - back off after a failed read of the platform */
--- a/packages/spread/src/intake_source.c
+++ b/packages/spread/src/intake_source.c
@@ -68,9 +68,9 @@
 }
 
 /*
- * Schedules the reads of the content.  The staged list tells how long they
- * take: if longer than a slot, the start is delayed further, so that the nodes
- * don't all read the same content at the same time.
+ * Schedules the reads of the content.  The number of missing sections
+ * determines how long they take: if longer than a slot, the start is delayed
+ * further, so that the nodes don't all read the same content at the same time.
  */
 static void
 intake_source_schedule_content(struct intake *in, uint64_t now_ms)
--- a/packages/spread/src/probes.c
+++ b/packages/spread/src/probes.c
@@ -123,8 +123,9 @@
 	took_ms -= MIN(took_ms, end->body_ms);
 	if (end->has_row)
 		p->body_ms = end->body_ms;
-	/* A long poll without a row waited to its end.  A long poll with a row
-	 * may have waited, so a long one doesn't give the latency. */
+	/* A long poll without a row waited to its end, so the rest of its time
+	 * is the latency.  A long poll with a row waited for an unknown time;
+	 * only a short one gives a bound of the latency. */
 	if (!end->has_row && took_ms >= p->read_wait_ms)
 		probes_set_latency(p, took_ms - p->read_wait_ms);
 	else if (took_ms < SLOW_MS)
--- a/packages/spread/src/quarantine_news.c
+++ b/packages/spread/src/quarantine_news.c
@@ -410,7 +410,7 @@
 		lacks_ids = !has_record(n, m->ids[i]);
 	(void)send_pages(n, from, missing, now_ms);
 	/* A peer without records has just started and repeats its request until
-	 * it is answered, so answer even if there is nothing to send. */
+	 * it receives an answer, so send an answer even without records. */
 	if ((lacks_ids || m->n_ids == 0) && !m->answer)
 		send_ids(n, from, true, now_ms);
 	g_ptr_array_unref(missing);
--- a/packages/spread/src/reader_group.c
+++ b/packages/spread/src/reader_group.c
@@ -29,8 +29,7 @@
 	g->env = env;
 	g->rank = PEERS_RANK_NONE;
 	g->isolation_check_ms = DEADLINE_NEVER;
-	/* The time between two polls is jittered to 0.5 to 1.5 times the mean.
-	 */
+	/* Jitter makes the time between two polls up to 1.5 times the mean. */
 	g->period_ms = env->profile.head_poll_ms * 3 / 2;
 }
 
@@ -89,8 +88,7 @@
 	g->rank = rank;
 }
 
-/* Sends reports to the reserves as well, for two rounds since one may be lost.
- */
+/* Sends reports to the reserves too, for two rounds since one may be lost. */
 static void
 include_reserves(struct reader_group *g, uint64_t now_ms)
 {
@@ -214,8 +212,8 @@
 	return n;
 }
 
-/* Latest answer of a host above this one.  The time before this host entered
- * the group doesn't count against them. */
+/* Time of the latest answer of a host above this one.  The time before this
+ * host entered the group doesn't count against the hosts above. */
 static uint64_t
 last_answered_ms(const struct reader_group *g)
 {
@@ -260,8 +258,9 @@
 	return wanted == 0 || wanted > n ? 0 : until[wanted - 1];
 }
 
-/* When too few hosts above this one are answered.  A host that this host hasn't
- * heard of yet may just not have reported. */
+/* When too few hosts above this one are answered.  Within the first period
+ * after this host entered the group, hosts without a report may just not have
+ * reported yet. */
 static uint64_t
 too_few_deadline_ms(const struct reader_group *g)
 {
--- a/packages/spread/src/readers.c
+++ b/packages/spread/src/readers.c
@@ -12,7 +12,7 @@
 /* Mean time between two checks for changes of the table of hosts. */
 #define RANK_INTERVAL_MS 1000
 
-/* A node that is joining checks this often whether it has joined. */
+/* Interval at which a joining node checks whether it has joined. */
 #define JOIN_POLL_MS 50
 
 /*
--- a/packages/spread/src/spread.c
+++ b/packages/spread/src/spread.c
@@ -100,8 +100,7 @@
 	s->next_head = (s->next_head + 1) % SPREAD_HEADS_MAX;
 }
 
-/* A version was halted since the known head: it may be the version in progress.
- */
+/* A version was halted after the known head, possibly the one in progress. */
 static void
 spread_on_halt(struct spread *s, const struct rec_head_tag *head)
 {
@@ -175,7 +174,8 @@
 	return s->ready ? s->committed_ms + s->env.profile.batch_ms : 0;
 }
 
-/* The newest head, above the one published, whose version in force is held. */
+/* The newest head, newer than the last one gossiped, whose version in force is
+ * held. */
 static const struct rec_head_tag *
 spread_held_head(const struct spread *s)
 {
@@ -195,8 +195,7 @@
 	return best;
 }
 
-/* Gossips the head of the version held, if it is newer than the one published.
- */
+/* Gossips the head of the version held, if newer than the last one gossiped. */
 static void
 spread_publish_head(struct spread *s, uint64_t now_ms)
 {
--- a/packages/spread/test/test_reader_rank.c
+++ b/packages/spread/test/test_reader_rank.c
@@ -30,8 +30,7 @@
 static struct spread_env env;
 static struct readers readers;
 
-/* Starts a node that counts as joined after @join_ms, since there is no other.
- */
+/* Starts a node that is alone, and counts as joined after @join_ms. */
 static void
 begin(uint32_t join_ms)
 {
@@ -106,8 +105,8 @@
 }
 END_TEST
 
-/* Few nodes are told to read at once: the row may take 0.2 s over a slow link,
- * and no node serves until it has arrived. */
+/* Only a few nodes call readers_read_now(): the row may take 0.2 s over a slow
+ * link, and no node serves until the row has arrived. */
 START_TEST(read_now_reads_before_the_node_has_joined)
 {
 	begin(60000);
--- a/packages/spread/test/test_spread.c
+++ b/packages/spread/test/test_spread.c
@@ -207,8 +207,7 @@
     "{\"format\":1,\"name\":\"x\",\"services\":[{\"name\":\"a\"}],"
     "\"routes\":[]}";
 
-/* Delivers a complete version to the intake and checks that its commit fails.
- */
+/* Delivers a complete version to the intake; its commit must fail. */
 static void
 deliver_and_commit(struct intake *in, uint64_t now_ms, uint64_t version)
 {
