--- a/packages/spread/src/backoff.c
+++ b/packages/spread/src/backoff.c
@@ -1,9 +1,9 @@
 /*
- * Back-off with full jitter and a cap.
+ * Exponential back-off with full jitter and a cap.
  */
 #include "spread/backoff.h"
 
-/* More doublings than this are beyond any cap. */
+/* More doublings than this exceed any cap. */
 #define DOUBLINGS_MAX 20
 
 void
@@ -35,7 +35,7 @@
 }
 
 int
-backoff_open(const struct backoff *b, uint64_t now_ms)
+backoff_expired(const struct backoff *b, uint64_t now_ms)
 {
 	return now_ms >= b->until_ms;
 }
--- a/packages/spread/src/quarantine_news.c
+++ b/packages/spread/src/quarantine_news.c
@@ -1,5 +1,5 @@
 /*
- * Passes crashes and quarantined requests on to all nodes.
+ * Distributes records of crashes and of quarantined requests to all nodes.
  */
 #include "spread/quarantine_news.h"
 
@@ -9,33 +9,33 @@
 #include "base/hash.h"
 #include "spread/budget.h"
 
-/* Room for records in a datagram, below the largest that is sent. */
+/* Most bytes of records in a datagram, below the limit of a datagram. */
 #define NEWS_BYTES 1300
 #define DIGEST_SEED 21
 /* The type byte that the envelope of a datagram adds. */
 #define ENVELOPE_BYTES 1
 
 /**
- * struct held_record - a record and how often it is still to be passed on
+ * struct news_record - a record and its remaining rounds of gossip
  * @item: the record
- * @rounds_left: times that it is still to be passed on
+ * @rounds_left: rounds still to be sent
  */
-struct held_record {
+struct news_record {
 	struct quarantine_item item;
 	uint32_t rounds_left;
 };
 
 /**
- * struct quarantine_news - what is known
- * @peers: hosts to talk to; borrowed
- * @out: where datagrams go; borrowed
- * @host: own name
- * @records: struct held_record, in the order in which they came
- * @fresh: struct quarantine_item that came from peers and were not popped
- * @round_ms: when fresh records are passed on; DEADLINE_NEVER for none
- * @compare_ms: when the next comparison is begun
- * @budget: bytes that may be sent now
- * @joined: whether a first comparison was answered
+ * struct quarantine_news - the set of records known here
+ * @peers: selects hosts to exchange records with; borrowed
+ * @out: outbox for datagrams; borrowed
+ * @host: name of this host
+ * @records: struct news_record, in order of arrival
+ * @received: struct quarantine_item from peers that were not popped yet
+ * @round_ms: when the next round of gossip is due; DEADLINE_NEVER for none
+ * @compare_ms: when the next comparison is due
+ * @budget: bytes that may be sent
+ * @joined: whether a peer's records or ids have been received
  * @counters: totals
  */
 struct quarantine_news {
@@ -43,7 +43,7 @@
 	struct outbox *out;
 	char host[MSG_QUARANTINE_NEWS_HOST_MAX + 1];
 	GPtrArray *records;
-	GQueue fresh;
+	GQueue received;
 	uint64_t round_ms;
 	uint64_t compare_ms;
 	struct budget budget;
@@ -61,7 +61,7 @@
 	n->out = out;
 	(void)g_strlcpy(n->host, host, sizeof(n->host));
 	n->records = g_ptr_array_new_with_free_func(g_free);
-	g_queue_init(&n->fresh);
+	g_queue_init(&n->received);
 	n->round_ms = DEADLINE_NEVER;
 	budget_init(
 	    &n->budget, QUARANTINE_BYTES_PER_S, QUARANTINE_BURST_BYTES, now_ms);
@@ -75,17 +75,17 @@
 	if (n == NULL)
 		return;
 	g_ptr_array_unref(n->records);
-	g_queue_clear_full(&n->fresh, g_free);
+	g_queue_clear_full(&n->received, g_free);
 	g_free(n);
 }
 
 bool
-quarantine_news_owns(uint8_t type)
+quarantine_news_handles(uint8_t type)
 {
 	return type >= MSG_QUARANTINE_NEWS && type <= MSG_QUARANTINE_IDS;
 }
 
-static struct held_record *
+static struct news_record *
 record_at(const struct quarantine_news *n, guint i)
 {
 	return g_ptr_array_index(n->records, i);
@@ -110,7 +110,7 @@
 }
 
 static bool
-has(const struct quarantine_news *n, uint64_t id)
+has_record(const struct quarantine_news *n, uint64_t id)
 {
 	guint i;
 
@@ -120,10 +120,10 @@
 	return false;
 }
 
-/* What goes first when there is no more room: the evidence before what was
- * concluded from it, and quarantined requests last. */
+/* Priority in eviction and sending: evidence (crashes) is lower than the
+ * conclusions drawn from it, and quarantined requests are the highest. */
 static uint32_t
-worth(enum quarantine_kind kind)
+retention_priority(enum quarantine_kind kind)
 {
 	switch (kind) {
 	case QUARANTINE_HELD:
@@ -137,14 +137,18 @@
 }
 
 static bool
-goes_before(const struct quarantine_item *a, const struct quarantine_item *b)
+evicted_before(const struct quarantine_item *a, const struct quarantine_item *b)
 {
-	if (worth(a->kind) != worth(b->kind))
-		return worth(a->kind) < worth(b->kind);
+	if (retention_priority(a->kind) != retention_priority(b->kind))
+		return retention_priority(a->kind) <
+		    retention_priority(b->kind);
 	return a->at_ms < b->at_ms;
 }
 
-/* Return: false when @item itself is what goes first. */
+/* Evicts a record if the set is full.
+ *
+ * Return: false if @item itself would be evicted first.
+ */
 static bool
 make_room(struct quarantine_news *n, const struct quarantine_item *item)
 {
@@ -153,25 +157,25 @@
 	if (n->records->len < QUARANTINE_ITEMS_MAX)
 		return true;
 	for (i = 1; i < n->records->len; i++)
-		if (goes_before(
+		if (evicted_before(
 			&record_at(n, i)->item, &record_at(n, first)->item))
 			first = i;
-	if (goes_before(item, &record_at(n, first)->item))
+	if (evicted_before(item, &record_at(n, first)->item))
 		return false;
 	g_ptr_array_remove_index(n->records, first);
 	return true;
 }
 
-/* Return: whether it was new. */
+/* Return: whether the record was new and was added. */
 static bool
-take(struct quarantine_news *n, const struct quarantine_item *item,
+insert_record(struct quarantine_news *n, const struct quarantine_item *item,
     uint64_t now_ms)
 {
-	struct held_record *r;
+	struct news_record *r;
 
-	if (has(n, item->id) || !make_room(n, item))
+	if (has_record(n, item->id) || !make_room(n, item))
 		return false;
-	r = g_new(struct held_record, 1);
+	r = g_new(struct news_record, 1);
 	r->item = *item;
 	r->rounds_left = QUARANTINE_ROUNDS;
 	g_ptr_array_add(n->records, r);
@@ -183,13 +187,13 @@
 quarantine_news_add(struct quarantine_news *n,
     const struct quarantine_item *item, uint64_t now_ms)
 {
-	(void)take(n, item, now_ms);
+	(void)insert_record(n, item, now_ms);
 }
 
 bool
 quarantine_news_pop(struct quarantine_news *n, struct quarantine_item *out)
 {
-	struct quarantine_item *item = g_queue_pop_head(&n->fresh);
+	struct quarantine_item *item = g_queue_pop_head(&n->received);
 
 	if (item == NULL)
 		return false;
@@ -200,13 +204,16 @@
 
 /* Sending */
 
-/* Return: false when too much was sent lately; @body is freed all the same. */
+/* Consumes @body.
+ *
+ * Return: false if the byte limit is reached; nothing is sent then.
+ */
 static bool
-send(struct quarantine_news *n, const struct net_addr *to, enum msg_type type,
-    GByteArray *body, uint64_t now_ms)
+send_msg(struct quarantine_news *n, const struct net_addr *to,
+    enum msg_type type, GByteArray *body, uint64_t now_ms)
 {
 	if (!budget_take(&n->budget, now_ms, body->len + ENVELOPE_BYTES)) {
-		n->counters.put_off++;
+		n->counters.postponed++;
 		g_byte_array_unref(body);
 		return false;
 	}
@@ -217,8 +224,8 @@
 }
 
 static void
-to_record(const struct quarantine_item *item, struct rec_quarantine_record *r,
-    uint64_t now_ms)
+item_to_record(const struct quarantine_item *item,
+    struct rec_quarantine_record *r, uint64_t now_ms)
 {
 	memset(r, 0, sizeof(*r));
 	r->id = item->id;
@@ -246,16 +253,18 @@
 	return bytes;
 }
 
-/* Sends records from number @from on, as many as a datagram takes.
- * Return: the number of the first that was left. */
+/* Sends records from index @from on, as many as fit a datagram.
+ *
+ * Return: index of the first record that was not sent.
+ */
 static guint
-send_some(struct quarantine_news *n, const struct net_addr *to,
+send_page(struct quarantine_news *n, const struct net_addr *to,
     GPtrArray *records, guint from, uint64_t now_ms)
 {
 	struct rec_quarantine_record list[MSG_QUARANTINE_NEWS_RECORDS_MAX];
 	struct msg_quarantine_news m = {.records = list};
 	GByteArray *body = g_byte_array_new();
-	const struct held_record *r;
+	const struct news_record *r;
 	uint32_t bytes = 0;
 	guint i;
 
@@ -263,19 +272,19 @@
 	for (i = from; i < records->len && m.n_records < G_N_ELEMENTS(list);
 	     i++) {
 		r = g_ptr_array_index(records, i);
-		to_record(&r->item, &list[m.n_records], now_ms);
+		item_to_record(&r->item, &list[m.n_records], now_ms);
 		bytes += encoded_bytes(&list[m.n_records]);
 		if (m.n_records > 0 && bytes > NEWS_BYTES)
 			break;
 		m.n_records++;
 	}
 	msg_quarantine_news_encode(&m, body);
-	return send(n, to, MSG_QUARANTINE_NEWS, body, now_ms) ? i : from;
+	return send_msg(n, to, MSG_QUARANTINE_NEWS, body, now_ms) ? i : from;
 }
 
-/* Return: how many of the records were sent. */
+/* Return: number of records sent. */
 static guint
-send_all(struct quarantine_news *n, const struct net_addr *to,
+send_pages(struct quarantine_news *n, const struct net_addr *to,
     GPtrArray *records, uint64_t now_ms)
 {
 	uint32_t datagrams;
@@ -284,7 +293,7 @@
 	for (datagrams = 0;
 	     datagrams < QUARANTINE_ANSWER_MAX && from < records->len;
 	     datagrams++) {
-		next = send_some(n, to, records, from, now_ms);
+		next = send_page(n, to, records, from, now_ms);
 		if (next == from)
 			break;
 		from = next;
@@ -304,11 +313,11 @@
 	for (m.n_ids = 0; m.n_ids < n->records->len; m.n_ids++)
 		ids[m.n_ids] = record_at(n, m.n_ids)->item.id;
 	msg_quarantine_ids_encode(&m, body);
-	(void)send(n, to, MSG_QUARANTINE_IDS, body, now_ms);
+	(void)send_msg(n, to, MSG_QUARANTINE_IDS, body, now_ms);
 }
 
 static uint64_t
-digest(const struct quarantine_news *n)
+ids_digest(const struct quarantine_news *n)
 {
 	uint64_t sum = 0;
 	guint i;
@@ -323,19 +332,19 @@
 send_digest(
     struct quarantine_news *n, const struct net_addr *to, uint64_t now_ms)
 {
-	struct msg_quarantine_digest m = {.digest = digest(n)};
+	struct msg_quarantine_digest m = {.digest = ids_digest(n)};
 	GByteArray *body = g_byte_array_new();
 
 	(void)g_strlcpy(m.host, n->host, sizeof(m.host));
 	msg_quarantine_digest_encode(&m, body);
-	(void)send(n, to, MSG_QUARANTINE_DIGEST, body, now_ms);
+	(void)send_msg(n, to, MSG_QUARANTINE_DIGEST, body, now_ms);
 }
 
 /* Receiving */
 
 static bool
-from_record(const struct rec_quarantine_record *r, struct quarantine_item *item,
-    uint64_t now_ms)
+record_to_item(const struct rec_quarantine_record *r,
+    struct quarantine_item *item, uint64_t now_ms)
 {
 	if (r->id == 0 || r->n_prints > QUARANTINE_PRINTS_MAX ||
 	    (r->kind != QUARANTINE_CRASH && r->n_prints != 1))
@@ -365,16 +374,16 @@
 
 	n->joined = true;
 	for (i = 0; i < m->n_records; i++) {
-		if (!from_record(&m->records[i], &item, now_ms) ||
-		    !take(n, &item, now_ms))
+		if (!record_to_item(&m->records[i], &item, now_ms) ||
+		    !insert_record(n, &item, now_ms))
 			continue;
 		n->counters.records++;
-		g_queue_push_tail(&n->fresh, g_memdup2(&item, sizeof(item)));
+		g_queue_push_tail(&n->received, g_memdup2(&item, sizeof(item)));
 	}
 }
 
 static bool
-names(const struct msg_quarantine_ids *m, uint64_t id)
+contains_id(const struct msg_quarantine_ids *m, uint64_t id)
 {
 	uint32_t i;
 
@@ -384,25 +393,27 @@
 	return false;
 }
 
-/* Sends what the peer lacks, and asks for what lacks here. */
+/* Sends the records that the peer lacks, and requests those that are missing
+ * here. */
 static void
 on_ids(struct quarantine_news *n, const struct net_addr *from,
     const struct msg_quarantine_ids *m, uint64_t now_ms)
 {
-	GPtrArray *lacks = g_ptr_array_new();
-	bool wants = false;
+	GPtrArray *missing = g_ptr_array_new();
+	bool lacks_ids = false;
 	uint32_t i;
 
 	for (i = 0; i < n->records->len; i++)
-		if (!names(m, record_at(n, i)->item.id))
-			g_ptr_array_add(lacks, record_at(n, i));
-	for (i = 0; i < m->n_ids && !wants; i++)
-		wants = !has(n, m->ids[i]);
-	(void)send_all(n, from, lacks, now_ms);
-	/* One that has just started waits for an answer, be it an empty one. */
-	if ((wants || m->n_ids == 0) && !m->answer)
+		if (!contains_id(m, record_at(n, i)->item.id))
+			g_ptr_array_add(missing, record_at(n, i));
+	for (i = 0; i < m->n_ids && !lacks_ids; i++)
+		lacks_ids = !has_record(n, m->ids[i]);
+	(void)send_pages(n, from, missing, now_ms);
+	/* A peer without records has just started and repeats its request until
+	 * it receives an answer, so send an answer even without records. */
+	if ((lacks_ids || m->n_ids == 0) && !m->answer)
 		send_ids(n, from, true, now_ms);
-	g_ptr_array_unref(lacks);
+	g_ptr_array_unref(missing);
 	n->joined = true;
 }
 
@@ -410,7 +421,7 @@
 on_digest(struct quarantine_news *n, const struct net_addr *from,
     const struct msg_quarantine_digest *m, uint64_t now_ms)
 {
-	if (m->digest != digest(n))
+	if (m->digest != ids_digest(n))
 		send_ids(n, from, false, now_ms);
 }
 
@@ -446,28 +457,29 @@
 
 /* Time */
 
-/* What is to be passed on, conclusions before evidence. */
+/* Records with rounds left, by descending priority. */
 static GPtrArray *
-fresh_records(const struct quarantine_news *n)
+records_to_send(const struct quarantine_news *n)
 {
-	GPtrArray *fresh = g_ptr_array_new();
-	uint32_t least = worth(QUARANTINE_HELD) + 1;
-	struct held_record *r;
+	GPtrArray *records = g_ptr_array_new();
+	uint32_t least = retention_priority(QUARANTINE_HELD) + 1;
+	struct news_record *r;
 	guint i;
 
 	while (least-- > 0)
 		for (i = 0; i < n->records->len; i++) {
 			r = record_at(n, i);
-			if (r->rounds_left > 0 && worth(r->item.kind) == least)
-				g_ptr_array_add(fresh, r);
+			if (r->rounds_left > 0 &&
+			    retention_priority(r->item.kind) == least)
+				g_ptr_array_add(records, r);
 		}
-	return fresh;
+	return records;
 }
 
 static void
-pass_on(struct quarantine_news *n, uint64_t now_ms)
+send_round(struct quarantine_news *n, uint64_t now_ms)
 {
-	GPtrArray *fresh = fresh_records(n);
+	GPtrArray *records = records_to_send(n);
 	uint32_t pause_ms = QUARANTINE_COMPARE_MS;
 	struct net_addr to;
 	guint sent = 0, i;
@@ -476,17 +488,18 @@
 		if (!n->peers->random(n->peers, &to))
 			continue;
 		pause_ms = QUARANTINE_ROUND_MS;
-		sent = MAX(sent, send_all(n, &to, fresh, now_ms));
+		sent = MAX(sent, send_pages(n, &to, records, now_ms));
 	}
 	for (i = 0; i < sent; i++)
-		((struct held_record *)fresh->pdata[i])->rounds_left--;
-	n->round_ms = fresh->len > 0 ? now_ms + pause_ms : DEADLINE_NEVER;
-	g_ptr_array_unref(fresh);
+		((struct news_record *)records->pdata[i])->rounds_left--;
+	n->round_ms = records->len > 0 ? now_ms + pause_ms : DEADLINE_NEVER;
+	g_ptr_array_unref(records);
 }
 
-/* A node that has just started has nothing, and asks until it was answered. */
+/* Sends the digest of the ids to a random host.  A node without records sends
+ * an empty list of ids instead, until it has received an answer. */
 static void
-compare(struct quarantine_news *n, uint64_t now_ms)
+begin_comparison(struct quarantine_news *n, uint64_t now_ms)
 {
 	bool full = n->records->len == QUARANTINE_ITEMS_MAX;
 	struct net_addr to;
@@ -505,9 +518,9 @@
 quarantine_news_tick(struct quarantine_news *n, uint64_t now_ms)
 {
 	if (now_ms >= n->round_ms)
-		pass_on(n, now_ms);
+		send_round(n, now_ms);
 	if (now_ms >= n->compare_ms)
-		compare(n, now_ms);
+		begin_comparison(n, now_ms);
 }
 
 uint64_t
--- a/packages/spread/src/reader_group.c
+++ b/packages/spread/src/reader_group.c
@@ -1,5 +1,5 @@
 /*
- * Who of a data centre reads the platform for it just now.
+ * Decides which hosts of a data centre read the platform.
  */
 #include "spread/reader_group.h"
 
@@ -10,17 +10,17 @@
 #include "membership/membership.h"
 #include "spread/peers.h"
 
-/* An answer, its way here and the turn of a thread on a tenth of a core; an
- * answer later than that is to be doubted. */
-#define SLACK_MS 200
+/* Time for the answer of the platform, for the report of it, and for a thread
+ * to be scheduled on a tenth of a core; a later report counts as missing. */
+#define ANSWER_SLACK_MS 200
 
-/* What the host before needs to take over and to tell: a read and a datagram.
- */
-#define STEP_MS 150
+/* Time that the standby before needs to take over and report: a read and a
+ * datagram. */
+#define TAKEOVER_STEP_MS 150
 
-/* Who has not been answered for so long while nobody else is says so, without
- * waiting for its read to fail. */
-#define LONE_MS 400
+/* A host that has read for this long without an answer, while no other host is
+ * answered, notifies the reserves without waiting for its read to fail. */
+#define ISOLATED_MS 400
 
 void
 reader_group_init(struct reader_group *g, struct spread_env *env)
@@ -28,35 +28,35 @@
 	memset(g, 0, sizeof(*g));
 	g->env = env;
 	g->rank = PEERS_RANK_NONE;
-	g->lone_ms = DEADLINE_NEVER;
-	/* Polls come after half to one and a half of their mean time. */
+	g->isolation_check_ms = DEADLINE_NEVER;
+	/* Jitter makes the time between two polls up to 1.5 times the mean. */
 	g->period_ms = env->profile.head_poll_ms * 3 / 2;
 }
 
 void
-reader_group_follow(struct reader_group *g, uint32_t wait_ms)
+reader_group_set_long_poll(struct reader_group *g, uint32_t wait_ms)
 {
-	g->follows = wait_ms > 0;
-	if (g->follows)
+	g->long_polls = wait_ms > 0;
+	if (g->long_polls)
 		g->period_ms = wait_ms;
 }
 
-/* Hosts that read or stand by; those after them are the further ones. */
+/* Number of readers and standbys by rank; the hosts after them are reserves. */
 static uint32_t
-near_size(const struct reader_group *g)
+active_size(const struct reader_group *g)
 {
 	return MIN(
 	    g->env->profile.readers + READER_GROUP_STANDBYS, READER_GROUP_MAX);
 }
 
 int
-reader_group_stands_by(const struct reader_group *g)
+reader_group_is_active(const struct reader_group *g)
 {
-	return g->rank < near_size(g);
+	return g->rank < active_size(g);
 }
 
 static struct reader_group_host *
-group_find(struct reader_group *g, const struct net_addr *addr)
+reader_group_find(struct reader_group *g, const struct net_addr *addr)
 {
 	uint32_t i;
 
@@ -67,7 +67,7 @@
 }
 
 void
-reader_group_set(struct reader_group *g, uint64_t now_ms,
+reader_group_set_hosts(struct reader_group *g, uint64_t now_ms,
     const struct net_addr *addrs, uint32_t n, uint32_t rank)
 {
 	struct reader_group_host hosts[READER_GROUP_MAX] = {0};
@@ -77,29 +77,29 @@
 	n = MIN(n, READER_GROUP_MAX);
 	for (i = 0; i < n; i++) {
 		hosts[i].addr = addrs[i];
-		known = group_find(g, &addrs[i]);
+		known = reader_group_find(g, &addrs[i]);
 		if (known != NULL)
 			hosts[i] = *known;
 	}
 	memcpy(g->hosts, hosts, sizeof(hosts));
 	g->n_hosts = n;
 	if (rank != PEERS_RANK_NONE && g->rank == PEERS_RANK_NONE)
-		g->since_ms = now_ms;
+		g->member_since_ms = now_ms;
 	g->rank = rank;
 }
 
-/* Two rounds of reports, so that one may be lost. */
+/* Sends reports to the reserves too, for two rounds since one may be lost. */
 static void
-widen(struct reader_group *g, uint64_t now_ms)
+include_reserves(struct reader_group *g, uint64_t now_ms)
 {
-	g->wide_until_ms = now_ms + 2 * (uint64_t)g->period_ms;
+	g->report_all_until_ms = now_ms + 2 * (uint64_t)g->period_ms;
 }
 
 void
 reader_group_on_report(struct reader_group *g, uint64_t now_ms,
     const struct net_addr *from, const struct msg_read_report *msg)
 {
-	struct reader_group_host *host = group_find(g, from);
+	struct reader_group_host *host = reader_group_find(g, from);
 
 	if (host == NULL)
 		return;
@@ -107,16 +107,17 @@
 		host->failed_ms = now_ms;
 	host->failed = !msg->answered;
 	if (msg->nobody)
-		g->asked_until_ms = now_ms + g->period_ms + SLACK_MS;
-	if (msg->nobody || host - g->hosts >= near_size(g))
-		widen(g, now_ms);
+		g->requested_until_ms = now_ms + g->period_ms + ANSWER_SLACK_MS;
+	if (msg->nobody || host - g->hosts >= active_size(g))
+		include_reserves(g, now_ms);
 	if (!msg->answered) {
-		reader_position_settled(
+		reader_position_advance(
 		    &g->position, msg->position, msg->version);
 		return;
 	}
 	host->answered_ms = now_ms;
-	reader_position_told(&g->position, now_ms, msg->position, msg->version);
+	reader_position_report(
+	    &g->position, now_ms, msg->position, msg->version);
 }
 
 /* Until when a host counts as answered. */
@@ -128,12 +129,12 @@
 		return host->failed_ms;
 	if (host->answered_ms == 0)
 		return 0;
-	return host->answered_ms + g->period_ms + SLACK_MS;
+	return host->answered_ms + g->period_ms + ANSWER_SLACK_MS;
 }
 
-/* Whether no host but this one counts as answered. */
+/* Whether no host other than this one counts as answered. */
 static bool
-nobody_else(const struct reader_group *g, uint64_t now_ms)
+no_other_answered(const struct reader_group *g, uint64_t now_ms)
 {
 	uint32_t i;
 
@@ -150,8 +151,8 @@
 	uint32_t i, n = g->n_hosts;
 	GByteArray *body;
 
-	if (now_ms >= g->wide_until_ms && reader_group_stands_by(g))
-		n = MIN(n, near_size(g));
+	if (now_ms >= g->report_all_until_ms && reader_group_is_active(g))
+		n = MIN(n, active_size(g));
 	for (i = 0; i < n; i++) {
 		if (i == g->rank)
 			continue;
@@ -174,15 +175,15 @@
 	struct msg_read_report msg = {.answered = false,
 	    .position = g->position.settled,
 	    .version = g->position.settled_version,
-	    .nobody = nobody_else(g, now_ms)};
+	    .nobody = no_other_answered(g, now_ms)};
 
 	if (msg.nobody)
-		widen(g, now_ms);
+		include_reserves(g, now_ms);
 	send_report(g, now_ms, &msg);
 }
 
 void
-reader_group_report(
+reader_group_on_read_ended(
     struct reader_group *g, uint64_t now_ms, int answered, uint64_t position)
 {
 	struct msg_read_report msg = {.answered = true,
@@ -190,19 +191,19 @@
 	    .version = version_held(g),
 	    .nobody = false};
 
-	g->failing = !answered;
+	g->last_read_failed = !answered;
 	if (!answered) {
 		report_failure(g, now_ms);
 		return;
 	}
-	g->begun = 1;
-	g->lone_ms = DEADLINE_NEVER;
+	g->answered = 1;
+	g->isolation_check_ms = DEADLINE_NEVER;
 	send_report(g, now_ms, &msg);
 }
 
-/* Hosts above this one that have not said that they fail. */
+/* Hosts above this one whose last report is not a failure. */
 static uint32_t
-count_relied(const struct reader_group *g)
+count_not_failed(const struct reader_group *g)
 {
 	uint32_t i, n = 0;
 
@@ -211,12 +212,12 @@
 	return n;
 }
 
-/* Latest time at which a host above this one was answered; the time before
- * this host was of the group doesn't count against them. */
+/* Time of the latest answer of a host above this one.  The time before this
+ * host entered the group doesn't count against the hosts above. */
 static uint64_t
-heard_ms(const struct reader_group *g)
+last_answered_ms(const struct reader_group *g)
 {
-	uint64_t ms = g->since_ms;
+	uint64_t ms = g->member_since_ms;
 	uint32_t i;
 
 	for (i = 0; i < g->rank; i++)
@@ -225,16 +226,18 @@
 	return ms;
 }
 
-/* When nobody above has been heard of for too long. */
+/* When the hosts above this one have been silent for too long. */
 static uint64_t
-silent_ms(const struct reader_group *g)
+silence_deadline_ms(const struct reader_group *g)
 {
-	uint32_t turns = g->follows ? g->env->profile.readers : 1;
+	uint32_t turns = g->long_polls ? g->env->profile.readers : 1;
 
-	return heard_ms(g) + g->period_ms / MAX(turns, 1U) + SLACK_MS;
+	return last_answered_ms(g) + g->period_ms / MAX(turns, 1U) +
+	    ANSWER_SLACK_MS;
 }
 
-/* When fewer than @wanted hosts above count as answered; 0 if that is so. */
+/* When fewer than @wanted hosts above this one count as answered; 0 if fewer do
+ * already. */
 static uint64_t
 enough_until_ms(const struct reader_group *g, uint32_t wanted)
 {
@@ -255,17 +258,18 @@
 	return wanted == 0 || wanted > n ? 0 : until[wanted - 1];
 }
 
-/* When too few hosts above are answered.  Those that this host has never heard
- * of may just not have told yet. */
+/* When too few hosts above this one are answered.  Within the first period
+ * after this host entered the group, hosts without a report may just not have
+ * reported yet. */
 static uint64_t
-few_ms(const struct reader_group *g)
+too_few_deadline_ms(const struct reader_group *g)
 {
-	uint64_t first_ms = g->since_ms + g->period_ms + SLACK_MS;
+	uint64_t first_ms = g->member_since_ms + g->period_ms + ANSWER_SLACK_MS;
 
 	return MAX(first_ms, enough_until_ms(g, g->env->profile.readers));
 }
 
-/* Hosts above this one that count as answered at a time. */
+/* Hosts above this one that count as answered at @at_ms. */
 static uint32_t
 count_answered(const struct reader_group *g, uint64_t at_ms)
 {
@@ -276,10 +280,10 @@
 	return n;
 }
 
-/* Hosts above this one that may still take over: they have not said that they
- * fail, and don't count as answered at a time. */
+/* Hosts above this one that may still take over: their last report is not a
+ * failure, and they don't count as answered at @at_ms. */
 static uint32_t
-count_awaited(const struct reader_group *g, uint64_t at_ms)
+count_may_take_over(const struct reader_group *g, uint64_t at_ms)
 {
 	uint32_t i, n = 0;
 
@@ -290,80 +294,83 @@
 	return n;
 }
 
-/* When this host takes over though it could from @at_ms on. */
+/* When this host takes over, if a takeover is possible from @at_ms on: after
+ * the hosts above it had their turn. */
 static uint64_t
-in_turn_ms(const struct reader_group *g, uint64_t at_ms)
+takeover_ms(const struct reader_group *g, uint64_t at_ms)
 {
-	return at_ms + (uint64_t)STEP_MS * count_awaited(g, at_ms);
+	return at_ms +
+	    (uint64_t)TAKEOVER_STEP_MS * count_may_take_over(g, at_ms);
 }
 
-/* A further host reads when it is asked to, and goes on while it is answered
- * and none above it is. */
+/* A reserve reads when it is requested to, and continues while it is answered
+ * and no host above it is. */
 static enum reader_group_reason
-work_out_further(const struct reader_group *g, uint64_t now_ms)
+decide_reserve_reason(const struct reader_group *g, uint64_t now_ms)
 {
 	bool reads = reader_group_reads(g);
 
-	if (!reads && now_ms >= g->asked_until_ms)
-		return READER_GROUP_STANDS_BY;
+	if (!reads && now_ms >= g->requested_until_ms)
+		return READER_GROUP_NOT_READING;
 	if (now_ms < enough_until_ms(g, 1))
-		return READER_GROUP_STANDS_BY;
-	if ((!g->begun || g->failing) && !nobody_else(g, now_ms))
-		return READER_GROUP_STANDS_BY;
-	return READER_GROUP_NOBODY;
+		return READER_GROUP_NOT_READING;
+	if ((!g->answered || g->last_read_failed) &&
+	    !no_other_answered(g, now_ms))
+		return READER_GROUP_NOT_READING;
+	return READER_GROUP_NONE_ANSWERED;
 }
 
 static enum reader_group_reason
-work_out(const struct reader_group *g, uint64_t now_ms)
+decide_reason(const struct reader_group *g, uint64_t now_ms)
 {
 	uint32_t readers = g->env->profile.readers;
 
 	if (g->rank == PEERS_RANK_NONE)
-		return READER_GROUP_STANDS_BY;
-	if (!reader_group_stands_by(g))
-		return work_out_further(g, now_ms);
+		return READER_GROUP_NOT_READING;
+	if (!reader_group_is_active(g))
+		return decide_reserve_reason(g, now_ms);
 	if (g->rank < readers)
-		return READER_GROUP_PLACE;
-	if (count_relied(g) < readers)
+		return READER_GROUP_BY_RANK;
+	if (count_not_failed(g) < readers)
 		return READER_GROUP_FAILED;
-	if (now_ms >= in_turn_ms(g, silent_ms(g)))
+	if (now_ms >= takeover_ms(g, silence_deadline_ms(g)))
 		return READER_GROUP_SILENT;
-	if (now_ms >= in_turn_ms(g, few_ms(g)))
-		return READER_GROUP_FEW;
-	/* One that reads goes on until enough others are answered. */
+	if (now_ms >= takeover_ms(g, too_few_deadline_ms(g)))
+		return READER_GROUP_TOO_FEW;
+	/* A standby that reads continues until enough others are answered. */
 	if (reader_group_reads(g) && now_ms >= enough_until_ms(g, readers))
 		return g->reason;
-	return READER_GROUP_STANDS_BY;
+	return READER_GROUP_NOT_READING;
 }
 
-/* Tells the further hosts that they are needed; not after a start, when all
- * read the whole row by slow links. */
+/* Notifies the reserves that they are needed, but not after a start, when all
+ * hosts read the whole row over slow links. */
 static void
-report_alone(struct reader_group *g, uint64_t now_ms)
+report_isolation(struct reader_group *g, uint64_t now_ms)
 {
-	if (now_ms < g->lone_ms)
+	if (now_ms < g->isolation_check_ms)
 		return;
-	g->lone_ms = now_ms + LONE_MS;
-	if (version_held(g) != 0 && nobody_else(g, now_ms))
+	g->isolation_check_ms = now_ms + ISOLATED_MS;
+	if (version_held(g) != 0 && no_other_answered(g, now_ms))
 		report_failure(g, now_ms);
 }
 
 int
 reader_group_tick(struct reader_group *g, uint64_t now_ms)
 {
-	enum reader_group_reason reason = work_out(g, now_ms);
+	enum reader_group_reason reason = decide_reason(g, now_ms);
 	int before = reader_group_reads(g);
 
 	g->reason = reason;
 	if (before == reader_group_reads(g)) {
-		report_alone(g, now_ms);
+		report_isolation(g, now_ms);
 		return 0;
 	}
-	g->begun = 0;
-	g->failing = 0;
-	g->lone_ms = DEADLINE_NEVER;
-	if (!before && reader_group_stands_by(g))
-		g->lone_ms = now_ms + LONE_MS;
+	g->answered = 0;
+	g->last_read_failed = 0;
+	g->isolation_check_ms = DEADLINE_NEVER;
+	if (!before && reader_group_is_active(g))
+		g->isolation_check_ms = now_ms + ISOLATED_MS;
 	return 1;
 }
 
@@ -371,23 +378,24 @@
 reader_group_next_ms(const struct reader_group *g)
 {
 	if (reader_group_reads(g))
-		return g->lone_ms;
-	if (!reader_group_stands_by(g))
+		return g->isolation_check_ms;
+	if (!reader_group_is_active(g))
 		return DEADLINE_NEVER;
-	if (count_relied(g) < g->env->profile.readers)
+	if (count_not_failed(g) < g->env->profile.readers)
 		return 0;
-	return MIN(in_turn_ms(g, silent_ms(g)), in_turn_ms(g, few_ms(g)));
+	return MIN(takeover_ms(g, silence_deadline_ms(g)),
+	    takeover_ms(g, too_few_deadline_ms(g)));
 }
 
 int
 reader_group_reads(const struct reader_group *g)
 {
-	return g->reason != READER_GROUP_STANDS_BY;
+	return g->reason != READER_GROUP_NOT_READING;
 }
 
-/* The first host above this one that is taken to be answered, or NULL. */
+/* The first host above this one that counts as answered, or NULL. */
 static const struct reader_group_host *
-first_above(const struct reader_group *g, uint64_t now_ms)
+first_answered_above(const struct reader_group *g, uint64_t now_ms)
 {
 	const struct reader_group_host *host;
 	uint32_t i;
@@ -403,23 +411,24 @@
 int
 reader_group_is_first(const struct reader_group *g, uint64_t now_ms)
 {
-	if (!reader_group_reads(g) || g->failing)
+	if (!reader_group_reads(g) || g->last_read_failed)
 		return 0;
-	if (g->rank > 0 && now_ms < g->since_ms + g->period_ms + SLACK_MS &&
-	    count_relied(g) > 0)
+	if (g->rank > 0 &&
+	    now_ms < g->member_since_ms + g->period_ms + ANSWER_SLACK_MS &&
+	    count_not_failed(g) > 0)
 		return 0;
-	return first_above(g, now_ms) == NULL;
+	return first_answered_above(g, now_ms) == NULL;
 }
 
 uint32_t
 reader_group_wait_ms(const struct reader_group *g, uint64_t now_ms)
 {
-	const struct reader_group_host *first = first_above(g, now_ms);
+	const struct reader_group_host *first = first_answered_above(g, now_ms);
 	uint32_t readers = MAX(g->env->profile.readers, 1U);
 	uint64_t turn_ms;
 
-	/* One that takes over looks at once. */
-	if (!g->begun)
+	/* The first read after a takeover returns at once. */
+	if (!g->answered)
 		return 0;
 	if (first == NULL)
 		return g->period_ms;
@@ -434,5 +443,5 @@
 uint64_t
 reader_group_position(const struct reader_group *g)
 {
-	return reader_position_from(&g->position, version_held(g));
+	return reader_position_resume(&g->position, version_held(g));
 }
--- a/packages/spread/src/serve.c
+++ b/packages/spread/src/serve.c
@@ -1,5 +1,5 @@
 /*
- * Answers the pulls and fetches of peers, within limits.
+ * Answers pulls and fetches of peers, within limits.
  */
 #include "spread/serve.h"
 
@@ -8,22 +8,22 @@
 #include "config/catalog.h"
 #include "proto/pack.h"
 
-/* Changes in one answer. */
-#define PAGE_CHANGES 1024
+/* Most changes in one answer. */
+#define PAGE_CHANGES_MAX 1024
 
-/* A peer that is silent for so long gives up its place. */
-#define PLACE_MS 1500
+/* The slot of a peer that sends nothing for this long is released. */
+#define SLOT_IDLE_MS 1500
 
-/* Peers that are turned away come back after half of this to one and a half. */
+/* Mean time after which a rejected peer is to retry. */
 #define COME_BACK_MS 300
 
-/* Largest answer in a datagram: fits every path without being cut up. */
-#define DATAGRAM_BYTES 1200
+/* Largest answer in a datagram: fits the MTU of every path. */
+#define DATAGRAM_BYTES_MAX 1200
 
-/* Rough size of a change in an answer, for the budget. */
+/* Approximate size of a change in an answer, for the budget. */
 #define CHANGE_BYTES 64
 
-/* Size of a difference besides its data and hunks, and of a hunk. */
+/* Size of a patch without its data and hunks, and of a hunk. */
 #define PATCH_BYTES 40
 #define HUNK_BYTES 14
 
@@ -36,38 +36,41 @@
 	    env->profile.serve_bytes_per_s, now_ms);
 }
 
-/* Take or keep a place for a peer; 0 when all are taken. */
+/* Takes or renews a slot for a peer.
+ *
+ * Return: 0 if all slots are taken, else 1.
+ */
 static int
-serve_place(struct serve *s, uint64_t now_ms, const struct net_addr *addr)
+serve_take_slot(struct serve *s, uint64_t now_ms, const struct net_addr *addr)
 {
-	struct serve_place *p, *unused;
+	struct serve_slot *p, *unused;
 	uint32_t i, n;
 
 	unused = NULL;
-	n = MIN(s->env->profile.join_limit, SERVE_PLACES_MAX);
+	n = MIN(s->env->profile.join_limit, SERVE_SLOTS_MAX);
 	for (i = 0; i < n; i++) {
-		p = &s->places[i];
+		p = &s->slots[i];
 		if (now_ms >= p->until_ms)
 			unused = p;
 		else if (addr_equal(&p->addr, addr))
 			break;
 	}
-	p = i < n ? &s->places[i] : unused;
+	p = i < n ? &s->slots[i] : unused;
 	if (p == NULL)
 		return 0;
 	p->addr = *addr;
-	p->until_ms = now_ms + PLACE_MS;
+	p->until_ms = now_ms + SLOT_IDLE_MS;
 	return 1;
 }
 
 static void
-serve_leave(struct serve *s, const struct net_addr *addr)
+serve_release_slot(struct serve *s, const struct net_addr *addr)
 {
 	uint32_t i;
 
-	for (i = 0; i < SERVE_PLACES_MAX; i++)
-		if (addr_equal(&s->places[i].addr, addr))
-			s->places[i].until_ms = 0;
+	for (i = 0; i < SERVE_SLOTS_MAX; i++)
+		if (addr_equal(&s->slots[i].addr, addr))
+			s->slots[i].until_ms = 0;
 }
 
 static GByteArray *
@@ -80,9 +83,9 @@
 	return body;
 }
 
-/* Leave out what an answer would carry. */
+/* Sets a result without content. */
 static void
-serve_empty(struct msg_delta *msg, enum pull_result result)
+serve_clear_reply(struct msg_delta *msg, enum pull_result result)
 {
 	msg->result = result;
 	msg->more = 0;
@@ -91,8 +94,8 @@
 	msg->n_patches = 0;
 }
 
-/* Sends an answer by frame, compressed if the asker takes that and it pays.
- * Takes over @body. */
+/* Sends an answer as a frame, compressed if the peer accepts that and it saves
+ * bytes.  Consumes @body. */
 static void
 serve_send_frame(struct serve *s, const struct net_addr *to, uint64_t conn,
     enum msg_type type, GByteArray *body, bool packed)
@@ -119,9 +122,9 @@
 	GByteArray *body;
 
 	body = serve_encode_delta(msg);
-	if (conn == 0 && body->len > DATAGRAM_BYTES) {
+	if (conn == 0 && body->len > DATAGRAM_BYTES_MAX) {
 		g_byte_array_unref(body);
-		serve_empty(msg, PULL_LARGE);
+		serve_clear_reply(msg, PULL_LARGE);
 		body = serve_encode_delta(msg);
 	}
 	if (msg->result == PULL_BUSY)
@@ -145,14 +148,14 @@
 	serve_send_frame(s, to, conn, MSG_SECTIONS, body, packed);
 }
 
-/* Version whose changes a pull gets. */
+/* The version up to which a pull gets the changes. */
 static uint64_t
 serve_target(const struct serve *s, const struct msg_pull *pull,
     const struct rec_head_tag *head)
 {
 	uint64_t held;
 
-	/* Further pages are of the version that the first one was of. */
+	/* Pages after the first belong to the version of the first. */
 	if (pull->after[0] != '\0')
 		return pull->want;
 	held = catalog_version(s->env->catalog);
@@ -161,9 +164,9 @@
 	return pull->want;
 }
 
-/* The whole list of a version as changes from nothing. */
+/* The whole list of a version, as changes from nothing. */
 static enum status
-serve_full(struct serve *s, uint64_t version, struct catalog_delta *delta)
+serve_full_list(struct serve *s, uint64_t version, struct catalog_delta *delta)
 {
 	struct rec_section_change change;
 	const struct rec_section_ref *ref;
@@ -189,7 +192,7 @@
 	return STATUS_OK;
 }
 
-/* Cut the page that follows @after out of all changes. */
+/* Selects the page of changes that follows the section @after. */
 static void
 serve_page(const GArray *changes, const char *after, struct msg_delta *msg)
 {
@@ -204,7 +207,7 @@
 	if (i == changes->len)
 		return;
 	msg->changes = &g_array_index(changes, struct rec_section_change, i);
-	msg->n_changes = MIN(changes->len - i, PAGE_CHANGES);
+	msg->n_changes = MIN(changes->len - i, PAGE_CHANGES_MAX);
 	msg->more = i + msg->n_changes < changes->len;
 }
 
@@ -220,10 +223,10 @@
 }
 
 /**
- * struct serve_contents - what goes with the changes of an answer
+ * struct serve_contents - content that accompanies the changes of an answer
  * @sections: struct rec_section_data, whole sections
- * @patches: struct rec_section_patch, differences
- * @bytes: what both take, near enough
+ * @patches: struct rec_section_patch, patches of sections
+ * @bytes: approximate size of both
  */
 struct serve_contents {
 	GArray *sections;
@@ -261,7 +264,10 @@
 	g_array_unref(contents->patches);
 }
 
-/* Add the content of a change, as a difference if there is one. */
+/* Adds the content of a change, as a patch if there is one.
+ *
+ * Return: 0 if the content is not available, else 1.
+ */
 static int
 serve_add_change(struct serve *s, const struct msg_delta *msg,
     const struct rec_section_change *c, struct serve_contents *contents)
@@ -283,9 +289,12 @@
 	return 1;
 }
 
-/* Add the content of changed sections as far as it fits; 1 if all did. */
+/* Adds the content of the changed sections, up to @limit bytes.
+ *
+ * Return: 1 if all of it was added, else 0.
+ */
 static int
-serve_inline(struct serve *s, const struct msg_delta *msg, uint32_t limit,
+serve_add_changes(struct serve *s, const struct msg_delta *msg, uint32_t limit,
     struct serve_contents *contents)
 {
 	uint32_t i;
@@ -313,8 +322,8 @@
 	return bytes;
 }
 
-/* Turn a delta into an answer; the peer is told to come back if it costs
- * more than there is. */
+/* Answers a pull with the changes of @delta, or with "busy" if the answer
+ * exceeds the limits. */
 static void
 serve_answer(struct serve *s, uint64_t now_ms, const struct net_addr *from,
     uint64_t conn, const struct msg_pull *pull, struct catalog_delta *delta,
@@ -331,11 +340,13 @@
 	serve_page(delta->changes, pull->after, msg);
 	contents_init(&contents);
 	whole = 0;
-	/* A peer that is only too far behind has most of the content. */
+	/* A peer that needs the whole list because it is too far behind has
+	 * most of the content already. */
 	if (!msg->more && pull->after[0] == '\0' &&
 	    (msg->result == PULL_DELTA || pull->have == 0))
-		whole = serve_inline(s, msg,
-		    conn == 0 ? DATAGRAM_BYTES : s->env->profile.reply_bytes,
+		whole = serve_add_changes(s, msg,
+		    conn == 0 ? DATAGRAM_BYTES_MAX
+			      : s->env->profile.reply_bytes,
 		    &contents);
 	msg->sections =
 	    (struct rec_section_data *)(void *)contents.sections->data;
@@ -345,12 +356,12 @@
 	msg->n_patches = contents.patches->len;
 	whole = whole && !msg->more;
 	if (!whole && conn == 0)
-		serve_empty(msg, PULL_LARGE);
-	else if ((!whole && !serve_place(s, now_ms, from)) ||
+		serve_clear_reply(msg, PULL_LARGE);
+	else if ((!whole && !serve_take_slot(s, now_ms, from)) ||
 	    !budget_take(&s->budget, now_ms, serve_cost(msg)))
-		serve_empty(msg, PULL_BUSY);
+		serve_clear_reply(msg, PULL_BUSY);
 	if (msg->result == PULL_BUSY)
-		msg->come_back_ms = env_around(s->env, COME_BACK_MS);
+		msg->come_back_ms = env_jitter(s->env, COME_BACK_MS);
 	serve_send_delta(s, from, conn, msg, pull->packed);
 	contents_clear(&contents);
 }
@@ -376,7 +387,7 @@
 		st = catalog_delta(s->env->catalog, msg->have, target, &delta);
 	if (st == STATUS_NOT_FOUND && target > msg->have &&
 	    target <= catalog_version(s->env->catalog))
-		st = serve_full(s, target, &delta);
+		st = serve_full_list(s, target, &delta);
 	if (st != STATUS_OK) {
 		reply.result = PULL_NOT_HERE;
 		serve_send_delta(s, from, conn, &reply, false);
@@ -386,7 +397,7 @@
 	catalog_delta_clear(&delta);
 }
 
-/* Add what a peer asked for, if it is held here. */
+/* Adds a requested section, if it is held here. */
 static void
 serve_add_want(struct serve *s, const struct rec_section_want *want,
     struct serve_contents *contents)
@@ -407,7 +418,7 @@
 	contents->bytes += (uint32_t)g_bytes_get_size(content);
 }
 
-/* What was added, or that it has to wait. */
+/* Fills the reply with @contents, or with "busy" if they exceed the limits. */
 static void
 serve_fill_sections(struct serve *s, uint64_t now_ms,
     const struct net_addr *from, const struct serve_contents *contents,
@@ -416,10 +427,10 @@
 	reply->result = PULL_NOT_HERE;
 	if (contents->bytes == 0)
 		return;
-	if (!serve_place(s, now_ms, from) ||
+	if (!serve_take_slot(s, now_ms, from) ||
 	    !budget_take(&s->budget, now_ms, contents->bytes)) {
 		reply->result = PULL_BUSY;
-		reply->come_back_ms = env_around(s->env, COME_BACK_MS);
+		reply->come_back_ms = env_jitter(s->env, COME_BACK_MS);
 		return;
 	}
 	reply->result = PULL_DELTA;
@@ -449,7 +460,7 @@
 	}
 	serve_fill_sections(s, now_ms, from, &contents, &reply);
 	if (i == msg->n_wants)
-		serve_leave(s, from);
+		serve_release_slot(s, from);
 	serve_send_sections(s, from, conn, &reply, msg->packed);
 	contents_clear(&contents);
 }
--- a/packages/spread/test/test_reader_group.c
+++ b/packages/spread/test/test_reader_group.c
@@ -1,10 +1,10 @@
 /*
- * Who of a data centre reads the platform for it, whatever becomes of those
- * that do.
+ * Which hosts of a data centre read the platform, whatever happens to the
+ * readers.
  *
- * Seen: a change was in force seconds late since all readers were among the
- * hosts that the platform turned away.  Cause: a reader kept its place as long
- * as it lived.
+ * Guards against this failure: a change was in force seconds late because all
+ * readers were among the hosts that the platform rejected.  A reader used to
+ * keep its role as long as it was alive.
  */
 #include <string.h>
 
@@ -20,25 +20,33 @@
 #define HOSTS 16
 #define READERS 2
 
-/* Those that read or stand by; the others are further ones. */
-#define STANDING (READERS + READER_GROUP_STANDBYS)
+/* Readers and standbys; the other hosts are reserves. */
+#define ACTIVE (READERS + READER_GROUP_STANDBYS)
 #define PERIOD_MS 1800
 
 /* Version that all hosts hold. */
-#define HELD 4
+#define HELD_VERSION 4
 
-/* An answer and its way, as the readers see it. */
+/* Time from a read to its answer if there is a change. */
 #define ANSWER_MS 5
 
-/* When silence is noticed, half a period, since two are answered in turn, and
- * when the next host takes over after @n that could have. */
-#define SILENT_MS(n) (PERIOD_MS / 2 + 250 + 150 * ((n)-1))
-
-/** struct host - a host of the group and its read under way */
+/* Time after which silence is noticed (half a period, since two readers are
+ * answered in turn), and after which the next host takes over if @n hosts above
+ * it could have. */
+#define SILENCE_MS(n) (PERIOD_MS / 2 + 250 + 150 * ((n)-1))
+
+/**
+ * struct host - a simulated host of the group
+ * @env: environment
+ * @group: module under test
+ * @outcome: how its reads end
+ * @ends_ms: when its read in flight ends, DEADLINE_NEVER for none
+ * @reads: reads started so far
+ */
 struct host {
 	struct spread_env env;
 	struct reader_group group;
-	enum { WELL, REFUSED, SILENT } fate;
+	enum { ANSWERED, REFUSED, SILENT } outcome;
 	uint64_t ends_ms;
 	uint32_t reads;
 };
@@ -48,12 +56,12 @@
 static struct net_addr addrs[HOSTS];
 static uint64_t now_ms;
 
-/* Ends of answered reads, of any host. */
+/* End times of the answered reads of all hosts. */
 static uint64_t answered_ms[1000];
 static uint32_t n_answered;
 
 static struct catalog *
-catalog_of(uint64_t version)
+new_catalog(uint64_t version)
 {
 	struct bundle *bundle = fix_bundle(fix_good);
 	struct catalog *c = catalog_new(0);
@@ -74,15 +82,16 @@
 	cfg.profile.readers = READERS;
 	now_ms = 1000;
 	n_answered = 0;
-	held = catalog_of(HELD);
+	held = new_catalog(HELD_VERSION);
 	memset(hosts, 0, sizeof(hosts));
 	for (i = 0; i < HOSTS; i++)
 		addrs[i].ip = i + 1;
 	for (i = 0; i < HOSTS; i++) {
 		env_init(&hosts[i].env, &cfg, NULL, held);
 		reader_group_init(&hosts[i].group, &hosts[i].env);
-		reader_group_follow(&hosts[i].group, PERIOD_MS);
-		reader_group_set(&hosts[i].group, now_ms, addrs, HOSTS, i);
+		reader_group_set_long_poll(&hosts[i].group, PERIOD_MS);
+		reader_group_set_hosts(
+		    &hosts[i].group, now_ms, addrs, HOSTS, i);
 		hosts[i].ends_ms = DEADLINE_NEVER;
 	}
 }
@@ -114,7 +123,7 @@
 	}
 }
 
-/* Lets a host begin or end a read; the feed's position is the time. */
+/* Starts or ends a read of a host; the position in the feed is the time. */
 static void
 step(uint32_t i)
 {
@@ -125,17 +134,18 @@
 	if (h->ends_ms == DEADLINE_NEVER && reader_group_reads(&h->group)) {
 		h->reads++;
 		h->ends_ms = now_ms + ANSWER_MS;
-		if (h->fate == WELL)
+		if (h->outcome == ANSWERED)
 			h->ends_ms += reader_group_wait_ms(&h->group, now_ms);
-		else if (h->fate == SILENT)
+		else if (h->outcome == SILENT)
 			h->ends_ms += PERIOD_MS + 1500;
 	}
 	if (now_ms < h->ends_ms)
 		return;
 	h->ends_ms = DEADLINE_NEVER;
-	if (h->fate == WELL && n_answered < G_N_ELEMENTS(answered_ms))
+	if (h->outcome == ANSWERED && n_answered < G_N_ELEMENTS(answered_ms))
 		answered_ms[n_answered++] = now_ms;
-	reader_group_report(&h->group, now_ms, h->fate == WELL, now_ms);
+	reader_group_on_read_ended(
+	    &h->group, now_ms, h->outcome == ANSWERED, now_ms);
 	deliver(i);
 }
 
@@ -151,7 +161,7 @@
 }
 
 static uint32_t
-reading(void)
+count_reading(void)
 {
 	uint32_t i, n = 0;
 
@@ -185,9 +195,9 @@
 	from_ms = now_ms;
 	reads = hosts[0].reads + hosts[1].reads;
 	run(30000);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 	ck_assert_uint_le(longest_gap_ms(from_ms), PERIOD_MS / READERS + 50);
-	/* No more reads than without turns. */
+	/* Reading in turn costs no extra reads. */
 	ck_assert_uint_le(hosts[0].reads + hosts[1].reads - reads,
 	    READERS * (30000 / PERIOD_MS + 1));
 	ck_assert_uint_eq(hosts[2].reads, 0);
@@ -197,31 +207,31 @@
 START_TEST(a_reader_that_is_refused_is_replaced_at_once)
 {
 	run(10000);
-	hosts[0].fate = REFUSED;
+	hosts[0].outcome = REFUSED;
 	hosts[0].ends_ms = now_ms;
 	run(2);
 	ck_assert(reader_group_reads(&hosts[2].group));
 	ck_assert_int_eq(hosts[2].group.reason, READER_GROUP_FAILED);
 	ck_assert(!reader_group_reads(&hosts[3].group));
-	/* It looks at once, and doesn't wait for the next change. */
+	/* Its first read returns at once instead of waiting for a change. */
 	run(ANSWER_MS + 2);
-	ck_assert(hosts[2].group.begun);
+	ck_assert(hosts[2].group.answered);
 }
 END_TEST
 
-/* The reads of the first @n hosts are not answered any more. */
+/* Stops answering the reads of the first @n hosts. */
 static void
 silence_first(uint32_t n)
 {
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
-		hosts[i].fate = SILENT;
+		hosts[i].outcome = SILENT;
 		hosts[i].ends_ms = DEADLINE_NEVER;
 	}
 }
 
-/* However many of the first ones are away, one that isn't is answered soon. */
+/* However many of the first hosts are silent, another host is answered soon. */
 START_TEST(silence_is_noticed_within_half_a_period)
 {
 	uint32_t n = (uint32_t)_i;
@@ -232,11 +242,11 @@
 	from_ms = now_ms;
 	run(20000);
 	ck_assert_uint_le(
-	    longest_gap_ms(from_ms), MAX(PERIOD_MS, SILENT_MS(n)) + 300);
+	    longest_gap_ms(from_ms), MAX(PERIOD_MS, SILENCE_MS(n)) + 300);
 }
 END_TEST
 
-START_TEST(the_first_answer_after_silence_is_in_time)
+START_TEST(the_first_answer_after_silence_is_on_time)
 {
 	uint32_t n = (uint32_t)_i, before;
 	uint64_t from_ms;
@@ -247,7 +257,7 @@
 	before = n_answered;
 	while (n_answered == before && now_ms < from_ms + 10000)
 		run(1);
-	ck_assert_uint_le(now_ms - from_ms, SILENT_MS(n) + ANSWER_MS);
+	ck_assert_uint_le(now_ms - from_ms, SILENCE_MS(n) + ANSWER_MS);
 }
 END_TEST
 
@@ -259,8 +269,8 @@
 	reader_group_on_report(&hosts[to].group, now_ms, &addrs[from], &msg);
 }
 
-/* Two are silent, and others fail after that has shown. */
-START_TEST(hosts_that_fail_late_hold_nobody_back)
+/* Two hosts are silent, and others report failures after that was detected. */
+START_TEST(late_failures_do_not_delay_a_takeover)
 {
 	run(10000);
 	report(4, 1, true);
@@ -273,47 +283,48 @@
 }
 END_TEST
 
-/* One of two is frozen: the data centre has two again. */
-START_TEST(a_reader_that_tells_nothing_is_replaced)
+/* One of two readers is frozen; a standby makes them two again. */
+START_TEST(a_silent_reader_is_replaced)
 {
 	run(10000);
-	hosts[1].fate = SILENT;
+	hosts[1].outcome = SILENT;
 	hosts[1].ends_ms = DEADLINE_NEVER;
 	run(PERIOD_MS + 300);
 	ck_assert(reader_group_reads(&hosts[2].group));
 	run(5000);
 	ck_assert(reader_group_reads(&hosts[2].group));
 	ck_assert(!reader_group_reads(&hosts[3].group));
-	hosts[1].fate = WELL;
+	hosts[1].outcome = ANSWERED;
 	hosts[1].ends_ms = DEADLINE_NEVER;
 	run(2 * PERIOD_MS);
 	ck_assert(!reader_group_reads(&hosts[2].group));
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 }
 END_TEST
 
-/* While the platform is away all of them try, and no others when it is back. */
-START_TEST(all_try_while_nobody_is_answered)
+/* During an outage of the platform all hosts read; after it only the readers
+ * do. */
+START_TEST(all_hosts_read_while_none_is_answered)
 {
 	uint32_t i;
 
 	run(10000);
 	for (i = 0; i < HOSTS; i++) {
-		hosts[i].fate = REFUSED;
+		hosts[i].outcome = REFUSED;
 		hosts[i].ends_ms = DEADLINE_NEVER;
 	}
 	run(3000);
-	ck_assert_uint_eq(reading(), HOSTS);
+	ck_assert_uint_eq(count_reading(), HOSTS);
 	for (i = 0; i < HOSTS; i++)
-		hosts[i].fate = WELL;
+		hosts[i].outcome = ANSWERED;
 	run(2 * PERIOD_MS + 500);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 }
 END_TEST
 
-/* A host that ranks first has joined, but not begun to read; the one that it
- * displaces goes on until it has. */
-START_TEST(a_reader_that_is_displaced_waits_for_its_successor)
+/* A host that joined ranks first but has not begun to read; the reader that it
+ * displaces continues until it has. */
+START_TEST(a_displaced_reader_reads_until_its_successor_does)
 {
 	struct net_addr joined[HOSTS];
 	uint32_t i;
@@ -323,7 +334,8 @@
 	joined[0].port = 0;
 	memcpy(&joined[1], addrs, (HOSTS - 1) * sizeof(addrs[0]));
 	for (i = 0; i < HOSTS - 1; i++)
-		reader_group_set(&hosts[i].group, now_ms, joined, HOSTS, i + 1);
+		reader_group_set_hosts(
+		    &hosts[i].group, now_ms, joined, HOSTS, i + 1);
 	for (i = 0; i < 5000; i++) {
 		run(1);
 		ck_assert(reader_group_reads(&hosts[0].group));
@@ -333,18 +345,18 @@
 }
 END_TEST
 
-/* After a start nobody has told yet; only the first ones read. */
-START_TEST(those_that_stand_by_wait_after_a_start)
+/* After a start no host has reported yet; only the readers by rank read. */
+START_TEST(standbys_do_not_read_after_a_start)
 {
 	run(PERIOD_MS / 2);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 	run(20000);
 	ck_assert_uint_eq(hosts[2].reads, 0);
 }
 END_TEST
 
-/* What was read just now may not have spread: it is read again. */
-START_TEST(a_position_is_gone_on_from_when_it_has_spread)
+/* Changes read just now may not have spread, so they are read again. */
+START_TEST(a_position_is_used_after_it_has_settled)
 {
 	uint64_t position;
 
@@ -358,7 +370,7 @@
 }
 END_TEST
 
-/* Lets host 2 learn of a position that has had the time to spread. */
+/* Reports a position to host 2, and lets it settle. */
 static void
 learn_position(uint64_t position, uint64_t version)
 {
@@ -370,16 +382,16 @@
 	ck_assert_uint_eq(hosts[2].group.position.settled, position);
 }
 
-/* A host that lacks what others hold reads the whole. */
-START_TEST(a_position_is_gone_on_from_with_its_version_only)
+/* A host that holds less than the others reads everything. */
+START_TEST(a_position_needs_the_version_reported_with_it)
 {
-	learn_position(77, HELD + 1);
+	learn_position(77, HELD_VERSION + 1);
 	ck_assert_uint_eq(reader_group_position(&hosts[2].group), 0);
 }
 END_TEST
 
-/* So does one that was started just now, whatever the others hold. */
-START_TEST(a_host_that_holds_nothing_reads_the_whole)
+/* A host that has just started reads everything, whatever the others hold. */
+START_TEST(a_host_without_a_version_reads_everything)
 {
 	hosts[2].env.catalog = NULL;
 	learn_position(77, 0);
@@ -390,74 +402,74 @@
 END_TEST
 
 static void
-strike_all_but(uint32_t well, int fate)
+fail_all_but(uint32_t well, int outcome)
 {
 	uint32_t i;
 
 	for (i = 0; i < HOSTS; i++) {
 		if (i == well)
 			continue;
-		hosts[i].fate = fate;
-		hosts[i].ends_ms = fate == SILENT ? DEADLINE_NEVER : now_ms;
+		hosts[i].outcome = outcome;
+		hosts[i].ends_ms = outcome == SILENT ? DEADLINE_NEVER : now_ms;
 	}
 }
 
-/* The platform answers a single host, which neither reads nor stands by: it
- * reads soon, alone of the further hosts, until those before it can. */
-START_TEST(a_further_host_reads_while_nobody_else_is_answered)
+/* The platform answers a single host, which is a reserve.  It soon reads, as
+ * the only reserve, until hosts above it are answered again. */
+START_TEST(a_reserve_reads_while_no_other_host_is_answered)
 {
-	uint32_t well = STANDING + (uint32_t)_i / 2, i;
+	uint32_t well = ACTIVE + (uint32_t)_i / 2, i;
 	uint64_t from_ms;
 
 	run(10000);
-	ck_assert_uint_eq(reading(), READERS);
-	strike_all_but(well, _i % 2 == 0 ? REFUSED : SILENT);
+	ck_assert_uint_eq(count_reading(), READERS);
+	fail_all_but(well, _i % 2 == 0 ? REFUSED : SILENT);
 	from_ms = now_ms;
 	run(20000);
 	ck_assert_uint_le(longest_gap_ms(from_ms), PERIOD_MS + 200);
 	ck_assert(reader_group_is_first(&hosts[well].group, now_ms));
-	ck_assert_uint_eq(reading(), STANDING + 1);
+	ck_assert_uint_eq(count_reading(), ACTIVE + 1);
 	for (i = 0; i < HOSTS; i++)
-		hosts[i].fate = WELL;
+		hosts[i].outcome = ANSWERED;
 	run(2 * PERIOD_MS + 2000);
-	ck_assert_uint_eq(reading(), READERS);
+	ck_assert_uint_eq(count_reading(), READERS);
 	ck_assert(reader_group_is_first(&hosts[0].group, now_ms));
 }
 END_TEST
 
-/* It goes on from where the readers were. */
-START_TEST(a_further_host_knows_the_position)
+/* A reserve resumes at the position of the readers. */
+START_TEST(a_reserve_knows_the_position)
 {
 	run(20000);
-	ck_assert_uint_eq(reader_group_position(&hosts[STANDING].group), 0);
-	strike_all_but(HOSTS, REFUSED);
+	ck_assert_uint_eq(reader_group_position(&hosts[ACTIVE].group), 0);
+	fail_all_but(HOSTS, REFUSED);
 	run(10);
-	ck_assert(reader_group_reads(&hosts[STANDING].group));
-	ck_assert_uint_gt(reader_group_position(&hosts[STANDING].group), 0);
+	ck_assert(reader_group_reads(&hosts[ACTIVE].group));
+	ck_assert_uint_gt(reader_group_position(&hosts[ACTIVE].group), 0);
 }
 END_TEST
 
-/* All that could tell them is silent, from the start on. */
-START_TEST(further_hosts_are_not_asked_before_there_is_a_version)
+/* All active hosts are unanswered from the start on. */
+START_TEST(reserves_are_not_notified_without_a_version)
 {
 	uint32_t i;
 
 	for (i = 0; i < HOSTS; i++)
 		hosts[i].env.catalog = NULL;
-	strike_all_but(HOSTS, SILENT);
+	fail_all_but(HOSTS, SILENT);
 	run(PERIOD_MS);
-	ck_assert(!reader_group_reads(&hosts[STANDING].group));
-	/* What is not told is not due over and over either. */
+	ck_assert(!reader_group_reads(&hosts[ACTIVE].group));
+	/* The skipped notification must not leave the tick permanently due. */
 	ck_assert_uint_gt(reader_group_next_ms(&hosts[0].group), now_ms);
 }
 END_TEST
 
-START_TEST(the_first_that_is_answered_is_the_first)
+START_TEST(the_first_answered_host_is_the_first_reader)
 {
 	run(10000);
 	ck_assert(reader_group_is_first(&hosts[0].group, now_ms));
 	ck_assert(!reader_group_is_first(&hosts[1].group, now_ms));
-	hosts[0].fate = REFUSED;
+	hosts[0].outcome = REFUSED;
 	hosts[0].ends_ms = now_ms;
 	run(2);
 	ck_assert(!reader_group_is_first(&hosts[0].group, now_ms));
@@ -466,8 +478,8 @@
 }
 END_TEST
 
-/* Reports of hosts that are not of the group, or rank below, change nothing. */
-START_TEST(reports_of_others_do_not_count)
+/* Reports of hosts outside the group or of a lower rank change nothing. */
+START_TEST(reports_of_strangers_and_lower_ranks_do_not_count)
 {
 	struct msg_read_report failed = {.answered = false};
 	struct net_addr stranger = {.ip = 99};
@@ -490,25 +502,23 @@
 	tcase_add_test(tc, the_first_hosts_read_in_turn);
 	tcase_add_test(tc, a_reader_that_is_refused_is_replaced_at_once);
 	tcase_add_loop_test(
-	    tc, silence_is_noticed_within_half_a_period, READERS, STANDING);
+	    tc, silence_is_noticed_within_half_a_period, READERS, ACTIVE);
 	tcase_add_loop_test(
-	    tc, the_first_answer_after_silence_is_in_time, READERS, STANDING);
-	tcase_add_test(tc, hosts_that_fail_late_hold_nobody_back);
-	tcase_add_test(tc, a_reader_that_tells_nothing_is_replaced);
-	tcase_add_test(tc, all_try_while_nobody_is_answered);
-	tcase_add_test(tc, a_reader_that_is_displaced_waits_for_its_successor);
-	tcase_add_test(tc, those_that_stand_by_wait_after_a_start);
-	tcase_add_test(tc, a_position_is_gone_on_from_when_it_has_spread);
-	tcase_add_test(tc, a_position_is_gone_on_from_with_its_version_only);
-	tcase_add_test(tc, a_host_that_holds_nothing_reads_the_whole);
-	tcase_add_loop_test(tc,
-	    a_further_host_reads_while_nobody_else_is_answered, 0,
-	    2 * (HOSTS - STANDING));
-	tcase_add_test(tc, a_further_host_knows_the_position);
-	tcase_add_test(
-	    tc, further_hosts_are_not_asked_before_there_is_a_version);
-	tcase_add_test(tc, the_first_that_is_answered_is_the_first);
-	tcase_add_test(tc, reports_of_others_do_not_count);
+	    tc, the_first_answer_after_silence_is_on_time, READERS, ACTIVE);
+	tcase_add_test(tc, late_failures_do_not_delay_a_takeover);
+	tcase_add_test(tc, a_silent_reader_is_replaced);
+	tcase_add_test(tc, all_hosts_read_while_none_is_answered);
+	tcase_add_test(tc, a_displaced_reader_reads_until_its_successor_does);
+	tcase_add_test(tc, standbys_do_not_read_after_a_start);
+	tcase_add_test(tc, a_position_is_used_after_it_has_settled);
+	tcase_add_test(tc, a_position_needs_the_version_reported_with_it);
+	tcase_add_test(tc, a_host_without_a_version_reads_everything);
+	tcase_add_loop_test(tc, a_reserve_reads_while_no_other_host_is_answered,
+	    0, 2 * (HOSTS - ACTIVE));
+	tcase_add_test(tc, a_reserve_knows_the_position);
+	tcase_add_test(tc, reserves_are_not_notified_without_a_version);
+	tcase_add_test(tc, the_first_answered_host_is_the_first_reader);
+	tcase_add_test(tc, reports_of_strangers_and_lower_ranks_do_not_count);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/spread/test/test_reader_rank.c
+++ b/packages/spread/test/test_reader_rank.c
@@ -1,10 +1,10 @@
 /*
- * When a node that has started takes itself for a reader.
+ * When a node that has started computes its rank and reads as a reader.
  *
- * The load: all hosts of a fleet have lost power, callers are there, and nobody
- * serves before a reader has read.  Read too early, while the table is short,
- * each host takes itself for a reader and the store is asked by all of them;
- * read late, all callers wait.
+ * Case: all hosts of a fleet restart after a power loss, callers are waiting,
+ * and no node serves before a reader has read.  If hosts compute their rank too
+ * early, while their tables are short, each of them takes itself for a reader
+ * and all of them read the store; if too late, all callers wait.
  */
 #include <string.h>
 
@@ -20,8 +20,9 @@
 #define ALONE_MS 300
 #define POLL_MS 100
 
-/* A reader reads within this after it has joined: a third of the time within
- * which a version is to be in force on a host that starts among others. */
+/* A reader reads within this time after it has joined: a third of the time
+ * within which a version is to be in force on a host that starts among others.
+ */
 #define READ_WITHIN_MS 250
 
 static struct membership *m;
@@ -29,7 +30,7 @@
 static struct spread_env env;
 static struct readers readers;
 
-/* A node that is joined @join_ms after its start, since nobody is there. */
+/* Starts a node that is alone, and counts as joined after @join_ms. */
 static void
 begin(uint32_t join_ms)
 {
@@ -60,13 +61,13 @@
 	outbox_free(out);
 }
 
-/* When the first read is asked for; DEADLINE_NEVER for none. */
+/* Time of the first read, DEADLINE_NEVER for none up to @limit_ms. */
 static uint64_t
-first_read_ms(uint64_t most_ms)
+first_read_ms(uint64_t limit_ms)
 {
 	uint64_t now_ms;
 
-	for (now_ms = 0; now_ms <= most_ms; now_ms += STEP_MS) {
+	for (now_ms = 0; now_ms <= limit_ms; now_ms += STEP_MS) {
 		membership_tick(m, now_ms);
 		if (now_ms >= readers_next_ms(&readers))
 			readers_tick(&readers, now_ms);
@@ -84,15 +85,15 @@
 	begin(join_ms);
 	read_ms = first_read_ms(2000);
 	ck_assert_msg(read_ms >= join_ms + 50,
-	    "%llu: the table is not compared yet", (unsigned long long)read_ms);
-	ck_assert_msg(read_ms <= join_ms + READ_WITHIN_MS, "%llu: callers wait",
-	    (unsigned long long)read_ms);
+	    "%llu: read before the table settled", (unsigned long long)read_ms);
+	ck_assert_msg(read_ms <= join_ms + READ_WITHIN_MS,
+	    "%llu: read too late after joining", (unsigned long long)read_ms);
 	end();
 }
 END_TEST
 
-/* One that reaches nobody asks the platform all the same. */
-START_TEST(a_node_that_joins_nobody_reads_alone)
+/* A node that reaches no other node reads the platform nevertheless. */
+START_TEST(a_node_that_cannot_join_reads_by_itself)
 {
 	uint64_t read_ms;
 
@@ -104,9 +105,9 @@
 }
 END_TEST
 
-/* Few nodes are told to: the row may take 0.2 s on a slow link, and until it
- * is here nobody serves. */
-START_TEST(a_node_that_is_told_to_reads_before_it_has_joined)
+/* Only a few nodes call readers_read_now(): the row may take 0.2 s over a slow
+ * link, and no node serves until the row has arrived. */
+START_TEST(read_now_reads_before_the_node_has_joined)
 {
 	begin(60000);
 	readers_tick(&readers, 0);
@@ -127,8 +128,8 @@
 
 	tcase_add_loop_test(
 	    tc, a_reader_reads_soon_after_it_has_joined, 1, 150);
-	tcase_add_test(tc, a_node_that_joins_nobody_reads_alone);
-	tcase_add_test(tc, a_node_that_is_told_to_reads_before_it_has_joined);
+	tcase_add_test(tc, a_node_that_cannot_join_reads_by_itself);
+	tcase_add_test(tc, read_now_reads_before_the_node_has_joined);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/spread/test/test_spread.c
+++ b/packages/spread/test/test_spread.c
@@ -1,6 +1,6 @@
 /*
- * Small parts of the spread by themselves: back-off, budget, candidates,
- * profiles.  The modules together are tested on the driver.
+ * Unit tests of single modules: back-off, budget, candidates, profiles, intake.
+ * The driver's tests cover the modules together.
  */
 #include <string.h>
 
@@ -27,7 +27,7 @@
 
 	rng = g_rand_new_with_seed(1);
 	backoff_init(&b, 500, 10000);
-	ck_assert(backoff_open(&b, 0));
+	ck_assert(backoff_expired(&b, 0));
 	for (i = 0; i < 40; i++) {
 		bound = MIN(500ULL << MIN(i, 10), 10000);
 		longest = 0;
@@ -38,16 +38,17 @@
 			longest = MAX(longest, b.until_ms - 1000);
 		}
 		ck_assert_uint_gt(longest, bound / 2);
-		ck_assert(!backoff_open(&b, 1000));
-		ck_assert(backoff_open(&b, b.until_ms));
+		ck_assert(!backoff_expired(&b, 1000));
+		ck_assert(backoff_expired(&b, b.until_ms));
 	}
 	backoff_succeeded(&b);
-	ck_assert(backoff_open(&b, 0));
+	ck_assert(backoff_expired(&b, 0));
 	g_rand_free(rng);
 }
 END_TEST
 
-/* Takes at most burst + rate * time; what is refused is told when. */
+/* At most burst + rate * time tokens are taken; after a refusal the bucket
+ * returns the time at which the tokens are available. */
 START_TEST(test_budget)
 {
 	static const struct {
@@ -102,14 +103,15 @@
 		a = addr(i);
 		candidates_add(&c, 0, &a, 10, i == 3);
 	}
-	/* The near one first; busy, another one; only those new enough. */
+	/* A near candidate is preferred, a busy one skipped, an old one
+	 * ignored. */
 	ck_assert(candidates_pick(&c, &env, 0, 10, &got));
 	ck_assert_uint_eq(got.ip, 3);
 	candidates_busy(&c, &got, 50);
 	ck_assert(candidates_pick(&c, &env, 49, 10, &got));
 	ck_assert_uint_ne(got.ip, 3);
 	ck_assert(!candidates_pick(&c, &env, 50, 11, &got));
-	/* Newer ones push older ones out, not the other way round. */
+	/* A newer candidate replaces an older one, not the other way round. */
 	a = addr(100);
 	candidates_add(&c, 0, &a, 11, 0);
 	ck_assert(candidates_pick(&c, &env, 0, 11, &got));
@@ -117,12 +119,12 @@
 	a = addr(101);
 	candidates_add(&c, 0, &a, 9, 0);
 	ck_assert_uint_eq(c.n, CANDIDATES_MAX);
-	/* One that is blamed stays out for a while. */
+	/* A banned candidate is ignored until the ban expires. */
 	a = addr(100);
-	candidates_blame(&c, 0, &a);
-	candidates_add(&c, CANDIDATES_BLAME_MS - 1, &a, 11, 0);
+	candidates_ban(&c, 0, &a);
+	candidates_add(&c, CANDIDATES_BAN_MS - 1, &a, 11, 0);
 	ck_assert(!candidates_pick(&c, &env, 0, 11, &got));
-	candidates_add(&c, CANDIDATES_BLAME_MS, &a, 11, 0);
+	candidates_add(&c, CANDIDATES_BAN_MS, &a, 11, 0);
 	ck_assert(candidates_pick(&c, &env, 0, 11, &got));
 	candidates_prune(&c, 11);
 	ck_assert_uint_eq(c.n, 1);
@@ -143,9 +145,9 @@
 
 #define CATALOG_BYTES (1024 * 1024)
 
-/* An intake that has asked a peer for version 1, by frame. */
+/* Starts an intake that has sent a peer a pull of version 1 by frame. */
 static void
-intake_asking(struct intake *in, struct spread_env *env)
+intake_start_pull(struct intake *in, struct spread_env *env)
 {
 	struct spread_config cfg = {.profile = *spread_profile_registry(),
 	    .host = "h1",
@@ -154,8 +156,8 @@
 
 	env_init(env, &cfg, NULL, catalog_new(CATALOG_BYTES));
 	intake_init(in, env, 0);
-	intake_want(in, 0, 1);
-	intake_offered(in, 0, &peer, 1, 1);
+	intake_set_target(in, 0, 1);
+	intake_add_candidate(in, 0, &peer, 1, 1);
 	intake_tick(in, 0);
 	ck_assert_int_eq(in->provider, INTAKE_PEER);
 	ck_assert_int_eq(in->by_frame, 1);
@@ -172,8 +174,9 @@
 }
 
 /*
- * 240 KB of new routes over 5 Mbit/s that calls use too: parts keep coming for
- * three seconds.  Asked anew after each second, they never got there.
+ * 240 KB of new routes arrive over a 5 Mbit/s link that calls use too: parts
+ * keep arriving for three seconds.  With a fixed deadline of one second the
+ * request was repeated again and again, and the answer never completed.
  */
 START_TEST(test_slow_answer)
 {
@@ -182,31 +185,31 @@
 	struct intake in;
 	uint64_t t;
 
-	intake_asking(&in, &env);
+	intake_start_pull(&in, &env);
 	for (t = 800; t <= 3200; t += 800) {
-		intake_on_part(&in, t, &peer);
+		intake_on_partial_frame(&in, t, &peer);
 		intake_tick(&in, t + 799);
 	}
 	ck_assert_uint_eq(env.stats.pulls_sent, 1);
 	ck_assert_uint_eq(env.stats.pulls_timed_out, 0);
-	/* Bytes of somebody else don't help one that is silent. */
-	intake_on_part(&in, 4100, &other);
+	/* Bytes from another peer don't extend the deadline. */
+	intake_on_partial_frame(&in, 4100, &other);
 	intake_tick(&in, 4200);
 	ck_assert_uint_eq(env.stats.pulls_timed_out, 1);
 	intake_end(&in, &env);
 }
 END_TEST
 
-/* Too small for any version, as the commit finds. */
-#define CATALOG_NONE_BYTES 1
+/* A catalog too small for any version; the commit fails. */
+#define TINY_CATALOG_BYTES 1
 
 static const char small[] =
     "{\"format\":1,\"name\":\"x\",\"services\":[{\"name\":\"a\"}],"
     "\"routes\":[]}";
 
-/* Gives the intake a version whole, and lets it commit that. */
+/* Delivers a complete version to the intake; its commit must fail. */
 static void
-give_and_commit(struct intake *in, uint64_t now_ms, uint64_t version)
+deliver_and_commit(struct intake *in, uint64_t now_ms, uint64_t version)
 {
 	struct rec_head head = {
 	    .seq = version, .version = version, .in_force = version};
@@ -217,7 +220,7 @@
 	ck_assert_int_eq(bundle_parse(small, strlen(small), &b), STATUS_OK);
 	bundle_to_sections(b, &list, &head.root);
 	section = g_ptr_array_index(b->sections, 0);
-	intake_given(in, now_ms, &head, list, &section->content, 1);
+	intake_on_full_version(in, now_ms, &head, list, &section->content, 1);
 	ck_assert_uint_eq(intake_staged(in), version);
 	ck_assert(!intake_commit(in, now_ms));
 	g_array_unref(list);
@@ -225,25 +228,25 @@
 }
 
 static void
-intake_of_nothing(struct intake *in, struct spread_env *env)
+intake_with_tiny_catalog(struct intake *in, struct spread_env *env)
 {
 	struct spread_config cfg = {.profile = *spread_profile_registry(),
 	    .host = "h1",
 	    .data_centre = "dc1"};
 
-	env_init(env, &cfg, NULL, catalog_new(CATALOG_NONE_BYTES));
+	env_init(env, &cfg, NULL, catalog_new(TINY_CATALOG_BYTES));
 	intake_init(in, env, 0);
 }
 
-/* A version that can't be put together here is told, with its reason. */
+/* A version that can't be committed is reported with its reason. */
 START_TEST(test_refused_commit)
 {
 	struct spread_env env = {0};
 	struct spread_action *a;
 	struct intake in;
 
-	intake_of_nothing(&in, &env);
-	give_and_commit(&in, 0, 10);
+	intake_with_tiny_catalog(&in, &env);
+	deliver_and_commit(&in, 0, 10);
 	a = g_queue_pop_head(env.actions);
 	ck_assert_ptr_nonnull(a);
 	ck_assert_int_eq(a->kind, SPREAD_REFUSED);
@@ -255,9 +258,9 @@
 }
 END_TEST
 
-/* The refusal that an intake told, of version 10 and no other. */
+/* Checks that version 10, and no other, was reported as refused. */
 static void
-ck_refused(struct spread_env *env, const char *reason)
+ck_refusal(struct spread_env *env, const char *reason)
 {
 	struct spread_action *a = g_queue_pop_head(env->actions);
 
@@ -269,7 +272,7 @@
 	ck_assert(g_queue_is_empty(env->actions));
 }
 
-/* The platform gives more sections than a version may have. */
+/* The platform delivers more sections than a version may have. */
 START_TEST(test_refused_list)
 {
 	struct rec_head head = {.seq = 10, .version = 10, .in_force = 10};
@@ -283,16 +286,16 @@
 		g_snprintf(ref.section, sizeof(ref.section), "s%05u", i);
 		g_array_append_val(list, ref);
 	}
-	intake_of_nothing(&in, &env);
-	intake_given(&in, 0, &head, list, NULL, 0);
-	ck_assert_uint_eq(intake_under_way(&in), 0);
-	ck_refused(&env, "split the bundle");
+	intake_with_tiny_catalog(&in, &env);
+	intake_on_full_version(&in, 0, &head, list, NULL, 0);
+	ck_assert_uint_eq(intake_version_in_progress(&in), 0);
+	ck_refusal(&env, "split the bundle");
 	g_array_unref(list);
 	intake_end(&in, &env);
 }
 END_TEST
 
-/* Content that makes a version too large, from the platform and from a peer. */
+/* Content from the platform or from a peer makes a version too large. */
 START_TEST(test_refused_content)
 {
 	struct rec_head head = {.seq = 10, .version = 10, .in_force = 10};
@@ -311,23 +314,23 @@
 	section = g_ptr_array_index(b->sections, 0);
 	data.data = (uint8_t *)g_bytes_get_data(section->content, &len);
 	data.data_len = (uint32_t)len;
-	intake_of_nothing(&in, &env);
-	intake_want(&in, 0, 10);
-	intake_given(&in, 0, &head, list, NULL, 0);
+	intake_with_tiny_catalog(&in, &env);
+	intake_set_target(&in, 0, 10);
+	intake_on_full_version(&in, 0, &head, list, NULL, 0);
 	ck_assert_int_eq(in.step, INTAKE_CONTENT);
 	in.stage->added_bytes = CONFIG_MAX_BYTES;
 	if (_i == 0) {
 		intake_on_object(&in, 0, STATUS_OK, &section->config->digest,
 		    data.data, data.data_len);
 	} else {
-		intake_offered(&in, 0, &peer, 10, 1);
+		intake_add_candidate(&in, 0, &peer, 10, 1);
 		intake_tick(&in, 0);
 		ck_assert_int_eq(in.provider, INTAKE_PEER);
 		msg.token = in.token;
 		intake_on_sections(&in, 0, &msg);
 	}
-	ck_assert_uint_eq(intake_under_way(&in), 0);
-	ck_refused(&env, "split the bundle");
+	ck_assert_uint_eq(intake_version_in_progress(&in), 0);
+	ck_refusal(&env, "split the bundle");
 	ck_assert_uint_gt(in.start_ms, 0);
 	g_array_unref(list);
 	bundle_free(b);
@@ -335,8 +338,8 @@
 }
 END_TEST
 
-/* Ten versions that can't be put together: the eleventh is asked for at once,
- * not after the pauses between tries of those before. */
+/* Ten versions can't be committed.  The eleventh is requested at once, not
+ * after the pauses between attempts at the earlier ones. */
 START_TEST(test_refused_holds_no_later_one_back)
 {
 	struct spread_env env = {0};
@@ -344,15 +347,15 @@
 	struct intake in;
 	uint64_t version;
 
-	intake_of_nothing(&in, &env);
+	intake_with_tiny_catalog(&in, &env);
 	for (version = 1; version <= 10; version++) {
-		intake_want(&in, version, version);
-		give_and_commit(&in, version, version);
-		give_and_commit(&in, version, version);
+		intake_set_target(&in, version, version);
+		deliver_and_commit(&in, version, version);
+		deliver_and_commit(&in, version, version);
 	}
 	ck_assert_uint_gt(in.start_ms, 10);
-	intake_want(&in, 11, 11);
-	intake_offered(&in, 11, &peer, 11, 1);
+	intake_set_target(&in, 11, 11);
+	intake_add_candidate(&in, 11, &peer, 11, 1);
 	intake_tick(&in, 11);
 	ck_assert_int_eq(in.provider, INTAKE_PEER);
 	intake_end(&in, &env);
--- a/packages/spread/test/test_trace.c
+++ b/packages/spread/test/test_trace.c
@@ -1,5 +1,5 @@
 /*
- * What each step of a version's way to this node took.
+ * Durations of the steps of a version on its way to this node.
  */
 #include <check.h>
 
@@ -13,7 +13,7 @@
 	struct spread_steps s;
 
 	trace_known(&t, 1000, 7, 300);
-	trace_whole(&t, 1400, 7);
+	trace_complete(&t, 1400, 7);
 	s = trace_steps(&t, 1450, 7);
 	ck_assert_uint_eq(s.age_ms, 750);
 	ck_assert_uint_eq(s.wait_ms, 400);
@@ -22,7 +22,7 @@
 }
 END_TEST
 
-START_TEST(the_earliest_read_that_is_told_counts)
+START_TEST(the_earliest_reported_read_counts)
 {
 	struct trace t = {0};
 
@@ -34,8 +34,8 @@
 }
 END_TEST
 
-/* A peer may tell anything. */
-START_TEST(an_age_beyond_the_own_clock_is_cut)
+/* Ages reported by peers are untrusted. */
+START_TEST(an_age_beyond_the_clock_is_reduced)
 {
 	struct trace t = {0};
 
@@ -46,12 +46,12 @@
 }
 END_TEST
 
-START_TEST(old_versions_make_room)
+START_TEST(the_lowest_version_is_replaced_first)
 {
 	struct trace t = {0};
 	uint64_t v;
 
-	for (v = 1; v <= TRACE_VERSIONS + 3; v++)
+	for (v = 1; v <= TRACE_VERSIONS_MAX + 3; v++)
 		trace_known(&t, 1000 + v, v, 0);
 	ck_assert_uint_eq(trace_age_ms(&t, 2000, 3), 0);
 	ck_assert_uint_eq(trace_age_ms(&t, 2000, 4), 996);
@@ -68,9 +68,9 @@
 	TCase *tc = tcase_create("trace");
 
 	tcase_add_test(tc, steps_add_up);
-	tcase_add_test(tc, the_earliest_read_that_is_told_counts);
-	tcase_add_test(tc, an_age_beyond_the_own_clock_is_cut);
-	tcase_add_test(tc, old_versions_make_room);
+	tcase_add_test(tc, the_earliest_reported_read_counts);
+	tcase_add_test(tc, an_age_beyond_the_clock_is_reduced);
+	tcase_add_test(tc, the_lowest_version_is_replaced_first);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
