--- a/packages/membership/include/membership/finder.h
+++ b/packages/membership/include/membership/finder.h
@@ -16,15 +16,15 @@
 
 #include <glib.h>
 
-/** FINDER_FEW - with fewer others than this in the directory more are looked
- * for, and the own entry is written: those may all be gone */
-#define FINDER_FEW 4
+/** FINDER_MIN_OTHERS - with fewer others than this in the directory more are
+ * looked for, and the own entry is written: those may all be gone */
+#define FINDER_MIN_OTHERS 4
 
 /** enum finder_action - what is to be done */
 enum finder_action {
 	FINDER_NONE = 0,
-	FINDER_ENTER,
-	FINDER_SAMPLE,
+	FINDER_REGISTER,
+	FINDER_LOOK_UP,
 };
 
 /**
@@ -32,12 +32,12 @@
  * @joined: it holds the table; one that has only heard of others has nobody
  *	to ask for it, and looks on
  * @live: live hosts known, the own one included
- * @holder: it is to hold its place in the directory
+ * @holds_place: it is to hold its place in the directory
  */
 struct finder_view {
 	int joined;
 	uint32_t live;
-	int holder;
+	int holds_place;
 };
 
 /**
@@ -76,23 +76,24 @@
  * @view: what the node knows
  * @now_ms: monotonic time
  *
- * After FINDER_ENTER call finder_entered() with its outcome, after
- * FINDER_SAMPLE finder_found() or finder_failed().
+ * After FINDER_REGISTER call finder_registered() with its outcome, after
+ * FINDER_LOOK_UP finder_looked_up() or finder_failed().
  */
 enum finder_action
 finder_next(struct finder *f, const struct finder_view *view, uint64_t now_ms);
 
-/** finder_entered() - the own entry was written */
-void finder_entered(struct finder *f, uint64_t now_ms);
+/** finder_registered() - the own entry was written */
+void finder_registered(struct finder *f, uint64_t now_ms);
 
 /**
- * finder_found() - the directory was looked at
+ * finder_looked_up() - the directory was looked at
  * @f: the finder
  * @others: entries of other nodes
  * @own: the own entry was among them
  * @now_ms: monotonic time
  */
-void finder_found(struct finder *f, uint32_t others, int own, uint64_t now_ms);
+void
+finder_looked_up(struct finder *f, uint32_t others, int own, uint64_t now_ms);
 
 /** finder_failed() - a call has failed */
 void finder_failed(struct finder *f, uint64_t now_ms);
--- a/packages/membership/include/membership/instances.h
+++ b/packages/membership/include/membership/instances.h
@@ -58,7 +58,7 @@
 void instances_init(struct instances *s);
 
 /**
- * instances_heard() - a heartbeat came
+ * instances_heartbeat() - a heartbeat came
  * @s: the runs
  * @id: name of the run
  * @born_ms: when the run started, 0 when not told
@@ -67,7 +67,7 @@
  * A later start under a known name is a new run: its numbers begin anew, and
  * that the earlier one left says nothing of it.
  */
-enum instance_verdict instances_heard(
+enum instance_verdict instances_heartbeat(
     struct instances *s, const char *id, uint64_t born_ms, uint64_t seq);
 
 /**
@@ -92,7 +92,7 @@
 int instances_is_latest(
     const struct instances *s, const char *id, uint64_t born_ms);
 
-/** instances_current_born_ms() - when that run started; 0 when not told */
-uint64_t instances_current_born_ms(const struct instances *s);
+/** instances_current_started_ms() - when that run started; 0 when not told */
+uint64_t instances_current_started_ms(const struct instances *s);
 
 #endif
--- a/packages/membership/include/membership/membership.h
+++ b/packages/membership/include/membership/membership.h
@@ -103,14 +103,14 @@
  * enum membership_action_kind - what the shell is told
  * @MEMBERSHIP_CHANGED: a host's state or endpoints changed, or it was
  *	forgotten; look it up by its name
- * @MEMBERSHIP_HEARD: a peer told its configuration head
+ * @MEMBERSHIP_PEER_HEAD: a peer told its configuration head
  * @MEMBERSHIP_PHASE: the own phase changed
  * @MEMBERSHIP_WARNING: two hosts share a name or an address; the message
  *	says which and what to do
  */
 enum membership_action_kind {
 	MEMBERSHIP_CHANGED = 0,
-	MEMBERSHIP_HEARD,
+	MEMBERSHIP_PEER_HEAD,
 	MEMBERSHIP_PHASE,
 	MEMBERSHIP_WARNING,
 };
@@ -218,10 +218,10 @@
 uint64_t membership_next_ms(const struct membership *m);
 
 /**
- * membership_owns() - whether a message type is for membership_receive()
+ * membership_handles() - whether a message type is for membership_receive()
  * @type: type byte
  */
-int membership_owns(uint8_t type);
+int membership_handles(uint8_t type);
 
 /**
  * membership_receive() - take in a message of a peer
@@ -385,17 +385,17 @@
     const char *key, const struct member **ranked, uint32_t n);
 
 /**
- * membership_rank_quick() - the same, hosts with quicker links first
+ * membership_rank_by_link() - the same, hosts with quicker links first
  *
  * For what has much to carry: a configuration of 0.45 MB takes 0.7 s on a link
  * of 5 Mbit/s and 36 ms on one of 100.  Links that differ by less than half
  * count as alike, so that the work is not all on one host.
  */
 uint32_t
-membership_rank_quick(const struct membership *m, const char *data_centre,
+membership_rank_by_link(const struct membership *m, const char *data_centre,
     const char *key, const struct member **ranked, uint32_t n);
 
-/** membership_score_quick() - what membership_rank_quick() ranks by */
+/** membership_score_quick() - what membership_rank_by_link() ranks by */
 uint64_t membership_score_quick(const char *key, const struct member *mb);
 
 /** MEMBERSHIP_RANK_MAX - most members that membership_rank() gives */
--- a/packages/membership/include/membership/places.h
+++ b/packages/membership/include/membership/places.h
@@ -20,9 +20,9 @@
  */
 #define PLACES_PER_DATA_CENTRE 8
 
-/** PLACES_READ_FIRST - hosts of so many places read the platform at once when
- * they start and stand there, before anybody knows who the readers are */
-#define PLACES_READ_FIRST 2
+/** PLACES_READ_AT_START - hosts of so many places read the platform at once
+ * when they start and stand there, before anybody knows who the readers are */
+#define PLACES_READ_AT_START 2
 
 /** PLACE_BYTES - room for a place's name */
 #define PLACE_BYTES (MEMBER_NAME_BYTES + 4)
@@ -36,14 +36,14 @@
 void places_of(const char *data_centre, const char *host, char *place);
 
 /**
- * places_first() - a text that sorts before all places of a data centre
+ * places_lower_bound() - a text that sorts before all places of a data centre
  * @data_centre: the data centre
  * @place: where it goes, PLACE_BYTES
  */
-void places_first(const char *data_centre, char *place);
+void places_lower_bound(const char *data_centre, char *place);
 
-/** places_reads_first() - whether a host has one of the first places */
-int places_reads_first(const char *host);
+/** places_reads_at_start() - whether a host has one of the first places */
+int places_reads_at_start(const char *host);
 
 /** places_held() - whether the own host is to hold its place */
 int places_held(const struct membership *m);
--- a/packages/membership/src/action.c
+++ b/packages/membership/src/action.c
@@ -58,7 +58,7 @@
 action_heard(struct membership *m, const char *host,
     const struct net_addr *addr, const struct rec_gossip_head *head)
 {
-	struct queued_action *q = queue(m, MEMBERSHIP_HEARD, host);
+	struct queued_action *q = queue(m, MEMBERSHIP_PEER_HEAD, host);
 
 	q->addr = *addr;
 	q->head = *head;
--- a/packages/membership/src/finder.c
+++ b/packages/membership/src/finder.c
@@ -75,7 +75,7 @@
 static int
 takes_place(struct finder *f, const struct finder_view *view, uint64_t now_ms)
 {
-	if (!view->holder) {
+	if (!view->holds_place) {
 		f->entered = 0;
 		f->holds_ms = DEADLINE_NEVER;
 		return 0;
@@ -95,12 +95,12 @@
 choose(struct finder *f, const struct finder_view *view, uint64_t now_ms)
 {
 	if (!f->looked)
-		return FINDER_SAMPLE;
+		return FINDER_LOOK_UP;
 	if (wants_peers(f, view))
-		return f->entered || looks_again(f) ? FINDER_SAMPLE
-						    : FINDER_ENTER;
+		return f->entered || looks_again(f) ? FINDER_LOOK_UP
+						    : FINDER_REGISTER;
 	if (takes_place(f, view, now_ms))
-		return FINDER_ENTER;
+		return FINDER_REGISTER;
 	return FINDER_NONE;
 }
 
@@ -130,7 +130,7 @@
 }
 
 void
-finder_entered(struct finder *f, uint64_t now_ms)
+finder_registered(struct finder *f, uint64_t now_ms)
 {
 	f->busy = 0;
 	f->failures = 0;
@@ -139,14 +139,14 @@
 }
 
 void
-finder_found(struct finder *f, uint32_t others, int own, uint64_t now_ms)
+finder_looked_up(struct finder *f, uint32_t others, int own, uint64_t now_ms)
 {
 	f->busy = 0;
 	f->failures = 0;
 	f->looked = 1;
 	f->entered |= own;
 	f->most_live = 0;
-	f->few = others < FINDER_FEW ? f->few + 1 : 0;
+	f->few = others < FINDER_MIN_OTHERS ? f->few + 1 : 0;
 	if (f->few > 0 && within(f, FEW_ENTERS_ONE_OF - 1) == 0)
 		f->few = FEW_ENOUGH;
 	f->due_ms = now_ms;
--- a/packages/membership/src/instances.c
+++ b/packages/membership/src/instances.c
@@ -78,7 +78,7 @@
 }
 
 enum instance_verdict
-instances_heard(
+instances_heartbeat(
     struct instances *s, const char *id, uint64_t born_ms, uint64_t seq)
 {
 	int i = id[0] != '\0' ? find(s, id) : -1;
@@ -86,7 +86,7 @@
 
 	if (id[0] == '\0')
 		return INSTANCE_STALE;
-	if (i < 0 && is_earlier(born_ms, instances_current_born_ms(s)))
+	if (i < 0 && is_earlier(born_ms, instances_current_started_ms(s)))
 		return INSTANCE_STALE;
 	if (i < 0)
 		return take_new(s, INSTANCES_MAX - 1, id, born_ms, seq);
@@ -138,7 +138,7 @@
 }
 
 uint64_t
-instances_current_born_ms(const struct instances *s)
+instances_current_started_ms(const struct instances *s)
 {
 	return s->has_current ? s->runs[0].born_ms : 0;
 }
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -275,7 +275,7 @@
 }
 
 int
-membership_owns(uint8_t type)
+membership_handles(uint8_t type)
 {
 	return type >= MSG_PING && type <= MSG_ROWS;
 }
--- a/packages/membership/src/places.c
+++ b/packages/membership/src/places.c
@@ -19,7 +19,7 @@
 };
 
 void
-places_first(const char *data_centre, char *place)
+places_lower_bound(const char *data_centre, char *place)
 {
 	(void)snprintf(place, PLACE_BYTES, "%s/", data_centre);
 }
@@ -39,9 +39,9 @@
 }
 
 int
-places_reads_first(const char *host)
+places_reads_at_start(const char *host)
 {
-	return number_of(host) < PLACES_READ_FIRST;
+	return number_of(host) < PLACES_READ_AT_START;
 }
 
 static void
--- a/packages/membership/src/query.c
+++ b/packages/membership/src/query.c
@@ -154,7 +154,7 @@
 }
 
 uint32_t
-membership_rank_quick(const struct membership *m, const char *data_centre,
+membership_rank_by_link(const struct membership *m, const char *data_centre,
     const char *key, const struct member **ranked, uint32_t n)
 {
 	return rank(m, data_centre, key, membership_score_quick, ranked, n);
--- a/packages/membership/test/test_finder.c
+++ b/packages/membership/test/test_finder.c
@@ -20,10 +20,10 @@
 {
 	if (!ok)
 		finder_failed(f, now_ms);
-	else if (a == FINDER_ENTER)
-		finder_entered(f, now_ms);
+	else if (a == FINDER_REGISTER)
+		finder_registered(f, now_ms);
 	else
-		finder_found(f, others, 0, now_ms);
+		finder_looked_up(f, others, 0, now_ms);
 }
 
 /* Steps of 10 ms; the calls that a node makes in @ms. */
@@ -55,9 +55,9 @@
 	uint64_t now_ms = 1000;
 
 	finder_init(f, 1, now_ms);
-	ck_assert_int_eq(finder_next(f, &alone, now_ms), FINDER_SAMPLE);
+	ck_assert_int_eq(finder_next(f, &alone, now_ms), FINDER_LOOK_UP);
 	ck_assert_uint_eq(finder_due_ms(f), DEADLINE_NEVER);
-	finder_found(f, others, own, now_ms);
+	finder_looked_up(f, others, own, now_ms);
 	return now_ms;
 }
 
@@ -111,15 +111,16 @@
 	finder_init(&f, 1, now_ms);
 	do {
 		ck_assert_int_eq(
-		    finder_next(&f, &alone, now_ms), FINDER_SAMPLE);
-		finder_found(&f, 0, 0, now_ms);
+		    finder_next(&f, &alone, now_ms), FINDER_LOOK_UP);
+		finder_looked_up(&f, 0, 0, now_ms);
 		ck_assert_uint_le(finder_due_ms(&f), now_ms + 600);
 		now_ms = finder_due_ms(&f);
 	} while (f.few == 1);
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms), FINDER_ENTER);
-	finder_entered(&f, now_ms);
+	ck_assert_int_eq(finder_next(&f, &alone, now_ms), FINDER_REGISTER);
+	finder_registered(&f, now_ms);
 	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 400), FINDER_NONE);
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 1000), FINDER_SAMPLE);
+	ck_assert_int_eq(
+	    finder_next(&f, &alone, now_ms + 1000), FINDER_LOOK_UP);
 	finder_clear(&f);
 }
 END_TEST
@@ -130,9 +131,11 @@
 	struct finder f;
 	uint64_t now_ms = first_look(&f, SAMPLE, 0);
 
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 1000), FINDER_ENTER);
-	finder_entered(&f, now_ms + 1000);
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 2000), FINDER_SAMPLE);
+	ck_assert_int_eq(
+	    finder_next(&f, &alone, now_ms + 1000), FINDER_REGISTER);
+	finder_registered(&f, now_ms + 1000);
+	ck_assert_int_eq(
+	    finder_next(&f, &alone, now_ms + 2000), FINDER_LOOK_UP);
 	finder_clear(&f);
 }
 END_TEST
@@ -146,7 +149,7 @@
 	uint64_t now_ms = 1000;
 
 	finder_init(&f, 1, now_ms);
-	ck_assert_int_eq(finder_next(&f, &heard, now_ms), FINDER_SAMPLE);
+	ck_assert_int_eq(finder_next(&f, &heard, now_ms), FINDER_LOOK_UP);
 	finder_clear(&f);
 }
 END_TEST
@@ -178,9 +181,9 @@
 	if (now_ms < s->start_ms)
 		return 0;
 	if (s->call != FINDER_NONE && now_ms == s->ends_ms) {
-		*entries += s->call == FINDER_ENTER;
+		*entries += s->call == FINDER_REGISTER;
 		end_call(&s->finder, s->call, MIN(s->seen, SAMPLE), 1, now_ms);
-		if (s->call == FINDER_SAMPLE && s->seen > 0)
+		if (s->call == FINDER_LOOK_UP && s->seen > 0)
 			s->joined_ms = MIN(s->joined_ms, now_ms + JOIN_MS);
 		s->call = FINDER_NONE;
 	}
@@ -347,7 +350,7 @@
 	char first[PLACE_BYTES], place[PLACE_BYTES], host[MEMBER_NAME_BYTES];
 	uint32_t i;
 
-	places_first("d1", first);
+	places_lower_bound("d1", first);
 	for (i = 0; i < FLEET; i++) {
 		(void)g_snprintf(host, sizeof(host), "host-%u", i);
 		places_of("d1", host, place);
--- a/packages/membership/test/test_found.c
+++ b/packages/membership/test/test_found.c
@@ -13,14 +13,14 @@
 	struct instances s;
 
 	instances_init(&s);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 3), INSTANCE_CURRENT);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 2), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 4), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 3), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 2), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 4), INSTANCE_CURRENT);
 	/* Another run has begun; what the first sent before comes late. */
-	ck_assert_int_eq(instances_heard(&s, "b", 0, 1), INSTANCE_CURRENT);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 5), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "b", 0, 1), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 5), INSTANCE_STALE);
 	ck_assert_str_eq(instances_current(&s), "b");
-	ck_assert_int_eq(instances_heard(&s, "b", 0, 2), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "b", 0, 2), INSTANCE_CURRENT);
 }
 END_TEST
 
@@ -31,11 +31,13 @@
 	struct instances s;
 
 	instances_init(&s);
-	(void)instances_heard(&s, "lives", 0, 7);
-	(void)instances_heard(&s, "ended", 0, 9);
+	(void)instances_heartbeat(&s, "lives", 0, 7);
+	(void)instances_heartbeat(&s, "ended", 0, 9);
 	ck_assert_str_eq(instances_current(&s), "ended");
-	ck_assert_int_eq(instances_heard(&s, "lives", 0, 8), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "lives", 0, 9), INSTANCE_CURRENT);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "lives", 0, 8), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "lives", 0, 9), INSTANCE_CURRENT);
 	ck_assert_str_eq(instances_current(&s), "lives");
 }
 END_TEST
@@ -47,23 +49,23 @@
 	int i;
 
 	instances_init(&s);
-	(void)instances_heard(&s, "a", 0, 1);
+	(void)instances_heartbeat(&s, "a", 0, 1);
 	ck_assert_int_eq(instances_left(&s, "a", 0), 1);
 	ck_assert_int_eq(instances_left(&s, "a", 0), 0);
 	for (i = 2; i < 10; i++)
-		ck_assert_int_eq(
-		    instances_heard(&s, "a", 0, (uint64_t)i), INSTANCE_STALE);
+		ck_assert_int_eq(instances_heartbeat(&s, "a", 0, (uint64_t)i),
+		    INSTANCE_STALE);
 	ck_assert_str_eq(instances_current(&s), "");
 	/* Also one that was never heard here before it left. */
 	ck_assert_int_eq(instances_left(&s, "x", 0), 0);
-	ck_assert_int_eq(instances_heard(&s, "x", 0, 1), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "x", 0, 1), INSTANCE_STALE);
 	/* More runs than are remembered do no harm. */
 	for (i = 0; i < 3 * INSTANCES_MAX; i++) {
 		(void)g_snprintf(id, sizeof(id), "run-%d", i);
 		ck_assert_int_eq(
-		    instances_heard(&s, id, 0, 1), INSTANCE_CURRENT);
+		    instances_heartbeat(&s, id, 0, 1), INSTANCE_CURRENT);
 	}
-	ck_assert_int_eq(instances_heard(&s, "", 0, 1), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "", 0, 1), INSTANCE_STALE);
 }
 END_TEST
 
@@ -74,7 +76,7 @@
 	instances_init(&s);
 	ck_assert(!instances_is_latest(&s, "", 0));
 	ck_assert(!instances_is_latest(&s, "a", 0));
-	(void)instances_heard(&s, "a", 1000, 1);
+	(void)instances_heartbeat(&s, "a", 1000, 1);
 	ck_assert(instances_is_latest(&s, "a", 1000));
 	ck_assert(instances_is_latest(&s, "a", 0));
 	ck_assert(!instances_is_latest(&s, "a", 2000));
@@ -82,7 +84,7 @@
 	ck_assert_int_eq(instances_left(&s, "a", 1000), 1);
 	ck_assert(instances_is_latest(&s, "a", 1000));
 	ck_assert(!instances_is_latest(&s, "a", 2000));
-	(void)instances_heard(&s, "b", 3000, 1);
+	(void)instances_heartbeat(&s, "b", 3000, 1);
 	ck_assert(!instances_is_latest(&s, "a", 1000));
 	ck_assert(instances_is_latest(&s, "b", 3000));
 }
@@ -98,24 +100,30 @@
 	struct instances s;
 
 	instances_init(&s);
-	ck_assert_int_eq(instances_heard(&s, "a", 1000, 50), INSTANCE_CURRENT);
-	ck_assert_int_eq(instances_heard(&s, "a", 2000, 1), INSTANCE_CURRENT);
-	ck_assert_uint_eq(instances_current_born_ms(&s), 2000);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 1000, 50), INSTANCE_CURRENT);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 2000, 1), INSTANCE_CURRENT);
+	ck_assert_uint_eq(instances_current_started_ms(&s), 2000);
 	/* What the earlier run said, or says of its end, comes late. */
-	ck_assert_int_eq(instances_heard(&s, "a", 1000, 51), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 1000, 51), INSTANCE_STALE);
 	ck_assert_int_eq(instances_left(&s, "a", 1000), 0);
-	ck_assert_int_eq(instances_heard(&s, "a", 2000, 2), INSTANCE_CURRENT);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 2000, 2), INSTANCE_CURRENT);
 	/* One that left may start again, too. */
 	ck_assert_int_eq(instances_left(&s, "a", 2000), 1);
-	ck_assert_int_eq(instances_heard(&s, "a", 2000, 3), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "a", 3000, 1), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 2000, 3), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 3000, 1), INSTANCE_CURRENT);
 	/* A run of another name that started earlier is no successor. */
-	ck_assert_int_eq(instances_heard(&s, "b", 2500, 9), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "c", 4000, 1), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "b", 2500, 9), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "c", 4000, 1), INSTANCE_CURRENT);
 	ck_assert_str_eq(instances_current(&s), "c");
 	/* The end of a later run than the one that was heard. */
 	ck_assert_int_eq(instances_left(&s, "c", 5000), 1);
-	ck_assert_int_eq(instances_heard(&s, "c", 4000, 2), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "c", 4000, 2), INSTANCE_STALE);
 }
 END_TEST
 
--- a/packages/membership/test/test_own.c
+++ b/packages/membership/test/test_own.c
@@ -412,8 +412,8 @@
 	for (i = 0; i < 200; i++) {
 		(void)g_snprintf(key, sizeof(key), "key %u", i);
 		ck_assert_uint_eq(
-		    membership_rank_quick(f->nodes[0].m, "d0", key, a, 4), 4);
-		(void)membership_rank_quick(f->nodes[5].m, "d0", key, b, 4);
+		    membership_rank_by_link(f->nodes[0].m, "d0", key, a, 4), 4);
+		(void)membership_rank_by_link(f->nodes[5].m, "d0", key, b, 4);
 		ck_assert_str_eq(a[0]->host, b[0]->host);
 		ck_assert_uint_ge(a[0]->link_mbps, 130);
 		ck_assert_uint_ge(a[2]->link_mbps, 130);
--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -167,7 +167,7 @@
 		control_take_member(c, a->host);
 		metric_set(&members_gauge, membership_live(c->membership));
 		break;
-	case MEMBERSHIP_HEARD:
+	case MEMBERSHIP_PEER_HEAD:
 		control_heard(c, a);
 		break;
 	case MEMBERSHIP_PHASE:
@@ -334,7 +334,7 @@
 {
 	struct control *c = arg;
 
-	if (membership_owns(type))
+	if (membership_handles(type))
 		membership_receive(
 		    c->membership, control_now(c), &from, 0, type, body, len);
 	else if (control_rollout_receive(c, &from, type, body, len))
@@ -354,7 +354,7 @@
 {
 	struct control *c = arg;
 
-	if (membership_owns(type))
+	if (membership_handles(type))
 		membership_receive(c->membership, control_now(c), &from, conn,
 		    type, body, len);
 	else
@@ -425,7 +425,7 @@
 	c->endpoints = endpoint_set_new();
 	instances_init(&c->instances);
 	finder_init(&c->finder, seed + 2, now_ms);
-	places_first(c->settings->data_centre, c->find_from);
+	places_lower_bound(c->settings->data_centre, c->find_from);
 }
 
 void
--- a/packages/node/src/control_find.c
+++ b/packages/node/src/control_find.c
@@ -26,7 +26,7 @@
 
 	if (st == STATUS_OK) {
 		log_info("entered in the directory");
-		finder_entered(&c->finder, control_now(c));
+		finder_registered(&c->finder, control_now(c));
 	} else {
 		log_warning("not entered in the directory (%s): %s",
 		    status_name(st), status_message());
@@ -52,7 +52,7 @@
 		else if (strcmp(entries[i].place, place) == 0)
 			entered = 1;
 	}
-	if (n >= FINDER_FEW)
+	if (n >= FINDER_MIN_OTHERS)
 		(void)g_snprintf(c->find_from, sizeof(c->find_from), "%s/",
 		    entries[n - 1].place);
 	else
@@ -60,12 +60,12 @@
 	log_info("%u nodes found in the directory, this one is %sentered",
 	    n_others, entered ? "" : "not ");
 	membership_add_seeds(c->membership, control_now(c), others, n_others);
-	if (entered && places_reads_first(c->settings->host)) {
+	if (entered && places_reads_at_start(c->settings->host)) {
 		log_info(
 		    "%s is a first place: the platform is read now", place);
 		spread_read_now(c->spread, control_now(c));
 	}
-	finder_found(&c->finder, n_others, entered, control_now(c));
+	finder_looked_up(&c->finder, n_others, entered, control_now(c));
 }
 
 static void
@@ -111,12 +111,12 @@
 		return;
 	view.live = membership_live(c->membership);
 	view.joined = membership_phase(c->membership) != MEMBERSHIP_JOINING;
-	view.holder = places_held(c->membership);
+	view.holds_place = places_held(c->membership);
 	switch (finder_next(&c->finder, &view, now_ms)) {
-	case FINDER_ENTER:
+	case FINDER_REGISTER:
 		enter(c);
 		break;
-	case FINDER_SAMPLE:
+	case FINDER_LOOK_UP:
 		look(c);
 		break;
 	case FINDER_NONE:
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -63,12 +63,12 @@
     struct control *c, const char *instance, const struct upstream_beat *b)
 {
 	int fresh = strcmp(instances_current(&c->instances), instance) != 0;
-	uint64_t born_ms = instances_current_born_ms(&c->instances);
+	uint64_t born_ms = instances_current_started_ms(&c->instances);
 	enum status st = check(c, instance, b);
 
 	if (st != STATUS_OK)
 		return st;
-	if (instances_heard(&c->instances, instance, b->born_ms, b->seq) !=
+	if (instances_heartbeat(&c->instances, instance, b->born_ms, b->seq) !=
 	    INSTANCE_CURRENT) {
 		log_info("heartbeat %" G_GUINT64_FORMAT
 			 " of %s, started %" G_GUINT64_FORMAT
@@ -76,7 +76,7 @@
 		    b->seq, instance, b->born_ms);
 		return STATUS_OK;
 	}
-	fresh |= instances_current_born_ms(&c->instances) != born_ms;
+	fresh |= instances_current_started_ms(&c->instances) != born_ms;
 	if (fresh) {
 		log_info("%s of %s, started %" G_GUINT64_FORMAT
 			 ", at port %u is the upstream here, %u slots",
--- a/packages/spread/src/peers.c
+++ b/packages/spread/src/peers.c
@@ -97,7 +97,7 @@
 	const struct member *ranked[MEMBERSHIP_RANK_MAX];
 	uint32_t i, found;
 
-	found = membership_rank_quick(env->members, env->data_centre, key,
+	found = membership_rank_by_link(env->members, env->data_centre, key,
 	    ranked, MIN(n, MEMBERSHIP_RANK_MAX));
 	*own = PEERS_RANK_NONE;
 	for (i = 0; i < found; i++) {
--- a/test/capacity/swarm.c
+++ b/test/capacity/swarm.c
@@ -117,7 +117,7 @@
 		if (i == 0)
 			return;
 	}
-	if (membership_owns(type))
+	if (membership_handles(type))
 		membership_receive(
 		    s->members, now_ms, &from, conn, type, body, len);
 	else if (conn != 0)
--- a/test/driver/links.c
+++ b/test/driver/links.c
@@ -98,7 +98,7 @@
 
 	from = &p->w->nodes[p->from].addr;
 	now_ms = world_now_ms(p->w);
-	if (membership_owns((uint8_t)p->type))
+	if (membership_handles((uint8_t)p->type))
 		membership_receive(n->m, now_ms, from, p->conn,
 		    (uint8_t)p->type, p->body->data, p->body->len);
 	else if (p->conn == 0)
--- a/test/driver/node.c
+++ b/test/driver/node.c
@@ -130,7 +130,7 @@
 
 	if (a->kind == MEMBERSHIP_CHANGED)
 		node_take_member(n, a->host);
-	if (a->kind != MEMBERSHIP_HEARD || a->head.seq == 0)
+	if (a->kind != MEMBERSHIP_PEER_HEAD || a->head.seq == 0)
 		return;
 	memset(&head, 0, sizeof(head));
 	head.seq = a->head.seq;
