--- a/packages/membership/include/membership/finder.h
+++ b/packages/membership/include/membership/finder.h
@@ -43,25 +43,25 @@
 /**
  * struct finder - state
  * @rand: random choices
- * @looked: the directory was looked at
- * @few: looks in a row that found few others
- * @entered: the own entry is written
+ * @looked_up: the directory was looked at
+ * @few_lookups: looks in a row that found few others
+ * @registered: the own entry is written
  * @busy: a call is under way
  * @failures: failures in a row
  * @due_ms: when the next call is due; DEADLINE_NEVER
- * @most_live: most live hosts since the last look
- * @holds_ms: when a holder that has not entered itself does
+ * @peak_live: most live hosts since the last look
+ * @register_ms: when a holder that has not entered itself does
  */
 struct finder {
 	GRand *rand;
-	int looked;
-	uint32_t few;
-	int entered;
+	int looked_up;
+	uint32_t few_lookups;
+	int registered;
 	int busy;
 	uint32_t failures;
 	uint64_t due_ms;
-	uint32_t most_live;
-	uint64_t holds_ms;
+	uint32_t peak_live;
+	uint64_t register_ms;
 };
 
 /** finder_init() - a starting node */
@@ -89,11 +89,11 @@
  * finder_looked_up() - the directory was looked at
  * @f: the finder
  * @others: entries of other nodes
- * @own: the own entry was among them
+ * @own_found: the own entry was among them
  * @now_ms: monotonic time
  */
-void
-finder_looked_up(struct finder *f, uint32_t others, int own, uint64_t now_ms);
+void finder_looked_up(
+    struct finder *f, uint32_t others, int own_found, uint64_t now_ms);
 
 /** finder_failed() - a call has failed */
 void finder_failed(struct finder *f, uint64_t now_ms);
--- a/packages/membership/include/membership/instances.h
+++ b/packages/membership/include/membership/instances.h
@@ -30,17 +30,17 @@
 /**
  * struct instance - one run
  * @id: its name; empty for an unused place
- * @born_ms: when it started, by the clock of its upstream, 0 when not told;
+ * @started_ms: when it started, by the clock of its upstream, 0 when not told;
  *	only compared with others of the same upstream
  * @seq: highest number heard
- * @heard: heartbeats heard since another run took its place
+ * @heartbeats: heartbeats heard since another run took its place
  * @left: it said that it leaves
  */
 struct instance {
 	char id[INSTANCE_BYTES];
-	uint64_t born_ms;
+	uint64_t started_ms;
 	uint64_t seq;
-	uint32_t heard;
+	uint32_t heartbeats;
 	int left;
 };
 
@@ -61,24 +61,24 @@
  * instances_heartbeat() - a heartbeat came
  * @s: the runs
  * @id: name of the run
- * @born_ms: when the run started, 0 when not told
+ * @started_ms: when the run started, 0 when not told
  * @seq: number of the heartbeat, which rises with each of a run
  *
  * A later start under a known name is a new run: its numbers begin anew, and
  * that the earlier one left says nothing of it.
  */
 enum instance_verdict instances_heartbeat(
-    struct instances *s, const char *id, uint64_t born_ms, uint64_t seq);
+    struct instances *s, const char *id, uint64_t started_ms, uint64_t seq);
 
 /**
  * instances_left() - a run said that it leaves
  * @s: the runs
  * @id: name of the run
- * @born_ms: when the run started, 0 when not told
+ * @started_ms: when the run started, 0 when not told
  *
  * Return: 1 when it is the one that counted, else 0.
  */
-int instances_left(struct instances *s, const char *id, uint64_t born_ms);
+int instances_left(struct instances *s, const char *id, uint64_t started_ms);
 
 /** instances_current() - name of the run that counts, or "" */
 const char *instances_current(const struct instances *s);
@@ -87,10 +87,10 @@
  * instances_is_latest() - whether a run counts, or counted until it left
  * @s: the runs
  * @id: its name
- * @born_ms: when it started; 0 when not told
+ * @started_ms: when it started; 0 when not told
  */
 int instances_is_latest(
-    const struct instances *s, const char *id, uint64_t born_ms);
+    const struct instances *s, const char *id, uint64_t started_ms);
 
 /** instances_current_started_ms() - when that run started; 0 when not told */
 uint64_t instances_current_started_ms(const struct instances *s);
--- a/packages/membership/include/membership/membership.h
+++ b/packages/membership/include/membership/membership.h
@@ -395,8 +395,8 @@
 membership_rank_by_link(const struct membership *m, const char *data_centre,
     const char *key, const struct member **ranked, uint32_t n);
 
-/** membership_score_quick() - what membership_rank_by_link() ranks by */
-uint64_t membership_score_quick(const char *key, const struct member *mb);
+/** membership_score_by_link() - what membership_rank_by_link() ranks by */
+uint64_t membership_score_by_link(const char *key, const struct member *mb);
 
 /** MEMBERSHIP_RANK_MAX - most members that membership_rank() gives */
 #define MEMBERSHIP_RANK_MAX 16
@@ -405,14 +405,14 @@
  * struct membership_data_centre - sums over a data centre
  * @name: its name; valid as long as the membership
  * @live: hosts alive or suspect
- * @gone: tombstones
+ * @tombstones: tombstones
  * @heard_ms: monotonic time at which this node or, through the relays, its
  *	data centre last heard from there; 0 for never
  */
 struct membership_data_centre {
 	const char *name;
 	uint32_t live;
-	uint32_t gone;
+	uint32_t tombstones;
 	uint64_t heard_ms;
 };
 
--- a/packages/membership/src/action.c
+++ b/packages/membership/src/action.c
@@ -32,11 +32,11 @@
 }
 
 void
-action_changed(struct membership *m, struct row *r, int abroad)
+action_changed(struct membership *m, struct row *r, int replicate)
 {
 	m->table.change++;
-	r->known_ms = m->now_ms;
-	if (abroad) {
+	r->changed_ms = m->now_ms;
+	if (replicate) {
 		r->change = m->table.change;
 		r->dc->change = m->table.change;
 	}
@@ -55,7 +55,7 @@
 }
 
 void
-action_heard(struct membership *m, const char *host,
+action_peer_head(struct membership *m, const char *host,
     const struct net_addr *addr, const struct rec_gossip_head *head)
 {
 	struct queued_action *q = queue(m, MEMBERSHIP_PEER_HEAD, host);
--- a/packages/membership/src/claim.c
+++ b/packages/membership/src/claim.c
@@ -36,16 +36,16 @@
 
 /* Whether another process was there before this one. */
 static int
-was_first(const struct membership *m, int its_serving, uint64_t its_start_ms,
-    const struct net_addr *its_addr)
+takes_precedence(const struct membership *m, int rival_serving,
+    uint64_t rival_started_ms, const struct net_addr *rival_addr)
 {
 	const struct member *own = &m->self->member;
 
-	if (its_serving != serving(m))
-		return its_serving;
-	if (its_start_ms != own->started_ms)
-		return its_start_ms < own->started_ms;
-	return addr_key(its_addr) < addr_key(&own->address);
+	if (rival_serving != serving(m))
+		return rival_serving;
+	if (rival_started_ms != own->started_ms)
+		return rival_started_ms < own->started_ms;
+	return addr_key(rival_addr) < addr_key(&own->address);
 }
 
 static void
@@ -67,8 +67,8 @@
 }
 
 static void
-begin(struct membership *m, int same_name, const char *rival,
-    const struct net_addr *addr, uint64_t above)
+start_claim(struct membership *m, int same_name, const char *rival,
+    const struct net_addr *addr, uint64_t rival_incarnation)
 {
 	struct claim_state *c = &m->claim;
 
@@ -78,22 +78,22 @@
 	c->same_name = same_name;
 	(void)g_strlcpy(c->rival, rival, sizeof(c->rival));
 	c->addr = *addr;
-	c->above = above;
+	c->rival_incarnation = rival_incarnation;
 	c->nonce = (uint64_t)g_rand_int(m->rand) << 32 | g_rand_int(m->rand);
-	c->tries = CLAIM_TRIES - 1;
+	c->tries_left = CLAIM_TRIES - 1;
 	c->deadline_ms = m->now_ms + CLAIM_ANSWER_MS;
 	send_claim(m, addr, c->nonce);
 }
 
 static void
-warn(struct membership *m, const char *host, const struct net_addr *addr,
-    int same_name)
+warn_operators(struct membership *m, const char *host,
+    const struct net_addr *addr, int same_name)
 {
 	char text[ADDR_TEXT_BYTES];
 
-	if (m->now_ms < m->claim.warn_ms)
+	if (m->now_ms < m->claim.next_warning_ms)
 		return;
-	m->claim.warn_ms = m->now_ms + WARN_INTERVAL_MS;
+	m->claim.next_warning_ms = m->now_ms + WARN_INTERVAL_MS;
 	(void)addr_format(addr, text);
 	if (same_name)
 		action_warning(m, host, addr,
@@ -109,28 +109,28 @@
 
 /* Another live process was there first: don't serve. */
 static void
-give_way(struct membership *m, const char *host, const struct net_addr *addr,
-    int same_name)
+enter_conflict(struct membership *m, const char *host,
+    const struct net_addr *addr, int same_name)
 {
 	m->claim.active = 0;
 	m->claim.same_name = same_name;
 	(void)g_strlcpy(m->claim.rival, host, sizeof(m->claim.rival));
 	m->claim.addr = *addr;
-	m->claim.again_ms = m->now_ms + CONFLICT_INTERVAL_MS;
-	warn(m, host, addr, same_name);
+	m->claim.recheck_ms = m->now_ms + CONFLICT_INTERVAL_MS;
+	warn_operators(m, host, addr, same_name);
 	news_clear(m);
 	action_phase(m, MEMBERSHIP_CONFLICT);
 }
 
 /* Nobody else is there. */
 static void
-go_on(struct membership *m)
+end_uncontested(struct membership *m)
 {
 	struct claim_state *c = &m->claim;
 
 	c->active = 0;
-	if (c->same_name && c->above >= m->self->member.incarnation)
-		merge_succeed(m, c->above);
+	if (c->same_name && c->rival_incarnation >= m->self->member.incarnation)
+		merge_supersede(m, c->rival_incarnation);
 	if (m->phase == MEMBERSHIP_CONFLICT)
 		join_start(m);
 }
@@ -144,20 +144,20 @@
 		return;
 	if (rec->state >= MEMBER_FAILED) {
 		if (rec->incarnation >= m->self->member.incarnation)
-			merge_succeed(m, rec->incarnation);
+			merge_supersede(m, rec->incarnation);
 		return;
 	}
-	if (was_first(m, 1, rec->started_ms, &addr)) {
-		begin(m, 1, rec->host, &addr, rec->incarnation);
+	if (takes_precedence(m, 1, rec->started_ms, &addr)) {
+		start_claim(m, 1, rec->host, &addr, rec->incarnation);
 		return;
 	}
-	if (m->now_ms < m->claim.warn_ms)
+	if (m->now_ms < m->claim.next_warning_ms)
 		return;
 	/* The other one started later: let it know, and stay. */
-	warn(m, rec->host, &addr, 1);
+	warn_operators(m, rec->host, &addr, 1);
 	send_claim(m, &addr, 0);
 	if (rec->incarnation >= m->self->member.incarnation)
-		merge_succeed(m, rec->incarnation);
+		merge_supersede(m, rec->incarnation);
 }
 
 int
@@ -175,26 +175,26 @@
 		r = p;
 		if (r == m->self || !member_is_live(&r->member) ||
 		    !addr_equal(&r->member.address, own) ||
-		    m->now_ms < m->claim.again_ms)
+		    m->now_ms < m->claim.recheck_ms)
 			continue;
-		m->claim.again_ms = m->now_ms + CONFLICT_INTERVAL_MS;
-		begin(m, 0, r->member.host, own, 0);
+		m->claim.recheck_ms = m->now_ms + CONFLICT_INTERVAL_MS;
+		start_claim(m, 0, r->member.host, own, 0);
 		return 1;
 	}
 	return 0;
 }
 
 void
-claim_look(struct membership *m, const struct rec_member *rec)
+claim_check_address(struct membership *m, const struct rec_member *rec)
 {
 	const struct net_addr *own = &m->self->member.address;
 	struct net_addr addr = record_addr(rec);
 
 	if (!addr_equal(&addr, own) || m->phase == MEMBERSHIP_CONFLICT ||
-	    m->phase >= MEMBERSHIP_LEAVING || m->now_ms < m->claim.again_ms)
+	    m->phase >= MEMBERSHIP_LEAVING || m->now_ms < m->claim.recheck_ms)
 		return;
-	m->claim.again_ms = m->now_ms + CONFLICT_INTERVAL_MS;
-	begin(m, 0, rec->host, own, 0);
+	m->claim.recheck_ms = m->now_ms + CONFLICT_INTERVAL_MS;
+	start_claim(m, 0, rec->host, own, 0);
 }
 
 void
@@ -203,18 +203,19 @@
 	struct claim_state *c = &m->claim;
 
 	if (m->phase == MEMBERSHIP_CONFLICT && !c->active &&
-	    m->now_ms >= c->again_ms) {
-		c->again_ms = m->now_ms + CONFLICT_INTERVAL_MS;
-		begin(m, c->same_name, c->rival, &c->addr, c->above);
+	    m->now_ms >= c->recheck_ms) {
+		c->recheck_ms = m->now_ms + CONFLICT_INTERVAL_MS;
+		start_claim(
+		    m, c->same_name, c->rival, &c->addr, c->rival_incarnation);
 		return;
 	}
 	if (!c->active || m->now_ms < c->deadline_ms)
 		return;
-	if (c->tries == 0) {
-		go_on(m);
+	if (c->tries_left == 0) {
+		end_uncontested(m);
 		return;
 	}
-	c->tries--;
+	c->tries_left--;
 	c->deadline_ms = m->now_ms + CLAIM_ANSWER_MS;
 	send_claim(m, &c->addr, c->nonce);
 }
@@ -225,7 +226,7 @@
 	if (m->claim.active)
 		return m->claim.deadline_ms;
 	if (m->phase == MEMBERSHIP_CONFLICT)
-		return m->claim.again_ms;
+		return m->claim.recheck_ms;
 	return DEADLINE_NEVER;
 }
 
@@ -270,7 +271,7 @@
 		return;
 	}
 	if (is_echo(m, &msg)) {
-		go_on(m);
+		end_uncontested(m);
 		return;
 	}
 	/* One that gave way contests nothing. */
@@ -279,14 +280,15 @@
 	addr.ip = msg.ip;
 	addr.port = msg.port;
 	same_name = strcmp(msg.host, m->settings.host) == 0;
-	if (same_name && was_first(m, msg.serving, msg.started_ms, &addr)) {
-		give_way(m, msg.host, &addr, 1);
+	if (same_name &&
+	    takes_precedence(m, msg.serving, msg.started_ms, &addr)) {
+		enter_conflict(m, msg.host, &addr, 1);
 		return;
 	}
 	if (msg.nonce != 0)
 		send_answer(m, from, msg.nonce);
 	if (same_name || addr_equal(&addr, &m->self->member.address))
-		warn(m, msg.host, &addr, same_name);
+		warn_operators(m, msg.host, &addr, same_name);
 }
 
 void
@@ -306,13 +308,13 @@
 	addr.port = msg.port;
 	if (!c->same_name) {
 		/* Whoever answers there holds the address. */
-		give_way(m, msg.host, &c->addr, 0);
+		enter_conflict(m, msg.host, &c->addr, 0);
 		return;
 	}
 	if (strcmp(msg.host, m->settings.host) != 0 ||
-	    !was_first(m, msg.serving, msg.started_ms, &addr)) {
-		go_on(m);
+	    !takes_precedence(m, msg.serving, msg.started_ms, &addr)) {
+		end_uncontested(m);
 		return;
 	}
-	give_way(m, msg.host, &addr, 1);
+	enter_conflict(m, msg.host, &addr, 1);
 }
--- a/packages/membership/src/claim.h
+++ b/packages/membership/src/claim.h
@@ -16,7 +16,7 @@
 int claim_same_address(struct membership *m);
 
 /* A live host's record came; it may have the own address. */
-void claim_look(struct membership *m, const struct rec_member *rec);
+void claim_check_address(struct membership *m, const struct rec_member *rec);
 
 void claim_tick(struct membership *m);
 
--- a/packages/membership/src/finder.c
+++ b/packages/membership/src/finder.c
@@ -13,10 +13,10 @@
 #define BACKOFF_SHIFT_MAX 5
 
 /* A node that is alone looks again within this. */
-#define ALONE_MS 1000
+#define ALONE_INTERVAL_MS 1000
 
 /* A node with peers looks whether it should, without a call. */
-#define CHECK_MS 1000
+#define CHECK_INTERVAL_MS 1000
 
 /* Hosts are taken for lost together when less than this share is left. */
 #define LOST_PERCENT 50
@@ -25,26 +25,26 @@
 /* Hosts that start together for the first time find nobody.  One of so many
  * enters itself at once; the others look again, each at its own moment within
  * this time, and then most need not. */
-#define FEW_ENTERS_ONE_OF 4
-#define FEW_AGAIN_MS 600
-#define FEW_ENOUGH 2
+#define FEW_REGISTER_ONE_IN 4
+#define FEW_RETRY_MS 600
+#define FEW_LOOKUPS 2
 
 /* A place changes its holder after this: a host that is restarted is back
  * sooner, and is found at its address of before. */
-#define HOLD_AFTER_MS 10000
+#define HOLDER_DELAY_MS 10000
 
 void
 finder_init(struct finder *f, uint64_t seed, uint64_t now_ms)
 {
 	f->rand = g_rand_new_with_seed((guint32)(seed ^ seed >> 32));
-	f->looked = 0;
-	f->few = 0;
-	f->entered = 0;
+	f->looked_up = 0;
+	f->few_lookups = 0;
+	f->registered = 0;
 	f->busy = 0;
 	f->failures = 0;
 	f->due_ms = now_ms;
-	f->most_live = 0;
-	f->holds_ms = DEADLINE_NEVER;
+	f->peak_live = 0;
+	f->register_ms = DEADLINE_NEVER;
 }
 
 void
@@ -56,50 +56,50 @@
 }
 
 static uint64_t
-within(struct finder *f, uint64_t most_ms)
+random_ms(struct finder *f, uint64_t most_ms)
 {
 	return (uint64_t)g_rand_int_range(f->rand, 0, (gint32)most_ms + 1);
 }
 
 static int
-wants_peers(struct finder *f, const struct finder_view *view)
+needs_peers(struct finder *f, const struct finder_view *view)
 {
 	if (!view->joined)
 		return 1;
-	f->most_live = MAX(f->most_live, view->live);
+	f->peak_live = MAX(f->peak_live, view->live);
 	return view->live <= 1 ||
-	    view->live * PERCENT < f->most_live * LOST_PERCENT;
+	    view->live * PERCENT < f->peak_live * LOST_PERCENT;
 }
 
 /* Whether this node holds its place for long and is not entered there. */
 static int
-takes_place(struct finder *f, const struct finder_view *view, uint64_t now_ms)
+must_register(struct finder *f, const struct finder_view *view, uint64_t now_ms)
 {
 	if (!view->holds_place) {
-		f->entered = 0;
-		f->holds_ms = DEADLINE_NEVER;
+		f->registered = 0;
+		f->register_ms = DEADLINE_NEVER;
 		return 0;
 	}
-	if (f->holds_ms == DEADLINE_NEVER)
-		f->holds_ms = now_ms + HOLD_AFTER_MS;
-	return !f->entered && now_ms >= f->holds_ms;
+	if (f->register_ms == DEADLINE_NEVER)
+		f->register_ms = now_ms + HOLDER_DELAY_MS;
+	return !f->registered && now_ms >= f->register_ms;
 }
 
 static int
-looks_again(const struct finder *f)
+must_retry(const struct finder *f)
 {
-	return f->few > 0 && f->few < FEW_ENOUGH;
+	return f->few_lookups > 0 && f->few_lookups < FEW_LOOKUPS;
 }
 
 static enum finder_action
 choose(struct finder *f, const struct finder_view *view, uint64_t now_ms)
 {
-	if (!f->looked)
+	if (!f->looked_up)
 		return FINDER_LOOK_UP;
-	if (wants_peers(f, view))
-		return f->entered || looks_again(f) ? FINDER_LOOK_UP
-						    : FINDER_REGISTER;
-	if (takes_place(f, view, now_ms))
+	if (needs_peers(f, view))
+		return f->registered || must_retry(f) ? FINDER_LOOK_UP
+						      : FINDER_REGISTER;
+	if (must_register(f, view, now_ms))
 		return FINDER_REGISTER;
 	return FINDER_NONE;
 }
@@ -114,7 +114,7 @@
 	a = choose(f, view, now_ms);
 	f->busy = a != FINDER_NONE;
 	if (a == FINDER_NONE)
-		f->due_ms = now_ms + CHECK_MS;
+		f->due_ms = now_ms + CHECK_INTERVAL_MS;
 	return a;
 }
 
@@ -126,7 +126,7 @@
 
 	f->busy = 0;
 	f->failures++;
-	f->due_ms = now_ms + within(f, MIN(most, BACKOFF_CAP_MS));
+	f->due_ms = now_ms + random_ms(f, MIN(most, BACKOFF_CAP_MS));
 }
 
 void
@@ -134,26 +134,29 @@
 {
 	f->busy = 0;
 	f->failures = 0;
-	f->entered = 1;
-	f->due_ms = now_ms + ALONE_MS / 2 + within(f, ALONE_MS / 2);
+	f->registered = 1;
+	f->due_ms = now_ms + ALONE_INTERVAL_MS / 2 +
+	    random_ms(f, ALONE_INTERVAL_MS / 2);
 }
 
 void
-finder_looked_up(struct finder *f, uint32_t others, int own, uint64_t now_ms)
+finder_looked_up(
+    struct finder *f, uint32_t others, int own_found, uint64_t now_ms)
 {
 	f->busy = 0;
 	f->failures = 0;
-	f->looked = 1;
-	f->entered |= own;
-	f->most_live = 0;
-	f->few = others < FINDER_MIN_OTHERS ? f->few + 1 : 0;
-	if (f->few > 0 && within(f, FEW_ENTERS_ONE_OF - 1) == 0)
-		f->few = FEW_ENOUGH;
+	f->looked_up = 1;
+	f->registered |= own_found;
+	f->peak_live = 0;
+	f->few_lookups = others < FINDER_MIN_OTHERS ? f->few_lookups + 1 : 0;
+	if (f->few_lookups > 0 && random_ms(f, FEW_REGISTER_ONE_IN - 1) == 0)
+		f->few_lookups = FEW_LOOKUPS;
 	f->due_ms = now_ms;
-	if (looks_again(f))
-		f->due_ms += within(f, FEW_AGAIN_MS);
-	else if (f->few == 0 || f->entered)
-		f->due_ms += ALONE_MS / 2 + within(f, ALONE_MS / 2);
+	if (must_retry(f))
+		f->due_ms += random_ms(f, FEW_RETRY_MS);
+	else if (f->few_lookups == 0 || f->registered)
+		f->due_ms +=
+		    ALONE_INTERVAL_MS / 2 + random_ms(f, ALONE_INTERVAL_MS / 2);
 }
 
 uint64_t
--- a/packages/membership/src/instances.c
+++ b/packages/membership/src/instances.c
@@ -11,7 +11,7 @@
  * A run that was replaced counts again once it is heard this often: then it
  * lives, and what replaced it was late news.
  */
-#define BACK_AFTER 2
+#define RESUME_HEARTBEATS 2
 
 void
 instances_init(struct instances *s)
@@ -32,21 +32,21 @@
 
 /* Moves a run to the front; the others keep their order. */
 static void
-to_front(struct instances *s, int i)
+make_current(struct instances *s, int i)
 {
 	struct instance run = s->runs[i];
 
 	memmove(&s->runs[1], &s->runs[0], (size_t)i * sizeof(run));
 	s->runs[0] = run;
 	/* Counted from now on for the one that was replaced. */
-	s->runs[1].heard = 0;
+	s->runs[1].heartbeats = 0;
 }
 
 /* A run that begins here, in the place of the one at @i. */
 static void
-begin(struct instances *s, int i, const char *id, uint64_t born_ms)
+init_run(struct instances *s, int i, const char *id, uint64_t started_ms)
 {
-	struct instance run = {.born_ms = born_ms};
+	struct instance run = {.started_ms = started_ms};
 
 	(void)g_strlcpy(run.id, id, sizeof(run.id));
 	s->runs[i] = run;
@@ -54,76 +54,76 @@
 
 /* Whether one start is known to be later than another. */
 static int
-is_later(uint64_t a_born_ms, uint64_t b_born_ms)
+is_later(uint64_t a_ms, uint64_t b_ms)
 {
-	return b_born_ms != 0 && a_born_ms > b_born_ms;
+	return b_ms != 0 && a_ms > b_ms;
 }
 
 static int
-is_earlier(uint64_t a_born_ms, uint64_t b_born_ms)
+is_earlier(uint64_t a_ms, uint64_t b_ms)
 {
-	return a_born_ms != 0 && a_born_ms < b_born_ms;
+	return a_ms != 0 && a_ms < b_ms;
 }
 
 /* A run that is new here; the one at @i is forgotten for it. */
 static enum instance_verdict
-take_new(
-    struct instances *s, int i, const char *id, uint64_t born_ms, uint64_t seq)
+add_run(struct instances *s, int i, const char *id, uint64_t started_ms,
+    uint64_t seq)
 {
-	begin(s, i, id, born_ms);
+	init_run(s, i, id, started_ms);
 	s->runs[i].seq = seq;
-	to_front(s, i);
+	make_current(s, i);
 	s->has_current = 1;
 	return INSTANCE_CURRENT;
 }
 
 enum instance_verdict
 instances_heartbeat(
-    struct instances *s, const char *id, uint64_t born_ms, uint64_t seq)
+    struct instances *s, const char *id, uint64_t started_ms, uint64_t seq)
 {
 	int i = id[0] != '\0' ? find(s, id) : -1;
 	struct instance *run;
 
 	if (id[0] == '\0')
 		return INSTANCE_STALE;
-	if (i < 0 && is_earlier(born_ms, instances_current_started_ms(s)))
+	if (i < 0 && is_earlier(started_ms, instances_current_started_ms(s)))
 		return INSTANCE_STALE;
 	if (i < 0)
-		return take_new(s, INSTANCES_MAX - 1, id, born_ms, seq);
+		return add_run(s, INSTANCES_MAX - 1, id, started_ms, seq);
 	run = &s->runs[i];
-	if (is_later(born_ms, run->born_ms))
-		return take_new(s, i, id, born_ms, seq);
-	if (is_earlier(born_ms, run->born_ms))
+	if (is_later(started_ms, run->started_ms))
+		return add_run(s, i, id, started_ms, seq);
+	if (is_earlier(started_ms, run->started_ms))
 		return INSTANCE_STALE;
-	run->born_ms = MAX(run->born_ms, born_ms);
+	run->started_ms = MAX(run->started_ms, started_ms);
 	if (run->left || seq < run->seq)
 		return INSTANCE_STALE;
-	run->heard += seq > run->seq;
+	run->heartbeats += seq > run->seq;
 	run->seq = seq;
 	if (i == 0 && s->has_current)
 		return INSTANCE_CURRENT;
-	if (run->heard < BACK_AFTER)
+	if (run->heartbeats < RESUME_HEARTBEATS)
 		return INSTANCE_STALE;
-	to_front(s, i);
+	make_current(s, i);
 	s->has_current = 1;
 	return INSTANCE_CURRENT;
 }
 
 int
-instances_left(struct instances *s, const char *id, uint64_t born_ms)
+instances_left(struct instances *s, const char *id, uint64_t started_ms)
 {
 	int i = id[0] != '\0' ? find(s, id) : -1;
 
 	if (id[0] == '\0')
 		return 0;
-	if (i >= 0 && is_earlier(born_ms, s->runs[i].born_ms))
+	if (i >= 0 && is_earlier(started_ms, s->runs[i].started_ms))
 		return 0;
 	if (i < 0) {
 		/* Never heard here: remembered, so that late news is known. */
 		i = INSTANCES_MAX - 1;
-		begin(s, i, id, born_ms);
+		init_run(s, i, id, started_ms);
 	}
-	s->runs[i].born_ms = MAX(s->runs[i].born_ms, born_ms);
+	s->runs[i].started_ms = MAX(s->runs[i].started_ms, started_ms);
 	s->runs[i].left = 1;
 	if (i != 0 || !s->has_current)
 		return 0;
@@ -140,14 +140,15 @@
 uint64_t
 instances_current_started_ms(const struct instances *s)
 {
-	return s->has_current ? s->runs[0].born_ms : 0;
+	return s->has_current ? s->runs[0].started_ms : 0;
 }
 
 int
-instances_is_latest(const struct instances *s, const char *id, uint64_t born_ms)
+instances_is_latest(
+    const struct instances *s, const char *id, uint64_t started_ms)
 {
 	const struct instance *run = &s->runs[0];
 
 	return id[0] != '\0' && strcmp(run->id, id) == 0 &&
-	    !is_later(born_ms, run->born_ms);
+	    !is_later(started_ms, run->started_ms);
 }
--- a/packages/membership/src/internal.h
+++ b/packages/membership/src/internal.h
@@ -27,8 +27,8 @@
  * struct row - a member with what is not for the eyes of others
  * @member: the public part; first, so that it may be cast back
  * @dc: its data centre
- * @until_ms: end of the suspicion or of the tombstone; DEADLINE_NEVER else
- * @known_ms: when the record last changed
+ * @expires_ms: end of the suspicion or of the tombstone; DEADLINE_NEVER else
+ * @changed_ms: when the record last changed
  * @change: table's change number of the last change to be told abroad
  * @news: place in the queue of news, or NULL
  * @slot: index in the rows of its data centre
@@ -43,10 +43,10 @@
 struct row {
 	struct member member;
 	struct dc *dc;
-	uint64_t until_ms;
-	uint64_t known_ms;
+	uint64_t expires_ms;
+	uint64_t changed_ms;
 	uint64_t change;
-	GList *news;
+	GList *news_link;
 	uint32_t slot;
 	uint32_t accusers[ACCUSERS_MAX];
 	uint8_t n_accusers;
@@ -67,9 +67,9 @@
  * @change: highest change number of its rows
  * @heard_ms: when something was last heard from there
  * @relay: whether this node exchanges with it
- * @relay_place: own place among the relays, from 0
+ * @relay_rank: own place among the relays, from 0
  * @relay_next_ms: next probe of the peer there
- * @relay_sent: change number up to which changes were told there
+ * @relay_sent_change: change number up to which changes were told there
  * @relay_misses: probes since the last answer; picks the peer there
  * @relay_seq: sequence of the last probe
  */
@@ -83,9 +83,9 @@
 	uint64_t change;
 	uint64_t heard_ms;
 	int relay;
-	uint32_t relay_place;
+	uint32_t relay_rank;
 	uint64_t relay_next_ms;
-	uint64_t relay_sent;
+	uint64_t relay_sent_change;
 	uint32_t relay_misses;
 	uint32_t relay_seq;
 };
@@ -98,11 +98,11 @@
  * @live: number of live hosts
  * @root: digest of all data centres
  * @change: rises with each change
- * @timed: rows whose until_ms is not DEADLINE_NEVER
+ * @timed: rows whose expires_ms is not DEADLINE_NEVER
  */
 struct table {
 	GHashTable *hosts;
-	GStringChunk *services;
+	GStringChunk *strings;
 	GPtrArray *dcs;
 	uint32_t live;
 	uint64_t root;
@@ -115,14 +115,14 @@
  * @urgent: drains, leaves and the own record
  * @normal: the others
  * @next_ms: next round
- * @allowance_bytes: bytes that may be sent now
+ * @budget_bytes: bytes that may be sent now
  * @refilled_ms: when the allowance was last raised
  */
 struct news_queue {
 	GQueue urgent;
 	GQueue normal;
 	uint64_t next_ms;
-	int64_t allowance_bytes;
+	int64_t budget_bytes;
 	uint64_t refilled_ms;
 };
 
@@ -131,59 +131,59 @@
  * @seq: sequence number
  * @host: host that is probed
  * @rounds: times that others were asked to probe it too
- * @began_ms: when it was sent
+ * @start_ms: when it was sent
  * @deadline_ms: end of this step
  */
 struct probe {
 	uint32_t seq;
 	char host[MEMBER_NAME_BYTES];
 	uint32_t rounds;
-	uint64_t began_ms;
+	uint64_t start_ms;
 	uint64_t deadline_ms;
 };
 
 /**
- * struct passed_probe - a probe made for another node
+ * struct indirect_probe - a probe made for another node
  * @seq: own sequence number
- * @asker_seq: sequence number of the node that asked
- * @asker: its address
+ * @requester_seq: sequence number of the node that asked
+ * @requester: its address
  * @deadline_ms: when to forget it
  */
-struct passed_probe {
+struct indirect_probe {
 	uint32_t seq;
-	uint32_t asker_seq;
-	struct net_addr asker;
+	uint32_t requester_seq;
+	struct net_addr requester;
 	uint64_t deadline_ms;
 };
 
 /**
  * struct prober - probing of the own data centre
  * @probes: struct probe
- * @passed: struct passed_probe
+ * @indirect: struct indirect_probe
  * @seq: last sequence number
  * @cursor: next row of the own data centre
  * @next_ms: next probe
  * @reconnect_ms: next probe of a seed or failed host
- * @heard_ms: when the last message of anybody came
- * @doubt: failed probes during which nothing was heard, less answered ones,
- *	kept within bounds: how far this node must suspect itself
+ * @received_ms: when the last message of anybody came
+ * @health_score: failed probes during which nothing was heard, less answered
+ *ones, kept within bounds: how far this node must suspect itself
  * @misses: failed probes in a row
- * @hints: probes of unconfirmed hosts that may still be sent before
- *	@hints_ms
- * @hints_ms: when @hints is raised again
+ * @verify_left: probes of unconfirmed hosts that may still be sent before
+ *	@verify_refill_ms
+ * @verify_refill_ms: when @verify_left is raised again
  */
 struct prober {
 	GArray *probes;
-	GArray *passed;
+	GArray *indirect;
 	uint32_t seq;
 	uint32_t cursor;
 	uint64_t next_ms;
 	uint64_t reconnect_ms;
-	uint64_t heard_ms;
-	uint32_t doubt;
+	uint64_t received_ms;
+	uint32_t health_score;
 	uint32_t misses;
-	uint32_t hints;
-	uint64_t hints_ms;
+	uint32_t verify_left;
+	uint64_t verify_refill_ms;
 };
 
 /**
@@ -204,11 +204,11 @@
  * @cursor: part that is awaited
  * @deadline_ms: until when it is awaited, or when to ask next
  * @attempts: failures in a row, for the back-off
- * @began_ms: when the joining began
+ * @start_ms: when the joining began
  * @bootstrap_ms: when to go on without a peer that holds the table
  * @unjoined: answers in a row of peers that hold no table themselves
- * @silent: peers in a row that did not answer in time
- * @seed: the own address is among the seeds
+ * @timeouts: peers in a row that did not answer in time
+ * @is_seed: the own address is among the seeds
  * @own_only: only the own data centre's part is wanted
  * @complete: the table is here
  */
@@ -219,11 +219,11 @@
 	uint32_t cursor;
 	uint64_t deadline_ms;
 	uint32_t attempts;
-	uint64_t began_ms;
+	uint64_t start_ms;
 	uint64_t bootstrap_ms;
 	uint32_t unjoined;
-	uint32_t silent;
-	int seed;
+	uint32_t timeouts;
+	int is_seed;
 	int own_only;
 	int complete;
 };
@@ -255,14 +255,14 @@
 
 /**
  * struct settling - comparing tables after the start
- * @until_ms: when it ends at the latest
+ * @end_ms: when it ends at the latest
  * @next_ms: next comparison
- * @same: comparisons in a row that found nothing
+ * @n_equal: comparisons in a row that found nothing
  */
 struct settling {
-	uint64_t until_ms;
+	uint64_t end_ms;
 	uint64_t next_ms;
-	uint32_t same;
+	uint32_t n_equal;
 };
 
 /**
@@ -271,24 +271,24 @@
  * @same_name: the rival has the own name; else the own address
  * @rival: name of the rival
  * @addr: address that the rival is said to have
- * @above: incarnation of the rival's record
+ * @rival_incarnation: incarnation of the rival's record
  * @nonce: of the claims sent
- * @tries: claims left to send
+ * @tries_left: claims left to send
  * @deadline_ms: next claim, or end of the wait
- * @warn_ms: no warning again before this
- * @again_ms: in conflict, when to look again
+ * @next_warning_ms: no warning again before this
+ * @recheck_ms: in conflict, when to look again
  */
 struct claim_state {
 	int active;
 	int same_name;
 	char rival[MEMBER_NAME_BYTES];
 	struct net_addr addr;
-	uint64_t above;
+	uint64_t rival_incarnation;
 	uint64_t nonce;
-	uint32_t tries;
+	uint32_t tries_left;
 	uint64_t deadline_ms;
-	uint64_t warn_ms;
-	uint64_t again_ms;
+	uint64_t next_warning_ms;
+	uint64_t recheck_ms;
 };
 
 /**
@@ -300,7 +300,7 @@
  * @state: its state
  * @revision: its revision
  * @lease_ms: by when it is to be announced again
- * @gone_ms: when a lapsed one is taken to have left
+ * @leave_ms: when a lapsed one is taken to have left
  * @drop_ms: when one that has left is dropped from the record
  * @version: version of its software, or empty
  */
@@ -312,7 +312,7 @@
 	enum endpoint_state state;
 	uint32_t revision;
 	uint64_t lease_ms;
-	uint64_t gone_ms;
+	uint64_t leave_ms;
 	uint64_t drop_ms;
 	char version[MEMBER_NAME_BYTES];
 };
@@ -320,14 +320,14 @@
 /**
  * struct known - newest version that the platform is known to have accepted
  * @own: that this node read itself, 0 for none
- * @heard: that peers told of, 0 for none
- * @until_ms: when @heard lapses
+ * @reported: that peers told of, 0 for none
+ * @expires_ms: when @reported lapses
  * @pushed: highest that a few others were told of at once
  */
 struct known {
 	uint64_t own;
-	uint64_t heard;
-	uint64_t until_ms;
+	uint64_t reported;
+	uint64_t expires_ms;
 	uint64_t pushed;
 };
 
@@ -345,13 +345,13 @@
  * @self: own row
  * @home: own data centre
  * @table: all hosts
- * @timed_ms: next look at @table.timed
+ * @next_expiry_ms: next look at @table.timed
  * @relays_change: @home's live_change at the last ranking of relays
  * @relays_dcs: number of data centres at the last ranking of relays
- * @relays_ms: next look at the relays
+ * @relays_check_ms: next look at the relays
  * @sync_ms: no anti-entropy exchange is begun before this
  * @mismatches: differing digests heard in a row since @sync_ms
- * @quiet: a table is being taken in; its rows are no news to others
+ * @suppress_news: a table is being taken in; its rows are no news to others
  * @actions: struct queued_action
  * @head: carried by probes
  * @known: carried with it
@@ -369,10 +369,10 @@
 	struct row *self;
 	struct dc *home;
 	struct table table;
-	uint64_t timed_ms;
+	uint64_t next_expiry_ms;
 	uint64_t relays_change;
 	uint32_t relays_dcs;
-	uint64_t relays_ms;
+	uint64_t relays_check_ms;
 	uint64_t sync_ms;
 	uint32_t mismatches;
 	struct news_queue news;
@@ -382,7 +382,7 @@
 	struct settling settling;
 	struct claim_state claim;
 	GArray *own;
-	int quiet;
+	int suppress_news;
 	GQueue actions;
 	struct rec_gossip_head head;
 	struct known known;
--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -22,14 +22,14 @@
 #include "suspicion.h"
 
 /* An answer that takes longer is given up. */
-#define ANSWER_MS 2000
+#define RESPONSE_MS 2000
 
 /* So is a first one: the peer may be gone and its host silent, and others can
  * be asked.  While hosts start together many have no power yet when they are
  * asked, so the wait is short at first: some ten round trips inside a region,
  * doubled with each silent peer for those that are far or slow. */
-#define FIRST_ANSWER_MS 100
-#define SILENT_SHIFT_MAX 2
+#define FIRST_RESPONSE_MS 100
+#define TIMEOUT_SHIFT_MAX 2
 
 /* A seed goes on alone after this share of the time that others wait, so that
  * they can join it. */
@@ -42,10 +42,10 @@
 #define BACKOFF_SHIFT_MAX 6
 
 /* A peer that did not answer rests for this. */
-#define REST_MS 1000
+#define PEER_RETRY_MS 1000
 
 /* A node that was turned away asks another peer within this. */
-#define ASK_OTHERS_MS 100
+#define NEXT_PEER_MS 100
 
 #define CANDIDATES_MAX 128
 
@@ -53,7 +53,7 @@
  * started together: waiting longer finds nobody who holds a table.  A fleet
  * of which half was restarted takes itself for such a one in one of eight
  * cases; comparing tables makes up for that. */
-#define UNJOINED_ENOUGH 3
+#define UNJOINED_MAX 3
 
 /* Live peers that are asked, besides the seeds, after a freeze. */
 #define REFRESH_PEERS 8
@@ -111,10 +111,10 @@
 
 	for (i = 0; i < m->settings.n_seeds; i++) {
 		candidate_add(m, &m->seeds[i]);
-		j->seed |= addr_equal(&m->seeds[i], &m->settings.address);
+		j->is_seed |= addr_equal(&m->seeds[i], &m->settings.address);
 	}
-	if (j->seed)
-		j->bootstrap_ms = j->began_ms +
+	if (j->is_seed)
+		j->bootstrap_ms = j->start_ms +
 		    (uint64_t)m->settings.bootstrap_ms *
 			SEED_BOOTSTRAP_PERCENT / PERCENT;
 }
@@ -129,9 +129,9 @@
 	j->cursor = 0;
 	j->attempts = 0;
 	j->unjoined = 0;
-	j->silent = 0;
+	j->timeouts = 0;
 	j->deadline_ms = m->now_ms;
-	j->began_ms = m->now_ms;
+	j->start_ms = m->now_ms;
 	j->bootstrap_ms = m->now_ms + m->settings.bootstrap_ms;
 	g_array_set_size(j->candidates, 0);
 	take_seeds(m);
@@ -148,7 +148,7 @@
 }
 
 void
-join_heard(struct membership *m, const struct net_addr *from)
+join_on_ping(struct membership *m, const struct net_addr *from)
 {
 	struct joiner *j = &m->joiner;
 	uint32_t before = j->candidates->len;
@@ -195,21 +195,21 @@
  * all either; any word of others on it goes before.
  */
 static void
-guess_unconfirmed(struct membership *m)
+fail_unconfirmed(struct membership *m)
 {
 	GPtrArray *rows = m->home->rows;
 	struct row *r;
 	uint32_t i;
 
-	m->quiet = 1;
+	m->suppress_news = 1;
 	for (i = 0; i < rows->len; i++) {
 		r = rows->pdata[i];
 		if (!member_is_live(&r->member))
 			r->unconfirmed = 0;
 		else if (r->unconfirmed)
-			suspicion_bury(m, r, MEMBER_FAILED);
+			suspicion_mark_dead(m, r, MEMBER_FAILED);
 	}
-	m->quiet = 0;
+	m->suppress_news = 0;
 }
 
 /* The table is here; go on once no claim is open. */
@@ -226,7 +226,7 @@
 	m->prober.reconnect_ms = m->now_ms;
 	m->prober.next_ms =
 	    m->now_ms + random_below(m, m->settings.probe_interval_ms);
-	m->relays_ms = m->now_ms;
+	m->relays_check_ms = m->now_ms;
 	probe_shuffle(m);
 	action_phase(m, MEMBERSHIP_JOINED);
 	news_add(m, m->self, 1);
@@ -234,17 +234,17 @@
 }
 
 static void
-complete(struct membership *m, int told)
+complete(struct membership *m, int have_table)
 {
 	m->joiner.asking = 0;
 	m->joiner.complete = 1;
-	if (told && m->phase == MEMBERSHIP_REFRESHING)
-		guess_unconfirmed(m);
+	if (have_table && m->phase == MEMBERSHIP_REFRESHING)
+		fail_unconfirmed(m);
 	finish(m);
 }
 
 static void
-rest(struct membership *m, const struct net_addr *addr, uint64_t ms)
+postpone(struct membership *m, const struct net_addr *addr, uint64_t ms)
 {
 	struct candidate *c = candidate_find(m, addr);
 
@@ -254,7 +254,7 @@
 
 /* Whether a candidate may be asked now. */
 static int
-others_left(struct membership *m)
+has_eligible(struct membership *m)
 {
 	uint32_t i;
 
@@ -273,12 +273,12 @@
 back_off(struct membership *m, const struct net_addr *asked)
 {
 	struct joiner *j = &m->joiner;
-	uint32_t most = ASK_OTHERS_MS;
+	uint32_t most = NEXT_PEER_MS;
 
 	j->asking = 0;
 	j->cursor = 0;
-	rest(m, asked, REST_MS);
-	if (!others_left(m)) {
+	postpone(m, asked, PEER_RETRY_MS);
+	if (!has_eligible(m)) {
 		most = (uint32_t)BACKOFF_BASE_MS
 		    << MIN(j->attempts, BACKOFF_SHIFT_MAX);
 		j->attempts++;
@@ -288,9 +288,10 @@
 }
 
 static uint64_t
-first_answer_ms(const struct joiner *j)
+first_response_ms(const struct joiner *j)
 {
-	return (uint64_t)FIRST_ANSWER_MS << MIN(j->silent, SILENT_SHIFT_MAX);
+	return (uint64_t)FIRST_RESPONSE_MS
+	    << MIN(j->timeouts, TIMEOUT_SHIFT_MAX);
 }
 
 static void
@@ -311,7 +312,7 @@
 	j->asking = 1;
 	j->cursor = cursor;
 	j->deadline_ms =
-	    m->now_ms + (cursor == 0 ? first_answer_ms(j) : ANSWER_MS);
+	    m->now_ms + (cursor == 0 ? first_response_ms(j) : RESPONSE_MS);
 }
 
 /*
@@ -332,7 +333,7 @@
 			return c;
 		soonest = MIN(soonest, c->not_before_ms);
 	}
-	m->joiner.deadline_ms = soonest + random_below(m, ASK_OTHERS_MS);
+	m->joiner.deadline_ms = soonest + random_below(m, NEXT_PEER_MS);
 	return NULL;
 }
 
@@ -341,13 +342,13 @@
  * that does was met: it only asked to come back later.
  */
 static int
-alone(const struct membership *m)
+may_bootstrap(const struct membership *m)
 {
 	const struct joiner *j = &m->joiner;
 
 	if (j->candidates->len > 0)
 		return m->now_ms >= j->bootstrap_ms;
-	return m->now_ms >= j->began_ms + m->settings.await_seeds_ms;
+	return m->now_ms >= j->start_ms + m->settings.await_seeds_ms;
 }
 
 void
@@ -366,16 +367,16 @@
 		return;
 	if (j->asking) {
 		outbox_close(m->out, &j->asked, 0);
-		j->silent++;
+		j->timeouts++;
 		back_off(m, &j->asked);
 		return;
 	}
-	if (alone(m)) {
+	if (may_bootstrap(m)) {
 		complete(m, 0);
 		return;
 	}
 	if (j->candidates->len == 0) {
-		j->deadline_ms = j->began_ms + m->settings.await_seeds_ms;
+		j->deadline_ms = j->start_ms + m->settings.await_seeds_ms;
 		return;
 	}
 	c = pick(m);
@@ -403,10 +404,10 @@
 
 /* The peer remembered this host from before: go above that. */
 static void
-go_above(struct membership *m, uint64_t held)
+override_held(struct membership *m, uint64_t held)
 {
 	if (held <= INCARNATION_MAX && held >= m->self->member.incarnation)
-		merge_succeed(m, held);
+		merge_supersede(m, held);
 }
 
 static void
@@ -414,7 +415,7 @@
     const struct msg_join_table *msg)
 {
 	merge_records(m, msg->host, MERGE_TABLE, msg->rows, msg->n_rows);
-	go_above(m, msg->held);
+	override_held(m, msg->held);
 	if (m->phase != MEMBERSHIP_JOINING && m->phase != MEMBERSHIP_REFRESHING)
 		return;
 	if (msg->next != 0) {
@@ -464,17 +465,17 @@
 		candidate_add(m, &other);
 	}
 	/* No failure: others may be asked at once, this one later. */
-	rest(m, from, msg.come_back_ms + random_below(m, msg.come_back_ms));
+	postpone(m, from, msg.come_back_ms + random_below(m, msg.come_back_ms));
 	j->asking = 0;
-	j->deadline_ms = m->now_ms + random_below(m, ASK_OTHERS_MS);
-	if (msg.joined || !j->seed)
+	j->deadline_ms = m->now_ms + random_below(m, NEXT_PEER_MS);
+	if (msg.joined || !j->is_seed)
 		j->bootstrap_ms =
 		    MAX(j->bootstrap_ms, m->now_ms + m->settings.bootstrap_ms);
-	j->silent = 0;
+	j->timeouts = 0;
 	j->unjoined = msg.joined ? 0 : j->unjoined + 1;
 	if (!msg.joined)
-		settle_with(m, from);
-	if (j->unjoined >= UNJOINED_ENOUGH) {
+		settle_compare(m, from);
+	if (j->unjoined >= UNJOINED_MAX) {
 		j->bootstrap_ms = m->now_ms;
 		j->deadline_ms = m->now_ms;
 	}
--- a/packages/membership/src/join.h
+++ b/packages/membership/src/join.h
@@ -26,7 +26,7 @@
  * first of them is in within 1.5 s, and does not wait 3 s for seeds while its
  * upstream is idle (test_swim, 8 hosts, 5 seeds).
  */
-void join_heard(struct membership *m, const struct net_addr *from);
+void join_on_ping(struct membership *m, const struct net_addr *from);
 
 /* A peer can't be reached. */
 void join_unreachable(struct membership *m, const struct net_addr *to);
--- a/packages/membership/src/known.c
+++ b/packages/membership/src/known.c
@@ -23,12 +23,12 @@
  * alone: of 786 nodes of one data centre with three readers the last had the
  * first one after 5,200 to 5,900 ms (five seeds of the driver of test_known).
  */
-#define LAPSE_MS 30000
+#define EXPIRY_MS 30000
 
 static int
-has_lapsed(const struct membership *m, uint64_t now_ms)
+has_expired(const struct membership *m, uint64_t now_ms)
 {
-	return m->known.heard == 0 || m->known.until_ms <= now_ms;
+	return m->known.reported == 0 || m->known.expires_ms <= now_ms;
 }
 
 void
@@ -38,32 +38,32 @@
 
 	head->known = k->own;
 	head->known_age_ms = 0;
-	if (has_lapsed(m, m->now_ms) || k->heard <= k->own)
+	if (has_expired(m, m->now_ms) || k->reported <= k->own)
 		return;
-	head->known = k->heard;
-	head->known_age_ms = LAPSE_MS - (uint32_t)(k->until_ms - m->now_ms);
+	head->known = k->reported;
+	head->known_age_ms = EXPIRY_MS - (uint32_t)(k->expires_ms - m->now_ms);
 }
 
 void
-known_heard(struct membership *m, const struct rec_gossip_head *head)
+known_merge(struct membership *m, const struct rec_gossip_head *head)
 {
 	struct known *k = &m->known;
-	uint64_t until_ms;
+	uint64_t expires_ms;
 
-	if (head->known == 0 || head->known_age_ms >= LAPSE_MS)
+	if (head->known == 0 || head->known_age_ms >= EXPIRY_MS)
 		return;
-	until_ms = m->now_ms + LAPSE_MS - head->known_age_ms;
-	if (has_lapsed(m, m->now_ms) || head->known > k->heard) {
-		k->heard = head->known;
-		k->until_ms = until_ms;
-	} else if (head->known == k->heard) {
-		k->until_ms = MAX(k->until_ms, until_ms);
+	expires_ms = m->now_ms + EXPIRY_MS - head->known_age_ms;
+	if (has_expired(m, m->now_ms) || head->known > k->reported) {
+		k->reported = head->known;
+		k->expires_ms = expires_ms;
+	} else if (head->known == k->reported) {
+		k->expires_ms = MAX(k->expires_ms, expires_ms);
 	}
 }
 
 /* What to tell a few others at once; 0 for nothing. */
 static uint64_t
-to_push(const struct membership *m)
+version_to_push(const struct membership *m)
 {
 	uint64_t version = membership_known(m, m->now_ms);
 
@@ -76,7 +76,7 @@
 void
 known_tick(struct membership *m)
 {
-	uint64_t version = to_push(m);
+	uint64_t version = version_to_push(m);
 	const struct row *r;
 	uint32_t i;
 
@@ -94,7 +94,7 @@
 uint64_t
 known_next_ms(const struct membership *m)
 {
-	return to_push(m) != 0 ? m->now_ms : DEADLINE_NEVER;
+	return version_to_push(m) != 0 ? m->now_ms : DEADLINE_NEVER;
 }
 
 void
@@ -108,5 +108,5 @@
 {
 	const struct known *k = &m->known;
 
-	return has_lapsed(m, now_ms) ? k->own : MAX(k->own, k->heard);
+	return has_expired(m, now_ms) ? k->own : MAX(k->own, k->reported);
 }
--- a/packages/membership/src/known.h
+++ b/packages/membership/src/known.h
@@ -10,7 +10,7 @@
 void known_fill(const struct membership *m, struct rec_gossip_head *head);
 
 /* Take in what a peer knows. */
-void known_heard(struct membership *m, const struct rec_gossip_head *head);
+void known_merge(struct membership *m, const struct rec_gossip_head *head);
 
 /* Tell a few others at once what is new. */
 void known_tick(struct membership *m);
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -38,7 +38,7 @@
 #define BOOTSTRAP_MS 10000
 
 /* Deadlines are moved when an event is late by this much. */
-#define LATE_MS 500
+#define LATE_EVENT_MS 500
 
 /* An event that is late by this many probe intervals shows a freeze. */
 #define FROZEN_INTERVALS 3
@@ -105,7 +105,7 @@
 	m->self->member.call_port = s->call_port;
 	m->self->member.link_mbps = s->link_mbps;
 	table_set_started(&m->table, m->self, wall);
-	m->self->known_ms = m->now_ms;
+	m->self->changed_ms = m->now_ms;
 }
 
 struct membership *
@@ -122,7 +122,7 @@
 	m->rand = g_rand_new_with_seed_array(words, SEED_WORDS);
 	m->now_ms = now_ms;
 	m->wall_offset_ms = wall_ms - now_ms;
-	m->timed_ms = DEADLINE_NEVER;
+	m->next_expiry_ms = DEADLINE_NEVER;
 	m->server.leases = g_array_new(FALSE, FALSE, sizeof(struct join_lease));
 	m->own = g_array_new(FALSE, TRUE, sizeof(struct own_endpoint));
 	table_init(&m->table);
@@ -192,7 +192,7 @@
 
 /* The process was frozen: peers may take this host for failed. */
 static void
-thaw(struct membership *m, uint64_t late_ms)
+recover_from_freeze(struct membership *m, uint64_t late_ms)
 {
 	probe_reset(m);
 	if (m->phase != MEMBERSHIP_JOINED)
@@ -209,7 +209,7 @@
  * suspicion here or renew a lease.
  */
 static void
-pass_time(struct membership *m, uint64_t now_ms)
+advance_time(struct membership *m, uint64_t now_ms)
 {
 	uint64_t frozen =
 	    (uint64_t)m->settings.probe_interval_ms * FROZEN_INTERVALS;
@@ -217,12 +217,12 @@
 	uint64_t late_ms = clock_left_ms(now_ms, due_ms);
 
 	m->now_ms = MAX(m->now_ms, now_ms);
-	if (late_ms < LATE_MS)
+	if (late_ms < LATE_EVENT_MS)
 		return;
 	suspicion_extend(m, late_ms);
 	own_extend(m, late_ms);
 	if (late_ms >= frozen)
-		thaw(m, late_ms);
+		recover_from_freeze(m, late_ms);
 }
 
 static void
@@ -237,7 +237,7 @@
 void
 membership_tick(struct membership *m, uint64_t now_ms)
 {
-	pass_time(m, now_ms);
+	advance_time(m, now_ms);
 	if (m->phase == MEMBERSHIP_LEFT)
 		return;
 	claim_tick(m);
@@ -268,7 +268,7 @@
 		next = MIN(next, m->left_ms);
 	if (m->phase != MEMBERSHIP_JOINED)
 		return next;
-	next = MIN(next, m->timed_ms);
+	next = MIN(next, m->next_expiry_ms);
 	next = MIN(next, reconnect_next_ms(m));
 	next = MIN(next, known_next_ms(m));
 	return MIN(next, relay_next_ms(m));
@@ -295,7 +295,7 @@
 
 /* What a node takes in while it does not serve for a conflict. */
 static int
-taken_in_conflict(uint8_t type)
+accepted_in_conflict(uint8_t type)
 {
 	return type == MSG_CLAIM || type == MSG_CLAIM_ANSWER;
 }
@@ -305,11 +305,11 @@
     const struct net_addr *from, uint64_t conn, uint8_t type,
     const uint8_t *body, size_t len)
 {
-	pass_time(m, now_ms);
+	advance_time(m, now_ms);
 	if (m->phase == MEMBERSHIP_LEFT ||
-	    (m->phase == MEMBERSHIP_CONFLICT && !taken_in_conflict(type)))
+	    (m->phase == MEMBERSHIP_CONFLICT && !accepted_in_conflict(type)))
 		return;
-	m->prober.heard_ms = m->now_ms;
+	m->prober.received_ms = m->now_ms;
 	switch (type) {
 	case MSG_PING:
 		ping_on_ping(m, from, body, len);
@@ -363,7 +363,7 @@
 membership_unreachable(
     struct membership *m, uint64_t now_ms, const struct net_addr *to)
 {
-	pass_time(m, now_ms);
+	advance_time(m, now_ms);
 	join_unreachable(m, to);
 }
 
@@ -373,7 +373,7 @@
 	int joined =
 	    m->phase == MEMBERSHIP_JOINED || m->phase == MEMBERSHIP_REFRESHING;
 
-	pass_time(m, now_ms);
+	advance_time(m, now_ms);
 	if (m->phase >= MEMBERSHIP_LEAVING)
 		return;
 	if (!joined || m->home->live <= 1) {
--- a/packages/membership/src/merge.c
+++ b/packages/membership/src/merge.c
@@ -31,10 +31,10 @@
 #define CONFIRMERS 4
 
 /* Whose word a record is. */
-struct teller {
-	int direct;  /* the host that the record is about */
-	int home;    /* a node of the own data centre */
-	int trusted; /* not taken for failed itself */
+struct record_origin {
+	int from_subject; /* the host that the record is about */
+	int from_home;	  /* a node of the own data centre */
+	int trusted;	  /* not taken for failed itself */
 	enum merge_source source;
 };
 
@@ -48,9 +48,9 @@
 }
 
 int
-merge_authority(const struct membership *m)
+merge_is_authority(const struct membership *m)
 {
-	return m->phase == MEMBERSHIP_JOINED && !probe_distrusted(m) &&
+	return m->phase == MEMBERSHIP_JOINED && !probe_is_isolated(m) &&
 	    m->now_ms >= m->joined_ms + AUTHORITY_AFTER_MS;
 }
 
@@ -67,7 +67,7 @@
 }
 
 void
-merge_succeed(struct membership *m, uint64_t above)
+merge_supersede(struct membership *m, uint64_t above)
 {
 	merge_refute(m, above + PREDECESSOR_CHANGES);
 }
@@ -91,7 +91,7 @@
 	if (rec->state != MEMBER_ALIVE && claim_same_address(m))
 		return;
 	if (rec->started_ms != own->started_ms)
-		merge_succeed(m, rec->incarnation);
+		merge_supersede(m, rec->incarnation);
 	else
 		merge_refute(m, rec->incarnation);
 }
@@ -109,7 +109,7 @@
 
 /* Give a row the record's state; its content and incarnation are set. */
 static void
-take_state(struct membership *m, struct row *r, const struct rec_member *rec)
+apply_state(struct membership *m, struct row *r, const struct rec_member *rec)
 {
 	switch (rec->state) {
 	case MEMBER_ALIVE:
@@ -121,25 +121,25 @@
 			probe_now(m, r);
 		break;
 	default:
-		suspicion_bury(m, r, rec->state);
+		suspicion_mark_dead(m, r, rec->state);
 		break;
 	}
 }
 
 static void
-take(struct membership *m, struct row *r, const struct rec_member *rec)
+apply(struct membership *m, struct row *r, const struct rec_member *rec)
 {
 	if (rec->incarnation != r->member.incarnation ||
 	    rec->started_ms != r->member.started_ms ||
 	    rec->state == MEMBER_ALIVE) {
 		suspicion_end(m, r);
 		table_set(&m->table, r, rec->incarnation, MEMBER_ALIVE);
-		record_take(&m->table, r, rec);
+		record_apply(&m->table, r, rec);
 		action_changed(m, r, 1);
 	}
 	if (rec->state != MEMBER_SUSPECT)
 		r->n_accusers = 0;
-	take_state(m, r, rec);
+	apply_state(m, r, rec);
 }
 
 static void
@@ -156,22 +156,23 @@
 	dc->heard_ms = m->now_ms;
 	r = table_add(&m->table, rec->host, dc, rec->incarnation,
 	    live ? MEMBER_ALIVE : rec->state);
-	record_take(&m->table, r, rec);
+	record_apply(&m->table, r, rec);
 	m->counters.news_applied++;
 	action_changed(m, r, live);
 	if (live) {
-		take_state(m, r, rec);
+		apply_state(m, r, rec);
 		return;
 	}
 	/* A tombstone, lest older news bring the host back; not passed on,
 	 * so that tombstones don't go round for ever. */
-	table_set_until(&m->table, r, m->now_ms + m->settings.forget_ms);
-	m->timed_ms = MIN(m->timed_ms, r->until_ms);
+	table_set_expiry(&m->table, r, m->now_ms + m->settings.forget_ms);
+	m->next_expiry_ms = MIN(m->next_expiry_ms, r->expires_ms);
 }
 
 /* A host moved to another data centre: its row is made anew. */
 static struct row *
-moved(struct membership *m, struct row *r, const struct rec_member *rec)
+move_data_centre(
+    struct membership *m, struct row *r, const struct rec_member *rec)
 {
 	if (strcmp(r->member.data_centre, rec->data_centre) == 0)
 		return r;
@@ -204,7 +205,7 @@
  * incarnation; all nodes take the later one until it goes above.
  */
 static int
-later_process(const struct rec_member *rec, const struct member *mb)
+is_later_process(const struct rec_member *rec, const struct member *mb)
 {
 	return rec->incarnation == mb->incarnation &&
 	    rec->started_ms > mb->started_ms;
@@ -212,11 +213,11 @@
 
 static void
 merge_known(struct membership *m, struct row *r, const struct rec_member *rec,
-    const struct teller *by)
+    const struct record_origin *origin)
 {
 	const struct member *mb = &r->member;
 
-	if (by->source == MERGE_TABLE && m->phase == MEMBERSHIP_REFRESHING)
+	if (origin->source == MERGE_TABLE && m->phase == MEMBERSHIP_REFRESHING)
 		refresh(m, r, rec);
 	if (rec->incarnation == mb->incarnation &&
 	    rec->started_ms == mb->started_ms &&
@@ -228,16 +229,16 @@
 	}
 	if (!merge_newer(rec->incarnation, rec->state, mb->incarnation,
 		(enum member_state)mb->state) &&
-	    !later_process(rec, mb) &&
-	    !(row_is_guess(r) && rec->incarnation == mb->incarnation))
+	    !is_later_process(rec, mb) &&
+	    !(row_is_presumed_failed(r) && rec->incarnation == mb->incarnation))
 		return;
 	r->unconfirmed = 0;
-	r = moved(m, r, rec);
+	r = move_data_centre(m, r, rec);
 	if (r == NULL)
 		return;
 	r->dc->heard_ms = m->now_ms;
 	m->counters.news_applied++;
-	take(m, r, rec);
+	apply(m, r, rec);
 }
 
 /*
@@ -245,46 +246,48 @@
  * The host is probed; if it lives, it says so itself.
  */
 static int
-from_abroad(struct membership *m, const struct row *r,
-    const struct rec_member *rec, const struct teller *by)
+is_remote_revival(struct membership *m, const struct row *r,
+    const struct rec_member *rec, const struct record_origin *origin)
 {
-	if (by->direct || by->home || by->source == MERGE_TABLE)
+	if (origin->from_subject || origin->from_home ||
+	    origin->source == MERGE_TABLE)
 		return 0;
 	if (strcmp(rec->data_centre, m->home->name) != 0)
 		return 0;
 	if (r != NULL && member_is_live(&r->member))
 		return 0;
-	if (!merge_authority(m))
+	if (!merge_is_authority(m))
 		return 0;
 	if (rec->state >= MEMBER_FAILED)
 		return r == NULL;
 	if (r == NULL ||
 	    merge_newer(rec->incarnation, rec->state, r->member.incarnation,
 		(enum member_state)r->member.state))
-		ping_hint(m, rec, r);
+		ping_verify(m, rec, r);
 	return 1;
 }
 
 static void
-merge_other(
-    struct membership *m, struct rec_member *rec, const struct teller *by)
+merge_other(struct membership *m, struct rec_member *rec,
+    const struct record_origin *origin)
 {
 	struct row *r = table_row(&m->table, rec->host);
 
-	if (!by->trusted && !by->direct && rec->state != MEMBER_ALIVE)
+	if (!origin->trusted && !origin->from_subject &&
+	    rec->state != MEMBER_ALIVE)
 		return;
 	/* Suspicions are for the own data centre alone. */
 	if (rec->state == MEMBER_SUSPECT &&
 	    strcmp(rec->data_centre, m->home->name) != 0)
 		rec->state = MEMBER_ALIVE;
-	if (from_abroad(m, r, rec, by))
+	if (is_remote_revival(m, r, rec, origin))
 		return;
 	if (r == NULL)
 		merge_new(m, rec);
 	else
-		merge_known(m, r, rec, by);
+		merge_known(m, r, rec, origin);
 	if (rec->state < MEMBER_FAILED)
-		claim_look(m, rec);
+		claim_check_address(m, rec);
 }
 
 static void
@@ -293,21 +296,21 @@
 {
 	const struct row *s = table_row(&m->table, sender);
 	struct rec_member rec = *record;
-	struct teller by = {.source = source};
+	struct record_origin origin = {.source = source};
 
 	if (!record_valid(record)) {
 		m->counters.rejected++;
 		return;
 	}
-	by.direct = strcmp(sender, rec.host) == 0;
-	by.home = s != NULL && s->dc == m->home;
-	by.trusted = s == NULL || member_is_live(&s->member);
+	origin.from_subject = strcmp(sender, rec.host) == 0;
+	origin.from_home = s != NULL && s->dc == m->home;
+	origin.trusted = s == NULL || member_is_live(&s->member);
 	if (rec.accuser == 0)
 		rec.accuser = suspicion_accuser(sender);
 	if (strcmp(rec.host, m->settings.host) == 0)
 		merge_self(m, &rec);
 	else
-		merge_other(m, &rec, &by);
+		merge_other(m, &rec, &origin);
 }
 
 void
@@ -317,8 +320,8 @@
 	uint32_t i;
 
 	m->counters.news_received += n;
-	m->quiet = source != MERGE_NEWS;
+	m->suppress_news = source != MERGE_NEWS;
 	for (i = 0; i < n; i++)
 		merge_one(m, sender, source, &records[i]);
-	m->quiet = 0;
+	m->suppress_news = 0;
 }
--- a/packages/membership/src/merge.h
+++ b/packages/membership/src/merge.h
@@ -27,13 +27,13 @@
  * Whether this node's word on who is in the own data centre goes before
  * that of other data centres.
  */
-int merge_authority(const struct membership *m);
+int merge_is_authority(const struct membership *m);
 
 /* Raise the own incarnation above @above and tell peers. */
 void merge_refute(struct membership *m, uint64_t above);
 
 /* The same for a record of an earlier process of this host. */
-void merge_succeed(struct membership *m, uint64_t above);
+void merge_supersede(struct membership *m, uint64_t above);
 
 /* Whether (incarnation, state) a goes before b. */
 int merge_newer(uint64_t incarnation_a, enum member_state state_a,
--- a/packages/membership/src/news.c
+++ b/packages/membership/src/news.c
@@ -16,19 +16,19 @@
 #define ROUND_BURST_BYTES 36000
 
 /* Times that a record is passed on whatever the number of nodes. */
-#define SENT_LEAST 5
+#define RETRANSMIT_MIN 5
 
 #define MS_PER_S 1000
 
 /* One queued record. */
-struct item {
+struct queued_record {
 	struct row *row;
 	uint32_t sent;
 	int urgent;
 };
 
 static GQueue *
-queue_of(struct membership *m, const struct item *it)
+queue_of(struct membership *m, const struct queued_record *it)
 {
 	return it->urgent ? &m->news.urgent : &m->news.normal;
 }
@@ -38,25 +38,25 @@
  * average, so that n * exp(-times) nodes are expected to miss it.
  */
 static uint32_t
-send_limit(const struct membership *m)
+retransmit_limit(const struct membership *m)
 {
 	uint32_t log = 1;
 
 	while (m->home->live >> log != 0)
 		log++;
-	return SENT_LEAST + log * m->settings.retransmit_factor;
+	return RETRANSMIT_MIN + log * m->settings.retransmit_factor;
 }
 
 void
 news_drop(struct membership *m, struct row *r)
 {
-	struct item *it;
+	struct queued_record *it;
 
-	if (r->news == NULL)
+	if (r->news_link == NULL)
 		return;
-	it = r->news->data;
-	g_queue_delete_link(queue_of(m, it), r->news);
-	r->news = NULL;
+	it = r->news_link->data;
+	g_queue_delete_link(queue_of(m, it), r->news_link);
+	r->news_link = NULL;
 	g_free(it);
 }
 
@@ -65,27 +65,27 @@
  * in a herd of starting nodes all would tell each other of all.
  */
 static int
-passes_on(const struct membership *m)
+may_gossip(const struct membership *m)
 {
-	return !m->quiet && m->phase != MEMBERSHIP_JOINING &&
+	return !m->suppress_news && m->phase != MEMBERSHIP_JOINING &&
 	    m->phase != MEMBERSHIP_REFRESHING;
 }
 
 void
 news_add(struct membership *m, struct row *r, int urgent)
 {
-	struct item *it;
+	struct queued_record *it;
 
 	news_drop(m, r);
-	if (r != m->self && !passes_on(m))
+	if (r != m->self && !may_gossip(m))
 		return;
-	if (!news_waiting(m) && m->news.next_ms < m->now_ms)
+	if (!news_pending(m) && m->news.next_ms < m->now_ms)
 		m->news.next_ms = m->now_ms;
-	it = g_new0(struct item, 1);
+	it = g_new0(struct queued_record, 1);
 	it->row = r;
 	it->urgent = urgent;
 	g_queue_push_head(queue_of(m, it), it);
-	r->news = queue_of(m, it)->head;
+	r->news_link = queue_of(m, it)->head;
 }
 
 /*
@@ -93,9 +93,9 @@
  * the fault is likely its own.
  */
 static int
-withheld(const struct membership *m, const struct row *r)
+is_withheld(const struct membership *m, const struct row *r)
 {
-	return probe_distrusted(m) &&
+	return probe_is_isolated(m) &&
 	    (r->member.state == MEMBER_SUSPECT ||
 		r->member.state == MEMBER_FAILED);
 }
@@ -103,14 +103,14 @@
 static void
 fill_from(struct membership *m, GQueue *q, struct batch *b)
 {
-	uint32_t i, limit = send_limit(m), n = q->length;
-	struct item *it;
+	uint32_t i, limit = retransmit_limit(m), n = q->length;
+	struct queued_record *it;
 	GList *link;
 
 	for (i = 0; i < n; i++) {
 		link = q->head;
 		it = link->data;
-		if (!withheld(m, it->row) && !batch_add(b, it->row))
+		if (!is_withheld(m, it->row) && !batch_add(b, it->row))
 			return;
 		if (++it->sent >= limit) {
 			news_drop(m, it->row);
@@ -129,7 +129,7 @@
 }
 
 int
-news_waiting(const struct membership *m)
+news_pending(const struct membership *m)
 {
 	return m->news.urgent.length > 0 || m->news.normal.length > 0;
 }
@@ -144,12 +144,12 @@
 	if (gain == 0)
 		return;
 	q->refilled_ms = m->now_ms;
-	q->allowance_bytes += (int64_t)MIN(gain, ROUND_BURST_BYTES);
-	q->allowance_bytes = MIN(q->allowance_bytes, ROUND_BURST_BYTES);
+	q->budget_bytes += (int64_t)MIN(gain, ROUND_BURST_BYTES);
+	q->budget_bytes = MIN(q->budget_bytes, ROUND_BURST_BYTES);
 }
 
 static void
-round_send(struct membership *m)
+send_round(struct membership *m)
 {
 	struct batch b = {.n = 0};
 	struct row *r;
@@ -157,10 +157,10 @@
 
 	for (i = 0; i < m->settings.gossip_fanout; i++) {
 		r = table_random(m, m->home, m->self, MEMBER_STATES_LIVE);
-		if (r == NULL || m->news.allowance_bytes <= 0)
+		if (r == NULL || m->news.budget_bytes <= 0)
 			return;
 		news_fill(m, &b);
-		m->news.allowance_bytes -= b.bytes;
+		m->news.budget_bytes -= b.bytes;
 		send_batch(m, &r->member.address, &b);
 	}
 }
@@ -168,7 +168,7 @@
 void
 news_tick(struct membership *m)
 {
-	if (!news_waiting(m) || m->now_ms < m->news.next_ms)
+	if (!news_pending(m) || m->now_ms < m->news.next_ms)
 		return;
 	m->news.next_ms = m->now_ms + m->settings.gossip_interval_ms;
 	if (m->home->live <= 1) {
@@ -176,19 +176,19 @@
 		return;
 	}
 	refill(m);
-	round_send(m);
+	send_round(m);
 }
 
 uint64_t
 news_next_ms(const struct membership *m)
 {
-	return news_waiting(m) ? m->news.next_ms : DEADLINE_NEVER;
+	return news_pending(m) ? m->news.next_ms : DEADLINE_NEVER;
 }
 
 static void
 clear_queue(struct membership *m, GQueue *q)
 {
-	struct item *it;
+	struct queued_record *it;
 
 	while ((it = g_queue_peek_head(q)) != NULL)
 		news_drop(m, it->row);
--- a/packages/membership/src/news.h
+++ b/packages/membership/src/news.h
@@ -16,7 +16,7 @@
 void news_fill(struct membership *m, struct batch *b);
 
 /* Whether records wait. */
-int news_waiting(const struct membership *m);
+int news_pending(const struct membership *m);
 
 /* Send a round if one is due. */
 void news_tick(struct membership *m);
--- a/packages/membership/src/own.c
+++ b/packages/membership/src/own.c
@@ -16,7 +16,7 @@
 #include "table.h"
 
 /* How long an endpoint that has left stays in the record. */
-#define LEFT_KEPT_MS 30000
+#define LEFT_RETENTION_MS 30000
 
 static struct own_endpoint *
 own_at(const struct membership *m, uint32_t i)
@@ -74,8 +74,8 @@
 	e->revision++;
 	if (state == ENDPOINT_LEFT) {
 		e->lease_ms = DEADLINE_NEVER;
-		e->gone_ms = DEADLINE_NEVER;
-		e->drop_ms = m->now_ms + LEFT_KEPT_MS;
+		e->leave_ms = DEADLINE_NEVER;
+		e->drop_ms = m->now_ms + LEFT_RETENTION_MS;
 	}
 }
 
@@ -104,7 +104,7 @@
 }
 
 static enum status
-check(const char *service, uint16_t port, enum endpoint_state state)
+validate(const char *service, uint16_t port, enum endpoint_state state)
 {
 	if (!service_name_valid(service, strlen(service)))
 		return status_set(STATUS_INVALID,
@@ -128,7 +128,7 @@
     uint16_t port, uint16_t slots, enum endpoint_state state, uint64_t lease_ms,
     uint16_t cold_ms, const char *version)
 {
-	enum status st = check(service, port, state);
+	enum status st = validate(service, port, state);
 	struct own_endpoint *e;
 	int changed;
 
@@ -148,7 +148,7 @@
 		    "announce %s from another host.",
 		    MEMBER_ENDPOINTS_MAX, service);
 	e->lease_ms = lease_ms;
-	e->gone_ms = lease_ms == DEADLINE_NEVER
+	e->leave_ms = lease_ms == DEADLINE_NEVER
 	    ? DEADLINE_NEVER
 	    : lease_ms + clock_left_ms(lease_ms, m->now_ms);
 	e->drop_ms = DEADLINE_NEVER;
@@ -182,11 +182,11 @@
 /* Let one endpoint's time pass. Returns 1 when it changed, -1 when it is to
  * be dropped. */
 static int
-pass_time(struct membership *m, struct own_endpoint *e)
+expire_endpoint(struct membership *m, struct own_endpoint *e)
 {
 	if (e->state == ENDPOINT_LEFT)
 		return m->now_ms >= e->drop_ms ? -1 : 0;
-	if (m->now_ms >= e->gone_ms) {
+	if (m->now_ms >= e->leave_ms) {
 		set_state(m, e, ENDPOINT_LEFT);
 		return 1;
 	}
@@ -204,7 +204,7 @@
 	uint32_t i;
 
 	for (i = m->own->len; i-- > 0;) {
-		result = pass_time(m, own_at(m, i));
+		result = expire_endpoint(m, own_at(m, i));
 		changed |= result != 0;
 		if (result < 0)
 			(void)g_array_remove_index(m->own, i);
@@ -225,7 +225,7 @@
 		if (e->state == ENDPOINT_LEFT)
 			next = MIN(next, e->drop_ms);
 		else if (e->state == ENDPOINT_DRAINING)
-			next = MIN(next, e->gone_ms);
+			next = MIN(next, e->leave_ms);
 		else
 			next = MIN(next, e->lease_ms);
 	}
@@ -246,7 +246,7 @@
 
 	for (i = 0; i < m->own->len; i++) {
 		extend(&own_at(m, i)->lease_ms, gap_ms);
-		extend(&own_at(m, i)->gone_ms, gap_ms);
+		extend(&own_at(m, i)->leave_ms, gap_ms);
 	}
 }
 
--- a/packages/membership/src/ping.c
+++ b/packages/membership/src/ping.c
@@ -15,15 +15,15 @@
 #include "sync.h"
 
 /* Most probes made for others at once. */
-#define PASSED_MAX 64
+#define INDIRECT_MAX 64
 
 /* Hosts told of by other data centres that are probed a second. */
-#define HINTS_PER_S 8
-#define HINTS_INTERVAL_MS 1000
+#define VERIFIED_PER_S 8
+#define VERIFY_INTERVAL_MS 1000
 
 static void
-encode_and_send(struct membership *m, const struct net_addr *to,
-    const char *host, uint32_t seq, struct batch *b)
+send_ping(struct membership *m, const struct net_addr *to, const char *host,
+    uint32_t seq, struct batch *b)
 {
 	struct msg_ping msg;
 	GByteArray *body = g_byte_array_new();
@@ -55,7 +55,7 @@
 		(void)batch_add(&b, r);
 	if (r == NULL || r->dc == m->home)
 		news_fill(m, &b);
-	encode_and_send(m, to, host, seq, &b);
+	send_ping(m, to, host, seq, &b);
 }
 
 uint32_t
@@ -68,19 +68,19 @@
 }
 
 void
-ping_hint(
+ping_verify(
     struct membership *m, const struct rec_member *rec, const struct row *r)
 {
 	struct net_addr to = record_addr(rec);
 	struct batch b = {.n = 0};
 
-	if (m->now_ms >= m->prober.hints_ms) {
-		m->prober.hints_ms = m->now_ms + HINTS_INTERVAL_MS;
-		m->prober.hints = HINTS_PER_S;
+	if (m->now_ms >= m->prober.verify_refill_ms) {
+		m->prober.verify_refill_ms = m->now_ms + VERIFY_INTERVAL_MS;
+		m->prober.verify_left = VERIFIED_PER_S;
 	}
-	if (m->prober.hints == 0)
+	if (m->prober.verify_left == 0)
 		return;
-	m->prober.hints--;
+	m->prober.verify_left--;
 	if (r != NULL) {
 		(void)ping_host(m, &to, rec->host);
 		return;
@@ -90,19 +90,19 @@
 	b.records[b.n].state = MEMBER_FAILED;
 	b.records[b.n].endpoints = NULL;
 	b.records[b.n++].n_endpoints = 0;
-	encode_and_send(m, &to, rec->host, ++m->prober.seq, &b);
+	send_ping(m, &to, rec->host, ++m->prober.seq, &b);
 }
 
 void
-ping_expire_passed(struct membership *m)
+ping_expire_indirect(struct membership *m)
 {
-	GArray *passed = m->prober.passed;
+	GArray *indirect = m->prober.indirect;
 	uint32_t i;
 
-	for (i = passed->len; i-- > 0;)
-		if (g_array_index(passed, struct passed_probe, i).deadline_ms <=
-		    m->now_ms)
-			(void)g_array_remove_index_fast(passed, i);
+	for (i = indirect->len; i-- > 0;)
+		if (g_array_index(indirect, struct indirect_probe, i)
+			.deadline_ms <= m->now_ms)
+			(void)g_array_remove_index_fast(indirect, i);
 }
 
 static void
@@ -135,18 +135,18 @@
 
 /* What pings and acks have in common. */
 static void
-heard(struct membership *m, const struct net_addr *from, const char *host,
-    uint64_t root, const struct rec_gossip_head *head)
+on_peer_state(struct membership *m, const struct net_addr *from,
+    const char *host, uint64_t root, const struct rec_gossip_head *head)
 {
 	const struct row *r = table_row(&m->table, host);
 
 	if (r != NULL)
 		r->dc->heard_ms = m->now_ms;
-	known_heard(m, head);
+	known_merge(m, head);
 	if (head->seq != 0)
-		action_heard(
+		action_peer_head(
 		    m, host, r != NULL ? &r->member.address : from, head);
-	sync_consider(m, from, r, root);
+	sync_check_root(m, from, r, root);
 }
 
 void
@@ -163,33 +163,33 @@
 	if (msg.target[0] == '\0' ||
 	    strcmp(msg.target, m->settings.host) == 0) {
 		send_ack(m, from, msg.seq, msg.host);
-		heard(m, from, msg.host, msg.root, &msg.head);
-		join_heard(m, from);
+		on_peer_state(m, from, msg.host, msg.root, &msg.head);
+		join_on_ping(m, from);
 	}
 	msg_ping_clear(&msg);
 }
 
 /* Pass an ack on if the probe was made for another node. */
 static void
-pass_on(struct membership *m, const struct msg_ack *ack)
+forward_ack(struct membership *m, const struct msg_ack *ack)
 {
-	GArray *passed = m->prober.passed;
-	const struct passed_probe *p;
+	GArray *indirect = m->prober.indirect;
+	const struct indirect_probe *p;
 	struct msg_ack msg;
 	GByteArray *body;
 	uint32_t i;
 
-	for (i = 0; i < passed->len; i++) {
-		p = &g_array_index(passed, struct passed_probe, i);
+	for (i = 0; i < indirect->len; i++) {
+		p = &g_array_index(indirect, struct indirect_probe, i);
 		if (p->seq != ack->seq)
 			continue;
 		memset(&msg, 0, sizeof(msg));
-		msg.seq = p->asker_seq;
+		msg.seq = p->requester_seq;
 		(void)g_strlcpy(msg.host, ack->host, sizeof(msg.host));
 		body = g_byte_array_new();
 		msg_ack_encode(&msg, body);
-		send_datagram(m, &p->asker, MSG_ACK, body);
-		(void)g_array_remove_index_fast(passed, i);
+		send_datagram(m, &p->requester, MSG_ACK, body);
+		(void)g_array_remove_index_fast(indirect, i);
 		return;
 	}
 }
@@ -205,13 +205,13 @@
 		return;
 	}
 	merge_records(m, msg.host, MERGE_NEWS, msg.news, msg.n_news);
-	probe_answered(m, msg.seq, msg.host);
-	pass_on(m, &msg);
+	probe_on_ack(m, msg.seq, msg.host);
+	forward_ack(m, &msg);
 	relay_on_ack(m, msg.seq);
 	if (msg.unknown && m->phase == MEMBERSHIP_JOINED)
 		send_row(m, from, m->self);
 	if (msg.root != 0)
-		heard(m, from, msg.host, msg.root, &msg.head);
+		on_peer_state(m, from, msg.host, msg.root, &msg.head);
 	msg_ack_clear(&msg);
 }
 
@@ -219,7 +219,7 @@
 ping_on_ping_req(struct membership *m, const struct net_addr *from,
     const uint8_t *body, size_t len)
 {
-	struct passed_probe p;
+	struct indirect_probe p;
 	struct msg_ping_req msg;
 	struct net_addr to;
 
@@ -229,11 +229,12 @@
 	}
 	to.ip = msg.ip;
 	to.port = msg.port;
-	if (to.ip == 0 || to.port == 0 || m->prober.passed->len >= PASSED_MAX)
+	if (to.ip == 0 || to.port == 0 ||
+	    m->prober.indirect->len >= INDIRECT_MAX)
 		return;
 	p.seq = ping_host(m, &to, msg.target);
-	p.asker_seq = msg.seq;
-	p.asker = *from;
-	p.deadline_ms = m->now_ms + probe_longest_ms(m);
-	g_array_append_val(m->prober.passed, p);
+	p.requester_seq = msg.seq;
+	p.requester = *from;
+	p.deadline_ms = m->now_ms + probe_max_ms(m);
+	g_array_append_val(m->prober.indirect, p);
 }
--- a/packages/membership/src/ping.h
+++ b/packages/membership/src/ping.h
@@ -18,11 +18,11 @@
  * Ping the host of a record that is not believed, so that it speaks for
  * itself; @r is its tombstone or NULL.
  */
-void ping_hint(
+void ping_verify(
     struct membership *m, const struct rec_member *rec, const struct row *r);
 
 /* Forget pings made for other nodes that were not answered. */
-void ping_expire_passed(struct membership *m);
+void ping_expire_indirect(struct membership *m);
 
 void ping_on_ping(struct membership *m, const struct net_addr *from,
     const uint8_t *body, size_t len);
--- a/packages/membership/src/places.c
+++ b/packages/membership/src/places.c
@@ -25,7 +25,7 @@
 }
 
 static unsigned
-number_of(const char *host)
+place_number(const char *host)
 {
 	return (unsigned)(hash64(host, strlen(host), PLACE_SEED) %
 	    PLACES_PER_DATA_CENTRE);
@@ -35,17 +35,17 @@
 places_of(const char *data_centre, const char *host, char *place)
 {
 	(void)snprintf(
-	    place, PLACE_BYTES, "%s/%u", data_centre, number_of(host));
+	    place, PLACE_BYTES, "%s/%u", data_centre, place_number(host));
 }
 
 int
 places_reads_at_start(const char *host)
 {
-	return number_of(host) < PLACES_READ_AT_START;
+	return place_number(host) < PLACES_READ_AT_START;
 }
 
 static void
-look(const struct member *mb, void *ctx)
+check_rival(const struct member *mb, void *ctx)
 {
 	struct search *s = ctx;
 	char place[PLACE_BYTES];
@@ -55,7 +55,7 @@
 		return;
 	places_of(mb->data_centre, mb->host, place);
 	s->outranked = strcmp(place, s->place) == 0 &&
-	    membership_score_quick(place, mb) > s->own_score;
+	    membership_score_by_link(place, mb) > s->own_score;
 }
 
 int
@@ -65,7 +65,7 @@
 	struct search s = {.self = self};
 
 	places_of(self->data_centre, self->host, s.place);
-	s.own_score = membership_score_quick(s.place, self);
-	membership_each(m, look, &s);
+	s.own_score = membership_score_by_link(s.place, self);
+	membership_each(m, check_rival, &s);
 	return !s.outranked;
 }
--- a/packages/membership/src/probe.c
+++ b/packages/membership/src/probe.c
@@ -16,10 +16,10 @@
 #include "send.h"
 #include "suspicion.h"
 
-#define DOUBT_MAX 8
+#define HEALTH_SCORE_MAX 8
 
 /* After so many failed probes in a row a node doesn't believe its view. */
-#define DISTRUST_MISSES 6
+#define ISOLATED_MISSES 6
 
 /* Times that others are asked, each time besides a further ping, before a
  * probe has failed.  At 20 % loss one round fails 3 % of the probes of live
@@ -35,7 +35,7 @@
 	struct prober *p = &m->prober;
 
 	p->probes = g_array_new(FALSE, FALSE, sizeof(struct probe));
-	p->passed = g_array_new(FALSE, FALSE, sizeof(struct passed_probe));
+	p->indirect = g_array_new(FALSE, FALSE, sizeof(struct indirect_probe));
 	p->next_ms = m->now_ms + random_below(m, m->settings.probe_interval_ms);
 }
 
@@ -43,47 +43,48 @@
 probe_clear(struct membership *m)
 {
 	g_array_unref(m->prober.probes);
-	g_array_unref(m->prober.passed);
+	g_array_unref(m->prober.indirect);
 }
 
 void
 probe_reset(struct membership *m)
 {
 	g_array_set_size(m->prober.probes, 0);
-	g_array_set_size(m->prober.passed, 0);
+	g_array_set_size(m->prober.indirect, 0);
 	m->prober.next_ms = m->now_ms + m->settings.probe_interval_ms;
 }
 
 int
-probe_distrusted(const struct membership *m)
+probe_is_isolated(const struct membership *m)
 {
-	return m->prober.misses >= DISTRUST_MISSES;
+	return m->prober.misses >= ISOLATED_MISSES;
 }
 
 /* Time that an answer may take, longer the more this node doubts itself. */
 static uint64_t
-patience_ms(const struct membership *m)
+ack_timeout_ms(const struct membership *m)
 {
-	return (uint64_t)m->settings.probe_timeout_ms * (1 + m->prober.doubt);
+	return (uint64_t)m->settings.probe_timeout_ms *
+	    (1 + m->prober.health_score);
 }
 
 static void
-start(struct membership *m, const struct row *r)
+start_probe(struct membership *m, const struct row *r)
 {
 	struct probe p = {.rounds = 0};
 
 	(void)g_strlcpy(p.host, r->member.host, sizeof(p.host));
 	p.seq = ping_host(m, &r->member.address, r->member.host);
-	p.began_ms = m->now_ms;
-	p.deadline_ms = m->now_ms + patience_ms(m);
+	p.start_ms = m->now_ms;
+	p.deadline_ms = m->now_ms + ack_timeout_ms(m);
 	g_array_append_val(m->prober.probes, p);
 	m->counters.probes++;
 }
 
 uint64_t
-probe_longest_ms(const struct membership *m)
+probe_max_ms(const struct membership *m)
 {
-	uint64_t step = patience_ms(m) + m->settings.probe_timeout_ms;
+	uint64_t step = ack_timeout_ms(m) + m->settings.probe_timeout_ms;
 
 	/* The doubt may rise by one meanwhile; the ticks may be late. */
 	return step * (1 + INDIRECT_ROUNDS * INDIRECT_ROUND_TRIPS);
@@ -93,7 +94,7 @@
 probe_now(struct membership *m, const struct row *r)
 {
 	if (m->phase == MEMBERSHIP_JOINED && r->dc == m->home)
-		start(m, r);
+		start_probe(m, r);
 }
 
 void
@@ -133,7 +134,7 @@
 }
 
 static void
-ask_others(struct membership *m, const struct row *target, uint32_t seq)
+send_ping_reqs(struct membership *m, const struct row *target, uint32_t seq)
 {
 	const struct row *last = NULL, *r;
 	struct msg_ping_req msg;
@@ -159,20 +160,20 @@
 }
 
 static void
-failed(struct membership *m, struct row *r, uint64_t began_ms)
+on_failure(struct membership *m, struct row *r, uint64_t start_ms)
 {
 	struct prober *p = &m->prober;
 
 	m->counters.probes_failed++;
 	p->misses++;
-	if (p->heard_ms < began_ms)
-		p->doubt = MIN(p->doubt + 1, DOUBT_MAX);
+	if (p->received_ms < start_ms)
+		p->health_score = MIN(p->health_score + 1, HEALTH_SCORE_MAX);
 	suspicion_raise(m, r, suspicion_accuser(m->settings.host));
 }
 
 /* The deadline of a probe passed. Returns whether it is over. */
 static int
-expire(struct membership *m, struct probe *p)
+expire_probe(struct membership *m, struct probe *p)
 {
 	struct row *r = table_row(&m->table, p->host);
 
@@ -181,12 +182,12 @@
 	if (p->rounds < INDIRECT_ROUNDS) {
 		p->rounds++;
 		p->deadline_ms =
-		    m->now_ms + INDIRECT_ROUND_TRIPS * patience_ms(m);
+		    m->now_ms + INDIRECT_ROUND_TRIPS * ack_timeout_ms(m);
 		ping_send(m, &r->member.address, r->member.host, p->seq);
-		ask_others(m, r, p->seq);
+		send_ping_reqs(m, r, p->seq);
 		return 0;
 	}
-	failed(m, r, p->began_ms);
+	on_failure(m, r, p->start_ms);
 	return 1;
 }
 
@@ -199,7 +200,7 @@
 
 	for (i = probes->len; i-- > 0;) {
 		p = &g_array_index(probes, struct probe, i);
-		if (p->deadline_ms <= m->now_ms && expire(m, p))
+		if (p->deadline_ms <= m->now_ms && expire_probe(m, p))
 			(void)g_array_remove_index_fast(probes, i);
 	}
 }
@@ -210,17 +211,17 @@
 	struct prober *p = &m->prober;
 	const struct row *r;
 
-	ping_expire_passed(m);
+	ping_expire_indirect(m);
 	if (m->phase != MEMBERSHIP_JOINED)
 		return;
 	expire_probes(m);
 	if (m->now_ms < p->next_ms)
 		return;
 	p->next_ms = m->now_ms +
-	    (uint64_t)m->settings.probe_interval_ms * (1 + p->doubt);
+	    (uint64_t)m->settings.probe_interval_ms * (1 + p->health_score);
 	r = next_target(m);
 	if (r != NULL)
-		start(m, r);
+		start_probe(m, r);
 }
 
 uint64_t
@@ -240,18 +241,18 @@
 
 /* The host answered: it lives, and this node can be reached. */
 static void
-answered(struct membership *m)
+on_success(struct membership *m)
 {
 	struct prober *p = &m->prober;
 
-	p->doubt -= p->doubt > 0;
-	if (probe_distrusted(m))
+	p->health_score -= p->health_score > 0;
+	if (probe_is_isolated(m))
 		suspicion_withdraw(m);
 	p->misses = 0;
 }
 
 void
-probe_answered(struct membership *m, uint32_t seq, const char *host)
+probe_on_ack(struct membership *m, uint32_t seq, const char *host)
 {
 	GArray *probes = m->prober.probes;
 	struct probe *p;
@@ -263,10 +264,10 @@
 		if (p->seq != seq || strcmp(p->host, host) != 0)
 			continue;
 		(void)g_array_remove_index_fast(probes, i);
-		answered(m);
+		on_success(m);
 		r = table_row(&m->table, host);
 		if (r != NULL)
-			suspicion_answered(m, r);
+			suspicion_on_ack(m, r);
 		return;
 	}
 }
--- a/packages/membership/src/probe.h
+++ b/packages/membership/src/probe.h
@@ -16,7 +16,7 @@
 uint64_t probe_next_ms(const struct membership *m);
 
 /* Whether so many probes failed that the own view is not to be believed. */
-int probe_distrusted(const struct membership *m);
+int probe_is_isolated(const struct membership *m);
 
 /*
  * Put the rows of the own data centre into a random order.  Nodes that took
@@ -32,9 +32,9 @@
 void probe_now(struct membership *m, const struct row *r);
 
 /* The longest that a probe begun now takes to fail. */
-uint64_t probe_longest_ms(const struct membership *m);
+uint64_t probe_max_ms(const struct membership *m);
 
 /* The host answered the probe with this number. */
-void probe_answered(struct membership *m, uint32_t seq, const char *host);
+void probe_on_ack(struct membership *m, uint32_t seq, const char *host);
 
 #endif
--- a/packages/membership/src/query.c
+++ b/packages/membership/src/query.c
@@ -86,21 +86,21 @@
 
 /* Put a member in its place among the first @n. Returns how many there are. */
 static uint32_t
-insert(const struct member **ranked, uint64_t *scores, uint32_t have,
+insert(const struct member **ranked, uint64_t *scores, uint32_t n_ranked,
     uint32_t n, const struct member *mb, uint64_t score)
 {
 	uint32_t i;
 
-	if (have == n && score <= scores[n - 1])
-		return have;
-	i = have < n ? have : n - 1;
+	if (n_ranked == n && score <= scores[n - 1])
+		return n_ranked;
+	i = n_ranked < n ? n_ranked : n - 1;
 	for (; i > 0 && scores[i - 1] < score; i--) {
 		scores[i] = scores[i - 1];
 		ranked[i] = ranked[i - 1];
 	}
 	scores[i] = score;
 	ranked[i] = mb;
-	return have < n ? have + 1 : n;
+	return n_ranked < n ? n_ranked + 1 : n;
 }
 
 /* What a host is ranked by for a key. */
@@ -113,16 +113,16 @@
 }
 
 /* The doublings of a link's rate come before the rest of the score. */
-#define QUICK_BITS 5
+#define LINK_BITS 5
 
 uint64_t
-membership_score_quick(const char *key, const struct member *mb)
+membership_score_by_link(const char *key, const struct member *mb)
 {
 	uint64_t doublings = g_bit_storage(mb->link_mbps);
 
 	if (mb->link_mbps == 0)
 		doublings = 0;
-	return doublings << (64 - QUICK_BITS) | score(key, mb) >> QUICK_BITS;
+	return doublings << (64 - LINK_BITS) | score(key, mb) >> LINK_BITS;
 }
 
 static uint32_t
@@ -132,7 +132,7 @@
 	const struct dc *dc = table_dc(&m->table, data_centre);
 	uint64_t scores[MEMBERSHIP_RANK_MAX];
 	const struct row *r;
-	uint32_t have = 0, i;
+	uint32_t n_ranked = 0, i;
 
 	n = MIN(n, MEMBERSHIP_RANK_MAX);
 	if (dc == NULL || n == 0)
@@ -140,10 +140,10 @@
 	for (i = 0; i < dc->rows->len; i++) {
 		r = dc->rows->pdata[i];
 		if (member_is_live(&r->member))
-			have = insert(ranked, scores, have, n, &r->member,
-			    fn(key, &r->member));
+			n_ranked = insert(ranked, scores, n_ranked, n,
+			    &r->member, fn(key, &r->member));
 	}
-	return have;
+	return n_ranked;
 }
 
 uint32_t
@@ -157,7 +157,7 @@
 membership_rank_by_link(const struct membership *m, const char *data_centre,
     const char *key, const struct member **ranked, uint32_t n)
 {
-	return rank(m, data_centre, key, membership_score_quick, ranked, n);
+	return rank(m, data_centre, key, membership_score_by_link, ranked, n);
 }
 
 void
@@ -173,7 +173,7 @@
 			continue;
 		sum.name = dc->name;
 		sum.live = dc->live;
-		sum.gone = dc->rows->len - dc->live;
+		sum.tombstones = dc->rows->len - dc->live;
 		sum.heard_ms = dc->heard_ms;
 		g_array_append_val(list, sum);
 	}
--- a/packages/membership/src/reconnect.c
+++ b/packages/membership/src/reconnect.c
@@ -14,14 +14,14 @@
 #define INTERVAL_MS 10000
 
 /* A node that is alone or started just now looks more often. */
-#define EAGER_INTERVAL_MS 1000
-#define EAGER_MS 30000
+#define FAST_INTERVAL_MS 1000
+#define FAST_PERIOD_MS 30000
 
 /* A host that went this short a time ago is likely to come back. */
-#define FRESH_MS 20000
+#define RECENT_MS 20000
 
 static int
-known_live(const struct membership *m, const struct net_addr *addr)
+is_live_address(const struct membership *m, const struct net_addr *addr)
 {
 	const struct row *r;
 	GHashTableIter it;
@@ -46,23 +46,23 @@
 	if (n == 0)
 		return;
 	seed = &m->seeds[random_below(m, n)];
-	if (!known_live(m, seed))
+	if (!is_live_address(m, seed))
 		(void)ping_host(m, seed, "");
 }
 
 static void
-ping_failed(struct membership *m)
+ping_dead(struct membership *m)
 {
 	const struct row *r;
 
-	r = table_random(m, m->home, m->self, MEMBER_STATES_GONE);
+	r = table_random(m, m->home, m->self, MEMBER_STATES_DEAD);
 	if (r != NULL)
 		(void)ping_host(m, &r->member.address, r->member.host);
 }
 
 /* Whether a host of the own data centre went a short time ago. */
 static int
-fresh_gone(const struct membership *m)
+any_recently_dead(const struct membership *m)
 {
 	const struct row *r;
 	guint i;
@@ -70,7 +70,7 @@
 	for (i = 0; i < m->home->rows->len; i++) {
 		r = m->home->rows->pdata[i];
 		if (!member_is_live(&r->member) &&
-		    m->now_ms < r->known_ms + FRESH_MS)
+		    m->now_ms < r->changed_ms + RECENT_MS)
 			return 1;
 	}
 	return 0;
@@ -90,13 +90,13 @@
 
 	if (m->phase != MEMBERSHIP_JOINED || m->now_ms < m->prober.reconnect_ms)
 		return;
-	if (m->home->live <= 1 || m->now_ms < m->joined_ms + EAGER_MS ||
-	    fresh_gone(m))
-		interval = EAGER_INTERVAL_MS;
+	if (m->home->live <= 1 || m->now_ms < m->joined_ms + FAST_PERIOD_MS ||
+	    any_recently_dead(m))
+		interval = FAST_INTERVAL_MS;
 	m->prober.reconnect_ms =
 	    m->now_ms + interval / 2 + random_below(m, interval);
 	ping_seed(m);
-	ping_failed(m);
+	ping_dead(m);
 }
 
 uint64_t
--- a/packages/membership/src/record.c
+++ b/packages/membership/src/record.c
@@ -104,7 +104,7 @@
 }
 
 void
-record_take(struct table *t, struct row *r, const struct rec_member *rec)
+record_apply(struct table *t, struct row *r, const struct rec_member *rec)
 {
 	r->member.address = record_addr(rec);
 	r->member.call_port = rec->call_port;
--- a/packages/membership/src/record.h
+++ b/packages/membership/src/record.h
@@ -38,7 +38,7 @@
 uint32_t record_bytes(const struct row *r);
 
 /* Take all that its own host writes over into the row. */
-void record_take(struct table *t, struct row *r, const struct rec_member *rec);
+void record_apply(struct table *t, struct row *r, const struct rec_member *rec);
 
 /* Where a record's host listens for control. */
 struct net_addr record_addr(const struct rec_member *rec);
--- a/packages/membership/src/relay.c
+++ b/packages/membership/src/relay.c
@@ -19,10 +19,10 @@
 #include "send.h"
 
 /* Between two looks at what is to be sent. */
-#define LOOK_INTERVAL_MS 200
+#define CHECK_INTERVAL_MS 200
 
 /* Datagrams sent to one data centre in one look. */
-#define DATAGRAMS_PER_LOOK 8
+#define DATAGRAMS_PER_CHECK 8
 
 /* After this many peers in rank that did not answer any will do. */
 #define RANKED_PEERS 8
@@ -38,7 +38,7 @@
 /* Own place in rank for a data centre, or @most if there are that many
  * before it. */
 static uint32_t
-own_place(const struct membership *m, const struct dc *dc, uint32_t most)
+own_rank(const struct membership *m, const struct dc *dc, uint32_t most)
 {
 	char key[KEY_BYTES];
 	const struct row *r;
@@ -74,11 +74,11 @@
 		if (dc == m->home)
 			continue;
 		was = dc->relay;
-		dc->relay_place = own_place(m, dc, m->settings.relays);
-		dc->relay = dc->relay_place < m->settings.relays;
+		dc->relay_rank = own_rank(m, dc, m->settings.relays);
+		dc->relay = dc->relay_rank < m->settings.relays;
 		if (dc->relay && !was) {
 			/* What happened before is left to anti-entropy. */
-			dc->relay_sent = m->home->change;
+			dc->relay_sent_change = m->home->change;
 			dc->relay_next_ms = m->now_ms;
 			dc->relay_misses = 0;
 		}
@@ -98,7 +98,7 @@
 	n = membership_rank(m, dc->name, key, ranked, RANKED_PEERS);
 	if (n == 0)
 		return NULL;
-	return ranked[(dc->relay_place + dc->relay_misses) % n];
+	return ranked[(dc->relay_rank + dc->relay_misses) % n];
 }
 
 static int
@@ -131,7 +131,7 @@
 static void
 send_changes(struct membership *m, struct dc *dc, const struct net_addr *to)
 {
-	GPtrArray *changed = changed_since(m, dc->relay_sent);
+	GPtrArray *changed = changed_since(m, dc->relay_sent_change);
 	uint32_t datagrams = 0, i;
 	struct batch b = {.n = 0};
 	const struct row *r;
@@ -140,15 +140,15 @@
 		r = changed->pdata[i];
 		if (!batch_add(&b, r)) {
 			send_batch(m, to, &b);
-			if (++datagrams == DATAGRAMS_PER_LOOK)
+			if (++datagrams == DATAGRAMS_PER_CHECK)
 				break;
 			(void)batch_add(&b, r);
 		}
-		dc->relay_sent = r->change;
+		dc->relay_sent_change = r->change;
 	}
 	send_batch(m, to, &b);
 	if (i == changed->len)
-		dc->relay_sent = m->home->change;
+		dc->relay_sent_change = m->home->change;
 	g_ptr_array_unref(changed);
 }
 
@@ -158,12 +158,13 @@
 	const struct member *peer;
 	uint32_t half = m->settings.relay_interval_ms / 2;
 
-	if (dc->relay_sent == m->home->change && m->now_ms < dc->relay_next_ms)
+	if (dc->relay_sent_change == m->home->change &&
+	    m->now_ms < dc->relay_next_ms)
 		return;
 	peer = peer_in(m, dc);
 	if (peer == NULL)
 		return;
-	if (dc->relay_sent != m->home->change)
+	if (dc->relay_sent_change != m->home->change)
 		send_changes(m, dc, &peer->address);
 	if (m->now_ms < dc->relay_next_ms)
 		return;
@@ -178,9 +179,9 @@
 	struct dc *dc;
 	uint32_t i;
 
-	if (m->phase != MEMBERSHIP_JOINED || m->now_ms < m->relays_ms)
+	if (m->phase != MEMBERSHIP_JOINED || m->now_ms < m->relays_check_ms)
 		return;
-	m->relays_ms = m->now_ms + LOOK_INTERVAL_MS;
+	m->relays_check_ms = m->now_ms + CHECK_INTERVAL_MS;
 	choose(m);
 	for (i = 0; i < m->table.dcs->len; i++) {
 		dc = m->table.dcs->pdata[i];
@@ -194,7 +195,7 @@
 {
 	if (m->phase != MEMBERSHIP_JOINED || m->table.dcs->len < 2)
 		return DEADLINE_NEVER;
-	return m->relays_ms;
+	return m->relays_check_ms;
 }
 
 void
--- a/packages/membership/src/serve.c
+++ b/packages/membership/src/serve.c
@@ -21,15 +21,15 @@
 
 /* When one that was turned away may come back: a join takes less than this.
  * A node that has not joined itself names a longer time. */
-#define COME_BACK_MS 100
-#define COME_BACK_UNJOINED_MS 500
+#define RETRY_AFTER_MS 100
+#define RETRY_AFTER_UNJOINED_MS 500
 
 /* Peers named to one that was turned away. */
-#define OTHERS_NAMED 8
+#define ALTERNATIVES_MAX 8
 
 /* A node that joined this long ago takes the others of its data centre to
  * have joined too. */
-#define SETTLED_MS 30000
+#define PEERS_JOINED_AFTER_MS 30000
 
 static void
 drop_leases(struct membership *m, const struct net_addr *peer)
@@ -59,14 +59,14 @@
 
 /* A join came to its end: the peer can serve others itself. */
 static void
-ended(struct membership *m, const struct net_addr *peer)
+finish_join(struct membership *m, const struct net_addr *peer)
 {
 	drop_leases(m, peer);
 	m->server.served[m->server.n_served++ % SERVED_MAX] = *peer;
 }
 
 static void
-name(struct msg_join_refused *msg, const struct net_addr *addr)
+add_alternative(struct msg_join_refused *msg, const struct net_addr *addr)
 {
 	struct rec_peer_address *other = &msg->others[msg->n_others++];
 
@@ -77,60 +77,60 @@
 /* Name peers that hold the table: such as joined here, or any of a data
  * centre that has been running. */
 static void
-name_others(struct membership *m, struct msg_join_refused *msg)
+add_alternatives(struct membership *m, struct msg_join_refused *msg)
 {
 	const struct join_server *s = &m->server;
 	const struct row *r;
 	uint32_t i;
 
 	for (i = 0; i < MIN(s->n_served, SERVED_MAX); i++)
-		name(msg, &s->served[i]);
-	if (m->now_ms < m->joined_ms + SETTLED_MS)
+		add_alternative(msg, &s->served[i]);
+	if (m->now_ms < m->joined_ms + PEERS_JOINED_AFTER_MS)
 		return;
 	msg->n_others /= 2;
-	while (msg->n_others < OTHERS_NAMED) {
+	while (msg->n_others < ALTERNATIVES_MAX) {
 		r = table_random(
 		    m, m->home, m->self, MEMBER_STATE_BIT(MEMBER_ALIVE));
 		if (r == NULL)
 			return;
-		name(msg, &r->member.address);
+		add_alternative(msg, &r->member.address);
 	}
 }
 
 static void
 refuse(struct membership *m, const struct net_addr *from, uint64_t conn)
 {
-	struct rec_peer_address others[OTHERS_NAMED];
+	struct rec_peer_address others[ALTERNATIVES_MAX];
 	GByteArray *body = g_byte_array_new();
 	struct msg_join_refused msg;
 
 	memset(&msg, 0, sizeof(msg));
 	(void)g_strlcpy(msg.host, m->settings.host, sizeof(msg.host));
 	msg.joined = m->phase == MEMBERSHIP_JOINED;
-	msg.come_back_ms = COME_BACK_UNJOINED_MS;
+	msg.come_back_ms = RETRY_AFTER_UNJOINED_MS;
 	msg.others = others;
 	if (msg.joined) {
-		msg.come_back_ms = COME_BACK_MS;
-		name_others(m, &msg);
+		msg.come_back_ms = RETRY_AFTER_MS;
+		add_alternatives(m, &msg);
 	}
 	msg_join_refused_encode(&msg, body);
 	send_frame(m, from, conn, MSG_JOIN_REFUSED, body);
 	m->counters.joins_refused++;
 }
 
-/* The data centre that is @place-th for one at home in @first. */
+/* The data centre that is @pos-th for one at home in @first. */
 static struct dc *
-dc_at(struct membership *m, const struct dc *first, uint32_t place)
+dc_at(struct membership *m, const struct dc *first, uint32_t pos)
 {
 	GPtrArray *dcs = m->table.dcs;
 	uint32_t i;
 
 	if (first == NULL)
-		return dcs->pdata[place];
-	if (place == 0)
+		return dcs->pdata[pos];
+	if (pos == 0)
 		return table_dc(&m->table, first->name);
 	for (i = 0; i < dcs->len; i++)
-		if (dcs->pdata[i] != first && --place == 0)
+		if (dcs->pdata[i] != first && --pos == 0)
 			return dcs->pdata[i];
 	return NULL;
 }
@@ -145,7 +145,7 @@
 
 	for (i = 0; i < dc->rows->len; i++) {
 		r = dc->rows->pdata[i];
-		if (r->bucket != bucket || row_is_guess(r) ||
+		if (r->bucket != bucket || row_is_presumed_failed(r) ||
 		    rows->len >= MSG_JOIN_TABLE_ROWS_MAX)
 			continue;
 		record_fill(r, &rec);
@@ -200,12 +200,12 @@
 	send_frame(m, from, conn, MSG_JOIN_TABLE, body);
 	m->counters.joins_served++;
 	if (msg.next == 0)
-		ended(m, &peer);
+		finish_join(m, &peer);
 }
 
 /* The row that another live process has under this name or address. */
 static int
-contested(const struct membership *m, const struct rec_member *rec)
+is_contested(const struct membership *m, const struct rec_member *rec)
 {
 	const struct row *r = table_row(&m->table, rec->host);
 	struct net_addr addr = record_addr(rec);
@@ -226,7 +226,8 @@
 	    addr_equal(&r->member.address, &peer) &&
 	    r->member.incarnation != join->self.incarnation)
 		held = r->member.incarnation;
-	if (join->cursor == 0 && !join->own_only && !contested(m, &join->self))
+	if (join->cursor == 0 && !join->own_only &&
+	    !is_contested(m, &join->self))
 		merge_records(m, join->self.host, MERGE_NEWS, &join->self, 1);
 	if (m->phase == MEMBERSHIP_JOINED && admit(m, &peer, join->cursor))
 		send_part(m, from, conn, join, held);
--- a/packages/membership/src/settle.c
+++ b/packages/membership/src/settle.c
@@ -25,12 +25,12 @@
 #define INTERVAL_MS 120
 
 /* A node that joined this long ago leaves the rest to anti-entropy. */
-#define SETTLED_AFTER_MS 5000
+#define PERIOD_MAX_MS 5000
 
 /* So many comparisons in a row that found nothing end it sooner, but not while
  * hosts that lost power with this one may still be starting. */
-#define SAME_ENOUGH 3
-#define LEAST_MS 1000
+#define EQUAL_NEEDED 3
+#define PERIOD_MIN_MS 1000
 
 /* Rows that one comparison is to be about: four bytes each leave room in a
  * datagram where slices differ in size. */
@@ -52,7 +52,7 @@
 /* What a comparison is about. */
 struct slice {
 	uint32_t n;
-	uint32_t at;
+	uint32_t pos;
 };
 
 static int
@@ -61,11 +61,11 @@
 	const char *host = r->member.host;
 
 	return s->n <= 1 ||
-	    hash64(host, strlen(host), SLICE_SEED) % s->n == s->at;
+	    hash64(host, strlen(host), SLICE_SEED) % s->n == s->pos;
 }
 
 static int
-counts(const struct row *r, const struct slice *s)
+in_scope(const struct row *r, const struct slice *s)
 {
 	return member_is_live(&r->member) && in_slice(r, s);
 }
@@ -88,7 +88,7 @@
 
 	g_hash_table_iter_init(&it, m->table.hosts);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		if (!counts(p, s) || marks->len == MARKS_MAX)
+		if (!in_scope(p, s) || marks->len == MARKS_MAX)
 			continue;
 		mark = mark_of(p);
 		g_array_append_val(marks, mark);
@@ -107,7 +107,7 @@
 	memset(&msg, 0, sizeof(msg));
 	(void)g_strlcpy(msg.host, m->settings.host, sizeof(msg.host));
 	msg.slices = s->n;
-	msg.slice = s->at;
+	msg.slice = s->pos;
 	msg.answer = answer != 0;
 	msg.marks = (const uint8_t *)marks->data;
 	msg.marks_len = marks->len * (uint32_t)sizeof(uint32_t);
@@ -122,19 +122,20 @@
 	struct slice s;
 
 	s.n = (m->table.live + ROWS_PER_SLICE - 1) / ROWS_PER_SLICE;
-	s.at = random_below(m, s.n);
+	s.pos = random_below(m, s.n);
 	return s;
 }
 
 static void
-ask(struct membership *m, const struct net_addr *to, const struct slice *s)
+start_comparison(
+    struct membership *m, const struct net_addr *to, const struct slice *s)
 {
 	send_compare(m, to, s, 0);
 	m->counters.compared++;
 }
 
 static void
-ask_some(struct membership *m)
+compare_slices(struct membership *m)
 {
 	struct slice s = random_slice(m);
 	const struct member *peer;
@@ -144,8 +145,8 @@
 		peer = membership_random(m, NULL, MEMBER_STATES_LIVE);
 		if (peer == NULL)
 			return;
-		ask(m, &peer->address, &s);
-		s.at = (s.at + 1) % s.n;
+		start_comparison(m, &peer->address, &s);
+		s.pos = (s.pos + 1) % s.n;
 	}
 }
 
@@ -154,27 +155,27 @@
 {
 	struct settling *s = &m->settling;
 
-	s->until_ms = m->now_ms + SETTLED_AFTER_MS;
+	s->end_ms = m->now_ms + PERIOD_MAX_MS;
 	s->next_ms = m->now_ms;
-	s->same = 0;
+	s->n_equal = 0;
 }
 
 void
-settle_with(struct membership *m, const struct net_addr *peer)
+settle_compare(struct membership *m, const struct net_addr *peer)
 {
 	struct slice s = random_slice(m);
 
-	if (m->now_ms >= m->settling.until_ms) {
+	if (m->now_ms >= m->settling.end_ms) {
 		settle_begin(m);
 		m->settling.next_ms = m->now_ms + INTERVAL_MS;
 	}
-	ask(m, peer, &s);
+	start_comparison(m, peer, &s);
 }
 
 static int
-settling(const struct membership *m)
+is_settling(const struct membership *m)
 {
-	return m->now_ms < m->settling.until_ms &&
+	return m->now_ms < m->settling.end_ms &&
 	    (m->phase == MEMBERSHIP_JOINED || m->phase == MEMBERSHIP_JOINING);
 }
 
@@ -183,16 +184,16 @@
 {
 	struct settling *s = &m->settling;
 
-	if (!settling(m) || m->now_ms < s->next_ms)
+	if (!is_settling(m) || m->now_ms < s->next_ms)
 		return;
 	s->next_ms = m->now_ms + INTERVAL_MS / 2 + random_below(m, INTERVAL_MS);
-	ask_some(m);
+	compare_slices(m);
 }
 
 uint64_t
 settle_next_ms(const struct membership *m)
 {
-	return settling(m) ? m->settling.next_ms : DEADLINE_NEVER;
+	return is_settling(m) ? m->settling.next_ms : DEADLINE_NEVER;
 }
 
 static int
@@ -229,7 +230,8 @@
 
 /* Rows that the peer lacks, which marks @theirs. */
 static GPtrArray *
-lacking(const struct membership *m, const struct slice *s, const GArray *theirs)
+missing_rows(
+    const struct membership *m, const struct slice *s, const GArray *theirs)
 {
 	GPtrArray *rows = g_ptr_array_new();
 	GHashTableIter it;
@@ -237,7 +239,7 @@
 
 	g_hash_table_iter_init(&it, m->table.hosts);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		if (!counts(p, s))
+		if (!in_scope(p, s))
 			continue;
 		if (!has_mark(theirs, mark_of(p)))
 			g_ptr_array_add(rows, p);
@@ -247,7 +249,8 @@
 
 /* Send rows from a random one on, as many as one answer may have. */
 static void
-give(struct membership *m, const struct net_addr *to, const GPtrArray *rows)
+send_missing(
+    struct membership *m, const struct net_addr *to, const GPtrArray *rows)
 {
 	uint32_t start = random_below(m, rows->len), sent = 0, i;
 	struct batch b = {.n = 0};
@@ -267,7 +270,7 @@
 
 /* The peer's marks, in order; free it. */
 static GArray *
-marks_of(const struct msg_compare *msg)
+decode_marks(const struct msg_compare *msg)
 {
 	GArray *marks = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
@@ -279,14 +282,14 @@
 
 /* An answer came: nothing to give and as many rows there as here. */
 static void
-note_answer(struct membership *m, int same)
+on_answer(struct membership *m, int same)
 {
 	struct settling *s = &m->settling;
 
-	s->same = same ? s->same + 1 : 0;
-	if (s->same >= SAME_ENOUGH && m->phase == MEMBERSHIP_JOINED &&
-	    m->now_ms >= m->joined_ms + LEAST_MS)
-		s->until_ms = m->now_ms;
+	s->n_equal = same ? s->n_equal + 1 : 0;
+	if (s->n_equal >= EQUAL_NEEDED && m->phase == MEMBERSHIP_JOINED &&
+	    m->now_ms >= m->joined_ms + PERIOD_MIN_MS)
+		s->end_ms = m->now_ms;
 }
 
 static void
@@ -294,14 +297,14 @@
     const struct msg_compare *msg)
 {
 	const struct slice s = {msg->slices, msg->slice};
-	GArray *theirs = marks_of(msg), *ours = marks_new(m, &s);
-	GPtrArray *rows = lacking(m, &s, theirs);
+	GArray *theirs = decode_marks(msg), *ours = marks_new(m, &s);
+	GPtrArray *rows = missing_rows(m, &s, theirs);
 	int same = rows->len == 0 && theirs->len == ours->len;
 
 	if (rows->len > 0)
-		give(m, from, rows);
+		send_missing(m, from, rows);
 	if (msg->answer)
-		note_answer(m, same);
+		on_answer(m, same);
 	else
 		send_compare(m, from, &s, 1);
 	g_ptr_array_unref(rows);
@@ -310,7 +313,7 @@
 }
 
 static int
-answers(const struct membership *m)
+accepts(const struct membership *m)
 {
 	return m->phase == MEMBERSHIP_JOINED || m->phase == MEMBERSHIP_JOINING;
 }
@@ -321,7 +324,7 @@
 {
 	struct msg_compare msg;
 
-	if (!answers(m))
+	if (!accepts(m))
 		return;
 	if (msg_compare_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
@@ -336,7 +339,7 @@
 {
 	struct msg_rows msg;
 
-	if (!answers(m))
+	if (!accepts(m))
 		return;
 	if (msg_rows_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
--- a/packages/membership/src/settle.h
+++ b/packages/membership/src/settle.h
@@ -11,7 +11,7 @@
 void settle_begin(struct membership *m);
 
 /* A peer that is joining as well answered; compare with it at once. */
-void settle_with(struct membership *m, const struct net_addr *peer);
+void settle_compare(struct membership *m, const struct net_addr *peer);
 
 void settle_tick(struct membership *m);
 uint64_t settle_next_ms(const struct membership *m);
--- a/packages/membership/src/suspicion.c
+++ b/packages/membership/src/suspicion.c
@@ -23,9 +23,9 @@
  * who hold it: max - (max - min) * log(n) / log(needed), where needed is 3,
  * or 2 in a data centre of three hosts.
  */
-static const uint32_t length_of_3[ACCUSERS_MAX] = {300, 174, 100};
-static const uint32_t length_of_2[ACCUSERS_MAX] = {300, 100, 100};
-static const uint32_t length_of_1[ACCUSERS_MAX] = {100, 100, 100};
+static const uint32_t timeout_percent_3[ACCUSERS_MAX] = {300, 174, 100};
+static const uint32_t timeout_percent_2[ACCUSERS_MAX] = {300, 100, 100};
+static const uint32_t timeout_percent_1[ACCUSERS_MAX] = {100, 100, 100};
 
 uint32_t
 suspicion_accuser(const char *host)
@@ -34,15 +34,15 @@
 }
 
 static uint64_t
-length_ms(const struct membership *m, uint32_t n_accusers)
+timeout_ms(const struct membership *m, uint32_t n_accusers)
 {
-	const uint32_t *percent = length_of_3;
+	const uint32_t *percent = timeout_percent_3;
 	uint32_t others = m->home->live - 2;
 
 	if (m->home->live <= 2)
-		percent = length_of_1;
+		percent = timeout_percent_1;
 	else if (others < ACCUSERS_MAX - 1)
-		percent = length_of_2;
+		percent = timeout_percent_2;
 	if (n_accusers == 0 || n_accusers > ACCUSERS_MAX)
 		n_accusers = ACCUSERS_MAX;
 	return (uint64_t)m->settings.suspicion_ms * percent[n_accusers - 1] /
@@ -50,10 +50,10 @@
 }
 
 static void
-set_until(struct membership *m, struct row *r, uint64_t until_ms)
+set_expiry(struct membership *m, struct row *r, uint64_t expires_ms)
 {
-	table_set_until(&m->table, r, until_ms);
-	m->timed_ms = MIN(m->timed_ms, until_ms);
+	table_set_expiry(&m->table, r, expires_ms);
+	m->next_expiry_ms = MIN(m->next_expiry_ms, expires_ms);
 }
 
 static int
@@ -68,13 +68,13 @@
 }
 
 static void
-begin(struct membership *m, struct row *r, uint32_t accuser)
+suspect(struct membership *m, struct row *r, uint32_t accuser)
 {
 	table_set(&m->table, r, r->member.incarnation, MEMBER_SUSPECT);
 	r->last_probe = 0;
 	r->accusers[0] = accuser;
 	r->n_accusers = 1;
-	set_until(m, r, m->now_ms + length_ms(m, 1));
+	set_expiry(m, r, m->now_ms + timeout_ms(m, 1));
 	m->counters.suspected++;
 	action_changed(m, r, 0);
 	news_add(m, r, 0);
@@ -83,28 +83,29 @@
 void
 suspicion_raise(struct membership *m, struct row *r, uint32_t accuser)
 {
-	uint64_t was;
+	uint64_t old_ms;
 
 	if (r->member.state == MEMBER_ALIVE) {
-		begin(m, r, accuser);
+		suspect(m, r, accuser);
 		return;
 	}
 	if (r->member.state != MEMBER_SUSPECT || has_accuser(r, accuser) ||
 	    r->n_accusers == ACCUSERS_MAX)
 		return;
-	was = length_ms(m, r->n_accusers);
+	old_ms = timeout_ms(m, r->n_accusers);
 	r->accusers[r->n_accusers++] = accuser;
-	set_until(m, r, r->until_ms - was + length_ms(m, r->n_accusers));
+	set_expiry(m, r, r->expires_ms - old_ms + timeout_ms(m, r->n_accusers));
 	news_add(m, r, 0);
 }
 
 void
-suspicion_bury(struct membership *m, struct row *r, enum member_state state)
+suspicion_mark_dead(
+    struct membership *m, struct row *r, enum member_state state)
 {
 	int live = member_is_live(&r->member);
 
 	table_set(&m->table, r, r->member.incarnation, state);
-	set_until(m, r, m->now_ms + m->settings.forget_ms);
+	set_expiry(m, r, m->now_ms + m->settings.forget_ms);
 	if (state == MEMBER_FAILED && live)
 		m->counters.failed++;
 	action_changed(m, r, 1);
@@ -115,11 +116,11 @@
 suspicion_end(struct membership *m, struct row *r)
 {
 	r->n_accusers = 0;
-	table_set_until(&m->table, r, DEADLINE_NEVER);
+	table_set_expiry(&m->table, r, DEADLINE_NEVER);
 }
 
 static void
-forget(struct membership *m, struct row *r)
+forget_host(struct membership *m, struct row *r)
 {
 	news_drop(m, r);
 	action_removed(m, r);
@@ -131,26 +132,26 @@
  * first: it may have refuted, and this node missed it.
  */
 static void
-expire(struct membership *m, struct row *r)
+expire_row(struct membership *m, struct row *r)
 {
 	if (r->member.state != MEMBER_SUSPECT) {
-		forget(m, r);
+		forget_host(m, r);
 	} else if (r->last_probe) {
-		suspicion_bury(m, r, MEMBER_FAILED);
+		suspicion_mark_dead(m, r, MEMBER_FAILED);
 	} else {
 		r->last_probe = 1;
-		set_until(m, r, m->now_ms + probe_longest_ms(m));
+		set_expiry(m, r, m->now_ms + probe_max_ms(m));
 		probe_now(m, r);
 	}
 }
 
 void
-suspicion_answered(struct membership *m, struct row *r)
+suspicion_on_ack(struct membership *m, struct row *r)
 {
 	if (r->member.state != MEMBER_SUSPECT)
 		return;
 	r->last_probe = 0;
-	set_until(m, r, m->now_ms + length_ms(m, r->n_accusers));
+	set_expiry(m, r, m->now_ms + timeout_ms(m, r->n_accusers));
 }
 
 void
@@ -161,19 +162,19 @@
 	struct row *r;
 	uint32_t i;
 
-	if (m->now_ms < m->timed_ms)
+	if (m->now_ms < m->next_expiry_ms)
 		return;
 	/* Backwards: a row that is forgotten gives its place to the last. */
 	for (i = timed->len; i-- > 0;) {
 		r = timed->pdata[i];
-		if (r->until_ms <= m->now_ms)
-			expire(m, r);
+		if (r->expires_ms <= m->now_ms)
+			expire_row(m, r);
 	}
 	for (i = 0; i < timed->len; i++) {
 		r = timed->pdata[i];
-		next = MIN(next, r->until_ms);
+		next = MIN(next, r->expires_ms);
 	}
-	m->timed_ms = next;
+	m->next_expiry_ms = next;
 }
 
 void
@@ -186,12 +187,12 @@
 	for (i = 0; i < timed->len; i++) {
 		r = timed->pdata[i];
 		if (r->member.state == MEMBER_SUSPECT)
-			r->until_ms += gap_ms;
+			r->expires_ms += gap_ms;
 	}
 }
 
 static int
-only_own(const struct membership *m, const struct row *r)
+raised_here_only(const struct membership *m, const struct row *r)
 {
 	return (r->member.state == MEMBER_SUSPECT ||
 		   r->member.state == MEMBER_FAILED) &&
@@ -208,7 +209,7 @@
 
 	for (i = timed->len; i-- > 0;) {
 		r = timed->pdata[i];
-		if (!only_own(m, r))
+		if (!raised_here_only(m, r))
 			continue;
 		news_drop(m, r);
 		suspicion_end(m, r);
--- a/packages/membership/src/suspicion.h
+++ b/packages/membership/src/suspicion.h
@@ -13,14 +13,14 @@
 void suspicion_raise(struct membership *m, struct row *r, uint32_t accuser);
 
 /* Take a host for failed or as having left; it becomes a tombstone. */
-void
-suspicion_bury(struct membership *m, struct row *r, enum member_state state);
+void suspicion_mark_dead(
+    struct membership *m, struct row *r, enum member_state state);
 
 /* End a suspicion or a tombstone, as the host is alive. */
 void suspicion_end(struct membership *m, struct row *r);
 
 /* A suspect answered a probe; its refutation is still to come. */
-void suspicion_answered(struct membership *m, struct row *r);
+void suspicion_on_ack(struct membership *m, struct row *r);
 
 /* Let suspicions and tombstones come to their end. */
 void suspicion_tick(struct membership *m);
--- a/packages/membership/src/sync.c
+++ b/packages/membership/src/sync.c
@@ -28,7 +28,7 @@
 #define AUTHORITY_GRACE_MS 30000
 
 static void
-begin(struct membership *m, const struct net_addr *to)
+start_exchange(struct membership *m, const struct net_addr *to)
 {
 	struct rec_data_centre_digest digests[DATA_CENTRES_MAX];
 	uint32_t half = m->settings.sync_interval_ms / 2, i;
@@ -54,7 +54,7 @@
 }
 
 void
-sync_consider(struct membership *m, const struct net_addr *from,
+sync_check_root(struct membership *m, const struct net_addr *from,
     const struct row *peer, uint64_t root)
 {
 	int home = peer != NULL && peer->dc == m->home;
@@ -67,7 +67,7 @@
 		return;
 	if (++m->mismatches < MISMATCHES_MIN && home)
 		return;
-	begin(m, from);
+	start_exchange(m, from);
 }
 
 static void
@@ -152,7 +152,7 @@
 	memcpy(msg.data_centre, dc->name, sizeof(msg.data_centre));
 	msg.bucket = bucket;
 	msg.wants = wants;
-	msg.authority = !wants && dc == m->home && merge_authority(m);
+	msg.authority = !wants && dc == m->home && merge_is_authority(m);
 	msg.keys = (struct rec_member_key *)(void *)keys->data;
 	msg.n_keys = MIN(keys->len, MSG_SYNC_KEYS_KEYS_MAX);
 	/* A list that was cut short can't speak for who is missing. */
@@ -178,7 +178,7 @@
 
 	for (i = 0; i < dc->rows->len; i++) {
 		r = dc->rows->pdata[i];
-		if (r->bucket != bucket || row_is_guess(r))
+		if (r->bucket != bucket || row_is_presumed_failed(r))
 			continue;
 		key_fill(r, &key);
 		g_array_append_val(keys, key);
@@ -216,7 +216,7 @@
 }
 
 static void
-batch_send(struct membership *m, const struct net_addr *to, struct batch *b,
+push_row(struct membership *m, const struct net_addr *to, struct batch *b,
     const struct row *r)
 {
 	if (batch_add(b, r))
@@ -227,7 +227,7 @@
 
 /* One key that the peer holds: send it ours, or want its record. */
 static void
-compare(struct membership *m, const struct net_addr *from,
+compare_key(struct membership *m, const struct net_addr *from,
     const struct rec_member_key *key, struct batch *b, GArray *wants)
 {
 	const struct row *r = table_row(&m->table, key->host);
@@ -242,18 +242,18 @@
 	if (key->incarnation == own.incarnation &&
 	    key->started_ms != own.started_ms) {
 		/* Two processes at one incarnation: both sides show theirs. */
-		batch_send(m, from, b, r);
+		push_row(m, from, b, r);
 		g_array_append_val(wants, *key);
 		return;
 	}
-	if (row_is_guess(r)) {
+	if (row_is_presumed_failed(r)) {
 		if (key->incarnation >= own.incarnation)
 			g_array_append_val(wants, *key);
 		return;
 	}
 	if (merge_newer(
 		own.incarnation, own.state, key->incarnation, key->state))
-		batch_send(m, from, b, r);
+		push_row(m, from, b, r);
 	else if (merge_newer(
 		     key->incarnation, key->state, own.incarnation, own.state))
 		g_array_append_val(wants, *key);
@@ -261,42 +261,42 @@
 
 /* A host that the peer does not know: it may be news, or gone at home. */
 static void
-peer_lacks(struct membership *m, const struct net_addr *from, struct row *r,
+handle_missing(struct membership *m, const struct net_addr *from, struct row *r,
     int authority, struct batch *b)
 {
 	if (!member_is_live(&r->member))
 		return;
 	if (!authority || r->dc == m->home)
-		batch_send(m, from, b, r);
-	else if (m->now_ms >= r->known_ms + AUTHORITY_GRACE_MS)
-		suspicion_bury(m, r, MEMBER_FAILED);
+		push_row(m, from, b, r);
+	else if (m->now_ms >= r->changed_ms + AUTHORITY_GRACE_MS)
+		suspicion_mark_dead(m, r, MEMBER_FAILED);
 }
 
 static void
 compare_bucket(struct membership *m, const struct net_addr *from,
     const struct msg_sync_keys *msg, struct dc *dc)
 {
-	GHashTable *named = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
 	struct batch b = {.n = 0};
 	GArray *wants = keys_new();
 	struct row *r;
 	uint32_t i;
 
 	for (i = 0; i < msg->n_keys; i++) {
-		(void)g_hash_table_add(named, msg->keys[i].host);
-		compare(m, from, &msg->keys[i], &b, wants);
+		(void)g_hash_table_add(listed, msg->keys[i].host);
+		compare_key(m, from, &msg->keys[i], &b, wants);
 	}
 	for (i = 0; i < dc->rows->len; i++) {
 		r = dc->rows->pdata[i];
 		if (r->bucket == msg->bucket &&
-		    !g_hash_table_contains(named, r->member.host))
-			peer_lacks(m, from, r, msg->authority, &b);
+		    !g_hash_table_contains(listed, r->member.host))
+			handle_missing(m, from, r, msg->authority, &b);
 	}
 	send_batch(m, from, &b);
 	if (wants->len > 0)
 		send_keys(m, from, dc, msg->bucket, 1, wants);
 	g_array_unref(wants);
-	g_hash_table_unref(named);
+	g_hash_table_unref(listed);
 }
 
 static void
@@ -310,7 +310,7 @@
 	for (i = 0; i < msg->n_keys; i++) {
 		r = table_row(&m->table, msg->keys[i].host);
 		if (r != NULL)
-			batch_send(m, to, &b, r);
+			push_row(m, to, &b, r);
 	}
 	send_batch(m, to, &b);
 }
--- a/packages/membership/src/sync.h
+++ b/packages/membership/src/sync.h
@@ -10,7 +10,7 @@
  * A peer told the digest of its table; begin an exchange if it differs and
  * the last was not just now.  @peer is its row or NULL.
  */
-void sync_consider(struct membership *m, const struct net_addr *from,
+void sync_check_root(struct membership *m, const struct net_addr *from,
     const struct row *peer, uint64_t root);
 
 void sync_on_digests(struct membership *m, const struct net_addr *from,
--- a/packages/membership/src/table.c
+++ b/packages/membership/src/table.c
@@ -42,7 +42,7 @@
 	memset(t, 0, sizeof(*t));
 	t->hosts =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, row_free);
-	t->services = g_string_chunk_new(1024);
+	t->strings = g_string_chunk_new(1024);
 	t->dcs = g_ptr_array_new_with_free_func(dc_free);
 	t->timed = g_ptr_array_new();
 }
@@ -53,7 +53,7 @@
 	g_ptr_array_unref(t->timed);
 	g_ptr_array_unref(t->dcs);
 	g_hash_table_unref(t->hosts);
-	g_string_chunk_free(t->services);
+	g_string_chunk_free(t->strings);
 }
 
 struct dc *
@@ -133,7 +133,7 @@
 	r->member.incarnation = incarnation;
 	r->member.state = (uint8_t)state;
 	r->dc = dc;
-	r->until_ms = DEADLINE_NEVER;
+	r->expires_ms = DEADLINE_NEVER;
 	r->bucket =
 	    (uint8_t)(hash64(host, strlen(host), BUCKET_SEED) % TABLE_BUCKETS);
 	r->slot = dc->rows->len;
@@ -152,7 +152,7 @@
 
 	count(t, r, 0);
 	dc->live_change++;
-	table_set_until(t, r, DEADLINE_NEVER);
+	table_set_expiry(t, r, DEADLINE_NEVER);
 	last = dc->rows->pdata[dc->rows->len - 1];
 	last->slot = r->slot;
 	(void)g_ptr_array_remove_index_fast(dc->rows, r->slot);
@@ -196,49 +196,51 @@
 	for (i = 0; i < n; i++) {
 		e = &r->member.endpoints[i];
 		e->service = g_string_chunk_insert_const(
-		    t->services, endpoints[i].service);
+		    t->strings, endpoints[i].service);
 		e->revision = endpoints[i].revision;
 		e->port = endpoints[i].port;
 		e->slots = endpoints[i].slots;
 		e->cold_ms = endpoints[i].cold_ms;
 		e->state = (uint8_t)endpoints[i].state;
 		e->version = g_string_chunk_insert_const(
-		    t->services, endpoints[i].version);
+		    t->strings, endpoints[i].version);
 	}
 }
 
 void
-table_set_until(struct table *t, struct row *r, uint64_t until_ms)
+table_set_expiry(struct table *t, struct row *r, uint64_t expires_ms)
 {
-	if (r->until_ms == DEADLINE_NEVER && until_ms != DEADLINE_NEVER)
+	if (r->expires_ms == DEADLINE_NEVER && expires_ms != DEADLINE_NEVER)
 		g_ptr_array_add(t->timed, r);
-	else if (r->until_ms != DEADLINE_NEVER && until_ms == DEADLINE_NEVER)
+	else if (r->expires_ms != DEADLINE_NEVER &&
+	    expires_ms == DEADLINE_NEVER)
 		(void)g_ptr_array_remove_fast(t->timed, r);
-	r->until_ms = until_ms;
+	r->expires_ms = expires_ms;
 }
 
 static int
-fits(const struct row *r, const struct row * not, uint32_t states)
+matches(const struct row *r, const struct row *exclude, uint32_t states)
 {
-	return r != not &&(MEMBER_STATE_BIT(r->member.state) & states) != 0;
+	return r != exclude &&
+	    (MEMBER_STATE_BIT(r->member.state) & states) != 0;
 }
 
 struct row *
-table_random(struct membership *m, const struct dc *dc, const struct row * not,
-    uint32_t states)
+table_random(struct membership *m, const struct dc *dc,
+    const struct row *exclude, uint32_t states)
 {
 	uint32_t i, n = dc->rows->len, start;
 	struct row *r;
 
 	for (i = 0; i < RANDOM_TRIES && n > 0; i++) {
 		r = dc->rows->pdata[random_below(m, n)];
-		if (fits(r, not, states))
+		if (matches(r, exclude, states))
 			return r;
 	}
 	start = random_below(m, n);
 	for (i = 0; i < n; i++) {
 		r = dc->rows->pdata[(start + i) % n];
-		if (fits(r, not, states))
+		if (matches(r, exclude, states))
 			return r;
 	}
 	return NULL;
--- a/packages/membership/src/table.h
+++ b/packages/membership/src/table.h
@@ -8,7 +8,7 @@
 
 /* Whether a row is failed by this node's guess alone; see join.c. */
 static inline int
-row_is_guess(const struct row *r)
+row_is_presumed_failed(const struct row *r)
 {
 	return r->unconfirmed && r->member.state == MEMBER_FAILED;
 }
@@ -48,10 +48,10 @@
     const struct rec_endpoint *endpoints, uint32_t n);
 
 /* Set the end of a suspicion or tombstone, or DEADLINE_NEVER. */
-void table_set_until(struct table *t, struct row *r, uint64_t until_ms);
+void table_set_expiry(struct table *t, struct row *r, uint64_t expires_ms);
 
-/* A random row of @dc other than @not in one of @states, or NULL. */
+/* A random row of @dc other than @exclude in one of @states, or NULL. */
 struct row *table_random(struct membership *m, const struct dc *dc,
-    const struct row * not, uint32_t states);
+    const struct row *exclude, uint32_t states);
 
 #endif
--- a/packages/membership/test/test_finder.c
+++ b/packages/membership/test/test_finder.c
@@ -115,7 +115,7 @@
 		finder_looked_up(&f, 0, 0, now_ms);
 		ck_assert_uint_le(finder_due_ms(&f), now_ms + 600);
 		now_ms = finder_due_ms(&f);
-	} while (f.few == 1);
+	} while (f.few_lookups == 1);
 	ck_assert_int_eq(finder_next(&f, &alone, now_ms), FINDER_REGISTER);
 	finder_registered(&f, now_ms);
 	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 400), FINDER_NONE);
