--- a/packages/membership/include/membership/finder.h
+++ b/packages/membership/include/membership/finder.h
@@ -1,13 +1,14 @@
 /*
- * Finder: when a node writes itself into the directory at the platform, and
- * when it looks others up there.
+ * Finder: schedule of a node's registrations and lookups in the platform's
+ * directory.
  *
- * A node looks once at its start.  With peers it needs the directory no more:
- * it is looked at while the node is alone, and when many hosts were lost at
- * once.  Only a few hosts stand in it (membership/places.h), and whoever has
- * found few others or is alone still, so that those in the same position find
- * it.  So a start of many hosts costs about one call for each, and the very
- * first one less than two.  Failures are answered by full-jitter back-off.
+ * A node looks other nodes up once at its start.  A node with peers needs no
+ * further lookup: lookups are repeated while the node is alone, and when many
+ * hosts were lost at once.  Only a few hosts are registered (see
+ * membership/places.h), and also nodes that found few others or are still
+ * alone, so that nodes in the same situation find them.  So a mass start costs
+ * about one call per host, and the very first start less than two.  Failures
+ * are retried with full-jitter back-off.
  */
 #ifndef MEMBERSHIP_FINDER_H
 #define MEMBERSHIP_FINDER_H
@@ -16,11 +17,18 @@
 
 #include <glib.h>
 
-/** FINDER_MIN_OTHERS - with fewer others than this in the directory more are
- * looked for, and the own entry is written: those may all be gone */
+/**
+ * FINDER_MIN_OTHERS - entries of other nodes below which a node repeats its
+ * lookup and registers, since the few others may all be gone
+ */
 #define FINDER_MIN_OTHERS 4
 
-/** enum finder_action - what is to be done */
+/**
+ * enum finder_action - the call that is due
+ * @FINDER_NONE: none
+ * @FINDER_REGISTER: write the own entry
+ * @FINDER_LOOK_UP: read entries of other nodes
+ */
 enum finder_action {
 	FINDER_NONE = 0,
 	FINDER_REGISTER,
@@ -28,11 +36,11 @@
 };
 
 /**
- * struct finder_view - what the node knows
- * @joined: it holds the table; one that has only heard of others has nobody
- *	to ask for it, and looks on
+ * struct finder_view - state of the node
+ * @joined: the node holds the table; a node that only received messages of
+ *	others has no peer to join through, and continues its lookups
  * @live: live hosts known, the own one included
- * @holds_place: it is to hold its place in the directory
+ * @holds_place: the node should hold its place in the directory
  */
 struct finder_view {
 	int joined;
@@ -42,15 +50,15 @@
 
 /**
  * struct finder - state
- * @rand: random choices
- * @looked_up: the directory was looked at
- * @few_lookups: looks in a row that found few others
+ * @rand: source of random choices
+ * @looked_up: a lookup has succeeded
+ * @few_lookups: lookups in a row that found few others
  * @registered: the own entry is written
- * @busy: a call is under way
+ * @busy: a call is in progress
  * @failures: failures in a row
- * @due_ms: when the next call is due; DEADLINE_NEVER
- * @peak_live: most live hosts since the last look
- * @register_ms: when a holder that has not entered itself does
+ * @due_ms: when the next call is due, or DEADLINE_NEVER
+ * @peak_live: most live hosts since the last lookup
+ * @register_ms: when a holder that is not registered becomes due to register
  */
 struct finder {
 	GRand *rand;
@@ -64,19 +72,19 @@
 	uint64_t register_ms;
 };
 
-/** finder_init() - a starting node */
+/** finder_init() - initialize for a starting node; free with finder_clear() */
 void finder_init(struct finder *f, uint64_t seed, uint64_t now_ms);
 
-/** finder_clear() - free what it holds */
+/** finder_clear() - free the finder's resources */
 void finder_clear(struct finder *f);
 
 /**
- * finder_next() - what is due
+ * finder_next() - the call that is due
  * @f: the finder
- * @view: what the node knows
+ * @view: state of the node
  * @now_ms: monotonic time
  *
- * After FINDER_REGISTER call finder_registered() with its outcome, after
+ * After FINDER_REGISTER call finder_registered() or finder_failed(), after
  * FINDER_LOOK_UP finder_looked_up() or finder_failed().
  */
 enum finder_action
@@ -86,10 +94,10 @@
 void finder_registered(struct finder *f, uint64_t now_ms);
 
 /**
- * finder_looked_up() - the directory was looked at
+ * finder_looked_up() - a lookup has succeeded
  * @f: the finder
  * @others: entries of other nodes
- * @own_found: the own entry was among them
+ * @own_found: the own entry was among the entries
  * @now_ms: monotonic time
  */
 void finder_looked_up(
@@ -98,7 +106,7 @@
 /** finder_failed() - a call has failed */
 void finder_failed(struct finder *f, uint64_t now_ms);
 
-/** finder_due_ms() - when finder_next() is wanted next */
+/** finder_due_ms() - deadline of the next finder_next() */
 uint64_t finder_due_ms(const struct finder *f);
 
 #endif
--- a/packages/membership/include/membership/instances.h
+++ b/packages/membership/include/membership/instances.h
@@ -1,26 +1,26 @@
 /*
- * Instances: which run of the upstream on this host counts.
+ * Instances: selection of the current run of the upstream on this host.
  *
- * A start of an upstream has a name of its own, or the name of an earlier one
- * and a later time of its start.  Heartbeats may arrive late and out of order:
- * one of a run that has ended must not replace the run that followed it, and
- * one sent before a drain must not undo it.
+ * Each start of an upstream has a new instance name, or the name of an earlier
+ * run and a later start time.  Heartbeats may arrive late and out of order.  A
+ * heartbeat of a run that has ended must not replace the run that followed, and
+ * a heartbeat sent before a drain must not undo the drain.
  */
 #ifndef MEMBERSHIP_INSTANCES_H
 #define MEMBERSHIP_INSTANCES_H
 
 #include <stdint.h>
 
-/* Longest name of an instance, zero included. */
+/* Size of an instance name, NUL included. */
 #define INSTANCE_BYTES 64
 
-/* Runs that are remembered. */
+/* Most runs kept. */
 #define INSTANCES_MAX 8
 
 /**
- * enum instance_verdict - what a heartbeat is worth
- * @INSTANCE_CURRENT: it tells the state of the run that counts
- * @INSTANCE_STALE: it is late, or of a run that has been replaced or has left
+ * enum instance_verdict - whether a heartbeat is to be used
+ * @INSTANCE_CURRENT: of the current run; its state applies
+ * @INSTANCE_STALE: late, or of a run that was replaced or has left
  */
 enum instance_verdict {
 	INSTANCE_CURRENT = 0,
@@ -29,12 +29,12 @@
 
 /**
  * struct instance - one run
- * @id: its name; empty for an unused place
- * @started_ms: when it started, by the clock of its upstream, 0 when not told;
- *	only compared with others of the same upstream
- * @seq: highest number heard
- * @heartbeats: heartbeats heard since another run took its place
- * @left: it said that it leaves
+ * @id: its name; empty for an unused entry
+ * @started_ms: start time by the clock of its upstream, 0 when unknown; only
+ *	compared with other runs of the same upstream
+ * @seq: highest sequence number received
+ * @heartbeats: heartbeats received since another run replaced this run
+ * @left: the run reported that it leaves
  */
 struct instance {
 	char id[INSTANCE_BYTES];
@@ -46,53 +46,56 @@
 
 /**
  * struct instances - the runs of one upstream
- * @runs: those known, the one that counts first
- * @has_current: whether the first one counts
+ * @runs: known runs, the latest first
+ * @has_current: whether the first run is current; 0 once it has left
  */
 struct instances {
 	struct instance runs[INSTANCES_MAX];
 	int has_current;
 };
 
-/** instances_init() - none is known */
+/** instances_init() - start without known runs */
 void instances_init(struct instances *s);
 
 /**
- * instances_heartbeat() - a heartbeat came
+ * instances_heartbeat() - handle a heartbeat
  * @s: the runs
  * @id: name of the run
- * @started_ms: when the run started, 0 when not told
- * @seq: number of the heartbeat, which rises with each of a run
+ * @started_ms: start time of the run, 0 when unknown
+ * @seq: sequence number of the heartbeat, which rises with each of a run
  *
- * A later start under a known name is a new run: its numbers begin anew, and
- * that the earlier one left says nothing of it.
+ * A later start under a known name is a new run: its sequence numbers start
+ * anew, and a leave of the earlier run does not apply.
  */
 enum instance_verdict instances_heartbeat(
     struct instances *s, const char *id, uint64_t started_ms, uint64_t seq);
 
 /**
- * instances_left() - a run said that it leaves
+ * instances_left() - handle the report of a run that it leaves
  * @s: the runs
  * @id: name of the run
- * @started_ms: when the run started, 0 when not told
+ * @started_ms: start time of the run, 0 when unknown
  *
- * Return: 1 when it is the one that counted, else 0.
+ * Return: 1 when the run was current, else 0.
  */
 int instances_left(struct instances *s, const char *id, uint64_t started_ms);
 
-/** instances_current() - name of the run that counts, or "" */
+/** instances_current() - name of the current run, or "" */
 const char *instances_current(const struct instances *s);
 
 /**
- * instances_is_latest() - whether a run counts, or counted until it left
+ * instances_is_latest() - whether a run is current, or was until it left
  * @s: the runs
  * @id: its name
- * @started_ms: when it started; 0 when not told
+ * @started_ms: its start time; 0 when unknown
  */
 int instances_is_latest(
     const struct instances *s, const char *id, uint64_t started_ms);
 
-/** instances_current_started_ms() - when that run started; 0 when not told */
+/**
+ * instances_current_started_ms() - start time of the current run; 0 when
+ * unknown
+ */
 uint64_t instances_current_started_ms(const struct instances *s);
 
 #endif
--- a/packages/membership/include/membership/member.h
+++ b/packages/membership/include/membership/member.h
@@ -1,5 +1,5 @@
 /*
- * What a node knows of a host and of the upstreams on it.
+ * Public record of a host and of the upstreams on it.
  */
 #ifndef MEMBERSHIP_MEMBER_H
 #define MEMBERSHIP_MEMBER_H
@@ -9,7 +9,7 @@
 #include "proto/addr.h"
 #include "proto/messages.h"
 
-/* Longest name of a host, data centre or service, without the zero. */
+/* Longest name of a host, data centre or service, without the NUL. */
 #define MEMBER_NAME_MAX 31
 #define MEMBER_NAME_BYTES (MEMBER_NAME_MAX + 1)
 
@@ -23,19 +23,22 @@
 #define MEMBER_STATES_DEAD \
 	(MEMBER_STATE_BIT(MEMBER_FAILED) | MEMBER_STATE_BIT(MEMBER_LEFT))
 
-/** MEMBER_COLD_UNKNOWN - an endpoint didn't say how long it is still slow */
+/**
+ * MEMBER_COLD_UNKNOWN - remaining time of an endpoint's slow start is unknown
+ */
 #define MEMBER_COLD_UNKNOWN UINT16_MAX
 
 /**
  * struct member_endpoint - one upstream of a host
  * @service: name of the service; valid as long as the membership
- * @revision: rises with each change of this endpoint while its host's node
- *	runs
+ * @revision: rises with each change of this endpoint during a run of its
+ *	host's node
  * @port: port of the upstream on its host
  * @slots: requests that it runs at once
- * @cold_ms: how long it was still slow after its start when it was announced
- * @state: starting, ready, draining or left
- * @version: version of its software, empty when not told; valid as long as the
+ * @cold_ms: remaining time of its slow start when it was announced,
+ *	milliseconds, or MEMBER_COLD_UNKNOWN
+ * @state: enum endpoint_state
+ * @version: version of its software, empty when unknown; valid as long as the
  *	membership
  */
 struct member_endpoint {
@@ -55,15 +58,15 @@
  * @endpoints: its upstreams
  * @incarnation: version of the record; only the host itself raises it
  * @started_ms: wall-clock start of its process, milliseconds since 1970
- * @address: where it listens for control, TCP and UDP
- * @link_mbps: what its link carries, 0 when not known
- * @call_port: where it listens for calls, on the same IP
+ * @address: control address, TCP and UDP
+ * @link_mbps: rate of its link in Mbit/s, 0 when unknown
+ * @call_port: port for calls, on the same IP
  * @state: enum member_state; failed and left members are kept for a while as
  *	tombstones
  * @n_endpoints: number of @endpoints
  *
- * Read-only for everybody but the membership package.  A pointer is valid
- * until the next event is given to the membership.
+ * Only the membership package writes it.  A pointer is valid until the next
+ * event is given to the membership.
  */
 struct member {
 	char host[MEMBER_NAME_BYTES];
@@ -78,7 +81,9 @@
 	uint8_t n_endpoints;
 };
 
-/** member_is_live() - whether a host is to be counted on: alive or suspect */
+/**
+ * member_is_live() - whether a host is alive or suspect, so that it may be used
+ */
 static inline int
 member_is_live(const struct member *m)
 {
--- a/packages/membership/include/membership/membership.h
+++ b/packages/membership/include/membership/membership.h
@@ -1,14 +1,14 @@
 /*
- * Membership: which hosts and endpoints there are, in all data centres.
+ * Membership: the hosts and endpoints of all data centres.
  *
- * A decision module: it is given the time and one event, holds its state,
- * puts messages into an outbox and actions into a queue.  It has no socket,
- * clock, thread, random source or log call.
+ * A decision module: each call passes the time and an event.  The module holds
+ * its state, appends messages to an outbox and actions to a queue, and has no
+ * socket, clock, thread, random source or log call.
  *
- * Inside a data centre nodes probe each other (SWIM: random probes, indirect
- * probes, suspicion, refutation by a higher incarnation).  Hosts of other
- * data centres are never probed for failure; what is known of them comes
- * from nodes at home there.
+ * Nodes of a data centre probe each other (SWIM: random probes, indirect
+ * probes, suspicion, refutation by a higher incarnation).  Hosts of other data
+ * centres are never probed for failure; their state comes from nodes of their
+ * own data centre.
  */
 #ifndef MEMBERSHIP_MEMBERSHIP_H
 #define MEMBERSHIP_MEMBERSHIP_H
@@ -25,32 +25,33 @@
 #include "proto/outbox.h"
 
 /**
- * struct membership_settings - what a node is told at its start
+ * struct membership_settings - settings of a node
  * @host: own name
  * @data_centre: own data centre
  * @address: own control address, as other nodes reach it
  * @call_port: own port for calls
- * @link_mbps: what the own link carries, 0 when not known
- * @seeds: control addresses of peers to begin with; copied
+ * @link_mbps: rate of the own link in Mbit/s, 0 when unknown
+ * @seeds: control addresses of the first peers; copied
  * @n_seeds: number of @seeds
  * @probe_interval_ms: between two probes of own data centre's hosts
- * @probe_timeout_ms: until a probe goes through others
- * @suspicion_ms: least time between suspicion and failure, reached when
- *	several nodes suspect; one node alone waits three times as long
- * @indirect_probes: nodes asked to probe a host that did not answer
- * @gossip_interval_ms: between two rounds of passing news on
- * @gossip_fanout: receivers of each round
- * @retransmit_factor: each record is passed on 5 times and this many times
+ * @probe_timeout_ms: until a direct probe is followed by indirect ones
+ * @suspicion_ms: minimum time from suspicion to failure, reached with several
+ *	accusers; a single accuser waits three times as long
+ * @indirect_probes: nodes that are requested to probe a host that did not
+ *	answer
+ * @gossip_interval_ms: between two gossip rounds
+ * @gossip_fanout: receivers of each gossip round
+ * @retransmit_factor: each record is gossiped 5 times and this many times
  *	log2(nodes of the data centre)
  * @relays: nodes of the own data centre that exchange with a given other one
  * @relay_interval_ms: between two exchanges with another data centre
- * @sync_interval_ms: least time between two anti-entropy exchanges begun
+ * @sync_interval_ms: mean time between two anti-entropy exchanges started
  * @join_limit: joins served at once
  * @forget_ms: how long failed and left hosts are kept as tombstones
- * @await_seeds_ms: how long a node without seeds waits for some to be added
- *	before it goes on alone
- * @bootstrap_ms: how long a node goes on asking while nobody whom it reaches
- *	holds a table; then it begins one
+ * @await_seeds_ms: how long a node without seeds waits for
+ *	membership_add_seeds() before it continues alone
+ * @bootstrap_ms: how long a node tries to join while no reachable peer holds a
+ *	table, before it starts a new one
  */
 struct membership_settings {
 	char host[MEMBER_NAME_BYTES];
@@ -77,15 +78,15 @@
 };
 
 /**
- * enum membership_phase - how far a node is
- * @MEMBERSHIP_JOINING: fetching the table from a peer; don't serve yet
- * @MEMBERSHIP_JOINED: holds the table
- * @MEMBERSHIP_REFRESHING: was frozen for long; its table is old and is being
- *	fetched again
+ * enum membership_phase - phase of the own node
+ * @MEMBERSHIP_JOINING: fetching the table from a peer; the node must not serve
+ * @MEMBERSHIP_JOINED: the node holds the table
+ * @MEMBERSHIP_REFRESHING: fetching the table again after a long freeze, which
+ *	made it obsolete
  * @MEMBERSHIP_CONFLICT: another live host has the same name or address and
- *	was there first; don't serve
- * @MEMBERSHIP_LEAVING: telling peers that it stops
- * @MEMBERSHIP_LEFT: peers were told; the process may stop
+ *	takes precedence; the node must not serve
+ * @MEMBERSHIP_LEAVING: gossiping that the node stops
+ * @MEMBERSHIP_LEFT: gossip of the leave is over; the process may stop
  */
 enum membership_phase {
 	MEMBERSHIP_JOINING = 0,
@@ -100,13 +101,13 @@
 const char *membership_phase_name(enum membership_phase phase);
 
 /**
- * enum membership_action_kind - what the shell is told
- * @MEMBERSHIP_CHANGED: a host's state or endpoints changed, or it was
- *	forgotten; look it up by its name
- * @MEMBERSHIP_PEER_HEAD: a peer told its configuration head
+ * enum membership_action_kind - what the caller is notified of
+ * @MEMBERSHIP_CHANGED: a host's state or endpoints changed, or the host was
+ *	forgotten; look the host up by its name
+ * @MEMBERSHIP_PEER_HEAD: a peer reported its configuration head
  * @MEMBERSHIP_PHASE: the own phase changed
- * @MEMBERSHIP_WARNING: two hosts share a name or an address; the message
- *	says which and what to do
+ * @MEMBERSHIP_WARNING: two hosts share a name or an address; the message names
+ *	them and the remedy
  */
 enum membership_action_kind {
 	MEMBERSHIP_CHANGED = 0,
@@ -118,11 +119,11 @@
 #define MEMBERSHIP_MESSAGE_BYTES 256
 
 /**
- * struct membership_action - one thing that the shell is told
- * @kind: what it is
- * @host: the host that it is about
- * @addr: control address of the peer heard
- * @head: head that the peer told
+ * struct membership_action - a notification for the caller
+ * @kind: its kind
+ * @host: the host that changed, reported its head or is in conflict
+ * @addr: control address of that peer
+ * @head: the peer's configuration head
  * @phase: new phase
  * @message: text for operators
  */
@@ -138,18 +139,18 @@
 /**
  * struct membership_counters - totals since the start
  * @probes: probes sent
- * @probes_failed: probes without an answer, indirect ones included
- * @suspected: suspicions taken up or raised
- * @failed: hosts taken for failed
- * @refuted: times that the own record was raised to refute something
- * @news_sent: records passed on
+ * @probes_failed: probes without an ack, indirect ones included
+ * @suspected: suspicions started
+ * @failed: hosts marked as failed
+ * @refuted: times that the own incarnation was raised to refute a record
+ * @news_sent: records gossiped
  * @news_received: records received
  * @news_applied: records received that were new
- * @syncs: anti-entropy exchanges begun
- * @compared: comparisons begun after the start
- * @joins_served: parts of the table handed out
- * @joins_refused: joins turned away
- * @rejected: messages that could not be read or made no sense
+ * @syncs: anti-entropy exchanges started
+ * @compared: comparisons of tables started after the start
+ * @joins_served: parts of the table served
+ * @joins_refused: joins refused
+ * @rejected: messages that could not be decoded or were invalid
  * @bytes_datagrams: bytes of datagrams sent, type byte included, without IP
  * @bytes_frames: bytes of frames sent, likewise
  */
@@ -180,9 +181,9 @@
  * membership_new() - membership of a starting node
  * @s: its settings; copied
  * @now_ms: monotonic time
- * @wall_ms: wall-clock time, where the own incarnation starts
+ * @wall_ms: wall-clock time, the initial incarnation
  * @seed: seed of all random choices
- * @out: where messages go; must outlive the membership
+ * @out: outgoing messages; must outlive the membership
  *
  * Return: the membership; free with membership_free().
  */
@@ -193,38 +194,39 @@
 void membership_free(struct membership *m);
 
 /**
- * membership_add_seeds() - further peers to begin with, found after the start
+ * membership_add_seeds() - add peers that were found after the start
  * @m: the membership
  * @now_ms: monotonic time
- * @seeds: their control addresses, the own one perhaps among them; copied
- * @n_seeds: number of @seeds; beyond MEMBERSHIP_SEEDS_MAX older ones go
+ * @seeds: their control addresses, which may include the own one; copied
+ * @n_seeds: number of @seeds; beyond MEMBERSHIP_SEEDS_MAX the oldest are
+ *	dropped
  */
 void membership_add_seeds(struct membership *m, uint64_t now_ms,
     const struct net_addr *seeds, uint32_t n_seeds);
 
-/** MEMBERSHIP_SEEDS_MAX - most seeds that are remembered */
+/** MEMBERSHIP_SEEDS_MAX - most seeds kept */
 #define MEMBERSHIP_SEEDS_MAX 64
 
 /**
- * membership_tick() - let time pass
+ * membership_tick() - handle expired deadlines
  * @m: the membership
  * @now_ms: monotonic time
  *
- * A gap between the calls shows that the process was frozen.
+ * A gap between the calls counts as a freeze of the process.
  */
 void membership_tick(struct membership *m, uint64_t now_ms);
 
-/** membership_next_ms() - monotonic time of the next needed tick */
+/** membership_next_ms() - deadline of the next membership_tick() */
 uint64_t membership_next_ms(const struct membership *m);
 
 /**
- * membership_handles() - whether a message type is for membership_receive()
+ * membership_handles() - whether membership_receive() handles a message type
  * @type: type byte
  */
 int membership_handles(uint8_t type);
 
 /**
- * membership_receive() - take in a message of a peer
+ * membership_receive() - handle a message of a peer
  * @m: the membership
  * @now_ms: monotonic time
  * @from: address that a datagram came from; for a frame, the peer of the
@@ -239,7 +241,7 @@
     const uint8_t *body, size_t len);
 
 /**
- * membership_unreachable() - a frame could not be delivered
+ * membership_unreachable() - handle a frame that could not be delivered
  * @m: the membership
  * @now_ms: monotonic time
  * @to: address that was dialled, or the peer of the connection that broke
@@ -248,31 +250,30 @@
     struct membership *m, uint64_t now_ms, const struct net_addr *to);
 
 /**
- * membership_pop() - take the oldest action out
+ * membership_pop() - remove the oldest action from the queue
  * @m: the membership
- * @action: where it goes
+ * @action: where the action is written
  *
- * Return: 1, or 0 when there is none.
+ * Return: 1, or 0 when the queue is empty.
  */
 int membership_pop(struct membership *m, struct membership_action *action);
 
 /**
- * membership_set_head() - the configuration head that probes carry
+ * membership_set_head() - set the configuration head that pings and acks carry
  * @m: the membership
- * @head: the head; what it says of known versions is left out, see
- *	membership_set_known()
+ * @head: the head; its known version is ignored, see membership_set_known()
  */
 void
 membership_set_head(struct membership *m, const struct rec_gossip_head *head);
 
 /**
- * membership_set_known() - the newest version that this node read itself
+ * membership_set_known() - set the newest version that this node read itself
  * @m: the membership
  * @version: version that the platform has accepted, whether this node can use
- *	it or not; 0 for none
+ *	the version or not; 0 for none
  *
- * Probes carry the newest that is known, so that peers know it too.  What this
- * node read itself stays until it reads something else.
+ * Pings and acks carry the newest known version to the peers.  The version that
+ * this node read itself is kept until the next call.
  */
 void membership_set_known(struct membership *m, uint64_t version);
 
@@ -281,25 +282,26 @@
  * @m: the membership
  * @now_ms: monotonic time
  *
- * Return: the higher of what this node read itself and what peers have told;
- * that lapses unless a node that read it confirms it.  0 for none.
+ * Return: the higher of the version that this node read itself and the version
+ * that peers reported.  A reported version expires unless a node that read the
+ * version confirms it.  0 for none.
  */
 uint64_t membership_known(const struct membership *m, uint64_t now_ms);
 
 /**
- * membership_announce() - an upstream of the own host told its state
+ * membership_announce() - set the state of an upstream of the own host
  * @m: the membership
  * @now_ms: monotonic time
- * @service: service that it is an endpoint of
- * @port: its port; an endpoint is known by service and port
+ * @service: service that the upstream is an endpoint of
+ * @port: its port; service and port identify an endpoint
  * @slots: requests that it runs at once
  * @state: starting, ready or draining
- * @lease_ms: monotonic deadline by which it is announced again; else it is
+ * @lease_ms: monotonic deadline of the next announcement; then the endpoint is
  *	draining, and after the same time once more it has left
- * @cold_ms: how much longer it is slow after its start, or
- *	MEMBER_COLD_UNKNOWN.  Peers are told it as it is when something else
- *	changes: its running down is no news
- * @version: version of its software; NULL or "" when it didn't say
+ * @cold_ms: remaining time of its slow start, or MEMBER_COLD_UNKNOWN.  A change
+ *	of this value alone is not gossiped; peers receive the value together
+ *	with the next other change
+ * @version: version of its software; NULL or "" when unknown
  *
  * Return: STATUS_OK, STATUS_INVALID, or STATUS_OVERLOADED when the host has
  * MEMBER_ENDPOINTS_MAX endpoints already.
@@ -310,10 +312,10 @@
     uint16_t cold_ms, const char *version);
 
 /**
- * membership_withdraw() - an upstream of the own host has left
+ * membership_withdraw() - mark an endpoint of the own host as left
  * @m: the membership
  * @now_ms: monotonic time
- * @service: service that it was an endpoint of
+ * @service: service that the upstream was an endpoint of
  * @port: its port
  *
  * Return: STATUS_OK or STATUS_NOT_FOUND.
@@ -322,15 +324,15 @@
     struct membership *m, uint64_t now_ms, const char *service, uint16_t port);
 
 /**
- * membership_leave() - tell peers that this node stops
+ * membership_leave() - announce to peers that this node stops
  * @m: the membership
  * @now_ms: monotonic time
  *
- * Keep ticking until the phase is MEMBERSHIP_LEFT.
+ * Continue to call membership_tick() until the phase is MEMBERSHIP_LEFT.
  */
 void membership_leave(struct membership *m, uint64_t now_ms);
 
-/** membership_phase() - how far this node is */
+/** membership_phase() - phase of the own node */
 enum membership_phase membership_phase(const struct membership *m);
 
 /** membership_self() - the own record */
@@ -346,22 +348,22 @@
 const struct member *
 membership_find(const struct membership *m, const char *host);
 
-/** membership_visit - called for a member; @ctx is the caller's own */
+/** membership_visit - callback for a member; @ctx is the caller's */
 typedef void (*membership_visit)(const struct member *member, void *ctx);
 
 /**
  * membership_each() - visit all members, tombstones included
  * @m: the membership
- * @visit: called for each; must give no event to the membership
- * @ctx: passed through
+ * @visit: called for each; must not call functions that change the membership
+ * @ctx: passed to @visit
  */
 void
 membership_each(const struct membership *m, membership_visit visit, void *ctx);
 
 /**
- * membership_random() - a member other than the own host, by chance
+ * membership_random() - a random member other than the own host
  * @m: the membership
- * @data_centre: where it is to be, or NULL for anywhere
+ * @data_centre: data centre of the member, or NULL for any
  * @states: set of MEMBER_STATE_BIT()s
  *
  * Return: the member, or NULL when there is none.
@@ -373,41 +375,41 @@
  * membership_rank() - the first live members of a data centre for a key
  * @m: the membership
  * @data_centre: the data centre
- * @key: the key; all nodes with the same view rank alike
- * @ranked: where they go, first in rank first; room for @n
- * @n: how many are wanted; at most MEMBERSHIP_RANK_MAX
+ * @key: the key; all nodes with the same table get the same rank
+ * @ranked: where the members are written, first in rank first; room for @n
+ * @n: number of members wanted; at most MEMBERSHIP_RANK_MAX
  *
  * The own host is ranked with the others.
  *
- * Return: how many were found.
+ * Return: number of members found.
  */
 uint32_t membership_rank(const struct membership *m, const char *data_centre,
     const char *key, const struct member **ranked, uint32_t n);
 
 /**
- * membership_rank_by_link() - the same, hosts with quicker links first
+ * membership_rank_by_link() - the same, hosts with faster links first
  *
- * For what has much to carry: a configuration of 0.45 MB takes 0.7 s on a link
- * of 5 Mbit/s and 36 ms on one of 100.  Links that differ by less than half
- * count as alike, so that the work is not all on one host.
+ * For large transfers: a configuration of 0.45 MB takes 0.7 s on a link of 5
+ * Mbit/s and 36 ms on a link of 100 Mbit/s.  Links whose rates have the same
+ * power of two rank alike, which spreads the load over several hosts.
  */
 uint32_t
 membership_rank_by_link(const struct membership *m, const char *data_centre,
     const char *key, const struct member **ranked, uint32_t n);
 
-/** membership_score_by_link() - what membership_rank_by_link() ranks by */
+/** membership_score_by_link() - score of a host in membership_rank_by_link() */
 uint64_t membership_score_by_link(const char *key, const struct member *mb);
 
-/** MEMBERSHIP_RANK_MAX - most members that membership_rank() gives */
+/** MEMBERSHIP_RANK_MAX - most members that membership_rank() returns */
 #define MEMBERSHIP_RANK_MAX 16
 
 /**
- * struct membership_data_centre - sums over a data centre
+ * struct membership_data_centre - summary of a data centre
  * @name: its name; valid as long as the membership
  * @live: hosts alive or suspect
- * @tombstones: tombstones
- * @heard_ms: monotonic time at which this node or, through the relays, its
- *	data centre last heard from there; 0 for never
+ * @tombstones: hosts failed or left
+ * @heard_ms: monotonic time at which a message or record last came from there,
+ *	directly or through the relays; 0 for never
  */
 struct membership_data_centre {
 	const char *name;
@@ -417,19 +419,19 @@
 };
 
 /**
- * membership_data_centres() - all data centres that hosts are known of
+ * membership_data_centres() - all data centres with known hosts
  * @m: the membership
  * @list: array of struct membership_data_centre that they are appended to
  */
 void membership_data_centres(const struct membership *m, GArray *list);
 
-/** membership_change() - rises with each MEMBERSHIP_CHANGED */
+/** membership_change() - number that rises with each MEMBERSHIP_CHANGED */
 uint64_t membership_change(const struct membership *m);
 
 /** membership_live() - number of live members in all data centres */
 uint32_t membership_live(const struct membership *m);
 
-/** membership_root() - digest of the table; equal tables have equal ones */
+/** membership_root() - digest of the table; equal tables have equal digests */
 uint64_t membership_root(const struct membership *m);
 
 /** membership_counters() - totals since the start */
--- a/packages/membership/src/action.c
+++ b/packages/membership/src/action.c
@@ -1,8 +1,8 @@
 /*
- * Actions: what the shell is told.
+ * Queue of the actions that membership_pop() returns.
  *
- * There may be one for each host, so that they are kept small and a host
- * that changes again before it was popped is not queued twice.
+ * The queue may hold an action for each host, so queued actions are small, and
+ * a host that changes again before its action is popped is not queued twice.
  */
 #include <stdarg.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "action.h"
 #include "table.h"
 
-/* An action as it waits. */
+/* A queued action; @message is allocated for warnings only. */
 struct queued_action {
 	enum membership_action_kind kind;
 	enum membership_phase phase;
--- a/packages/membership/src/action.h
+++ b/packages/membership/src/action.h
@@ -1,5 +1,5 @@
 /*
- * Actions: what the shell is told.
+ * Actions: notifications for the caller of the membership.
  */
 #ifndef MEMBERSHIP_ACTION_H
 #define MEMBERSHIP_ACTION_H
@@ -7,27 +7,27 @@
 #include "internal.h"
 
 /*
- * A row changed.  @replicate: other data centres are to be told as well, which
- * is so for all but suspicions of the own data centre's hosts.
+ * Records that a row changed.  @replicate: the change also goes to other data
+ * centres; 0 only for suspicions, which stay within their data centre.
  */
 void action_changed(struct membership *m, struct row *r, int replicate);
 
-/* A row is about to be taken out of the table. */
+/* Records that a row is about to be removed from the table. */
 void action_removed(struct membership *m, const struct row *r);
 
-/* A peer told its head. */
+/* Queues the configuration head that a peer reported. */
 void action_peer_head(struct membership *m, const char *host,
     const struct net_addr *addr, const struct rec_gossip_head *head);
 
-/* Change the own phase; nothing when it is the same. */
+/* Changes the own phase; does nothing when the phase is the same. */
 void action_phase(struct membership *m, enum membership_phase phase);
 
-/* Text for operators. */
+/* Queues a warning for operators. */
 void action_warning(struct membership *m, const char *host,
     const struct net_addr *addr, const char *fmt, ...)
     __attribute__((format(printf, 4, 5)));
 
-/* Free what was not popped. */
+/* Frees the actions that were not popped. */
 void action_clear(struct membership *m);
 
 #endif
--- a/packages/membership/src/claim.c
+++ b/packages/membership/src/claim.c
@@ -1,12 +1,13 @@
 /*
- * Claims: two live hosts under one name or one address, by a slip of
- * settings.
+ * Claims: resolution of two live hosts with one name or one address, which
+ * misconfiguration causes.
  *
- * A host that finds its own name at another address, or its own address
- * under another name, asks whoever answers there.  When a live process does,
- * the one that joined later does not serve and looks again from time to
- * time; when none does, it was an old record and is overridden.  So a host
- * that was replaced needs no help, and two that are alive don't fight.
+ * A host that finds its own name at another address, or its own address under
+ * another name, sends a claim to that address.  When a live process answers,
+ * the host that joined later stops serving and repeats the check periodically.
+ * When no process answers, the record is obsolete and is overridden.  So a
+ * replaced host needs no operator, and two live hosts do not override each
+ * other forever.
  */
 #include <string.h>
 
@@ -22,10 +23,10 @@
 #define CLAIM_TRIES 3
 #define CLAIM_ANSWER_MS 500
 
-/* Between two warnings of the same. */
+/* Minimum interval between two warnings. */
 #define WARN_INTERVAL_MS 5000
 
-/* Between two looks whether the conflict is over. */
+/* Interval of the checks whether a conflict still exists. */
 #define CONFLICT_INTERVAL_MS 5000
 
 static int
@@ -34,7 +35,10 @@
 	return m->phase == MEMBERSHIP_JOINED || m->phase == MEMBERSHIP_LEAVING;
 }
 
-/* Whether another process was there before this one. */
+/*
+ * Whether the rival keeps the name: a serving process precedes one that is not,
+ * then the earlier start, then the lower address.
+ */
 static int
 takes_precedence(const struct membership *m, int rival_serving,
     uint64_t rival_started_ms, const struct net_addr *rival_addr)
@@ -107,7 +111,7 @@
 		    host, text);
 }
 
-/* Another live process was there first: don't serve. */
+/* Stops serving: another live process takes precedence. */
 static void
 enter_conflict(struct membership *m, const char *host,
     const struct net_addr *addr, int same_name)
@@ -122,7 +126,7 @@
 	action_phase(m, MEMBERSHIP_CONFLICT);
 }
 
-/* Nobody else is there. */
+/* Ends a claim that no other process contests. */
 static void
 end_uncontested(struct membership *m)
 {
@@ -153,7 +157,7 @@
 	}
 	if (m->now_ms < m->claim.next_warning_ms)
 		return;
-	/* The other one started later: let it know, and stay. */
+	/* The rival started later: notify the rival and keep serving. */
 	warn_operators(m, rec->host, &addr, 1);
 	send_claim(m, &addr, 0);
 	if (rec->incarnation >= m->self->member.incarnation)
@@ -248,9 +252,12 @@
 	send_datagram(m, to, MSG_CLAIM_ANSWER, body);
 }
 
-/* The own claim came back: the address is truly the own one.  The other host
- * was here before and is gone; one that lives elsewhere under this address by
- * a slip of its settings claims it too, and operators are warned then. */
+/*
+ * Whether a claim is this node's own, sent back to its sender: then the address
+ * belongs to this node, and the host of the old record is gone.  A live host
+ * elsewhere that is configured with this address by mistake sends a claim too,
+ * and claim_on_claim() warns operators then.
+ */
 static int
 is_echo(const struct membership *m, const struct msg_claim *msg)
 {
@@ -274,7 +281,7 @@
 		end_uncontested(m);
 		return;
 	}
-	/* One that gave way contests nothing. */
+	/* A node in conflict contests no claim. */
 	if (m->phase == MEMBERSHIP_CONFLICT)
 		return;
 	addr.ip = msg.ip;
@@ -307,7 +314,7 @@
 	addr.ip = msg.ip;
 	addr.port = msg.port;
 	if (!c->same_name) {
-		/* Whoever answers there holds the address. */
+		/* The process that answers at the address holds the address. */
 		enter_conflict(m, msg.host, &c->addr, 0);
 		return;
 	}
--- a/packages/membership/src/claim.h
+++ b/packages/membership/src/claim.h
@@ -1,26 +1,26 @@
 /*
- * Claims: two live hosts under one name or one address.
+ * Claims: resolution of two live hosts with one name or one address.
  */
 #ifndef MEMBERSHIP_CLAIM_H
 #define MEMBERSHIP_CLAIM_H
 
 #include "record.h"
 
-/* A record of the own name came that has another address. */
+/* Handles a record with the own name and another address. */
 void claim_same_name(struct membership *m, const struct rec_member *rec);
 
 /*
- * The own host is said not to be alive: find out whether another one holds
- * its address.  Returns whether that is being found out.
+ * Handles a record by which the own host is not alive: checks whether another
+ * host holds the own address.  Returns whether the check is in progress.
  */
 int claim_same_address(struct membership *m);
 
-/* A live host's record came; it may have the own address. */
+/* Starts a claim if the record of a live host has the own address. */
 void claim_check_address(struct membership *m, const struct rec_member *rec);
 
 void claim_tick(struct membership *m);
 
-/* When claim_tick() has something to do next. */
+/* Deadline of the next claim_tick(). */
 uint64_t claim_next_ms(const struct membership *m);
 
 void claim_on_claim(struct membership *m, const struct net_addr *from,
--- a/packages/membership/src/finder.c
+++ b/packages/membership/src/finder.c
@@ -1,36 +1,42 @@
 /*
- * When the directory at the platform is written and read.
+ * Schedule of the reads and writes of the platform's directory.
  */
 #include "membership/finder.h"
 
 #include "base/clock.h"
 
-/* Full-jitter back-off after failures: at first about the time that the
- * platform needs for an answer, at last what 22,000 nodes may ask together of
- * 2,000 reads a second with room for others. */
+/*
+ * Full-jitter back-off after failures.  The base is about the time that the
+ * platform takes to answer.  The cap is meant to leave room for other reads
+ * when 22,000 nodes call a store of 2,000 reads/s.
+ */
 #define BACKOFF_BASE_MS 200
 #define BACKOFF_CAP_MS 5000
 #define BACKOFF_SHIFT_MAX 5
 
-/* A node that is alone looks again within this. */
+/* Longest interval between two lookups of a node without peers. */
 #define ALONE_INTERVAL_MS 1000
 
-/* A node with peers looks whether it should, without a call. */
+/* Interval at which a node with peers checks whether a call is due. */
 #define CHECK_INTERVAL_MS 1000
 
-/* Hosts are taken for lost together when less than this share is left. */
+/* Hosts count as lost at once when fewer than this share are left. */
 #define LOST_PERCENT 50
 #define PERCENT 100
 
-/* Hosts that start together for the first time find nobody.  One of so many
- * enters itself at once; the others look again, each at its own moment within
- * this time, and then most need not. */
+/*
+ * Hosts of a fleet that starts for the first time find few entries.  One in
+ * FEW_REGISTER_ONE_IN of them registers at once.  The others repeat the lookup
+ * after a random delay, by when most find enough entries and need not register.
+ */
 #define FEW_REGISTER_ONE_IN 4
 #define FEW_RETRY_MS 600
 #define FEW_LOOKUPS 2
 
-/* A place changes its holder after this: a host that is restarted is back
- * sooner, and is found at its address of before. */
+/*
+ * Delay before a new holder registers in a place.  A restarted host is back
+ * sooner, and is found at its old address.
+ */
 #define HOLDER_DELAY_MS 10000
 
 void
@@ -71,7 +77,10 @@
 	    view->live * PERCENT < f->peak_live * LOST_PERCENT;
 }
 
-/* Whether this node holds its place for long and is not entered there. */
+/*
+ * Whether this node has held its place for HOLDER_DELAY_MS and is not
+ * registered.
+ */
 static int
 must_register(struct finder *f, const struct finder_view *view, uint64_t now_ms)
 {
--- a/packages/membership/src/instances.c
+++ b/packages/membership/src/instances.c
@@ -1,5 +1,5 @@
 /*
- * Which run of the upstream on this host counts.
+ * Selection of the current run of an upstream: see membership/instances.h.
  */
 #include "membership/instances.h"
 
@@ -8,8 +8,8 @@
 #include <glib.h>
 
 /*
- * A run that was replaced counts again once it is heard this often: then it
- * lives, and what replaced it was late news.
+ * Heartbeats after which a replaced run becomes current again: the run is alive
+ * then, and the heartbeat that replaced it arrived late.
  */
 #define RESUME_HEARTBEATS 2
 
@@ -30,7 +30,10 @@
 	return -1;
 }
 
-/* Moves a run to the front; the others keep their order. */
+/*
+ * Moves a run to the front, where the current run is; the others keep their
+ * order.
+ */
 static void
 make_current(struct instances *s, int i)
 {
@@ -38,11 +41,11 @@
 
 	memmove(&s->runs[1], &s->runs[0], (size_t)i * sizeof(run));
 	s->runs[0] = run;
-	/* Counted from now on for the one that was replaced. */
+	/* Heartbeats of the replaced run count from now on. */
 	s->runs[1].heartbeats = 0;
 }
 
-/* A run that begins here, in the place of the one at @i. */
+/* Initializes a run at index @i, in place of the run there. */
 static void
 init_run(struct instances *s, int i, const char *id, uint64_t started_ms)
 {
@@ -52,7 +55,9 @@
 	s->runs[i] = run;
 }
 
-/* Whether one start is known to be later than another. */
+/*
+ * Whether one start is known to be later than another; 0 is an unknown start.
+ */
 static int
 is_later(uint64_t a_ms, uint64_t b_ms)
 {
@@ -65,7 +70,7 @@
 	return a_ms != 0 && a_ms < b_ms;
 }
 
-/* A run that is new here; the one at @i is forgotten for it. */
+/* Adds a run and makes it current; the run at @i is dropped. */
 static enum instance_verdict
 add_run(struct instances *s, int i, const char *id, uint64_t started_ms,
     uint64_t seq)
@@ -119,7 +124,7 @@
 	if (i >= 0 && is_earlier(started_ms, s->runs[i].started_ms))
 		return 0;
 	if (i < 0) {
-		/* Never heard here: remembered, so that late news is known. */
+		/* Unknown here: kept, so that its late heartbeats are stale. */
 		i = INSTANCES_MAX - 1;
 		init_run(s, i, id, started_ms);
 	}
--- a/packages/membership/src/internal.h
+++ b/packages/membership/src/internal.h
@@ -1,6 +1,5 @@
 /*
- * What the modules of this package share: the table, and the state of each
- * module as one struct.
+ * Internal state of the package: the table, and one struct per module.
  */
 #ifndef MEMBERSHIP_INTERNAL_H
 #define MEMBERSHIP_INTERNAL_H
@@ -11,34 +10,36 @@
 
 #include "membership/membership.h"
 
-/* Buckets that a data centre's hosts are digested in. */
+/* Buckets per data centre, each with a digest of its hosts. */
 #define TABLE_BUCKETS 64
 
-/* Most data centres that are taken in; there are 28 in the plans. */
+/* Most data centres that the table accepts; 28 are planned. */
 #define DATA_CENTRES_MAX 256
 
-/* Independent suspicions that end a suspicion early. */
+/* Accusers that shorten a suspicion to its minimum. */
 #define ACCUSERS_MAX 3
 
-/* No incarnation above this is believed: it is no clock's milliseconds. */
+/* Highest valid incarnation: no clock's milliseconds reach this. */
 #define INCARNATION_MAX (UINT64_C(1) << 62)
 
 /**
- * struct row - a member with what is not for the eyes of others
- * @member: the public part; first, so that it may be cast back
+ * struct row - a member with its internal state
+ * @member: public part; first, so that a pointer to it can be cast back
  * @dc: its data centre
- * @expires_ms: end of the suspicion or of the tombstone; DEADLINE_NEVER else
- * @changed_ms: when the record last changed
- * @change: table's change number of the last change to be told abroad
- * @news: place in the queue of news, or NULL
+ * @expires_ms: expiry of the suspicion or tombstone, else DEADLINE_NEVER
+ * @changed_ms: monotonic time of the record's last change
+ * @change: table's change number of the last change that is sent to other data
+ *	centres
+ * @news_link: position in the gossip queue, or NULL
  * @slot: index in the rows of its data centre
- * @accusers: hashes of the names of those who suspect it
+ * @accusers: hashes of the names of the hosts that suspect the member
  * @n_accusers: number of @accusers
- * @bucket: bucket that it is digested in
- * @last_probe: the suspicion came to its end; a last probe is under way
- * @unconfirmed: not told by a peer since the refresh began; if failed, only
- *	this node's guess, which it neither passes on nor holds to
- * @queued: a MEMBERSHIP_CHANGED action waits
+ * @bucket: bucket whose digest includes the member
+ * @last_probe: the suspicion expired; a last probe is in progress
+ * @unconfirmed: no peer confirmed the row since the refresh began; if failed,
+ *	the state is this node's assumption, is not gossiped, and yields to any
+ *	record of the same incarnation
+ * @queued: a MEMBERSHIP_CHANGED action is queued
  */
 struct row {
 	struct member member;
@@ -57,21 +58,21 @@
 };
 
 /**
- * struct dc - one data centre's part of the table, and the exchange with it
+ * struct dc - table of a data centre, and state of the exchange with it
  * @name: its name
- * @rows: its hosts, tombstones included, in no order
+ * @rows: its hosts, tombstones included, unordered
  * @live: number of live hosts
  * @live_change: rises when a host starts or ceases to be live
  * @digests: digest of each bucket's live hosts
  * @digest: sum of @digests
  * @change: highest change number of its rows
- * @heard_ms: when something was last heard from there
- * @relay: whether this node exchanges with it
- * @relay_rank: own place among the relays, from 0
- * @relay_next_ms: next probe of the peer there
- * @relay_sent_change: change number up to which changes were told there
- * @relay_misses: probes since the last answer; picks the peer there
- * @relay_seq: sequence of the last probe
+ * @heard_ms: monotonic time when a message or record last came from there
+ * @relay: whether this node is a relay for the data centre
+ * @relay_rank: own rank among the relays, from 0
+ * @relay_next_ms: next ping of the peer there
+ * @relay_sent_change: change number up to which rows were sent there
+ * @relay_misses: pings since the last ack; selects the peer there
+ * @relay_seq: sequence number of the last ping
  */
 struct dc {
 	char name[MEMBER_NAME_BYTES];
@@ -92,9 +93,9 @@
 
 /**
  * struct table - all hosts
- * @hosts: host to struct row
- * @services: names of services, once each
- * @dcs: struct dc, in the order of their first mention
+ * @hosts: host name to struct row
+ * @strings: interned names of services and versions
+ * @dcs: struct dc, in the order in which they were added
  * @live: number of live hosts
  * @root: digest of all data centres
  * @change: rises with each change
@@ -111,12 +112,12 @@
 };
 
 /**
- * struct news_queue - records still to be passed on
+ * struct news_queue - gossip queue of the own data centre
  * @urgent: drains, leaves and the own record
- * @normal: the others
- * @next_ms: next round
- * @budget_bytes: bytes that may be sent now
- * @refilled_ms: when the allowance was last raised
+ * @normal: other records
+ * @next_ms: next gossip round
+ * @budget_bytes: bytes that rounds may send now; a token bucket
+ * @refilled_ms: time of the last refill of @budget_bytes
  */
 struct news_queue {
 	GQueue urgent;
@@ -127,12 +128,12 @@
 };
 
 /**
- * struct probe - one probe under way
+ * struct probe - a probe in progress
  * @seq: sequence number
  * @host: host that is probed
- * @rounds: times that others were asked to probe it too
- * @start_ms: when it was sent
- * @deadline_ms: end of this step
+ * @rounds: rounds of indirect probes so far
+ * @start_ms: when the probe was sent
+ * @deadline_ms: end of the current round
  */
 struct probe {
 	uint32_t seq;
@@ -143,11 +144,11 @@
 };
 
 /**
- * struct indirect_probe - a probe made for another node
+ * struct indirect_probe - a probe on behalf of another node
  * @seq: own sequence number
- * @requester_seq: sequence number of the node that asked
- * @requester: its address
- * @deadline_ms: when to forget it
+ * @requester_seq: sequence number of the node that requested the probe
+ * @requester: address of that node
+ * @deadline_ms: when the probe is dropped
  */
 struct indirect_probe {
 	uint32_t seq;
@@ -157,20 +158,20 @@
 };
 
 /**
- * struct prober - probing of the own data centre
+ * struct prober - failure detector of the own data centre
  * @probes: struct probe
  * @indirect: struct indirect_probe
  * @seq: last sequence number
- * @cursor: next row of the own data centre
+ * @cursor: index of the next row of the own data centre to probe
  * @next_ms: next probe
- * @reconnect_ms: next probe of a seed or failed host
- * @received_ms: when the last message of anybody came
- * @health_score: failed probes during which nothing was heard, less answered
- *ones, kept within bounds: how far this node must suspect itself
+ * @reconnect_ms: next ping of a seed or a failed host
+ * @received_ms: when the last message of any node arrived
+ * @health_score: failed probes during which no message arrived, less
+ *	successful ones, from 0 to HEALTH_SCORE_MAX; the higher, the more
+ *	likely is this node at fault
  * @misses: failed probes in a row
- * @verify_left: probes of unconfirmed hosts that may still be sent before
- *	@verify_refill_ms
- * @verify_refill_ms: when @verify_left is raised again
+ * @verify_left: pings that may still verify hosts before @verify_refill_ms
+ * @verify_refill_ms: when @verify_left is reset
  */
 struct prober {
 	GArray *probes;
@@ -187,9 +188,9 @@
 };
 
 /**
- * struct candidate - a peer that may be asked for the table
+ * struct candidate - a peer that may serve the table
  * @addr: its address
- * @not_before_ms: when it may be asked again
+ * @not_before_ms: earliest time of the next request
  */
 struct candidate {
 	struct net_addr addr;
@@ -197,20 +198,20 @@
 };
 
 /**
- * struct joiner - fetching the table from peers
+ * struct joiner - fetching of the table from peers
  * @candidates: struct candidate
- * @asked: peer that is asked, valid while @asking
- * @asking: a part is awaited
- * @cursor: part that is awaited
- * @deadline_ms: until when it is awaited, or when to ask next
+ * @asked: peer of the pending request; valid while @asking
+ * @asking: a request is pending
+ * @cursor: cursor of the requested part
+ * @deadline_ms: timeout of the pending request, else time of the next one
  * @attempts: failures in a row, for the back-off
- * @start_ms: when the joining began
- * @bootstrap_ms: when to go on without a peer that holds the table
- * @unjoined: answers in a row of peers that hold no table themselves
- * @timeouts: peers in a row that did not answer in time
+ * @start_ms: when joining started
+ * @bootstrap_ms: when to continue without a peer that holds the table
+ * @unjoined: refusals in a row by peers that hold no table themselves
+ * @timeouts: requests in a row that timed out
  * @is_seed: the own address is among the seeds
- * @own_only: only the own data centre's part is wanted
- * @complete: the table is here
+ * @own_only: only the own data centre's part is requested
+ * @complete: the whole table was received
  */
 struct joiner {
 	GArray *candidates;
@@ -230,22 +231,22 @@
 
 /**
  * struct join_lease - a join that this node serves
- * @peer: who joins
- * @deadline_ms: when it is taken for broken off
+ * @peer: address of the joining node
+ * @deadline_ms: when the join counts as broken off
  */
 struct join_lease {
 	struct net_addr peer;
 	uint64_t deadline_ms;
 };
 
-/* Peers that are remembered to have joined here. */
+/* Most peers kept that joined through this node. */
 #define SERVED_MAX 8
 
 /**
  * struct join_server - joins that this node serves
  * @leases: struct join_lease
- * @served: the last that took the whole of what they asked for
- * @n_served: how many there were; the next goes to @n_served % SERVED_MAX
+ * @served: ring of the last peers that received everything they requested
+ * @n_served: their total; the next goes to @n_served % SERVED_MAX
  */
 struct join_server {
 	GArray *leases;
@@ -254,10 +255,10 @@
 };
 
 /**
- * struct settling - comparing tables after the start
- * @end_ms: when it ends at the latest
+ * struct settling - comparison of tables after the start
+ * @end_ms: latest end
  * @next_ms: next comparison
- * @n_equal: comparisons in a row that found nothing
+ * @n_equal: comparisons in a row without a difference
  */
 struct settling {
 	uint64_t end_ms;
@@ -266,17 +267,17 @@
 };
 
 /**
- * struct claim_state - finding out whether a name or address is used twice
- * @active: a claim waits for its answer
+ * struct claim_state - check whether another host has the own name or address
+ * @active: a claim awaits its answer
  * @same_name: the rival has the own name; else the own address
  * @rival: name of the rival
- * @addr: address that the rival is said to have
+ * @addr: address in the rival's record
  * @rival_incarnation: incarnation of the rival's record
- * @nonce: of the claims sent
+ * @nonce: identifies the claims sent
  * @tries_left: claims left to send
- * @deadline_ms: next claim, or end of the wait
- * @next_warning_ms: no warning again before this
- * @recheck_ms: in conflict, when to look again
+ * @deadline_ms: next claim, or end of the check
+ * @next_warning_ms: no warning before this
+ * @recheck_ms: next check while in conflict
  */
 struct claim_state {
 	int active;
@@ -296,12 +297,12 @@
  * @service: its service
  * @port: its port
  * @slots: requests that it runs at once
- * @cold_ms: how long it was still slow when it was announced
+ * @cold_ms: remaining time of its slow start when it was announced
  * @state: its state
- * @revision: its revision
- * @lease_ms: by when it is to be announced again
- * @leave_ms: when a lapsed one is taken to have left
- * @drop_ms: when one that has left is dropped from the record
+ * @revision: rises with each change
+ * @lease_ms: deadline of the next announcement
+ * @leave_ms: when an endpoint with an expired lease counts as left
+ * @drop_ms: when an endpoint that has left is dropped from the record
  * @version: version of its software, or empty
  */
 struct own_endpoint {
@@ -319,10 +320,10 @@
 
 /**
  * struct known - newest version that the platform is known to have accepted
- * @own: that this node read itself, 0 for none
- * @reported: that peers told of, 0 for none
- * @expires_ms: when @reported lapses
- * @pushed: highest that a few others were told of at once
+ * @own: version that this node read itself, 0 for none
+ * @reported: version that peers reported, 0 for none
+ * @expires_ms: when @reported expires
+ * @pushed: highest version that was pushed to a few peers
  */
 struct known {
 	uint64_t own;
@@ -332,11 +333,11 @@
 };
 
 /**
- * struct membership - the whole
+ * struct membership - state of the package
  * @settings: as given
  * @seeds: copy of the seeds
- * @out: where messages go
- * @rand: all random choices
+ * @out: outgoing messages
+ * @rand: source of all random choices
  * @now_ms: time of the last event
  * @wall_offset_ms: wall-clock time less monotonic time at the start
  * @phase: own phase
@@ -345,16 +346,24 @@
  * @self: own row
  * @home: own data centre
  * @table: all hosts
- * @next_expiry_ms: next look at @table.timed
- * @relays_change: @home's live_change at the last ranking of relays
- * @relays_dcs: number of data centres at the last ranking of relays
- * @relays_check_ms: next look at the relays
- * @sync_ms: no anti-entropy exchange is begun before this
- * @mismatches: differing digests heard in a row since @sync_ms
- * @suppress_news: a table is being taken in; its rows are no news to others
+ * @next_expiry_ms: earliest expiry in @table.timed
+ * @relays_change: @home's live_change at the last selection of relays
+ * @relays_dcs: number of data centres at the last selection of relays
+ * @relays_check_ms: next check of the relays
+ * @sync_ms: earliest start of the next anti-entropy exchange
+ * @mismatches: differing digests received in a row since @sync_ms
+ * @news: gossip queue
+ * @prober: failure detector
+ * @joiner: state while joining
+ * @server: joins served
+ * @settling: comparisons after the start
+ * @claim: conflict of names or addresses
+ * @own: struct own_endpoint
+ * @suppress_news: received rows are not gossiped; set while a table is merged
  * @actions: struct queued_action
- * @head: carried by probes
- * @known: carried with it
+ * @head: own configuration head, sent with pings and acks
+ * @known: known version, sent with @head
+ * @counters: totals since the start
  */
 struct membership {
 	struct membership_settings settings;
@@ -392,7 +401,7 @@
 /* Random number from 0 to @n - 1; 0 when @n is 0. */
 uint32_t random_below(struct membership *m, uint32_t n);
 
-/* Wall-clock time that belongs to the time of the last event. */
+/* Wall-clock time of the last event. */
 uint64_t wall_now_ms(const struct membership *m);
 
 #endif
--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -1,11 +1,12 @@
 /*
  * Joining: a starting node fetches the table from a peer.
  *
- * It asks one peer at a time, part by part.  A peer that serves too many
- * joins, or has not joined itself, says when to come back and names others.
- * When no peer holds the table, as when a whole data centre or the first node
- * starts, the seeds go on first: they know those that asked them, and serve
- * the others.
+ * The node requests the table from a single peer at a time, part by part.  A
+ * peer that serves too many joins, or has not joined itself, refuses with a
+ * time for the next attempt and the addresses of other peers.  When no peer
+ * holds the table, as at the start of a whole data centre or of the first node,
+ * the seeds bootstrap first: they know the nodes that sent them requests, and
+ * serve the others.
  */
 #include <string.h>
 
@@ -21,41 +22,47 @@
 #include "settle.h"
 #include "suspicion.h"
 
-/* An answer that takes longer is given up. */
+/* Timeout of a response. */
 #define RESPONSE_MS 2000
 
-/* So is a first one: the peer may be gone and its host silent, and others can
- * be asked.  While hosts start together many have no power yet when they are
- * asked, so the wait is short at first: some ten round trips inside a region,
- * doubled with each silent peer for those that are far or slow. */
+/*
+ * Timeout of the first response, shorter because the peer's host may be down
+ * and other peers are available.  While hosts start together, many requests go
+ * to hosts without power, so the timeout begins at some ten round trips inside
+ * a region.  Each timeout in a row doubles it, for peers that are far or slow.
+ */
 #define FIRST_RESPONSE_MS 100
 #define TIMEOUT_SHIFT_MAX 2
 
-/* A seed goes on alone after this share of the time that others wait, so that
- * they can join it. */
+/*
+ * A seed bootstraps after this share of the bootstrap time, so that other nodes
+ * can join the seed before they bootstrap.
+ */
 #define SEED_BOOTSTRAP_PERCENT 40
 #define PERCENT 100
 
-/* Full-jitter back-off between two rounds of asking. */
+/* Full-jitter back-off between two rounds of requests. */
 #define BACKOFF_BASE_MS 100
 #define BACKOFF_CAP_MS 5000
 #define BACKOFF_SHIFT_MAX 6
 
-/* A peer that did not answer rests for this. */
+/* Delay before a peer that did not answer gets another request. */
 #define PEER_RETRY_MS 1000
 
-/* A node that was turned away asks another peer within this. */
+/* Longest delay before the next peer gets a request. */
 #define NEXT_PEER_MS 100
 
 #define CANDIDATES_MAX 128
 
-/* Where so many peers in a row say that they are joining themselves, all have
- * started together: waiting longer finds nobody who holds a table.  A fleet
- * of which half was restarted takes itself for such a one in one of eight
- * cases; comparing tables makes up for that. */
+/*
+ * After this many refusals in a row by peers that are joining themselves, the
+ * node assumes that all started together and no peer holds a table, and
+ * bootstraps.  When half of a fleet restarts, the assumption is wrong in one
+ * case of eight; the comparison of tables after the start repairs that.
+ */
 #define UNJOINED_MAX 3
 
-/* Live peers that are asked, besides the seeds, after a freeze. */
+/* Live peers that become candidates, besides the seeds, after a freeze. */
 #define REFRESH_PEERS 8
 
 void
@@ -102,7 +109,7 @@
 	g_array_append_val(m->joiner.candidates, c);
 }
 
-/* Takes the seeds as candidates; a seed itself goes on alone sooner. */
+/* Adds the seeds as candidates; a node that is a seed bootstraps sooner. */
 static void
 take_seeds(struct membership *m)
 {
@@ -190,9 +197,9 @@
 }
 
 /*
- * Live hosts that the peer does not know are taken for failed: they may have
- * left meanwhile and be forgotten.  It is a guess, as the peer may not know
- * all either; any word of others on it goes before.
+ * Marks live hosts that the peer does not know as failed: they may have left
+ * and been forgotten during the freeze.  The peer may lack hosts too, so any
+ * record from other nodes overrides the mark.
  */
 static void
 fail_unconfirmed(struct membership *m)
@@ -212,7 +219,7 @@
 	m->suppress_news = 0;
 }
 
-/* The table is here; go on once no claim is open. */
+/* The table is complete: become joined, unless a claim is pending. */
 static void
 finish(struct membership *m)
 {
@@ -252,7 +259,7 @@
 		c->not_before_ms = m->now_ms + ms;
 }
 
-/* Whether a candidate may be asked now. */
+/* Whether a candidate may get a request now. */
 static int
 has_eligible(struct membership *m)
 {
@@ -265,9 +272,9 @@
 }
 
 /*
- * The peer that was asked does not answer: it rests, and another one is asked
- * soon.  Only when all rest is it longer each time; while hosts start together
- * many of the first ones asked are not there yet.
+ * Handles a missing response: the peer is postponed, and the next peer gets a
+ * request soon.  The delay grows only when all candidates are postponed, since
+ * many hosts are not up yet when hosts start together.
  */
 static void
 back_off(struct membership *m, const struct net_addr *asked)
@@ -316,8 +323,8 @@
 }
 
 /*
- * A candidate that may be asked now, by chance.  If there is none, NULL, and
- * the deadline is set to when there is.
+ * Returns a random candidate that may get a request now.  If none may, returns
+ * NULL and sets the deadline to when the first may.
  */
 static struct candidate *
 pick(struct membership *m)
@@ -338,8 +345,8 @@
 }
 
 /*
- * Whether to go on without a peer that holds the table.  Not while a peer
- * that does was met: it only asked to come back later.
+ * Whether to continue without a table.  A peer that holds the table and refused
+ * moves the bootstrap deadline on, see join_on_refused().
  */
 static int
 may_bootstrap(const struct membership *m)
@@ -402,7 +409,7 @@
 	back_off(m, to);
 }
 
-/* The peer remembered this host from before: go above that. */
+/* Raises the own incarnation above the one that the peer held for this host. */
 static void
 override_held(struct membership *m, uint64_t held)
 {
@@ -464,7 +471,10 @@
 		other.port = msg.others[i].port;
 		candidate_add(m, &other);
 	}
-	/* No failure: others may be asked at once, this one later. */
+	/*
+	 * A refusal is no failure: other peers get requests at once, this peer
+	 * later.
+	 */
 	postpone(m, from, msg.come_back_ms + random_below(m, msg.come_back_ms));
 	j->asking = 0;
 	j->deadline_ms = m->now_ms + random_below(m, NEXT_PEER_MS);
--- a/packages/membership/src/join.h
+++ b/packages/membership/src/join.h
@@ -9,26 +9,26 @@
 void join_init(struct membership *m);
 void join_clear(struct membership *m);
 
-/* Fetch the whole table: the node starts. */
+/* Starts to fetch the whole table, at the node's start. */
 void join_start(struct membership *m);
 
-/* Fetch the own data centre's part again: the node was frozen. */
+/* Starts to fetch the own data centre's part again, after a freeze. */
 void join_refresh(struct membership *m);
 
 void join_tick(struct membership *m);
 
-/* When join_tick() has something to do next. */
+/* Deadline of the next join_tick(). */
 uint64_t join_next_ms(const struct membership *m);
 
 /*
- * A ping came while the node joins.  A host that starts again while it can be
- * told of nobody is looked for by its peers about once a second.  Who asks the
- * first of them is in within 1.5 s, and does not wait 3 s for seeds while its
- * upstream is idle (test_swim, 8 hosts, 5 seeds).
+ * Adds the sender of a ping as a candidate while the node joins.  Peers ping a
+ * host that left about once a second.  A host that restarts without a known
+ * seed joins within 1.5 s through the first of these pings, and does not wait 3
+ * s for seeds while its upstream is idle (test_swim, 8 hosts, 5 seeds).
  */
 void join_on_ping(struct membership *m, const struct net_addr *from);
 
-/* A peer can't be reached. */
+/* Handles a peer that cannot be reached. */
 void join_unreachable(struct membership *m, const struct net_addr *to);
 
 void join_on_table(struct membership *m, const struct net_addr *from,
@@ -36,7 +36,7 @@
 void join_on_refused(struct membership *m, const struct net_addr *from,
     const uint8_t *body, size_t len);
 
-/** join_seeds_added() - there are further seeds to ask */
+/** join_seeds_added() - take further seeds as candidates */
 void join_seeds_added(struct membership *m);
 
 #endif
--- a/packages/membership/src/known.c
+++ b/packages/membership/src/known.c
@@ -1,16 +1,17 @@
 /*
- * Known: the newest version that the platform is known to have accepted,
- * whether a node can use it or not.
+ * Known version: the newest version that the platform is known to have
+ * accepted, whether a node can use the version or not.
  *
- * Pings and acks carry it with the time since a node that read it at the
- * platform confirmed it.  What was heard lapses by that time, which only a
- * reader sets back: a number that was garbled on its way has no reader, and is
- * forgotten everywhere at once, however many nodes have passed it on.
+ * Pings and acks carry the version with its age, which is the time since a node
+ * that read the version at the platform confirmed it.  A reported version
+ * expires by that age, and only a node that read the version resets the age.
+ * So a corrupted number expires everywhere at once, however many nodes have
+ * forwarded it.
  *
- * Probes alone, one a second, take seconds to reach all.  So each node also
- * pings a few others once when it learns of a version that is newer than that
- * of the head it knows: one that can't be used, or that is long on its way.
- * For one that spreads as it should, notices have brought the head by then.
+ * Probes alone, one a second, take seconds to reach all nodes.  So each node
+ * also pings a few others once when it learns of a version above that of its
+ * configuration head: a version that cannot be used, or that is slow to arrive.
+ * A version that spreads in time has reached the head by then, through notices.
  */
 #include "base/clock.h"
 
@@ -19,9 +20,10 @@
 #include "table.h"
 
 /*
- * Until a version lapses that no reader confirms.  Confirmations go by probes
- * alone: of 786 nodes of one data centre with three readers the last had the
- * first one after 5,200 to 5,900 ms (five seeds of the driver of test_known).
+ * Age at which a reported version expires.  Confirmations travel on probes
+ * only: of 786 nodes of one data centre with three readers, the last node
+ * received its first confirmation after 5,200 to 5,900 ms (five seeds, driver
+ * of test_known).
  */
 #define EXPIRY_MS 30000
 
@@ -61,7 +63,7 @@
 	}
 }
 
-/* What to tell a few others at once; 0 for nothing. */
+/* Version to push to a few peers at once; 0 for none. */
 static uint64_t
 version_to_push(const struct membership *m)
 {
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -1,5 +1,5 @@
 /*
- * Membership: the events, and what ties the modules together.
+ * Membership: entry points, timers and dispatch of messages to the modules.
  */
 #include <string.h>
 
@@ -37,20 +37,22 @@
 #define FORGET_MS 3600000
 #define BOOTSTRAP_MS 10000
 
-/* Deadlines are moved when an event is late by this much. */
+/* Lateness of an event from which on deadlines are extended. */
 #define LATE_EVENT_MS 500
 
-/* An event that is late by this many probe intervals shows a freeze. */
+/* Lateness, in probe intervals, that counts as a freeze of the process. */
 #define FROZEN_INTERVALS 3
 
-/* After a freeze this long peers may have taken this host for failed and
- * have forgotten others. */
+/*
+ * Freeze after which peers may have marked this host as failed and have
+ * forgotten other hosts.
+ */
 #define REFRESH_AFTER_MS 10000
 
-/* How long a node goes on telling that it leaves. */
+/* Time for which a leaving node gossips its departure. */
 #define LEAVE_MS 1000
 
-/* Seed words of the random numbers. */
+/* 32-bit words of the seed of the random numbers. */
 #define SEED_WORDS 2
 
 const char *
@@ -190,7 +192,7 @@
 	g_free(m);
 }
 
-/* The process was frozen: peers may take this host for failed. */
+/* Recovers from a freeze, after which peers may hold this host for failed. */
 static void
 recover_from_freeze(struct membership *m, uint64_t late_ms)
 {
@@ -205,8 +207,8 @@
 }
 
 /*
- * Time goes on.  While this process did not run, nobody could refute a
- * suspicion here or renew a lease.
+ * Advances the time.  While the process was frozen, no suspicion could be
+ * refuted here and no lease renewed, so their deadlines move by the delay.
  */
 static void
 advance_time(struct membership *m, uint64_t now_ms)
@@ -293,7 +295,7 @@
 	msg_news_clear(&msg);
 }
 
-/* What a node takes in while it does not serve for a conflict. */
+/* Messages that a node in conflict accepts. */
 static int
 accepted_in_conflict(uint8_t type)
 {
--- a/packages/membership/src/merge.c
+++ b/packages/membership/src/merge.c
@@ -1,11 +1,11 @@
 /*
- * Merging what peers tell into the table.
+ * Merging of received records into the table.
  *
- * Only a host raises its own incarnation.  At one incarnation a later state
- * goes before an earlier one, so that all nodes end with the same whatever
- * the order in which they hear.  A node at home in a data centre doesn't let
- * other data centres bring a host back that it does not hold to be alive: it
- * probes the host and takes its own word.
+ * Only a host raises its own incarnation.  At equal incarnations the later
+ * state supersedes the earlier one, so that all nodes converge whatever the
+ * order of messages.  A node does not accept from other data centres that a
+ * host of its own data centre is alive again: the node pings the host, whose
+ * own record decides.
  */
 #include <string.h>
 
@@ -18,23 +18,25 @@
 #include "suspicion.h"
 
 /*
- * A host that finds the record of an earlier process goes this far above it:
- * that process may have made changes that this record does not have.
+ * Margin by which a host exceeds the incarnation of an earlier process of its
+ * own: that process may have made changes that the received record lacks.
  */
 #define PREDECESSOR_CHANGES 1000
 
-/* How long after its start a node lets others tell who is in its own data
- * centre. */
+/*
+ * Time after joining before a node's view of its own data centre takes
+ * precedence over that of other data centres.
+ */
 #define AUTHORITY_AFTER_MS 30000
 
-/* Nodes that probe a host as soon as they hear that it is suspected. */
+/* Nodes, on average, that probe a host as soon as a suspicion reaches them. */
 #define CONFIRMERS 4
 
-/* Whose word a record is. */
+/* Sender of a record. */
 struct record_origin {
-	int from_subject; /* the host that the record is about */
-	int from_home;	  /* a node of the own data centre */
-	int trusted;	  /* not taken for failed itself */
+	int from_subject; /* the subject of the record */
+	int from_home;	  /* of the own data centre */
+	int trusted;	  /* not failed or left itself */
 	enum merge_source source;
 };
 
@@ -72,7 +74,7 @@
 	merge_refute(m, above + PREDECESSOR_CHANGES);
 }
 
-/* A record of the own name. */
+/* Merges a record with the own name. */
 static void
 merge_self(struct membership *m, const struct rec_member *rec)
 {
@@ -107,7 +109,7 @@
 	return 0;
 }
 
-/* Give a row the record's state; its content and incarnation are set. */
+/* Applies the record's state; content and incarnation are set already. */
 static void
 apply_state(struct membership *m, struct row *r, const struct rec_member *rec)
 {
@@ -163,13 +165,18 @@
 		apply_state(m, r, rec);
 		return;
 	}
-	/* A tombstone, lest older news bring the host back; not passed on,
-	 * so that tombstones don't go round for ever. */
+	/*
+	 * Keep a tombstone, so that older records don't revive the host.  The
+	 * tombstone is not gossiped, or tombstones would circulate forever.
+	 */
 	table_set_expiry(&m->table, r, m->now_ms + m->settings.forget_ms);
 	m->next_expiry_ms = MIN(m->next_expiry_ms, r->expires_ms);
 }
 
-/* A host moved to another data centre: its row is made anew. */
+/*
+ * Recreates the row of a host that moved to another data centre and returns
+ * NULL; returns the row of a host that did not move.
+ */
 static struct row *
 move_data_centre(
     struct membership *m, struct row *r, const struct rec_member *rec)
@@ -183,7 +190,7 @@
 	return NULL;
 }
 
-/* The peer confirms a row while the table is being refreshed. */
+/* Confirms a row during a refresh of the table. */
 static void
 refresh(struct membership *m, struct row *r, const struct rec_member *rec)
 {
@@ -201,8 +208,9 @@
 }
 
 /*
- * Two processes of a host, one after the other, came upon the same
- * incarnation; all nodes take the later one until it goes above.
+ * Whether the record is of a later process at the same incarnation.  Two
+ * processes of a host in succession may reach the same incarnation; all nodes
+ * prefer the later process until it raises its incarnation.
  */
 static int
 is_later_process(const struct rec_member *rec, const struct member *mb)
@@ -242,8 +250,9 @@
 }
 
 /*
- * Whether another data centre tries to bring back a host of the own one.
- * The host is probed; if it lives, it says so itself.
+ * Whether a record of another data centre would revive a host of the own one.
+ * Such a host is pinged instead; if alive, the host answers with its own
+ * record.
  */
 static int
 is_remote_revival(struct membership *m, const struct row *r,
@@ -276,7 +285,7 @@
 	if (!origin->trusted && !origin->from_subject &&
 	    rec->state != MEMBER_ALIVE)
 		return;
-	/* Suspicions are for the own data centre alone. */
+	/* Suspicions stay within their data centre. */
 	if (rec->state == MEMBER_SUSPECT &&
 	    strcmp(rec->data_centre, m->home->name) != 0)
 		rec->state = MEMBER_ALIVE;
--- a/packages/membership/src/news.c
+++ b/packages/membership/src/news.c
@@ -1,9 +1,9 @@
 /*
- * News: records that are passed on within the own data centre.
+ * News: gossip of records within the own data centre.
  *
- * Each record goes out a bounded number of times, on probes, on their
- * answers and in rounds of its own.  What a node misses nevertheless is
- * repaired by anti-entropy.
+ * Each record is sent a bounded number of times: on pings, on acks and in
+ * gossip rounds.  Anti-entropy repairs the records that a node misses
+ * nevertheless.
  */
 #include "base/clock.h"
 
@@ -11,16 +11,16 @@
 #include "probe.h"
 #include "send.h"
 
-/* Bytes of rounds a second on average, and at once. */
+/* Rate and burst of the token bucket that limits gossip rounds. */
 #define ROUND_BYTES_PER_S 3000
 #define ROUND_BURST_BYTES 36000
 
-/* Times that a record is passed on whatever the number of nodes. */
+/* Part of the retransmit limit that does not depend on the number of nodes. */
 #define RETRANSMIT_MIN 5
 
 #define MS_PER_S 1000
 
-/* One queued record. */
+/* A record in a gossip queue. */
 struct queued_record {
 	struct row *row;
 	uint32_t sent;
@@ -34,8 +34,8 @@
 }
 
 /*
- * Times that a record is passed on.  Each node receives it as often on
- * average, so that n * exp(-times) nodes are expected to miss it.
+ * Number of times that a record is sent.  Each node receives the record that
+ * often on average, so that n * exp(-limit) nodes are expected to miss it.
  */
 static uint32_t
 retransmit_limit(const struct membership *m)
@@ -61,8 +61,9 @@
 }
 
 /*
- * A node that is fetching the table passes nothing on but its own record:
- * in a herd of starting nodes all would tell each other of all.
+ * Whether records of other hosts are gossiped.  A node that is fetching the
+ * table gossips only its own record: in a mass start each node would send all
+ * records to each other node.
  */
 static int
 may_gossip(const struct membership *m)
@@ -89,8 +90,8 @@
 }
 
 /*
- * A node that heard no answer for long does not pass its own suspicions on:
- * the fault is likely its own.
+ * Whether a record is left out of messages: an isolated node does not gossip
+ * its suspicions and failures, since the fault is likely its own.
  */
 static int
 is_withheld(const struct membership *m, const struct row *r)
--- a/packages/membership/src/news.h
+++ b/packages/membership/src/news.h
@@ -1,27 +1,27 @@
 /*
- * News: records that are passed on within the own data centre.
+ * News: gossip of records within the own data centre.
  */
 #ifndef MEMBERSHIP_NEWS_H
 #define MEMBERSHIP_NEWS_H
 
 #include "record.h"
 
-/* Queue a row that changed; it goes out before all that was sent before. */
+/* Queues a changed row, ahead of the rows that were sent already. */
 void news_add(struct membership *m, struct row *r, int urgent);
 
-/* Take a row out of the queue. */
+/* Removes a row from the queue. */
 void news_drop(struct membership *m, struct row *r);
 
-/* Add queued rows to a batch that is about to be sent. */
+/* Adds queued rows to a batch that is about to be sent. */
 void news_fill(struct membership *m, struct batch *b);
 
-/* Whether records wait. */
+/* Whether records are queued. */
 int news_pending(const struct membership *m);
 
-/* Send a round if one is due. */
+/* Sends a gossip round if due. */
 void news_tick(struct membership *m);
 
-/* When the next round is due. */
+/* Deadline of the next gossip round. */
 uint64_t news_next_ms(const struct membership *m);
 
 /* Free the queues. */
--- a/packages/membership/src/own.c
+++ b/packages/membership/src/own.c
@@ -1,9 +1,9 @@
 /*
- * The own host's endpoints, as its upstreams announce them.
+ * Endpoints of the own host, as its upstreams announce them.
  *
- * An announcement holds until its lease lapses; then the endpoint drains,
- * and after the same time once more it has left.  Endpoints that have left
- * stay in the record for a while, so that everybody sees them leave.
+ * An announcement holds until its lease expires.  Then the endpoint is
+ * draining, and after the same time once more it has left.  Endpoints that have
+ * left stay in the record for a while, so that each node receives the state.
  */
 #include <string.h>
 
@@ -15,7 +15,7 @@
 #include "own.h"
 #include "table.h"
 
-/* How long an endpoint that has left stays in the record. */
+/* Time for which an endpoint that has left stays in the record. */
 #define LEFT_RETENTION_MS 30000
 
 static struct own_endpoint *
@@ -38,7 +38,7 @@
 	return NULL;
 }
 
-/* Write the endpoints into the own record and tell peers. */
+/* Writes the endpoints into the own record and gossips the record. */
 static void
 publish(struct membership *m)
 {
@@ -79,7 +79,7 @@
 	}
 }
 
-/* Room for one more: a new place, or that of one that has left. */
+/* Allocates an endpoint: a new entry, or that of an endpoint that has left. */
 static struct own_endpoint *
 own_add(struct membership *m, const char *service, uint16_t port)
 {
@@ -179,8 +179,10 @@
 	return STATUS_OK;
 }
 
-/* Let one endpoint's time pass. Returns 1 when it changed, -1 when it is to
- * be dropped. */
+/*
+ * Applies expired deadlines to an endpoint.  Returns 1 when the endpoint
+ * changed, -1 when it is to be dropped.
+ */
 static int
 expire_endpoint(struct membership *m, struct own_endpoint *e)
 {
--- a/packages/membership/src/own.h
+++ b/packages/membership/src/own.h
@@ -1,21 +1,21 @@
 /*
- * The own host's endpoints, as its upstreams announce them.
+ * Endpoints of the own host, as its upstreams announce them.
  */
 #ifndef MEMBERSHIP_OWN_H
 #define MEMBERSHIP_OWN_H
 
 #include "internal.h"
 
-/* Let leases lapse. */
+/* Expires leases. */
 void own_tick(struct membership *m);
 
-/* When the next lease lapses. */
+/* Deadline of the next own_tick(). */
 uint64_t own_next_ms(const struct membership *m);
 
-/* The node was frozen: no upstream could announce itself meanwhile. */
+/* Extends the leases after a freeze, during which no upstream could renew. */
 void own_extend(struct membership *m, uint64_t gap_ms);
 
-/* All upstreams have left, as the node stops. */
+/* Marks all endpoints as left when the node stops. */
 void own_leave(struct membership *m);
 
 #endif
--- a/packages/membership/src/ping.c
+++ b/packages/membership/src/ping.c
@@ -1,5 +1,5 @@
 /*
- * Pings and acks on the wire: what they carry, and what comes of them.
+ * Pings and acks: encoding, and handling of received ones.
  */
 #include <string.h>
 
@@ -14,10 +14,10 @@
 #include "send.h"
 #include "sync.h"
 
-/* Most probes made for others at once. */
+/* Most indirect probes in progress for other nodes. */
 #define INDIRECT_MAX 64
 
-/* Hosts told of by other data centres that are probed a second. */
+/* Rate limit of pings that verify hosts reported by other data centres. */
 #define VERIFIED_PER_S 8
 #define VERIFY_INTERVAL_MS 1000
 
@@ -50,7 +50,9 @@
 	const struct row *r = table_row(&m->table, host);
 	struct batch b = {.n = 0};
 
-	/* Tell it first what is said of it, so that it can refute. */
+	/*
+	 * Send the peer its own record first, so that it can refute the state.
+	 */
 	if (r != NULL && r->member.state != MEMBER_ALIVE)
 		(void)batch_add(&b, r);
 	if (r == NULL || r->dc == m->home)
@@ -85,7 +87,10 @@
 		(void)ping_host(m, &to, rec->host);
 		return;
 	}
-	/* Not known here at all: as good as failed until it says otherwise. */
+	/*
+	 * The host is unknown here: send it a record that says failed, to be
+	 * refuted.
+	 */
 	b.records[b.n] = *rec;
 	b.records[b.n].state = MEMBER_FAILED;
 	b.records[b.n].endpoints = NULL;
@@ -133,7 +138,7 @@
 	batch_clear(&b);
 }
 
-/* What pings and acks have in common. */
+/* Handles the fields that pings and acks have in common. */
 static void
 on_peer_state(struct membership *m, const struct net_addr *from,
     const char *host, uint64_t root, const struct rec_gossip_head *head)
@@ -169,7 +174,7 @@
 	msg_ping_clear(&msg);
 }
 
-/* Pass an ack on if the probe was made for another node. */
+/* Forwards an ack to the node that requested the probe. */
 static void
 forward_ack(struct membership *m, const struct msg_ack *ack)
 {
--- a/packages/membership/src/ping.h
+++ b/packages/membership/src/ping.h
@@ -1,27 +1,30 @@
 /*
- * Pings and acks on the wire: what they carry, and what comes of them.
+ * Pings and acks: encoding, and handling of received ones.
  */
 #ifndef MEMBERSHIP_PING_H
 #define MEMBERSHIP_PING_H
 
 #include "record.h"
 
-/* Send a ping with news; @host may be empty.  Returns its number. */
+/*
+ * Sends a ping with gossip to @host, which may be empty when the name is not
+ * known.  Returns the sequence number.
+ */
 uint32_t
 ping_host(struct membership *m, const struct net_addr *to, const char *host);
 
-/* The same with a number that was used before. */
+/* Does the same with a sequence number that was used before. */
 void ping_send(struct membership *m, const struct net_addr *to,
     const char *host, uint32_t seq);
 
 /*
- * Ping the host of a record that is not believed, so that it speaks for
- * itself; @r is its tombstone or NULL.
+ * Pings the host of a record that is not accepted, so that the host can confirm
+ * the record; @r is its tombstone or NULL.
  */
 void ping_verify(
     struct membership *m, const struct rec_member *rec, const struct row *r);
 
-/* Forget pings made for other nodes that were not answered. */
+/* Drops indirect probes that were not answered in time. */
 void ping_expire_indirect(struct membership *m);
 
 void ping_on_ping(struct membership *m, const struct net_addr *from,
--- a/packages/membership/src/places.c
+++ b/packages/membership/src/places.c
@@ -8,7 +8,7 @@
 
 #include "base/hash.h"
 
-/* Seed that keeps places apart from other hashes of names. */
+/* Seed that keeps the hash for places apart from other hashes of names. */
 #define PLACE_SEED 0x706c6163U
 
 struct search {
--- a/packages/membership/src/probe.c
+++ b/packages/membership/src/probe.c
@@ -1,11 +1,10 @@
 /*
- * Probing: pings, their answers, and probes through others (SWIM, Das et al.
- * 2002).
+ * Failure detector: direct and indirect probes (SWIM, Das et al. 2002).
  *
- * Each interval one host of the own data centre is probed, all of them in a
- * random order before any comes twice.  A node that hears nothing at all
- * while its probes fail doubts itself: it probes more slowly and waits
- * longer.
+ * In each interval a single host of the own data centre is probed, each host
+ * once in random order before any host twice.  A node that receives no message
+ * at all while its probes fail raises its health score, which lengthens its
+ * probe interval and its timeouts (Lifeguard, Dadgar et al. 2018).
  */
 #include <string.h>
 
@@ -18,15 +17,17 @@
 
 #define HEALTH_SCORE_MAX 8
 
-/* After so many failed probes in a row a node doesn't believe its view. */
+/* Failed probes in a row after which a node considers itself isolated. */
 #define ISOLATED_MISSES 6
 
-/* Times that others are asked, each time besides a further ping, before a
- * probe has failed.  At 20 % loss one round fails 3 % of the probes of live
- * hosts, two rounds 0.2 %. */
+/*
+ * Rounds of indirect probes, each with a further direct ping, before a probe
+ * fails.  At 20 % loss, one round fails 3 % of the probes of live hosts, two
+ * rounds 0.2 %.
+ */
 #define INDIRECT_ROUNDS 2
 
-/* A probe through others takes two round trips. */
+/* Round trips of an indirect probe. */
 #define INDIRECT_ROUND_TRIPS 2
 
 void
@@ -60,7 +61,7 @@
 	return m->prober.misses >= ISOLATED_MISSES;
 }
 
-/* Time that an answer may take, longer the more this node doubts itself. */
+/* Timeout of an ack; grows with the health score. */
 static uint64_t
 ack_timeout_ms(const struct membership *m)
 {
@@ -86,7 +87,7 @@
 {
 	uint64_t step = ack_timeout_ms(m) + m->settings.probe_timeout_ms;
 
-	/* The doubt may rise by one meanwhile; the ticks may be late. */
+	/* The health score may rise by 1 meanwhile, and ticks may be late. */
 	return step * (1 + INDIRECT_ROUNDS * INDIRECT_ROUND_TRIPS);
 }
 
@@ -171,7 +172,9 @@
 	suspicion_raise(m, r, suspicion_accuser(m->settings.host));
 }
 
-/* The deadline of a probe passed. Returns whether it is over. */
+/*
+ * Handles the passed deadline of a probe.  Returns whether the probe is over.
+ */
 static int
 expire_probe(struct membership *m, struct probe *p)
 {
@@ -239,7 +242,7 @@
 	return next;
 }
 
-/* The host answered: it lives, and this node can be reached. */
+/* Handles a successful probe: the host is alive and this node is reachable. */
 static void
 on_success(struct membership *m)
 {
--- a/packages/membership/src/query.c
+++ b/packages/membership/src/query.c
@@ -1,5 +1,5 @@
 /*
- * What others ask the membership.
+ * Queries of the membership.
  */
 #include "base/hash.h"
 
@@ -48,7 +48,7 @@
 	}
 }
 
-/* A data centre by chance, each as likely as it has hosts. */
+/* A random data centre, weighted by number of hosts. */
 static const struct dc *
 random_dc(struct membership *m)
 {
@@ -84,7 +84,7 @@
 	return r == NULL ? NULL : &r->member;
 }
 
-/* Put a member in its place among the first @n. Returns how many there are. */
+/* Inserts a member by score into the first @n.  Returns the number ranked. */
 static uint32_t
 insert(const struct member **ranked, uint64_t *scores, uint32_t n_ranked,
     uint32_t n, const struct member *mb, uint64_t score)
@@ -103,7 +103,7 @@
 	return n_ranked < n ? n_ranked + 1 : n;
 }
 
-/* What a host is ranked by for a key. */
+/* Score of a host for a key; the highest ranks first. */
 typedef uint64_t score_fn(const char *key, const struct member *mb);
 
 static uint64_t
@@ -112,7 +112,10 @@
 	return hash_rendezvous(key, mb->host);
 }
 
-/* The doublings of a link's rate come before the rest of the score. */
+/*
+ * Bits of the score for the power of two of the link's rate, which precedes the
+ * hash of the host.
+ */
 #define LINK_BITS 5
 
 uint64_t
--- a/packages/membership/src/reconnect.c
+++ b/packages/membership/src/reconnect.c
@@ -1,9 +1,8 @@
 /*
- * Reconnecting: pings to seeds that are not known and to failed hosts.
+ * Reconnecting: pings to unknown seeds and to failed hosts.
  *
- * Two parts of a data centre that lost each other for so long that each took
- * the other for failed would else never meet again, nor would nodes that
- * started while no seed could be reached.
+ * Two partitions of a data centre that marked each other as failed would never
+ * merge otherwise, nor would nodes that started while no seed was reachable.
  */
 #include "base/clock.h"
 
@@ -13,11 +12,11 @@
 
 #define INTERVAL_MS 10000
 
-/* A node that is alone or started just now looks more often. */
+/* Shorter interval of a node that is alone or joined recently. */
 #define FAST_INTERVAL_MS 1000
 #define FAST_PERIOD_MS 30000
 
-/* A host that went this short a time ago is likely to come back. */
+/* A host that failed or left this recently is likely to come back. */
 #define RECENT_MS 20000
 
 static int
@@ -60,7 +59,7 @@
 		(void)ping_host(m, &r->member.address, r->member.host);
 }
 
-/* Whether a host of the own data centre went a short time ago. */
+/* Whether a host of the own data centre failed or left recently. */
 static int
 any_recently_dead(const struct membership *m)
 {
--- a/packages/membership/src/reconnect.h
+++ b/packages/membership/src/reconnect.h
@@ -1,5 +1,5 @@
 /*
- * Reconnecting: pings to seeds that are not known and to failed hosts.
+ * Reconnecting: pings to unknown seeds and to failed hosts.
  */
 #ifndef MEMBERSHIP_RECONNECT_H
 #define MEMBERSHIP_RECONNECT_H
@@ -8,10 +8,10 @@
 
 void reconnect_tick(struct membership *m);
 
-/* When reconnect_tick() has something to do next. */
+/* Deadline of the next reconnect_tick(). */
 uint64_t reconnect_next_ms(const struct membership *m);
 
-/** reconnect_seeds_added() - there are further seeds to look for */
+/** reconnect_seeds_added() - ping further seeds at once */
 void reconnect_seeds_added(struct membership *m);
 
 #endif
--- a/packages/membership/src/record.c
+++ b/packages/membership/src/record.c
@@ -1,5 +1,5 @@
 /*
- * Records: hosts as they stand in messages.
+ * Records: encoded form of hosts in messages.
  */
 #include <string.h>
 
@@ -7,12 +7,14 @@
 
 #include "record.h"
 
-/* Most bytes of msgpack: a record without its names and endpoints, and an
- * endpoint without its service's name and its version. */
+/*
+ * Most bytes of msgpack: a record without its names and endpoints, and an
+ * endpoint without its service's name and its version.
+ */
 #define RECORD_FIXED_BYTES 47
 #define ENDPOINT_FIXED_BYTES 17
 
-/* Names of hosts and data centres. */
+/* Whether a name of a host or data centre is valid. */
 static int
 name_valid(const char *name)
 {
--- a/packages/membership/src/relay.c
+++ b/packages/membership/src/relay.c
@@ -1,12 +1,12 @@
 /*
- * Relays: the few nodes that exchange with another data centre.
+ * Relays: the few nodes that exchange records with another data centre.
  *
- * For each other data centre a few live nodes, first in rank for the pair,
- * probe a peer there and send it the records of the own data centre as they
- * change.  The peers are chosen by the same rank there, so that each node
- * bears little of it.  Nobody is suspected for not answering: the peer may
- * well be alive behind a cut.  The probes carry the digest of the table, so
- * that what was lost is repaired by anti-entropy.
+ * For each other data centre, the live nodes that rank first for the pair of
+ * data centres ping a peer there and send the peer the records of the own data
+ * centre as they change.  The peers are selected by the same rank, which
+ * spreads the load.  A peer that does not answer is not suspected: the peer may
+ * be alive behind a partition.  The pings carry the digest of the table, so
+ * that anti-entropy repairs lost records.
  */
 #include <stdio.h>
 #include <string.h>
@@ -18,13 +18,13 @@
 #include "relay.h"
 #include "send.h"
 
-/* Between two looks at what is to be sent. */
+/* Interval of the checks for records to send. */
 #define CHECK_INTERVAL_MS 200
 
-/* Datagrams sent to one data centre in one look. */
+/* Most datagrams to a data centre per check. */
 #define DATAGRAMS_PER_CHECK 8
 
-/* After this many peers in rank that did not answer any will do. */
+/* After this many ranked peers without an answer a random peer is selected. */
 #define RANKED_PEERS 8
 
 #define KEY_BYTES (MEMBER_NAME_BYTES + sizeof("relay:"))
@@ -35,8 +35,7 @@
 	(void)snprintf(key, KEY_BYTES, "relay:%s", data_centre);
 }
 
-/* Own place in rank for a data centre, or @most if there are that many
- * before it. */
+/* Own rank for a data centre, from 0; @most if that many nodes rank before. */
 static uint32_t
 own_rank(const struct membership *m, const struct dc *dc, uint32_t most)
 {
@@ -56,7 +55,7 @@
 	return place;
 }
 
-/* Find out which data centres this node is a relay for. */
+/* Selects the data centres that this node is a relay for. */
 static void
 choose(struct membership *m)
 {
@@ -77,7 +76,7 @@
 		dc->relay_rank = own_rank(m, dc, m->settings.relays);
 		dc->relay = dc->relay_rank < m->settings.relays;
 		if (dc->relay && !was) {
-			/* What happened before is left to anti-entropy. */
+			/* Anti-entropy covers earlier changes. */
 			dc->relay_sent_change = m->home->change;
 			dc->relay_next_ms = m->now_ms;
 			dc->relay_misses = 0;
@@ -110,7 +109,7 @@
 	    ((*ra)->change < (*rb)->change);
 }
 
-/* Rows of the own data centre that changed since @sent, oldest first. */
+/* Rows of the own data centre that changed after @sent, oldest first. */
 static GPtrArray *
 changed_since(const struct membership *m, uint64_t sent)
 {
@@ -127,7 +126,10 @@
 	return changed;
 }
 
-/* Send what changed at home; what is too much waits for the next look. */
+/*
+ * Sends changed rows of the own data centre; rows beyond the limit wait for the
+ * next check.
+ */
 static void
 send_changes(struct membership *m, struct dc *dc, const struct net_addr *to)
 {
--- a/packages/membership/src/relay.h
+++ b/packages/membership/src/relay.h
@@ -1,5 +1,5 @@
 /*
- * Relays: the few nodes that exchange with another data centre.
+ * Relays: the few nodes that exchange records with another data centre.
  */
 #ifndef MEMBERSHIP_RELAY_H
 #define MEMBERSHIP_RELAY_H
@@ -8,10 +8,10 @@
 
 void relay_tick(struct membership *m);
 
-/* When relay_tick() has something to do next. */
+/* Deadline of the next relay_tick(). */
 uint64_t relay_next_ms(const struct membership *m);
 
-/* An ack came; it may answer a relay's probe. */
+/* Handles an ack, which may answer a ping of a relay. */
 void relay_on_ack(struct membership *m, uint32_t seq);
 
 #endif
--- a/packages/membership/src/send.c
+++ b/packages/membership/src/send.c
@@ -1,5 +1,5 @@
 /*
- * Sending: encoded messages into the outbox, counted.
+ * Sending: appends encoded messages to the outbox and counts their bytes.
  */
 #include <string.h>
 
--- a/packages/membership/src/serve.c
+++ b/packages/membership/src/serve.c
@@ -1,9 +1,10 @@
 /*
- * Serving joins: handing the table out, to a few at a time.
+ * Serving of joins: hands the table out, to a limited number of nodes at a
+ * time.
  *
- * The table is gone through by data centre and bucket, the joining host's
- * data centre first, so that a cursor stays right while the table changes
- * and nothing is kept for a join but its lease.
+ * The table is sent by data centre and bucket, the joining host's data centre
+ * first.  So a cursor stays valid while the table changes, and the only state
+ * of a join is its lease.
  */
 #include <string.h>
 
@@ -12,23 +13,26 @@
 #include "send.h"
 #include "serve.h"
 
-/* A part ends with the bucket that brings it over this. */
+/* A part ends with the bucket that brings its size to this. */
 #define PART_BYTES 24576
 
-/* A join that asks for no further part for so long is taken for broken
- * off. */
+/* A join without a request for the next part within this time is dropped. */
 #define LEASE_MS 3000
 
-/* When one that was turned away may come back: a join takes less than this.
- * A node that has not joined itself names a longer time. */
+/*
+ * Delay before a refused node retries: a join takes less than the first.  A
+ * node that has not joined itself sends the second.
+ */
 #define RETRY_AFTER_MS 100
 #define RETRY_AFTER_UNJOINED_MS 500
 
-/* Peers named to one that was turned away. */
+/* Most peers that a refusal names. */
 #define ALTERNATIVES_MAX 8
 
-/* A node that joined this long ago takes the others of its data centre to
- * have joined too. */
+/*
+ * Time after joining after which a node assumes that the other nodes of its
+ * data centre have joined too.
+ */
 #define PEERS_JOINED_AFTER_MS 30000
 
 static void
@@ -44,7 +48,7 @@
 	}
 }
 
-/* Admit a join or its next part; one that was begun is always gone on with. */
+/* Admits a join or its next part; a join in progress is always continued. */
 static int
 admit(struct membership *m, const struct net_addr *peer, uint32_t cursor)
 {
@@ -57,7 +61,7 @@
 	return 1;
 }
 
-/* A join came to its end: the peer can serve others itself. */
+/* Ends a join, after which the peer can serve other nodes. */
 static void
 finish_join(struct membership *m, const struct net_addr *peer)
 {
@@ -74,8 +78,10 @@
 	other->port = addr->port;
 }
 
-/* Name peers that hold the table: such as joined here, or any of a data
- * centre that has been running. */
+/*
+ * Adds peers that hold the table: nodes that joined here and, once this node
+ * has been joined for PEERS_JOINED_AFTER_MS, random nodes of its data centre.
+ */
 static void
 add_alternatives(struct membership *m, struct msg_join_refused *msg)
 {
@@ -118,7 +124,7 @@
 	m->counters.joins_refused++;
 }
 
-/* The data centre that is @pos-th for one at home in @first. */
+/* The data centre at position @pos, in an order that begins with @first. */
 static struct dc *
 dc_at(struct membership *m, const struct dc *first, uint32_t pos)
 {
@@ -135,7 +141,7 @@
 	return NULL;
 }
 
-/* Add the rows of a bucket; returns the bytes they take. */
+/* Adds the rows of a bucket; returns their size in bytes. */
 static uint32_t
 add_bucket(GArray *rows, const struct dc *dc, uint32_t bucket)
 {
@@ -155,7 +161,7 @@
 	return bytes;
 }
 
-/* Fill a part from a cursor on; returns the next cursor, 0 at the end. */
+/* Fills a part from a cursor on; returns the next cursor, 0 at the end. */
 static uint32_t
 fill_part(struct membership *m, const struct dc *first, uint32_t cursor,
     int own_only, GArray *rows)
@@ -203,7 +209,7 @@
 		finish_join(m, &peer);
 }
 
-/* The row that another live process has under this name or address. */
+/* Whether the table has a live host of this name with another address. */
 static int
 is_contested(const struct membership *m, const struct rec_member *rec)
 {
--- a/packages/membership/src/serve.h
+++ b/packages/membership/src/serve.h
@@ -1,5 +1,6 @@
 /*
- * Serving joins: handing the table out, to a few at a time.
+ * Serving of joins: hands the table out, to a limited number of nodes at a
+ * time.
  */
 #ifndef MEMBERSHIP_SERVE_H
 #define MEMBERSHIP_SERVE_H
--- a/packages/membership/src/settle.c
+++ b/packages/membership/src/settle.c
@@ -1,13 +1,13 @@
 /*
- * Settling: a node that has just started compares its table with others
- * often, until they agree.
+ * Settling: a node that has just started compares its table with those of peers
+ * at short intervals, until they agree.
  *
- * After a loss of all power nobody has a table to hand out.  News alone then
- * takes seconds: each record is passed on some ten times at 3 KB/s a node.
- * Here a node sends four bytes for each row that it holds to a peer by
- * chance; both send each other what the other lacks.  What both know is at
- * least doubled each time, so 195 hosts that know 16 others each need some
- * four rounds.  Records that come so are not passed on as news.
+ * After a total loss of power no node has a table to serve, and gossip alone
+ * takes seconds: each record is sent some ten times at 3 KB/s per node.  Here a
+ * node sends four bytes for each row in its table to a random peer, and both
+ * send each other the rows that the other lacks.  Each comparison at least
+ * doubles the rows that both know, so 195 hosts that know 16 others each need
+ * some four rounds.  Records received this way are not gossiped.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,37 +19,49 @@
 #include "send.h"
 #include "settle.h"
 
-/* Between two comparisons, half of it to one and a half.  Some ten round
- * trips inside a region, and eight comparisons in the second in which callers
- * are to find their upstreams. */
+/*
+ * Mean interval between two comparisons, from half to one and a half times
+ * this.  That is some ten round trips inside a region, and eight comparisons in
+ * the second in which callers have to find their upstreams.
+ */
 #define INTERVAL_MS 120
 
-/* A node that joined this long ago leaves the rest to anti-entropy. */
+/* Time after the start at which anti-entropy takes over. */
 #define PERIOD_MAX_MS 5000
 
-/* So many comparisons in a row that found nothing end it sooner, but not while
- * hosts that lost power with this one may still be starting. */
+/*
+ * This many comparisons in a row without a difference end the period early, but
+ * not while hosts that lost power at the same time may still be starting.
+ */
 #define EQUAL_NEEDED 3
 #define PERIOD_MIN_MS 1000
 
-/* Rows that one comparison is to be about: four bytes each leave room in a
- * datagram where slices differ in size. */
+/*
+ * Target rows per comparison: at four bytes each, these leave room in a
+ * datagram for slices above the average size.
+ */
 #define ROWS_PER_SLICE 200
 
-/* Seed that keeps slices apart from buckets. */
+/* Seed that keeps the hash for slices apart from that for buckets. */
 #define SLICE_SEED 0x736c6963U
 
-/* Datagrams of records that answer one comparison: 30 ms of a link of
- * 5 Mbit/s.  The rest is for the next comparison. */
+/*
+ * Most datagrams of records that answer a comparison: 30 ms of a link of 5
+ * Mbit/s.  The next comparison covers the remaining records.
+ */
 #define DATAGRAMS_MAX 16
 
-/* Slices that are compared at a time, each with another peer, so that 800
- * hosts are no slower than 200. */
+/*
+ * Slices compared at a time, each with another peer, so that 800 hosts converge
+ * as fast as 200.
+ */
 #define SLICES_AT_ONCE 4
 
 #define MARKS_MAX (MSG_COMPARE_MARKS_MAX / sizeof(uint32_t))
 
-/* What a comparison is about. */
+/*
+ * The part of the table that a comparison covers, selected by hash of the host.
+ */
 struct slice {
 	uint32_t n;
 	uint32_t pos;
@@ -70,14 +82,17 @@
 	return member_is_live(&r->member) && in_slice(r, s);
 }
 
-/* As it is sent, so that marks are compared without being decoded. */
+/*
+ * Mark of a row, in wire byte order, so that marks are compared without being
+ * decoded.
+ */
 static uint32_t
 mark_of(const struct row *r)
 {
 	return GUINT32_TO_LE((uint32_t)table_row_hash(r));
 }
 
-/* Gives the marks of the rows that count; free it. */
+/* Returns the marks of the rows in scope; free them. */
 static GArray *
 marks_new(const struct membership *m, const struct slice *s)
 {
@@ -219,7 +234,7 @@
 	batch_clear(b);
 }
 
-/* Whether marks in order have this one; an empty array has no data. */
+/* Whether sorted marks contain a mark; an empty array has no data pointer. */
 static int
 has_mark(const GArray *marks, uint32_t mark)
 {
@@ -228,7 +243,7 @@
 	    NULL;
 }
 
-/* Rows that the peer lacks, which marks @theirs. */
+/* Rows of the slice that are not among the peer's marks @theirs. */
 static GPtrArray *
 missing_rows(
     const struct membership *m, const struct slice *s, const GArray *theirs)
@@ -247,7 +262,7 @@
 	return rows;
 }
 
-/* Send rows from a random one on, as many as one answer may have. */
+/* Sends rows from a random row on, up to the limit of an answer. */
 static void
 send_missing(
     struct membership *m, const struct net_addr *to, const GPtrArray *rows)
@@ -268,7 +283,7 @@
 		send_rows(m, to, &b);
 }
 
-/* The peer's marks, in order; free it. */
+/* Returns the peer's marks, sorted; free them. */
 static GArray *
 decode_marks(const struct msg_compare *msg)
 {
@@ -280,7 +295,7 @@
 	return marks;
 }
 
-/* An answer came: nothing to give and as many rows there as here. */
+/* Handles an answer; @same: no row was missing on either side. */
 static void
 on_answer(struct membership *m, int same)
 {
--- a/packages/membership/src/settle.h
+++ b/packages/membership/src/settle.h
@@ -1,16 +1,16 @@
 /*
- * Settling: a node that has just started compares its table with others
- * often, until they agree.
+ * Settling: a node that has just started compares its table with those of peers
+ * at short intervals, until they agree.
  */
 #ifndef MEMBERSHIP_SETTLE_H
 #define MEMBERSHIP_SETTLE_H
 
 #include "internal.h"
 
-/* Compare with others for a while from now on. */
+/* Starts the period of comparisons. */
 void settle_begin(struct membership *m);
 
-/* A peer that is joining as well answered; compare with it at once. */
+/* Compares with a peer that is joining as well, at once. */
 void settle_compare(struct membership *m, const struct net_addr *peer);
 
 void settle_tick(struct membership *m);
--- a/packages/membership/src/suspicion.c
+++ b/packages/membership/src/suspicion.c
@@ -1,9 +1,10 @@
 /*
- * Suspicion: hosts that did not answer, until they refute it or have failed.
+ * Suspicion: hosts that did not answer, until they refute the suspicion or are
+ * marked as failed.
  *
- * A suspicion that one node alone holds lasts long, since the fault may be
- * with that node; each further node that finds the same shortens it (as in
- * Lifeguard, Dadgar et al. 2018).
+ * A suspicion of a single node lasts long, since the fault may be with that
+ * node.  Each further accuser shortens it (as in Lifeguard, Dadgar et al.
+ * 2018).
  */
 #include <string.h>
 
@@ -19,9 +20,9 @@
 #define PERCENT 100
 
 /*
- * Length of a suspicion in percent of suspicion_ms by the number of those
- * who hold it: max - (max - min) * log(n) / log(needed), where needed is 3,
- * or 2 in a data centre of three hosts.
+ * Timeout of a suspicion in percent of suspicion_ms by number of accusers: max
+ * - (max - min) * log(n) / log(needed), where needed is 3, or 2 in a data
+ * centre of three hosts.
  */
 static const uint32_t timeout_percent_3[ACCUSERS_MAX] = {300, 174, 100};
 static const uint32_t timeout_percent_2[ACCUSERS_MAX] = {300, 100, 100};
@@ -128,8 +129,8 @@
 }
 
 /*
- * A suspicion or tombstone came to its end.  A suspect is probed once more
- * first: it may have refuted, and this node missed it.
+ * Handles an expired suspicion or tombstone.  A suspect is probed once more
+ * before it is marked as failed: its refutation may have been lost.
  */
 static void
 expire_row(struct membership *m, struct row *r)
@@ -164,7 +165,7 @@
 
 	if (m->now_ms < m->next_expiry_ms)
 		return;
-	/* Backwards: a row that is forgotten gives its place to the last. */
+	/* Backwards: a removed row is replaced by the last row. */
 	for (i = timed->len; i-- > 0;) {
 		r = timed->pdata[i];
 		if (r->expires_ms <= m->now_ms)
--- a/packages/membership/src/suspicion.h
+++ b/packages/membership/src/suspicion.h
@@ -1,34 +1,43 @@
 /*
- * Suspicion: hosts that did not answer, until they refute it or have failed.
+ * Suspicion: hosts that did not answer, until they refute the suspicion or are
+ * marked as failed.
  */
 #ifndef MEMBERSHIP_SUSPICION_H
 #define MEMBERSHIP_SUSPICION_H
 
 #include "internal.h"
 
-/* How a node signs its suspicions; never 0. */
+/* Identifies a node in its suspicions; never 0. */
 uint32_t suspicion_accuser(const char *host);
 
-/* Suspect a live host of the own data centre on @accuser's word. */
+/*
+ * Raises or confirms the suspicion of a live host of the own data centre by
+ * @accuser.
+ */
 void suspicion_raise(struct membership *m, struct row *r, uint32_t accuser);
 
-/* Take a host for failed or as having left; it becomes a tombstone. */
+/* Marks a host as failed or left; its row becomes a tombstone. */
 void suspicion_mark_dead(
     struct membership *m, struct row *r, enum member_state state);
 
-/* End a suspicion or a tombstone, as the host is alive. */
+/* Clears a suspicion or tombstone of a host that is alive. */
 void suspicion_end(struct membership *m, struct row *r);
 
-/* A suspect answered a probe; its refutation is still to come. */
+/*
+ * Restarts the timeout of a suspect that acknowledged a probe; its refutation
+ * is still to arrive.
+ */
 void suspicion_on_ack(struct membership *m, struct row *r);
 
-/* Let suspicions and tombstones come to their end. */
+/* Handles expired suspicions and tombstones. */
 void suspicion_tick(struct membership *m);
 
-/* The node was frozen: nobody could refute meanwhile. */
+/*
+ * Extends suspicions after a freeze, during which no refutation could arrive.
+ */
 void suspicion_extend(struct membership *m, uint64_t gap_ms);
 
-/* Take back what this node alone suspects, or failed on its own word. */
+/* Reverts suspicions and failures whose only accuser is this node. */
 void suspicion_withdraw(struct membership *m);
 
 #endif
--- a/packages/membership/src/sync.c
+++ b/packages/membership/src/sync.c
@@ -1,11 +1,11 @@
 /*
- * Anti-entropy: finding and repairing differences between two tables.
+ * Anti-entropy: finds and repairs differences between two tables.
  *
- * A sends the digests of its data centres; B answers with the buckets of
- * those that differ; A sends the keys of the buckets that differ; B sends
- * the records that A lacks and the keys of those that it lacks itself; A
- * sends these.  Each step goes over a bounded part of the table, so that a
- * large difference takes several exchanges.
+ * Node A sends the digests of its data centres.  B replies with the bucket
+ * digests of the data centres that differ.  A sends the keys of the buckets
+ * that differ.  B sends the records that A lacks, and the keys of those that B
+ * lacks, which A then sends.  Each step covers a bounded part of the table, so
+ * that a large difference takes several exchanges.
  */
 #include <string.h>
 
@@ -16,15 +16,20 @@
 #include "sync.h"
 #include "table.h"
 
-/* Data centres and buckets that one exchange goes into. */
+/* Data centres and buckets that one exchange covers. */
 #define DCS_PER_SYNC 4
 #define BUCKETS_PER_SYNC 32
 
-/* Differing digests in a row that begin an exchange with a node of the own
- * data centre; one alone may be news on its way. */
+/*
+ * Differing digests in a row that start an exchange with a node of the own data
+ * centre; a single difference may be gossip in transit.
+ */
 #define MISMATCHES_MIN 2
 
-/* A host that appeared this recently may be unknown at its home yet. */
+/*
+ * A host that appeared this recently may still be unknown in its own data
+ * centre.
+ */
 #define AUTHORITY_GRACE_MS 30000
 
 static void
@@ -155,7 +160,7 @@
 	msg.authority = !wants && dc == m->home && merge_is_authority(m);
 	msg.keys = (struct rec_member_key *)(void *)keys->data;
 	msg.n_keys = MIN(keys->len, MSG_SYNC_KEYS_KEYS_MAX);
-	/* A list that was cut short can't speak for who is missing. */
+	/* A truncated list says nothing about missing hosts. */
 	msg.authority = msg.authority && msg.n_keys == keys->len;
 	msg_sync_keys_encode(&msg, body);
 	send_either(m, to, MSG_SYNC_KEYS, body);
@@ -225,7 +230,7 @@
 	(void)batch_add(b, r);
 }
 
-/* One key that the peer holds: send it ours, or want its record. */
+/* Compares a key of the peer: sends the own record or requests the peer's. */
 static void
 compare_key(struct membership *m, const struct net_addr *from,
     const struct rec_member_key *key, struct batch *b, GArray *wants)
@@ -241,7 +246,7 @@
 	key_fill(r, &own);
 	if (key->incarnation == own.incarnation &&
 	    key->started_ms != own.started_ms) {
-		/* Two processes at one incarnation: both sides show theirs. */
+		/* Two processes at one incarnation: exchange both records. */
 		push_row(m, from, b, r);
 		g_array_append_val(wants, *key);
 		return;
@@ -259,7 +264,10 @@
 		g_array_append_val(wants, *key);
 }
 
-/* A host that the peer does not know: it may be news, or gone at home. */
+/*
+ * Handles a host that the peer does not know: the host is new, or has failed or
+ * left if the peer is an authority for its data centre.
+ */
 static void
 handle_missing(struct membership *m, const struct net_addr *from, struct row *r,
     int authority, struct batch *b)
--- a/packages/membership/src/sync.h
+++ b/packages/membership/src/sync.h
@@ -1,5 +1,5 @@
 /*
- * Anti-entropy: finding and repairing differences between two tables.
+ * Anti-entropy: finds and repairs differences between two tables.
  */
 #ifndef MEMBERSHIP_SYNC_H
 #define MEMBERSHIP_SYNC_H
@@ -7,8 +7,8 @@
 #include "internal.h"
 
 /*
- * A peer told the digest of its table; begin an exchange if it differs and
- * the last was not just now.  @peer is its row or NULL.
+ * Starts an exchange if the digest of a peer's table differs and the minimum
+ * interval has passed.  @peer is the peer's row or NULL.
  */
 void sync_check_root(struct membership *m, const struct net_addr *from,
     const struct row *peer, uint64_t root);
--- a/packages/membership/src/table.c
+++ b/packages/membership/src/table.c
@@ -3,7 +3,7 @@
  *
  * The digest of a bucket is the sum of a hash of each live host with its
  * incarnation and start, so that a change costs one addition.  Suspects count
- * as live: a suspicion is for the own data centre alone and soon over.
+ * as live: a suspicion stays within its data centre and ends soon.
  */
 #include <string.h>
 
@@ -12,10 +12,10 @@
 
 #include "table.h"
 
-/* Random picks before the rows are gone through one by one. */
+/* Random picks before a linear search. */
 #define RANDOM_TRIES 8
 
-/* Seed that keeps the choice of a bucket apart from other hashes. */
+/* Seed that keeps the hash for buckets apart from other hashes. */
 #define BUCKET_SEED 0x6275636bU
 
 static void
@@ -98,12 +98,15 @@
 	const uint64_t version[] = {
 	    r->member.incarnation, r->member.started_ms};
 
-	/* Hashed first: near versions of near names would else cancel out. */
+	/*
+	 * Hash the version first: versions close to each other, of similar
+	 * names, would cancel out otherwise.
+	 */
 	return hash64(r->member.host, strlen(r->member.host),
 	    hash64(version, sizeof(version), 0));
 }
 
-/* Add or take away a row's part of the digests and counts. */
+/* Adds or subtracts a row's part of the digests and counts. */
 static void
 count(struct table *t, const struct row *r, int add)
 {
