--- a/packages/membership/src/internal.h
+++ b/packages/membership/src/internal.h
@@ -200,8 +200,8 @@
 /**
  * struct joiner - fetching of the table from peers
  * @candidates: struct candidate
- * @asked: peer of the pending request; valid while @asking
- * @asking: a request is pending
+ * @peer: peer of the pending request; valid while @pending
+ * @pending: a request is pending
  * @cursor: cursor of the requested part
  * @deadline_ms: timeout of the pending request, else time of the next one
  * @attempts: failures in a row, for the back-off
@@ -215,8 +215,8 @@
  */
 struct joiner {
 	GArray *candidates;
-	struct net_addr asked;
-	int asking;
+	struct net_addr peer;
+	int pending;
 	uint32_t cursor;
 	uint64_t deadline_ms;
 	uint32_t attempts;
--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -131,7 +131,7 @@
 {
 	struct joiner *j = &m->joiner;
 
-	j->asking = 0;
+	j->pending = 0;
 	j->complete = 0;
 	j->cursor = 0;
 	j->attempts = 0;
@@ -150,7 +150,7 @@
 	if (m->phase != MEMBERSHIP_JOINING || m->joiner.complete)
 		return;
 	take_seeds(m);
-	if (!m->joiner.asking)
+	if (!m->joiner.pending)
 		m->joiner.deadline_ms = m->now_ms;
 }
 
@@ -163,7 +163,7 @@
 	if (m->phase != MEMBERSHIP_JOINING || j->complete)
 		return;
 	candidate_add(m, from);
-	if (j->candidates->len > before && !j->asking)
+	if (j->candidates->len > before && !j->pending)
 		j->deadline_ms = m->now_ms;
 }
 
@@ -243,7 +243,7 @@
 static void
 complete(struct membership *m, int have_table)
 {
-	m->joiner.asking = 0;
+	m->joiner.pending = 0;
 	m->joiner.complete = 1;
 	if (have_table && m->phase == MEMBERSHIP_REFRESHING)
 		fail_unconfirmed(m);
@@ -277,14 +277,14 @@
  * many hosts are not up yet when hosts start together.
  */
 static void
-back_off(struct membership *m, const struct net_addr *asked)
+back_off(struct membership *m, const struct net_addr *peer)
 {
 	struct joiner *j = &m->joiner;
 	uint32_t most = NEXT_PEER_MS;
 
-	j->asking = 0;
+	j->pending = 0;
 	j->cursor = 0;
-	postpone(m, asked, PEER_RETRY_MS);
+	postpone(m, peer, PEER_RETRY_MS);
 	if (!has_eligible(m)) {
 		most = (uint32_t)BACKOFF_BASE_MS
 		    << MIN(j->attempts, BACKOFF_SHIFT_MAX);
@@ -302,7 +302,7 @@
 }
 
 static void
-ask(struct membership *m, const struct net_addr *to, uint32_t cursor)
+send_request(struct membership *m, const struct net_addr *to, uint32_t cursor)
 {
 	struct joiner *j = &m->joiner;
 	GByteArray *body = g_byte_array_new();
@@ -315,8 +315,8 @@
 	msg_join_encode(&msg, body);
 	record_clear(&msg.self);
 	send_frame(m, to, 0, MSG_JOIN, body);
-	j->asked = *to;
-	j->asking = 1;
+	j->peer = *to;
+	j->pending = 1;
 	j->cursor = cursor;
 	j->deadline_ms =
 	    m->now_ms + (cursor == 0 ? first_response_ms(j) : RESPONSE_MS);
@@ -372,10 +372,10 @@
 	}
 	if (m->now_ms < j->deadline_ms)
 		return;
-	if (j->asking) {
-		outbox_close(m->out, &j->asked, 0);
+	if (j->pending) {
+		outbox_close(m->out, &j->peer, 0);
 		j->timeouts++;
-		back_off(m, &j->asked);
+		back_off(m, &j->peer);
 		return;
 	}
 	if (may_bootstrap(m)) {
@@ -388,7 +388,7 @@
 	}
 	c = pick(m);
 	if (c != NULL)
-		ask(m, &c->addr, 0);
+		send_request(m, &c->addr, 0);
 }
 
 uint64_t
@@ -404,7 +404,7 @@
 {
 	struct joiner *j = &m->joiner;
 
-	if (!j->asking || !addr_equal(&j->asked, to))
+	if (!j->pending || !addr_equal(&j->peer, to))
 		return;
 	back_off(m, to);
 }
@@ -426,7 +426,7 @@
 	if (m->phase != MEMBERSHIP_JOINING && m->phase != MEMBERSHIP_REFRESHING)
 		return;
 	if (msg->next != 0) {
-		ask(m, from, msg->next);
+		send_request(m, from, msg->next);
 		return;
 	}
 	complete(m, 1);
@@ -439,7 +439,7 @@
 	struct joiner *j = &m->joiner;
 	struct msg_join_table msg;
 
-	if (!j->asking || !addr_equal(&j->asked, from))
+	if (!j->pending || !addr_equal(&j->peer, from))
 		return;
 	if (msg_join_table_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
@@ -460,7 +460,7 @@
 	struct net_addr other;
 	uint32_t i;
 
-	if (!j->asking || !addr_equal(&j->asked, from))
+	if (!j->pending || !addr_equal(&j->peer, from))
 		return;
 	if (msg_join_refused_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
@@ -476,7 +476,7 @@
 	 * later.
 	 */
 	postpone(m, from, msg.come_back_ms + random_below(m, msg.come_back_ms));
-	j->asking = 0;
+	j->pending = 0;
 	j->deadline_ms = m->now_ms + random_below(m, NEXT_PEER_MS);
 	if (msg.joined || !j->is_seed)
 		j->bootstrap_ms =
