--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -68,7 +68,7 @@
 };
 
 static uint32_t
-holders(const struct fake_net *f, const struct change *c)
+n_holding(const struct fake_net *f, const struct change *c)
 {
 	const struct member *mb;
 	uint32_t i, n = 0;
@@ -97,13 +97,13 @@
 }
 
 static void
-watch(const struct fake_net *f, struct change *c)
+record_progress(const struct fake_net *f, struct change *c)
 {
 	uint32_t n;
 
 	if (c->all_ms != 0)
 		return;
-	n = holders(f, c);
+	n = n_holding(f, c);
 	if (c->half_ms == 0 && n * 2 >= f->n)
 		c->half_ms = f->now_ms - c->made_ms;
 	if (c->most_ms == 0 && n * 100 >= f->n * 99)
@@ -163,7 +163,7 @@
 
 struct totals {
 	uint64_t bytes;
-	uint64_t most_bytes;
+	uint64_t max_bytes;
 	uint64_t messages;
 	uint64_t syncs;
 	uint64_t failed;
@@ -185,7 +185,7 @@
 		c = membership_counters(n->m);
 		bytes = n->bytes + n->messages * HEADER_BYTES;
 		t.bytes += bytes;
-		t.most_bytes = MAX(t.most_bytes, bytes);
+		t.max_bytes = MAX(t.max_bytes, bytes);
 		t.messages += n->messages;
 		t.syncs += c->syncs;
 		t.failed += c->failed;
@@ -196,7 +196,7 @@
 }
 
 static void
-forget_bytes(struct fake_net *f)
+reset_bytes(struct fake_net *f)
 {
 	uint32_t i;
 
@@ -222,7 +222,7 @@
 	f->loss_percent = loss;
 	fake_run(f, SETTLE_MS);
 	before = totals(f);
-	forget_bytes(f);
+	reset_bytes(f);
 	f->cpu_us = 0;
 	for (t = 0; t < RUN_MS; t += step) {
 		while (changes_per_s > 0 && next <= (double)t &&
@@ -233,7 +233,8 @@
 		}
 		fake_run(f, step);
 		for (i = 0; i < changes->len; i++)
-			watch(f, &g_array_index(changes, struct change, i));
+			record_progress(
+			    f, &g_array_index(changes, struct change, i));
 	}
 	after = totals(f);
 	printf("steady n %u dcs %u changes/s %.2f loss %u%%: joined %lld ms; "
@@ -241,7 +242,7 @@
 	       "%.0f us/s = %.3f %% of a core; syncs/s %.3f a node; failed "
 	       "%llu; records received %.1f for each that was new\n",
 	    n, dcs, changes_per_s, loss, (long long)joined_ms,
-	    (double)after.bytes / n / s, (double)after.most_bytes / s,
+	    (double)after.bytes / n / s, (double)after.max_bytes / s,
 	    (double)after.messages / n / s, (double)f->cpu_us / n / s,
 	    (double)f->cpu_us / n / s / 10000,
 	    (double)(after.syncs - before.syncs) / n / s,
@@ -255,7 +256,7 @@
 
 /* Tell one node of @n hosts, 28 data centres, one endpoint each. */
 static void
-fill(struct fake_net *f, uint32_t n)
+add_members(struct fake_net *f, uint32_t n)
 {
 	struct net_addr from = {FAKE_IP + 1, FAKE_PORT};
 	struct rec_endpoint e = {.service = "hearing-booking",
@@ -292,7 +293,7 @@
 }
 
 static struct fake_net *
-lone(uint32_t i)
+start_lone(uint32_t i)
 {
 	struct fake_net *f = fake_net_new(1);
 	struct membership_settings s = fake_settings(f, i, 0);
@@ -307,15 +308,15 @@
 static void
 table(uint32_t n)
 {
-	struct fake_net *f = lone(0);
+	struct fake_net *f = start_lone(0);
 	struct membership_action a;
-	uint64_t began, fill_us;
+	uint64_t began, add_us;
 	size_t was, now;
 
 	was = mallinfo2().uordblks;
 	began = cpu_now_us();
-	fill(f, n);
-	fill_us = cpu_now_us() - began;
+	add_members(f, n);
+	add_us = cpu_now_us() - began;
 	while (membership_pop(f->nodes[0].m, &a))
 		continue;
 	/* The queue of news empties, as there is nobody to tell. */
@@ -323,7 +324,7 @@
 	now = mallinfo2().uordblks;
 	printf("table of %u: %zu bytes, %.0f a member; %.2f us to take one "
 	       "record in\n",
-	    n, now - was, (double)(now - was) / n, (double)fill_us / n);
+	    n, now - was, (double)(now - was) / n, (double)add_us / n);
 	fake_net_free(f);
 }
 
@@ -336,16 +337,16 @@
 static void
 join(uint32_t n)
 {
-	struct fake_net *f = lone(0);
+	struct fake_net *f = start_lone(0);
 	struct membership_settings s;
 	uint64_t took;
 
-	fill(f, n);
+	add_members(f, n);
 	fake_run(f, 100);
 	f->seeds[0] = f->nodes[0].addr;
 	f->n_seeds = 1;
 	s = fake_settings(f, 1, 0);
-	forget_bytes(f);
+	reset_bytes(f);
 	f->cpu_us = 0;
 	(void)fake_start(f, 1, &s, 0);
 	took = fake_run_until(f, 20000, second_joined);
@@ -373,19 +374,19 @@
 	for (i = 0; i < n; i += dcs)
 		fake_kill(f, i);
 	fake_run(f, 2000);
-	forget_bytes(f);
+	reset_bytes(f);
 	for (i = 0; i < n; i += dcs) {
 		s = fake_settings(f, i, 0);
 		(void)fake_start(f, i, &s, 0);
 	}
-	up = fake_run_until(f, JOIN_MS, fake_all_see_all);
+	up = fake_run_until(f, JOIN_MS, fake_all_live);
 	agreed = fake_run_until(f, JOIN_MS, fake_agreed);
 	t = totals(f);
 	printf("herd of %u of %u nodes: all live everywhere after %lld ms, "
 	       "same tables %lld ms later; %.0f bytes sent a node, most "
 	       "%llu\n",
 	    (n + dcs - 1) / dcs, n, (long long)up, (long long)agreed,
-	    (double)t.bytes / n, (unsigned long long)t.most_bytes);
+	    (double)t.bytes / n, (unsigned long long)t.max_bytes);
 	fake_net_free(f);
 }
 
@@ -410,7 +411,7 @@
 	       "node, most %llu bytes; %.1f ms of processor time a node\n",
 	    n, loss, (unsigned long long)known_ms, (unsigned long long)same_ms,
 	    (double)t.bytes / n, (double)t.messages / n,
-	    (unsigned long long)t.most_bytes, (double)f->cpu_us / n / 1000);
+	    (unsigned long long)t.max_bytes, (double)f->cpu_us / n / 1000);
 	fake_net_free(f);
 }
 
@@ -418,7 +419,7 @@
 
 /* Nodes that still count on host @dead. */
 static uint32_t
-misled(const struct fake_net *f, uint32_t dead)
+n_holding_live(const struct fake_net *f, uint32_t dead)
 {
 	uint32_t i, n = 0;
 	int st;
@@ -448,7 +449,7 @@
 		began = f->now_ms;
 		/* Seeds are left alone: they come first. */
 		fake_kill(f, n - 1 - i);
-		while (misled(f, n - 1 - i) > 0)
+		while (n_holding_live(f, n - 1 - i) > 0)
 			fake_run(f, STEP_MS);
 		times[i] = f->now_ms - began;
 	}
@@ -458,20 +459,20 @@
 }
 
 static uint32_t
-number(int argc, char **argv, int i, uint32_t otherwise)
+arg_number(int argc, char **argv, int i, uint32_t fallback)
 {
-	return i < argc ? (uint32_t)strtoul(argv[i], NULL, 10) : otherwise;
+	return i < argc ? (uint32_t)strtoul(argv[i], NULL, 10) : fallback;
 }
 
 int
 main(int argc, char **argv)
 {
-	uint32_t n = number(argc, argv, 2, 100);
-	uint32_t dcs = MAX(1, number(argc, argv, 3, 1));
+	uint32_t n = arg_number(argc, argv, 2, 100);
+	uint32_t dcs = MAX(1, arg_number(argc, argv, 3, 1));
 
 	if (argc > 1 && strcmp(argv[1], "steady") == 0)
 		steady(n, dcs, argc > 4 ? strtod(argv[4], NULL) : 0,
-		    number(argc, argv, 5, 0));
+		    arg_number(argc, argv, 5, 0));
 	else if (argc > 1 && strcmp(argv[1], "table") == 0)
 		table(n);
 	else if (argc > 1 && strcmp(argv[1], "join") == 0)
@@ -479,9 +480,9 @@
 	else if (argc > 1 && strcmp(argv[1], "herd") == 0)
 		herd(n, dcs);
 	else if (argc > 1 && strcmp(argv[1], "power") == 0)
-		power(n, dcs, number(argc, argv, 4, 0));
+		power(n, dcs, arg_number(argc, argv, 4, 0));
 	else if (argc > 1 && strcmp(argv[1], "detect") == 0)
-		detect(n, dcs, number(argc, argv, 4, 0));
+		detect(n, dcs, arg_number(argc, argv, 4, 0));
 	else
 		return EXIT_FAILURE;
 	return EXIT_SUCCESS;
--- a/packages/membership/test/checker.c
+++ b/packages/membership/test/checker.c
@@ -15,17 +15,17 @@
 #include "fake_net.h"
 
 /* What a process last saw of a host. */
-struct sight {
+struct observation {
 	uint64_t incarnation;
 	uint64_t left_started_ms; /* life in which it was seen to leave */
 	uint64_t wrong_since_ms;  /* 0: not wrong */
-	uint64_t look;		  /* number of the last look that saw it */
+	uint64_t last_check;	  /* number of the last look that saw it */
 };
 
 struct checker {
-	GHashTable *sights; /* "observer/process/host" */
-	uint32_t lives[FAKE_NODES_MAX];
-	uint64_t looks;
+	GHashTable *observations; /* "observer/process/host" */
+	uint32_t restarts[FAKE_NODES_MAX];
+	uint64_t checks;
 	char violation[200];
 };
 
@@ -34,7 +34,7 @@
 {
 	struct checker *c = g_new0(struct checker, 1);
 
-	c->sights =
+	c->observations =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return c;
 }
@@ -42,7 +42,7 @@
 void
 checker_free(struct checker *c)
 {
-	g_hash_table_unref(c->sights);
+	g_hash_table_unref(c->observations);
 	g_free(c);
 }
 
@@ -53,13 +53,13 @@
 }
 
 void
-checker_forget(struct checker *c, uint32_t node)
+checker_restart(struct checker *c, uint32_t node)
 {
-	c->lives[node]++;
+	c->restarts[node]++;
 }
 
 static void
-violated(struct checker *c, const struct fake_net *f, uint32_t by,
+report(struct checker *c, const struct fake_net *f, uint32_t by,
     const char *host, const char *what)
 {
 	if (c->violation[0] == '\0')
@@ -68,17 +68,17 @@
 		    (unsigned long long)f->now_ms, by, host, what);
 }
 
-static struct sight *
-sight_of(struct checker *c, uint32_t by, const char *host)
+static struct observation *
+observation_of(struct checker *c, uint32_t by, const char *host)
 {
 	char key[64];
-	struct sight *s;
+	struct observation *s;
 
-	(void)snprintf(key, sizeof(key), "%u/%u/%s", by, c->lives[by], host);
-	s = g_hash_table_lookup(c->sights, key);
+	(void)snprintf(key, sizeof(key), "%u/%u/%s", by, c->restarts[by], host);
+	s = g_hash_table_lookup(c->observations, key);
 	if (s == NULL) {
-		s = g_new0(struct sight, 1);
-		(void)g_hash_table_insert(c->sights, g_strdup(key), s);
+		s = g_new0(struct observation, 1);
+		(void)g_hash_table_insert(c->observations, g_strdup(key), s);
 	}
 	return s;
 }
@@ -116,47 +116,47 @@
 	return !member_is_live(mb);
 }
 
-struct look {
+struct check {
 	struct checker *c;
 	const struct fake_net *f;
 	uint32_t by;
 };
 
 static void
-look_at(const struct member *mb, void *ctx)
+check_member(const struct member *mb, void *ctx)
 {
-	const struct look *l = ctx;
-	struct sight *s = sight_of(l->c, l->by, mb->host);
+	const struct check *l = ctx;
+	struct observation *s = observation_of(l->c, l->by, mb->host);
 
-	if (s->look + 1 < l->c->looks && !at_home(l->f, l->by, mb))
+	if (s->last_check + 1 < l->c->checks && !at_home(l->f, l->by, mb))
 		memset(s, 0, sizeof(*s));
-	s->look = l->c->looks;
+	s->last_check = l->c->checks;
 	if (mb->incarnation < s->incarnation)
-		violated(l->c, l->f, l->by, mb->host, "go backwards");
+		report(l->c, l->f, l->by, mb->host, "go backwards");
 	s->incarnation = mb->incarnation;
 	if (mb->state == MEMBER_LEFT)
 		s->left_started_ms = mb->started_ms;
 	else if (member_is_live(mb) && s->left_started_ms == mb->started_ms)
-		violated(l->c, l->f, l->by, mb->host, "back after it left");
+		report(l->c, l->f, l->by, mb->host, "back after it left");
 	if (!is_wrong(l->f, l->by, mb)) {
 		s->wrong_since_ms = 0;
 		return;
 	}
-	if (s->wrong_since_ms == 0 || s->wrong_since_ms < l->f->calm_ms)
+	if (s->wrong_since_ms == 0 || s->wrong_since_ms < l->f->disturbed_ms)
 		s->wrong_since_ms = l->f->now_ms;
 	if (l->f->now_ms - s->wrong_since_ms > CHECKER_WRONG_MS)
-		violated(l->c, l->f, l->by, mb->host,
+		report(l->c, l->f, l->by, mb->host,
 		    member_is_live(mb) ? "live for too long"
 				       : "failed for too long");
 }
 
 void
-checker_look(struct checker *c, struct fake_net *f)
+checker_check(struct checker *c, struct fake_net *f)
 {
-	struct look l = {c, f, 0};
+	struct check l = {c, f, 0};
 
-	c->looks++;
+	c->checks++;
 	for (l.by = 0; l.by < f->n; l.by++)
 		if (fake_up(f, l.by))
-			membership_each(f->nodes[l.by].m, look_at, &l);
+			membership_each(f->nodes[l.by].m, check_member, &l);
 }
--- a/packages/membership/test/checker.h
+++ b/packages/membership/test/checker.h
@@ -16,12 +16,12 @@
 void checker_free(struct checker *c);
 
 /* Look at all tables. */
-void checker_look(struct checker *c, struct fake_net *f);
+void checker_check(struct checker *c, struct fake_net *f);
 
 /* The first violation found, or NULL. */
 const char *checker_violation(const struct checker *c);
 
 /* Forget what a node's process saw: it was started anew. */
-void checker_forget(struct checker *c, uint32_t node);
+void checker_restart(struct checker *c, uint32_t node);
 
 #endif
--- a/packages/membership/test/cluster.h
+++ b/packages/membership/test/cluster.h
@@ -9,12 +9,12 @@
 #include "fake_net.h"
 
 /** cluster_begin() - @n nodes in @dcs data centres that know each other within
- * @most_ms, or the test fails */
+ * @timeout_ms, or the test fails */
 struct fake_net *
-cluster_begin(uint32_t seed, uint32_t n, uint32_t dcs, uint64_t most_ms);
+cluster_begin(uint32_t seed, uint32_t n, uint32_t dcs, uint64_t timeout_ms);
 
-/** cluster_must() - the test fails unless @done holds within @most_ms */
-void cluster_must(struct fake_net *f, uint32_t seed, uint64_t most_ms,
+/** cluster_wait() - the test fails unless @done holds within @timeout_ms */
+void cluster_wait(struct fake_net *f, uint32_t seed, uint64_t timeout_ms,
     int (*done)(struct fake_net *f), const char *what);
 
 /** cluster_end() - the checker must have seen nothing wrong; frees @f */
--- a/packages/membership/test/fake_net.c
+++ b/packages/membership/test/fake_net.c
@@ -121,7 +121,7 @@
 
 /* The node that holds an address: the one whose place it belongs to. */
 static int
-find(const struct fake_net *f, const struct net_addr *addr)
+node_at(const struct fake_net *f, const struct net_addr *addr)
 {
 	uint32_t i = addr->ip - FAKE_IP;
 
@@ -148,12 +148,12 @@
 static void
 send_datagram(struct fake_net *f, uint32_t from, const struct outbox_item *item)
 {
-	int to = find(f, &item->to);
+	int to = node_at(f, &item->to);
 
 	if (to < 0 || f->cut[from][to] || chance(f, f->loss_percent))
 		return;
 	deliver_later(f, from, (uint32_t)to, item, 0);
-	if (chance(f, f->double_percent))
+	if (chance(f, f->duplicate_percent))
 		deliver_later(f, from, (uint32_t)to, item, 0);
 }
 
@@ -163,21 +163,21 @@
 send_frame(struct fake_net *f, uint32_t from, const struct outbox_item *item)
 {
 	struct event *e;
-	int to = item->conn != 0 ? (int)item->conn - 1 : find(f, &item->to);
+	int to = item->conn != 0 ? (int)item->conn - 1 : node_at(f, &item->to);
 
 	if (to >= 0 && f->nodes[to].m != NULL && !f->cut[from][to] &&
 	    !f->cut[to][from]) {
 		deliver_later(f, from, (uint32_t)to, item, from + 1);
 		return;
 	}
-	if (f->dark)
+	if (f->dead_hosts_silent)
 		return;
 	e = event_add(f, EVENT_UNREACHABLE, from, f->now_ms + REFUSED_MS);
 	e->from = item->to;
 }
 
 static void
-drain(struct fake_net *f, uint32_t i)
+flush(struct fake_net *f, uint32_t i)
 {
 	struct fake_node *n = &f->nodes[i];
 	struct membership_action a;
@@ -225,10 +225,10 @@
 	n->frozen = 0;
 	n->warnings = 0;
 	if (f->checker != NULL)
-		checker_forget(f->checker, i);
+		checker_restart(f->checker, i);
 	f->n = MAX(f->n, i + 1);
-	f->calm_ms = f->now_ms;
-	drain(f, i);
+	f->disturbed_ms = f->now_ms;
+	flush(f, i);
 	return n;
 }
 
@@ -252,7 +252,7 @@
     uint32_t n_seeds)
 {
 	membership_add_seeds(f->nodes[i].m, f->now_ms, seeds, n_seeds);
-	drain(f, i);
+	flush(f, i);
 }
 
 void
@@ -260,14 +260,14 @@
 {
 	(void)membership_announce(f->nodes[i].m, f->now_ms, "search", 80, 12,
 	    ENDPOINT_READY, DEADLINE_NEVER, MEMBER_COLD_UNKNOWN, NULL);
-	drain(f, i);
+	flush(f, i);
 }
 
 void
 fake_set_known(struct fake_net *f, uint32_t i, uint64_t version)
 {
 	membership_set_known(f->nodes[i].m, version);
-	drain(f, i);
+	flush(f, i);
 }
 
 void
@@ -284,7 +284,7 @@
 	n->out = NULL;
 	n->frozen = 0;
 	n->stopped_ms = f->now_ms;
-	f->calm_ms = f->now_ms;
+	f->disturbed_ms = f->now_ms;
 }
 
 static uint64_t
@@ -307,7 +307,7 @@
 fake_freeze(struct fake_net *f, uint32_t i)
 {
 	f->nodes[i].frozen = 1;
-	f->calm_ms = f->now_ms;
+	f->disturbed_ms = f->now_ms;
 }
 
 void
@@ -319,21 +319,21 @@
 	if (!n->frozen)
 		return;
 	n->frozen = 0;
-	f->calm_ms = f->now_ms;
+	f->disturbed_ms = f->now_ms;
 	while ((e = g_queue_pop_head(&n->held)) != NULL) {
 		deliver(f, e);
 		event_free(e);
 	}
 	membership_tick(n->m, f->now_ms);
 	n->tick_ms = DEADLINE_NEVER;
-	drain(f, i);
+	flush(f, i);
 }
 
 void
 fake_cut(struct fake_net *f, uint32_t from, uint32_t to, int cut)
 {
 	f->cut[from][to] = (uint8_t)cut;
-	f->calm_ms = f->now_ms;
+	f->disturbed_ms = f->now_ms;
 }
 
 void
@@ -369,7 +369,7 @@
 
 /* Give an event to its node, unless it died or froze meanwhile. */
 static void
-happen(struct fake_net *f, struct event *e)
+dispatch(struct fake_net *f, struct event *e)
 {
 	struct fake_node *n = &f->nodes[e->to];
 
@@ -390,7 +390,7 @@
 		n->tick_ms = DEADLINE_NEVER;
 		membership_tick(n->m, f->now_ms);
 	}
-	drain(f, e->to);
+	flush(f, e->to);
 }
 
 static void
@@ -408,7 +408,7 @@
 		if (e->at_ms > end_ms)
 			break;
 		f->now_ms = MAX(f->now_ms, e->at_ms);
-		happen(f, e);
+		dispatch(f, e);
 		g_sequence_remove(it);
 	}
 	f->now_ms = end_ms;
@@ -423,17 +423,17 @@
 	while (f->now_ms < end) {
 		run_to(f, MIN(end, f->now_ms + CHECK_MS));
 		if (f->checker != NULL)
-			checker_look(f->checker, f);
+			checker_check(f->checker, f);
 	}
 }
 
 uint64_t
 fake_run_until(
-    struct fake_net *f, uint64_t most_ms, int (*done)(struct fake_net *f))
+    struct fake_net *f, uint64_t timeout_ms, int (*done)(struct fake_net *f))
 {
 	uint64_t began = f->now_ms;
 
-	while (f->now_ms < began + most_ms) {
+	while (f->now_ms < began + timeout_ms) {
 		if (done(f))
 			return f->now_ms - began;
 		fake_run(f, CHECK_MS / 5);
@@ -470,7 +470,7 @@
 }
 
 int
-fake_all_see_all(struct fake_net *f)
+fake_all_live(struct fake_net *f)
 {
 	uint32_t i, j;
 	int st;
--- a/packages/membership/test/fake_net.h
+++ b/packages/membership/test/fake_net.h
@@ -36,7 +36,7 @@
 
 struct fake_net {
 	uint64_t now_ms;
-	uint64_t calm_ms; /* last kill, start, freeze, thaw, cut or heal */
+	uint64_t disturbed_ms; /* last kill, start, freeze, thaw, cut or heal */
 	GRand *rand;
 	GSequence *events;
 	uint64_t order;
@@ -44,9 +44,9 @@
 	uint32_t n;
 	uint8_t (*cut)[FAKE_NODES_MAX]; /* from, to */
 	uint32_t loss_percent;
-	uint32_t double_percent;
-	uint32_t delay_ms; /* 1 to this, by chance */
-	int dark;	   /* dead hosts are silent, connections hang */
+	uint32_t duplicate_percent;
+	uint32_t delay_ms;     /* 1 to this, by chance */
+	int dead_hosts_silent; /* dead hosts are silent, connections hang */
 	struct net_addr seeds[4];
 	uint32_t n_seeds;
 	uint64_t cpu_us; /* spent in the memberships */
@@ -94,10 +94,10 @@
 /* Let time pass; the checker looks twice a second. */
 void fake_run(struct fake_net *f, uint64_t ms);
 
-/* Let time pass until @done or @most_ms; returns the time taken, or
+/* Let time pass until @done or @timeout_ms; returns the time taken, or
  * UINT64_MAX. */
 uint64_t fake_run_until(
-    struct fake_net *f, uint64_t most_ms, int (*done)(struct fake_net *f));
+    struct fake_net *f, uint64_t timeout_ms, int (*done)(struct fake_net *f));
 
 /* Whether a node lives, is not frozen and has joined. */
 int fake_up(const struct fake_net *f, uint32_t i);
@@ -106,7 +106,7 @@
 int fake_agreed(struct fake_net *f);
 
 /* All that are up hold all that are up to be live. */
-int fake_all_see_all(struct fake_net *f);
+int fake_all_live(struct fake_net *f);
 
 /* State of host @of as node @by holds it, or -1 when it knows none. */
 int fake_state(const struct fake_net *f, uint32_t by, uint32_t of);
--- a/packages/membership/test/herd.c
+++ b/packages/membership/test/herd.c
@@ -12,11 +12,11 @@
 
 /* What a directory gives, and how long it takes to. */
 #define SAMPLE (2 * PLACES_PER_DATA_CENTRE)
-#define DIRECTORY_LEAST_MS 10
-#define DIRECTORY_MOST_MS 40
+#define DIRECTORY_MIN_MS 10
+#define DIRECTORY_MAX_MS 40
 
 /* An upstream says that it is ready this soon after its node has started. */
-#define BEAT_MOST_MS 30
+#define HEARTBEAT_MAX_MS 30
 
 #define PERCENT 100
 
@@ -27,7 +27,7 @@
 struct host_plan {
 	uint64_t start_ms;
 	uint64_t directory_ms;
-	uint64_t beat_ms;
+	uint64_t heartbeat_ms;
 };
 
 /* As a node on the users' platform sets them, settings.json.in. */
@@ -46,7 +46,8 @@
 }
 
 static uint64_t
-after(struct fake_net *f, uint64_t from_ms, uint32_t least, uint32_t most)
+random_after(
+    struct fake_net *f, uint64_t from_ms, uint32_t least, uint32_t most)
 {
 	return from_ms +
 	    (uint64_t)g_rand_int_range(f->rand, (gint32)least, (gint32)most);
@@ -55,10 +56,10 @@
 static void
 plan(struct fake_net *f, struct host_plan *p)
 {
-	p->start_ms = after(f, f->now_ms, 0, STARTS_MS);
+	p->start_ms = random_after(f, f->now_ms, 0, STARTS_MS);
 	p->directory_ms =
-	    after(f, p->start_ms, DIRECTORY_LEAST_MS, DIRECTORY_MOST_MS);
-	p->beat_ms = after(f, p->start_ms, 1, BEAT_MOST_MS);
+	    random_after(f, p->start_ms, DIRECTORY_MIN_MS, DIRECTORY_MAX_MS);
+	p->heartbeat_ms = random_after(f, p->start_ms, 1, HEARTBEAT_MAX_MS);
 }
 
 /* A few hosts of each data centre stand in the directory; a look gives those
@@ -96,12 +97,12 @@
 
 /* What the world does to a host in this step. */
 static void
-happen(struct fake_net *f, const struct host_plan *p, uint32_t i, uint32_t n,
-    uint32_t dcs)
+apply_plan(struct fake_net *f, const struct host_plan *p, uint32_t i,
+    uint32_t n, uint32_t dcs)
 {
 	if (due(f, p->start_ms))
 		start(f, i, dcs);
-	if (due(f, p->beat_ms))
+	if (due(f, p->heartbeat_ms))
 		fake_announce(f, i);
 	if (due(f, p->directory_ms))
 		look_up(f, i, n, dcs);
@@ -114,15 +115,15 @@
 	uint64_t last_ms = 0, end_ms;
 	uint32_t i;
 
-	f->dark = 1;
-	end_ms = f->now_ms + STARTS_MS + DIRECTORY_MOST_MS + BEAT_MOST_MS;
+	f->dead_hosts_silent = 1;
+	end_ms = f->now_ms + STARTS_MS + DIRECTORY_MAX_MS + HEARTBEAT_MAX_MS;
 	for (i = 0; i < n; i++) {
 		plan(f, &plans[i]);
 		last_ms = MAX(last_ms, plans[i].start_ms);
 	}
 	while (f->now_ms < end_ms) {
 		for (i = 0; i < n; i++)
-			happen(f, &plans[i], i, n, dcs);
+			apply_plan(f, &plans[i], i, n, dcs);
 		fake_run(f, STEP_MS);
 	}
 	g_free(plans);
@@ -131,7 +132,7 @@
 
 /* Upstreams that a node knows. */
 static uint32_t
-known_to(const struct fake_net *f, uint32_t i)
+n_known(const struct fake_net *f, uint32_t i)
 {
 	const struct member *mb;
 	uint32_t j, n = 0;
@@ -150,13 +151,13 @@
 
 	for (i = 0; i < f->n; i++)
 		if (!fake_up(f, i) ||
-		    known_to(f, i) * PERCENT < f->n * HERD_KNOWN_PERCENT)
+		    n_known(f, i) * PERCENT < f->n * HERD_KNOWN_PERCENT)
 			return 0;
 	return 1;
 }
 
 uint64_t
-herd_most_bytes(const struct fake_net *f)
+herd_max_bytes(const struct fake_net *f)
 {
 	uint64_t most = 0;
 	uint32_t i;
--- a/packages/membership/test/herd.h
+++ b/packages/membership/test/herd.h
@@ -24,7 +24,7 @@
 /** herd_known() - whether each node has joined and knows enough upstreams */
 int herd_known(struct fake_net *f);
 
-/** herd_most_bytes() - what the node that sent most has sent */
-uint64_t herd_most_bytes(const struct fake_net *f);
+/** herd_max_bytes() - what the node that sent most has sent */
+uint64_t herd_max_bytes(const struct fake_net *f);
 
 #endif
--- a/packages/membership/test/test_centres.c
+++ b/packages/membership/test/test_centres.c
@@ -51,9 +51,9 @@
 
 	f = cluster_begin(seed, 30, 5, JOIN_MS);
 	announce(1, ENDPOINT_READY);
-	cluster_must(f, seed, 10000, fake_agreed, "endpoint known");
+	cluster_wait(f, seed, 10000, fake_agreed, "endpoint known");
 	announce(1, ENDPOINT_DRAINING);
-	cluster_must(f, seed, 2000, drain_known, "drain known");
+	cluster_wait(f, seed, 2000, drain_known, "drain known");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -71,13 +71,13 @@
 			fake_kill(f,
 			    (uint32_t)strtoul(ranked[i]->host + 1, NULL, 10));
 	announce(1, ENDPOINT_DRAINING);
-	cluster_must(f, seed, 25000, drain_known, "drain known");
+	cluster_wait(f, seed, 25000, drain_known, "drain known");
 	cluster_end(f, seed);
 }
 END_TEST
 
 static int
-any_not_live_abroad(uint32_t dc)
+any_remote_not_live(uint32_t dc)
 {
 	uint32_t i, j;
 
@@ -101,7 +101,7 @@
 	fake_run(f, 3000);
 	fake_cut_dc(f, 1, DCS, 1);
 	fake_run(f, 60000);
-	ck_assert(!any_not_live_abroad(1));
+	ck_assert(!any_remote_not_live(1));
 	announce(1, ENDPOINT_DRAINING);
 	fake_kill(f, 7); /* of the cut-off data centre */
 	fake_kill(f, 5); /* of another */
@@ -110,12 +110,11 @@
 	s = fake_settings(f, NODES + 1, (NODES + 1) % DCS);
 	(void)fake_start(f, NODES + 1, &s, 0);
 	fake_run(f, 60000);
-	ck_assert(!any_not_live_abroad(1));
+	ck_assert(!any_remote_not_live(1));
 	fake_cut_dc(f, 1, DCS, 0);
-	cluster_must(f, seed, 20000, drain_known, "drain known after healing");
-	cluster_must(
-	    f, seed, 20000, fake_all_see_all, "all live after healing");
-	cluster_must(f, seed, 20000, fake_agreed, "agreed after healing");
+	cluster_wait(f, seed, 20000, drain_known, "drain known after healing");
+	cluster_wait(f, seed, 20000, fake_all_live, "all live after healing");
+	cluster_wait(f, seed, 20000, fake_agreed, "agreed after healing");
 	ck_assert_int_ge(fake_state(f, 0, 7), MEMBER_FAILED);
 	ck_assert_int_ge(fake_state(f, 1, 5), MEMBER_FAILED);
 	cluster_end(f, seed);
@@ -123,7 +122,7 @@
 END_TEST
 
 /* Two data centres lose each other while both reach the third. */
-START_TEST(news_goes_by_way_of_a_third_data_centre)
+START_TEST(records_spread_through_a_third_data_centre)
 {
 	uint32_t seed = (uint32_t)_i, i, j;
 
@@ -135,7 +134,7 @@
 			if (i % DCS + j % DCS == 1)
 				fake_cut(f, i, j, 1);
 	announce(1, ENDPOINT_DRAINING);
-	cluster_must(f, seed, 20000, drain_known, "drain known around the cut");
+	cluster_wait(f, seed, 20000, drain_known, "drain known around the cut");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -156,7 +155,7 @@
 		s.forget_ms = 10000;
 		(void)fake_start(f, i, &s, 0);
 	}
-	cluster_must(f, seed, JOIN_MS, fake_agreed, "joined");
+	cluster_wait(f, seed, JOIN_MS, fake_agreed, "joined");
 	fake_run(f, 40000);
 	fake_cut_dc(f, 1, DCS, 1);
 	membership_leave(f->nodes[3].m, f->now_ms);
@@ -166,7 +165,7 @@
 	ck_assert_int_eq(fake_state(f, 0, 3), -1);
 	ck_assert_int_eq(fake_state(f, 1, 3), MEMBER_ALIVE);
 	fake_cut_dc(f, 1, DCS, 0);
-	cluster_must(f, seed, 30000, fake_agreed, "agreed after healing");
+	cluster_wait(f, seed, 30000, fake_agreed, "agreed after healing");
 	for (i = 0; i < f->n; i++)
 		ck_assert(!fake_up(f, i) || fake_state(f, i, 3) < 0 ||
 		    fake_state(f, i, 3) >= MEMBER_FAILED);
@@ -188,7 +187,7 @@
 
 /* Node 4 is given the name of node 1.  It started later and gives way; when
  * node 1 is gone it takes the name over. */
-START_TEST(the_later_of_two_hosts_with_one_name_gives_way)
+START_TEST(later_host_with_a_duplicate_name_stops_serving)
 {
 	uint32_t seed = (uint32_t)_i;
 	struct membership_settings s;
@@ -199,7 +198,7 @@
 	s = fake_settings(f, 4, seed % 2);
 	(void)g_strlcpy(s.host, "h1", sizeof(s.host));
 	(void)fake_start(f, 4, &s, seed % 3 == 0 ? -3600000 : 0);
-	cluster_must(f, seed, 8000, four_in_conflict, "conflict seen");
+	cluster_wait(f, seed, 8000, four_in_conflict, "conflict seen");
 	ck_assert_uint_ge(f->nodes[4].warnings, 1);
 	ck_assert_uint_ge(f->nodes[1].warnings, 1);
 	ck_assert_ptr_nonnull(strstr(f->nodes[1].warning, "name h1"));
@@ -211,13 +210,13 @@
 	ck_assert_uint_le(
 	    membership_self(f->nodes[1].m)->incarnation, incarnation + 3);
 	fake_kill(f, 1);
-	cluster_must(f, seed, 30000, four_joined, "name taken over");
+	cluster_wait(f, seed, 30000, four_joined, "name taken over");
 	cluster_end(f, seed);
 }
 END_TEST
 
 /* Both run already when they learn of each other: a cut heals. */
-START_TEST(two_running_hosts_with_one_name_end_with_one)
+START_TEST(duplicate_names_after_a_partition_leave_one_host)
 {
 	uint32_t seed = (uint32_t)_i, i;
 	struct membership_settings s;
@@ -253,7 +252,7 @@
 END_TEST
 
 /* Node 4 is given the address of node 1, which holds it. */
-START_TEST(a_host_with_anothers_address_gives_way)
+START_TEST(host_with_a_duplicate_address_stops_serving)
 {
 	uint32_t seed = (uint32_t)_i;
 	struct membership_settings s;
@@ -262,7 +261,7 @@
 	s = fake_settings(f, 4, 0);
 	s.address = f->nodes[1].addr;
 	(void)fake_start(f, 4, &s, 0);
-	cluster_must(f, seed, 8000, four_in_conflict, "conflict seen");
+	cluster_wait(f, seed, 8000, four_in_conflict, "conflict seen");
 	ck_assert_ptr_nonnull(strstr(f->nodes[4].warning, "address"));
 	ck_assert_ptr_nonnull(strstr(f->nodes[1].warning, "h4"));
 	fake_run(f, 30000);
@@ -285,8 +284,8 @@
 	s = fake_settings(f, 4, 0);
 	(void)g_strlcpy(s.host, "new-host", sizeof(s.host));
 	(void)fake_start(f, 4, &s, 0);
-	cluster_must(f, seed, 10000, four_joined, "replacement joined");
-	cluster_must(f, seed, 30000, fake_agreed, "agreed");
+	cluster_wait(f, seed, 10000, four_joined, "replacement joined");
+	cluster_wait(f, seed, 30000, fake_agreed, "agreed");
 	ck_assert_ptr_nonnull(membership_find(f->nodes[2].m, "new-host"));
 	for (i = 0; i < f->n; i++)
 		ck_assert_msg(f->nodes[i].warnings == 0, "node %u: %s", i,
@@ -309,15 +308,15 @@
 	    a_data_centre_that_is_cut_off_is_not_suspected_and_catches_up, 0,
 	    SEEDS);
 	tcase_add_loop_test(
-	    tc, news_goes_by_way_of_a_third_data_centre, 0, SEEDS);
+	    tc, records_spread_through_a_third_data_centre, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, a_host_that_left_during_a_cut_stays_gone, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, the_later_of_two_hosts_with_one_name_gives_way, 0, SEEDS);
+	    tc, later_host_with_a_duplicate_name_stops_serving, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, two_running_hosts_with_one_name_end_with_one, 0, SEEDS);
+	    tc, duplicate_names_after_a_partition_leave_one_host, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, a_host_with_anothers_address_gives_way, 0, SEEDS);
+	    tc, host_with_a_duplicate_address_stops_serving, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, a_replaced_host_with_the_old_address_joins, 0, SEEDS);
 	suite_add_tcase(s, tc);
--- a/packages/membership/test/test_chaos.c
+++ b/packages/membership/test/test_chaos.c
@@ -122,7 +122,7 @@
 
 	f = fake_net_new(seed);
 	f->delay_ms = 1 + pick(50);
-	f->double_percent = pick(20);
+	f->duplicate_percent = pick(20);
 	fake_start_all(f, NODES, DCS);
 	ck_assert(fake_run_until(f, JOIN_MS, fake_agreed) != UINT64_MAX);
 	for (i = 0; i < FAULTS; i++) {
@@ -131,7 +131,7 @@
 		fake_run(f, 100 + pick(4000));
 	}
 	heal();
-	ck_assert_msg(fake_run_until(f, 60000, fake_all_see_all) != UINT64_MAX,
+	ck_assert_msg(fake_run_until(f, 60000, fake_all_live) != UINT64_MAX,
 	    "seed %u: not all live after healing", seed);
 	ck_assert_msg(fake_run_until(f, 60000, fake_agreed) != UINT64_MAX,
 	    "seed %u: tables differ after healing", seed);
@@ -148,7 +148,7 @@
 
 /* Write into node 0's table behind its back. */
 static void
-plant(uint32_t kind)
+inject(uint32_t kind)
 {
 	struct member *mb =
 	    (struct member *)(uintptr_t)membership_find(f->nodes[0].m, "h3");
@@ -174,8 +174,8 @@
 	int leave;
 	int kill;
 	uint32_t times;
-	const char *finds;
-} plants[] = {
+	const char *violation;
+} injections[] = {
     {0, 0, 1, "go backwards"},
     {1, 1, 1, "back after it left"},
     {0, 0, 60, "failed for too long"},
@@ -191,22 +191,23 @@
 	fake_start_all(f, 6, 1);
 	ck_assert(fake_run_until(f, JOIN_MS, fake_agreed) != UINT64_MAX);
 	fake_run(f, 2000);
-	if (plants[_i].leave)
+	if (injections[_i].leave)
 		membership_leave(f->nodes[3].m, f->now_ms);
 	fake_run(f, 2000);
-	if (plants[_i].kill)
+	if (injections[_i].kill)
 		fake_kill(f, 3);
 	fake_run(f, 2000);
 	ck_assert_ptr_null(checker_violation(f->checker));
 	/* Time passes for the checker alone, lest the nodes mend it. */
-	for (i = 0; i < plants[_i].times; i++) {
-		plant((uint32_t)_i);
-		checker_look(f->checker, f);
+	for (i = 0; i < injections[_i].times; i++) {
+		inject((uint32_t)_i);
+		checker_check(f->checker, f);
 		f->now_ms += 500;
 	}
 	v = checker_violation(f->checker);
 	ck_assert_ptr_nonnull(v);
-	ck_assert_msg(strstr(v, plants[_i].finds) != NULL, "found: %s", v);
+	ck_assert_msg(
+	    strstr(v, injections[_i].violation) != NULL, "found: %s", v);
 	fake_net_free(f);
 }
 END_TEST
@@ -226,8 +227,8 @@
 	/* Two processes of one host reach the same incarnation. */
 	tcase_add_loop_test(
 	    tc, random_faults_end_with_the_same_tables, 2266, 2267);
-	tcase_add_loop_test(
-	    tc, checker_catches_what_is_planted, 0, (int)G_N_ELEMENTS(plants));
+	tcase_add_loop_test(tc, checker_catches_what_is_planted, 0,
+	    (int)G_N_ELEMENTS(injections));
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/membership/test/test_finder.c
+++ b/packages/membership/test/test_finder.c
@@ -50,7 +50,7 @@
 /* A node that starts and looks: at the time that is returned it has found
  * @others, and its own entry if @own. */
 static uint64_t
-first_look(struct finder *f, uint32_t others, int own)
+first_lookup(struct finder *f, uint32_t others, int own)
 {
 	uint64_t now_ms = 1000;
 
@@ -61,11 +61,11 @@
 	return now_ms;
 }
 
-START_TEST(a_node_with_peers_asks_no_more)
+START_TEST(node_with_peers_makes_no_further_calls)
 {
 	const struct finder_view ten = {1, 10, 0}, four = {1, 4, 0};
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 0);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 0);
 
 	ck_assert_uint_eq(calls_in(&f, ten, 1, &now_ms, 60000), 0);
 	/* More than half of them are lost at once. */
@@ -76,11 +76,11 @@
 
 /* Its place was another's, or nobody's: it is written once, and not before a
  * host that is restarted is back. */
-START_TEST(the_holder_of_a_place_enters_itself_once)
+START_TEST(holder_of_a_place_registers_once)
 {
 	const struct finder_view holder = {1, 10, 1};
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 0);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 0);
 
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 9000), 0);
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 60000), 1);
@@ -88,11 +88,11 @@
 }
 END_TEST
 
-START_TEST(a_holder_that_stands_in_its_place_writes_nothing)
+START_TEST(registered_holder_does_not_register_again)
 {
 	const struct finder_view holder = {1, 10, 1}, other = {1, 10, 0};
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 1);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 1);
 
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 60000), 0);
 	/* Another one was the holder meanwhile and wrote over it. */
@@ -103,7 +103,7 @@
 END_TEST
 
 /* The first hosts of a fleet find nobody: each must be found by the others. */
-START_TEST(who_finds_few_enters_itself_and_looks_again)
+START_TEST(node_that_finds_few_registers_and_looks_up_again)
 {
 	struct finder f;
 	uint64_t now_ms = 1000;
@@ -126,10 +126,10 @@
 END_TEST
 
 /* All whom it found are gone: it enters itself before it looks again. */
-START_TEST(who_is_alone_enters_itself_too)
+START_TEST(node_that_is_alone_registers)
 {
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 0);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 0);
 
 	ck_assert_int_eq(
 	    finder_next(&f, &alone, now_ms + 1000), FINDER_REGISTER);
@@ -142,14 +142,14 @@
 
 /* After the loss of all power others make themselves heard before the first
  * look: without it such a node had nobody to ask for the table. */
-START_TEST(a_node_that_only_heard_of_others_looks_too)
+START_TEST(node_that_has_not_joined_looks_up)
 {
-	const struct finder_view heard = {0, 9, 1};
+	const struct finder_view unjoined = {0, 9, 1};
 	struct finder f;
 	uint64_t now_ms = 1000;
 
 	finder_init(&f, 1, now_ms);
-	ck_assert_int_eq(finder_next(&f, &heard, now_ms), FINDER_LOOK_UP);
+	ck_assert_int_eq(finder_next(&f, &unjoined, now_ms), FINDER_LOOK_UP);
 	finder_clear(&f);
 }
 END_TEST
@@ -200,7 +200,7 @@
  * the very first time.  Each call goes to a store that all share.
  */
 static uint32_t
-calls_of_a_start(uint32_t hosts, uint32_t entries)
+calls_of_a_mass_start(uint32_t hosts, uint32_t entries)
 {
 	struct starting *all = g_new0(struct starting, hosts);
 	uint32_t calls = 0, i;
@@ -220,21 +220,23 @@
 	return calls;
 }
 
-START_TEST(a_start_of_many_costs_one_call_each)
+START_TEST(mass_start_costs_one_call_per_host)
 {
 	static const uint32_t hosts[] = {76, 195, 300};
 	uint32_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(hosts); i++) {
-		ck_assert_uint_eq(calls_of_a_start(hosts[i], 40), hosts[i]);
-		ck_assert_uint_lt(calls_of_a_start(hosts[i], 0), 2 * hosts[i]);
+		ck_assert_uint_eq(
+		    calls_of_a_mass_start(hosts[i], 40), hosts[i]);
+		ck_assert_uint_lt(
+		    calls_of_a_mass_start(hosts[i], 0), 2 * hosts[i]);
 	}
 }
 END_TEST
 
 /* All of 22,000 nodes start while the store is down: full-jitter back-off
  * keeps what they ask together below 2,000 reads a second with room. */
-START_TEST(a_store_that_is_down_is_asked_ever_less)
+START_TEST(calls_back_off_while_the_store_is_down)
 {
 	struct finder f;
 	uint64_t now_ms = 0;
@@ -255,7 +257,7 @@
 static struct outbox *fleet_out;
 
 static void
-fleet_hear(uint32_t i, const char *data_centre, enum member_state state)
+fleet_receive(uint32_t i, const char *data_centre, enum member_state state)
 {
 	GByteArray *body = g_byte_array_new();
 	struct rec_member rec;
@@ -312,7 +314,7 @@
 		fleet_begin(host);
 		for (j = 0; j < FLEET; j++)
 			if (j != i)
-				fleet_hear(j, "d1", MEMBER_ALIVE);
+				fleet_receive(j, "d1", MEMBER_ALIVE);
 		places_of("d1", host, place);
 		if (places_held(fleet_node))
 			ck_assert_msg(
@@ -325,27 +327,27 @@
 }
 END_TEST
 
-START_TEST(a_host_holds_its_place_once_those_before_it_are_gone)
+START_TEST(host_holds_its_place_once_higher_ranked_hosts_left)
 {
 	uint32_t i;
 
 	fleet_begin("host-0");
 	for (i = 1; i < FLEET; i++)
-		fleet_hear(i, "d2", MEMBER_ALIVE);
+		fleet_receive(i, "d2", MEMBER_ALIVE);
 	ck_assert_msg(
 	    places_held(fleet_node), "hosts of other data centres don't count");
 	for (i = FLEET; i < 3 * FLEET; i++)
-		fleet_hear(i, "d1", MEMBER_ALIVE);
+		fleet_receive(i, "d1", MEMBER_ALIVE);
 	ck_assert(!places_held(fleet_node));
 	for (i = FLEET; i < 3 * FLEET; i++)
-		fleet_hear(i, "d1", MEMBER_LEFT);
+		fleet_receive(i, "d1", MEMBER_LEFT);
 	ck_assert(places_held(fleet_node));
 	fleet_end();
 }
 END_TEST
 
 /* A look that begins at a data centre's first place misses none of them. */
-START_TEST(places_of_a_data_centre_follow_one_another)
+START_TEST(places_sort_after_the_lower_bound)
 {
 	char first[PLACE_BYTES], place[PLACE_BYTES], host[MEMBER_NAME_BYTES];
 	uint32_t i;
@@ -366,18 +368,17 @@
 	Suite *suite = suite_create("finder");
 	TCase *tc = tcase_create("finder");
 
-	tcase_add_test(tc, a_node_with_peers_asks_no_more);
-	tcase_add_test(tc, the_holder_of_a_place_enters_itself_once);
-	tcase_add_test(tc, a_holder_that_stands_in_its_place_writes_nothing);
-	tcase_add_test(tc, who_finds_few_enters_itself_and_looks_again);
-	tcase_add_test(tc, who_is_alone_enters_itself_too);
-	tcase_add_test(tc, a_node_that_only_heard_of_others_looks_too);
-	tcase_add_test(tc, a_start_of_many_costs_one_call_each);
-	tcase_add_test(tc, a_store_that_is_down_is_asked_ever_less);
+	tcase_add_test(tc, node_with_peers_makes_no_further_calls);
+	tcase_add_test(tc, holder_of_a_place_registers_once);
+	tcase_add_test(tc, registered_holder_does_not_register_again);
+	tcase_add_test(tc, node_that_finds_few_registers_and_looks_up_again);
+	tcase_add_test(tc, node_that_is_alone_registers);
+	tcase_add_test(tc, node_that_has_not_joined_looks_up);
+	tcase_add_test(tc, mass_start_costs_one_call_per_host);
+	tcase_add_test(tc, calls_back_off_while_the_store_is_down);
 	tcase_add_test(tc, each_place_has_one_holder);
-	tcase_add_test(
-	    tc, a_host_holds_its_place_once_those_before_it_are_gone);
-	tcase_add_test(tc, places_of_a_data_centre_follow_one_another);
+	tcase_add_test(tc, host_holds_its_place_once_higher_ranked_hosts_left);
+	tcase_add_test(tc, places_sort_after_the_lower_bound);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/membership/test/test_found.c
+++ b/packages/membership/test/test_found.c
@@ -26,7 +26,7 @@
 
 /* A node that has just started hears the late one last: the run that lives
  * goes on sending and counts again. */
-START_TEST(a_run_that_lives_counts_again)
+START_TEST(replaced_run_that_is_alive_becomes_current_again)
 {
 	struct instances s;
 
@@ -42,7 +42,7 @@
 }
 END_TEST
 
-START_TEST(what_has_left_never_returns)
+START_TEST(heartbeats_after_a_leave_are_stale)
 {
 	struct instances s;
 	char id[16];
@@ -69,7 +69,7 @@
 }
 END_TEST
 
-START_TEST(the_latest_run_is_known_until_another_counts)
+START_TEST(latest_run_is_kept_until_another_is_current)
 {
 	struct instances s;
 
@@ -134,9 +134,9 @@
 	TCase *tc = tcase_create("found");
 
 	tcase_add_test(tc, late_heartbeats_change_nothing);
-	tcase_add_test(tc, a_run_that_lives_counts_again);
-	tcase_add_test(tc, what_has_left_never_returns);
-	tcase_add_test(tc, the_latest_run_is_known_until_another_counts);
+	tcase_add_test(tc, replaced_run_that_is_alive_becomes_current_again);
+	tcase_add_test(tc, heartbeats_after_a_leave_are_stale);
+	tcase_add_test(tc, latest_run_is_kept_until_another_is_current);
 	tcase_add_test(tc, a_later_start_under_the_same_name_is_a_new_run);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
--- a/packages/membership/test/test_herd.c
+++ b/packages/membership/test/test_herd.c
@@ -22,49 +22,49 @@
 #define KNOWN_WITHIN_MS 1000
 
 /* Half of what 5 Mbit/s carry in a second. */
-#define SENT_MOST_BYTES 312500
+#define SENT_MAX_BYTES 312500
 
 /* After this time all tables are to be the same. */
 #define SAME_WITHIN_MS 5000
 
 static void
-a_herd_knows_itself(uint32_t seed, uint32_t n, uint32_t dcs, uint32_t loss)
+check_mass_start(uint32_t seed, uint32_t n, uint32_t dcs, uint32_t loss)
 {
 	struct fake_net *f = fake_net_new(seed);
 	uint64_t due_ms, most;
 
 	f->loss_percent = loss;
 	due_ms = herd_start(f, n, dcs) + KNOWN_WITHIN_MS;
-	cluster_must(f, seed, due_ms - f->now_ms, herd_known,
+	cluster_wait(f, seed, due_ms - f->now_ms, herd_known,
 	    "95 in 100 upstreams known to each host");
-	most = herd_most_bytes(f);
-	ck_assert_msg(most <= SENT_MOST_BYTES, "seed %u: %llu bytes were sent",
+	most = herd_max_bytes(f);
+	ck_assert_msg(most <= SENT_MAX_BYTES, "seed %u: %llu bytes were sent",
 	    seed, (unsigned long long)most);
-	cluster_must(f, seed, SAME_WITHIN_MS, fake_agreed, "the same tables");
+	cluster_wait(f, seed, SAME_WITHIN_MS, fake_agreed, "the same tables");
 	cluster_end(f, seed);
 }
 
 START_TEST(hosts_76_in_3_data_centres)
 {
-	a_herd_knows_itself((uint32_t)_i, 76, 3, 0);
+	check_mass_start((uint32_t)_i, 76, 3, 0);
 }
 END_TEST
 
 START_TEST(hosts_195_in_5_data_centres)
 {
-	a_herd_knows_itself((uint32_t)_i, 195, 5, 0);
+	check_mass_start((uint32_t)_i, 195, 5, 0);
 }
 END_TEST
 
 START_TEST(hosts_300_in_5_data_centres)
 {
-	a_herd_knows_itself((uint32_t)_i, 300, 5, 0);
+	check_mass_start((uint32_t)_i, 300, 5, 0);
 }
 END_TEST
 
-START_TEST(hosts_195_while_messages_are_lost)
+START_TEST(hosts_195_with_message_loss)
 {
-	a_herd_knows_itself((uint32_t)_i, 195, 5, 5);
+	check_mass_start((uint32_t)_i, 195, 5, 5);
 }
 END_TEST
 
@@ -78,7 +78,7 @@
 	tcase_add_loop_test(tc, hosts_76_in_3_data_centres, 0, SEEDS);
 	tcase_add_loop_test(tc, hosts_195_in_5_data_centres, 0, SEEDS);
 	tcase_add_loop_test(tc, hosts_300_in_5_data_centres, 0, SEEDS);
-	tcase_add_loop_test(tc, hosts_195_while_messages_are_lost, 0, SEEDS);
+	tcase_add_loop_test(tc, hosts_195_with_message_loss, 0, SEEDS);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/membership/test/test_known.c
+++ b/packages/membership/test/test_known.c
@@ -25,12 +25,12 @@
 #define PUSHED_MS 500
 
 /* What no reader confirms is forgotten within this. */
-#define LAPSED_MS 31000
+#define EXPIRED_MS 31000
 
-#define GARBLED (UINT64_C(1) << 60)
+#define CORRUPTED (UINT64_C(1) << 60)
 
 static struct fake_net *f;
-static uint64_t wanted;
+static uint64_t expected;
 
 static int
 all_know(struct fake_net *g)
@@ -39,13 +39,13 @@
 
 	for (i = 0; i < g->n; i++)
 		if (fake_up(g, i) &&
-		    membership_known(g->nodes[i].m, g->now_ms) != wanted)
+		    membership_known(g->nodes[i].m, g->now_ms) != expected)
 			return 0;
 	return 1;
 }
 
 static int
-any_knows(uint64_t version)
+is_known_anywhere(uint64_t version)
 {
 	uint32_t i;
 
@@ -60,12 +60,12 @@
 read_by(uint32_t i, uint64_t version)
 {
 	fake_set_known(f, i, version);
-	wanted = version;
+	expected = version;
 }
 
 /* A ping of a live peer comes to node 0, as garbled as @head. */
 static void
-ping_with(const struct rec_gossip_head *head)
+receive_ping(const struct rec_gossip_head *head)
 {
 	GByteArray *body = g_byte_array_new();
 	struct msg_ping msg;
@@ -82,34 +82,34 @@
 	g_byte_array_unref(body);
 }
 
-START_TEST(what_one_node_read_is_known_by_all)
+START_TEST(version_read_by_one_node_reaches_all)
 {
 	uint32_t seed = (uint32_t)_i;
 
 	f = cluster_begin(seed, NODES, CENTRES, JOIN_MS);
 	f->loss_percent = 5;
-	wanted = 0;
+	expected = 0;
 	ck_assert(all_know(f));
 	read_by(READER, 10);
-	cluster_must(f, seed, SPREAD_MS, all_know, "version 10 known");
+	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known");
 	read_by(READER + 1, 12);
-	cluster_must(f, seed, SPREAD_MS, all_know, "version 12 known");
+	cluster_wait(f, seed, SPREAD_MS, all_know, "version 12 known");
 	cluster_end(f, seed);
 }
 END_TEST
 
 /* How many nodes know what was read. */
 static uint32_t
-knowing(void)
+n_knowing(void)
 {
 	uint32_t i, n = 0;
 
 	for (i = 0; i < f->n; i++)
-		n += membership_known(f->nodes[i].m, f->now_ms) == wanted;
+		n += membership_known(f->nodes[i].m, f->now_ms) == expected;
 	return n;
 }
 
-START_TEST(what_is_newer_than_the_head_is_told_at_once)
+START_TEST(version_above_the_head_is_pushed)
 {
 	uint32_t seed = (uint32_t)_i;
 
@@ -117,14 +117,14 @@
 	fake_run(f, 5000);
 	read_by(READER, 10);
 	fake_run(f, PUSHED_MS);
-	ck_assert_msg(knowing() >= f->n - 2, "seed %u: %u of %u know", seed,
-	    knowing(), f->n);
+	ck_assert_msg(n_knowing() >= f->n - 2, "seed %u: %u of %u know", seed,
+	    n_knowing(), f->n);
 	cluster_end(f, seed);
 }
 END_TEST
 
 /* Notices bring such a version: pings would only cost. */
-START_TEST(what_the_head_tells_is_not_told_twice)
+START_TEST(version_of_the_head_is_not_pushed)
 {
 	struct rec_gossip_head head = {.seq = 10, .version = 10};
 	uint64_t before;
@@ -146,14 +146,14 @@
 }
 END_TEST
 
-START_TEST(it_stays_known_while_its_reader_lives)
+START_TEST(version_stays_known_while_its_reader_lives)
 {
 	uint32_t seed = (uint32_t)_i, i;
 
 	f = cluster_begin(seed, NODES, CENTRES, JOIN_MS);
 	f->loss_percent = 5;
 	read_by(READER, 10);
-	cluster_must(f, seed, SPREAD_MS, all_know, "version 10 known");
+	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known");
 	for (i = 0; i < 120; i++) {
 		fake_run(f, 1000);
 		ck_assert_msg(all_know(f), "seed %u: forgotten", seed);
@@ -162,57 +162,57 @@
 }
 END_TEST
 
-START_TEST(what_nobody_confirms_lapses)
+START_TEST(unconfirmed_version_expires)
 {
 	uint32_t seed = (uint32_t)_i;
 
 	f = cluster_begin(seed, NODES, CENTRES, JOIN_MS);
 	read_by(READER, 10);
-	cluster_must(f, seed, SPREAD_MS, all_know, "version 10 known");
+	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known");
 	fake_kill(f, READER);
-	wanted = 0;
-	cluster_must(f, seed, LAPSED_MS, all_know, "version 10 forgotten");
+	expected = 0;
+	cluster_wait(f, seed, EXPIRED_MS, all_know, "version 10 forgotten");
 	cluster_end(f, seed);
 }
 END_TEST
 
-START_TEST(a_garbled_version_lapses_everywhere)
+START_TEST(corrupted_version_expires_everywhere)
 {
-	struct rec_gossip_head garbled = {.known = GARBLED};
+	struct rec_gossip_head corrupted = {.known = CORRUPTED};
 	uint32_t seed = (uint32_t)_i;
 
 	f = cluster_begin(seed, NODES, CENTRES, JOIN_MS);
 	read_by(READER, 10);
-	cluster_must(f, seed, SPREAD_MS, all_know, "version 10 known");
-	ping_with(&garbled);
-	ck_assert(any_knows(GARBLED));
-	fake_run(f, LAPSED_MS);
-	ck_assert_msg(!any_knows(GARBLED), "seed %u: it stuck", seed);
-	cluster_must(f, seed, SPREAD_MS, all_know, "version 10 known again");
+	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known");
+	receive_ping(&corrupted);
+	ck_assert(is_known_anywhere(CORRUPTED));
+	fake_run(f, EXPIRED_MS);
+	ck_assert_msg(!is_known_anywhere(CORRUPTED), "seed %u: it stuck", seed);
+	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known again");
 	cluster_end(f, seed);
 }
 END_TEST
 
-START_TEST(what_is_too_old_is_not_taken_in)
+START_TEST(expired_version_is_not_merged)
 {
 	struct rec_gossip_head old = {.known = 10, .known_age_ms = UINT32_MAX};
 
 	f = cluster_begin(1, NODES, CENTRES, JOIN_MS);
-	ping_with(&old);
-	ck_assert(!any_knows(10));
+	receive_ping(&old);
+	ck_assert(!is_known_anywhere(10));
 	old.known_age_ms = 29999;
-	ping_with(&old);
-	ck_assert(any_knows(10));
+	receive_ping(&old);
+	ck_assert(is_known_anywhere(10));
 	fake_run(f, 1000);
-	ck_assert(!any_knows(10));
+	ck_assert(!is_known_anywhere(10));
 	cluster_end(f, 1);
 }
 END_TEST
 
-START_TEST(what_a_node_read_last_counts)
+START_TEST(last_version_read_overrides_earlier_versions)
 {
 	f = cluster_begin(1, 1, 1, JOIN_MS);
-	membership_set_known(f->nodes[0].m, GARBLED);
+	membership_set_known(f->nodes[0].m, CORRUPTED);
 	membership_set_known(f->nodes[0].m, 10);
 	ck_assert_uint_eq(membership_known(f->nodes[0].m, f->now_ms), 10);
 	cluster_end(f, 1);
@@ -227,17 +227,16 @@
 
 	tcase_set_timeout(tc, 60);
 	tcase_add_loop_test(
-	    tc, what_one_node_read_is_known_by_all, 1, SEEDS + 1);
+	    tc, version_read_by_one_node_reaches_all, 1, SEEDS + 1);
+	tcase_add_loop_test(tc, version_above_the_head_is_pushed, 1, SEEDS + 1);
+	tcase_add_test(tc, version_of_the_head_is_not_pushed);
 	tcase_add_loop_test(
-	    tc, what_is_newer_than_the_head_is_told_at_once, 1, SEEDS + 1);
-	tcase_add_test(tc, what_the_head_tells_is_not_told_twice);
+	    tc, version_stays_known_while_its_reader_lives, 1, SEEDS + 1);
+	tcase_add_loop_test(tc, unconfirmed_version_expires, 1, SEEDS + 1);
 	tcase_add_loop_test(
-	    tc, it_stays_known_while_its_reader_lives, 1, SEEDS + 1);
-	tcase_add_loop_test(tc, what_nobody_confirms_lapses, 1, SEEDS + 1);
-	tcase_add_loop_test(
-	    tc, a_garbled_version_lapses_everywhere, 1, SEEDS + 1);
-	tcase_add_test(tc, what_is_too_old_is_not_taken_in);
-	tcase_add_test(tc, what_a_node_read_last_counts);
+	    tc, corrupted_version_expires_everywhere, 1, SEEDS + 1);
+	tcase_add_test(tc, expired_version_is_not_merged);
+	tcase_add_test(tc, last_version_read_overrides_earlier_versions);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/membership/test/test_own.c
+++ b/packages/membership/test/test_own.c
@@ -79,7 +79,7 @@
 }
 END_TEST
 
-START_TEST(renewal_keeps_the_record_as_it_is)
+START_TEST(renewal_does_not_change_the_record)
 {
 	uint64_t change, incarnation;
 	uint32_t i;
@@ -122,7 +122,7 @@
 }
 END_TEST
 
-START_TEST(endpoints_are_bounded_and_places_used_again)
+START_TEST(endpoints_are_limited_and_entries_reused)
 {
 	uint16_t port;
 
@@ -146,7 +146,7 @@
 }
 END_TEST
 
-START_TEST(bad_announcements_are_refused_with_a_remedy)
+START_TEST(invalid_announcements_are_rejected_with_a_remedy)
 {
 	static const struct {
 		const char *service;
@@ -173,26 +173,26 @@
 END_TEST
 
 /* Names of services that the configuration takes. */
-static const char *const odd_names[] = {"Odd_One.2", "Search", "a:b+c",
+static const char *const valid_names[] = {"Odd_One.2", "Search", "a:b+c",
     "caf\xc3\xa9", "a-name-that-is-31-bytes-long-ab"};
 
-START_TEST(names_that_the_configuration_takes_are_announced)
+START_TEST(names_valid_in_the_configuration_are_announced)
 {
 	uint32_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(odd_names); i++) {
-		ck_assert_int_eq(membership_announce(m, f->now_ms, odd_names[i],
-				     80, 1, ENDPOINT_READY, DEADLINE_NEVER,
-				     MEMBER_COLD_UNKNOWN, NULL),
+	for (i = 0; i < G_N_ELEMENTS(valid_names); i++) {
+		ck_assert_int_eq(membership_announce(m, f->now_ms,
+				     valid_names[i], 80, 1, ENDPOINT_READY,
+				     DEADLINE_NEVER, MEMBER_COLD_UNKNOWN, NULL),
 		    STATUS_OK);
-		ck_assert_ptr_nonnull(endpoint(odd_names[i], 80));
+		ck_assert_ptr_nonnull(endpoint(valid_names[i], 80));
 	}
 }
 END_TEST
 
 /* News of a host with one endpoint. */
 static void
-hear_of(const char *host, const char *service)
+receive_record(const char *host, const char *service)
 {
 	struct net_addr from = {FAKE_IP + 9, FAKE_PORT};
 	GByteArray *body = g_byte_array_new();
@@ -212,33 +212,33 @@
 	g_byte_array_unref(body);
 }
 
-START_TEST(records_with_names_that_the_configuration_takes_are_taken)
+START_TEST(records_with_names_valid_in_the_configuration_are_merged)
 {
 	static const char *const bad[] = {"", "a b", "a/b", "a\"b", "a\\b"};
 	const struct member *mb;
 	char host[] = "x0";
 	uint32_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(odd_names); i++) {
+	for (i = 0; i < G_N_ELEMENTS(valid_names); i++) {
 		host[1] = (char)('0' + i);
-		hear_of(host, odd_names[i]);
+		receive_record(host, valid_names[i]);
 		mb = membership_find(m, host);
-		ck_assert_msg(mb != NULL, "%s: left out", odd_names[i]);
+		ck_assert_msg(mb != NULL, "%s: left out", valid_names[i]);
 		ck_assert_uint_eq(mb->n_endpoints, 1);
-		ck_assert_str_eq(mb->endpoints[0].service, odd_names[i]);
+		ck_assert_str_eq(mb->endpoints[0].service, valid_names[i]);
 	}
 	for (i = 0; i < G_N_ELEMENTS(bad); i++) {
-		hear_of("y", bad[i]);
+		receive_record("y", bad[i]);
 		ck_assert_ptr_null(membership_find(m, "y"));
 	}
 	/* Names of hosts have their own rule. */
-	hear_of("caf\xc3\xa9", "search");
+	receive_record("caf\xc3\xa9", "search");
 	ck_assert_ptr_null(membership_find(m, "caf\xc3\xa9"));
 }
 END_TEST
 
 /* Bytes that are no message, and messages that make no sense. */
-START_TEST(bad_messages_change_nothing)
+START_TEST(invalid_messages_change_nothing)
 {
 	struct net_addr from = {FAKE_IP + 9, FAKE_PORT};
 	struct rec_member recs[3];
@@ -278,7 +278,7 @@
 END_TEST
 
 static void
-record(struct rec_member *rec, uint32_t i)
+make_record(struct rec_member *rec, uint32_t i)
 {
 	memset(rec, 0, sizeof(*rec));
 	(void)snprintf(rec->host, sizeof(rec->host), "member-%05u", i);
@@ -290,7 +290,7 @@
 
 /* Host @i asks for the table; returns the type of the answer. */
 static enum msg_type
-ask(uint32_t i)
+request_join(uint32_t i)
 {
 	struct net_addr from = {FAKE_IP + i, FAKE_PORT};
 	GByteArray *body = g_byte_array_new();
@@ -299,7 +299,7 @@
 	struct msg_join msg;
 
 	memset(&msg, 0, sizeof(msg));
-	record(&msg.self, i);
+	make_record(&msg.self, i);
 	msg_join_encode(&msg, body);
 	membership_receive(
 	    m, f->now_ms, &from, i, MSG_JOIN, body->data, body->len);
@@ -314,7 +314,7 @@
 
 /* Comparisons of tables that no node would send: each costs a bounded answer
  * and changes nothing. */
-START_TEST(comparisons_that_make_no_sense_change_nothing)
+START_TEST(invalid_comparisons_change_nothing)
 {
 	static const uint8_t marks[] = {1, 2, 3, 4, 5, 6, 7};
 	static const uint32_t slices[] = {0, 1, 7, UINT32_MAX};
@@ -355,7 +355,7 @@
 
 	/* A table of several parts, so that no join is over at once. */
 	for (i = 100; i < 1000; i++) {
-		record(&rec, i);
+		make_record(&rec, i);
 		g_byte_array_set_size(body, 0);
 		msg_news_encode(&msg, body);
 		membership_receive(
@@ -363,17 +363,17 @@
 	}
 	g_byte_array_unref(body);
 	for (i = 1; i <= limit; i++)
-		ck_assert_int_eq(ask(i), MSG_JOIN_TABLE);
-	ck_assert_int_eq(ask(limit + 1), MSG_JOIN_REFUSED);
-	ck_assert_int_eq(ask(1), MSG_JOIN_TABLE);
+		ck_assert_int_eq(request_join(i), MSG_JOIN_TABLE);
+	ck_assert_int_eq(request_join(limit + 1), MSG_JOIN_REFUSED);
+	ck_assert_int_eq(request_join(1), MSG_JOIN_TABLE);
 	ck_assert_uint_eq(membership_counters(m)->joins_refused, 1);
 	/* Those that broke off make room. */
 	fake_run(f, 4000);
-	ck_assert_int_eq(ask(limit + 1), MSG_JOIN_TABLE);
+	ck_assert_int_eq(request_join(limit + 1), MSG_JOIN_TABLE);
 }
 END_TEST
 
-START_TEST(rank_is_the_same_everywhere_and_live_only)
+START_TEST(rank_is_the_same_on_all_nodes_and_live_only)
 {
 	const struct member *a[4], *b[4];
 	uint32_t i;
@@ -391,7 +391,7 @@
 END_TEST
 
 /* Hosts of 7 and of 140 Mbit/s, some with about the same. */
-START_TEST(quicker_links_rank_first_and_like_ones_share)
+START_TEST(faster_links_rank_first_and_similar_links_share)
 {
 	static const uint32_t links[] = {7, 140, 5, 0, 150, 7, 130, 7};
 	const struct member *a[4], *b[4];
@@ -435,18 +435,18 @@
 	tcase_add_checked_fixture(tc, setup, teardown);
 	tcase_add_test(tc, lone_node_joins);
 	tcase_add_test(tc, lease_lapses_to_draining_then_left_then_gone);
-	tcase_add_test(tc, renewal_keeps_the_record_as_it_is);
+	tcase_add_test(tc, renewal_does_not_change_the_record);
 	tcase_add_test(tc, each_change_raises_incarnation_and_revision);
-	tcase_add_test(tc, endpoints_are_bounded_and_places_used_again);
-	tcase_add_test(tc, bad_announcements_are_refused_with_a_remedy);
-	tcase_add_test(tc, names_that_the_configuration_takes_are_announced);
+	tcase_add_test(tc, endpoints_are_limited_and_entries_reused);
+	tcase_add_test(tc, invalid_announcements_are_rejected_with_a_remedy);
+	tcase_add_test(tc, names_valid_in_the_configuration_are_announced);
 	tcase_add_test(
-	    tc, records_with_names_that_the_configuration_takes_are_taken);
-	tcase_add_test(tc, bad_messages_change_nothing);
-	tcase_add_test(tc, comparisons_that_make_no_sense_change_nothing);
+	    tc, records_with_names_valid_in_the_configuration_are_merged);
+	tcase_add_test(tc, invalid_messages_change_nothing);
+	tcase_add_test(tc, invalid_comparisons_change_nothing);
 	tcase_add_test(tc, joins_over_the_limit_are_told_when_to_come_back);
-	tcase_add_test(tc, rank_is_the_same_everywhere_and_live_only);
-	tcase_add_test(tc, quicker_links_rank_first_and_like_ones_share);
+	tcase_add_test(tc, rank_is_the_same_on_all_nodes_and_live_only);
+	tcase_add_test(tc, faster_links_rank_first_and_similar_links_share);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/membership/test/test_swim.c
+++ b/packages/membership/test/test_swim.c
@@ -51,7 +51,7 @@
 }
 
 static uint64_t
-failures_seen(void)
+n_failures(void)
 {
 	uint64_t sum = 0;
 	uint32_t i;
@@ -71,7 +71,7 @@
 		f = cluster_begin(seed, 12, 1, JOIN_MS);
 		f->loss_percent = loss[i];
 		fake_run(f, 120000);
-		ck_assert_msg(failures_seen() == 0,
+		ck_assert_msg(n_failures() == 0,
 		    "seed %u: a live host failed at %u %% loss", seed, loss[i]);
 		cluster_end(f, seed);
 	}
@@ -88,8 +88,8 @@
 		f->loss_percent = 5;
 		fake_run(f, 2000);
 		fake_kill(f, 1);
-		cluster_must(f, seed, 20000, one_failed, "killed host failed");
-		ck_assert_uint_le(failures_seen(), sizes[i] - 1);
+		cluster_wait(f, seed, 20000, one_failed, "killed host failed");
+		ck_assert_uint_le(n_failures(), sizes[i] - 1);
 		cluster_end(f, seed);
 	}
 }
@@ -124,7 +124,7 @@
 	f = cluster_begin(seed, 8, 1, JOIN_MS);
 	fake_cut(f, 2, 5, 1);
 	fake_run(f, 90000);
-	ck_assert_uint_eq(failures_seen(), 0);
+	ck_assert_uint_eq(n_failures(), 0);
 	cluster_end(f, seed);
 }
 END_TEST
@@ -150,8 +150,8 @@
 				    fake_state(f, i, j) < MEMBER_FAILED);
 		fake_cut_in(f, 1, 0);
 		fake_cut_out(f, 1, 0);
-		cluster_must(f, seed, 30000, fake_all_see_all, "healed");
-		cluster_must(
+		cluster_wait(f, seed, 30000, fake_all_live, "healed");
+		cluster_wait(
 		    f, seed, 30000, fake_agreed, "agreed after the cut");
 		cluster_end(f, seed);
 	}
@@ -175,14 +175,14 @@
 		s.forget_ms = 15000;
 		(void)fake_start(f, i, &s, 0);
 	}
-	cluster_must(f, seed, JOIN_MS, fake_agreed, "joined");
+	cluster_wait(f, seed, JOIN_MS, fake_agreed, "joined");
 	fake_cut_dc(f, 0, 2, 1);
 	fake_run(f, 80000);
 	ck_assert_int_eq(fake_state(f, 0, 1), -1);
 	ck_assert_int_lt(fake_state(f, 0, 2), MEMBER_FAILED);
 	fake_cut_dc(f, 0, 2, 0);
-	cluster_must(f, seed, 40000, fake_all_see_all, "halves met");
-	cluster_must(f, seed, 40000, fake_agreed, "halves agreed");
+	cluster_wait(f, seed, 40000, fake_all_live, "halves met");
+	cluster_wait(f, seed, 40000, fake_agreed, "halves agreed");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -200,14 +200,14 @@
 		s.forget_ms = 20000;
 		(void)fake_start(f, i, &s, 0);
 	}
-	cluster_must(f, seed, JOIN_MS, fake_agreed, "joined");
+	cluster_wait(f, seed, JOIN_MS, fake_agreed, "joined");
 	(void)membership_announce(f->nodes[1].m, f->now_ms, "search", 80, 1,
 	    ENDPOINT_READY, DEADLINE_NEVER, MEMBER_COLD_UNKNOWN, NULL);
 	/* One node sleeps through the leave and through its tombstone. */
 	fake_run(f, 5000);
 	fake_freeze(f, 5);
 	membership_leave(f->nodes[1].m, f->now_ms);
-	cluster_must(f, seed, 2000, one_left, "leave known");
+	cluster_wait(f, seed, 2000, one_left, "leave known");
 	ck_assert_int_eq(
 	    membership_find(f->nodes[2].m, "h1")->endpoints[0].state,
 	    ENDPOINT_LEFT);
@@ -218,7 +218,7 @@
 	ck_assert(one_unknown(f));
 	fake_thaw(f, 5);
 	fake_run(f, 500);
-	cluster_must(f, seed, 30000, one_unknown, "leave known to the sleeper");
+	cluster_wait(f, seed, 30000, one_unknown, "leave known to the sleeper");
 	fake_run(f, 10000);
 	ck_assert(one_unknown(f));
 	cluster_end(f, seed);
@@ -243,9 +243,9 @@
 		ck_assert_int_eq(
 		    membership_self(f->nodes[1].m)->endpoints[0].state,
 		    ENDPOINT_READY);
-		cluster_must(
-		    f, seed, 5000, fake_all_see_all, "thawed host is live");
-		cluster_must(
+		cluster_wait(
+		    f, seed, 5000, fake_all_live, "thawed host is live");
+		cluster_wait(
 		    f, seed, 5000, fake_agreed, "agreed after the thaw");
 		ck_assert_uint_eq(
 		    membership_counters(f->nodes[1].m)->failed, 0);
@@ -270,9 +270,8 @@
 	fake_run(f, seed % 2 == 0 ? 500 : 20000);
 	s = fake_settings(f, 1, 0);
 	(void)fake_start(f, 1, &s, -3600000);
-	cluster_must(
-	    f, seed, 10000, fake_all_see_all, "restarted host is live");
-	cluster_must(f, seed, 10000, fake_agreed, "agreed after the restart");
+	cluster_wait(f, seed, 10000, fake_all_live, "restarted host is live");
+	cluster_wait(f, seed, 10000, fake_agreed, "agreed after the restart");
 	ck_assert_uint_gt(
 	    membership_find(f->nodes[3].m, "h1")->incarnation, was);
 	ck_assert_uint_eq(membership_find(f->nodes[3].m, "h1")->n_endpoints, 0);
@@ -281,7 +280,7 @@
 END_TEST
 
 /* How soon a restarted host that was told of nobody is in. */
-#define FOUND_MS 1500
+#define REJOIN_MS 1500
 
 /*
  * A host stops as planned and starts again while the directory is away, so it
@@ -289,7 +288,7 @@
  * first that it hears from, it waits out the time for seeds, 3 s, with its
  * upstream idle.
  */
-START_TEST(a_host_that_is_told_of_nobody_joins_whom_it_hears)
+START_TEST(host_without_seeds_joins_through_a_received_ping)
 {
 	uint32_t seed = (uint32_t)_i;
 	struct membership_settings s;
@@ -305,7 +304,7 @@
 	s.n_seeds = 0;
 	s.await_seeds_ms = 3000;
 	(void)fake_start(f, 1, &s, 0);
-	cluster_must(f, seed, FOUND_MS, fake_all_see_all, "found by its peers");
+	cluster_wait(f, seed, REJOIN_MS, fake_all_live, "found by its peers");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -335,7 +334,7 @@
 	fake_run(f, 200);
 	fake_cut_out(f, 0, 0);
 	fake_cut_out(f, 1, 0);
-	cluster_must(f, seed, 30000, fake_agreed, "agreed after the restart");
+	cluster_wait(f, seed, 30000, fake_agreed, "agreed after the restart");
 	for (i = 0; i < 4; i++)
 		ck_assert_uint_eq(
 		    membership_find(f->nodes[i].m, "h1")->n_endpoints, 0);
@@ -352,7 +351,7 @@
 
 	f = cluster_begin(seed, 12, 1, JOIN_MS);
 	f->delay_ms = 250;
-	f->double_percent = 30;
+	f->duplicate_percent = 30;
 	f->loss_percent = 10;
 	for (i = 0; i < 120; i++) {
 		(void)membership_announce(f->nodes[i % 12].m, f->now_ms,
@@ -362,7 +361,7 @@
 		fake_run(f, (uint64_t)g_rand_int_range(f->rand, 0, 300));
 	}
 	f->loss_percent = 0;
-	cluster_must(f, seed, 20000, fake_agreed, "same tables");
+	cluster_wait(f, seed, 20000, fake_agreed, "same tables");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -373,7 +372,7 @@
 
 	f = fake_net_new(seed);
 	fake_start_all(f, 60, 1);
-	cluster_must(f, seed, 20000, fake_agreed, "herd of 60 joined");
+	cluster_wait(f, seed, 20000, fake_agreed, "herd of 60 joined");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -392,8 +391,8 @@
 		s = fake_settings(f, i, 0);
 		(void)fake_start(f, i, &s, 0);
 	}
-	cluster_must(f, seed, 20000, fake_all_see_all, "all live again");
-	cluster_must(f, seed, 20000, fake_agreed, "agreed again");
+	cluster_wait(f, seed, 20000, fake_all_live, "all live again");
+	cluster_wait(f, seed, 20000, fake_agreed, "agreed again");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -421,7 +420,7 @@
 	tcase_add_loop_test(
 	    tc, a_restarted_host_overrides_changes_that_few_saw, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, a_host_that_is_told_of_nobody_joins_whom_it_hears, 0, SEEDS);
+	    tc, host_without_seeds_joins_through_a_received_ping, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, crossed_doubled_and_lost_news_end_alike, 0, SEEDS);
 	tcase_add_loop_test(tc, a_herd_joins, 0, SEEDS);
