--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -1,5 +1,5 @@
 /*
- * Bench: what membership costs a node, on the test driver's virtual clock.
+ * Bench: cost of the membership per node, on the test driver's virtual clock.
  *
  *	bench_membership steady NODES DATA_CENTRES CHANGES_PER_S [LOSS_PERCENT]
  *	bench_membership table MEMBERS
@@ -8,12 +8,13 @@
  *	bench_membership power NODES DATA_CENTRES [LOSS_PERCENT]
  *	bench_membership detect NODES DATA_CENTRES [LOSS_PERCENT]
  *
- * steady: bytes, messages and processor time a node and second, and the time
+ * steady: bytes, messages and processor time per node and second, and the time
  * until a change has reached half, 99 % and all of the nodes.
- * table: bytes of memory a member.  join: bytes and processor time of a join.
- * herd: all nodes of data centre 0 start at once.  power: all nodes do, and
- * know a few others from a directory.  detect: from the end of a
- * process until no live node counts on its host.
+ * table: bytes of memory per member.
+ * join: bytes and processor time of a join.
+ * herd: all nodes of data centre 0 start at once.
+ * power: all nodes start at once, with a few others known from a directory.
+ * detect: time from the end of a process until no node holds its host for live.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -57,7 +58,10 @@
 	return f;
 }
 
-/* A change under way: which host, its incarnation, when it was made. */
+/*
+ * A change in progress: the host, its incarnation, and the times of the change
+ * and of its spread.
+ */
 struct change {
 	uint32_t host;
 	uint64_t incarnation;
@@ -254,7 +258,10 @@
 	fake_net_free(f);
 }
 
-/* Tell one node of @n hosts, 28 data centres, one endpoint each. */
+/*
+ * Gossips the records of @n hosts to one node: 28 data centres, one endpoint
+ * each.
+ */
 static void
 add_members(struct fake_net *f, uint32_t n)
 {
@@ -319,7 +326,7 @@
 	add_us = cpu_now_us() - began;
 	while (membership_pop(f->nodes[0].m, &a))
 		continue;
-	/* The queue of news empties, as there is nobody to tell. */
+	/* Empties the gossip queue, as there is no peer. */
 	fake_run(f, 1000);
 	now = mallinfo2().uordblks;
 	printf("table of %u: %zu bytes, %.0f a member; %.2f us to take one "
@@ -390,7 +397,7 @@
 	fake_net_free(f);
 }
 
-/* All lose power at once and start again within 300 ms. */
+/* All nodes lose power at once and start again within 300 ms. */
 static void
 power(uint32_t n, uint32_t dcs, uint32_t loss)
 {
@@ -417,7 +424,7 @@
 
 #define KILLS 10
 
-/* Nodes that still count on host @dead. */
+/* Number of nodes that still hold host @dead for live. */
 static uint32_t
 n_holding_live(const struct fake_net *f, uint32_t dead)
 {
@@ -447,7 +454,7 @@
 	fake_run(f, SETTLE_MS);
 	for (i = 0; i < kills; i++) {
 		began = f->now_ms;
-		/* Seeds are left alone: they come first. */
+		/* The seeds are the first nodes; leave them running. */
 		fake_kill(f, n - 1 - i);
 		while (n_holding_live(f, n - 1 - i) > 0)
 			fake_run(f, STEP_MS);
--- a/packages/membership/test/checker.c
+++ b/packages/membership/test/checker.c
@@ -1,12 +1,12 @@
 /*
- * Checker: what must hold in every run, looked at twice a second.
+ * Checker of invariants, run twice a second.
  *
- * - No process sees a host's incarnation go backwards.
- * - No process sees a host that has left live again in the same life.
- *   (A host of another data centre that was forgotten may come back for a
- *   moment after a cut that outlasted its tombstone; that is let pass.)
- * - A live reachable host is not held for failed for long, nor a dead one
- *   for live, by a node of its data centre.
+ * - No process sees the incarnation of a host decrease.
+ * - No process sees a host that has left live again with the same start.  (A
+ *   host of another data centre that was forgotten may reappear briefly after a
+ *   partition that outlasted its tombstone; the checker accepts that.)
+ * - A live reachable host is not held for failed for long, nor a dead host for
+ *   live, by a node of its data centre.
  */
 #include <stdio.h>
 #include <string.h>
@@ -14,12 +14,12 @@
 #include "checker.h"
 #include "fake_net.h"
 
-/* What a process last saw of a host. */
+/* The state of a host that a process saw last. */
 struct observation {
 	uint64_t incarnation;
-	uint64_t left_started_ms; /* life in which it was seen to leave */
+	uint64_t left_started_ms; /* start with which the host left */
 	uint64_t wrong_since_ms;  /* 0: not wrong */
-	uint64_t last_check;	  /* number of the last look that saw it */
+	uint64_t last_check;	  /* last check with the host */
 };
 
 struct checker {
@@ -101,7 +101,7 @@
 	return strcmp(mb->data_centre, f->nodes[by].settings.data_centre) == 0;
 }
 
-/* Whether @by is wrong about a host of its data centre. */
+/* Whether node @by holds a wrong state for a host of its data centre. */
 static int
 is_wrong(const struct fake_net *f, uint32_t by, const struct member *mb)
 {
--- a/packages/membership/test/checker.h
+++ b/packages/membership/test/checker.h
@@ -1,5 +1,5 @@
 /*
- * Checker: what must hold in every run, looked at twice a second.
+ * Checker of invariants, run twice a second.
  */
 #ifndef CHECKER_H
 #define CHECKER_H
@@ -8,20 +8,22 @@
 
 struct fake_net;
 
-/* A live reachable member is not held for failed for longer than this, nor
- * a dead one for live, once nothing was disturbed for as long. */
+/*
+ * Longest time that a live reachable member may be held for failed, or a dead
+ * one for live, counted from the last disturbance.
+ */
 #define CHECKER_WRONG_MS 20000
 
 struct checker *checker_new(void);
 void checker_free(struct checker *c);
 
-/* Look at all tables. */
+/* Checks the tables of all nodes. */
 void checker_check(struct checker *c, struct fake_net *f);
 
-/* The first violation found, or NULL. */
+/* The first violation, or NULL. */
 const char *checker_violation(const struct checker *c);
 
-/* Forget what a node's process saw: it was started anew. */
+/* Drops what a node's previous process saw, when the node starts again. */
 void checker_restart(struct checker *c, uint32_t node);
 
 #endif
--- a/packages/membership/test/fake_net.c
+++ b/packages/membership/test/fake_net.c
@@ -1,5 +1,5 @@
 /*
- * A small test driver: see fake_net.h.
+ * Test driver: see fake_net.h.
  */
 #include <stdio.h>
 #include <string.h>
@@ -10,13 +10,13 @@
 #include "checker.h"
 #include "fake_net.h"
 
-/* How often the checker looks. */
+/* Interval of the checker. */
 #define CHECK_MS 500
 
-/* What a connection that can't be made takes to fail. */
+/* Time until a dial to a dead host fails. */
 #define REFUSED_MS 2
 
-/* Deliveries that a frozen node's sockets hold. */
+/* Most deliveries in the socket buffers of a frozen node. */
 #define HELD_MAX 256
 
 enum event_kind { EVENT_DELIVER, EVENT_TICK, EVENT_UNREACHABLE };
@@ -119,7 +119,7 @@
 	    (uint32_t)g_rand_int_range(f->rand, 0, 100) < percent;
 }
 
-/* The node that holds an address: the one whose place it belongs to. */
+/* Index of the live node at an address, or -1. */
 static int
 node_at(const struct fake_net *f, const struct net_addr *addr)
 {
@@ -157,8 +157,10 @@
 		deliver_later(f, from, (uint32_t)to, item, 0);
 }
 
-/* A frame arrives if both ways are open; connections are numbered by their
- * dialler. */
+/*
+ * A frame arrives if both directions are open.  A connection has the number of
+ * its dialler.
+ */
 static void
 send_frame(struct fake_net *f, uint32_t from, const struct outbox_item *item)
 {
@@ -213,7 +215,7 @@
 	struct fake_node *n = &f->nodes[i];
 
 	n->settings = *s;
-	/* Where it truly is, whatever its settings say. */
+	/* True address, which may differ from the one in the settings. */
 	n->addr.ip = FAKE_IP + i;
 	n->addr.port = FAKE_PORT;
 	n->out = outbox_new();
@@ -367,7 +369,7 @@
 				fake_cut(f, i, j, cut);
 }
 
-/* Give an event to its node, unless it died or froze meanwhile. */
+/* Passes an event to its node, unless the node died or froze meanwhile. */
 static void
 dispatch(struct fake_net *f, struct event *e)
 {
--- a/packages/membership/test/fake_net.h
+++ b/packages/membership/test/fake_net.h
@@ -1,7 +1,7 @@
 /*
- * A small test driver: many memberships in one process, one queue of
- * messages, a virtual clock, a seed.  It knows delay, loss, doubling, cuts,
- * killed and frozen nodes, and no more.
+ * Test driver: many memberships in one process, with a single queue of
+ * messages, a virtual clock and a seed.  Simulates delay, loss, duplication,
+ * partitions, and killed and frozen nodes.
  */
 #ifndef FAKE_NET_H
 #define FAKE_NET_H
@@ -45,8 +45,8 @@
 	uint8_t (*cut)[FAKE_NODES_MAX]; /* from, to */
 	uint32_t loss_percent;
 	uint32_t duplicate_percent;
-	uint32_t delay_ms;     /* 1 to this, by chance */
-	int dead_hosts_silent; /* dead hosts are silent, connections hang */
+	uint32_t delay_ms;     /* random, 1 to this */
+	int dead_hosts_silent; /* dials to dead hosts hang */
 	struct net_addr seeds[4];
 	uint32_t n_seeds;
 	uint64_t cpu_us; /* spent in the memberships */
@@ -60,55 +60,60 @@
 struct membership_settings
 fake_settings(const struct fake_net *f, uint32_t i, uint32_t dc);
 
-/* Start a process at place @i; the one there must be dead. */
+/* Starts a process at index @i, where no process may be running. */
 struct fake_node *fake_start(struct fake_net *f, uint32_t i,
     const struct membership_settings *s, int64_t wall_skew_ms);
 
-/* Start @n nodes in @dcs data centres; node i is in data centre i % dcs. */
+/* Starts @n nodes in @dcs data centres; node i is in data centre i % dcs. */
 void fake_start_all(struct fake_net *f, uint32_t n, uint32_t dcs);
 
-/* Tell a node of peers, as a directory would. */
+/* Adds seeds to a node, as a directory would. */
 void fake_add_seeds(struct fake_net *f, uint32_t i,
     const struct net_addr *seeds, uint32_t n_seeds);
 
-/* The upstream of a node's host says that it is ready. */
+/* Announces the upstream of a node's host as ready. */
 void fake_announce(struct fake_net *f, uint32_t i);
 
-/* A node read a version at the platform; its timers follow, as the shell's. */
+/*
+ * Sets the version that a node read at the platform; its timers are updated, as
+ * by the node's event loop.
+ */
 void fake_set_known(struct fake_net *f, uint32_t i, uint64_t version);
 
 void fake_kill(struct fake_net *f, uint32_t i);
 void fake_freeze(struct fake_net *f, uint32_t i);
 void fake_thaw(struct fake_net *f, uint32_t i);
 
-/* Cut or heal what goes from @from to @to. */
+/* Cuts or heals the direction from @from to @to. */
 void fake_cut(struct fake_net *f, uint32_t from, uint32_t to, int cut);
 
-/* Cut or heal all that goes into or out of a node. */
+/* Cut or heal all directions into or out of a node. */
 void fake_cut_in(struct fake_net *f, uint32_t i, int cut);
 void fake_cut_out(struct fake_net *f, uint32_t i, int cut);
 
-/* Cut or heal data centre @dc of @dcs off from the others. */
+/* Cuts or heals data centre @dc of @dcs off from the others. */
 void fake_cut_dc(struct fake_net *f, uint32_t dc, uint32_t dcs, int cut);
 
-/* Let time pass; the checker looks twice a second. */
+/* Advances the clock; the checker runs twice a second. */
 void fake_run(struct fake_net *f, uint64_t ms);
 
-/* Let time pass until @done or @timeout_ms; returns the time taken, or
- * UINT64_MAX. */
+/*
+ * Advances the clock until @done holds or for @timeout_ms; returns the time
+ * taken, or UINT64_MAX.
+ */
 uint64_t fake_run_until(
     struct fake_net *f, uint64_t timeout_ms, int (*done)(struct fake_net *f));
 
-/* Whether a node lives, is not frozen and has joined. */
+/* Whether a node runs, is not frozen and has joined. */
 int fake_up(const struct fake_net *f, uint32_t i);
 
-/* All that are up have joined and hold the same table. */
+/* Whether all running nodes are up and hold the same table. */
 int fake_agreed(struct fake_net *f);
 
-/* All that are up hold all that are up to be live. */
+/* Whether all nodes that are up hold each other for live. */
 int fake_all_live(struct fake_net *f);
 
-/* State of host @of as node @by holds it, or -1 when it knows none. */
+/* State of host @of in the table of node @by, or -1 when absent. */
 int fake_state(const struct fake_net *f, uint32_t by, uint32_t of);
 
 #endif
--- a/packages/membership/test/herd.c
+++ b/packages/membership/test/herd.c
@@ -1,5 +1,5 @@
 /*
- * A herd: see herd.h.
+ * Mass start: see herd.h.
  */
 #include "base/clock.h"
 
@@ -7,30 +7,30 @@
 
 #include "herd.h"
 
-/* Starts lie within this time, as after a loss of power. */
+/* All hosts start within this time, as after a loss of power. */
 #define STARTS_MS 300
 
-/* What a directory gives, and how long it takes to. */
+/* Entries that a directory returns, and the range of its response times. */
 #define SAMPLE (2 * PLACES_PER_DATA_CENTRE)
 #define DIRECTORY_MIN_MS 10
 #define DIRECTORY_MAX_MS 40
 
-/* An upstream says that it is ready this soon after its node has started. */
+/* Latest announcement of an upstream after the start of its node. */
 #define HEARTBEAT_MAX_MS 30
 
 #define PERCENT 100
 
-/* How finely starts are told apart. */
+/* Resolution of the planned times. */
 #define STEP_MS 10
 
-/* When what happens to a host. */
+/* Times of a host's events. */
 struct host_plan {
 	uint64_t start_ms;
 	uint64_t directory_ms;
 	uint64_t heartbeat_ms;
 };
 
-/* As a node on the users' platform sets them, settings.json.in. */
+/* Settings of a node on the users' platform, as in settings.json.in. */
 static struct membership_settings
 settings_of(const struct fake_net *f, uint32_t i, uint32_t dcs)
 {
@@ -62,8 +62,10 @@
 	p->heartbeat_ms = random_after(f, p->start_ms, 1, HEARTBEAT_MAX_MS);
 }
 
-/* A few hosts of each data centre stand in the directory; a look gives those
- * of the own one and of the next. */
+/*
+ * Adds the result of a directory lookup as seeds: the registered hosts of the
+ * own data centre and of the next.
+ */
 static void
 look_up(struct fake_net *f, uint32_t i, uint32_t n, uint32_t dcs)
 {
@@ -95,7 +97,7 @@
 	(void)fake_start(f, i, &s, 0);
 }
 
-/* What the world does to a host in this step. */
+/* Applies the events of a host that are due in this step. */
 static void
 apply_plan(struct fake_net *f, const struct host_plan *p, uint32_t i,
     uint32_t n, uint32_t dcs)
@@ -130,7 +132,7 @@
 	return last_ms;
 }
 
-/* Upstreams that a node knows. */
+/* Number of upstreams in a node's table. */
 static uint32_t
 n_known(const struct fake_net *f, uint32_t i)
 {
--- a/packages/membership/test/test_centres.c
+++ b/packages/membership/test/test_centres.c
@@ -1,6 +1,6 @@
 /*
- * Tests across data centres: news abroad, cuts, and two hosts under one name
- * or address.
+ * Tests across data centres: replication of records, partitions, and two hosts
+ * with one name or address.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -27,7 +27,7 @@
 	    state, DEADLINE_NEVER, MEMBER_COLD_UNKNOWN, NULL);
 }
 
-/* All that are up see node 1's endpoint draining. */
+/* Whether all nodes that are up hold node 1's endpoint for draining. */
 static int
 drain_known(struct fake_net *g)
 {
@@ -58,7 +58,7 @@
 }
 END_TEST
 
-/* The relays that passed news on die; others take over. */
+/* The relays die; other nodes take over. */
 START_TEST(relays_are_replaced)
 {
 	const struct member *ranked[2];
@@ -90,7 +90,10 @@
 	return 0;
 }
 
-/* Cut a data centre off; hosts of both sides die, start and drain; heal. */
+/*
+ * A data centre is cut off; hosts of both sides die, start and drain; the
+ * partition heals.
+ */
 START_TEST(a_data_centre_that_is_cut_off_is_not_suspected_and_catches_up)
 {
 	uint32_t seed = (uint32_t)_i;
@@ -103,8 +106,8 @@
 	fake_run(f, 60000);
 	ck_assert(!any_remote_not_live(1));
 	announce(1, ENDPOINT_DRAINING);
-	fake_kill(f, 7); /* of the cut-off data centre */
-	fake_kill(f, 5); /* of another */
+	fake_kill(f, 7); /* in the cut-off data centre */
+	fake_kill(f, 5); /* in another data centre */
 	s = fake_settings(f, NODES, NODES % DCS);
 	(void)fake_start(f, NODES, &s, 0);
 	s = fake_settings(f, NODES + 1, (NODES + 1) % DCS);
@@ -121,7 +124,7 @@
 }
 END_TEST
 
-/* Two data centres lose each other while both reach the third. */
+/* Two data centres are cut off from each other, and both reach the third. */
 START_TEST(records_spread_through_a_third_data_centre)
 {
 	uint32_t seed = (uint32_t)_i, i, j;
@@ -139,8 +142,10 @@
 }
 END_TEST
 
-/* A host leaves while a data centre is cut off for longer than tombstones
- * are kept: what that data centre still holds does not bring it back. */
+/*
+ * A host leaves while a data centre is cut off for longer than tombstones are
+ * kept.  The records of that data centre do not revive the host.
+ */
 START_TEST(a_host_that_left_during_a_cut_stays_gone)
 {
 	uint32_t seed = (uint32_t)_i, i;
@@ -185,8 +190,10 @@
 	return fake_up(g, 4);
 }
 
-/* Node 4 is given the name of node 1.  It started later and gives way; when
- * node 1 is gone it takes the name over. */
+/*
+ * Node 4 has the name of node 1.  It started later and stops serving; when node
+ * 1 is dead, node 4 takes the name over.
+ */
 START_TEST(later_host_with_a_duplicate_name_stops_serving)
 {
 	uint32_t seed = (uint32_t)_i;
@@ -206,7 +213,7 @@
 	ck_assert(four_in_conflict(f));
 	ck_assert(fake_up(f, 1));
 	ck_assert_int_eq(fake_state(f, 2, 1), MEMBER_ALIVE);
-	/* No war: it went above the other a few times at most. */
+	/* The incarnations do not race: a few refutations at most. */
 	ck_assert_uint_le(
 	    membership_self(f->nodes[1].m)->incarnation, incarnation + 3);
 	fake_kill(f, 1);
@@ -215,7 +222,7 @@
 }
 END_TEST
 
-/* Both run already when they learn of each other: a cut heals. */
+/* Both hosts are running when a partition heals and their records meet. */
 START_TEST(duplicate_names_after_a_partition_leave_one_host)
 {
 	uint32_t seed = (uint32_t)_i, i;
@@ -251,7 +258,7 @@
 }
 END_TEST
 
-/* Node 4 is given the address of node 1, which holds it. */
+/* Node 4 has the address of node 1, which holds the address. */
 START_TEST(host_with_a_duplicate_address_stops_serving)
 {
 	uint32_t seed = (uint32_t)_i;
@@ -272,8 +279,10 @@
 }
 END_TEST
 
-/* A host is replaced under another name at the same address: that is planned,
- * and nothing for operators to correct. */
+/*
+ * A host is replaced under another name at the same address.  That is a planned
+ * change, and operators get no warning.
+ */
 START_TEST(a_replaced_host_with_the_old_address_joins)
 {
 	uint32_t seed = (uint32_t)_i, i;
--- a/packages/membership/test/test_chaos.c
+++ b/packages/membership/test/test_chaos.c
@@ -1,6 +1,6 @@
 /*
- * Random faults over many seeds with the checker looking on, and the checker
- * itself shown to catch what is planted.
+ * Random faults over many seeds with the checker running, and injected errors
+ * that the checker must find.
  */
 #include <string.h>
 
@@ -32,7 +32,7 @@
 	struct membership_settings s = fake_settings(f, i, i % DCS);
 
 	fake_kill(f, i);
-	/* Clocks may be wrong by up to a minute. */
+	/* Wall clocks are wrong by up to a minute. */
 	(void)fake_start(f, i, &s, (int64_t)pick(120000) - 60000);
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-/* Endpoints of a host are everywhere as the host itself holds them. */
+/* Whether the endpoints in two records of a host are the same. */
 static int
 same_endpoints(const struct member *a, const struct member *b)
 {
@@ -146,7 +146,7 @@
 }
 END_TEST
 
-/* Write into node 0's table behind its back. */
+/* Writes an error into node 0's table. */
 static void
 inject(uint32_t kind)
 {
@@ -169,7 +169,7 @@
 	}
 }
 
-/* What is done to h3, what is planted, and what the checker must say. */
+/* Preparation of h3, number of injections, and the violation expected. */
 static const struct {
 	int leave;
 	int kill;
@@ -198,7 +198,9 @@
 		fake_kill(f, 3);
 	fake_run(f, 2000);
 	ck_assert_ptr_null(checker_violation(f->checker));
-	/* Time passes for the checker alone, lest the nodes mend it. */
+	/*
+	 * Only the checker's clock advances, so that the nodes repair nothing.
+	 */
 	for (i = 0; i < injections[_i].times; i++) {
 		inject((uint32_t)_i);
 		checker_check(f->checker, f);
--- a/packages/membership/test/test_finder.c
+++ b/packages/membership/test/test_finder.c
@@ -1,5 +1,6 @@
 /*
- * When the directory at the platform is written and read, and who stands in it.
+ * Schedule of the directory's reads and writes, and selection of the registered
+ * hosts.
  */
 #include <string.h>
 
@@ -13,7 +14,7 @@
 
 #define SAMPLE 16
 
-/* Ends a call as a directory of @others other entries would. */
+/* Ends a call; a lookup finds @others entries of other nodes. */
 static void
 end_call(struct finder *f, enum finder_action a, uint32_t others, int ok,
     uint64_t now_ms)
@@ -26,7 +27,7 @@
 		finder_looked_up(f, others, 0, now_ms);
 }
 
-/* Steps of 10 ms; the calls that a node makes in @ms. */
+/* Runs the finder in steps of 10 ms; returns the calls made in @ms. */
 static uint32_t
 calls_in(struct finder *f, struct finder_view view, int ok, uint64_t *now_ms,
     uint64_t ms)
@@ -47,8 +48,10 @@
 
 static const struct finder_view alone = {0, 1, 1};
 
-/* A node that starts and looks: at the time that is returned it has found
- * @others, and its own entry if @own. */
+/*
+ * Starts a node whose first lookup finds @others, and the own entry if @own.
+ * Returns the time of the lookup.
+ */
 static uint64_t
 first_lookup(struct finder *f, uint32_t others, int own)
 {
@@ -68,14 +71,16 @@
 	uint64_t now_ms = first_lookup(&f, SAMPLE, 0);
 
 	ck_assert_uint_eq(calls_in(&f, ten, 1, &now_ms, 60000), 0);
-	/* More than half of them are lost at once. */
+	/* More than half of the peers are lost at once. */
 	ck_assert_uint_ge(calls_in(&f, four, 1, &now_ms, 3000), 1);
 	finder_clear(&f);
 }
 END_TEST
 
-/* Its place was another's, or nobody's: it is written once, and not before a
- * host that is restarted is back. */
+/*
+ * The place has another entry or none.  The holder writes the entry once, and
+ * not before a restarted host would be back.
+ */
 START_TEST(holder_of_a_place_registers_once)
 {
 	const struct finder_view holder = {1, 10, 1};
@@ -95,14 +100,16 @@
 	uint64_t now_ms = first_lookup(&f, SAMPLE, 1);
 
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 60000), 0);
-	/* Another one was the holder meanwhile and wrote over it. */
+	/* Another host was the holder meanwhile and overwrote the entry. */
 	ck_assert_uint_eq(calls_in(&f, other, 1, &now_ms, 20000), 0);
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 60000), 1);
 	finder_clear(&f);
 }
 END_TEST
 
-/* The first hosts of a fleet find nobody: each must be found by the others. */
+/*
+ * The first hosts of a fleet find no entries; each must be found by the others.
+ */
 START_TEST(node_that_finds_few_registers_and_looks_up_again)
 {
 	struct finder f;
@@ -125,7 +132,7 @@
 }
 END_TEST
 
-/* All whom it found are gone: it enters itself before it looks again. */
+/* All peers found are dead: the node registers before it repeats the lookup. */
 START_TEST(node_that_is_alone_registers)
 {
 	struct finder f;
@@ -140,8 +147,10 @@
 }
 END_TEST
 
-/* After the loss of all power others make themselves heard before the first
- * look: without it such a node had nobody to ask for the table. */
+/*
+ * After a total loss of power, messages of others arrive before the first
+ * lookup.  Without the lookup, such a node would have no peer to join through.
+ */
 START_TEST(node_that_has_not_joined_looks_up)
 {
 	const struct finder_view unjoined = {0, 9, 1};
@@ -154,11 +163,13 @@
 }
 END_TEST
 
-/* Answers of the directory take so long; entries written meanwhile are not
- * in them. */
+/*
+ * Response time of the directory; entries written meanwhile are not in the
+ * response.
+ */
 #define CALL_MS 10
 
-/* A host joins this long after a look that found others. */
+/* A host joins this long after a lookup that found others. */
 #define JOIN_MS 300
 
 #define STARTS_MS 300
@@ -172,7 +183,7 @@
 	uint32_t seen;
 };
 
-/* One host in one moment; returns the calls it begins. */
+/* Runs a host for one step; returns the calls started. */
 static uint32_t
 start_step(struct starting *s, uint32_t *entries, uint64_t now_ms)
 {
@@ -196,8 +207,8 @@
 }
 
 /*
- * A fleet starts within 300 ms while the entries of before are there, or for
- * the very first time.  Each call goes to a store that all share.
+ * Calls of a fleet that starts within 300 ms with @entries in the directory; 0
+ * is the very first start.  All hosts share one store.
  */
 static uint32_t
 calls_of_a_mass_start(uint32_t hosts, uint32_t entries)
@@ -234,8 +245,10 @@
 }
 END_TEST
 
-/* All of 22,000 nodes start while the store is down: full-jitter back-off
- * keeps what they ask together below 2,000 reads a second with room. */
+/*
+ * 22,000 nodes start while the store is down: full-jitter back-off is meant to
+ * keep their calls below 2,000 reads a second.
+ */
 START_TEST(calls_back_off_while_the_store_is_down)
 {
 	struct finder f;
@@ -300,8 +313,10 @@
 	outbox_free(fleet_out);
 }
 
-/* Of the hosts of a data centre one holds each place that any of them has, and
- * all agree on which. */
+/*
+ * Each place that a host of the data centre has is held by exactly one host,
+ * and all hosts agree on the holder.
+ */
 START_TEST(each_place_has_one_holder)
 {
 	char host[MEMBER_NAME_BYTES], place[PLACE_BYTES];
@@ -346,7 +361,9 @@
 }
 END_TEST
 
-/* A look that begins at a data centre's first place misses none of them. */
+/*
+ * A lookup that starts at the lower bound misses no place of the data centre.
+ */
 START_TEST(places_sort_after_the_lower_bound)
 {
 	char first[PLACE_BYTES], place[PLACE_BYTES], host[MEMBER_NAME_BYTES];
--- a/packages/membership/test/test_found.c
+++ b/packages/membership/test/test_found.c
@@ -1,5 +1,5 @@
 /*
- * Which run of an upstream counts.
+ * Selection of the current run of an upstream.
  */
 #include <check.h>
 #include <glib.h>
@@ -16,7 +16,7 @@
 	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 3), INSTANCE_CURRENT);
 	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 2), INSTANCE_STALE);
 	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 4), INSTANCE_CURRENT);
-	/* Another run has begun; what the first sent before comes late. */
+	/* Another run has started; heartbeats of the first run arrive late. */
 	ck_assert_int_eq(instances_heartbeat(&s, "b", 0, 1), INSTANCE_CURRENT);
 	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 5), INSTANCE_STALE);
 	ck_assert_str_eq(instances_current(&s), "b");
@@ -24,8 +24,10 @@
 }
 END_TEST
 
-/* A node that has just started hears the late one last: the run that lives
- * goes on sending and counts again. */
+/*
+ * On a node that has just started, a late heartbeat of an ended run arrives
+ * last.  The live run continues its heartbeats and becomes current again.
+ */
 START_TEST(replaced_run_that_is_alive_becomes_current_again)
 {
 	struct instances s;
@@ -56,10 +58,10 @@
 		ck_assert_int_eq(instances_heartbeat(&s, "a", 0, (uint64_t)i),
 		    INSTANCE_STALE);
 	ck_assert_str_eq(instances_current(&s), "");
-	/* Also one that was never heard here before it left. */
+	/* The same holds for a run whose first message here is its leave. */
 	ck_assert_int_eq(instances_left(&s, "x", 0), 0);
 	ck_assert_int_eq(instances_heartbeat(&s, "x", 0, 1), INSTANCE_STALE);
-	/* More runs than are remembered do no harm. */
+	/* More runs than INSTANCES_MAX. */
 	for (i = 0; i < 3 * INSTANCES_MAX; i++) {
 		(void)g_snprintf(id, sizeof(id), "run-%d", i);
 		ck_assert_int_eq(
@@ -91,9 +93,9 @@
 END_TEST
 
 /*
- * An upstream that starts again under its name counts from 1 again.  Without
- * the time of its start its heartbeats would be late ones for as long as the
- * earlier run had lived, and its host idle.
+ * An upstream that restarts under its name counts its heartbeats from 1 again.
+ * Without its start time, they would be stale for as long as the earlier run
+ * had lived, and its host idle.
  */
 START_TEST(a_later_start_under_the_same_name_is_a_new_run)
 {
@@ -105,23 +107,23 @@
 	ck_assert_int_eq(
 	    instances_heartbeat(&s, "a", 2000, 1), INSTANCE_CURRENT);
 	ck_assert_uint_eq(instances_current_started_ms(&s), 2000);
-	/* What the earlier run said, or says of its end, comes late. */
+	/* Heartbeats and the leave of the earlier run arrive late. */
 	ck_assert_int_eq(
 	    instances_heartbeat(&s, "a", 1000, 51), INSTANCE_STALE);
 	ck_assert_int_eq(instances_left(&s, "a", 1000), 0);
 	ck_assert_int_eq(
 	    instances_heartbeat(&s, "a", 2000, 2), INSTANCE_CURRENT);
-	/* One that left may start again, too. */
+	/* A run that left may start again. */
 	ck_assert_int_eq(instances_left(&s, "a", 2000), 1);
 	ck_assert_int_eq(instances_heartbeat(&s, "a", 2000, 3), INSTANCE_STALE);
 	ck_assert_int_eq(
 	    instances_heartbeat(&s, "a", 3000, 1), INSTANCE_CURRENT);
-	/* A run of another name that started earlier is no successor. */
+	/* A run with another name and an earlier start is no successor. */
 	ck_assert_int_eq(instances_heartbeat(&s, "b", 2500, 9), INSTANCE_STALE);
 	ck_assert_int_eq(
 	    instances_heartbeat(&s, "c", 4000, 1), INSTANCE_CURRENT);
 	ck_assert_str_eq(instances_current(&s), "c");
-	/* The end of a later run than the one that was heard. */
+	/* The leave of a later run than the one known. */
 	ck_assert_int_eq(instances_left(&s, "c", 5000), 1);
 	ck_assert_int_eq(instances_heartbeat(&s, "c", 4000, 2), INSTANCE_STALE);
 }
--- a/packages/membership/test/test_herd.c
+++ b/packages/membership/test/test_herd.c
@@ -1,14 +1,12 @@
 /*
- * All hosts lose power and come back at once: how soon does each know where
- * the upstreams are?
+ * All hosts lose power and start at once.  Each node must find the upstreams
+ * soon: callers are present from the start, upstreams are cold, and a node that
+ * knows few of them sends all its calls to these.
  *
- * The load: callers are there from the first moment on, upstreams are cold,
- * and a node that knows few of them sends all its calls to those.
- *
- * The bound: 95 in 100 of the upstreams are known to each node, the slowest
- * one too, within a second of the last start, since callers wait one second
- * for a connection and an answer is due within about one.  What a node sends
- * for it leaves half of a link of 5 Mbit/s to calls.
+ * The bound: each node, the slowest included, knows 95 % of the upstreams
+ * within a second of the last start, since callers wait one second for a
+ * connection and an answer is due within about one second.  The traffic for it
+ * leaves half of a link of 5 Mbit/s to calls.
  */
 #include <check.h>
 
@@ -21,10 +19,10 @@
 
 #define KNOWN_WITHIN_MS 1000
 
-/* Half of what 5 Mbit/s carry in a second. */
+/* Half of the bytes that 5 Mbit/s carry in a second. */
 #define SENT_MAX_BYTES 312500
 
-/* After this time all tables are to be the same. */
+/* Time after which all tables are the same. */
 #define SAME_WITHIN_MS 5000
 
 static void
--- a/packages/membership/test/test_known.c
+++ b/packages/membership/test/test_known.c
@@ -1,6 +1,6 @@
 /*
- * Tests of the newest version that is known to be accepted: it reaches all
- * nodes while one of them has read it, and a wrong one lapses.
+ * Tests of the known version: a version that a node has read reaches all nodes,
+ * and a wrong version expires.
  */
 #include <string.h>
 
@@ -16,15 +16,17 @@
 #define CENTRES 3
 #define READER 5
 
-/* Nodes of one data centre and the others know within this. */
+/* Time within which all nodes of all data centres know a version. */
 #define SPREAD_MS 12000
 
-/* Nodes of the reader's own data centre that are told at once: they must not
- * need a round of probes, which takes a second. */
+/*
+ * Nodes of the reader's own data centre, which a version reaches by push and
+ * not by the next probes, which take a second.
+ */
 #define PUSHED_NODES 24
 #define PUSHED_MS 500
 
-/* What no reader confirms is forgotten within this. */
+/* Time within which a version without a confirming reader expires. */
 #define EXPIRED_MS 31000
 
 #define CORRUPTED (UINT64_C(1) << 60)
@@ -63,7 +65,7 @@
 	expected = version;
 }
 
-/* A ping of a live peer comes to node 0, as garbled as @head. */
+/* Node 0 receives a ping of a live peer with a corrupted @head. */
 static void
 receive_ping(const struct rec_gossip_head *head)
 {
@@ -98,7 +100,7 @@
 }
 END_TEST
 
-/* How many nodes know what was read. */
+/* Number of nodes that know the expected version. */
 static uint32_t
 n_knowing(void)
 {
@@ -123,7 +125,7 @@
 }
 END_TEST
 
-/* Notices bring such a version: pings would only cost. */
+/* Notices carry such a version already, so that pings would be redundant. */
 START_TEST(version_of_the_head_is_not_pushed)
 {
 	struct rec_gossip_head head = {.seq = 10, .version = 10};
--- a/packages/membership/test/test_own.c
+++ b/packages/membership/test/test_own.c
@@ -1,6 +1,6 @@
 /*
- * Tests of one membership by itself: endpoints with their leases, queries,
- * settings, bad input.
+ * Tests of a single membership: endpoints with their leases, queries, settings,
+ * invalid input.
  */
 #include <stdio.h>
 #include <string.h>
@@ -172,7 +172,7 @@
 }
 END_TEST
 
-/* Names of services that the configuration takes. */
+/* Service names that are valid in the configuration. */
 static const char *const valid_names[] = {"Odd_One.2", "Search", "a:b+c",
     "caf\xc3\xa9", "a-name-that-is-31-bytes-long-ab"};
 
@@ -190,7 +190,7 @@
 }
 END_TEST
 
-/* News of a host with one endpoint. */
+/* Receives a record of a host with one endpoint. */
 static void
 receive_record(const char *host, const char *service)
 {
@@ -231,13 +231,13 @@
 		receive_record("y", bad[i]);
 		ck_assert_ptr_null(membership_find(m, "y"));
 	}
-	/* Names of hosts have their own rule. */
+	/* Names of hosts follow another rule. */
 	receive_record("caf\xc3\xa9", "search");
 	ck_assert_ptr_null(membership_find(m, "caf\xc3\xa9"));
 }
 END_TEST
 
-/* Bytes that are no message, and messages that make no sense. */
+/* Bytes that are not a message, and messages with invalid fields. */
 START_TEST(invalid_messages_change_nothing)
 {
 	struct net_addr from = {FAKE_IP + 9, FAKE_PORT};
@@ -272,7 +272,9 @@
 	    m, f->now_ms, &from, 0, MSG_NEWS, body->data, body->len);
 	g_byte_array_unref(body);
 	ck_assert_uint_eq(membership_live(m), 1);
-	/* A tenth are answers to a join that nobody asked for. */
+	/*
+	 * A tenth are answers to a join without a request, which are ignored.
+	 */
 	ck_assert_uint_ge(membership_counters(m)->rejected, 1800);
 }
 END_TEST
@@ -288,7 +290,7 @@
 	rec->incarnation = i;
 }
 
-/* Host @i asks for the table; returns the type of the answer. */
+/* Host @i requests the table; returns the type of the response. */
 static enum msg_type
 request_join(uint32_t i)
 {
@@ -312,8 +314,10 @@
 	return type;
 }
 
-/* Comparisons of tables that no node would send: each costs a bounded answer
- * and changes nothing. */
+/*
+ * Invalid comparisons of tables: each costs a bounded answer and changes
+ * nothing.
+ */
 START_TEST(invalid_comparisons_change_nothing)
 {
 	static const uint8_t marks[] = {1, 2, 3, 4, 5, 6, 7};
@@ -353,7 +357,10 @@
 	struct rec_member rec;
 	struct msg_news msg = {.news = &rec, .n_news = 1};
 
-	/* A table of several parts, so that no join is over at once. */
+	/*
+	 * A table of several parts, so that no join ends with its first
+	 * response.
+	 */
 	for (i = 100; i < 1000; i++) {
 		make_record(&rec, i);
 		g_byte_array_set_size(body, 0);
@@ -367,7 +374,7 @@
 	ck_assert_int_eq(request_join(limit + 1), MSG_JOIN_REFUSED);
 	ck_assert_int_eq(request_join(1), MSG_JOIN_TABLE);
 	ck_assert_uint_eq(membership_counters(m)->joins_refused, 1);
-	/* Those that broke off make room. */
+	/* The leases of joins without further requests have expired. */
 	fake_run(f, 4000);
 	ck_assert_int_eq(request_join(limit + 1), MSG_JOIN_TABLE);
 }
@@ -390,7 +397,7 @@
 }
 END_TEST
 
-/* Hosts of 7 and of 140 Mbit/s, some with about the same. */
+/* Hosts of 7 and of 140 Mbit/s, with small variations. */
 START_TEST(faster_links_rank_first_and_similar_links_share)
 {
 	static const uint32_t links[] = {7, 140, 5, 0, 150, 7, 130, 7};
--- a/packages/membership/test/test_swim.c
+++ b/packages/membership/test/test_swim.c
@@ -1,6 +1,6 @@
 /*
- * Tests of detection, refutation, leaving, freezing and joining inside a data
- * centre, each over several seeds.
+ * Tests of failure detection, refutation, leaving, freezing and joining inside
+ * a data centre, each over several seeds.
  */
 #include <string.h>
 
@@ -17,7 +17,7 @@
 
 static struct fake_net *f;
 
-/* All that are up hold node @of to be in @state. */
+/* Whether all other nodes that are up hold node @of in @state. */
 static int
 all_hold(uint32_t of, int state)
 {
@@ -95,9 +95,11 @@
 }
 END_TEST
 
-/* Found by the bench: nodes that took the table from one peer probed its
- * hosts in one order, all the same one at a time, and a dead host was found
- * after up to 290 s. */
+/*
+ * Guards against synchronized probes: nodes that fetched the table from one
+ * peer probed its hosts in the same order, all the same host at a time, and a
+ * dead host was detected after up to 290 s (found by the bench).
+ */
 START_TEST(nodes_do_not_probe_in_step)
 {
 	static const uint32_t victims[] = {20, 50, 80, 95};
@@ -129,8 +131,11 @@
 }
 END_TEST
 
-/* A deaf, a mute and an isolated node: the others stay true to each other,
- * and after the cut the node comes back without having failed the others. */
+/*
+ * A node that cannot receive, cannot send, or can do neither: the other nodes do not
+ * suspect each other, and after the partition the node returns without having
+ * failed the others.
+ */
 START_TEST(a_cut_off_node_harms_nobody_else)
 {
 	uint32_t seed = (uint32_t)_i, how, i, j;
@@ -158,8 +163,10 @@
 }
 END_TEST
 
-/* Two halves that took each other for failed find together again, also
- * after the tombstones are gone. */
+/*
+ * Two partitions that marked each other as failed merge again, also after the
+ * tombstones have expired.
+ */
 START_TEST(halves_of_a_data_centre_meet_again)
 {
 	uint32_t seed = (uint32_t)_i;
@@ -203,7 +210,10 @@
 	cluster_wait(f, seed, JOIN_MS, fake_agreed, "joined");
 	(void)membership_announce(f->nodes[1].m, f->now_ms, "search", 80, 1,
 	    ENDPOINT_READY, DEADLINE_NEVER, MEMBER_COLD_UNKNOWN, NULL);
-	/* One node sleeps through the leave and through its tombstone. */
+	/*
+	 * One node is frozen during the leave and until its tombstone has
+	 * expired.
+	 */
 	fake_run(f, 5000);
 	fake_freeze(f, 5);
 	membership_leave(f->nodes[1].m, f->now_ms);
@@ -239,7 +249,9 @@
 		fake_freeze(f, 1);
 		fake_run(f, freeze_ms[i]);
 		fake_thaw(f, 1);
-		/* Its upstreams could not renew while it was frozen. */
+		/*
+		 * Its upstreams could not renew their leases during the freeze.
+		 */
 		ck_assert_int_eq(
 		    membership_self(f->nodes[1].m)->endpoints[0].state,
 		    ENDPOINT_READY);
@@ -254,7 +266,7 @@
 }
 END_TEST
 
-/* The clock of the new process is an hour behind. */
+/* The wall clock of the new process is an hour behind. */
 START_TEST(a_restarted_host_goes_above_what_peers_remember)
 {
 	uint32_t seed = (uint32_t)_i;
@@ -279,14 +291,13 @@
 }
 END_TEST
 
-/* How soon a restarted host that was told of nobody is in. */
+/* Time within which a host that restarts without seeds joins. */
 #define REJOIN_MS 1500
 
 /*
- * A host stops as planned and starts again while the directory is away, so it
- * is told of nobody; its peers look for those that went.  Unless it asks the
- * first that it hears from, it waits out the time for seeds, 3 s, with its
- * upstream idle.
+ * A host stops as planned and restarts while the directory is unavailable, so
+ * it has no seeds; its peers ping hosts that left.  Unless the host joins
+ * through the first ping, it waits 3 s for seeds with its upstream idle.
  */
 START_TEST(host_without_seeds_joins_through_a_received_ping)
 {
@@ -309,9 +320,12 @@
 }
 END_TEST
 
-/* The last change of a host that died reached one peer alone; its new process
- * learns its incarnation from another.  (Found by test_chaos, seed 1350: both
- * came to the same incarnation, and the peer kept the old endpoints.) */
+/*
+ * The last change of a host that died reached a single peer; its new process
+ * learns its incarnation from another peer.  (Found by test_chaos, seed 1350:
+ * both processes reached the same incarnation, and the peer kept the old
+ * endpoints.)
+ */
 START_TEST(a_restarted_host_overrides_changes_that_few_saw)
 {
 	uint32_t seed = (uint32_t)_i, i;
@@ -342,7 +356,7 @@
 }
 END_TEST
 
-/* Endpoint changes under messages that cross, double and get lost. */
+/* Endpoint changes with messages that are reordered, duplicated and lost. */
 START_TEST(crossed_doubled_and_lost_news_end_alike)
 {
 	static const enum endpoint_state states[] = {
@@ -377,7 +391,7 @@
 }
 END_TEST
 
-/* A whole data centre restarts at the same addresses, while others live. */
+/* A whole data centre restarts at the same addresses, while the others run. */
 START_TEST(a_data_centre_restarts_at_once)
 {
 	uint32_t seed = (uint32_t)_i, i;
