--- a/packages/membership/test/checker.c
+++ b/packages/membership/test/checker.c
@@ -132,12 +132,12 @@
 		memset(s, 0, sizeof(*s));
 	s->last_check = l->c->checks;
 	if (mb->incarnation < s->incarnation)
-		report(l->c, l->f, l->by, mb->host, "go backwards");
+		report(l->c, l->f, l->by, mb->host, "with a lower incarnation");
 	s->incarnation = mb->incarnation;
 	if (mb->state == MEMBER_LEFT)
 		s->left_started_ms = mb->started_ms;
 	else if (member_is_live(mb) && s->left_started_ms == mb->started_ms)
-		report(l->c, l->f, l->by, mb->host, "back after it left");
+		report(l->c, l->f, l->by, mb->host, "live after it left");
 	if (!is_wrong(l->f, l->by, mb)) {
 		s->wrong_since_ms = 0;
 		return;
--- a/packages/membership/test/test_centres.c
+++ b/packages/membership/test/test_centres.c
@@ -247,7 +247,7 @@
 	}
 	fake_run(f, 20000);
 	ck_assert_msg(membership_phase(f->nodes[9].m) == MEMBERSHIP_CONFLICT,
-	    "seed %u: the later one is %s", seed,
+	    "seed %u: the later host is %s", seed,
 	    membership_phase_name(membership_phase(f->nodes[9].m)));
 	ck_assert(fake_up(f, 2));
 	for (i = 0; i < 8; i++)
--- a/packages/membership/test/test_chaos.c
+++ b/packages/membership/test/test_chaos.c
@@ -176,8 +176,8 @@
 	uint32_t times;
 	const char *violation;
 } injections[] = {
-    {0, 0, 1, "go backwards"},
-    {1, 1, 1, "back after it left"},
+    {0, 0, 1, "with a lower incarnation"},
+    {1, 1, 1, "live after it left"},
     {0, 0, 60, "failed for too long"},
     {0, 1, 60, "live for too long"},
 };
--- a/packages/membership/test/test_known.c
+++ b/packages/membership/test/test_known.c
@@ -119,8 +119,9 @@
 	fake_run(f, 5000);
 	read_by(READER, 10);
 	fake_run(f, PUSHED_MS);
-	ck_assert_msg(n_knowing() >= f->n - 2, "seed %u: %u of %u know", seed,
-	    n_knowing(), f->n);
+	ck_assert_msg(n_knowing() >= f->n - 2,
+	    "seed %u: %u of %u nodes know the version", seed, n_knowing(),
+	    f->n);
 	cluster_end(f, seed);
 }
 END_TEST
@@ -158,7 +159,7 @@
 	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known");
 	for (i = 0; i < 120; i++) {
 		fake_run(f, 1000);
-		ck_assert_msg(all_know(f), "seed %u: forgotten", seed);
+		ck_assert_msg(all_know(f), "seed %u: version 10 expired", seed);
 	}
 	cluster_end(f, seed);
 }
@@ -173,7 +174,7 @@
 	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known");
 	fake_kill(f, READER);
 	expected = 0;
-	cluster_wait(f, seed, EXPIRED_MS, all_know, "version 10 forgotten");
+	cluster_wait(f, seed, EXPIRED_MS, all_know, "version 10 expired");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -189,7 +190,8 @@
 	receive_ping(&corrupted);
 	ck_assert(is_known_anywhere(CORRUPTED));
 	fake_run(f, EXPIRED_MS);
-	ck_assert_msg(!is_known_anywhere(CORRUPTED), "seed %u: it stuck", seed);
+	ck_assert_msg(!is_known_anywhere(CORRUPTED),
+	    "seed %u: corrupted version did not expire", seed);
 	cluster_wait(f, seed, SPREAD_MS, all_know, "version 10 known again");
 	cluster_end(f, seed);
 }
--- a/packages/membership/test/test_own.c
+++ b/packages/membership/test/test_own.c
@@ -223,7 +223,7 @@
 		host[1] = (char)('0' + i);
 		receive_record(host, valid_names[i]);
 		mb = membership_find(m, host);
-		ck_assert_msg(mb != NULL, "%s: left out", valid_names[i]);
+		ck_assert_msg(mb != NULL, "%s: not merged", valid_names[i]);
 		ck_assert_uint_eq(mb->n_endpoints, 1);
 		ck_assert_str_eq(mb->endpoints[0].service, valid_names[i]);
 	}
--- a/packages/membership/test/test_swim.c
+++ b/packages/membership/test/test_swim.c
@@ -88,7 +88,8 @@
 		f->loss_percent = 5;
 		fake_run(f, 2000);
 		fake_kill(f, 1);
-		cluster_wait(f, seed, 20000, one_failed, "killed host failed");
+		cluster_wait(
+		    f, seed, 20000, one_failed, "killed host marked as failed");
 		ck_assert_uint_le(n_failures(), sizes[i] - 1);
 		cluster_end(f, seed);
 	}
@@ -132,9 +133,9 @@
 END_TEST
 
 /*
- * A node that cannot receive, cannot send, or can do neither: the other nodes do not
- * suspect each other, and after the partition the node returns without having
- * failed the others.
+ * A node that cannot receive, cannot send, or can do neither: the other nodes
+ * do not mark each other as failed, and after the partition the node returns
+ * without having marked the others.
  */
 START_TEST(a_cut_off_node_harms_nobody_else)
 {
@@ -148,7 +149,7 @@
 			fake_cut_out(f, 1, 1);
 		fake_run(f, 60000);
 		ck_assert_msg(
-		    one_failed(f), "seed %u, way %u: not failed", seed, how);
+		    one_failed(f), "seed %u, cut %u: not failed", seed, how);
 		for (i = 0; i < f->n; i++)
 			for (j = 0; j < f->n; j++)
 				ck_assert(i == 1 || j == 1 ||
@@ -188,8 +189,8 @@
 	ck_assert_int_eq(fake_state(f, 0, 1), -1);
 	ck_assert_int_lt(fake_state(f, 0, 2), MEMBER_FAILED);
 	fake_cut_dc(f, 0, 2, 0);
-	cluster_wait(f, seed, 40000, fake_all_live, "halves met");
-	cluster_wait(f, seed, 40000, fake_agreed, "halves agreed");
+	cluster_wait(f, seed, 40000, fake_all_live, "partitions merged");
+	cluster_wait(f, seed, 40000, fake_agreed, "partitions agreed");
 	cluster_end(f, seed);
 }
 END_TEST
@@ -228,7 +229,8 @@
 	ck_assert(one_unknown(f));
 	fake_thaw(f, 5);
 	fake_run(f, 500);
-	cluster_wait(f, seed, 30000, one_unknown, "leave known to the sleeper");
+	cluster_wait(
+	    f, seed, 30000, one_unknown, "leave known to the frozen node");
 	fake_run(f, 10000);
 	ck_assert(one_unknown(f));
 	cluster_end(f, seed);
@@ -315,7 +317,8 @@
 	s.n_seeds = 0;
 	s.await_seeds_ms = 3000;
 	(void)fake_start(f, 1, &s, 0);
-	cluster_wait(f, seed, REJOIN_MS, fake_all_live, "found by its peers");
+	cluster_wait(
+	    f, seed, REJOIN_MS, fake_all_live, "joined through a ping");
 	cluster_end(f, seed);
 }
 END_TEST
