--- a/packages/membership/src/claim.c
+++ b/packages/membership/src/claim.c
@@ -40,7 +40,7 @@
  * then the earlier start, then the lower address.
  */
 static int
-takes_precedence(const struct membership *m, int rival_serving,
+rival_takes_precedence(const struct membership *m, int rival_serving,
     uint64_t rival_started_ms, const struct net_addr *rival_addr)
 {
 	const struct member *own = &m->self->member;
@@ -151,7 +151,7 @@
 			merge_supersede(m, rec->incarnation);
 		return;
 	}
-	if (takes_precedence(m, 1, rec->started_ms, &addr)) {
+	if (rival_takes_precedence(m, 1, rec->started_ms, &addr)) {
 		start_claim(m, 1, rec->host, &addr, rec->incarnation);
 		return;
 	}
@@ -288,7 +288,7 @@
 	addr.port = msg.port;
 	same_name = strcmp(msg.host, m->settings.host) == 0;
 	if (same_name &&
-	    takes_precedence(m, msg.serving, msg.started_ms, &addr)) {
+	    rival_takes_precedence(m, msg.serving, msg.started_ms, &addr)) {
 		enter_conflict(m, msg.host, &addr, 1);
 		return;
 	}
@@ -319,7 +319,7 @@
 		return;
 	}
 	if (strcmp(msg.host, m->settings.host) != 0 ||
-	    !takes_precedence(m, msg.serving, msg.started_ms, &addr)) {
+	    !rival_takes_precedence(m, msg.serving, msg.started_ms, &addr)) {
 		end_uncontested(m);
 		return;
 	}
--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -111,7 +111,7 @@
 
 /* Adds the seeds as candidates; a node that is a seed bootstraps sooner. */
 static void
-take_seeds(struct membership *m)
+add_seed_candidates(struct membership *m)
 {
 	struct joiner *j = &m->joiner;
 	uint32_t i;
@@ -127,7 +127,7 @@
 }
 
 static void
-begin(struct membership *m)
+reset(struct membership *m)
 {
 	struct joiner *j = &m->joiner;
 
@@ -141,7 +141,7 @@
 	j->start_ms = m->now_ms;
 	j->bootstrap_ms = m->now_ms + m->settings.bootstrap_ms;
 	g_array_set_size(j->candidates, 0);
-	take_seeds(m);
+	add_seed_candidates(m);
 }
 
 void
@@ -149,7 +149,7 @@
 {
 	if (m->phase != MEMBERSHIP_JOINING || m->joiner.complete)
 		return;
-	take_seeds(m);
+	add_seed_candidates(m);
 	if (!m->joiner.pending)
 		m->joiner.deadline_ms = m->now_ms;
 }
@@ -171,7 +171,7 @@
 join_start(struct membership *m)
 {
 	m->joiner.own_only = 0;
-	begin(m);
+	reset(m);
 	action_phase(m, MEMBERSHIP_JOINING);
 }
 
@@ -183,7 +183,7 @@
 	uint32_t i;
 
 	m->joiner.own_only = 1;
-	begin(m);
+	reset(m);
 	for (i = 0; i < rows->len; i++) {
 		r = rows->pdata[i];
 		r->unconfirmed = r != m->self;
@@ -327,7 +327,7 @@
  * NULL and sets the deadline to when the first may.
  */
 static struct candidate *
-pick(struct membership *m)
+pick_candidate(struct membership *m)
 {
 	uint32_t i, n = m->joiner.candidates->len, start;
 	uint64_t soonest = DEADLINE_NEVER;
@@ -386,7 +386,7 @@
 		j->deadline_ms = j->start_ms + m->settings.await_seeds_ms;
 		return;
 	}
-	c = pick(m);
+	c = pick_candidate(m);
 	if (c != NULL)
 		send_request(m, &c->addr, 0);
 }
@@ -418,7 +418,7 @@
 }
 
 static void
-take_part(struct membership *m, const struct net_addr *from,
+merge_part(struct membership *m, const struct net_addr *from,
     const struct msg_join_table *msg)
 {
 	merge_records(m, msg->host, MERGE_TABLE, msg->rows, msg->n_rows);
@@ -447,7 +447,7 @@
 		return;
 	}
 	if (msg.cursor == j->cursor)
-		take_part(m, from, &msg);
+		merge_part(m, from, &msg);
 	msg_join_table_clear(&msg);
 }
 
--- a/packages/membership/test/checker.c
+++ b/packages/membership/test/checker.c
@@ -151,7 +151,7 @@
 }
 
 void
-checker_check(struct checker *c, struct fake_net *f)
+checker_scan(struct checker *c, struct fake_net *f)
 {
 	struct check l = {c, f, 0};
 
--- a/packages/membership/test/checker.h
+++ b/packages/membership/test/checker.h
@@ -18,7 +18,7 @@
 void checker_free(struct checker *c);
 
 /* Checks the tables of all nodes. */
-void checker_check(struct checker *c, struct fake_net *f);
+void checker_scan(struct checker *c, struct fake_net *f);
 
 /* The first violation, or NULL. */
 const char *checker_violation(const struct checker *c);
--- a/packages/membership/test/fake_net.c
+++ b/packages/membership/test/fake_net.c
@@ -425,7 +425,7 @@
 	while (f->now_ms < end) {
 		run_to(f, MIN(end, f->now_ms + CHECK_MS));
 		if (f->checker != NULL)
-			checker_check(f->checker, f);
+			checker_scan(f->checker, f);
 	}
 }
 
--- a/packages/membership/test/test_chaos.c
+++ b/packages/membership/test/test_chaos.c
@@ -203,7 +203,7 @@
 	 */
 	for (i = 0; i < injections[_i].times; i++) {
 		inject((uint32_t)_i);
-		checker_check(f->checker, f);
+		checker_scan(f->checker, f);
 		f->now_ms += 500;
 	}
 	v = checker_violation(f->checker);
