--- a/packages/membership/include/membership/finder.h
+++ b/packages/membership/include/membership/finder.h
@@ -52,7 +52,8 @@
  * struct finder - state
  * @rand: source of random choices
  * @looked_up: a lookup has succeeded
- * @few_lookups: lookups in a row that found few others
+ * @few_lookups: lookups in a row that found few others; raised to the maximum
+ *	on the nodes that register at once
  * @registered: the own entry is written
  * @busy: a call is in progress
  * @failures: failures in a row
--- a/packages/membership/src/finder.c
+++ b/packages/membership/src/finder.c
@@ -27,7 +27,8 @@
 /*
  * Hosts of a fleet that starts for the first time find few entries.  One in
  * FEW_REGISTER_ONE_IN of them registers at once.  The others repeat the lookup
- * after a random delay, by when most find enough entries and need not register.
+ * within FEW_RETRY_MS, by when most find enough entries and need not register.
+ * A node registers after FEW_LOOKUPS such lookups.
  */
 #define FEW_REGISTER_ONE_IN 4
 #define FEW_RETRY_MS 600
--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -197,7 +197,7 @@
 }
 
 /*
- * Marks live hosts that the peer does not know as failed: they may have left
+ * Marks the live hosts that the peer did not send as failed: they may have left
  * and been forgotten during the freeze.  The peer may lack hosts too, so any
  * record from other nodes overrides the mark.
  */
--- a/packages/membership/src/merge.c
+++ b/packages/membership/src/merge.c
@@ -36,7 +36,7 @@
 struct record_origin {
 	int from_subject; /* the subject of the record */
 	int from_home;	  /* of the own data centre */
-	int trusted;	  /* not failed or left itself */
+	int trusted;	  /* alive, suspect or unknown */
 	enum merge_source source;
 };
 
--- a/packages/membership/src/reconnect.c
+++ b/packages/membership/src/reconnect.c
@@ -16,7 +16,10 @@
 #define FAST_INTERVAL_MS 1000
 #define FAST_PERIOD_MS 30000
 
-/* A host that failed or left this recently is likely to come back. */
+/*
+ * The shorter interval also applies this long after a host failed or left,
+ * since the host is likely to come back.
+ */
 #define RECENT_MS 20000
 
 static int
--- a/packages/membership/src/serve.c
+++ b/packages/membership/src/serve.c
@@ -20,8 +20,8 @@
 #define LEASE_MS 3000
 
 /*
- * Delay before a refused node retries: a join takes less than the first.  A
- * node that has not joined itself sends the second.
+ * Delay before a refused node retries; a join takes less than RETRY_AFTER_MS.
+ * A node that has not joined itself sends the longer delay.
  */
 #define RETRY_AFTER_MS 100
 #define RETRY_AFTER_UNJOINED_MS 500
--- a/packages/membership/src/suspicion.c
+++ b/packages/membership/src/suspicion.c
@@ -20,9 +20,11 @@
 #define PERCENT 100
 
 /*
- * Timeout of a suspicion in percent of suspicion_ms by number of accusers: max
- * - (max - min) * log(n) / log(needed), where needed is 3, or 2 in a data
- * centre of three hosts.
+ * Timeout of a suspicion in percent of suspicion_ms, by number n of accusers:
+ *
+ *	max - (max - min) * log(n) / log(needed)
+ *
+ * where needed is 3, or 2 in a data centre of three hosts.
  */
 static const uint32_t timeout_percent_3[ACCUSERS_MAX] = {300, 174, 100};
 static const uint32_t timeout_percent_2[ACCUSERS_MAX] = {300, 100, 100};
