--- a/packages/membership/src/action.c
+++ b/packages/membership/src/action.c
@@ -1,8 +1,8 @@
 /*
- * Actions: what the shell is told.
+ * Queue of the actions that membership_pop() returns.
  *
- * There may be one for each host, so that they are kept small and a host
- * that changes again before it was popped is not queued twice.
+ * The queue may hold an action for each host, so queued actions are small, and
+ * a host that changes again before its action is popped is not queued twice.
  */
 #include <stdarg.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "action.h"
 #include "table.h"
 
-/* An action as it waits. */
+/* A queued action; @message is allocated for warnings only. */
 struct queued_action {
 	enum membership_action_kind kind;
 	enum membership_phase phase;
@@ -32,11 +32,11 @@
 }
 
 void
-action_changed(struct membership *m, struct row *r, int abroad)
+action_changed(struct membership *m, struct row *r, int replicate)
 {
 	m->table.change++;
-	r->known_ms = m->now_ms;
-	if (abroad) {
+	r->changed_ms = m->now_ms;
+	if (replicate) {
 		r->change = m->table.change;
 		r->dc->change = m->table.change;
 	}
@@ -55,10 +55,10 @@
 }
 
 void
-action_heard(struct membership *m, const char *host,
+action_peer_head(struct membership *m, const char *host,
     const struct net_addr *addr, const struct rec_gossip_head *head)
 {
-	struct queued_action *q = queue(m, MEMBERSHIP_HEARD, host);
+	struct queued_action *q = queue(m, MEMBERSHIP_PEER_HEAD, host);
 
 	q->addr = *addr;
 	q->head = *head;
--- a/packages/membership/src/finder.c
+++ b/packages/membership/src/finder.c
@@ -1,50 +1,57 @@
 /*
- * When the directory at the platform is written and read.
+ * Schedule of the reads and writes of the platform's directory.
  */
 #include "membership/finder.h"
 
 #include "base/clock.h"
 
-/* Full-jitter back-off after failures: at first about the time that the
- * platform needs for an answer, at last what 22,000 nodes may ask together of
- * 2,000 reads a second with room for others. */
+/*
+ * Full-jitter back-off after failures.  The base is about the time that the
+ * platform takes to answer.  The cap is meant to leave room for other reads
+ * when 22,000 nodes call a store of 2,000 reads/s.
+ */
 #define BACKOFF_BASE_MS 200
 #define BACKOFF_CAP_MS 5000
 #define BACKOFF_SHIFT_MAX 5
 
-/* A node that is alone looks again within this. */
-#define ALONE_MS 1000
+/* Longest interval between two lookups of a node without peers. */
+#define ALONE_INTERVAL_MS 1000
 
-/* A node with peers looks whether it should, without a call. */
-#define CHECK_MS 1000
+/* Interval at which a node with peers checks whether a call is due. */
+#define CHECK_INTERVAL_MS 1000
 
-/* Hosts are taken for lost together when less than this share is left. */
+/* Hosts count as lost at once when fewer than this share are left. */
 #define LOST_PERCENT 50
 #define PERCENT 100
 
-/* Hosts that start together for the first time find nobody.  One of so many
- * enters itself at once; the others look again, each at its own moment within
- * this time, and then most need not. */
-#define FEW_ENTERS_ONE_OF 4
-#define FEW_AGAIN_MS 600
-#define FEW_ENOUGH 2
+/*
+ * Hosts of a fleet that starts for the first time find few entries.  One in
+ * FEW_REGISTER_ONE_IN of them registers at once.  The others repeat the lookup
+ * within FEW_RETRY_MS, by when most find enough entries and need not register.
+ * A node registers after FEW_LOOKUPS such lookups.
+ */
+#define FEW_REGISTER_ONE_IN 4
+#define FEW_RETRY_MS 600
+#define FEW_LOOKUPS 2
 
-/* A place changes its holder after this: a host that is restarted is back
- * sooner, and is found at its address of before. */
-#define HOLD_AFTER_MS 10000
+/*
+ * Delay before a new holder registers in a place.  A restarted host is back
+ * sooner, and is found at its old address.
+ */
+#define HOLDER_DELAY_MS 10000
 
 void
 finder_init(struct finder *f, uint64_t seed, uint64_t now_ms)
 {
 	f->rand = g_rand_new_with_seed((guint32)(seed ^ seed >> 32));
-	f->looked = 0;
-	f->few = 0;
-	f->entered = 0;
+	f->looked_up = 0;
+	f->few_lookups = 0;
+	f->registered = 0;
 	f->busy = 0;
 	f->failures = 0;
 	f->due_ms = now_ms;
-	f->most_live = 0;
-	f->holds_ms = DEADLINE_NEVER;
+	f->peak_live = 0;
+	f->register_ms = DEADLINE_NEVER;
 }
 
 void
@@ -56,51 +63,54 @@
 }
 
 static uint64_t
-within(struct finder *f, uint64_t most_ms)
+random_ms(struct finder *f, uint64_t most_ms)
 {
 	return (uint64_t)g_rand_int_range(f->rand, 0, (gint32)most_ms + 1);
 }
 
 static int
-wants_peers(struct finder *f, const struct finder_view *view)
+needs_peers(struct finder *f, const struct finder_view *view)
 {
 	if (!view->joined)
 		return 1;
-	f->most_live = MAX(f->most_live, view->live);
+	f->peak_live = MAX(f->peak_live, view->live);
 	return view->live <= 1 ||
-	    view->live * PERCENT < f->most_live * LOST_PERCENT;
+	    view->live * PERCENT < f->peak_live * LOST_PERCENT;
 }
 
-/* Whether this node holds its place for long and is not entered there. */
+/*
+ * Whether this node has held its place for HOLDER_DELAY_MS and is not
+ * registered.
+ */
 static int
-takes_place(struct finder *f, const struct finder_view *view, uint64_t now_ms)
+must_register(struct finder *f, const struct finder_view *view, uint64_t now_ms)
 {
-	if (!view->holder) {
-		f->entered = 0;
-		f->holds_ms = DEADLINE_NEVER;
+	if (!view->holds_place) {
+		f->registered = 0;
+		f->register_ms = DEADLINE_NEVER;
 		return 0;
 	}
-	if (f->holds_ms == DEADLINE_NEVER)
-		f->holds_ms = now_ms + HOLD_AFTER_MS;
-	return !f->entered && now_ms >= f->holds_ms;
+	if (f->register_ms == DEADLINE_NEVER)
+		f->register_ms = now_ms + HOLDER_DELAY_MS;
+	return !f->registered && now_ms >= f->register_ms;
 }
 
 static int
-looks_again(const struct finder *f)
+must_retry(const struct finder *f)
 {
-	return f->few > 0 && f->few < FEW_ENOUGH;
+	return f->few_lookups > 0 && f->few_lookups < FEW_LOOKUPS;
 }
 
 static enum finder_action
 choose(struct finder *f, const struct finder_view *view, uint64_t now_ms)
 {
-	if (!f->looked)
-		return FINDER_SAMPLE;
-	if (wants_peers(f, view))
-		return f->entered || looks_again(f) ? FINDER_SAMPLE
-						    : FINDER_ENTER;
-	if (takes_place(f, view, now_ms))
-		return FINDER_ENTER;
+	if (!f->looked_up)
+		return FINDER_LOOK_UP;
+	if (needs_peers(f, view))
+		return f->registered || must_retry(f) ? FINDER_LOOK_UP
+						      : FINDER_REGISTER;
+	if (must_register(f, view, now_ms))
+		return FINDER_REGISTER;
 	return FINDER_NONE;
 }
 
@@ -114,7 +124,7 @@
 	a = choose(f, view, now_ms);
 	f->busy = a != FINDER_NONE;
 	if (a == FINDER_NONE)
-		f->due_ms = now_ms + CHECK_MS;
+		f->due_ms = now_ms + CHECK_INTERVAL_MS;
 	return a;
 }
 
@@ -126,34 +136,37 @@
 
 	f->busy = 0;
 	f->failures++;
-	f->due_ms = now_ms + within(f, MIN(most, BACKOFF_CAP_MS));
+	f->due_ms = now_ms + random_ms(f, MIN(most, BACKOFF_CAP_MS));
 }
 
 void
-finder_entered(struct finder *f, uint64_t now_ms)
+finder_registered(struct finder *f, uint64_t now_ms)
 {
 	f->busy = 0;
 	f->failures = 0;
-	f->entered = 1;
-	f->due_ms = now_ms + ALONE_MS / 2 + within(f, ALONE_MS / 2);
+	f->registered = 1;
+	f->due_ms = now_ms + ALONE_INTERVAL_MS / 2 +
+	    random_ms(f, ALONE_INTERVAL_MS / 2);
 }
 
 void
-finder_found(struct finder *f, uint32_t others, int own, uint64_t now_ms)
+finder_looked_up(
+    struct finder *f, uint32_t others, int own_found, uint64_t now_ms)
 {
 	f->busy = 0;
 	f->failures = 0;
-	f->looked = 1;
-	f->entered |= own;
-	f->most_live = 0;
-	f->few = others < FINDER_FEW ? f->few + 1 : 0;
-	if (f->few > 0 && within(f, FEW_ENTERS_ONE_OF - 1) == 0)
-		f->few = FEW_ENOUGH;
+	f->looked_up = 1;
+	f->registered |= own_found;
+	f->peak_live = 0;
+	f->few_lookups = others < FINDER_MIN_OTHERS ? f->few_lookups + 1 : 0;
+	if (f->few_lookups > 0 && random_ms(f, FEW_REGISTER_ONE_IN - 1) == 0)
+		f->few_lookups = FEW_LOOKUPS;
 	f->due_ms = now_ms;
-	if (looks_again(f))
-		f->due_ms += within(f, FEW_AGAIN_MS);
-	else if (f->few == 0 || f->entered)
-		f->due_ms += ALONE_MS / 2 + within(f, ALONE_MS / 2);
+	if (must_retry(f))
+		f->due_ms += random_ms(f, FEW_RETRY_MS);
+	else if (f->few_lookups == 0 || f->registered)
+		f->due_ms +=
+		    ALONE_INTERVAL_MS / 2 + random_ms(f, ALONE_INTERVAL_MS / 2);
 }
 
 uint64_t
--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -1,11 +1,12 @@
 /*
  * Joining: a starting node fetches the table from a peer.
  *
- * It asks one peer at a time, part by part.  A peer that serves too many
- * joins, or has not joined itself, says when to come back and names others.
- * When no peer holds the table, as when a whole data centre or the first node
- * starts, the seeds go on first: they know those that asked them, and serve
- * the others.
+ * The node requests the table from a single peer at a time, part by part.  A
+ * peer that serves too many joins, or has not joined itself, refuses with a
+ * time for the next attempt and the addresses of other peers.  When no peer
+ * holds the table, as at the start of a whole data centre or of the first node,
+ * the seeds bootstrap first: they know the nodes that sent them requests, and
+ * serve the others.
  */
 #include <string.h>
 
@@ -21,41 +22,47 @@
 #include "settle.h"
 #include "suspicion.h"
 
-/* An answer that takes longer is given up. */
-#define ANSWER_MS 2000
+/* Timeout of a response. */
+#define RESPONSE_MS 2000
 
-/* So is a first one: the peer may be gone and its host silent, and others can
- * be asked.  While hosts start together many have no power yet when they are
- * asked, so the wait is short at first: some ten round trips inside a region,
- * doubled with each silent peer for those that are far or slow. */
-#define FIRST_ANSWER_MS 100
-#define SILENT_SHIFT_MAX 2
+/*
+ * Timeout of the first response, shorter because the peer's host may be down
+ * and other peers are available.  While hosts start together, many requests go
+ * to hosts without power, so the timeout begins at some ten round trips inside
+ * a region.  Each timeout in a row doubles it, for peers that are far or slow.
+ */
+#define FIRST_RESPONSE_MS 100
+#define TIMEOUT_SHIFT_MAX 2
 
-/* A seed goes on alone after this share of the time that others wait, so that
- * they can join it. */
+/*
+ * A seed bootstraps after this share of the bootstrap time, so that other nodes
+ * can join the seed before they bootstrap.
+ */
 #define SEED_BOOTSTRAP_PERCENT 40
 #define PERCENT 100
 
-/* Full-jitter back-off between two rounds of asking. */
+/* Full-jitter back-off between two rounds of requests. */
 #define BACKOFF_BASE_MS 100
 #define BACKOFF_CAP_MS 5000
 #define BACKOFF_SHIFT_MAX 6
 
-/* A peer that did not answer rests for this. */
-#define REST_MS 1000
+/* Delay before a peer that did not answer gets another request. */
+#define PEER_RETRY_MS 1000
 
-/* A node that was turned away asks another peer within this. */
-#define ASK_OTHERS_MS 100
+/* Longest delay before the next peer gets a request. */
+#define NEXT_PEER_MS 100
 
 #define CANDIDATES_MAX 128
 
-/* Where so many peers in a row say that they are joining themselves, all have
- * started together: waiting longer finds nobody who holds a table.  A fleet
- * of which half was restarted takes itself for such a one in one of eight
- * cases; comparing tables makes up for that. */
-#define UNJOINED_ENOUGH 3
+/*
+ * After this many refusals in a row by peers that are joining themselves, the
+ * node assumes that all started together and no peer holds a table, and
+ * bootstraps.  When half of a fleet restarts, the assumption is wrong in one
+ * case of eight; the comparison of tables after the start repairs that.
+ */
+#define UNJOINED_MAX 3
 
-/* Live peers that are asked, besides the seeds, after a freeze. */
+/* Live peers that become candidates, besides the seeds, after a freeze. */
 #define REFRESH_PEERS 8
 
 void
@@ -102,39 +109,39 @@
 	g_array_append_val(m->joiner.candidates, c);
 }
 
-/* Takes the seeds as candidates; a seed itself goes on alone sooner. */
+/* Adds the seeds as candidates; a node that is a seed bootstraps sooner. */
 static void
-take_seeds(struct membership *m)
+add_seed_candidates(struct membership *m)
 {
 	struct joiner *j = &m->joiner;
 	uint32_t i;
 
 	for (i = 0; i < m->settings.n_seeds; i++) {
 		candidate_add(m, &m->seeds[i]);
-		j->seed |= addr_equal(&m->seeds[i], &m->settings.address);
+		j->is_seed |= addr_equal(&m->seeds[i], &m->settings.address);
 	}
-	if (j->seed)
-		j->bootstrap_ms = j->began_ms +
+	if (j->is_seed)
+		j->bootstrap_ms = j->start_ms +
 		    (uint64_t)m->settings.bootstrap_ms *
 			SEED_BOOTSTRAP_PERCENT / PERCENT;
 }
 
 static void
-begin(struct membership *m)
+reset(struct membership *m)
 {
 	struct joiner *j = &m->joiner;
 
-	j->asking = 0;
+	j->pending = 0;
 	j->complete = 0;
 	j->cursor = 0;
 	j->attempts = 0;
 	j->unjoined = 0;
-	j->silent = 0;
+	j->timeouts = 0;
 	j->deadline_ms = m->now_ms;
-	j->began_ms = m->now_ms;
+	j->start_ms = m->now_ms;
 	j->bootstrap_ms = m->now_ms + m->settings.bootstrap_ms;
 	g_array_set_size(j->candidates, 0);
-	take_seeds(m);
+	add_seed_candidates(m);
 }
 
 void
@@ -142,13 +149,13 @@
 {
 	if (m->phase != MEMBERSHIP_JOINING || m->joiner.complete)
 		return;
-	take_seeds(m);
-	if (!m->joiner.asking)
+	add_seed_candidates(m);
+	if (!m->joiner.pending)
 		m->joiner.deadline_ms = m->now_ms;
 }
 
 void
-join_heard(struct membership *m, const struct net_addr *from)
+join_on_ping(struct membership *m, const struct net_addr *from)
 {
 	struct joiner *j = &m->joiner;
 	uint32_t before = j->candidates->len;
@@ -156,7 +163,7 @@
 	if (m->phase != MEMBERSHIP_JOINING || j->complete)
 		return;
 	candidate_add(m, from);
-	if (j->candidates->len > before && !j->asking)
+	if (j->candidates->len > before && !j->pending)
 		j->deadline_ms = m->now_ms;
 }
 
@@ -164,7 +171,7 @@
 join_start(struct membership *m)
 {
 	m->joiner.own_only = 0;
-	begin(m);
+	reset(m);
 	action_phase(m, MEMBERSHIP_JOINING);
 }
 
@@ -176,7 +183,7 @@
 	uint32_t i;
 
 	m->joiner.own_only = 1;
-	begin(m);
+	reset(m);
 	for (i = 0; i < rows->len; i++) {
 		r = rows->pdata[i];
 		r->unconfirmed = r != m->self;
@@ -190,29 +197,29 @@
 }
 
 /*
- * Live hosts that the peer does not know are taken for failed: they may have
- * left meanwhile and be forgotten.  It is a guess, as the peer may not know
- * all either; any word of others on it goes before.
+ * Marks the live hosts that the peer did not send as failed: they may have left
+ * and been forgotten during the freeze.  The peer may lack hosts too, so any
+ * record from other nodes overrides the mark.
  */
 static void
-guess_unconfirmed(struct membership *m)
+fail_unconfirmed(struct membership *m)
 {
 	GPtrArray *rows = m->home->rows;
 	struct row *r;
 	uint32_t i;
 
-	m->quiet = 1;
+	m->suppress_news = 1;
 	for (i = 0; i < rows->len; i++) {
 		r = rows->pdata[i];
 		if (!member_is_live(&r->member))
 			r->unconfirmed = 0;
 		else if (r->unconfirmed)
-			suspicion_bury(m, r, MEMBER_FAILED);
+			suspicion_mark_dead(m, r, MEMBER_FAILED);
 	}
-	m->quiet = 0;
+	m->suppress_news = 0;
 }
 
-/* The table is here; go on once no claim is open. */
+/* The table is complete: become joined, unless a claim is pending. */
 static void
 finish(struct membership *m)
 {
@@ -226,7 +233,7 @@
 	m->prober.reconnect_ms = m->now_ms;
 	m->prober.next_ms =
 	    m->now_ms + random_below(m, m->settings.probe_interval_ms);
-	m->relays_ms = m->now_ms;
+	m->relays_check_ms = m->now_ms;
 	probe_shuffle(m);
 	action_phase(m, MEMBERSHIP_JOINED);
 	news_add(m, m->self, 1);
@@ -234,17 +241,17 @@
 }
 
 static void
-complete(struct membership *m, int told)
+complete(struct membership *m, int have_table)
 {
-	m->joiner.asking = 0;
+	m->joiner.pending = 0;
 	m->joiner.complete = 1;
-	if (told && m->phase == MEMBERSHIP_REFRESHING)
-		guess_unconfirmed(m);
+	if (have_table && m->phase == MEMBERSHIP_REFRESHING)
+		fail_unconfirmed(m);
 	finish(m);
 }
 
 static void
-rest(struct membership *m, const struct net_addr *addr, uint64_t ms)
+postpone(struct membership *m, const struct net_addr *addr, uint64_t ms)
 {
 	struct candidate *c = candidate_find(m, addr);
 
@@ -252,9 +259,9 @@
 		c->not_before_ms = m->now_ms + ms;
 }
 
-/* Whether a candidate may be asked now. */
+/* Whether a candidate may get a request now. */
 static int
-others_left(struct membership *m)
+has_eligible(struct membership *m)
 {
 	uint32_t i;
 
@@ -265,20 +272,20 @@
 }
 
 /*
- * The peer that was asked does not answer: it rests, and another one is asked
- * soon.  Only when all rest is it longer each time; while hosts start together
- * many of the first ones asked are not there yet.
+ * Handles a missing response: the peer is postponed, and the next peer gets a
+ * request soon.  The delay grows only when all candidates are postponed, since
+ * many hosts are not up yet when hosts start together.
  */
 static void
-back_off(struct membership *m, const struct net_addr *asked)
+back_off(struct membership *m, const struct net_addr *peer)
 {
 	struct joiner *j = &m->joiner;
-	uint32_t most = ASK_OTHERS_MS;
+	uint32_t most = NEXT_PEER_MS;
 
-	j->asking = 0;
+	j->pending = 0;
 	j->cursor = 0;
-	rest(m, asked, REST_MS);
-	if (!others_left(m)) {
+	postpone(m, peer, PEER_RETRY_MS);
+	if (!has_eligible(m)) {
 		most = (uint32_t)BACKOFF_BASE_MS
 		    << MIN(j->attempts, BACKOFF_SHIFT_MAX);
 		j->attempts++;
@@ -288,13 +295,14 @@
 }
 
 static uint64_t
-first_answer_ms(const struct joiner *j)
+first_response_ms(const struct joiner *j)
 {
-	return (uint64_t)FIRST_ANSWER_MS << MIN(j->silent, SILENT_SHIFT_MAX);
+	return (uint64_t)FIRST_RESPONSE_MS
+	    << MIN(j->timeouts, TIMEOUT_SHIFT_MAX);
 }
 
 static void
-ask(struct membership *m, const struct net_addr *to, uint32_t cursor)
+send_request(struct membership *m, const struct net_addr *to, uint32_t cursor)
 {
 	struct joiner *j = &m->joiner;
 	GByteArray *body = g_byte_array_new();
@@ -307,19 +315,19 @@
 	msg_join_encode(&msg, body);
 	record_clear(&msg.self);
 	send_frame(m, to, 0, MSG_JOIN, body);
-	j->asked = *to;
-	j->asking = 1;
+	j->peer = *to;
+	j->pending = 1;
 	j->cursor = cursor;
 	j->deadline_ms =
-	    m->now_ms + (cursor == 0 ? first_answer_ms(j) : ANSWER_MS);
+	    m->now_ms + (cursor == 0 ? first_response_ms(j) : RESPONSE_MS);
 }
 
 /*
- * A candidate that may be asked now, by chance.  If there is none, NULL, and
- * the deadline is set to when there is.
+ * Returns a random candidate that may get a request now.  If none may, returns
+ * NULL and sets the deadline to when the first may.
  */
 static struct candidate *
-pick(struct membership *m)
+pick_candidate(struct membership *m)
 {
 	uint32_t i, n = m->joiner.candidates->len, start;
 	uint64_t soonest = DEADLINE_NEVER;
@@ -332,22 +340,22 @@
 			return c;
 		soonest = MIN(soonest, c->not_before_ms);
 	}
-	m->joiner.deadline_ms = soonest + random_below(m, ASK_OTHERS_MS);
+	m->joiner.deadline_ms = soonest + random_below(m, NEXT_PEER_MS);
 	return NULL;
 }
 
 /*
- * Whether to go on without a peer that holds the table.  Not while a peer
- * that does was met: it only asked to come back later.
+ * Whether to continue without a table.  A peer that holds the table and refused
+ * moves the bootstrap deadline on, see join_on_refused().
  */
 static int
-alone(const struct membership *m)
+may_bootstrap(const struct membership *m)
 {
 	const struct joiner *j = &m->joiner;
 
 	if (j->candidates->len > 0)
 		return m->now_ms >= j->bootstrap_ms;
-	return m->now_ms >= j->began_ms + m->settings.await_seeds_ms;
+	return m->now_ms >= j->start_ms + m->settings.await_seeds_ms;
 }
 
 void
@@ -364,23 +372,23 @@
 	}
 	if (m->now_ms < j->deadline_ms)
 		return;
-	if (j->asking) {
-		outbox_close(m->out, &j->asked, 0);
-		j->silent++;
-		back_off(m, &j->asked);
+	if (j->pending) {
+		outbox_close(m->out, &j->peer, 0);
+		j->timeouts++;
+		back_off(m, &j->peer);
 		return;
 	}
-	if (alone(m)) {
+	if (may_bootstrap(m)) {
 		complete(m, 0);
 		return;
 	}
 	if (j->candidates->len == 0) {
-		j->deadline_ms = j->began_ms + m->settings.await_seeds_ms;
+		j->deadline_ms = j->start_ms + m->settings.await_seeds_ms;
 		return;
 	}
-	c = pick(m);
+	c = pick_candidate(m);
 	if (c != NULL)
-		ask(m, &c->addr, 0);
+		send_request(m, &c->addr, 0);
 }
 
 uint64_t
@@ -396,29 +404,29 @@
 {
 	struct joiner *j = &m->joiner;
 
-	if (!j->asking || !addr_equal(&j->asked, to))
+	if (!j->pending || !addr_equal(&j->peer, to))
 		return;
 	back_off(m, to);
 }
 
-/* The peer remembered this host from before: go above that. */
+/* Raises the own incarnation above the one that the peer held for this host. */
 static void
-go_above(struct membership *m, uint64_t held)
+override_held(struct membership *m, uint64_t held)
 {
 	if (held <= INCARNATION_MAX && held >= m->self->member.incarnation)
-		merge_succeed(m, held);
+		merge_supersede(m, held);
 }
 
 static void
-take_part(struct membership *m, const struct net_addr *from,
+merge_part(struct membership *m, const struct net_addr *from,
     const struct msg_join_table *msg)
 {
 	merge_records(m, msg->host, MERGE_TABLE, msg->rows, msg->n_rows);
-	go_above(m, msg->held);
+	override_held(m, msg->held);
 	if (m->phase != MEMBERSHIP_JOINING && m->phase != MEMBERSHIP_REFRESHING)
 		return;
 	if (msg->next != 0) {
-		ask(m, from, msg->next);
+		send_request(m, from, msg->next);
 		return;
 	}
 	complete(m, 1);
@@ -431,7 +439,7 @@
 	struct joiner *j = &m->joiner;
 	struct msg_join_table msg;
 
-	if (!j->asking || !addr_equal(&j->asked, from))
+	if (!j->pending || !addr_equal(&j->peer, from))
 		return;
 	if (msg_join_table_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
@@ -439,7 +447,7 @@
 		return;
 	}
 	if (msg.cursor == j->cursor)
-		take_part(m, from, &msg);
+		merge_part(m, from, &msg);
 	msg_join_table_clear(&msg);
 }
 
@@ -452,7 +460,7 @@
 	struct net_addr other;
 	uint32_t i;
 
-	if (!j->asking || !addr_equal(&j->asked, from))
+	if (!j->pending || !addr_equal(&j->peer, from))
 		return;
 	if (msg_join_refused_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
@@ -463,18 +471,21 @@
 		other.port = msg.others[i].port;
 		candidate_add(m, &other);
 	}
-	/* No failure: others may be asked at once, this one later. */
-	rest(m, from, msg.come_back_ms + random_below(m, msg.come_back_ms));
-	j->asking = 0;
-	j->deadline_ms = m->now_ms + random_below(m, ASK_OTHERS_MS);
-	if (msg.joined || !j->seed)
+	/*
+	 * A refusal is no failure: other peers get requests at once, this peer
+	 * later.
+	 */
+	postpone(m, from, msg.come_back_ms + random_below(m, msg.come_back_ms));
+	j->pending = 0;
+	j->deadline_ms = m->now_ms + random_below(m, NEXT_PEER_MS);
+	if (msg.joined || !j->is_seed)
 		j->bootstrap_ms =
 		    MAX(j->bootstrap_ms, m->now_ms + m->settings.bootstrap_ms);
-	j->silent = 0;
+	j->timeouts = 0;
 	j->unjoined = msg.joined ? 0 : j->unjoined + 1;
 	if (!msg.joined)
-		settle_with(m, from);
-	if (j->unjoined >= UNJOINED_ENOUGH) {
+		settle_compare(m, from);
+	if (j->unjoined >= UNJOINED_MAX) {
 		j->bootstrap_ms = m->now_ms;
 		j->deadline_ms = m->now_ms;
 	}
--- a/packages/membership/src/relay.c
+++ b/packages/membership/src/relay.c
@@ -1,12 +1,12 @@
 /*
- * Relays: the few nodes that exchange with another data centre.
+ * Relays: the few nodes that exchange records with another data centre.
  *
- * For each other data centre a few live nodes, first in rank for the pair,
- * probe a peer there and send it the records of the own data centre as they
- * change.  The peers are chosen by the same rank there, so that each node
- * bears little of it.  Nobody is suspected for not answering: the peer may
- * well be alive behind a cut.  The probes carry the digest of the table, so
- * that what was lost is repaired by anti-entropy.
+ * For each other data centre, the live nodes that rank first for the pair of
+ * data centres ping a peer there and send the peer the records of the own data
+ * centre as they change.  The peers are selected by the same rank, which
+ * spreads the load.  A peer that does not answer is not suspected: the peer may
+ * be alive behind a partition.  The pings carry the digest of the table, so
+ * that anti-entropy repairs lost records.
  */
 #include <stdio.h>
 #include <string.h>
@@ -18,13 +18,13 @@
 #include "relay.h"
 #include "send.h"
 
-/* Between two looks at what is to be sent. */
-#define LOOK_INTERVAL_MS 200
+/* Interval of the checks for records to send. */
+#define CHECK_INTERVAL_MS 200
 
-/* Datagrams sent to one data centre in one look. */
-#define DATAGRAMS_PER_LOOK 8
+/* Most datagrams to a data centre per check. */
+#define DATAGRAMS_PER_CHECK 8
 
-/* After this many peers in rank that did not answer any will do. */
+/* After this many ranked peers without an answer a random peer is selected. */
 #define RANKED_PEERS 8
 
 #define KEY_BYTES (MEMBER_NAME_BYTES + sizeof("relay:"))
@@ -35,10 +35,9 @@
 	(void)snprintf(key, KEY_BYTES, "relay:%s", data_centre);
 }
 
-/* Own place in rank for a data centre, or @most if there are that many
- * before it. */
+/* Own rank for a data centre, from 0; @most if that many nodes rank before. */
 static uint32_t
-own_place(const struct membership *m, const struct dc *dc, uint32_t most)
+own_rank(const struct membership *m, const struct dc *dc, uint32_t most)
 {
 	char key[KEY_BYTES];
 	const struct row *r;
@@ -56,7 +55,7 @@
 	return place;
 }
 
-/* Find out which data centres this node is a relay for. */
+/* Selects the data centres that this node is a relay for. */
 static void
 choose(struct membership *m)
 {
@@ -74,11 +73,11 @@
 		if (dc == m->home)
 			continue;
 		was = dc->relay;
-		dc->relay_place = own_place(m, dc, m->settings.relays);
-		dc->relay = dc->relay_place < m->settings.relays;
+		dc->relay_rank = own_rank(m, dc, m->settings.relays);
+		dc->relay = dc->relay_rank < m->settings.relays;
 		if (dc->relay && !was) {
-			/* What happened before is left to anti-entropy. */
-			dc->relay_sent = m->home->change;
+			/* Anti-entropy covers earlier changes. */
+			dc->relay_sent_change = m->home->change;
 			dc->relay_next_ms = m->now_ms;
 			dc->relay_misses = 0;
 		}
@@ -98,7 +97,7 @@
 	n = membership_rank(m, dc->name, key, ranked, RANKED_PEERS);
 	if (n == 0)
 		return NULL;
-	return ranked[(dc->relay_place + dc->relay_misses) % n];
+	return ranked[(dc->relay_rank + dc->relay_misses) % n];
 }
 
 static int
@@ -110,7 +109,7 @@
 	    ((*ra)->change < (*rb)->change);
 }
 
-/* Rows of the own data centre that changed since @sent, oldest first. */
+/* Rows of the own data centre that changed after @sent, oldest first. */
 static GPtrArray *
 changed_since(const struct membership *m, uint64_t sent)
 {
@@ -127,11 +126,14 @@
 	return changed;
 }
 
-/* Send what changed at home; what is too much waits for the next look. */
+/*
+ * Sends changed rows of the own data centre; rows beyond the limit wait for the
+ * next check.
+ */
 static void
 send_changes(struct membership *m, struct dc *dc, const struct net_addr *to)
 {
-	GPtrArray *changed = changed_since(m, dc->relay_sent);
+	GPtrArray *changed = changed_since(m, dc->relay_sent_change);
 	uint32_t datagrams = 0, i;
 	struct batch b = {.n = 0};
 	const struct row *r;
@@ -140,15 +142,15 @@
 		r = changed->pdata[i];
 		if (!batch_add(&b, r)) {
 			send_batch(m, to, &b);
-			if (++datagrams == DATAGRAMS_PER_LOOK)
+			if (++datagrams == DATAGRAMS_PER_CHECK)
 				break;
 			(void)batch_add(&b, r);
 		}
-		dc->relay_sent = r->change;
+		dc->relay_sent_change = r->change;
 	}
 	send_batch(m, to, &b);
 	if (i == changed->len)
-		dc->relay_sent = m->home->change;
+		dc->relay_sent_change = m->home->change;
 	g_ptr_array_unref(changed);
 }
 
@@ -158,12 +160,13 @@
 	const struct member *peer;
 	uint32_t half = m->settings.relay_interval_ms / 2;
 
-	if (dc->relay_sent == m->home->change && m->now_ms < dc->relay_next_ms)
+	if (dc->relay_sent_change == m->home->change &&
+	    m->now_ms < dc->relay_next_ms)
 		return;
 	peer = peer_in(m, dc);
 	if (peer == NULL)
 		return;
-	if (dc->relay_sent != m->home->change)
+	if (dc->relay_sent_change != m->home->change)
 		send_changes(m, dc, &peer->address);
 	if (m->now_ms < dc->relay_next_ms)
 		return;
@@ -178,9 +181,9 @@
 	struct dc *dc;
 	uint32_t i;
 
-	if (m->phase != MEMBERSHIP_JOINED || m->now_ms < m->relays_ms)
+	if (m->phase != MEMBERSHIP_JOINED || m->now_ms < m->relays_check_ms)
 		return;
-	m->relays_ms = m->now_ms + LOOK_INTERVAL_MS;
+	m->relays_check_ms = m->now_ms + CHECK_INTERVAL_MS;
 	choose(m);
 	for (i = 0; i < m->table.dcs->len; i++) {
 		dc = m->table.dcs->pdata[i];
@@ -194,7 +197,7 @@
 {
 	if (m->phase != MEMBERSHIP_JOINED || m->table.dcs->len < 2)
 		return DEADLINE_NEVER;
-	return m->relays_ms;
+	return m->relays_check_ms;
 }
 
 void
--- a/packages/membership/src/settle.c
+++ b/packages/membership/src/settle.c
@@ -1,13 +1,13 @@
 /*
- * Settling: a node that has just started compares its table with others
- * often, until they agree.
+ * Settling: a node that has just started compares its table with those of peers
+ * at short intervals, until they agree.
  *
- * After a loss of all power nobody has a table to hand out.  News alone then
- * takes seconds: each record is passed on some ten times at 3 KB/s a node.
- * Here a node sends four bytes for each row that it holds to a peer by
- * chance; both send each other what the other lacks.  What both know is at
- * least doubled each time, so 195 hosts that know 16 others each need some
- * four rounds.  Records that come so are not passed on as news.
+ * After a total loss of power no node has a table to serve, and gossip alone
+ * takes seconds: each record is sent some ten times at 3 KB/s per node.  Here a
+ * node sends four bytes for each row in its table to a random peer, and both
+ * send each other the rows that the other lacks.  Each comparison at least
+ * doubles the rows that both know, so 195 hosts that know 16 others each need
+ * some four rounds.  Records received this way are not gossiped.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,40 +19,52 @@
 #include "send.h"
 #include "settle.h"
 
-/* Between two comparisons, half of it to one and a half.  Some ten round
- * trips inside a region, and eight comparisons in the second in which callers
- * are to find their upstreams. */
+/*
+ * Mean interval between two comparisons, from half to one and a half times
+ * this.  That is some ten round trips inside a region, and eight comparisons in
+ * the second in which callers have to find their upstreams.
+ */
 #define INTERVAL_MS 120
 
-/* A node that joined this long ago leaves the rest to anti-entropy. */
-#define SETTLED_AFTER_MS 5000
+/* Time after the start at which anti-entropy takes over. */
+#define PERIOD_MAX_MS 5000
 
-/* So many comparisons in a row that found nothing end it sooner, but not while
- * hosts that lost power with this one may still be starting. */
-#define SAME_ENOUGH 3
-#define LEAST_MS 1000
+/*
+ * This many comparisons in a row without a difference end the period early, but
+ * not while hosts that lost power at the same time may still be starting.
+ */
+#define EQUAL_NEEDED 3
+#define PERIOD_MIN_MS 1000
 
-/* Rows that one comparison is to be about: four bytes each leave room in a
- * datagram where slices differ in size. */
+/*
+ * Target rows per comparison: at four bytes each, these leave room in a
+ * datagram for slices above the average size.
+ */
 #define ROWS_PER_SLICE 200
 
-/* Seed that keeps slices apart from buckets. */
+/* Seed that keeps the hash for slices apart from that for buckets. */
 #define SLICE_SEED 0x736c6963U
 
-/* Datagrams of records that answer one comparison: 30 ms of a link of
- * 5 Mbit/s.  The rest is for the next comparison. */
+/*
+ * Most datagrams of records that answer a comparison: 30 ms of a link of 5
+ * Mbit/s.  The next comparison covers the remaining records.
+ */
 #define DATAGRAMS_MAX 16
 
-/* Slices that are compared at a time, each with another peer, so that 800
- * hosts are no slower than 200. */
+/*
+ * Slices compared at a time, each with another peer, so that 800 hosts converge
+ * as fast as 200.
+ */
 #define SLICES_AT_ONCE 4
 
 #define MARKS_MAX (MSG_COMPARE_MARKS_MAX / sizeof(uint32_t))
 
-/* What a comparison is about. */
+/*
+ * The part of the table that a comparison covers, selected by hash of the host.
+ */
 struct slice {
 	uint32_t n;
-	uint32_t at;
+	uint32_t pos;
 };
 
 static int
@@ -61,23 +73,26 @@
 	const char *host = r->member.host;
 
 	return s->n <= 1 ||
-	    hash64(host, strlen(host), SLICE_SEED) % s->n == s->at;
+	    hash64(host, strlen(host), SLICE_SEED) % s->n == s->pos;
 }
 
 static int
-counts(const struct row *r, const struct slice *s)
+in_scope(const struct row *r, const struct slice *s)
 {
 	return member_is_live(&r->member) && in_slice(r, s);
 }
 
-/* As it is sent, so that marks are compared without being decoded. */
+/*
+ * Mark of a row, in wire byte order, so that marks are compared without being
+ * decoded.
+ */
 static uint32_t
 mark_of(const struct row *r)
 {
 	return GUINT32_TO_LE((uint32_t)table_row_hash(r));
 }
 
-/* Gives the marks of the rows that count; free it. */
+/* Returns the marks of the rows in scope; free them. */
 static GArray *
 marks_new(const struct membership *m, const struct slice *s)
 {
@@ -88,7 +103,7 @@
 
 	g_hash_table_iter_init(&it, m->table.hosts);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		if (!counts(p, s) || marks->len == MARKS_MAX)
+		if (!in_scope(p, s) || marks->len == MARKS_MAX)
 			continue;
 		mark = mark_of(p);
 		g_array_append_val(marks, mark);
@@ -107,7 +122,7 @@
 	memset(&msg, 0, sizeof(msg));
 	(void)g_strlcpy(msg.host, m->settings.host, sizeof(msg.host));
 	msg.slices = s->n;
-	msg.slice = s->at;
+	msg.slice = s->pos;
 	msg.answer = answer != 0;
 	msg.marks = (const uint8_t *)marks->data;
 	msg.marks_len = marks->len * (uint32_t)sizeof(uint32_t);
@@ -122,19 +137,20 @@
 	struct slice s;
 
 	s.n = (m->table.live + ROWS_PER_SLICE - 1) / ROWS_PER_SLICE;
-	s.at = random_below(m, s.n);
+	s.pos = random_below(m, s.n);
 	return s;
 }
 
 static void
-ask(struct membership *m, const struct net_addr *to, const struct slice *s)
+start_comparison(
+    struct membership *m, const struct net_addr *to, const struct slice *s)
 {
 	send_compare(m, to, s, 0);
 	m->counters.compared++;
 }
 
 static void
-ask_some(struct membership *m)
+compare_slices(struct membership *m)
 {
 	struct slice s = random_slice(m);
 	const struct member *peer;
@@ -144,8 +160,8 @@
 		peer = membership_random(m, NULL, MEMBER_STATES_LIVE);
 		if (peer == NULL)
 			return;
-		ask(m, &peer->address, &s);
-		s.at = (s.at + 1) % s.n;
+		start_comparison(m, &peer->address, &s);
+		s.pos = (s.pos + 1) % s.n;
 	}
 }
 
@@ -154,27 +170,27 @@
 {
 	struct settling *s = &m->settling;
 
-	s->until_ms = m->now_ms + SETTLED_AFTER_MS;
+	s->end_ms = m->now_ms + PERIOD_MAX_MS;
 	s->next_ms = m->now_ms;
-	s->same = 0;
+	s->n_equal = 0;
 }
 
 void
-settle_with(struct membership *m, const struct net_addr *peer)
+settle_compare(struct membership *m, const struct net_addr *peer)
 {
 	struct slice s = random_slice(m);
 
-	if (m->now_ms >= m->settling.until_ms) {
+	if (m->now_ms >= m->settling.end_ms) {
 		settle_begin(m);
 		m->settling.next_ms = m->now_ms + INTERVAL_MS;
 	}
-	ask(m, peer, &s);
+	start_comparison(m, peer, &s);
 }
 
 static int
-settling(const struct membership *m)
+is_settling(const struct membership *m)
 {
-	return m->now_ms < m->settling.until_ms &&
+	return m->now_ms < m->settling.end_ms &&
 	    (m->phase == MEMBERSHIP_JOINED || m->phase == MEMBERSHIP_JOINING);
 }
 
@@ -183,16 +199,16 @@
 {
 	struct settling *s = &m->settling;
 
-	if (!settling(m) || m->now_ms < s->next_ms)
+	if (!is_settling(m) || m->now_ms < s->next_ms)
 		return;
 	s->next_ms = m->now_ms + INTERVAL_MS / 2 + random_below(m, INTERVAL_MS);
-	ask_some(m);
+	compare_slices(m);
 }
 
 uint64_t
 settle_next_ms(const struct membership *m)
 {
-	return settling(m) ? m->settling.next_ms : DEADLINE_NEVER;
+	return is_settling(m) ? m->settling.next_ms : DEADLINE_NEVER;
 }
 
 static int
@@ -218,7 +234,7 @@
 	batch_clear(b);
 }
 
-/* Whether marks in order have this one; an empty array has no data. */
+/* Whether sorted marks contain a mark; an empty array has no data pointer. */
 static int
 has_mark(const GArray *marks, uint32_t mark)
 {
@@ -227,9 +243,10 @@
 	    NULL;
 }
 
-/* Rows that the peer lacks, which marks @theirs. */
+/* Rows of the slice that are not among the peer's marks @theirs. */
 static GPtrArray *
-lacking(const struct membership *m, const struct slice *s, const GArray *theirs)
+missing_rows(
+    const struct membership *m, const struct slice *s, const GArray *theirs)
 {
 	GPtrArray *rows = g_ptr_array_new();
 	GHashTableIter it;
@@ -237,7 +254,7 @@
 
 	g_hash_table_iter_init(&it, m->table.hosts);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		if (!counts(p, s))
+		if (!in_scope(p, s))
 			continue;
 		if (!has_mark(theirs, mark_of(p)))
 			g_ptr_array_add(rows, p);
@@ -245,9 +262,10 @@
 	return rows;
 }
 
-/* Send rows from a random one on, as many as one answer may have. */
+/* Sends rows from a random row on, up to the limit of an answer. */
 static void
-give(struct membership *m, const struct net_addr *to, const GPtrArray *rows)
+send_missing(
+    struct membership *m, const struct net_addr *to, const GPtrArray *rows)
 {
 	uint32_t start = random_below(m, rows->len), sent = 0, i;
 	struct batch b = {.n = 0};
@@ -265,9 +283,9 @@
 		send_rows(m, to, &b);
 }
 
-/* The peer's marks, in order; free it. */
+/* Returns the peer's marks, sorted; free them. */
 static GArray *
-marks_of(const struct msg_compare *msg)
+decode_marks(const struct msg_compare *msg)
 {
 	GArray *marks = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
@@ -277,16 +295,16 @@
 	return marks;
 }
 
-/* An answer came: nothing to give and as many rows there as here. */
+/* Handles an answer; @same: no row was missing on either side. */
 static void
-note_answer(struct membership *m, int same)
+on_answer(struct membership *m, int same)
 {
 	struct settling *s = &m->settling;
 
-	s->same = same ? s->same + 1 : 0;
-	if (s->same >= SAME_ENOUGH && m->phase == MEMBERSHIP_JOINED &&
-	    m->now_ms >= m->joined_ms + LEAST_MS)
-		s->until_ms = m->now_ms;
+	s->n_equal = same ? s->n_equal + 1 : 0;
+	if (s->n_equal >= EQUAL_NEEDED && m->phase == MEMBERSHIP_JOINED &&
+	    m->now_ms >= m->joined_ms + PERIOD_MIN_MS)
+		s->end_ms = m->now_ms;
 }
 
 static void
@@ -294,14 +312,14 @@
     const struct msg_compare *msg)
 {
 	const struct slice s = {msg->slices, msg->slice};
-	GArray *theirs = marks_of(msg), *ours = marks_new(m, &s);
-	GPtrArray *rows = lacking(m, &s, theirs);
+	GArray *theirs = decode_marks(msg), *ours = marks_new(m, &s);
+	GPtrArray *rows = missing_rows(m, &s, theirs);
 	int same = rows->len == 0 && theirs->len == ours->len;
 
 	if (rows->len > 0)
-		give(m, from, rows);
+		send_missing(m, from, rows);
 	if (msg->answer)
-		note_answer(m, same);
+		on_answer(m, same);
 	else
 		send_compare(m, from, &s, 1);
 	g_ptr_array_unref(rows);
@@ -310,7 +328,7 @@
 }
 
 static int
-answers(const struct membership *m)
+accepts(const struct membership *m)
 {
 	return m->phase == MEMBERSHIP_JOINED || m->phase == MEMBERSHIP_JOINING;
 }
@@ -321,7 +339,7 @@
 {
 	struct msg_compare msg;
 
-	if (!answers(m))
+	if (!accepts(m))
 		return;
 	if (msg_compare_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
@@ -336,7 +354,7 @@
 {
 	struct msg_rows msg;
 
-	if (!answers(m))
+	if (!accepts(m))
 		return;
 	if (msg_rows_decode(body, len, &msg) != STATUS_OK) {
 		m->counters.rejected++;
--- a/packages/membership/src/sync.c
+++ b/packages/membership/src/sync.c
@@ -1,11 +1,11 @@
 /*
- * Anti-entropy: finding and repairing differences between two tables.
+ * Anti-entropy: finds and repairs differences between two tables.
  *
- * A sends the digests of its data centres; B answers with the buckets of
- * those that differ; A sends the keys of the buckets that differ; B sends
- * the records that A lacks and the keys of those that it lacks itself; A
- * sends these.  Each step goes over a bounded part of the table, so that a
- * large difference takes several exchanges.
+ * Node A sends the digests of its data centres.  B replies with the bucket
+ * digests of the data centres that differ.  A sends the keys of the buckets
+ * that differ.  B sends the records that A lacks, and the keys of those that B
+ * lacks, which A then sends.  Each step covers a bounded part of the table, so
+ * that a large difference takes several exchanges.
  */
 #include <string.h>
 
@@ -16,19 +16,24 @@
 #include "sync.h"
 #include "table.h"
 
-/* Data centres and buckets that one exchange goes into. */
+/* Data centres and buckets that one exchange covers. */
 #define DCS_PER_SYNC 4
 #define BUCKETS_PER_SYNC 32
 
-/* Differing digests in a row that begin an exchange with a node of the own
- * data centre; one alone may be news on its way. */
+/*
+ * Differing digests in a row that start an exchange with a node of the own data
+ * centre; a single difference may be gossip in transit.
+ */
 #define MISMATCHES_MIN 2
 
-/* A host that appeared this recently may be unknown at its home yet. */
+/*
+ * A host that appeared this recently may still be unknown in its own data
+ * centre.
+ */
 #define AUTHORITY_GRACE_MS 30000
 
 static void
-begin(struct membership *m, const struct net_addr *to)
+start_exchange(struct membership *m, const struct net_addr *to)
 {
 	struct rec_data_centre_digest digests[DATA_CENTRES_MAX];
 	uint32_t half = m->settings.sync_interval_ms / 2, i;
@@ -54,7 +59,7 @@
 }
 
 void
-sync_consider(struct membership *m, const struct net_addr *from,
+sync_check_root(struct membership *m, const struct net_addr *from,
     const struct row *peer, uint64_t root)
 {
 	int home = peer != NULL && peer->dc == m->home;
@@ -67,7 +72,7 @@
 		return;
 	if (++m->mismatches < MISMATCHES_MIN && home)
 		return;
-	begin(m, from);
+	start_exchange(m, from);
 }
 
 static void
@@ -152,10 +157,10 @@
 	memcpy(msg.data_centre, dc->name, sizeof(msg.data_centre));
 	msg.bucket = bucket;
 	msg.wants = wants;
-	msg.authority = !wants && dc == m->home && merge_authority(m);
+	msg.authority = !wants && dc == m->home && merge_is_authority(m);
 	msg.keys = (struct rec_member_key *)(void *)keys->data;
 	msg.n_keys = MIN(keys->len, MSG_SYNC_KEYS_KEYS_MAX);
-	/* A list that was cut short can't speak for who is missing. */
+	/* A truncated list says nothing about missing hosts. */
 	msg.authority = msg.authority && msg.n_keys == keys->len;
 	msg_sync_keys_encode(&msg, body);
 	send_either(m, to, MSG_SYNC_KEYS, body);
@@ -178,7 +183,7 @@
 
 	for (i = 0; i < dc->rows->len; i++) {
 		r = dc->rows->pdata[i];
-		if (r->bucket != bucket || row_is_guess(r))
+		if (r->bucket != bucket || row_is_presumed_failed(r))
 			continue;
 		key_fill(r, &key);
 		g_array_append_val(keys, key);
@@ -216,7 +221,7 @@
 }
 
 static void
-batch_send(struct membership *m, const struct net_addr *to, struct batch *b,
+push_row(struct membership *m, const struct net_addr *to, struct batch *b,
     const struct row *r)
 {
 	if (batch_add(b, r))
@@ -225,9 +230,9 @@
 	(void)batch_add(b, r);
 }
 
-/* One key that the peer holds: send it ours, or want its record. */
+/* Compares a key of the peer: sends the own record or requests the peer's. */
 static void
-compare(struct membership *m, const struct net_addr *from,
+compare_key(struct membership *m, const struct net_addr *from,
     const struct rec_member_key *key, struct batch *b, GArray *wants)
 {
 	const struct row *r = table_row(&m->table, key->host);
@@ -241,62 +246,65 @@
 	key_fill(r, &own);
 	if (key->incarnation == own.incarnation &&
 	    key->started_ms != own.started_ms) {
-		/* Two processes at one incarnation: both sides show theirs. */
-		batch_send(m, from, b, r);
+		/* Two processes at one incarnation: exchange both records. */
+		push_row(m, from, b, r);
 		g_array_append_val(wants, *key);
 		return;
 	}
-	if (row_is_guess(r)) {
+	if (row_is_presumed_failed(r)) {
 		if (key->incarnation >= own.incarnation)
 			g_array_append_val(wants, *key);
 		return;
 	}
 	if (merge_newer(
 		own.incarnation, own.state, key->incarnation, key->state))
-		batch_send(m, from, b, r);
+		push_row(m, from, b, r);
 	else if (merge_newer(
 		     key->incarnation, key->state, own.incarnation, own.state))
 		g_array_append_val(wants, *key);
 }
 
-/* A host that the peer does not know: it may be news, or gone at home. */
+/*
+ * Handles a host that the peer does not know: the host is new, or has failed or
+ * left if the peer is an authority for its data centre.
+ */
 static void
-peer_lacks(struct membership *m, const struct net_addr *from, struct row *r,
+handle_missing(struct membership *m, const struct net_addr *from, struct row *r,
     int authority, struct batch *b)
 {
 	if (!member_is_live(&r->member))
 		return;
 	if (!authority || r->dc == m->home)
-		batch_send(m, from, b, r);
-	else if (m->now_ms >= r->known_ms + AUTHORITY_GRACE_MS)
-		suspicion_bury(m, r, MEMBER_FAILED);
+		push_row(m, from, b, r);
+	else if (m->now_ms >= r->changed_ms + AUTHORITY_GRACE_MS)
+		suspicion_mark_dead(m, r, MEMBER_FAILED);
 }
 
 static void
 compare_bucket(struct membership *m, const struct net_addr *from,
     const struct msg_sync_keys *msg, struct dc *dc)
 {
-	GHashTable *named = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
 	struct batch b = {.n = 0};
 	GArray *wants = keys_new();
 	struct row *r;
 	uint32_t i;
 
 	for (i = 0; i < msg->n_keys; i++) {
-		(void)g_hash_table_add(named, msg->keys[i].host);
-		compare(m, from, &msg->keys[i], &b, wants);
+		(void)g_hash_table_add(listed, msg->keys[i].host);
+		compare_key(m, from, &msg->keys[i], &b, wants);
 	}
 	for (i = 0; i < dc->rows->len; i++) {
 		r = dc->rows->pdata[i];
 		if (r->bucket == msg->bucket &&
-		    !g_hash_table_contains(named, r->member.host))
-			peer_lacks(m, from, r, msg->authority, &b);
+		    !g_hash_table_contains(listed, r->member.host))
+			handle_missing(m, from, r, msg->authority, &b);
 	}
 	send_batch(m, from, &b);
 	if (wants->len > 0)
 		send_keys(m, from, dc, msg->bucket, 1, wants);
 	g_array_unref(wants);
-	g_hash_table_unref(named);
+	g_hash_table_unref(listed);
 }
 
 static void
@@ -310,7 +318,7 @@
 	for (i = 0; i < msg->n_keys; i++) {
 		r = table_row(&m->table, msg->keys[i].host);
 		if (r != NULL)
-			batch_send(m, to, &b, r);
+			push_row(m, to, &b, r);
 	}
 	send_batch(m, to, &b);
 }
--- a/packages/membership/test/test_centres.c
+++ b/packages/membership/test/test_centres.c
@@ -1,6 +1,6 @@
 /*
- * Tests across data centres: news abroad, cuts, and two hosts under one name
- * or address.
+ * Tests across data centres: replication of records, partitions, and two hosts
+ * with one name or address.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -27,7 +27,7 @@
 	    state, DEADLINE_NEVER, MEMBER_COLD_UNKNOWN, NULL);
 }
 
-/* All that are up see node 1's endpoint draining. */
+/* Whether all nodes that are up hold node 1's endpoint for draining. */
 static int
 drain_known(struct fake_net *g)
 {
@@ -51,14 +51,14 @@
 
 	f = cluster_begin(seed, 30, 5, JOIN_MS);
 	announce(1, ENDPOINT_READY);
-	cluster_must(f, seed, 10000, fake_agreed, "endpoint known");
+	cluster_wait(f, seed, 10000, fake_agreed, "endpoint known");
 	announce(1, ENDPOINT_DRAINING);
-	cluster_must(f, seed, 2000, drain_known, "drain known");
+	cluster_wait(f, seed, 2000, drain_known, "drain known");
 	cluster_end(f, seed);
 }
 END_TEST
 
-/* The relays that passed news on die; others take over. */
+/* The relays die; other nodes take over. */
 START_TEST(relays_are_replaced)
 {
 	const struct member *ranked[2];
@@ -71,13 +71,13 @@
 			fake_kill(f,
 			    (uint32_t)strtoul(ranked[i]->host + 1, NULL, 10));
 	announce(1, ENDPOINT_DRAINING);
-	cluster_must(f, seed, 25000, drain_known, "drain known");
+	cluster_wait(f, seed, 25000, drain_known, "drain known");
 	cluster_end(f, seed);
 }
 END_TEST
 
 static int
-any_not_live_abroad(uint32_t dc)
+any_remote_not_live(uint32_t dc)
 {
 	uint32_t i, j;
 
@@ -90,7 +90,10 @@
 	return 0;
 }
 
-/* Cut a data centre off; hosts of both sides die, start and drain; heal. */
+/*
+ * A data centre is cut off; hosts of both sides die, start and drain; the
+ * partition heals.
+ */
 START_TEST(a_data_centre_that_is_cut_off_is_not_suspected_and_catches_up)
 {
 	uint32_t seed = (uint32_t)_i;
@@ -101,29 +104,28 @@
 	fake_run(f, 3000);
 	fake_cut_dc(f, 1, DCS, 1);
 	fake_run(f, 60000);
-	ck_assert(!any_not_live_abroad(1));
+	ck_assert(!any_remote_not_live(1));
 	announce(1, ENDPOINT_DRAINING);
-	fake_kill(f, 7); /* of the cut-off data centre */
-	fake_kill(f, 5); /* of another */
+	fake_kill(f, 7); /* in the cut-off data centre */
+	fake_kill(f, 5); /* in another data centre */
 	s = fake_settings(f, NODES, NODES % DCS);
 	(void)fake_start(f, NODES, &s, 0);
 	s = fake_settings(f, NODES + 1, (NODES + 1) % DCS);
 	(void)fake_start(f, NODES + 1, &s, 0);
 	fake_run(f, 60000);
-	ck_assert(!any_not_live_abroad(1));
+	ck_assert(!any_remote_not_live(1));
 	fake_cut_dc(f, 1, DCS, 0);
-	cluster_must(f, seed, 20000, drain_known, "drain known after healing");
-	cluster_must(
-	    f, seed, 20000, fake_all_see_all, "all live after healing");
-	cluster_must(f, seed, 20000, fake_agreed, "agreed after healing");
+	cluster_wait(f, seed, 20000, drain_known, "drain known after healing");
+	cluster_wait(f, seed, 20000, fake_all_live, "all live after healing");
+	cluster_wait(f, seed, 20000, fake_agreed, "agreed after healing");
 	ck_assert_int_ge(fake_state(f, 0, 7), MEMBER_FAILED);
 	ck_assert_int_ge(fake_state(f, 1, 5), MEMBER_FAILED);
 	cluster_end(f, seed);
 }
 END_TEST
 
-/* Two data centres lose each other while both reach the third. */
-START_TEST(news_goes_by_way_of_a_third_data_centre)
+/* Two data centres are cut off from each other, and both reach the third. */
+START_TEST(records_spread_through_a_third_data_centre)
 {
 	uint32_t seed = (uint32_t)_i, i, j;
 
@@ -135,13 +137,15 @@
 			if (i % DCS + j % DCS == 1)
 				fake_cut(f, i, j, 1);
 	announce(1, ENDPOINT_DRAINING);
-	cluster_must(f, seed, 20000, drain_known, "drain known around the cut");
+	cluster_wait(f, seed, 20000, drain_known, "drain known around the cut");
 	cluster_end(f, seed);
 }
 END_TEST
 
-/* A host leaves while a data centre is cut off for longer than tombstones
- * are kept: what that data centre still holds does not bring it back. */
+/*
+ * A host leaves while a data centre is cut off for longer than tombstones are
+ * kept.  The records of that data centre do not revive the host.
+ */
 START_TEST(a_host_that_left_during_a_cut_stays_gone)
 {
 	uint32_t seed = (uint32_t)_i, i;
@@ -156,7 +160,7 @@
 		s.forget_ms = 10000;
 		(void)fake_start(f, i, &s, 0);
 	}
-	cluster_must(f, seed, JOIN_MS, fake_agreed, "joined");
+	cluster_wait(f, seed, JOIN_MS, fake_agreed, "joined");
 	fake_run(f, 40000);
 	fake_cut_dc(f, 1, DCS, 1);
 	membership_leave(f->nodes[3].m, f->now_ms);
@@ -166,7 +170,7 @@
 	ck_assert_int_eq(fake_state(f, 0, 3), -1);
 	ck_assert_int_eq(fake_state(f, 1, 3), MEMBER_ALIVE);
 	fake_cut_dc(f, 1, DCS, 0);
-	cluster_must(f, seed, 30000, fake_agreed, "agreed after healing");
+	cluster_wait(f, seed, 30000, fake_agreed, "agreed after healing");
 	for (i = 0; i < f->n; i++)
 		ck_assert(!fake_up(f, i) || fake_state(f, i, 3) < 0 ||
 		    fake_state(f, i, 3) >= MEMBER_FAILED);
@@ -186,9 +190,11 @@
 	return fake_up(g, 4);
 }
 
-/* Node 4 is given the name of node 1.  It started later and gives way; when
- * node 1 is gone it takes the name over. */
-START_TEST(the_later_of_two_hosts_with_one_name_gives_way)
+/*
+ * Node 4 has the name of node 1.  It started later and stops serving; when node
+ * 1 is dead, node 4 takes the name over.
+ */
+START_TEST(later_host_with_a_duplicate_name_stops_serving)
 {
 	uint32_t seed = (uint32_t)_i;
 	struct membership_settings s;
@@ -199,7 +205,7 @@
 	s = fake_settings(f, 4, seed % 2);
 	(void)g_strlcpy(s.host, "h1", sizeof(s.host));
 	(void)fake_start(f, 4, &s, seed % 3 == 0 ? -3600000 : 0);
-	cluster_must(f, seed, 8000, four_in_conflict, "conflict seen");
+	cluster_wait(f, seed, 8000, four_in_conflict, "conflict seen");
 	ck_assert_uint_ge(f->nodes[4].warnings, 1);
 	ck_assert_uint_ge(f->nodes[1].warnings, 1);
 	ck_assert_ptr_nonnull(strstr(f->nodes[1].warning, "name h1"));
@@ -207,17 +213,17 @@
 	ck_assert(four_in_conflict(f));
 	ck_assert(fake_up(f, 1));
 	ck_assert_int_eq(fake_state(f, 2, 1), MEMBER_ALIVE);
-	/* No war: it went above the other a few times at most. */
+	/* The incarnations do not race: a few refutations at most. */
 	ck_assert_uint_le(
 	    membership_self(f->nodes[1].m)->incarnation, incarnation + 3);
 	fake_kill(f, 1);
-	cluster_must(f, seed, 30000, four_joined, "name taken over");
+	cluster_wait(f, seed, 30000, four_joined, "name taken over");
 	cluster_end(f, seed);
 }
 END_TEST
 
-/* Both run already when they learn of each other: a cut heals. */
-START_TEST(two_running_hosts_with_one_name_end_with_one)
+/* Both hosts are running when a partition heals and their records meet. */
+START_TEST(duplicate_names_after_a_partition_leave_one_host)
 {
 	uint32_t seed = (uint32_t)_i, i;
 	struct membership_settings s;
@@ -241,7 +247,7 @@
 	}
 	fake_run(f, 20000);
 	ck_assert_msg(membership_phase(f->nodes[9].m) == MEMBERSHIP_CONFLICT,
-	    "seed %u: the later one is %s", seed,
+	    "seed %u: the later host is %s", seed,
 	    membership_phase_name(membership_phase(f->nodes[9].m)));
 	ck_assert(fake_up(f, 2));
 	for (i = 0; i < 8; i++)
@@ -252,8 +258,8 @@
 }
 END_TEST
 
-/* Node 4 is given the address of node 1, which holds it. */
-START_TEST(a_host_with_anothers_address_gives_way)
+/* Node 4 has the address of node 1, which holds the address. */
+START_TEST(host_with_a_duplicate_address_stops_serving)
 {
 	uint32_t seed = (uint32_t)_i;
 	struct membership_settings s;
@@ -262,7 +268,7 @@
 	s = fake_settings(f, 4, 0);
 	s.address = f->nodes[1].addr;
 	(void)fake_start(f, 4, &s, 0);
-	cluster_must(f, seed, 8000, four_in_conflict, "conflict seen");
+	cluster_wait(f, seed, 8000, four_in_conflict, "conflict seen");
 	ck_assert_ptr_nonnull(strstr(f->nodes[4].warning, "address"));
 	ck_assert_ptr_nonnull(strstr(f->nodes[1].warning, "h4"));
 	fake_run(f, 30000);
@@ -273,8 +279,10 @@
 }
 END_TEST
 
-/* A host is replaced under another name at the same address: that is planned,
- * and nothing for operators to correct. */
+/*
+ * A host is replaced under another name at the same address.  That is a planned
+ * change, and operators get no warning.
+ */
 START_TEST(a_replaced_host_with_the_old_address_joins)
 {
 	uint32_t seed = (uint32_t)_i, i;
@@ -285,8 +293,8 @@
 	s = fake_settings(f, 4, 0);
 	(void)g_strlcpy(s.host, "new-host", sizeof(s.host));
 	(void)fake_start(f, 4, &s, 0);
-	cluster_must(f, seed, 10000, four_joined, "replacement joined");
-	cluster_must(f, seed, 30000, fake_agreed, "agreed");
+	cluster_wait(f, seed, 10000, four_joined, "replacement joined");
+	cluster_wait(f, seed, 30000, fake_agreed, "agreed");
 	ck_assert_ptr_nonnull(membership_find(f->nodes[2].m, "new-host"));
 	for (i = 0; i < f->n; i++)
 		ck_assert_msg(f->nodes[i].warnings == 0, "node %u: %s", i,
@@ -309,15 +317,15 @@
 	    a_data_centre_that_is_cut_off_is_not_suspected_and_catches_up, 0,
 	    SEEDS);
 	tcase_add_loop_test(
-	    tc, news_goes_by_way_of_a_third_data_centre, 0, SEEDS);
+	    tc, records_spread_through_a_third_data_centre, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, a_host_that_left_during_a_cut_stays_gone, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, the_later_of_two_hosts_with_one_name_gives_way, 0, SEEDS);
+	    tc, later_host_with_a_duplicate_name_stops_serving, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, two_running_hosts_with_one_name_end_with_one, 0, SEEDS);
+	    tc, duplicate_names_after_a_partition_leave_one_host, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, a_host_with_anothers_address_gives_way, 0, SEEDS);
+	    tc, host_with_a_duplicate_address_stops_serving, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, a_replaced_host_with_the_old_address_joins, 0, SEEDS);
 	suite_add_tcase(s, tc);
--- a/packages/membership/test/test_finder.c
+++ b/packages/membership/test/test_finder.c
@@ -1,5 +1,6 @@
 /*
- * When the directory at the platform is written and read, and who stands in it.
+ * Schedule of the directory's reads and writes, and selection of the registered
+ * hosts.
  */
 #include <string.h>
 
@@ -13,20 +14,20 @@
 
 #define SAMPLE 16
 
-/* Ends a call as a directory of @others other entries would. */
+/* Ends a call; a lookup finds @others entries of other nodes. */
 static void
 end_call(struct finder *f, enum finder_action a, uint32_t others, int ok,
     uint64_t now_ms)
 {
 	if (!ok)
 		finder_failed(f, now_ms);
-	else if (a == FINDER_ENTER)
-		finder_entered(f, now_ms);
+	else if (a == FINDER_REGISTER)
+		finder_registered(f, now_ms);
 	else
-		finder_found(f, others, 0, now_ms);
+		finder_looked_up(f, others, 0, now_ms);
 }
 
-/* Steps of 10 ms; the calls that a node makes in @ms. */
+/* Runs the finder in steps of 10 ms; returns the calls made in @ms. */
 static uint32_t
 calls_in(struct finder *f, struct finder_view view, int ok, uint64_t *now_ms,
     uint64_t ms)
@@ -47,40 +48,44 @@
 
 static const struct finder_view alone = {0, 1, 1};
 
-/* A node that starts and looks: at the time that is returned it has found
- * @others, and its own entry if @own. */
+/*
+ * Starts a node whose first lookup finds @others, and the own entry if @own.
+ * Returns the time of the lookup.
+ */
 static uint64_t
-first_look(struct finder *f, uint32_t others, int own)
+first_lookup(struct finder *f, uint32_t others, int own)
 {
 	uint64_t now_ms = 1000;
 
 	finder_init(f, 1, now_ms);
-	ck_assert_int_eq(finder_next(f, &alone, now_ms), FINDER_SAMPLE);
+	ck_assert_int_eq(finder_next(f, &alone, now_ms), FINDER_LOOK_UP);
 	ck_assert_uint_eq(finder_due_ms(f), DEADLINE_NEVER);
-	finder_found(f, others, own, now_ms);
+	finder_looked_up(f, others, own, now_ms);
 	return now_ms;
 }
 
-START_TEST(a_node_with_peers_asks_no_more)
+START_TEST(node_with_peers_makes_no_further_calls)
 {
 	const struct finder_view ten = {1, 10, 0}, four = {1, 4, 0};
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 0);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 0);
 
 	ck_assert_uint_eq(calls_in(&f, ten, 1, &now_ms, 60000), 0);
-	/* More than half of them are lost at once. */
+	/* More than half of the peers are lost at once. */
 	ck_assert_uint_ge(calls_in(&f, four, 1, &now_ms, 3000), 1);
 	finder_clear(&f);
 }
 END_TEST
 
-/* Its place was another's, or nobody's: it is written once, and not before a
- * host that is restarted is back. */
-START_TEST(the_holder_of_a_place_enters_itself_once)
+/*
+ * The place has another entry or none.  The holder writes the entry once, and
+ * not before a restarted host would be back.
+ */
+START_TEST(holder_of_a_place_registers_once)
 {
 	const struct finder_view holder = {1, 10, 1};
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 0);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 0);
 
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 9000), 0);
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 60000), 1);
@@ -88,22 +93,24 @@
 }
 END_TEST
 
-START_TEST(a_holder_that_stands_in_its_place_writes_nothing)
+START_TEST(registered_holder_does_not_register_again)
 {
 	const struct finder_view holder = {1, 10, 1}, other = {1, 10, 0};
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 1);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 1);
 
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 60000), 0);
-	/* Another one was the holder meanwhile and wrote over it. */
+	/* Another host was the holder meanwhile and overwrote the entry. */
 	ck_assert_uint_eq(calls_in(&f, other, 1, &now_ms, 20000), 0);
 	ck_assert_uint_eq(calls_in(&f, holder, 1, &now_ms, 60000), 1);
 	finder_clear(&f);
 }
 END_TEST
 
-/* The first hosts of a fleet find nobody: each must be found by the others. */
-START_TEST(who_finds_few_enters_itself_and_looks_again)
+/*
+ * The first hosts of a fleet find no entries; each must be found by the others.
+ */
+START_TEST(node_that_finds_few_registers_and_looks_up_again)
 {
 	struct finder f;
 	uint64_t now_ms = 1000;
@@ -111,51 +118,58 @@
 	finder_init(&f, 1, now_ms);
 	do {
 		ck_assert_int_eq(
-		    finder_next(&f, &alone, now_ms), FINDER_SAMPLE);
-		finder_found(&f, 0, 0, now_ms);
+		    finder_next(&f, &alone, now_ms), FINDER_LOOK_UP);
+		finder_looked_up(&f, 0, 0, now_ms);
 		ck_assert_uint_le(finder_due_ms(&f), now_ms + 600);
 		now_ms = finder_due_ms(&f);
-	} while (f.few == 1);
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms), FINDER_ENTER);
-	finder_entered(&f, now_ms);
+	} while (f.few_lookups == 1);
+	ck_assert_int_eq(finder_next(&f, &alone, now_ms), FINDER_REGISTER);
+	finder_registered(&f, now_ms);
 	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 400), FINDER_NONE);
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 1000), FINDER_SAMPLE);
+	ck_assert_int_eq(
+	    finder_next(&f, &alone, now_ms + 1000), FINDER_LOOK_UP);
 	finder_clear(&f);
 }
 END_TEST
 
-/* All whom it found are gone: it enters itself before it looks again. */
-START_TEST(who_is_alone_enters_itself_too)
+/* All peers found are dead: the node registers before it repeats the lookup. */
+START_TEST(node_that_is_alone_registers)
 {
 	struct finder f;
-	uint64_t now_ms = first_look(&f, SAMPLE, 0);
+	uint64_t now_ms = first_lookup(&f, SAMPLE, 0);
 
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 1000), FINDER_ENTER);
-	finder_entered(&f, now_ms + 1000);
-	ck_assert_int_eq(finder_next(&f, &alone, now_ms + 2000), FINDER_SAMPLE);
+	ck_assert_int_eq(
+	    finder_next(&f, &alone, now_ms + 1000), FINDER_REGISTER);
+	finder_registered(&f, now_ms + 1000);
+	ck_assert_int_eq(
+	    finder_next(&f, &alone, now_ms + 2000), FINDER_LOOK_UP);
 	finder_clear(&f);
 }
 END_TEST
 
-/* After the loss of all power others make themselves heard before the first
- * look: without it such a node had nobody to ask for the table. */
-START_TEST(a_node_that_only_heard_of_others_looks_too)
+/*
+ * After a total loss of power, messages of others arrive before the first
+ * lookup.  Without the lookup, such a node would have no peer to join through.
+ */
+START_TEST(node_that_has_not_joined_looks_up)
 {
-	const struct finder_view heard = {0, 9, 1};
+	const struct finder_view unjoined = {0, 9, 1};
 	struct finder f;
 	uint64_t now_ms = 1000;
 
 	finder_init(&f, 1, now_ms);
-	ck_assert_int_eq(finder_next(&f, &heard, now_ms), FINDER_SAMPLE);
+	ck_assert_int_eq(finder_next(&f, &unjoined, now_ms), FINDER_LOOK_UP);
 	finder_clear(&f);
 }
 END_TEST
 
-/* Answers of the directory take so long; entries written meanwhile are not
- * in them. */
+/*
+ * Response time of the directory; entries written meanwhile are not in the
+ * response.
+ */
 #define CALL_MS 10
 
-/* A host joins this long after a look that found others. */
+/* A host joins this long after a lookup that found others. */
 #define JOIN_MS 300
 
 #define STARTS_MS 300
@@ -169,7 +183,7 @@
 	uint32_t seen;
 };
 
-/* One host in one moment; returns the calls it begins. */
+/* Runs a host for one step; returns the calls started. */
 static uint32_t
 start_step(struct starting *s, uint32_t *entries, uint64_t now_ms)
 {
@@ -178,9 +192,9 @@
 	if (now_ms < s->start_ms)
 		return 0;
 	if (s->call != FINDER_NONE && now_ms == s->ends_ms) {
-		*entries += s->call == FINDER_ENTER;
+		*entries += s->call == FINDER_REGISTER;
 		end_call(&s->finder, s->call, MIN(s->seen, SAMPLE), 1, now_ms);
-		if (s->call == FINDER_SAMPLE && s->seen > 0)
+		if (s->call == FINDER_LOOK_UP && s->seen > 0)
 			s->joined_ms = MIN(s->joined_ms, now_ms + JOIN_MS);
 		s->call = FINDER_NONE;
 	}
@@ -193,11 +207,11 @@
 }
 
 /*
- * A fleet starts within 300 ms while the entries of before are there, or for
- * the very first time.  Each call goes to a store that all share.
+ * Calls of a fleet that starts within 300 ms with @entries in the directory; 0
+ * is the very first start.  All hosts share one store.
  */
 static uint32_t
-calls_of_a_start(uint32_t hosts, uint32_t entries)
+calls_of_a_mass_start(uint32_t hosts, uint32_t entries)
 {
 	struct starting *all = g_new0(struct starting, hosts);
 	uint32_t calls = 0, i;
@@ -217,21 +231,25 @@
 	return calls;
 }
 
-START_TEST(a_start_of_many_costs_one_call_each)
+START_TEST(mass_start_costs_one_call_per_host)
 {
 	static const uint32_t hosts[] = {76, 195, 300};
 	uint32_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(hosts); i++) {
-		ck_assert_uint_eq(calls_of_a_start(hosts[i], 40), hosts[i]);
-		ck_assert_uint_lt(calls_of_a_start(hosts[i], 0), 2 * hosts[i]);
+		ck_assert_uint_eq(
+		    calls_of_a_mass_start(hosts[i], 40), hosts[i]);
+		ck_assert_uint_lt(
+		    calls_of_a_mass_start(hosts[i], 0), 2 * hosts[i]);
 	}
 }
 END_TEST
 
-/* All of 22,000 nodes start while the store is down: full-jitter back-off
- * keeps what they ask together below 2,000 reads a second with room. */
-START_TEST(a_store_that_is_down_is_asked_ever_less)
+/*
+ * 22,000 nodes start while the store is down: full-jitter back-off is meant to
+ * keep their calls below 2,000 reads a second.
+ */
+START_TEST(calls_back_off_while_the_store_is_down)
 {
 	struct finder f;
 	uint64_t now_ms = 0;
@@ -252,7 +270,7 @@
 static struct outbox *fleet_out;
 
 static void
-fleet_hear(uint32_t i, const char *data_centre, enum member_state state)
+fleet_receive(uint32_t i, const char *data_centre, enum member_state state)
 {
 	GByteArray *body = g_byte_array_new();
 	struct rec_member rec;
@@ -295,8 +313,10 @@
 	outbox_free(fleet_out);
 }
 
-/* Of the hosts of a data centre one holds each place that any of them has, and
- * all agree on which. */
+/*
+ * Each place that a host of the data centre has is held by exactly one host,
+ * and all hosts agree on the holder.
+ */
 START_TEST(each_place_has_one_holder)
 {
 	char host[MEMBER_NAME_BYTES], place[PLACE_BYTES];
@@ -309,7 +329,7 @@
 		fleet_begin(host);
 		for (j = 0; j < FLEET; j++)
 			if (j != i)
-				fleet_hear(j, "d1", MEMBER_ALIVE);
+				fleet_receive(j, "d1", MEMBER_ALIVE);
 		places_of("d1", host, place);
 		if (places_held(fleet_node))
 			ck_assert_msg(
@@ -322,32 +342,34 @@
 }
 END_TEST
 
-START_TEST(a_host_holds_its_place_once_those_before_it_are_gone)
+START_TEST(host_holds_its_place_once_higher_ranked_hosts_left)
 {
 	uint32_t i;
 
 	fleet_begin("host-0");
 	for (i = 1; i < FLEET; i++)
-		fleet_hear(i, "d2", MEMBER_ALIVE);
+		fleet_receive(i, "d2", MEMBER_ALIVE);
 	ck_assert_msg(
 	    places_held(fleet_node), "hosts of other data centres don't count");
 	for (i = FLEET; i < 3 * FLEET; i++)
-		fleet_hear(i, "d1", MEMBER_ALIVE);
+		fleet_receive(i, "d1", MEMBER_ALIVE);
 	ck_assert(!places_held(fleet_node));
 	for (i = FLEET; i < 3 * FLEET; i++)
-		fleet_hear(i, "d1", MEMBER_LEFT);
+		fleet_receive(i, "d1", MEMBER_LEFT);
 	ck_assert(places_held(fleet_node));
 	fleet_end();
 }
 END_TEST
 
-/* A look that begins at a data centre's first place misses none of them. */
-START_TEST(places_of_a_data_centre_follow_one_another)
+/*
+ * A lookup that starts at the lower bound misses no place of the data centre.
+ */
+START_TEST(places_sort_after_the_lower_bound)
 {
 	char first[PLACE_BYTES], place[PLACE_BYTES], host[MEMBER_NAME_BYTES];
 	uint32_t i;
 
-	places_first("d1", first);
+	places_lower_bound("d1", first);
 	for (i = 0; i < FLEET; i++) {
 		(void)g_snprintf(host, sizeof(host), "host-%u", i);
 		places_of("d1", host, place);
@@ -363,18 +385,17 @@
 	Suite *suite = suite_create("finder");
 	TCase *tc = tcase_create("finder");
 
-	tcase_add_test(tc, a_node_with_peers_asks_no_more);
-	tcase_add_test(tc, the_holder_of_a_place_enters_itself_once);
-	tcase_add_test(tc, a_holder_that_stands_in_its_place_writes_nothing);
-	tcase_add_test(tc, who_finds_few_enters_itself_and_looks_again);
-	tcase_add_test(tc, who_is_alone_enters_itself_too);
-	tcase_add_test(tc, a_node_that_only_heard_of_others_looks_too);
-	tcase_add_test(tc, a_start_of_many_costs_one_call_each);
-	tcase_add_test(tc, a_store_that_is_down_is_asked_ever_less);
+	tcase_add_test(tc, node_with_peers_makes_no_further_calls);
+	tcase_add_test(tc, holder_of_a_place_registers_once);
+	tcase_add_test(tc, registered_holder_does_not_register_again);
+	tcase_add_test(tc, node_that_finds_few_registers_and_looks_up_again);
+	tcase_add_test(tc, node_that_is_alone_registers);
+	tcase_add_test(tc, node_that_has_not_joined_looks_up);
+	tcase_add_test(tc, mass_start_costs_one_call_per_host);
+	tcase_add_test(tc, calls_back_off_while_the_store_is_down);
 	tcase_add_test(tc, each_place_has_one_holder);
-	tcase_add_test(
-	    tc, a_host_holds_its_place_once_those_before_it_are_gone);
-	tcase_add_test(tc, places_of_a_data_centre_follow_one_another);
+	tcase_add_test(tc, host_holds_its_place_once_higher_ranked_hosts_left);
+	tcase_add_test(tc, places_sort_after_the_lower_bound);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/membership/test/test_found.c
+++ b/packages/membership/test/test_found.c
@@ -1,5 +1,5 @@
 /*
- * Which run of an upstream counts.
+ * Selection of the current run of an upstream.
  */
 #include <check.h>
 #include <glib.h>
@@ -13,68 +13,72 @@
 	struct instances s;
 
 	instances_init(&s);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 3), INSTANCE_CURRENT);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 2), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 4), INSTANCE_CURRENT);
-	/* Another run has begun; what the first sent before comes late. */
-	ck_assert_int_eq(instances_heard(&s, "b", 0, 1), INSTANCE_CURRENT);
-	ck_assert_int_eq(instances_heard(&s, "a", 0, 5), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 3), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 2), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 4), INSTANCE_CURRENT);
+	/* Another run has started; heartbeats of the first run arrive late. */
+	ck_assert_int_eq(instances_heartbeat(&s, "b", 0, 1), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 0, 5), INSTANCE_STALE);
 	ck_assert_str_eq(instances_current(&s), "b");
-	ck_assert_int_eq(instances_heard(&s, "b", 0, 2), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "b", 0, 2), INSTANCE_CURRENT);
 }
 END_TEST
 
-/* A node that has just started hears the late one last: the run that lives
- * goes on sending and counts again. */
-START_TEST(a_run_that_lives_counts_again)
+/*
+ * On a node that has just started, a late heartbeat of an ended run arrives
+ * last.  The live run continues its heartbeats and becomes current again.
+ */
+START_TEST(replaced_run_that_is_alive_becomes_current_again)
 {
 	struct instances s;
 
 	instances_init(&s);
-	(void)instances_heard(&s, "lives", 0, 7);
-	(void)instances_heard(&s, "ended", 0, 9);
+	(void)instances_heartbeat(&s, "lives", 0, 7);
+	(void)instances_heartbeat(&s, "ended", 0, 9);
 	ck_assert_str_eq(instances_current(&s), "ended");
-	ck_assert_int_eq(instances_heard(&s, "lives", 0, 8), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "lives", 0, 9), INSTANCE_CURRENT);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "lives", 0, 8), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "lives", 0, 9), INSTANCE_CURRENT);
 	ck_assert_str_eq(instances_current(&s), "lives");
 }
 END_TEST
 
-START_TEST(what_has_left_never_returns)
+START_TEST(heartbeats_after_a_leave_are_stale)
 {
 	struct instances s;
 	char id[16];
 	int i;
 
 	instances_init(&s);
-	(void)instances_heard(&s, "a", 0, 1);
+	(void)instances_heartbeat(&s, "a", 0, 1);
 	ck_assert_int_eq(instances_left(&s, "a", 0), 1);
 	ck_assert_int_eq(instances_left(&s, "a", 0), 0);
 	for (i = 2; i < 10; i++)
-		ck_assert_int_eq(
-		    instances_heard(&s, "a", 0, (uint64_t)i), INSTANCE_STALE);
+		ck_assert_int_eq(instances_heartbeat(&s, "a", 0, (uint64_t)i),
+		    INSTANCE_STALE);
 	ck_assert_str_eq(instances_current(&s), "");
-	/* Also one that was never heard here before it left. */
+	/* The same holds for a run whose first message here is its leave. */
 	ck_assert_int_eq(instances_left(&s, "x", 0), 0);
-	ck_assert_int_eq(instances_heard(&s, "x", 0, 1), INSTANCE_STALE);
-	/* More runs than are remembered do no harm. */
+	ck_assert_int_eq(instances_heartbeat(&s, "x", 0, 1), INSTANCE_STALE);
+	/* More runs than INSTANCES_MAX. */
 	for (i = 0; i < 3 * INSTANCES_MAX; i++) {
 		(void)g_snprintf(id, sizeof(id), "run-%d", i);
 		ck_assert_int_eq(
-		    instances_heard(&s, id, 0, 1), INSTANCE_CURRENT);
+		    instances_heartbeat(&s, id, 0, 1), INSTANCE_CURRENT);
 	}
-	ck_assert_int_eq(instances_heard(&s, "", 0, 1), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "", 0, 1), INSTANCE_STALE);
 }
 END_TEST
 
-START_TEST(the_latest_run_is_known_until_another_counts)
+START_TEST(latest_run_is_kept_until_another_is_current)
 {
 	struct instances s;
 
 	instances_init(&s);
 	ck_assert(!instances_is_latest(&s, "", 0));
 	ck_assert(!instances_is_latest(&s, "a", 0));
-	(void)instances_heard(&s, "a", 1000, 1);
+	(void)instances_heartbeat(&s, "a", 1000, 1);
 	ck_assert(instances_is_latest(&s, "a", 1000));
 	ck_assert(instances_is_latest(&s, "a", 0));
 	ck_assert(!instances_is_latest(&s, "a", 2000));
@@ -82,40 +86,46 @@
 	ck_assert_int_eq(instances_left(&s, "a", 1000), 1);
 	ck_assert(instances_is_latest(&s, "a", 1000));
 	ck_assert(!instances_is_latest(&s, "a", 2000));
-	(void)instances_heard(&s, "b", 3000, 1);
+	(void)instances_heartbeat(&s, "b", 3000, 1);
 	ck_assert(!instances_is_latest(&s, "a", 1000));
 	ck_assert(instances_is_latest(&s, "b", 3000));
 }
 END_TEST
 
 /*
- * An upstream that starts again under its name counts from 1 again.  Without
- * the time of its start its heartbeats would be late ones for as long as the
- * earlier run had lived, and its host idle.
+ * An upstream that restarts under its name counts its heartbeats from 1 again.
+ * Without its start time, they would be stale for as long as the earlier run
+ * had lived, and its host idle.
  */
 START_TEST(a_later_start_under_the_same_name_is_a_new_run)
 {
 	struct instances s;
 
 	instances_init(&s);
-	ck_assert_int_eq(instances_heard(&s, "a", 1000, 50), INSTANCE_CURRENT);
-	ck_assert_int_eq(instances_heard(&s, "a", 2000, 1), INSTANCE_CURRENT);
-	ck_assert_uint_eq(instances_current_born_ms(&s), 2000);
-	/* What the earlier run said, or says of its end, comes late. */
-	ck_assert_int_eq(instances_heard(&s, "a", 1000, 51), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 1000, 50), INSTANCE_CURRENT);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 2000, 1), INSTANCE_CURRENT);
+	ck_assert_uint_eq(instances_current_started_ms(&s), 2000);
+	/* Heartbeats and the leave of the earlier run arrive late. */
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 1000, 51), INSTANCE_STALE);
 	ck_assert_int_eq(instances_left(&s, "a", 1000), 0);
-	ck_assert_int_eq(instances_heard(&s, "a", 2000, 2), INSTANCE_CURRENT);
-	/* One that left may start again, too. */
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 2000, 2), INSTANCE_CURRENT);
+	/* A run that left may start again. */
 	ck_assert_int_eq(instances_left(&s, "a", 2000), 1);
-	ck_assert_int_eq(instances_heard(&s, "a", 2000, 3), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "a", 3000, 1), INSTANCE_CURRENT);
-	/* A run of another name that started earlier is no successor. */
-	ck_assert_int_eq(instances_heard(&s, "b", 2500, 9), INSTANCE_STALE);
-	ck_assert_int_eq(instances_heard(&s, "c", 4000, 1), INSTANCE_CURRENT);
+	ck_assert_int_eq(instances_heartbeat(&s, "a", 2000, 3), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "a", 3000, 1), INSTANCE_CURRENT);
+	/* A run with another name and an earlier start is no successor. */
+	ck_assert_int_eq(instances_heartbeat(&s, "b", 2500, 9), INSTANCE_STALE);
+	ck_assert_int_eq(
+	    instances_heartbeat(&s, "c", 4000, 1), INSTANCE_CURRENT);
 	ck_assert_str_eq(instances_current(&s), "c");
-	/* The end of a later run than the one that was heard. */
+	/* The leave of a later run than the one known. */
 	ck_assert_int_eq(instances_left(&s, "c", 5000), 1);
-	ck_assert_int_eq(instances_heard(&s, "c", 4000, 2), INSTANCE_STALE);
+	ck_assert_int_eq(instances_heartbeat(&s, "c", 4000, 2), INSTANCE_STALE);
 }
 END_TEST
 
@@ -126,9 +136,9 @@
 	TCase *tc = tcase_create("found");
 
 	tcase_add_test(tc, late_heartbeats_change_nothing);
-	tcase_add_test(tc, a_run_that_lives_counts_again);
-	tcase_add_test(tc, what_has_left_never_returns);
-	tcase_add_test(tc, the_latest_run_is_known_until_another_counts);
+	tcase_add_test(tc, replaced_run_that_is_alive_becomes_current_again);
+	tcase_add_test(tc, heartbeats_after_a_leave_are_stale);
+	tcase_add_test(tc, latest_run_is_kept_until_another_is_current);
 	tcase_add_test(tc, a_later_start_under_the_same_name_is_a_new_run);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
