--- a/packages/node/src/entry.c
+++ b/packages/node/src/entry.c
@@ -152,7 +152,8 @@
 
 	if (notice_ms == 0)
 		notice_ms = left_ms / NOTICE_SHARE;
-	until_ms = drain_serves_until_ms(notice_ms, order->deadline_ms, now_ms);
+	until_ms =
+	    drain_accepts_until_ms(notice_ms, order->deadline_ms, now_ms);
 	drain_begin(&e->drain, until_ms - now_ms, left_ms, now_ms);
 	loop_timer_set(&e->drain_timer, drain_wake_ms(&e->drain));
 	log_info("draining, %u calls in flight", entry_in_flight(e));
--- a/packages/node/src/entry_answer.c
+++ b/packages/node/src/entry_answer.c
@@ -141,7 +141,7 @@
 	}
 	a->retry_after_ms = action->retry_after_ms;
 	if (action->refusal == REFUSAL_SUPERSEDED)
-		a->retry_after_ms = BEHIND_FIRST_MS;
+		a->retry_after_ms = BEHIND_RETRY_MIN_MS;
 	a->version = c->snapshot->version;
 	call_exchange_answer(c->exchange, a, NULL, EXCHANGE_WHOLE);
 }
--- a/packages/node/src/entry_attempt.c
+++ b/packages/node/src/entry_attempt.c
@@ -121,7 +121,7 @@
 	metric_add(&metric_resolves, 1);
 	if (call_link_send(&a->peer->link, MSG_CALL_RESOLVE, &m) != STATUS_OK) {
 		entry_peer_remove(a);
-		call_unresolved(c->decision, a->action.stream, now_ms);
+		call_resolve_failed(c->decision, a->action.stream, now_ms);
 	}
 }
 
@@ -159,8 +159,8 @@
 		return;
 	if (a->head_us == 0 && result != ENDPOINT_CANCELLED)
 		return;
-	endpoints_way(e->endpoints, a->action.endpoint, until_us - a->sent_us,
-	    a->upstream_us, loop_now_ms(e->loop));
+	endpoints_record_delay(e->endpoints, a->action.endpoint,
+	    until_us - a->sent_us, a->upstream_us, loop_now_ms(e->loop));
 }
 
 void
@@ -188,7 +188,7 @@
 	entry_log_attempt(a, silent ? "silent" : "unreachable");
 	entry_attempt_end(a, silent ? ENDPOINT_SILENT : ENDPOINT_UNREACHABLE);
 	if (a->kind == ATTEMPT_SEND && a->stream == 0)
-		call_unsent(c->decision, a->action.stream, now_ms);
+		call_connect_failed(c->decision, a->action.stream, now_ms);
 	else
 		call_lost(c->decision, a->action.stream, now_ms);
 	entry_call_run(c);
--- a/packages/node/src/entry_behind.c
+++ b/packages/node/src/entry_behind.c
@@ -59,7 +59,7 @@
 entry_is_late(const struct entry *e)
 {
 	return behind_age_ms(&e->awaited, loop_now_ms(e->loop)) >=
-	    superseded_within_ms(e->settings->in_force_within_ms);
+	    superseded_grace_ms(e->settings->in_force_within_ms);
 }
 
 static void
--- a/packages/node/src/entry_body.c
+++ b/packages/node/src/entry_body.c
@@ -74,7 +74,7 @@
 		g_queue_push_tail(&b->pieces, piece);
 		if (b->held && b->bytes > ENTRY_BODY_KEEP_BYTES) {
 			b->held = false;
-			call_body_gone(c->decision);
+			call_body_discarded(c->decision);
 		}
 	}
 }
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -138,7 +138,7 @@
 	struct entry *e = c->entry;
 	struct placement_query q = {.service = c->service->id,
 	    .idempotent = c->idempotent,
-	    .not_own = entry_is_late(e)};
+	    .avoid_own = entry_is_late(e)};
 	struct placement_choice choice;
 	const struct endpoint *ep;
 	uint64_t now_ms = loop_now_ms(e->loop);
@@ -151,7 +151,7 @@
 	}
 	q.tried = call_tried(c->decision, &q.n_tried);
 	if (!choose(c, &q, now_ms, &choice)) {
-		call_unplaced(c->decision, 0, now_ms);
+		call_no_endpoint(c->decision, 0, now_ms);
 		return;
 	}
 	ep = entry_service_endpoint(c->service, choice.endpoint);
@@ -172,7 +172,8 @@
 
 	ep = entry_service_endpoint(c->service, action->endpoint);
 	if (ep == NULL) {
-		call_unsent(c->decision, action->stream, loop_now_ms(e->loop));
+		call_connect_failed(
+		    c->decision, action->stream, loop_now_ms(e->loop));
 		return;
 	}
 	a = entry_attempt_new(c, action);
@@ -253,7 +254,7 @@
 {
 	if (action->refusal != REFUSAL_NONE)
 		return refusal_name(action->refusal);
-	if (drain_stops(&c->entry->drain))
+	if (drain_is_complete(&c->entry->drain))
 		return "stopped";
 	if (loop_now_ms(c->entry->loop) >= c->deadline_ms)
 		return "deadline";
@@ -317,7 +318,7 @@
 	while (call_next(c->decision, &action))
 		carry_out(c, &action);
 	c->acting = false;
-	if (call_over(c->decision))
+	if (call_is_finished(c->decision))
 		over(c);
 	else
 		loop_timer_set(&c->timer, call_wake_ms(c->decision));
@@ -356,7 +357,7 @@
 	if (c->body.bytes <= body_max(c->entry, &c->config->limits))
 		return false;
 	entry_behind_outgrown(c);
-	call_caller_gone(c->decision, loop_now_ms(c->entry->loop));
+	call_caller_disconnected(c->decision, loop_now_ms(c->entry->loop));
 	entry_call_run(c);
 	return true;
 }
@@ -372,7 +373,8 @@
 	if (news.gone || news.up_end == EXCHANGE_CUT) {
 		entry_log_end(
 		    c, OUTCOME_UNKNOWN, news.gone ? "caller_gone" : "body_cut");
-		call_caller_gone(c->decision, loop_now_ms(c->entry->loop));
+		call_caller_disconnected(
+		    c->decision, loop_now_ms(c->entry->loop));
 		entry_call_run(c);
 		return;
 	}
@@ -393,7 +395,7 @@
 	cfg->deadline_ms = c->deadline_ms;
 	cfg->attempts = c->route->attempts;
 	cfg->target_ms = c->target_ms;
-	cfg->patient_until_ms = c->request->deadline_ms;
+	cfg->caller_gives_up_ms = c->request->deadline_ms;
 	cfg->deadline_grace_ms = DEADLINE_GRACE_MS;
 	cfg->resolve_limit_ms = RESOLVE_LIMIT_MS;
 	cfg->idempotent = c->idempotent;
@@ -430,7 +432,7 @@
 	if (c->route->target_ms == 0)
 		return 0;
 	if (c->request->deadline_ms != DEADLINE_NEVER)
-		asked_ms = patience_asked_ms(c->entry->patience,
+		asked_ms = patience_elapsed_ms(c->entry->patience,
 		    entry_route_key(c->route),
 		    clock_left_ms(c->request->deadline_ms, now_ms));
 	return now_ms + c->route->target_ms - MIN(asked_ms, now_ms);
@@ -512,7 +514,7 @@
 	const struct call_request *r = call_exchange_request(x);
 	enum http_method method;
 
-	if (!drain_takes_call(&e->drain)) {
+	if (!drain_accepts_call(&e->drain)) {
 		entry_log_refused(e, r, HTTP_UNAVAILABLE, "draining");
 		entry_answer_stopping(x);
 		return false;
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -66,7 +66,7 @@
 	p->doubt = doubt;
 	log_drop(p, doubt ? "in doubt, nothing is heard" : "heard again");
 	for (i = 0; i < p->endpoints->len; i++)
-		cut |= endpoints_doubt(p->entry->endpoints,
+		cut |= endpoints_set_silent(p->entry->endpoints,
 		    g_array_index(p->endpoints, uint64_t, i), doubt, now_ms);
 	if (cut)
 		log_drop(p,
@@ -426,7 +426,7 @@
 		if (g_array_index(p->endpoints, uint64_t, i) == id)
 			return;
 	g_array_append_val(p->endpoints, id);
-	(void)endpoints_doubt(
+	(void)endpoints_set_silent(
 	    p->entry->endpoints, id, p->doubt, loop_now_ms(p->entry->loop));
 }
 
--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -80,7 +80,7 @@
 	atomic_store(&g->busy_conns, busy_conns(g));
 	loop_timer_set(&g->tick,
 	    now_ms +
-		(drain_takes_request(&g->drain) ? TICK_MS : DRAIN_TICK_MS));
+		(drain_accepts_request(&g->drain) ? TICK_MS : DRAIN_TICK_MS));
 }
 
 static struct fate_table *
--- a/packages/node/src/guard_credit.c
+++ b/packages/node/src/guard_credit.c
@@ -25,12 +25,12 @@
 guard_credit_open(struct guard_request *r)
 {
 	struct guard *g = r->guard;
-	uint64_t total =
-	    r->body_bytes < 0 ? BODY_LENGTH_OPEN : (uint64_t)r->body_bytes;
+	uint64_t total = r->body_bytes < 0 ? BODY_WINDOW_LENGTH_UNKNOWN
+					   : (uint64_t)r->body_bytes;
 
 	body_window_open(&g->window, &r->share, r, total, CALL_UNASKED_BYTES,
 	    loop_now_ms(g->loop));
-	body_window_want(
+	body_window_request(
 	    &g->window, &r->share, CALL_FIRST_BYTES - CALL_UNASKED_BYTES);
 	pump(g);
 }
@@ -55,7 +55,7 @@
 	if (!r->wide)
 		bytes += CALL_WINDOW_BYTES - CALL_FIRST_BYTES;
 	r->wide = true;
-	body_window_want(&g->window, &r->share, bytes);
+	body_window_request(&g->window, &r->share, bytes);
 	pump(g);
 }
 
--- a/packages/node/src/guard_frames.c
+++ b/packages/node/src/guard_frames.c
@@ -152,7 +152,7 @@
 	gc->greeted = true;
 	frame_age_echo(
 	    &gc->age, m.echo, m.sent_ms, loop_now_ms(gc->guard->loop));
-	if (!drain_takes_request(&gc->guard->drain))
+	if (!drain_accepts_request(&gc->guard->drain))
 		guard_conn_goodbye(gc);
 	return true;
 }
--- a/packages/node/src/guard_keyed.c
+++ b/packages/node/src/guard_keyed.c
@@ -28,7 +28,8 @@
 guard_keyed_new(struct guard *g, const char *service)
 {
 	struct keyed_config cfg = {.window_ms = g->settings->fate_window_ms,
-	    .news_ms = NEWS_SUSPICIONS * (uint64_t)g->settings->suspicion_ms,
+	    .propagation_ms =
+		NEWS_SUSPICIONS * (uint64_t)g->settings->suspicion_ms,
 	    .keys_max = KEYS_MAX};
 
 	return keyed_new(&cfg, endpoint_id(g->settings->host, service),
@@ -71,7 +72,7 @@
 		note_address(g, ready[n], &list->endpoints[i]);
 		n++;
 	}
-	keyed_view(u->keyed, ready, n, loop_now_ms(g->loop));
+	keyed_set_view(u->keyed, ready, n, loop_now_ms(g->loop));
 	g_free(ready);
 }
 
@@ -194,7 +195,7 @@
 	case KEYED_FOLLOW:
 		follow(r, &d->first);
 		return;
-	case KEYED_ASK:
+	case KEYED_ASK_HOME:
 		ask(r, d->ask);
 		return;
 	case KEYED_NOT_HOME:
@@ -203,7 +204,7 @@
 	case KEYED_FULL:
 		guard_request_refuse(r, REFUSAL_QUEUE_FULL, 0);
 		return;
-	case KEYED_OTHER_BODY:
+	case KEYED_BODY_MISMATCH:
 		guard_request_refuse(r, REFUSAL_KEY_REUSED, 0);
 		return;
 	case KEYED_CLAIM:
@@ -230,10 +231,11 @@
 					   : "nothing");
 	if (u == NULL)
 		return;
-	keyed_asked(u->keyed, &q->key, &q->id, q->from, word, now_ms, &d);
+	keyed_home_answered(
+	    u->keyed, &q->key, &q->id, q->from, word, now_ms, &d);
 	if (r != NULL && r->state == REQUEST_SETTLING)
 		carry_out(r, &d);
-	else if (d.verdict == KEYED_RUN || d.verdict == KEYED_ASK)
+	else if (d.verdict == KEYED_RUN || d.verdict == KEYED_ASK_HOME)
 		keyed_release(u->keyed, &q->key, &q->id, now_ms);
 }
 
@@ -260,6 +262,6 @@
 	if (u == NULL)
 		return KEYED_WORD_TAKEN;
 	guard_keyed_tick(g);
-	return keyed_yield(
+	return keyed_hand_over(
 	    u->keyed, &key, m->to, m->to_age_ms, loop_now_ms(g->loop));
 }
--- a/packages/node/src/guard_open.c
+++ b/packages/node/src/guard_open.c
@@ -113,7 +113,7 @@
     struct guard_request *r, const struct msg_call_open *m, uint64_t *retry_ms)
 {
 	r->upstream = guard_upstream_find(r->guard, m->service);
-	if (!drain_takes_request(&r->guard->drain))
+	if (!drain_accepts_request(&r->guard->drain))
 		return REFUSAL_STOPPING;
 	if (r->upstream == NULL)
 		return REFUSAL_NO_ENDPOINT;
@@ -167,10 +167,10 @@
 	case FATE_OFFER_NEW:
 		take(gc, m, &id);
 		break;
-	case FATE_OFFER_SEEN:
+	case FATE_OFFER_DUPLICATE:
 		log_info("request of %s came twice; dropped", gc->host);
 		break;
-	case FATE_OFFER_NEVER:
+	case FATE_OFFER_NOT_RUN:
 		guard_out_refuse(gc, m->stream, NULL, REFUSAL_RESOLVED, 0);
 		break;
 	case FATE_OFFER_TOO_OLD:
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -265,7 +265,7 @@
 		}
 	}
 	show(g);
-	loop_timer_set(&g->quarantine.timer, quarantine_next_ms(q));
+	loop_timer_set(&g->quarantine.timer, quarantine_wake_ms(q));
 }
 
 static void
@@ -286,7 +286,7 @@
 
 	c.id = make_id(g);
 	memcpy(c.runs, runs, n_runs * sizeof(runs[0]));
-	quarantine_crashed(g->quarantine.decision, &c, now_ms(g));
+	quarantine_add_own_crash(g->quarantine.decision, &c, now_ms(g));
 	reject_queued(g);
 	pump(g);
 }
@@ -376,7 +376,7 @@
 		c.runs[c.n_runs].content = item->prints[c.n_runs].content;
 		c.runs[c.n_runs].caller = item->prints[c.n_runs].caller;
 	}
-	quarantine_crash(g->quarantine.decision, &c, now_ms(g));
+	quarantine_add_peer_crash(g->quarantine.decision, &c, now_ms(g));
 }
 
 static void
@@ -405,9 +405,9 @@
 	bool changed;
 
 	if (item->kind == QUARANTINE_HELD)
-		changed = quarantine_hold(q, &f, item->at_ms);
+		changed = quarantine_add(q, &f, item->at_ms);
 	else
-		changed = quarantine_clear(q, &f, item->at_ms);
+		changed = quarantine_exonerate(q, &f, item->at_ms);
 	if (changed)
 		log_received(g, item, &f);
 	if (changed && item->kind == QUARANTINE_HELD)
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -80,7 +80,7 @@
 	struct admission_request req;
 
 	guard_request_admission(r, &req);
-	admission_ran(r->upstream->admission, &req, ran_ms(r),
+	admission_record_run(r->upstream->admission, &req, ran_ms(r),
 	    loop_now_ms(r->guard->loop));
 }
 
--- a/packages/node/src/guard_upstream.c
+++ b/packages/node/src/guard_upstream.c
@@ -79,7 +79,7 @@
 	guard_counts_watch(u);
 	configure(info, &cfg);
 	admission_configure(u->admission, &cfg);
-	if (info->state == SERVING_READY && drain_takes_request(&g->drain))
+	if (info->state == SERVING_READY && drain_accepts_request(&g->drain))
 		admission_undrain(u->admission);
 	else if (info->state != SERVING_STARTING)
 		admission_drain(u->admission);
--- a/packages/node/src/guard_version.c
+++ b/packages/node/src/guard_version.c
@@ -12,7 +12,7 @@
 {
 	guard_keyed_tick(g);
 	if (g->snapshot != NULL)
-		superseded_note(
+		superseded_record(
 		    &g->superseded, g->snapshot->version, loop_now_ms(g->loop));
 }
 
@@ -56,10 +56,10 @@
 {
 	const struct guard *g = r->guard;
 	uint64_t within_ms =
-	    superseded_within_ms(g->settings->in_force_within_ms);
+	    superseded_grace_ms(g->settings->in_force_within_ms);
 
 	if (g->snapshot == NULL || m->version >= g->snapshot->version ||
-	    !superseded_is_over(
+	    !superseded_is_expired(
 		&g->superseded, m->version, loop_now_ms(g->loop), within_ms))
 		return true;
 	return leads_to(r, m->service);
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -148,9 +148,9 @@
 {
 	uint64_t now_ms = clock_now_ms();
 	const struct settings *s = n->settings;
-	uint64_t deadline_ms = now_ms + drain_work_ms(s->drain_ms, s->grace_ms);
+	uint64_t deadline_ms = now_ms + drain_wait_ms(s->drain_ms, s->grace_ms);
 	uint64_t least_ms =
-	    drain_serves_until_ms(s->drain_notice_ms, deadline_ms, now_ms);
+	    drain_accepts_until_ms(s->drain_notice_ms, deadline_ms, now_ms);
 
 	control_turn_away(n->control);
 	guard_announce_stop(n->guard, deadline_ms);
--- a/packages/traffic/bench/bench_traffic.c
+++ b/packages/traffic/bench/bench_traffic.c
@@ -155,7 +155,7 @@
 
 	before = heap_bytes();
 	k = keyed_new(&cfg, 1, 0);
-	keyed_view(k, endpoints, 1, 0);
+	keyed_set_view(k, endpoints, 1, 0);
 	began = cpu_ns();
 	for (i = 0; i < RECORDS; i++) {
 		request_id_make(&id, 7, i, 1);
@@ -234,9 +234,9 @@
 		c.n_runs = 18;
 		for (r = 0; r < c.n_runs; r++)
 			c.runs[r].content = 1000000 + i * 18 + r;
-		quarantine_crash(q, &c, i);
+		quarantine_add_peer_crash(q, &c, i);
 		f.content = i + 1;
-		(void)quarantine_hold(q, &f, i);
+		(void)quarantine_add(q, &f, i);
 	}
 	began = cpu_ns();
 	for (i = 0; i < ROUNDS; i++) {
@@ -250,7 +250,7 @@
 	print_cost(name, began, ROUNDS);
 	began = cpu_ns();
 	c.id = UINT32_MAX;
-	quarantine_crash(q, &c, 1000);
+	quarantine_add_peer_crash(q, &c, 1000);
 	quarantine_tick(q, 1000 + QUARANTINE_SETTLE_MS);
 	(void)snprintf(
 	    name, sizeof(name), "a crash and its decision, %s", when);
--- a/packages/traffic/include/traffic/admission.h
+++ b/packages/traffic/include/traffic/admission.h
@@ -112,15 +112,15 @@
     uint64_t now_ms, struct admission_result *out);
 
 /**
- * admission_ran() - how long a request ran, for the estimate of waits
+ * admission_record_run() - how long a request ran, for the estimate of waits
  * @a: the admission
  * @req: the request, answered; one that failed or was given up says nothing of
  *	how long its kind takes
  * @ran_ms: how long it held its slot
  * @now_ms: monotonic time
  */
-void admission_ran(struct admission *a, const struct admission_request *req,
-    uint64_t ran_ms, uint64_t now_ms);
+void admission_record_run(struct admission *a,
+    const struct admission_request *req, uint64_t ran_ms, uint64_t now_ms);
 
 /** admission_mean_run_ms() - how long requests like @req run until they are
  * answered, 0 when none was */
--- a/packages/traffic/include/traffic/behind.h
+++ b/packages/traffic/include/traffic/behind.h
@@ -10,12 +10,13 @@
 #include <stdint.h>
 
 /**
- * BEHIND_FIRST_MS - shortest time to come back while a version is on its way
+ * BEHIND_RETRY_MIN_MS - shortest time to come back while a version is on its
+ * way
  *
  * From the first reader of a data centre to its last host a version takes 100
  * to 200 ms (docs/design/platform.md).
  */
-#define BEHIND_FIRST_MS 200
+#define BEHIND_RETRY_MIN_MS 200
 
 /**
  * BEHIND_MOST_MS - longest time to come back
--- a/packages/traffic/include/traffic/body_window.h
+++ b/packages/traffic/include/traffic/body_window.h
@@ -16,8 +16,8 @@
 
 #include <glib.h>
 
-/** BODY_LENGTH_OPEN - the length of a body isn't known */
-#define BODY_LENGTH_OPEN UINT64_MAX
+/** BODY_WINDOW_LENGTH_UNKNOWN - the length of a body isn't known */
+#define BODY_WINDOW_LENGTH_UNKNOWN UINT64_MAX
 
 /**
  * struct body_window - the window of a host
@@ -36,7 +36,7 @@
 /**
  * struct body_share - the part of one body
  * @owner: the shell's
- * @total_bytes: length of the body, or BODY_LENGTH_OPEN
+ * @total_bytes: length of the body, or BODY_WINDOW_LENGTH_UNKNOWN
  * @granted_bytes: bytes that may have been sent
  * @received_bytes: bytes that came
  * @wanted_bytes: bytes to be granted
@@ -69,17 +69,17 @@
  * @w: the window
  * @s: its share; to be ended by body_window_end()
  * @owner: who gets what is granted
- * @total_bytes: its length, or BODY_LENGTH_OPEN
+ * @total_bytes: its length, or BODY_WINDOW_LENGTH_UNKNOWN
  * @first_bytes: bytes that its sender sends without a grant
  * @now_ms: monotonic time
  */
 void body_window_open(struct body_window *w, struct body_share *s, void *owner,
     uint64_t total_bytes, uint64_t first_bytes, uint64_t now_ms);
 
-/** body_window_want() - there is room for @bytes more; what is beyond the
+/** body_window_request() - there is room for @bytes more; what is beyond the
  * body's length is left out */
-void
-body_window_want(struct body_window *w, struct body_share *s, uint64_t bytes);
+void body_window_request(
+    struct body_window *w, struct body_share *s, uint64_t bytes);
 
 /** body_window_received() - @bytes of it came */
 void body_window_received(struct body_window *w, struct body_share *s,
--- a/packages/traffic/include/traffic/call.h
+++ b/packages/traffic/include/traffic/call.h
@@ -24,7 +24,7 @@
  * @resolve_limit_ms: how long to try to reach a guard for a resolve
  * @attempts: attempts altogether, 0 for what the budget says
  * @target_ms: when its answer is worth less to the caller; 0 when not told
- * @patient_until_ms: when the caller itself gives up, which may be later than
+ * @caller_gives_up_ms: when the caller itself gives up, which may be later than
  *	the deadline; DEADLINE_NEVER when not told
  * @idempotent: may be run more than once
  * @keyed: carries an idempotency key and goes to the key's home
@@ -36,7 +36,7 @@
 	uint32_t resolve_limit_ms;
 	uint32_t attempts;
 	uint64_t target_ms;
-	uint64_t patient_until_ms;
+	uint64_t caller_gives_up_ms;
 	bool idempotent;
 	bool keyed;
 	bool naive;
@@ -45,9 +45,9 @@
 /**
  * enum call_action_kind - what the shell is to do
  * @CALL_PLACE: choose an endpoint, leaving out call_tried(), then
- *	call_placed() or call_unplaced()
+ *	call_placed() or call_no_endpoint()
  * @CALL_SEND: send attempt @attempt to @endpoint as @stream; then call_sent()
- *	or call_unsent()
+ *	or call_connect_failed()
  * @CALL_RESOLVE: ask @endpoint over a NEW connection what became of @attempt,
  *	as @stream; drop the old connection if it was silent
  * @CALL_CANCEL: tell @endpoint that @attempt is not wanted any more; no
@@ -118,8 +118,8 @@
 /** call_placed() - an endpoint was chosen */
 void call_placed(struct call *c, uint64_t endpoint, uint64_t now_ms);
 
-/** call_unplaced() - no endpoint can be chosen */
-void call_unplaced(struct call *c, uint64_t retry_after_ms, uint64_t now_ms);
+/** call_no_endpoint() - no endpoint can be chosen */
+void call_no_endpoint(struct call *c, uint64_t retry_after_ms, uint64_t now_ms);
 
 /** call_quarantined() - it is not to be run by anyone */
 void call_quarantined(struct call *c, uint64_t retry_after_ms);
@@ -136,11 +136,12 @@
 void call_sent(
     struct call *c, uint32_t stream, uint64_t incarnation, uint64_t now_ms);
 
-/** call_unsent() - no connection could be had; not a byte of it has left */
-void call_unsent(struct call *c, uint32_t stream, uint64_t now_ms);
+/** call_connect_failed() - no connection could be had; not a byte of it has
+ * left */
+void call_connect_failed(struct call *c, uint32_t stream, uint64_t now_ms);
 
-/** call_body_gone() - part of the request's body can't be sent again */
-void call_body_gone(struct call *c);
+/** call_body_discarded() - part of the request's body can't be sent again */
+void call_body_discarded(struct call *c);
 
 /**
  * call_committed() - the answer outgrew the buffer; its beginning is being
@@ -172,15 +173,15 @@
 void call_resolved(
     struct call *c, uint32_t stream, enum resolution r, uint64_t now_ms);
 
-/** call_unresolved() - the guard could not be reached for a RESOLVE */
-void call_unresolved(struct call *c, uint32_t stream, uint64_t now_ms);
+/** call_resolve_failed() - the guard could not be reached for a RESOLVE */
+void call_resolve_failed(struct call *c, uint32_t stream, uint64_t now_ms);
 
 /**
- * call_caller_gone() - the caller hung up
+ * call_caller_disconnected() - the caller hung up
  *
  * The call is over; CANCEL is given if an attempt is out, but no final action.
  */
-void call_caller_gone(struct call *c, uint64_t now_ms);
+void call_caller_disconnected(struct call *c, uint64_t now_ms);
 
 /**
  * call_stopped() - the entry stops now and has no more time for the call
@@ -198,8 +199,9 @@
 /** call_next() - the next action; false when there is none */
 bool call_next(struct call *c, struct call_action *out);
 
-/** call_over() - the final action has been given, or the caller is gone */
-bool call_over(const struct call *c);
+/** call_is_finished() - the final action has been given, or the caller is gone
+ */
+bool call_is_finished(const struct call *c);
 
 /** call_tried() - endpoints tried, for placement_query.tried */
 const uint64_t *call_tried(const struct call *c, size_t *n);
--- a/packages/traffic/include/traffic/drain.h
+++ b/packages/traffic/include/traffic/drain.h
@@ -47,7 +47,7 @@
 };
 
 /**
- * drain_serves_until_ms() - how long a stopping host's upstream gets new work
+ * drain_accepts_until_ms() - how long a stopping host's upstream gets new work
  * @notice_ms: how long the entry still takes calls
  * @bound_ms: monotonic time at which what is in flight is given up
  * @now_ms: monotonic time at which the stop was asked for
@@ -60,17 +60,17 @@
  * Return: monotonic time, which leaves most of the stop for what then runs.
  */
 uint64_t
-drain_serves_until_ms(uint64_t notice_ms, uint64_t bound_ms, uint64_t now_ms);
+drain_accepts_until_ms(uint64_t notice_ms, uint64_t bound_ms, uint64_t now_ms);
 
 /**
- * drain_work_ms() - how long a stop may wait for what is in flight
+ * drain_wait_ms() - how long a stop may wait for what is in flight
  * @drain_ms: longest stop by the settings
  * @grace_ms: time after which the process is killed, 0 for never
  *
  * Return: at most @drain_ms; the rest of the grace time is left for the end of
  * the process.
  */
-uint64_t drain_work_ms(uint64_t drain_ms, uint64_t grace_ms);
+uint64_t drain_wait_ms(uint64_t drain_ms, uint64_t grace_ms);
 
 /** drain_init() - a node that serves */
 void drain_init(struct drain *d);
@@ -105,11 +105,11 @@
 void drain_begin(struct drain *d, uint64_t notice_for_ms, uint64_t drain_for_ms,
     uint64_t now_ms);
 
-/** drain_takes_call() - whether the entry takes a new call */
-bool drain_takes_call(const struct drain *d);
+/** drain_accepts_call() - whether the entry takes a new call */
+bool drain_accepts_call(const struct drain *d);
 
-/** drain_takes_request() - whether the guard takes a new request */
-bool drain_takes_request(const struct drain *d);
+/** drain_accepts_request() - whether the guard takes a new request */
+bool drain_accepts_request(const struct drain *d);
 
 /** drain_closes() - whether callers' connections are closed after an answer */
 bool drain_closes(const struct drain *d);
@@ -132,7 +132,7 @@
 /** drain_wake_ms() - when drain_tick() is wanted next; DEADLINE_NEVER */
 uint64_t drain_wake_ms(const struct drain *d);
 
-/** drain_stops() - whether the process may stop now */
-bool drain_stops(const struct drain *d);
+/** drain_is_complete() - whether the process may stop now */
+bool drain_is_complete(const struct drain *d);
 
 #endif
--- a/packages/traffic/include/traffic/endpoints.h
+++ b/packages/traffic/include/traffic/endpoints.h
@@ -147,7 +147,7 @@
     enum endpoint_result result, uint64_t took_us, uint64_t now_ms);
 
 /**
- * endpoints_way() - what a request took besides the upstream's work
+ * endpoints_record_delay() - what a request took besides the upstream's work
  * @e: the table
  * @endpoint: endpoint id
  * @took_us: time from its sending to the answer's head, or so far when no
@@ -159,11 +159,11 @@
  * Only requests without a body tell: the transfer of one takes its time on
  * any way.
  */
-void endpoints_way(struct endpoints *e, uint64_t endpoint, uint64_t took_us,
-    uint64_t upstream_us, uint64_t now_ms);
+void endpoints_record_delay(struct endpoints *e, uint64_t endpoint,
+    uint64_t took_us, uint64_t upstream_us, uint64_t now_ms);
 
 /**
- * endpoints_doubt() - whether the way to an endpoint is in doubt
+ * endpoints_set_silent() - whether the way to an endpoint is in doubt
  * @e: the table
  * @endpoint: the endpoint
  * @doubt: nothing is heard from its host; it is left out while others are
@@ -176,7 +176,7 @@
  * from there between.  Its endpoints are left out then until something is
  * heard, but for one call each 2 s that may run twice.
  */
-bool endpoints_doubt(
+bool endpoints_set_silent(
     struct endpoints *e, uint64_t endpoint, bool doubt, uint64_t now_ms);
 
 /** endpoints_listed() - whether the snapshot in force has the endpoint */
--- a/packages/traffic/include/traffic/fate.h
+++ b/packages/traffic/include/traffic/fate.h
@@ -33,14 +33,14 @@
 /**
  * enum fate_offer - what to do with a request frame
  * @FATE_OFFER_NEW: it is new and now queued: offer it to admission
- * @FATE_OFFER_SEEN: the same request came before: drop the frame
- * @FATE_OFFER_NEVER: it was resolved or refused: answer not_run
+ * @FATE_OFFER_DUPLICATE: the same request came before: drop the frame
+ * @FATE_OFFER_NOT_RUN: it was resolved or refused: answer not_run
  * @FATE_OFFER_TOO_OLD: older than the window: answer not_run
  */
 enum fate_offer {
 	FATE_OFFER_NEW = 0,
-	FATE_OFFER_SEEN,
-	FATE_OFFER_NEVER,
+	FATE_OFFER_DUPLICATE,
+	FATE_OFFER_NOT_RUN,
 	FATE_OFFER_TOO_OLD,
 };
 
--- a/packages/traffic/include/traffic/keyed.h
+++ b/packages/traffic/include/traffic/keyed.h
@@ -16,14 +16,14 @@
 /**
  * struct keyed_config - bounds and mode
  * @window_ms: how long a key is kept after its request has ended
- * @news_ms: longest time that news of endpoints take to reach all nodes;
+ * @propagation_ms: longest time that news of endpoints take to reach all nodes;
  *	earlier homes are remembered for this time and the window
  * @keys_max: most keys kept; when there are more, new keys are refused
  * @claim_always: claim each key in the platform's table before its run
  */
 struct keyed_config {
 	uint64_t window_ms;
-	uint64_t news_ms;
+	uint64_t propagation_ms;
 	size_t keys_max;
 	bool claim_always;
 };
@@ -33,24 +33,25 @@
  * @KEYED_RUN: it is the first with its key: offer it to admission
  * @KEYED_FOLLOW: a request with the key came before: this one gets that one's
  *	fate, see fate_follow() and keyed_decision.first
- * @KEYED_ASK: ask the endpoint keyed_decision.ask, which was the key's home
- *	within the window (keyed_yield() there), then call keyed_asked()
+ * @KEYED_ASK_HOME: ask the endpoint keyed_decision.ask, which was the key's
+ *home within the window (keyed_hand_over() there), then call
+ *keyed_home_answered()
  * @KEYED_CLAIM: claim the key in the platform's table, then keyed_claimed()
  * @KEYED_NOT_HOME: not the home by this node's view: not_run
  * @KEYED_UNSETTLED: an earlier request with this key may have run, and nobody
  *	can say: unknown, come back after keyed_decision.retry_after_ms
  * @KEYED_FULL: no room for another key: not_run
- * @KEYED_OTHER_BODY: the key is in use for another request: not_run
+ * @KEYED_BODY_MISMATCH: the key is in use for another request: not_run
  */
 enum keyed_verdict {
 	KEYED_RUN = 0,
 	KEYED_FOLLOW,
-	KEYED_ASK,
+	KEYED_ASK_HOME,
 	KEYED_CLAIM,
 	KEYED_NOT_HOME,
 	KEYED_UNSETTLED,
 	KEYED_FULL,
-	KEYED_OTHER_BODY,
+	KEYED_BODY_MISMATCH,
 };
 
 /** keyed_verdict_name() - short name for logs */
@@ -106,7 +107,7 @@
 void keyed_free(struct keyed *k);
 
 /**
- * keyed_view() - the service's endpoints by this node's snapshot
+ * keyed_set_view() - the service's endpoints by this node's snapshot
  * @k: the keys
  * @endpoints: those that are ready; the own one among them or not
  * @n: number of @endpoints
@@ -114,7 +115,7 @@
  *
  * Earlier views are remembered for the window.
  */
-void keyed_view(
+void keyed_set_view(
     struct keyed *k, const uint64_t *endpoints, size_t n, uint64_t now_ms);
 
 /**
@@ -143,7 +144,7 @@
 };
 
 /**
- * keyed_asked() - the earlier home has answered or can't be reached
+ * keyed_home_answered() - the earlier home has answered or can't be reached
  * @k: the keys
  * @key: the key
  * @id: the request for which it was asked
@@ -152,7 +153,7 @@
  * @now_ms: monotonic time
  * @out: the next verdict: RUN, ASK (another one) or UNSETTLED
  */
-void keyed_asked(struct keyed *k, const struct key_id *key,
+void keyed_home_answered(struct keyed *k, const struct key_id *key,
     const struct request_id *id, uint64_t from, enum keyed_word word,
     uint64_t now_ms, struct keyed_decision *out);
 
@@ -187,7 +188,7 @@
     const struct request_id *id, uint64_t now_ms);
 
 /**
- * keyed_yield() - another endpoint, home by its own view, asks about a key
+ * keyed_hand_over() - another endpoint, home by its own view, asks about a key
  * @k: the keys
  * @key: the key
  * @to: the endpoint that asks
@@ -201,7 +202,7 @@
  *
  * Return: KEYED_WORD_FREE or KEYED_WORD_TAKEN.
  */
-enum keyed_word keyed_yield(struct keyed *k, const struct key_id *key,
+enum keyed_word keyed_hand_over(struct keyed *k, const struct key_id *key,
     uint64_t to, uint64_t to_age_ms, uint64_t now_ms);
 
 /** keyed_age_ms() - how long this process has kept the keys */
--- a/packages/traffic/include/traffic/patience.h
+++ b/packages/traffic/include/traffic/patience.h
@@ -17,7 +17,7 @@
 void patience_free(struct patience *p);
 
 /**
- * patience_asked_ms() - how long ago a caller first asked
+ * patience_elapsed_ms() - how long ago a caller first asked
  * @p: what is known of the routes
  * @route: number of the route, such as a hash of what it matches
  * @left_ms: time that the caller has left
@@ -25,6 +25,6 @@
  * Return: milliseconds; 0 for the first caller of a route that isn't known.
  */
 uint64_t
-patience_asked_ms(struct patience *p, uint64_t route, uint64_t left_ms);
+patience_elapsed_ms(struct patience *p, uint64_t route, uint64_t left_ms);
 
 #endif
--- a/packages/traffic/include/traffic/placement.h
+++ b/packages/traffic/include/traffic/placement.h
@@ -53,7 +53,7 @@
  * @tried: endpoints that this call has tried
  * @n_tried: number of @tried
  * @idempotent: a probe of an ejected endpoint takes only such requests
- * @not_own: an endpoint on the own host is the last choice
+ * @avoid_own: an endpoint on the own host is the last choice
  * @canaries: the call goes to one of the first so many usable endpoints of the
  *	version that is tried; 0 for one of the current version
  */
@@ -65,7 +65,7 @@
 	const uint64_t *tried;
 	size_t n_tried;
 	bool idempotent;
-	bool not_own;
+	bool avoid_own;
 	uint32_t canaries;
 };
 
--- a/packages/traffic/include/traffic/quarantine.h
+++ b/packages/traffic/include/traffic/quarantine.h
@@ -154,44 +154,44 @@
     struct quarantine *q, const struct fingerprint *f, uint64_t now_ms);
 
 /**
- * quarantine_crashed() - an upstream of this host crashed
+ * quarantine_add_own_crash() - an upstream of this host crashed
  * @q: the quarantine
  * @c: the crash with all requests in flight; recently answered ones are not
  *	published
  * @now_ms: monotonic time
  */
-void quarantine_crashed(
+void quarantine_add_own_crash(
     struct quarantine *q, const struct crash *c, uint64_t now_ms);
 
 /**
- * quarantine_crash() - a peer reports a crash
+ * quarantine_add_peer_crash() - a peer reports a crash
  * @q: the quarantine
  * @c: the crash; one that is known already is ignored
  * @now_ms: monotonic time
  */
-void
-quarantine_crash(struct quarantine *q, const struct crash *c, uint64_t now_ms);
+void quarantine_add_peer_crash(
+    struct quarantine *q, const struct crash *c, uint64_t now_ms);
 
 /**
- * quarantine_hold() - a peer reports a quarantined request
+ * quarantine_add() - a peer reports a quarantined request
  * @q: the quarantine
  * @f: the request
  * @since_ms: since when, as this node reckons
  *
  * Return: false if that was known, or if it was exonerated later.
  */
-bool quarantine_hold(
+bool quarantine_add(
     struct quarantine *q, const struct fingerprint *f, uint64_t since_ms);
 
 /**
- * quarantine_clear() - exonerate a request of crashes before @at_ms
+ * quarantine_exonerate() - exonerate a request of crashes before @at_ms
  * @q: the quarantine
  * @f: the request; caller 0 for all callers
  * @at_ms: when it was answered, or cleared by an operator
  *
  * Return: whether this ended its quarantine.
  */
-bool quarantine_clear(
+bool quarantine_exonerate(
     struct quarantine *q, const struct fingerprint *f, uint64_t at_ms);
 
 /**
@@ -245,8 +245,8 @@
 /** quarantine_tick() - run what is due */
 void quarantine_tick(struct quarantine *q, uint64_t now_ms);
 
-/** quarantine_next_ms() - when quarantine_tick() is wanted; DEADLINE_NEVER */
-uint64_t quarantine_next_ms(const struct quarantine *q);
+/** quarantine_wake_ms() - when quarantine_tick() is wanted; DEADLINE_NEVER */
+uint64_t quarantine_wake_ms(const struct quarantine *q);
 
 /**
  * quarantine_pop() - take the next event
--- a/packages/traffic/include/traffic/superseded.h
+++ b/packages/traffic/include/traffic/superseded.h
@@ -35,18 +35,18 @@
 };
 
 /**
- * superseded_within_ms() - time that a version has until nodes go by it
+ * superseded_grace_ms() - time that a version has until nodes go by it
  * @promised_ms: time that operators were promised, 0 if it isn't known
  *
  * Return: the time in ms.
  */
-uint64_t superseded_within_ms(uint64_t promised_ms);
+uint64_t superseded_grace_ms(uint64_t promised_ms);
 
-/** superseded_note() - @version is in force here; versions only rise */
-void superseded_note(struct superseded *s, uint64_t version, uint64_t now_ms);
+/** superseded_record() - @version is in force here; versions only rise */
+void superseded_record(struct superseded *s, uint64_t version, uint64_t now_ms);
 
 /**
- * superseded_is_over() - whether the time of a version is up
+ * superseded_is_expired() - whether the time of a version is up
  * @s: the versions
  * @version: the version by which a request was routed
  * @now_ms: monotonic time
@@ -54,7 +54,7 @@
  *
  * Return: whether a later one has been in force here for so long.
  */
-bool superseded_is_over(const struct superseded *s, uint64_t version,
+bool superseded_is_expired(const struct superseded *s, uint64_t version,
     uint64_t now_ms, uint64_t within_ms);
 
 #endif
--- a/packages/traffic/src/admission_slots.c
+++ b/packages/traffic/src/admission_slots.c
@@ -42,7 +42,7 @@
 }
 
 void
-admission_ran(struct admission *a, const struct admission_request *req,
+admission_record_run(struct admission *a, const struct admission_request *req,
     uint64_t ran_ms, uint64_t now_ms)
 {
 	struct lane *l = &a->lanes[req->class];
--- a/packages/traffic/src/behind.c
+++ b/packages/traffic/src/behind.c
@@ -53,7 +53,7 @@
 {
 	uint64_t half_ms = clock_left_ms(deadline_ms, now_ms) / 2;
 
-	if (half_ms < BEHIND_FIRST_MS)
+	if (half_ms < BEHIND_RETRY_MIN_MS)
 		return retry_ms;
 	return MIN(retry_ms, half_ms);
 }
@@ -68,6 +68,6 @@
 		return 0;
 	if (!is_behind(b))
 		return BEHIND_NOW_MS;
-	retry_ms = CLAMP(retry_ms, BEHIND_FIRST_MS, BEHIND_MOST_MS);
+	retry_ms = CLAMP(retry_ms, BEHIND_RETRY_MIN_MS, BEHIND_MOST_MS);
 	return within(retry_ms, now_ms, deadline_ms);
 }
--- a/packages/traffic/src/body_window.c
+++ b/packages/traffic/src/body_window.c
@@ -56,7 +56,7 @@
 }
 
 void
-body_window_want(struct body_window *w, struct body_share *s, uint64_t bytes)
+body_window_request(struct body_window *w, struct body_share *s, uint64_t bytes)
 {
 	uint64_t left;
 
--- a/packages/traffic/src/call.c
+++ b/packages/traffic/src/call.c
@@ -222,10 +222,10 @@
 	uint64_t left_ms;
 
 	if (!is_for_load(refusal) || c->cfg.target_ms == 0 ||
-	    c->cfg.patient_until_ms == DEADLINE_NEVER ||
+	    c->cfg.caller_gives_up_ms == DEADLINE_NEVER ||
 	    now_ms + after_ms <= c->cfg.target_ms)
 		return after_ms;
-	left_ms = clock_left_ms(c->cfg.patient_until_ms, now_ms);
+	left_ms = clock_left_ms(c->cfg.caller_gives_up_ms, now_ms);
 	return MAX(after_ms, left_ms / LATE_RETURN_DIVISOR);
 }
 
@@ -311,7 +311,7 @@
 }
 
 void
-call_unplaced(struct call *c, uint64_t retry_after_ms, uint64_t now_ms)
+call_no_endpoint(struct call *c, uint64_t retry_after_ms, uint64_t now_ms)
 {
 	(void)now_ms;
 	if (c->state == STATE_PLACING)
@@ -339,14 +339,14 @@
 }
 
 void
-call_unsent(struct call *c, uint32_t stream, uint64_t now_ms)
+call_connect_failed(struct call *c, uint32_t stream, uint64_t now_ms)
 {
 	if (is_current(c, stream) && c->state == STATE_SENDING)
 		not_run(c, REFUSAL_UNREACHABLE, 0, now_ms);
 }
 
 void
-call_body_gone(struct call *c)
+call_body_discarded(struct call *c)
 {
 	c->body_gone = true;
 }
@@ -421,7 +421,7 @@
 		lost_unanswered(c, now_ms);
 		return;
 	case STATE_RESOLVING:
-		call_unresolved(c, stream, now_ms);
+		call_resolve_failed(c, stream, now_ms);
 		return;
 	case STATE_COMMITTED:
 		(void)act(c, CALL_ABORT);
@@ -456,7 +456,7 @@
 }
 
 void
-call_unresolved(struct call *c, uint32_t stream, uint64_t now_ms)
+call_resolve_failed(struct call *c, uint32_t stream, uint64_t now_ms)
 {
 	uint64_t until, pause_ms;
 
@@ -475,7 +475,7 @@
 }
 
 void
-call_caller_gone(struct call *c, uint64_t now_ms)
+call_caller_disconnected(struct call *c, uint64_t now_ms)
 {
 	(void)now_ms;
 	switch (c->state) {
@@ -581,7 +581,7 @@
 }
 
 bool
-call_over(const struct call *c)
+call_is_finished(const struct call *c)
 {
 	return c->state == STATE_OVER;
 }
--- a/packages/traffic/src/drain.c
+++ b/packages/traffic/src/drain.c
@@ -23,7 +23,7 @@
 #define SERVES_EIGHTHS 3
 
 uint64_t
-drain_serves_until_ms(uint64_t notice_ms, uint64_t bound_ms, uint64_t now_ms)
+drain_accepts_until_ms(uint64_t notice_ms, uint64_t bound_ms, uint64_t now_ms)
 {
 	uint64_t share_ms =
 	    clock_left_ms(bound_ms, now_ms) * SERVES_EIGHTHS / 8;
@@ -37,7 +37,7 @@
 #define END_DIVISOR 8
 
 uint64_t
-drain_work_ms(uint64_t drain_ms, uint64_t grace_ms)
+drain_wait_ms(uint64_t drain_ms, uint64_t grace_ms)
 {
 	if (grace_ms == 0)
 		return drain_ms;
@@ -92,13 +92,13 @@
 }
 
 bool
-drain_takes_call(const struct drain *d)
+drain_accepts_call(const struct drain *d)
 {
 	return d->state == DRAIN_SERVING || d->state == DRAIN_NOTICE;
 }
 
 bool
-drain_takes_request(const struct drain *d)
+drain_accepts_request(const struct drain *d)
 {
 	return d->state == DRAIN_SERVING;
 }
@@ -167,7 +167,7 @@
 }
 
 bool
-drain_stops(const struct drain *d)
+drain_is_complete(const struct drain *d)
 {
 	return d->state == DRAIN_EMPTY || d->state == DRAIN_OVERDUE;
 }
--- a/packages/traffic/src/endpoints.c
+++ b/packages/traffic/src/endpoints.c
@@ -275,7 +275,7 @@
 }
 
 bool
-endpoints_doubt(
+endpoints_set_silent(
     struct endpoints *e, uint64_t endpoint, bool doubt, uint64_t now_ms)
 {
 	struct endpoint *ep;
@@ -378,7 +378,7 @@
 }
 
 void
-endpoints_way(struct endpoints *e, uint64_t endpoint, uint64_t took_us,
+endpoints_record_delay(struct endpoints *e, uint64_t endpoint, uint64_t took_us,
     uint64_t upstream_us, uint64_t now_ms)
 {
 	struct endpoint *ep = endpoints_find(e, endpoint);
--- a/packages/traffic/src/fate.c
+++ b/packages/traffic/src/fate.c
@@ -188,8 +188,8 @@
 	r = find(t, id);
 	if (r != NULL) {
 		if (r->state == FATE_STATE_NEVER)
-			return FATE_OFFER_NEVER;
-		return FATE_OFFER_SEEN;
+			return FATE_OFFER_NOT_RUN;
+		return FATE_OFFER_DUPLICATE;
 	}
 	if (too_old(t, sent_ms, now_ms))
 		return FATE_OFFER_TOO_OLD;
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -95,7 +95,7 @@
 static uint64_t
 memory_ms(const struct keyed *k)
 {
-	return k->cfg.window_ms + k->cfg.news_ms;
+	return k->cfg.window_ms + k->cfg.propagation_ms;
 }
 
 struct keyed *
@@ -138,7 +138,7 @@
 }
 
 void
-keyed_view(
+keyed_set_view(
     struct keyed *k, const uint64_t *endpoints, size_t n, uint64_t now_ms)
 {
 	key_views_set(&k->views, endpoints, n, now_ms);
@@ -245,7 +245,7 @@
 	}
 	out->ask = next_to_ask(k, e, now_ms);
 	if (out->ask != 0) {
-		out->verdict = KEYED_ASK;
+		out->verdict = KEYED_ASK_HOME;
 		return;
 	}
 	if (is_young(k, now_ms) &&
@@ -269,7 +269,7 @@
 		settle_next(k, e, now_ms, out);
 		return;
 	}
-	out->verdict = e->body == body ? KEYED_FOLLOW : KEYED_OTHER_BODY;
+	out->verdict = e->body == body ? KEYED_FOLLOW : KEYED_BODY_MISMATCH;
 	out->first = e->first;
 }
 
@@ -322,7 +322,7 @@
 }
 
 void
-keyed_asked(struct keyed *k, const struct key_id *key,
+keyed_home_answered(struct keyed *k, const struct key_id *key,
     const struct request_id *id, uint64_t from, enum keyed_word word,
     uint64_t now_ms, struct keyed_decision *out)
 {
@@ -393,7 +393,7 @@
 }
 
 enum keyed_word
-keyed_yield(struct keyed *k, const struct key_id *key, uint64_t to,
+keyed_hand_over(struct keyed *k, const struct key_id *key, uint64_t to,
     uint64_t to_age_ms, uint64_t now_ms)
 {
 	struct entry *e;
--- a/packages/traffic/src/patience.c
+++ b/packages/traffic/src/patience.c
@@ -46,7 +46,7 @@
 }
 
 uint64_t
-patience_asked_ms(struct patience *p, uint64_t route, uint64_t left_ms)
+patience_elapsed_ms(struct patience *p, uint64_t route, uint64_t left_ms)
 {
 	struct longest *l = g_hash_table_lookup(p->routes, &route);
 
--- a/packages/traffic/src/placement.c
+++ b/packages/traffic/src/placement.c
@@ -198,7 +198,7 @@
 			due = ep;
 		if (v != EJECTION_USABLE || ep->doubt ||
 		    endpoints_cut_off(p->endpoints, ep) ||
-		    was_tried(q, ep->info.id) || (q->not_own && ep->info.own))
+		    was_tried(q, ep->info.id) || (q->avoid_own && ep->info.own))
 			g_ptr_array_add(p->spare, ep);
 		else if (ep->info.local || !p->cfg.local_first)
 			g_ptr_array_add(p->local, ep);
--- a/packages/traffic/src/quarantine.c
+++ b/packages/traffic/src/quarantine.c
@@ -199,7 +199,7 @@
 }
 
 bool
-quarantine_clear(
+quarantine_exonerate(
     struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
 {
 	const struct quarantine_entry *e;
@@ -227,7 +227,7 @@
 }
 
 bool
-quarantine_hold(
+quarantine_add(
     struct quarantine *q, const struct fingerprint *f, uint64_t since_ms)
 {
 	struct quarantine_entry e = {
@@ -392,7 +392,8 @@
 }
 
 void
-quarantine_crashed(struct quarantine *q, const struct crash *c, uint64_t now_ms)
+quarantine_add_own_crash(
+    struct quarantine *q, const struct crash *c, uint64_t now_ms)
 {
 	struct quarantine_event event = {
 	    .kind = QUARANTINE_EVENT_CRASHED, .crash = *c};
@@ -409,7 +410,8 @@
 }
 
 void
-quarantine_crash(struct quarantine *q, const struct crash *c, uint64_t now_ms)
+quarantine_add_peer_crash(
+    struct quarantine *q, const struct crash *c, uint64_t now_ms)
 {
 	struct success_report report;
 	uint32_t r;
@@ -454,7 +456,7 @@
 
 	if (!is_suspect(q, f) && quarantine_find(q, f) == NULL)
 		return false;
-	(void)quarantine_clear(q, f, now_ms);
+	(void)quarantine_exonerate(q, f, now_ms);
 	event.entry.print = *f;
 	event.entry.since_ms = now_ms;
 	emit_event(q, &event);
@@ -497,7 +499,7 @@
 }
 
 uint64_t
-quarantine_next_ms(const struct quarantine *q)
+quarantine_wake_ms(const struct quarantine *q)
 {
 	uint64_t next_ms = q->settled_ms;
 	guint i;
--- a/packages/traffic/src/superseded.c
+++ b/packages/traffic/src/superseded.c
@@ -9,7 +9,7 @@
 #define WITHIN_MS 2000
 
 uint64_t
-superseded_within_ms(uint64_t promised_ms)
+superseded_grace_ms(uint64_t promised_ms)
 {
 	return promised_ms != 0 ? promised_ms : WITHIN_MS;
 }
@@ -21,7 +21,7 @@
 }
 
 void
-superseded_note(struct superseded *s, uint64_t version, uint64_t now_ms)
+superseded_record(struct superseded *s, uint64_t version, uint64_t now_ms)
 {
 	struct superseded_entry *e = &s->entries[s->next];
 
@@ -33,7 +33,7 @@
 }
 
 bool
-superseded_is_over(const struct superseded *s, uint64_t version,
+superseded_is_expired(const struct superseded *s, uint64_t version,
     uint64_t now_ms, uint64_t within_ms)
 {
 	uint64_t since_ms = DEADLINE_NEVER;
--- a/packages/traffic/test/test_behind.c
+++ b/packages/traffic/test/test_behind.c
@@ -36,8 +36,8 @@
     {6, 4, 6, 5000, ANY, 0},
     {6, 6, 6, 0, 600, 0},
     /* A newer one is known: first soon, later as long as it was awaited. */
-    {6, 10, 6, 0, ANY, BEHIND_FIRST_MS},
-    {6, 10, 6, 199, ANY, BEHIND_FIRST_MS},
+    {6, 10, 6, 0, ANY, BEHIND_RETRY_MIN_MS},
+    {6, 10, 6, 199, ANY, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 300, ANY, 300},
     {6, 10, 6, 1500, ANY, 1500},
     {6, 10, 6, 2000, ANY, BEHIND_MOST_MS},
@@ -47,7 +47,7 @@
     /* Who has little time left comes back at half of it. */
     {6, 10, 6, 1500, 1000, 500},
     {6, 10, 6, 600000, 3000, 1500},
-    {6, 10, 6, 0, 600, BEHIND_FIRST_MS},
+    {6, 10, 6, 0, 600, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 300, 400, 200},
     /* Who has none to come back in is told the truth. */
     {6, 10, 6, 300, 399, 300},
@@ -107,7 +107,7 @@
 	ck_assert_uint_eq(behind_age_ms(&b, T0 + 1000), 1000);
 	behind_in_force(&b, 10, T0 + 1500);
 	ck_assert_uint_eq(
-	    behind_retry_ms(&b, 10, T0 + 1600, ANY), BEHIND_FIRST_MS);
+	    behind_retry_ms(&b, 10, T0 + 1600, ANY), BEHIND_RETRY_MIN_MS);
 	behind_in_force(&b, 12, T0 + 1700);
 	ck_assert_uint_eq(behind_retry_ms(&b, 12, T0 + 1800, ANY), 0);
 	ck_assert_uint_eq(behind_age_ms(&b, T0 + 1800), 0);
@@ -126,7 +126,7 @@
 	ck_assert_uint_eq(behind_retry_ms(&b, 6, T0 + 30000, ANY), 0);
 	behind_known(&b, 10, T0 + 90000);
 	ck_assert_uint_eq(
-	    behind_retry_ms(&b, 6, T0 + 90000, ANY), BEHIND_FIRST_MS);
+	    behind_retry_ms(&b, 6, T0 + 90000, ANY), BEHIND_RETRY_MIN_MS);
 }
 END_TEST
 
--- a/packages/traffic/test/test_body_window.c
+++ b/packages/traffic/test/test_body_window.c
@@ -87,7 +87,7 @@
 			body_window_open(&f->w, &f->shares[n], NULL, BODY_BYTES,
 			    first_bytes, now_ms);
 			queue(f, n, MIN(first_bytes, BODY_BYTES));
-			body_window_want(&f->w, &f->shares[n], BODY_BYTES);
+			body_window_request(&f->w, &f->shares[n], BODY_BYTES);
 			n++;
 		}
 		grant(f, now_ms);
@@ -123,10 +123,10 @@
 
 	body_window_init(&w, MOST_BYTES);
 	for (i = 0; i < 4; i++)
-		body_window_open(
-		    &w, &slow[i], NULL, BODY_LENGTH_OPEN, FIRST_BYTES, 0);
+		body_window_open(&w, &slow[i], NULL, BODY_WINDOW_LENGTH_UNKNOWN,
+		    FIRST_BYTES, 0);
 	body_window_open(&w, &quick, NULL, BODY_BYTES, FIRST_BYTES, 0);
-	body_window_want(&w, &quick, BODY_BYTES);
+	body_window_request(&w, &quick, BODY_BYTES);
 	ck_assert_ptr_null(body_window_next(&w, &bytes, 0));
 	body_window_received(&w, &quick, FIRST_BYTES, BODY_MOVES_MS - 1);
 	body_window_tick(&w, BODY_MOVES_MS);
@@ -152,8 +152,8 @@
 
 	body_window_init(&w, UINT64_MAX);
 	body_window_open(&w, &s, NULL, BODY_BYTES, FIRST_BYTES, 0);
-	body_window_want(&w, &s, 1000000);
-	body_window_want(&w, &s, 1000000);
+	body_window_request(&w, &s, 1000000);
+	body_window_request(&w, &s, 1000000);
 	while (body_window_next(&w, &bytes, 0) != NULL)
 		sum += bytes;
 	ck_assert_uint_eq(sum, BODY_BYTES - FIRST_BYTES);
--- a/packages/traffic/test/test_call.c
+++ b/packages/traffic/test/test_call.c
@@ -238,16 +238,16 @@
 		call_placed(c, s->arg, now);
 		break;
 	case UNPLACED:
-		call_unplaced(c, s->arg, now);
+		call_no_endpoint(c, s->arg, now);
 		break;
 	case SENT:
 		call_sent(c, w->stream, INCARNATION, now);
 		break;
 	case UNSENT:
-		call_unsent(c, w->stream, now);
+		call_connect_failed(c, w->stream, now);
 		break;
 	case BODY_GONE:
-		call_body_gone(c);
+		call_body_discarded(c);
 		break;
 	case COMMITTED:
 		call_committed(c, w->stream, now);
@@ -268,10 +268,10 @@
 		call_resolved(c, w->stream, (enum resolution)s->arg, now);
 		break;
 	case UNRESOLVED:
-		call_unresolved(c, w->stream, now);
+		call_resolve_failed(c, w->stream, now);
 		break;
 	case GONE:
-		call_caller_gone(c, now);
+		call_caller_disconnected(c, now);
 		break;
 	case TICK:
 		w->now_ms = s->arg;
@@ -426,7 +426,7 @@
 			fire(&w, &last[i]);
 			finals += count_finals(&w);
 		}
-		ck_assert(call_over(w.call));
+		ck_assert(call_is_finished(w.call));
 		ck_assert_int_le(finals, 1);
 		ck_assert(gone || finals == 1);
 		call_free(w.call);
@@ -455,15 +455,15 @@
 	ck_assert(call_next(c, &a) && a.kind == CALL_SEND);
 	call_sent(c, a.stream, 1, 0);
 	call_lost(c, a.stream, 0);
-	for (now_ms = 0; now_ms < 3000 && !call_over(c); now_ms++) {
+	for (now_ms = 0; now_ms < 3000 && !call_is_finished(c); now_ms++) {
 		call_tick(c, now_ms);
 		while (call_next(c, &a)) {
 			asked += a.kind == CALL_RESOLVE;
 			if (a.kind == CALL_RESOLVE)
-				call_unresolved(c, a.stream, now_ms);
+				call_resolve_failed(c, a.stream, now_ms);
 		}
 	}
-	ck_assert(call_over(c));
+	ck_assert(call_is_finished(c));
 	ck_assert_uint_ge(asked, 6);
 	ck_assert_uint_le(asked, 12);
 	call_free(c);
@@ -501,7 +501,7 @@
 	c = call_new(&cfg, &b, 1);
 	go_to(c, (enum stop_at)_i);
 	call_stopped(c);
-	ck_assert(call_over(c));
+	ck_assert(call_is_finished(c));
 	while (a.kind != CALL_GIVE_UP)
 		ck_assert(call_next(c, &a));
 	if (_i == STOP_WAITING) {
@@ -524,7 +524,7 @@
 {
 	const struct call_config cfg = {.deadline_ms = 1200,
 	    .target_ms = 400,
-	    .patient_until_ms = PATIENCE_MS};
+	    .caller_gives_up_ms = PATIENCE_MS};
 	struct retry_config rc = {.attempts = 1};
 	struct retry_budget b;
 	struct call_action a;
--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -71,13 +71,13 @@
 	struct request_id first = id_of(1);
 	struct keyed_decision d;
 
-	keyed_view(k, both, 2, 0);
+	keyed_set_view(k, both, 2, 0);
 	ck_assert_int_eq(offer(k, &key, 1, OLD_MS).verdict, KEYED_RUN);
 	d = offer(k, &key, 2, OLD_MS + 900);
 	ck_assert_int_eq(d.verdict, KEYED_FOLLOW);
 	ck_assert(request_id_equal(&d.first, &first));
 	keyed_offer(k, &key, 98, &first, OLD_MS, &d);
-	ck_assert_int_eq(d.verdict, KEYED_OTHER_BODY);
+	ck_assert_int_eq(d.verdict, KEYED_BODY_MISMATCH);
 	/* The first was refused unrun: the next one may run. */
 	keyed_release(k, &key, &first, OLD_MS);
 	ck_assert_int_eq(offer(k, &key, 3, OLD_MS).verdict, KEYED_RUN);
@@ -95,7 +95,7 @@
 	struct key_id key;
 	int i;
 
-	keyed_view(k, both, 2, 0);
+	keyed_set_view(k, both, 2, 0);
 	key = key_at(OTHER, both, 2, 0);
 	ck_assert_int_eq(offer(k, &key, 1, OLD_MS).verdict, KEYED_NOT_HOME);
 	for (i = 0; i <= KEYS_MAX; i++) {
@@ -128,8 +128,8 @@
 
 static const struct word_case word_cases[] = {
     {KEYED_WORD_FREE, KEYED_RUN, KEYED_FOLLOW},
-    {KEYED_WORD_TAKEN, KEYED_UNSETTLED, KEYED_ASK},
-    {KEYED_WORD_NONE, KEYED_UNSETTLED, KEYED_ASK},
+    {KEYED_WORD_TAKEN, KEYED_UNSETTLED, KEYED_ASK_HOME},
+    {KEYED_WORD_NONE, KEYED_UNSETTLED, KEYED_ASK_HOME},
 };
 
 START_TEST(test_home_moved)
@@ -140,13 +140,13 @@
 	struct request_id id = id_of(1);
 	struct keyed_decision d;
 
-	keyed_view(k, both, 2, 0);
-	keyed_view(k, both, 1, OLD_MS);
+	keyed_set_view(k, both, 2, 0);
+	keyed_set_view(k, both, 1, OLD_MS);
 	d = offer(k, &key, 1, OLD_MS + 500);
-	ck_assert_int_eq(d.verdict, KEYED_ASK);
+	ck_assert_int_eq(d.verdict, KEYED_ASK_HOME);
 	ck_assert_uint_eq(d.ask, OTHER);
 	ck_assert_int_eq(offer(k, &key, 2, OLD_MS + 500).verdict, KEYED_FOLLOW);
-	keyed_asked(k, &key, &id, OTHER, wc->word, OLD_MS + 501, &d);
+	keyed_home_answered(k, &key, &id, OTHER, wc->word, OLD_MS + 501, &d);
 	ck_assert_int_eq(d.verdict, wc->want);
 	ck_assert_int_eq(offer(k, &key, 3, OLD_MS + 502).verdict, wc->next);
 	keyed_free(k);
@@ -159,8 +159,8 @@
 	struct keyed *k = keys_of(SELF, false, 0);
 	struct key_id key = key_at(OTHER, both, 2, 0);
 
-	keyed_view(k, both, 2, 0);
-	keyed_view(k, both, 1, OLD_MS);
+	keyed_set_view(k, both, 2, 0);
+	keyed_set_view(k, both, 1, OLD_MS);
 	ck_assert_int_eq(
 	    offer(k, &key, 1, OLD_MS + WINDOW_MS + NEWS_MS + 1).verdict,
 	    KEYED_RUN);
@@ -175,12 +175,12 @@
 	struct key_id key = key_at(SELF, both, 2, 0);
 	struct keyed_decision d;
 
-	keyed_view(k, both, 1, OLD_MS);
+	keyed_set_view(k, both, 1, OLD_MS);
 	d = offer(k, &key, 1, OLD_MS + 1);
 	ck_assert_int_eq(d.verdict, KEYED_UNSETTLED);
-	keyed_view(k, both, 2, OLD_MS + 2);
+	keyed_set_view(k, both, 2, OLD_MS + 2);
 	d = offer(k, &key, 2, OLD_MS + 3);
-	ck_assert_int_eq(d.verdict, KEYED_ASK);
+	ck_assert_int_eq(d.verdict, KEYED_ASK_HOME);
 	ck_assert_uint_eq(d.ask, OTHER);
 	d = offer(k, &key, 3, OLD_MS + WINDOW_MS + 1);
 	ck_assert_int_eq(d.verdict, KEYED_FOLLOW);
@@ -214,22 +214,22 @@
 	struct key_id key = key_at(SELF, both, 2, 0);
 	enum keyed_word word;
 
-	keyed_view(k, both, 2, yc->born_ms);
+	keyed_set_view(k, both, 2, yc->born_ms);
 	if (yc->ran)
 		(void)offer(k, &key, 1, OLD_MS - 10);
 	if (yc->moved_ms != 0)
-		keyed_view(k, &both[1], 1, OLD_MS - yc->moved_ms);
-	word = keyed_yield(k, &key, OTHER, yc->asker_age_ms, OLD_MS);
+		keyed_set_view(k, &both[1], 1, OLD_MS - yc->moved_ms);
+	word = keyed_hand_over(k, &key, OTHER, yc->asker_age_ms, OLD_MS);
 	ck_assert_msg(word == yc->want, "%s", yc->name);
 	if (word != KEYED_WORD_FREE) {
 		keyed_free(k);
 		return;
 	}
 	/* Barred: never run here without asking back; nobody else gets it. */
-	keyed_view(k, both, 2, OLD_MS + 1);
-	ck_assert_int_eq(offer(k, &key, 2, OLD_MS + 2).verdict, KEYED_ASK);
+	keyed_set_view(k, both, 2, OLD_MS + 1);
+	ck_assert_int_eq(offer(k, &key, 2, OLD_MS + 2).verdict, KEYED_ASK_HOME);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, THIRD, 100, OLD_MS + 3), KEYED_WORD_TAKEN);
+	    keyed_hand_over(k, &key, THIRD, 100, OLD_MS + 3), KEYED_WORD_TAKEN);
 	keyed_free(k);
 }
 END_TEST
@@ -239,16 +239,16 @@
 	struct keyed *k = keys_of(SELF, false, 0);
 	struct key_id key = key_at(SELF, three, 3, 0);
 
-	keyed_view(k, three, 3, 0);
+	keyed_set_view(k, three, 3, 0);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, OTHER, 100, OLD_MS), KEYED_WORD_FREE);
+	    keyed_hand_over(k, &key, OTHER, 100, OLD_MS), KEYED_WORD_FREE);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, OTHER, 100, OLD_MS + 1), KEYED_WORD_FREE);
+	    keyed_hand_over(k, &key, OTHER, 100, OLD_MS + 1), KEYED_WORD_FREE);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, THIRD, 100, OLD_MS + 2), KEYED_WORD_TAKEN);
+	    keyed_hand_over(k, &key, THIRD, 100, OLD_MS + 2), KEYED_WORD_TAKEN);
 	/* A new process of the same endpoint: the old one may have run it. */
-	ck_assert_int_eq(
-	    keyed_yield(k, &key, OTHER, 100, OLD_MS + 101), KEYED_WORD_TAKEN);
+	ck_assert_int_eq(keyed_hand_over(k, &key, OTHER, 100, OLD_MS + 101),
+	    KEYED_WORD_TAKEN);
 	keyed_free(k);
 }
 END_TEST
@@ -263,7 +263,7 @@
 	struct key_id key;
 	int i;
 
-	keyed_view(k, both, 2, OLD_MS);
+	keyed_set_view(k, both, 2, OLD_MS);
 	for (i = 0; i < 3; i++) {
 		key = key_at(SELF, both, 2, i);
 		ck_assert_int_eq(
--- a/packages/traffic/test/test_limits.c
+++ b/packages/traffic/test/test_limits.c
@@ -330,22 +330,22 @@
 	uint64_t now;
 
 	drain_init(&d);
-	ck_assert(drain_takes_call(&d) && drain_takes_request(&d));
+	ck_assert(drain_accepts_call(&d) && drain_accepts_request(&d));
 	if (dc->call)
 		drain_call_began(&d);
 	if (dc->request)
 		drain_request_began(&d);
 	drain_begin(&d, 200, SECOND_MS, 0);
-	ck_assert(!drain_takes_request(&d));
-	ck_assert(drain_takes_call(&d) && drain_closes(&d));
-	for (now = 1; now < 2 * SECOND_MS && !drain_stops(&d); now++) {
+	ck_assert(!drain_accepts_request(&d));
+	ck_assert(drain_accepts_call(&d) && drain_closes(&d));
+	for (now = 1; now < 2 * SECOND_MS && !drain_is_complete(&d); now++) {
 		if (now == dc->call_ends_ms)
 			drain_call_ended(&d, now);
 		if (now == dc->request_ends_ms)
 			drain_request_ended(&d, now);
 		if (now >= drain_wake_ms(&d))
 			drain_tick(&d, now);
-		ck_assert(drain_takes_call(&d) == (now < 200));
+		ck_assert(drain_accepts_call(&d) == (now < 200));
 	}
 	ck_assert_msg(d.state == dc->at_end, "%s", dc->name);
 	ck_assert_uint_eq(now - 1, dc->ends_ms);
@@ -361,7 +361,7 @@
 	drain_init(&d);
 	ck_assert(drain_may_start(&d, 60000, 0, 1000));
 	drain_announce(&d, 6500);
-	ck_assert(drain_takes_request(&d));
+	ck_assert(drain_accepts_request(&d));
 	ck_assert(drain_may_start(&d, 6300, 0, 1000));
 	ck_assert(drain_may_start(&d, 60000, 0, 5500));
 	ck_assert(!drain_may_start(&d, 60000, 0, 5501));
@@ -375,19 +375,20 @@
 /* Half a second of the grace time is left for the end of the process. */
 START_TEST(test_drain_work)
 {
-	ck_assert_uint_eq(drain_work_ms(600000, 0), 600000);
-	ck_assert_uint_eq(drain_work_ms(600000, 10000), 9500);
-	ck_assert_uint_eq(drain_work_ms(600000, 2000), 1750);
-	ck_assert_uint_eq(drain_work_ms(1000, 10000), 1000);
+	ck_assert_uint_eq(drain_wait_ms(600000, 0), 600000);
+	ck_assert_uint_eq(drain_wait_ms(600000, 10000), 9500);
+	ck_assert_uint_eq(drain_wait_ms(600000, 2000), 1750);
+	ck_assert_uint_eq(drain_wait_ms(1000, 10000), 1000);
 }
 END_TEST
 
 START_TEST(test_drain_serves_on)
 {
-	ck_assert_uint_eq(drain_serves_until_ms(3000, 6250, 1000), 1000 + 1968);
-	ck_assert_uint_eq(drain_serves_until_ms(500, 6250, 1000), 1500);
-	ck_assert_uint_eq(drain_serves_until_ms(0, 6250, 1000), 1000);
-	ck_assert_uint_eq(drain_serves_until_ms(3000, 900, 1000), 1000);
+	ck_assert_uint_eq(
+	    drain_accepts_until_ms(3000, 6250, 1000), 1000 + 1968);
+	ck_assert_uint_eq(drain_accepts_until_ms(500, 6250, 1000), 1500);
+	ck_assert_uint_eq(drain_accepts_until_ms(0, 6250, 1000), 1000);
+	ck_assert_uint_eq(drain_accepts_until_ms(3000, 900, 1000), 1000);
 }
 END_TEST
 
--- a/packages/traffic/test/test_overload.c
+++ b/packages/traffic/test/test_overload.c
@@ -112,7 +112,7 @@
 	const struct kind *k = &p->kinds[r->kind];
 
 	g_array_remove_index_fast(p->slots, slot);
-	admission_ran(p->a, &r->req, k->work_ms, now_ms);
+	admission_record_run(p->a, &r->req, k->work_ms, now_ms);
 	admission_finished(p->a, r->req.ticket, k->class, k->work_ms, now_ms);
 	p->tally[r->kind].served++;
 	if (now_ms <= r->arrived_ms + k->target_ms)
@@ -267,7 +267,7 @@
 	for (read.ticket = 1; read.ticket <= SLOTS + 4; read.ticket++)
 		admission_offer(a, &read, 0, &res);
 	ck_assert_int_eq(res.verdict, ADMISSION_QUEUE);
-	admission_ran(a, &call, 600, 0);
+	admission_record_run(a, &call, 600, 0);
 	for (now_ms = 0; now_ms < 5000; now_ms += 16) {
 		call.ticket = 1000 + now_ms;
 		call.deadline_ms = now_ms + 585;
@@ -298,7 +298,7 @@
 	admission_config_default(&cfg);
 	cfg.slots = SLOTS;
 	a = admission_new(&cfg);
-	admission_ran(a, &read, 1700, 0);
+	admission_record_run(a, &read, 1700, 0);
 	for (; read.ticket <= 2; read.ticket++) {
 		admission_offer(a, &read, 0, &res);
 		admission_finished(a, read.ticket, read.class, 1700, 0);
@@ -554,7 +554,7 @@
 	while (
 	    r->ends->len > 0 && g_array_index(r->ends, uint64_t, 0) <= now_ms) {
 		g_array_remove_index(r->ends, 0);
-		admission_ran(r->a, &r->req, BURST_WORK_MS, now_ms);
+		admission_record_run(r->a, &r->req, BURST_WORK_MS, now_ms);
 		admission_finished(
 		    r->a, 0, r->req.class, BURST_WORK_MS, now_ms);
 	}
--- a/packages/traffic/test/test_patience.c
+++ b/packages/traffic/test/test_patience.c
@@ -14,11 +14,11 @@
 {
 	struct patience *p = patience_new();
 
-	ck_assert_uint_eq(patience_asked_ms(p, 1, 3000), 0);
-	ck_assert_uint_eq(patience_asked_ms(p, 1, 2000), 1000);
-	ck_assert_uint_eq(patience_asked_ms(p, 2, 500), 0);
-	ck_assert_uint_eq(patience_asked_ms(p, 1, 3500), 0);
-	ck_assert_uint_eq(patience_asked_ms(p, 1, 3000), 500);
+	ck_assert_uint_eq(patience_elapsed_ms(p, 1, 3000), 0);
+	ck_assert_uint_eq(patience_elapsed_ms(p, 1, 2000), 1000);
+	ck_assert_uint_eq(patience_elapsed_ms(p, 2, 500), 0);
+	ck_assert_uint_eq(patience_elapsed_ms(p, 1, 3500), 0);
+	ck_assert_uint_eq(patience_elapsed_ms(p, 1, 3000), 500);
 	patience_free(p);
 }
 END_TEST
@@ -29,9 +29,9 @@
 	uint64_t i;
 
 	for (i = 0; i < ROUTES_MANY; i++)
-		ck_assert_uint_eq(patience_asked_ms(p, i, 3000), 0);
+		ck_assert_uint_eq(patience_elapsed_ms(p, i, 3000), 0);
 	for (i = 0; i < ROUTES_MANY; i++)
-		ck_assert_uint_eq(patience_asked_ms(p, i, 2000), 1000);
+		ck_assert_uint_eq(patience_elapsed_ms(p, i, 2000), 1000);
 	patience_free(p);
 }
 END_TEST
--- a/packages/traffic/test/test_placement.c
+++ b/packages/traffic/test/test_placement.c
@@ -285,13 +285,13 @@
 
 	world_init(&w);
 	for (i = 0; i < 4; i++)
-		endpoints_way(w.endpoints, 1, 522000, 22000, 100);
+		endpoints_record_delay(w.endpoints, 1, 522000, 22000, 100);
 	count(&w, 100, n);
 	ck_assert_int_eq(n[1], 0);
 	ck_assert_int_gt(n[2], 0);
 	/* Both local ones: another data centre answers sooner. */
 	for (i = 0; i < 4; i++)
-		endpoints_way(w.endpoints, 2, 522000, 22000, 100);
+		endpoints_record_delay(w.endpoints, 2, 522000, 22000, 100);
 	count(&w, 100, n);
 	ck_assert_int_eq(n[1] + n[2], 0);
 	/* Without news it is tried again before long. */
@@ -309,7 +309,7 @@
 
 	world_init(&w);
 	for (i = 0; i < 4; i++)
-		endpoints_way(w.endpoints, 1, 900000, 900000, 100);
+		endpoints_record_delay(w.endpoints, 1, 900000, 900000, 100);
 	count(&w, 100, n);
 	ck_assert_int_gt(n[1], ROUNDS / 4);
 	world_clear(&w);
@@ -428,7 +428,7 @@
 START_TEST(the_own_upstream_is_the_last_choice_of_a_late_entry)
 {
 	struct placement_query q = {
-	    .service = SERVICE, .idempotent = true, .not_own = true};
+	    .service = SERVICE, .idempotent = true, .avoid_own = true};
 	struct placement_choice c;
 	struct world w;
 	int i;
@@ -443,7 +443,7 @@
 	tell(&w, 1, 2);
 	ck_assert(placement_choose(w.placement, &q, 1000, &c));
 	ck_assert_uint_eq(c.endpoint, 1);
-	q.not_own = false;
+	q.avoid_own = false;
 	tell(&w, ENDPOINTS, 3);
 	ck_assert(placement_choose(w.placement, &q, 1000, &c));
 	ck_assert_uint_eq(c.endpoint, 1);
--- a/packages/traffic/test/test_placement_fleet.c
+++ b/packages/traffic/test/test_placement_fleet.c
@@ -158,7 +158,7 @@
 			if (silent_ms[i] == 0 || now_ms < silent_ms[i])
 				continue;
 			/* Dialled again, once the cut is over it answers. */
-			(void)endpoints_doubt(
+			(void)endpoints_set_silent(
 			    e, i, is_behind_cut(i, now_ms), now_ms);
 		}
 		id = place(p, now_ms);
@@ -184,11 +184,11 @@
 {
 	struct endpoints *e = fleet_new();
 
-	ck_assert(!endpoints_doubt(e, 100, true, 1000));
+	ck_assert(!endpoints_set_silent(e, 100, true, 1000));
 	endpoints_began(e, 102, 1100);
 	endpoints_ended(e, 102, ENDPOINT_REFUSED, 0, 1100);
-	ck_assert(!endpoints_doubt(e, 101, true, 1200));
-	ck_assert_msg(endpoints_doubt(e, 103, true, 1300),
+	ck_assert(!endpoints_set_silent(e, 101, true, 1200));
+	ck_assert_msg(endpoints_set_silent(e, 103, true, 1300),
 	    "nothing was heard between these two");
 	endpoints_free(e);
 }
@@ -199,12 +199,12 @@
 {
 	struct endpoints *e = fleet_new();
 
-	ck_assert(!endpoints_doubt(e, 100, true, 1000));
-	ck_assert(!endpoints_doubt(e, 100, false, 1500));
-	ck_assert(!endpoints_doubt(e, 100, true, 2000));
-	ck_assert(!endpoints_doubt(e, 101, true, 9000));
+	ck_assert(!endpoints_set_silent(e, 100, true, 1000));
+	ck_assert(!endpoints_set_silent(e, 100, false, 1500));
+	ck_assert(!endpoints_set_silent(e, 100, true, 2000));
+	ck_assert(!endpoints_set_silent(e, 101, true, 9000));
 	/* The own data centre has nowhere to be left for. */
-	ck_assert(!endpoints_doubt(e, 1, true, 9100));
+	ck_assert(!endpoints_set_silent(e, 1, true, 9100));
 	endpoints_free(e);
 }
 END_TEST
--- a/packages/traffic/test/test_quarantine.c
+++ b/packages/traffic/test/test_quarantine.c
@@ -54,7 +54,7 @@
 		c.runs[c.n_runs++] = a;
 	if (b.content != 0)
 		c.runs[c.n_runs++] = b;
-	quarantine_crash(q, &c, at_ms);
+	quarantine_add_peer_crash(q, &c, at_ms);
 	quarantine_tick(q, at_ms);
 }
 
@@ -83,7 +83,7 @@
 	crash_alone(T0 + 10000, 1, A);
 	ck_assert(!held(1, A));
 	ck_assert_uint_eq(
-	    quarantine_next_ms(q), T0 + 10000 + QUARANTINE_SETTLE_MS);
+	    quarantine_wake_ms(q), T0 + 10000 + QUARANTINE_SETTLE_MS);
 	quarantine_tick(q, T0 + 10000 + SETTLED_MS);
 	ck_assert(held(1, A));
 	ck_assert(!held(2, A));
@@ -166,7 +166,7 @@
 
 	c.runs[0] = print(1, A);
 	for (i = 0; i < 5; i++)
-		quarantine_crash(q, &c, T0 + 100);
+		quarantine_add_peer_crash(q, &c, T0 + 100);
 	quarantine_tick(q, T0 + 1000);
 	ck_assert(!held(1, A));
 }
@@ -292,7 +292,7 @@
 		c.runs[0] = print(1, A);
 		for (r = 1; r < SLOTS; r++)
 			c.runs[r] = print(100 + r + (i % 3 == 2 ? i : 0), A);
-		quarantine_crash(q, &c, c.at_ms);
+		quarantine_add_peer_crash(q, &c, c.at_ms);
 		quarantine_tick(q, c.at_ms);
 	}
 	quarantine_tick(q, T0 + 60000);
@@ -330,7 +330,7 @@
 		c.n_runs = SLOTS;
 		for (r = 0; r < SLOTS; r++)
 			c.runs[r] = print(1 + i % 60 * SLOTS + r, A);
-		quarantine_crash(q, &c, c.at_ms);
+		quarantine_add_peer_crash(q, &c, c.at_ms);
 		quarantine_tick(q, c.at_ms);
 	}
 	quarantine_tick(q, T0 + 1000 + SETTLED_MS);
@@ -349,7 +349,7 @@
 	(void)quarantine_answered(q, &popular, T0);
 	c.runs[0] = print(2, A);
 	c.runs[1] = popular;
-	quarantine_crashed(q, &c, T0 + 1000);
+	quarantine_add_own_crash(q, &c, T0 + 1000);
 	ck_assert(quarantine_pop(q, &e));
 	ck_assert_int_eq(e.kind, QUARANTINE_EVENT_CRASHED);
 	ck_assert_uint_eq(e.crash.n_runs, 1);
@@ -388,7 +388,7 @@
 	for (i = 0; i < 4; i++) {
 		c.id = i + 1;
 		c.at_ms = T0 + 1000 + i * 1000;
-		quarantine_crashed(q, &c, c.at_ms);
+		quarantine_add_own_crash(q, &c, c.at_ms);
 		quarantine_tick(q, c.at_ms);
 	}
 	quarantine_tick(q, T0 + 5000);
@@ -432,7 +432,7 @@
 	quarantine_tick(q, T0 + 3000);
 	ck_assert(held(1, 99));
 	ck_assert(!held(2, A));
-	ck_assert(quarantine_clear(q, &b, T0 + 4000));
+	ck_assert(quarantine_exonerate(q, &b, T0 + 4000));
 	ck_assert(!held(1, A));
 }
 END_TEST
@@ -464,9 +464,9 @@
 	crash_alone(T0 + 1000, 1, A);
 	crash_alone(T0 + 2000, 1, A);
 	quarantine_tick(q, T0 + 3000);
-	ck_assert(quarantine_clear(q, &all, T0 + 60000));
+	ck_assert(quarantine_exonerate(q, &all, T0 + 60000));
 	ck_assert(!held(1, A));
-	ck_assert(!quarantine_hold(q, &f, T0 + 3000));
+	ck_assert(!quarantine_add(q, &f, T0 + 3000));
 	quarantine_tick(q, T0 + 70000);
 	ck_assert(!held(1, A));
 	crash_alone(T0 + 80000, 1, A);
@@ -482,8 +482,8 @@
 	struct fingerprint f = print(1, A);
 	struct quarantine_event e;
 
-	ck_assert(quarantine_hold(q, &f, T0));
-	ck_assert(!quarantine_hold(q, &f, T0 + 1));
+	ck_assert(quarantine_add(q, &f, T0));
+	ck_assert(!quarantine_add(q, &f, T0 + 1));
 	ck_assert(held(1, A));
 	ck_assert(!quarantine_pop(q, &e));
 }
@@ -495,7 +495,7 @@
 	struct fingerprint f = print(1, A);
 	struct quarantine_event e;
 
-	ck_assert(quarantine_hold(q, &f, T0));
+	ck_assert(quarantine_add(q, &f, T0));
 	ck_assert(quarantine_answered(q, &f, T0 + 100));
 	ck_assert(!held(1, A));
 	ck_assert(quarantine_pop(q, &e));
@@ -537,7 +537,7 @@
 			c.n_runs = 2;
 			c.runs[0] = print(1, A);
 			c.runs[1] = print(order[i][j] < 3 ? 2 : 3, A);
-			quarantine_crash(q, &c, T0 + 5000);
+			quarantine_add_peer_crash(q, &c, T0 + 5000);
 		}
 		quarantine_tick(q, T0 + 5000 + SETTLED_MS);
 		ck_assert(held(1, A));
--- a/packages/traffic/test/test_spread_load.c
+++ b/packages/traffic/test/test_spread_load.c
@@ -60,7 +60,7 @@
 	bool answered = false;
 
 	call_start(c, now_ms);
-	while (!call_over(c)) {
+	while (!call_is_finished(c)) {
 		while (call_next(c, &a)) {
 			if (a.kind == CALL_PLACE)
 				call_placed(c, pick(c, r), now_ms);
@@ -76,7 +76,7 @@
 				    c, a.stream, REFUSAL_WAIT, 50, now_ms);
 			}
 		}
-		if (!call_over(c))
+		if (!call_is_finished(c))
 			call_tick(c, call_wake_ms(c));
 	}
 	call_free(c);
--- a/packages/traffic/test/test_superseded.c
+++ b/packages/traffic/test/test_superseded.c
@@ -13,12 +13,12 @@
 {
 	struct superseded s = {0};
 
-	superseded_note(&s, 10, 1000);
-	ck_assert(!superseded_is_over(&s, 10, 9000, WITHIN_MS));
-	superseded_note(&s, 14, 5000);
-	ck_assert(!superseded_is_over(&s, 10, 6999, WITHIN_MS));
-	ck_assert(superseded_is_over(&s, 10, 7000, WITHIN_MS));
-	ck_assert(!superseded_is_over(&s, 14, 90000, WITHIN_MS));
+	superseded_record(&s, 10, 1000);
+	ck_assert(!superseded_is_expired(&s, 10, 9000, WITHIN_MS));
+	superseded_record(&s, 14, 5000);
+	ck_assert(!superseded_is_expired(&s, 10, 6999, WITHIN_MS));
+	ck_assert(superseded_is_expired(&s, 10, 7000, WITHIN_MS));
+	ck_assert(!superseded_is_expired(&s, 14, 90000, WITHIN_MS));
 }
 END_TEST
 
@@ -27,12 +27,12 @@
 {
 	struct superseded s = {0};
 
-	superseded_note(&s, 10, 1000);
-	superseded_note(&s, 14, 5000);
-	superseded_note(&s, 18, 6900);
-	ck_assert(superseded_is_over(&s, 10, 7000, WITHIN_MS));
-	ck_assert(!superseded_is_over(&s, 14, 7000, WITHIN_MS));
-	ck_assert(superseded_is_over(&s, 14, 8900, WITHIN_MS));
+	superseded_record(&s, 10, 1000);
+	superseded_record(&s, 14, 5000);
+	superseded_record(&s, 18, 6900);
+	ck_assert(superseded_is_expired(&s, 10, 7000, WITHIN_MS));
+	ck_assert(!superseded_is_expired(&s, 14, 7000, WITHIN_MS));
+	ck_assert(superseded_is_expired(&s, 14, 8900, WITHIN_MS));
 }
 END_TEST
 
@@ -41,10 +41,10 @@
 {
 	struct superseded s = {0};
 
-	ck_assert(!superseded_is_over(&s, 0, 1000, 0));
-	ck_assert(!superseded_is_over(&s, 10, 1000, 0));
-	superseded_note(&s, 10, 1000);
-	ck_assert(!superseded_is_over(&s, 14, 90000, WITHIN_MS));
+	ck_assert(!superseded_is_expired(&s, 0, 1000, 0));
+	ck_assert(!superseded_is_expired(&s, 10, 1000, 0));
+	superseded_record(&s, 10, 1000);
+	ck_assert(!superseded_is_expired(&s, 14, 90000, WITHIN_MS));
 }
 END_TEST
 
@@ -52,11 +52,11 @@
 {
 	struct superseded s = {0};
 
-	superseded_note(&s, 10, 1000);
-	superseded_note(&s, 10, 4000);
-	ck_assert(superseded_is_over(&s, 9, 3000, WITHIN_MS));
-	superseded_note(&s, 0, 5000);
-	ck_assert(superseded_is_over(&s, 9, 5000, WITHIN_MS));
+	superseded_record(&s, 10, 1000);
+	superseded_record(&s, 10, 4000);
+	ck_assert(superseded_is_expired(&s, 9, 3000, WITHIN_MS));
+	superseded_record(&s, 0, 5000);
+	ck_assert(superseded_is_expired(&s, 9, 5000, WITHIN_MS));
 }
 END_TEST
 
@@ -66,11 +66,11 @@
 	uint64_t v;
 
 	for (v = 1; v <= 3 * SUPERSEDED_MAX; v++)
-		superseded_note(&s, v, 1000 * v);
+		superseded_record(&s, v, 1000 * v);
 	v = 3 * SUPERSEDED_MAX;
-	ck_assert(superseded_is_over(&s, 1, 1000 * v, WITHIN_MS));
-	ck_assert(superseded_is_over(&s, v - 3, 1000 * v, WITHIN_MS));
-	ck_assert(!superseded_is_over(&s, v - 2, 1000 * v, WITHIN_MS));
+	ck_assert(superseded_is_expired(&s, 1, 1000 * v, WITHIN_MS));
+	ck_assert(superseded_is_expired(&s, v - 3, 1000 * v, WITHIN_MS));
+	ck_assert(!superseded_is_expired(&s, v - 2, 1000 * v, WITHIN_MS));
 }
 END_TEST
 
--- a/test/calls/entry.c
+++ b/test/calls/entry.c
@@ -92,7 +92,7 @@
 	if (placement_choose(e->placement, &q, entry_now_ms(e), &choice))
 		call_placed(ec->call, choice.endpoint, entry_now_ms(e));
 	else
-		call_unplaced(ec->call, 0, entry_now_ms(e));
+		call_no_endpoint(ec->call, 0, entry_now_ms(e));
 }
 
 static void
@@ -176,7 +176,7 @@
 
 	while (call_next(ec->call, &a))
 		carry_out(ec, &a);
-	if (!call_over(ec->call)) {
+	if (!call_is_finished(ec->call)) {
 		set_wake(ec);
 		return;
 	}
@@ -254,7 +254,7 @@
 		queue_at(e->world->queue, e->frozen_until_us, arrives, e, c);
 		return;
 	}
-	if (drain_takes_call(&e->drain))
+	if (drain_accepts_call(&e->drain))
 		take(e, c);
 	else
 		world_tell(e->world, c->number,
@@ -270,7 +270,7 @@
 	ec = find(e, number);
 	if (ec == NULL)
 		return;
-	call_caller_gone(ec->call, entry_now_ms(e));
+	call_caller_disconnected(ec->call, entry_now_ms(e));
 	pump(ec);
 }
 
@@ -284,9 +284,11 @@
 		return;
 	if (wait->action.kind == CALL_SEND) {
 		end_attempt(ec, ENDPOINT_UNREACHABLE);
-		call_unsent(ec->call, wait->action.stream, entry_now_ms(e));
+		call_connect_failed(
+		    ec->call, wait->action.stream, entry_now_ms(e));
 	} else {
-		call_unresolved(ec->call, wait->action.stream, entry_now_ms(e));
+		call_resolve_failed(
+		    ec->call, wait->action.stream, entry_now_ms(e));
 	}
 	pump(ec);
 }
--- a/test/calls/entry_process.c
+++ b/test/calls/entry_process.c
@@ -159,7 +159,7 @@
 	if (!e->up || e->process != (uint64_t)GPOINTER_TO_SIZE(what))
 		return;
 	drain_tick(&e->drain, entry_now_ms(e));
-	if (!drain_stops(&e->drain)) {
+	if (!drain_is_complete(&e->drain)) {
 		world_later(e->world, US_PER_MS, drain_step, e, what);
 		return;
 	}
--- a/test/calls/guard.c
+++ b/test/calls/guard.c
@@ -216,9 +216,9 @@
 	switch (fate_offer(g->fates, &m->id, sent, &waiter, guard_now_ms(g))) {
 	case FATE_OFFER_NEW:
 		break;
-	case FATE_OFFER_SEEN:
+	case FATE_OFFER_DUPLICATE:
 		return;
-	case FATE_OFFER_NEVER:
+	case FATE_OFFER_NOT_RUN:
 		refusal.refusal = REFUSAL_RESOLVED;
 		break;
 	case FATE_OFFER_TOO_OLD:
@@ -230,7 +230,7 @@
 		return;
 	}
 	r = add(g, m, sent + m->left_ms);
-	if (!drain_takes_request(&g->drain))
+	if (!drain_accepts_request(&g->drain))
 		guard_refuse(g, r, REFUSAL_DRAINING, 0);
 	else if (world_call(g->world, r->call)->keyed)
 		guard_key_offer(g, r);
--- a/test/calls/guard_key.c
+++ b/test/calls/guard_key.c
@@ -39,8 +39,8 @@
 	if (g->up && g->process == q->process) {
 		if (g->world->cfg.plant == PLANT_KEY_NOT_ASKED)
 			q->word = KEYED_WORD_FREE;
-		keyed_asked(g->keyed, &q->key, &q->id, q->asked, q->word,
-		    guard_now_ms(g), &d);
+		keyed_home_answered(g->keyed, &q->key, &q->id, q->asked,
+		    q->word, guard_now_ms(g), &d);
 		r = guard_find(g, &q->id);
 		if (r != NULL)
 			act(g, r, &q->key, &d);
@@ -71,8 +71,8 @@
 
 	if (h->up && h->frozen_until_us <= w->now_us &&
 	    !is_cut(w, h->index, q->guard->index)) {
-		q->word = keyed_yield(h->keyed, &q->key, q->guard->index + 1,
-		    q->age_ms, guard_now_ms(h));
+		q->word = keyed_hand_over(h->keyed, &q->key,
+		    q->guard->index + 1, q->age_ms, guard_now_ms(h));
 		world_later(w, w->cfg.delay_us, asked, q->guard, q);
 		return;
 	}
@@ -199,7 +199,7 @@
 	case KEYED_FOLLOW:
 		follow(g, r, d);
 		return;
-	case KEYED_ASK:
+	case KEYED_ASK_HOME:
 	case KEYED_CLAIM:
 		ask(g, r, key, d);
 		return;
@@ -210,7 +210,7 @@
 	case KEYED_FULL:
 		guard_refuse(g, r, REFUSAL_KEY_UNSETTLED, d->retry_after_ms);
 		return;
-	case KEYED_OTHER_BODY:
+	case KEYED_BODY_MISMATCH:
 		guard_refuse(g, r, REFUSAL_KEY_REUSED, 0);
 		return;
 	}
--- a/test/calls/guard_process.c
+++ b/test/calls/guard_process.c
@@ -162,7 +162,7 @@
 		if (g->view[i] == ENDPOINT_READY)
 			ready[n++] = i + 1;
 	}
-	keyed_view(g->keyed, ready, n, guard_now_ms(g));
+	keyed_set_view(g->keyed, ready, n, guard_now_ms(g));
 }
 
 static void
@@ -180,7 +180,7 @@
 	if (!g->up || g->process != (uint64_t)GPOINTER_TO_SIZE(what))
 		return;
 	drain_tick(&g->drain, guard_now_ms(g));
-	if (!drain_stops(&g->drain)) {
+	if (!drain_is_complete(&g->drain)) {
 		world_later(g->world, US_PER_MS, drain_step, g, what);
 		return;
 	}
--- a/test/quarantine/fleet.c
+++ b/test/quarantine/fleet.c
@@ -222,15 +222,15 @@
 			    item->prints[c.n_runs].content;
 			c.runs[c.n_runs].caller = item->prints[c.n_runs].caller;
 		}
-		quarantine_crash(n->quarantine, &c, n->fleet->now_ms);
+		quarantine_add_peer_crash(n->quarantine, &c, n->fleet->now_ms);
 		return;
 	}
 	f.content = item->prints[0].content;
 	f.caller = item->prints[0].caller;
 	if (item->kind == QUARANTINE_HELD)
-		(void)quarantine_hold(n->quarantine, &f, item->at_ms);
+		(void)quarantine_add(n->quarantine, &f, item->at_ms);
 	else
-		(void)quarantine_clear(n->quarantine, &f, item->at_ms);
+		(void)quarantine_exonerate(n->quarantine, &f, item->at_ms);
 }
 
 /* Events */
@@ -273,7 +273,7 @@
 		send_one(n, out);
 		outbox_item_free(out);
 	}
-	next_ms = MIN(quarantine_next_ms(n->quarantine),
+	next_ms = MIN(quarantine_wake_ms(n->quarantine),
 	    quarantine_news_next_ms(n->news));
 	next_ms = MAX(next_ms, f->now_ms + 1);
 	if (next_ms >= n->tick_ms && n->tick_ms > f->now_ms)
@@ -317,7 +317,7 @@
 	if (e->kind == EVENT_FOUND) {
 		e->crash->id = next_id(n);
 		e->crash->at_ms = f->now_ms;
-		quarantine_crashed(n->quarantine, e->crash, f->now_ms);
+		quarantine_add_own_crash(n->quarantine, e->crash, f->now_ms);
 	}
 	pump(n);
 }
