--- a/packages/traffic/include/traffic/behind.h
+++ b/packages/traffic/include/traffic/behind.h
@@ -19,16 +19,17 @@
 #define BEHIND_RETRY_MIN_MS 200
 
 /**
- * BEHIND_MOST_MS - longest time to come back
+ * BEHIND_RETRY_MAX_MS - longest time to come back
  *
  * A version that isn't in force after seconds can't be used as it is, and
  * waits for the operators' next one.  A reader finds that within the 2,000 ms
  * that a read of the feed lasts at most.
  */
-#define BEHIND_MOST_MS 2000
+#define BEHIND_RETRY_MAX_MS 2000
 
-/** BEHIND_NOW_MS - to come back when the newer version is in force already */
-#define BEHIND_NOW_MS 1
+/** BEHIND_RETRY_NOW_MS - to come back when the newer version is in force
+ * already */
+#define BEHIND_RETRY_NOW_MS 1
 
 /**
  * struct behind - what a node has in force, and what it knows of
--- a/packages/traffic/include/traffic/body_window.h
+++ b/packages/traffic/include/traffic/body_window.h
@@ -21,15 +21,15 @@
 
 /**
  * struct body_window - the window of a host
- * @most_bytes: bytes that may be on their way
- * @out_bytes: bytes that are, of bodies that move
- * @shares: struct body_share of all bodies that are not complete
+ * @max_bytes: bytes that may be on their way
+ * @in_flight_bytes: bytes that are, of bodies that move
+ * @bodies: struct body_share of all bodies that are not complete
  * @waiting: those that want more
  */
 struct body_window {
-	uint64_t most_bytes;
-	uint64_t out_bytes;
-	GQueue shares;
+	uint64_t max_bytes;
+	uint64_t in_flight_bytes;
+	GQueue bodies;
 	GQueue waiting;
 };
 
@@ -40,9 +40,9 @@
  * @granted_bytes: bytes that may have been sent
  * @received_bytes: bytes that came
  * @wanted_bytes: bytes to be granted
- * @moves_until_ms: when it no longer counts unless something comes
- * @stands: its sender is slow, so what it may send doesn't count
- * @waits: it is among those that want more
+ * @stalls_at_ms: when it no longer counts unless something comes
+ * @stalled: its sender is slow, so what it may send doesn't count
+ * @queued: it is among those that want more
  * @open: more of it may come
  * @link: its place among all
  * @turn: its place among those that want more
@@ -53,16 +53,16 @@
 	uint64_t granted_bytes;
 	uint64_t received_bytes;
 	uint64_t wanted_bytes;
-	uint64_t moves_until_ms;
-	bool stands;
-	bool waits;
+	uint64_t stalls_at_ms;
+	bool stalled;
+	bool queued;
 	bool open;
 	GList link;
 	GList turn;
 };
 
 /** body_window_init() - nothing is on its way */
-void body_window_init(struct body_window *w, uint64_t most_bytes);
+void body_window_init(struct body_window *w, uint64_t max_bytes);
 
 /**
  * body_window_open() - a body begins
@@ -103,14 +103,14 @@
 body_window_next(struct body_window *w, uint32_t *bytes, uint64_t now_ms);
 
 /**
- * body_window_tick() - let time pass, at least every BODY_MOVES_MS
+ * body_window_tick() - let time pass, at least every BODY_STALL_MS
  *
  * A sender that is slow by itself, for instance a caller that dribbles, doesn't
  * keep the window from the others.
  */
 void body_window_tick(struct body_window *w, uint64_t now_ms);
 
-/** BODY_MOVES_MS - a body of which nothing comes for so long stands */
-#define BODY_MOVES_MS 250
+/** BODY_STALL_MS - a body of which nothing comes for so long stands */
+#define BODY_STALL_MS 250
 
 #endif
--- a/packages/traffic/include/traffic/clean_runs.h
+++ b/packages/traffic/include/traffic/clean_runs.h
@@ -24,11 +24,11 @@
 /**
  * struct clean_runs - requests answered lately
  * @sets: fingerprints, the newer set first
- * @begun_ms: when the newer one was begun
+ * @rotated_ms: when the newer one was begun
  */
 struct clean_runs {
 	GHashTable *sets[2];
-	uint64_t begun_ms;
+	uint64_t rotated_ms;
 };
 
 /** clean_runs_init() - none; free with clean_runs_clear() */
--- a/packages/traffic/include/traffic/drain.h
+++ b/packages/traffic/include/traffic/drain.h
@@ -34,14 +34,14 @@
  * struct drain - the stop of one node
  * @state: see enum drain_state
  * @refuse_ms: when the entry begins to refuse
- * @bound_ms: when it stops whatever is in flight
+ * @stop_ms: when it stops whatever is in flight
  * @calls: calls in flight at the entry
  * @requests: requests in flight at the guard, queued ones included
  */
 struct drain {
 	enum drain_state state;
 	uint64_t refuse_ms;
-	uint64_t bound_ms;
+	uint64_t stop_ms;
 	uint64_t calls;
 	uint64_t requests;
 };
@@ -49,7 +49,7 @@
 /**
  * drain_accepts_until_ms() - how long a stopping host's upstream gets new work
  * @notice_ms: how long the entry still takes calls
- * @bound_ms: monotonic time at which what is in flight is given up
+ * @stop_ms: monotonic time at which what is in flight is given up
  * @now_ms: monotonic time at which the stop was asked for
  *
  * The upstream of a node that restarts is there all the while.  Refused from
@@ -60,7 +60,7 @@
  * Return: monotonic time, which leaves most of the stop for what then runs.
  */
 uint64_t
-drain_accepts_until_ms(uint64_t notice_ms, uint64_t bound_ms, uint64_t now_ms);
+drain_accepts_until_ms(uint64_t notice_ms, uint64_t stop_ms, uint64_t now_ms);
 
 /**
  * drain_wait_ms() - how long a stop may wait for what is in flight
@@ -78,9 +78,9 @@
 /**
  * drain_announce() - a stop was asked for, requests are still taken
  * @d: the drain
- * @bound_ms: monotonic time at which what is in flight will be given up
+ * @stop_ms: monotonic time at which what is in flight will be given up
  */
-void drain_announce(struct drain *d, uint64_t bound_ms);
+void drain_announce(struct drain *d, uint64_t stop_ms);
 
 /**
  * drain_may_start() - whether a non-idempotent request may start
@@ -111,8 +111,9 @@
 /** drain_accepts_request() - whether the guard takes a new request */
 bool drain_accepts_request(const struct drain *d);
 
-/** drain_closes() - whether callers' connections are closed after an answer */
-bool drain_closes(const struct drain *d);
+/** drain_closes_connections() - whether callers' connections are closed after
+ * an answer */
+bool drain_closes_connections(const struct drain *d);
 
 /** drain_call_began() - the entry took a call */
 void drain_call_began(struct drain *d);
--- a/packages/traffic/include/traffic/ejection.h
+++ b/packages/traffic/include/traffic/ejection.h
@@ -13,33 +13,33 @@
  * @failures: consecutive failures that eject
  * @failure_percent: share of failures in the recent window that ejects
  * @slow_factor: times the siblings' median that ejects; 0 turns it off
- * @slow_least_us: never eject for slowness below this time
- * @least_requests: results needed before a share or a time is believed
+ * @slow_min_us: never eject for slowness below this time
+ * @min_requests: results needed before a share or a time is believed
  * @base_ms: time of the first ejection
  * @cap_ms: longest ejection
- * @most_percent: at most this share of a service is ejected
+ * @max_percent: at most this share of a service is ejected
  */
 struct ejection_config {
 	uint32_t failures;
 	uint32_t failure_percent;
 	uint32_t slow_factor;
-	uint32_t slow_least_us;
-	uint32_t least_requests;
+	uint32_t slow_min_us;
+	uint32_t min_requests;
 	uint32_t base_ms;
 	uint32_t cap_ms;
-	uint32_t most_percent;
+	uint32_t max_percent;
 };
 
 /**
  * enum ejection_verdict - whether an endpoint may be used
  * @EJECTION_USABLE: yes
  * @EJECTION_PROBE: its time is over; one request may try it
- * @EJECTION_OUT: it is ejected, or its probe is under way
+ * @EJECTION_EJECTED: it is ejected, or its probe is under way
  */
 enum ejection_verdict {
 	EJECTION_USABLE = 0,
 	EJECTION_PROBE,
-	EJECTION_OUT,
+	EJECTION_EJECTED,
 };
 
 struct ejection;
--- a/packages/traffic/include/traffic/endpoints.h
+++ b/packages/traffic/include/traffic/endpoints.h
@@ -78,7 +78,7 @@
  * @slow_start_ms: time over which an endpoint's share grows to its full size
  *	when it didn't say how long it is slow; 0 turns slow start off
  * @load_half_life_ms: a reported load counts half after this time
- * @way_half_life_ms: a delay on the way counts half after this time, so that
+ * @delay_half_life_ms: a delay on the way counts half after this time, so that
  *	one that was slow to reach is tried again
  * @drain_hold_ms: an endpoint that refused as draining is left out this
  *	long, until the snapshot tells the same
@@ -88,7 +88,7 @@
 struct endpoints_config {
 	uint32_t slow_start_ms;
 	uint32_t load_half_life_ms;
-	uint32_t way_half_life_ms;
+	uint32_t delay_half_life_ms;
 	uint32_t drain_hold_ms;
 	uint32_t absent_hold_ms;
 };
@@ -177,7 +177,7 @@
  * heard, but for one call each 2 s that may run twice.
  */
 bool endpoints_set_silent(
-    struct endpoints *e, uint64_t endpoint, bool doubt, uint64_t now_ms);
+    struct endpoints *e, uint64_t endpoint, bool silent, uint64_t now_ms);
 
 /** endpoints_listed() - whether the snapshot in force has the endpoint */
 bool endpoints_listed(const struct endpoints *e, uint64_t endpoint);
--- a/packages/traffic/include/traffic/frame_age.h
+++ b/packages/traffic/include/traffic/frame_age.h
@@ -23,14 +23,14 @@
 /**
  * struct frame_age - clock bound of one connection
  * @known: an echo has come
- * @older_ms: best bound of the period before; own time - peer's time
- * @newer_ms: best bound of this period
+ * @previous_offset_ms: best bound of the period before; own time - peer's time
+ * @current_offset_ms: best bound of this period
  * @period_ms: start of this period: own time in its first echo
  */
 struct frame_age {
 	bool known;
-	int64_t older_ms;
-	int64_t newer_ms;
+	int64_t previous_offset_ms;
+	int64_t current_offset_ms;
 	uint64_t period_ms;
 };
 
--- a/packages/traffic/include/traffic/quarantine.h
+++ b/packages/traffic/include/traffic/quarantine.h
@@ -37,15 +37,15 @@
 /* Bounds of the lists of crashes, quarantined and exonerated requests.  The
  * least informative crash is dropped first. */
 #define QUARANTINE_CRASHES_MAX 128
-#define QUARANTINE_HELD_MAX 128
+#define QUARANTINE_ENTRIES_MAX 128
 #define QUARANTINE_CLEARED_MAX 128
 
 /* Crashes within this time may have one cause. */
-#define QUARANTINE_CROWD_MS 1000
+#define QUARANTINE_COINCIDENCE_MS 1000
 
 /* Crashes without a request may outnumber those with it by this factor, as up
  * to four requests may be crashing upstreams at once. */
-#define QUARANTINE_CROWD_RATIO 3
+#define QUARANTINE_COINCIDENCE_RATIO 3
 
 /* Reports of simultaneous crashes arrive within this time. */
 #define QUARANTINE_SETTLE_MS 300
@@ -90,7 +90,7 @@
  * @last_crash: number of the last of them, 0 when a peer reported it
  * @own: that one was of the own host, which then publishes the decision
  * @until_ms: end of a suspension, DEADLINE_NEVER when quarantined
- * @over: the suspension has expired
+ * @expired: the suspension has expired
  * @asked: rejected calls on this node
  */
 struct quarantine_entry {
@@ -100,7 +100,7 @@
 	uint64_t last_crash;
 	bool own;
 	uint64_t until_ms;
-	bool over;
+	bool expired;
 	uint64_t asked;
 };
 
--- a/packages/traffic/include/traffic/retry.h
+++ b/packages/traffic/include/traffic/retry.h
@@ -34,21 +34,22 @@
  * @cfg: the policy
  * @tokens_percent: what is saved up, in hundredths of a retry
  * @refilled_ms: up to when the reserve was paid in
- * @asked: calls of late, and @succeeded: those that were answered; both are
+ * @calls: calls of late, and @succeeded: those that were answered; both are
  *	halved each second, next at @halve_ms
- * @moved: calls of late that were sent elsewhere after a refusal for load, and
- *	@moved_refused: those that were refused for load there too; halved when
- *	there are many
+ * @rerouted: calls of late that were sent elsewhere after a refusal for load,
+ *and
+ *	@rerouted_refused: those that were refused for load there too; halved
+ *when there are many
  */
 struct retry_budget {
 	struct retry_config cfg;
 	uint64_t tokens_percent;
 	uint64_t refilled_ms;
-	uint32_t asked;
+	uint32_t calls;
 	uint32_t succeeded;
 	uint64_t halve_ms;
-	uint32_t moved;
-	uint32_t moved_refused;
+	uint32_t rerouted;
+	uint32_t rerouted_refused;
 };
 
 /** retry_config_default() - the values that measurement argued for */
@@ -76,21 +77,21 @@
 bool retry_budget_take(struct retry_budget *b, uint64_t now_ms);
 
 /**
- * retry_budget_moved() - a call that was sent elsewhere after a refusal for
- * load
+ * retry_budget_record_reroute() - a call that was sent elsewhere after a
+ * refusal for load
  * @b: the budget
  * @refused: it was refused for load there too
  */
-void retry_budget_moved(struct retry_budget *b, bool refused);
+void retry_budget_record_reroute(struct retry_budget *b, bool refused);
 
 /**
- * retry_budget_room() - whether others have room where one has none
+ * retry_budget_others_have_room() - whether others have room where one has none
  *
  * As calls that were sent elsewhere of late have found it.  Then a refusal for
  * load costs no retry: it only spreads the load.  Where all are full another
  * try fills another queue with what comes too late.
  */
-bool retry_budget_room(const struct retry_budget *b);
+bool retry_budget_others_have_room(const struct retry_budget *b);
 
 /**
  * retry_backoff_ms() - wait before a retry, with full jitter
--- a/packages/traffic/include/traffic/superseded.h
+++ b/packages/traffic/include/traffic/superseded.h
@@ -36,11 +36,11 @@
 
 /**
  * superseded_grace_ms() - time that a version has until nodes go by it
- * @promised_ms: time that operators were promised, 0 if it isn't known
+ * @announced_ms: time that operators were promised, 0 if it isn't known
  *
  * Return: the time in ms.
  */
-uint64_t superseded_grace_ms(uint64_t promised_ms);
+uint64_t superseded_grace_ms(uint64_t announced_ms);
 
 /** superseded_record() - @version is in force here; versions only rise */
 void superseded_record(struct superseded *s, uint64_t version, uint64_t now_ms);
@@ -50,11 +50,11 @@
  * @s: the versions
  * @version: the version by which a request was routed
  * @now_ms: monotonic time
- * @within_ms: time that nodes have to put a version in force
+ * @grace_ms: time that nodes have to put a version in force
  *
  * Return: whether a later one has been in force here for so long.
  */
 bool superseded_is_expired(const struct superseded *s, uint64_t version,
-    uint64_t now_ms, uint64_t within_ms);
+    uint64_t now_ms, uint64_t grace_ms);
 
 #endif
--- a/packages/traffic/src/admission.c
+++ b/packages/traffic/src/admission.c
@@ -11,7 +11,7 @@
 #include "admission_defs.h"
 
 /* So many times the queue of those in time may wait late. */
-#define LATE_QUEUES 3
+#define LATE_QUEUE_FACTOR 3
 
 void
 admission_config_default(struct admission_config *cfg)
@@ -96,12 +96,12 @@
 admission_refuse(struct admission *a, const struct admission_request *req,
     enum refusal refusal, uint64_t now_ms, struct admission_result *out)
 {
-	admission_note_refused(a, now_ms);
+	admission_count_refused(a, now_ms);
 	out->verdict = ADMISSION_REFUSE;
 	out->ticket = req->ticket;
 	out->refusal = refusal;
 	out->retry_after_ms =
-	    admission_room_ms(a, req, admission_rank_of(a, req, now_ms));
+	    admission_retry_after_ms(a, req, admission_rank_of(a, req, now_ms));
 }
 
 void
@@ -110,7 +110,7 @@
 {
 	const struct running run = {req->ticket, now_ms};
 
-	admission_note_started(a, now_ms);
+	admission_count_started(a, now_ms);
 	g_array_append_val(a->running, run);
 	a->lanes[req->class].in_slots++;
 	out->verdict = ADMISSION_START;
@@ -120,7 +120,7 @@
 }
 
 struct waiting *
-admission_take_out(struct lane *l, uint32_t rank, GList *link)
+admission_dequeue(struct lane *l, uint32_t rank, GList *link)
 {
 	struct waiting *w = link->data;
 
@@ -131,7 +131,7 @@
 
 /* The newest of the lowest rank below @rank; NULL when there is none. */
 static struct waiting *
-take_lowest(struct admission *a, uint32_t rank)
+evict_lowest(struct admission *a, uint32_t rank)
 {
 	uint32_t r;
 	int i;
@@ -139,14 +139,14 @@
 	for (r = RANKS - 1; r > rank; r--)
 		for (i = 0; i < ADMISSION_CLASSES; i++)
 			if (a->lanes[i].waiting[r].tail != NULL)
-				return admission_take_out(&a->lanes[i], r,
+				return admission_dequeue(&a->lanes[i], r,
 				    a->lanes[i].waiting[r].tail);
 	return NULL;
 }
 
 /* The newest of the class that uses more than its share, of the same rank. */
 static struct waiting *
-take_from_admission_other(
+evict_from_other_class(
     struct admission *a, enum admission_class class, uint32_t rank)
 {
 	struct lane *o = &a->lanes[admission_other(class)];
@@ -155,7 +155,7 @@
 		admission_share(a, rank / 2, class, a->cfg.queue_max) ||
 	    o->waiting[rank].tail == NULL)
 		return NULL;
-	return admission_take_out(o, rank, o->waiting[rank].tail);
+	return admission_dequeue(o, rank, o->waiting[rank].tail);
 }
 
 /* Places in the queue for a rank.  Those that are late may use more of them,
@@ -165,8 +165,8 @@
 {
 	bool late = rank % 2 == 1;
 
-	if (late && !admission_overload_lasts(a, now_ms))
-		return a->cfg.queue_max * (1 + LATE_QUEUES);
+	if (late && !admission_overload_persists(a, now_ms))
+		return a->cfg.queue_max * (1 + LATE_QUEUE_FACTOR);
 	return a->cfg.queue_max;
 }
 
@@ -176,18 +176,18 @@
     struct admission *a, const struct admission_request *req, uint64_t now_ms)
 {
 	uint32_t rank = admission_rank_of(a, req, now_ms);
-	struct admission_result gone;
+	struct admission_result evicted;
 	struct waiting *w;
 
 	if (admission_queued(a) < queue_max(a, rank, now_ms))
 		return true;
-	w = take_lowest(a, rank);
+	w = evict_lowest(a, rank);
 	if (w == NULL)
-		w = take_from_admission_other(a, req->class, rank);
+		w = evict_from_other_class(a, req->class, rank);
 	if (w == NULL)
 		return false;
-	admission_refuse(a, &w->req, REFUSAL_QUEUE_FULL, now_ms, &gone);
-	g_array_append_val(a->refused, gone);
+	admission_refuse(a, &w->req, REFUSAL_QUEUE_FULL, now_ms, &evicted);
+	g_array_append_val(a->refused, evicted);
 	g_free(w);
 	return true;
 }
@@ -205,7 +205,8 @@
 	w->expires_ms = MIN(req->deadline_ms,
 	    now_ms + admission_allowed_wait_ms(a, req, now_ms));
 	q = &a->lanes[req->class].waiting[admission_rank_of(a, req, now_ms)];
-	g_queue_push_nth(q, w, (gint)admission_ahead_of(q, req->target_ms));
+	g_queue_push_nth(
+	    q, w, (gint)admission_queue_position(q, req->target_ms));
 	a->lanes[req->class].n_waiting++;
 	out->verdict = ADMISSION_QUEUE;
 	out->ticket = req->ticket;
@@ -259,7 +260,7 @@
 			l = find_waiting(&a->lanes[i].waiting[rank], ticket);
 			if (l == NULL)
 				continue;
-			g_free(admission_take_out(&a->lanes[i], rank, l));
+			g_free(admission_dequeue(&a->lanes[i], rank, l));
 			return true;
 		}
 	}
@@ -269,14 +270,14 @@
 static void
 drain_lane(struct admission *a, struct lane *lane, uint32_t rank)
 {
-	struct admission_result gone;
+	struct admission_result evicted;
 	struct waiting *w;
 
 	while (lane->waiting[rank].head != NULL) {
-		w = admission_take_out(lane, rank, lane->waiting[rank].head);
+		w = admission_dequeue(lane, rank, lane->waiting[rank].head);
 		admission_refuse(
-		    a, &w->req, REFUSAL_DRAINING, w->arrived_ms, &gone);
-		g_array_append_val(a->refused, gone);
+		    a, &w->req, REFUSAL_DRAINING, w->arrived_ms, &evicted);
+		g_array_append_val(a->refused, evicted);
 		g_free(w);
 	}
 }
--- a/packages/traffic/src/admission_defs.h
+++ b/packages/traffic/src/admission_defs.h
@@ -51,15 +51,15 @@
 /**
  * struct proven - what the upstream was seen to run at a time
  * @until_ms: end of the period
- * @most: most requests that ran, in this and the last period
+ * @peak: most requests that ran, in this and the last period
  */
-struct proven {
+struct concurrency {
 	uint64_t until_ms;
-	uint32_t most[2];
+	uint32_t peak[2];
 };
 
 /** struct pressure - starts and refusals of this and the last period */
-struct pressure {
+struct refusal_rate {
 	uint64_t until_ms;
 	uint32_t started[2];
 	uint32_t refused[2];
@@ -71,12 +71,12 @@
  * @now_ms: time of the last event
  * @lanes: by class
  * @running: struct running, in the order of their starts
- * @proven: what the upstream takes, for judging its refusals
+ * @concurrency: what the upstream takes, for judging its refusals
  * @limit: slots that may be used, in parts of LIMIT_UNIT
- * @owed_us: time in a slot that the lowest rank that waits is owed
- * @pressure: for the time to come back
- * @short_since_ms: since when requests are refused without a pause
- * @short_until_ms: end of that pause, should nobody be refused before
+ * @lowest_credit_us: time in a slot that the lowest rank that waits is owed
+ * @refusal_rate: for the time to come back
+ * @overload_since_ms: since when requests are refused without a pause
+ * @overload_until_ms: end of that pause, should nobody be refused before
  * @refused: struct admission_result that are to be told
  * @next_refused: the first of them that wasn't
  * @draining: nothing new starts
@@ -86,12 +86,12 @@
 	uint64_t now_ms;
 	struct lane lanes[ADMISSION_CLASSES];
 	GArray *running;
-	struct proven proven;
+	struct concurrency concurrency;
 	uint64_t limit;
-	uint64_t owed_us;
-	struct pressure pressure;
-	uint64_t short_since_ms;
-	uint64_t short_until_ms;
+	uint64_t lowest_credit_us;
+	struct refusal_rate refusal_rate;
+	uint64_t overload_since_ms;
+	uint64_t overload_until_ms;
 	GArray *refused;
 	guint next_refused;
 	bool draining;
@@ -135,13 +135,14 @@
 uint32_t admission_rank_of(const struct admission *a,
     const struct admission_request *req, uint64_t now_ms);
 
-/** admission_overload_lasts() - requests are refused for longer than a
+/** admission_overload_persists() - requests are refused for longer than a
  * transient overload lasts
  */
-bool admission_overload_lasts(const struct admission *a, uint64_t now_ms);
+bool admission_overload_persists(const struct admission *a, uint64_t now_ms);
 
-/** admission_ahead_of() - requests of a queue that go before one of a target */
-uint32_t admission_ahead_of(const GQueue *q, uint64_t target_ms);
+/** admission_queue_position() - requests of a queue that go before one of a
+ * target */
+uint32_t admission_queue_position(const GQueue *q, uint64_t target_ms);
 
 /** admission_allowed_wait_ms() - longest wait that makes sense for a request */
 uint64_t admission_allowed_wait_ms(const struct admission *a,
@@ -151,14 +152,15 @@
 bool admission_starts_in_time(const struct admission *a,
     const struct admission_request *req, uint64_t now_ms);
 
-/** admission_note_refused() - one was refused, for the time to come back */
-void admission_note_refused(struct admission *a, uint64_t now_ms);
+/** admission_count_refused() - one was refused, for the time to come back */
+void admission_count_refused(struct admission *a, uint64_t now_ms);
 
-/** admission_note_started() - one was started, for the time to come back */
-void admission_note_started(struct admission *a, uint64_t now_ms);
+/** admission_count_started() - one was started, for the time to come back */
+void admission_count_started(struct admission *a, uint64_t now_ms);
 
-/** admission_room_ms() - in how long there is room for a request of a rank */
-uint64_t admission_room_ms(const struct admission *a,
+/** admission_retry_after_ms() - in how long there is room for a request of a
+ * rank */
+uint64_t admission_retry_after_ms(const struct admission *a,
     const struct admission_request *req, uint32_t rank);
 
 /** admission_start() - count a request as running and say so */
@@ -169,7 +171,7 @@
 void admission_refuse(struct admission *a, const struct admission_request *req,
     enum refusal refusal, uint64_t now_ms, struct admission_result *out);
 
-/** admission_take_out() - take a request out of a lane; the caller frees it */
-struct waiting *admission_take_out(struct lane *l, uint32_t rank, GList *link);
+/** admission_dequeue() - take a request out of a lane; the caller frees it */
+struct waiting *admission_dequeue(struct lane *l, uint32_t rank, GList *link);
 
 #endif
--- a/packages/traffic/src/admission_next.c
+++ b/packages/traffic/src/admission_next.c
@@ -12,13 +12,13 @@
  * requests are the longer ones: with every tenth start reads of 880 ms took
  * half of the slots from calls of 55 ms, of which a third were refused.
  */
-#define LOWEST_PERCENT 10
+#define LOWEST_RANK_PERCENT 10
 
 /* The lowest rank is owed no more than so many of its requests. */
-#define OWED_MOST 2
+#define LOWEST_CREDIT_MAX 2
 
 /* Time of a request before one of its kind has run. */
-#define RUN_UNKNOWN_US 1000
+#define RUN_DEFAULT_US 1000
 
 static bool
 next_refused(struct admission *a, struct admission_result *out)
@@ -60,7 +60,7 @@
 		l = find_expired(&lane->waiting[rank], now_ms);
 		if (l == NULL)
 			continue;
-		w = admission_take_out(lane, rank, l);
+		w = admission_dequeue(lane, rank, l);
 		admission_refuse(a, &w->req,
 		    w->req.deadline_ms <= now_ms ? REFUSAL_EXPIRED
 						 : REFUSAL_WAIT,
@@ -92,7 +92,7 @@
 }
 
 static bool
-waits(const struct admission *a, uint32_t rank)
+has_waiting(const struct admission *a, uint32_t rank)
 {
 	return a->lanes[ADMISSION_LOOKUP].waiting[rank].length +
 	    a->lanes[ADMISSION_BOOKING].waiting[rank].length >
@@ -104,7 +104,7 @@
 next_run_us(const struct admission *a, uint32_t rank)
 {
 	return MAX(
-	    admission_run_us(a, rank / 2, next_class(a, rank)), RUN_UNKNOWN_US);
+	    admission_run_us(a, rank / 2, next_class(a, rank)), RUN_DEFAULT_US);
 }
 
 /* The rank that gets the free slot: the highest, or the lowest if it is owed
@@ -114,27 +114,28 @@
 {
 	uint32_t first = 0, last = RANKS - 1;
 
-	while (first < last && !waits(a, first))
+	while (first < last && !has_waiting(a, first))
 		first++;
-	while (last > first && !waits(a, last))
+	while (last > first && !has_waiting(a, last))
 		last--;
-	return a->owed_us >= next_run_us(a, last) ? last : first;
+	return a->lowest_credit_us >= next_run_us(a, last) ? last : first;
 }
 
 /* Counts what a start takes from the lowest rank that waits, or gives it. */
 static void
-settle(struct admission *a, uint32_t rank)
+account_start(struct admission *a, uint32_t rank)
 {
 	uint64_t us = next_run_us(a, rank);
 	uint32_t last = RANKS - 1;
 
-	while (last > rank && !waits(a, last))
+	while (last > rank && !has_waiting(a, last))
 		last--;
 	if (last == rank)
-		a->owed_us -= MIN(us, a->owed_us);
+		a->lowest_credit_us -= MIN(us, a->lowest_credit_us);
 	else
-		a->owed_us = MIN(a->owed_us + us * LOWEST_PERCENT / PERCENT,
-		    OWED_MOST * next_run_us(a, last));
+		a->lowest_credit_us = MIN(
+		    a->lowest_credit_us + us * LOWEST_RANK_PERCENT / PERCENT,
+		    LOWEST_CREDIT_MAX * next_run_us(a, last));
 }
 
 static GList *
@@ -158,9 +159,9 @@
 	if (a->draining || admission_queued(a) == 0 ||
 	    admission_in_slots(a) >= admission_slots(a))
 		return false;
-	settle(a, rank);
+	account_start(a, rank);
 	lane = &a->lanes[next_class(a, rank)];
-	w = admission_take_out(
+	w = admission_dequeue(
 	    lane, rank, next_in_order(a, &lane->waiting[rank], now_ms));
 	admission_start(a, &w->req, now_ms, out);
 	g_free(w);
--- a/packages/traffic/src/admission_share.c
+++ b/packages/traffic/src/admission_share.c
@@ -13,8 +13,8 @@
  * on five days of the court registry, 4.9 instead of 5.4 on five of the
  * transfer office, two seeds each.
  */
-#define LONGER_TIMES 2
-#define LONGER_PERCENT 20
+#define LONG_RUN_FACTOR 2
+#define LONG_RUN_PERCENT 20
 
 enum admission_class admission_other(enum admission_class class)
 {
@@ -27,7 +27,7 @@
     enum admission_class class, enum admission_class than)
 {
 	return admission_run_us(a, priority, class) >
-	    LONGER_TIMES * admission_run_us(a, priority, than) &&
+	    LONG_RUN_FACTOR * admission_run_us(a, priority, than) &&
 	    admission_run_us(a, priority, than) > 0;
 }
 
@@ -37,9 +37,9 @@
 	uint32_t percent = MIN(a->cfg.booking_percent, PERCENT);
 
 	if (runs_longer(a, priority, ADMISSION_BOOKING, ADMISSION_LOOKUP))
-		return MIN(percent, LONGER_PERCENT);
+		return MIN(percent, LONG_RUN_PERCENT);
 	if (runs_longer(a, priority, ADMISSION_LOOKUP, ADMISSION_BOOKING))
-		return MAX(percent, PERCENT - LONGER_PERCENT);
+		return MAX(percent, PERCENT - LONG_RUN_PERCENT);
 	return percent;
 }
 
--- a/packages/traffic/src/admission_slots.c
+++ b/packages/traffic/src/admission_slots.c
@@ -7,15 +7,15 @@
 #define MEAN_SHIFT 3
 /* An upstream that refused with slots free takes the next one at once: about
  * a round trip to a caller. */
-#define RETRY_NOW_MS 20
+#define RETRY_SOON_MS 20
 /* It refuses for load only if this share of its slots was in use. */
-#define LOADED_PERCENT 75
+#define OVERLOAD_MIN_PERCENT 75
 /* A refusal for load comes at once: what has run for so long has a slot. */
-#define TAKEN_AFTER_MS 10
+#define ACCEPTED_AFTER_MS 10
 /* How long it is remembered how many requests the upstream ran. */
-#define PROVEN_MS 1000
+#define CONCURRENCY_PERIOD_MS 1000
 /* A kind's time that is so old counts half, and so on; but not for nothing. */
-#define RUN_STALE_MS 500
+#define RUN_HALF_LIFE_MS 500
 #define RUN_HALVINGS_MAX 3
 
 uint64_t
@@ -27,13 +27,13 @@
 
 	if (l->run_us[priority] == 0)
 		return l->mean_us;
-	halvings =
-	    (a->now_ms - MIN(l->run_ms[priority], a->now_ms)) / RUN_STALE_MS;
+	halvings = (a->now_ms - MIN(l->run_ms[priority], a->now_ms)) /
+	    RUN_HALF_LIFE_MS;
 	return l->run_us[priority] >> MIN(halvings, RUN_HALVINGS_MAX);
 }
 
 static void
-average(uint64_t *mean, uint64_t us)
+update_mean(uint64_t *mean, uint64_t us)
 {
 	if (*mean == 0)
 		*mean = us;
@@ -48,7 +48,7 @@
 	struct lane *l = &a->lanes[req->class];
 
 	a->now_ms = MAX(a->now_ms, now_ms);
-	average(&l->run_us[admission_priority_of(req)], ran_ms * US_PER_MS);
+	update_mean(&l->run_us[admission_priority_of(req)], ran_ms * US_PER_MS);
 	l->run_ms[admission_priority_of(req)] = now_ms;
 }
 
@@ -62,7 +62,7 @@
 }
 
 static void
-leave_slot(struct admission *a, uint64_t ticket, enum admission_class class)
+release_slot(struct admission *a, uint64_t ticket, enum admission_class class)
 {
 	struct lane *l = &a->lanes[class];
 	guint i;
@@ -79,29 +79,31 @@
 
 /* Requests that the upstream evidently runs now. */
 static uint32_t
-taken(const struct admission *a, uint64_t now_ms)
+accepted_count(const struct admission *a, uint64_t now_ms)
 {
 	guint n = a->running->len;
 
 	while (n > 0 &&
 	    g_array_index(a->running, struct running, n - 1).started_ms +
-		    TAKEN_AFTER_MS >
+		    ACCEPTED_AFTER_MS >
 		now_ms)
 		n--;
 	return n;
 }
 
 static void
-note_taken(struct admission *a, uint32_t n, uint64_t now_ms)
+record_concurrency(struct admission *a, uint32_t n, uint64_t now_ms)
 {
-	struct proven *p = &a->proven;
+	struct concurrency *p = &a->concurrency;
 
 	if (now_ms >= p->until_ms) {
-		p->most[1] = now_ms < p->until_ms + PROVEN_MS ? p->most[0] : 0;
-		p->most[0] = 0;
-		p->until_ms = now_ms + PROVEN_MS;
+		p->peak[1] = now_ms < p->until_ms + CONCURRENCY_PERIOD_MS
+		    ? p->peak[0]
+		    : 0;
+		p->peak[0] = 0;
+		p->until_ms = now_ms + CONCURRENCY_PERIOD_MS;
 	}
-	p->most[0] = MAX(p->most[0], n);
+	p->peak[0] = MAX(p->peak[0], n);
 }
 
 void
@@ -110,22 +112,22 @@
 {
 	struct lane *l = &a->lanes[class];
 
-	note_taken(a, taken(a, now_ms), now_ms);
-	leave_slot(a, ticket, class);
-	average(&l->mean_us, ran_ms * US_PER_MS);
+	record_concurrency(a, accepted_count(a, now_ms), now_ms);
+	release_slot(a, ticket, class);
+	update_mean(&l->mean_us, ran_ms * US_PER_MS);
 	a->limit += (uint64_t)LIMIT_UNIT * LIMIT_UNIT / a->limit;
 	a->limit = MIN(a->limit, (uint64_t)a->cfg.slots * LIMIT_UNIT);
 }
 
 /* Whether the upstream refuses because of what it has to do. */
 static bool
-is_loaded(const struct admission *a, uint32_t runs)
+is_overloaded(const struct admission *a, uint32_t accepted)
 {
-	const struct proven *p = &a->proven;
+	const struct concurrency *p = &a->concurrency;
 
 	return admission_in_slots(a) * PERCENT >=
-	    admission_slots(a) * (uint64_t)LOADED_PERCENT &&
-	    runs >= MAX(p->most[0], p->most[1]);
+	    admission_slots(a) * (uint64_t)OVERLOAD_MIN_PERCENT &&
+	    accepted >= MAX(p->peak[0], p->peak[1]);
 }
 
 uint64_t
@@ -133,17 +135,17 @@
     uint64_t now_ms)
 {
 	const struct admission_request any = {.class = class};
-	uint32_t runs = taken(a, now_ms);
+	uint32_t accepted = accepted_count(a, now_ms);
 	uint64_t left;
-	bool loaded;
+	bool overloaded;
 
-	note_taken(a, runs, now_ms);
-	loaded = is_loaded(a, runs);
-	leave_slot(a, ticket, class);
-	if (!loaded)
-		return RETRY_NOW_MS;
+	record_concurrency(a, accepted, now_ms);
+	overloaded = is_overloaded(a, accepted);
+	release_slot(a, ticket, class);
+	if (!overloaded)
+		return RETRY_SOON_MS;
 	left = MAX(admission_in_slots(a), 1);
 	if (a->cfg.adapt_slots)
 		a->limit = MIN(a->limit, left * LIMIT_UNIT);
-	return admission_room_ms(a, &any, 0);
+	return admission_retry_after_ms(a, &any, 0);
 }
--- a/packages/traffic/src/admission_wait.c
+++ b/packages/traffic/src/admission_wait.c
@@ -6,11 +6,11 @@
 
 #include "admission_defs.h"
 
-#define RETRY_AFTER_LEAST_MS 50
+#define RETRY_AFTER_MIN_MS 50
 /* Wait that is allowed to any request, so that a short burst is smoothed. */
-#define LEAST_WAIT_MS 30
+#define WAIT_MIN_MS 30
 /* Starts and refusals are counted over this time, for the time to come back. */
-#define PRESSURE_MS 1000
+#define REFUSAL_RATE_PERIOD_MS 1000
 
 /*
  * Who is late for its target may wait for the end of a transient overload,
@@ -30,7 +30,7 @@
  * its class take, it would never be.
  */
 static uint64_t
-run_ms_of(const struct admission *a, const struct admission_request *req)
+expected_run_ms(const struct admission *a, const struct admission_request *req)
 {
 	if (a->lanes[req->class].run_us[admission_priority_of(req)] == 0)
 		return 0;
@@ -43,7 +43,7 @@
 is_late(const struct admission *a, const struct admission_request *req,
     uint64_t now_ms)
 {
-	uint64_t run_ms = run_ms_of(a, req);
+	uint64_t run_ms = expected_run_ms(a, req);
 
 	return req->target_ms != 0 && now_ms + run_ms > req->target_ms;
 }
@@ -58,7 +58,7 @@
 
 /* Time in slots of what waits at a rank. */
 static uint64_t
-work_us(const struct admission *a, uint32_t rank)
+queued_work_us(const struct admission *a, uint32_t rank)
 {
 	uint64_t us = 0;
 	int i;
@@ -70,54 +70,56 @@
 }
 
 static void
-note_shortage(struct admission *a, uint64_t now_ms)
+extend_overload(struct admission *a, uint64_t now_ms)
 {
-	if (now_ms >= a->short_until_ms)
-		a->short_since_ms = now_ms;
-	a->short_until_ms = now_ms + PRESSURE_MS;
+	if (now_ms >= a->overload_until_ms)
+		a->overload_since_ms = now_ms;
+	a->overload_until_ms = now_ms + REFUSAL_RATE_PERIOD_MS;
 }
 
 /* Whether requests have been refused for longer than a transient overload
  * lasts. */
 bool
-admission_overload_lasts(const struct admission *a, uint64_t now_ms)
+admission_overload_persists(const struct admission *a, uint64_t now_ms)
 {
-	return now_ms < a->short_until_ms &&
-	    now_ms > a->short_since_ms + TRANSIENT_OVERLOAD_MS;
+	return now_ms < a->overload_until_ms &&
+	    now_ms > a->overload_since_ms + TRANSIENT_OVERLOAD_MS;
 }
 
 static void
-turn_pressure(struct admission *a, uint64_t now_ms)
+rotate_refusal_rate(struct admission *a, uint64_t now_ms)
 {
-	struct pressure *p = &a->pressure;
+	struct refusal_rate *p = &a->refusal_rate;
 
 	if (now_ms < p->until_ms)
 		return;
-	p->started[1] = now_ms < p->until_ms + PRESSURE_MS ? p->started[0] : 0;
-	p->refused[1] = now_ms < p->until_ms + PRESSURE_MS ? p->refused[0] : 0;
+	p->started[1] =
+	    now_ms < p->until_ms + REFUSAL_RATE_PERIOD_MS ? p->started[0] : 0;
+	p->refused[1] =
+	    now_ms < p->until_ms + REFUSAL_RATE_PERIOD_MS ? p->refused[0] : 0;
 	p->started[0] = 0;
 	p->refused[0] = 0;
-	p->until_ms = now_ms + PRESSURE_MS;
+	p->until_ms = now_ms + REFUSAL_RATE_PERIOD_MS;
 }
 
 /* Slots that the class gets while the other's demand is as it is now. */
 static uint32_t
-slots_within_reach(
+available_slots(
     const struct admission *a, uint32_t priority, enum admission_class class)
 {
 	const struct lane *o = &a->lanes[admission_other(class)];
-	uint32_t taken, kept;
+	uint32_t reserved, kept;
 
-	taken = MIN(o->in_slots + o->n_waiting,
+	reserved = MIN(o->in_slots + o->n_waiting,
 	    admission_share(
 		a, priority, admission_other(class), admission_slots(a)));
-	kept = admission_slots(a) - taken;
+	kept = admission_slots(a) - reserved;
 	return MAX(kept, 1);
 }
 
 /* Requests of a queue that go before one with a target. */
 uint32_t
-admission_ahead_of(const GQueue *q, uint64_t target_ms)
+admission_queue_position(const GQueue *q, uint64_t target_ms)
 {
 	const struct waiting *w;
 	uint32_t n = 0;
@@ -140,10 +142,10 @@
 	uint32_t r;
 
 	for (r = 0; r < rank; r++)
-		us += work_us(a, r);
-	us += (admission_ahead_of(q, req->target_ms) + UINT64_C(1)) *
+		us += queued_work_us(a, r);
+	us += (admission_queue_position(q, req->target_ms) + UINT64_C(1)) *
 	    admission_run_us(a, rank / 2, req->class);
-	return us / slots_within_reach(a, rank / 2, req->class) / US_PER_MS;
+	return us / available_slots(a, rank / 2, req->class) / US_PER_MS;
 }
 
 /*
@@ -151,17 +153,17 @@
  * as others were refused for each that was started, since they return too.
  */
 uint64_t
-admission_room_ms(const struct admission *a,
+admission_retry_after_ms(const struct admission *a,
     const struct admission_request *req, uint32_t rank)
 {
-	const struct pressure *p = &a->pressure;
+	const struct refusal_rate *p = &a->refusal_rate;
 	uint64_t started = p->started[0] + p->started[1];
 	uint64_t refused = p->refused[0] + p->refused[1];
 	uint64_t wait = expected_wait_ms(a, req, rank);
 
 	if (started > 0)
 		wait += wait * refused / started;
-	return MAX(wait, RETRY_AFTER_LEAST_MS);
+	return MAX(wait, RETRY_AFTER_MIN_MS);
 }
 
 /* Longest wait that makes sense: until the target, less the time to run; of
@@ -170,16 +172,16 @@
 admission_allowed_wait_ms(const struct admission *a,
     const struct admission_request *req, uint64_t now_ms)
 {
-	uint64_t run_ms = run_ms_of(a, req);
+	uint64_t run_ms = expected_run_ms(a, req);
 	uint64_t wait_ms, left_ms;
 
 	if (req->target_ms == 0)
 		return a->cfg.queue_wait_ms;
 	if (!is_late(a, req, now_ms)) {
 		wait_ms = req->target_ms - now_ms - run_ms;
-		return MAX(wait_ms, LEAST_WAIT_MS);
+		return MAX(wait_ms, WAIT_MIN_MS);
 	}
-	if (admission_overload_lasts(a, now_ms))
+	if (admission_overload_persists(a, now_ms))
 		return a->cfg.queue_wait_ms;
 	left_ms = clock_left_ms(req->deadline_ms, now_ms);
 	return left_ms - MIN(run_ms, left_ms);
@@ -194,22 +196,22 @@
 	if (!a->cfg.refuse_early)
 		return true;
 	wait = expected_wait_ms(a, req, admission_rank_of(a, req, now_ms));
-	run = run_ms_of(a, req);
+	run = expected_run_ms(a, req);
 	return wait <= admission_allowed_wait_ms(a, req, now_ms) &&
 	    wait + run <= clock_left_ms(req->deadline_ms, now_ms);
 }
 
 void
-admission_note_refused(struct admission *a, uint64_t now_ms)
+admission_count_refused(struct admission *a, uint64_t now_ms)
 {
-	turn_pressure(a, now_ms);
-	note_shortage(a, now_ms);
-	a->pressure.refused[0]++;
+	rotate_refusal_rate(a, now_ms);
+	extend_overload(a, now_ms);
+	a->refusal_rate.refused[0]++;
 }
 
 void
-admission_note_started(struct admission *a, uint64_t now_ms)
+admission_count_started(struct admission *a, uint64_t now_ms)
 {
-	turn_pressure(a, now_ms);
-	a->pressure.started[0]++;
+	rotate_refusal_rate(a, now_ms);
+	a->refusal_rate.started[0]++;
 }
--- a/packages/traffic/src/behind.c
+++ b/packages/traffic/src/behind.c
@@ -49,7 +49,7 @@
 
 /* Callers come back twice: at half of their time, and at half of the rest. */
 static uint64_t
-within(uint64_t retry_ms, uint64_t now_ms, uint64_t deadline_ms)
+cap_to_deadline(uint64_t retry_ms, uint64_t now_ms, uint64_t deadline_ms)
 {
 	uint64_t half_ms = clock_left_ms(deadline_ms, now_ms) / 2;
 
@@ -67,7 +67,7 @@
 	if (version >= MAX(b->known, b->in_force))
 		return 0;
 	if (!is_behind(b))
-		return BEHIND_NOW_MS;
-	retry_ms = CLAMP(retry_ms, BEHIND_RETRY_MIN_MS, BEHIND_MOST_MS);
-	return within(retry_ms, now_ms, deadline_ms);
+		return BEHIND_RETRY_NOW_MS;
+	retry_ms = CLAMP(retry_ms, BEHIND_RETRY_MIN_MS, BEHIND_RETRY_MAX_MS);
+	return cap_to_deadline(retry_ms, now_ms, deadline_ms);
 }
--- a/packages/traffic/src/body_window.c
+++ b/packages/traffic/src/body_window.c
@@ -8,34 +8,34 @@
 #define TURN_BYTES 16384
 
 void
-body_window_init(struct body_window *w, uint64_t most_bytes)
+body_window_init(struct body_window *w, uint64_t max_bytes)
 {
-	w->most_bytes = most_bytes;
-	w->out_bytes = 0;
-	g_queue_init(&w->shares);
+	w->max_bytes = max_bytes;
+	w->in_flight_bytes = 0;
+	g_queue_init(&w->bodies);
 	g_queue_init(&w->waiting);
 }
 
 static uint64_t
-on_its_way(const struct body_share *s)
+in_flight(const struct body_share *s)
 {
 	return s->granted_bytes - MIN(s->received_bytes, s->granted_bytes);
 }
 
 static void
-count(struct body_window *w, struct body_share *s)
+include_share(struct body_window *w, struct body_share *s)
 {
-	if (s->stands)
-		w->out_bytes += on_its_way(s);
-	s->stands = false;
+	if (s->stalled)
+		w->in_flight_bytes += in_flight(s);
+	s->stalled = false;
 }
 
 static void
-leave_out(struct body_window *w, struct body_share *s)
+exclude_share(struct body_window *w, struct body_share *s)
 {
-	if (!s->stands)
-		w->out_bytes -= on_its_way(s);
-	s->stands = true;
+	if (!s->stalled)
+		w->in_flight_bytes -= in_flight(s);
+	s->stalled = true;
 }
 
 void
@@ -46,13 +46,13 @@
 	    .owner = owner,
 	    .total_bytes = total_bytes,
 	    .granted_bytes = MIN(first_bytes, total_bytes),
-	    .moves_until_ms = now_ms + BODY_MOVES_MS,
+	    .stalls_at_ms = now_ms + BODY_STALL_MS,
 	    .open = true,
 	    .link.data = s,
 	    .turn.data = s,
 	};
-	w->out_bytes += s->granted_bytes;
-	g_queue_push_tail_link(&w->shares, &s->link);
+	w->in_flight_bytes += s->granted_bytes;
+	g_queue_push_tail_link(&w->bodies, &s->link);
 }
 
 void
@@ -64,9 +64,9 @@
 		return;
 	left = s->total_bytes - MIN(s->granted_bytes, s->total_bytes);
 	s->wanted_bytes = MIN(s->wanted_bytes + bytes, left);
-	if (s->wanted_bytes == 0 || s->waits)
+	if (s->wanted_bytes == 0 || s->queued)
 		return;
-	s->waits = true;
+	s->queued = true;
 	g_queue_push_tail_link(&w->waiting, &s->turn);
 }
 
@@ -76,11 +76,11 @@
 {
 	if (!s->open)
 		return;
-	count(w, s);
-	w->out_bytes -= on_its_way(s);
+	include_share(w, s);
+	w->in_flight_bytes -= in_flight(s);
 	s->received_bytes += bytes;
-	w->out_bytes += on_its_way(s);
-	s->moves_until_ms = now_ms + BODY_MOVES_MS;
+	w->in_flight_bytes += in_flight(s);
+	s->stalls_at_ms = now_ms + BODY_STALL_MS;
 }
 
 void
@@ -88,12 +88,12 @@
 {
 	if (!s->open)
 		return;
-	leave_out(w, s);
+	exclude_share(w, s);
 	s->open = false;
-	g_queue_unlink(&w->shares, &s->link);
-	if (s->waits)
+	g_queue_unlink(&w->bodies, &s->link);
+	if (s->queued)
 		g_queue_unlink(&w->waiting, &s->turn);
-	s->waits = false;
+	s->queued = false;
 }
 
 struct body_share *
@@ -102,20 +102,20 @@
 	struct body_share *s;
 	GList *turn;
 
-	if (w->out_bytes >= w->most_bytes)
+	if (w->in_flight_bytes >= w->max_bytes)
 		return NULL;
 	turn = g_queue_pop_head_link(&w->waiting);
 	if (turn == NULL)
 		return NULL;
 	s = turn->data;
 	*bytes = (uint32_t)MIN(s->wanted_bytes, TURN_BYTES);
-	count(w, s);
+	include_share(w, s);
 	s->wanted_bytes -= *bytes;
 	s->granted_bytes += *bytes;
-	s->moves_until_ms = now_ms + BODY_MOVES_MS;
-	w->out_bytes += *bytes;
-	s->waits = s->wanted_bytes > 0;
-	if (s->waits)
+	s->stalls_at_ms = now_ms + BODY_STALL_MS;
+	w->in_flight_bytes += *bytes;
+	s->queued = s->wanted_bytes > 0;
+	if (s->queued)
 		g_queue_push_tail_link(&w->waiting, turn);
 	return s;
 }
@@ -126,9 +126,9 @@
 	struct body_share *s;
 	GList *l;
 
-	for (l = w->shares.head; l != NULL; l = l->next) {
+	for (l = w->bodies.head; l != NULL; l = l->next) {
 		s = l->data;
-		if (now_ms >= s->moves_until_ms)
-			leave_out(w, s);
+		if (now_ms >= s->stalls_at_ms)
+			exclude_share(w, s);
 	}
 }
--- a/packages/traffic/src/call.c
+++ b/packages/traffic/src/call.c
@@ -15,12 +15,12 @@
 #define NAIVE_ATTEMPTS 4
 /* Attempts that reached no upstream don't count, up to so many: of an entry's
  * endpoints several may have gone at once, a rack or a service's release. */
-#define UNREACHED_MAX 3
+#define FREE_ATTEMPTS_MAX 3
 /* Wait between two tries to reach a guard for a resolve, doubled from one to
  * the next.  At 20 ms each the calls that a cut data centre lost made 7,000
  * tries a second on 65 hosts with a tenth of a core. */
-#define RESOLVE_PAUSE_MS 20
-#define RESOLVE_PAUSE_SHIFT_MAX 4
+#define RESOLVE_BACKOFF_MS 20
+#define RESOLVE_BACKOFF_SHIFT_MAX 4
 /* When nothing better is known, when a caller should come back. */
 #define RETRY_AFTER_MS 1000
 
@@ -32,7 +32,7 @@
  * s and come back twice: with the time until one slot is free, 0.1 to 0.3 s,
  * both returns fall into the same overload.
  */
-#define LATE_RETURN_DIVISOR 3
+#define LATE_RETRY_DIVISOR 3
 
 enum call_state {
 	STATE_NEW = 0,
@@ -42,7 +42,7 @@
 	STATE_WAITING,
 	STATE_COMMITTED,
 	STATE_RESOLVING,
-	STATE_RESOLVE_PAUSE,
+	STATE_RESOLVE_BACKOFF,
 	STATE_OVER,
 };
 
@@ -51,10 +51,10 @@
 	struct retry_budget *budget;
 	uint64_t seed;
 	enum call_state state;
-	bool unsure;
-	bool body_gone;
-	bool overdue;
-	bool moved;
+	bool may_have_run;
+	bool body_discarded;
+	bool deadline_passed;
+	bool rerouted;
 	uint16_t attempt;
 	uint32_t stream;
 	uint64_t endpoint;
@@ -62,8 +62,8 @@
 	uint64_t sent_ms;
 	uint64_t wake_ms;
 	uint64_t resolve_until_ms;
-	uint32_t unresolved;
-	uint16_t unreached;
+	uint32_t resolve_failures;
+	uint16_t free_attempts;
 	GArray *tried;
 	GArray *actions;
 	guint next;
@@ -105,7 +105,7 @@
 }
 
 static struct call_action *
-act(struct call *c, enum call_action_kind kind)
+add_action(struct call *c, enum call_action_kind kind)
 {
 	struct call_action a = {.kind = kind};
 
@@ -132,9 +132,9 @@
 {
 	struct call_action *a;
 
-	if (c->unsure || (c->cfg.keyed && !refusal_settles_key(refusal)))
+	if (c->may_have_run || (c->cfg.keyed && !refusal_settles_key(refusal)))
 		outcome = OUTCOME_UNKNOWN;
-	a = act(c, CALL_GIVE_UP);
+	a = add_action(c, CALL_GIVE_UP);
 	a->outcome = outcome;
 	a->refusal = refusal;
 	a->retry_after_ms =
@@ -146,7 +146,7 @@
 static void
 give_up_unknown(struct call *c)
 {
-	c->unsure = true;
+	c->may_have_run = true;
 	give_up(c, OUTCOME_UNKNOWN, REFUSAL_NONE, 0);
 }
 
@@ -155,7 +155,7 @@
 {
 	c->state = STATE_PLACING;
 	c->wake_ms = c->cfg.deadline_ms;
-	(void)act(c, CALL_PLACE);
+	(void)add_action(c, CALL_PLACE);
 }
 
 static void
@@ -163,11 +163,11 @@
 {
 	c->stream++;
 	c->state = STATE_RESOLVING;
-	act(c, CALL_RESOLVE)->cancel = cancel;
+	add_action(c, CALL_RESOLVE)->cancel = cancel;
 }
 
 static uint64_t
-final_ms(const struct call *c)
+grace_end_ms(const struct call *c)
 {
 	return c->cfg.deadline_ms + c->cfg.deadline_grace_ms;
 }
@@ -181,7 +181,7 @@
 		return NAIVE_ATTEMPTS;
 	if (attempts == 0)
 		attempts = c->budget->cfg.attempts;
-	return attempts + MIN(c->unreached, UNREACHED_MAX);
+	return attempts + MIN(c->free_attempts, FREE_ATTEMPTS_MAX);
 }
 
 static bool
@@ -189,7 +189,8 @@
 {
 	uint64_t wait, random;
 
-	if (c->body_gone || c->overdue || c->attempt >= attempts_max(c))
+	if (c->body_discarded || c->deadline_passed ||
+	    c->attempt >= attempts_max(c))
 		return false;
 	random = hash64(&c->attempt, sizeof(c->attempt), c->seed);
 	wait = retry_backoff_ms(&c->budget->cfg, c->attempt, random);
@@ -209,59 +210,59 @@
 }
 
 static bool
-is_for_load(enum refusal refusal)
+is_overload(enum refusal refusal)
 {
 	return refusal == REFUSAL_WAIT || refusal == REFUSAL_QUEUE_FULL;
 }
 
 /* When the caller should come back; @after_ms is when there is a slot. */
 static uint64_t
-return_after_ms(const struct call *c, enum refusal refusal, uint64_t after_ms,
-    uint64_t now_ms)
+caller_retry_after_ms(const struct call *c, enum refusal refusal,
+    uint64_t after_ms, uint64_t now_ms)
 {
 	uint64_t left_ms;
 
-	if (!is_for_load(refusal) || c->cfg.target_ms == 0 ||
+	if (!is_overload(refusal) || c->cfg.target_ms == 0 ||
 	    c->cfg.caller_gives_up_ms == DEADLINE_NEVER ||
 	    now_ms + after_ms <= c->cfg.target_ms)
 		return after_ms;
 	left_ms = clock_left_ms(c->cfg.caller_gives_up_ms, now_ms);
-	return MAX(after_ms, left_ms / LATE_RETURN_DIVISOR);
+	return MAX(after_ms, left_ms / LATE_RETRY_DIVISOR);
 }
 
 /* What became of an attempt that followed a refusal for load. */
 static void
-note_moved(struct call *c, bool refused)
+record_reroute(struct call *c, bool refused)
 {
-	if (c->moved)
-		retry_budget_moved(c->budget, refused);
-	c->moved = false;
+	if (c->rerouted)
+		retry_budget_record_reroute(c->budget, refused);
+	c->rerouted = false;
 }
 
 /* The last attempt has certainly not run. */
 static void
-not_run(struct call *c, enum refusal refusal, uint64_t retry_after_ms,
+attempt_not_run(struct call *c, enum refusal refusal, uint64_t retry_after_ms,
     uint64_t now_ms)
 {
 	bool is_free = refusal_is_free(refusal);
 
-	if (is_for_load(refusal) && !c->cfg.naive && !c->cfg.keyed) {
-		is_free = retry_budget_room(c->budget);
-		note_moved(c, true);
-		c->moved = true;
+	if (is_overload(refusal) && !c->cfg.naive && !c->cfg.keyed) {
+		is_free = retry_budget_others_have_room(c->budget);
+		record_reroute(c, true);
+		c->rerouted = true;
 	}
-	c->unreached += is_free;
+	c->free_attempts += is_free;
 	if (!refusal_is_final(refusal) && schedule_retry(c, !is_free, now_ms))
 		return;
 	give_up(c, OUTCOME_NOT_RUN, refusal,
-	    return_after_ms(c, refusal, retry_after_ms, now_ms));
+	    caller_retry_after_ms(c, refusal, retry_after_ms, now_ms));
 }
 
 /* Nobody will say whether the last attempt ran. */
 static void
-uncertain(struct call *c, uint64_t now_ms)
+attempt_unknown(struct call *c, uint64_t now_ms)
 {
-	c->unsure = true;
+	c->may_have_run = true;
 	if ((c->cfg.idempotent || c->cfg.naive) &&
 	    schedule_retry(c, true, now_ms))
 		return;
@@ -276,7 +277,7 @@
 
 /* An attempt or a resolve is out and its stream may speak. */
 static bool
-is_listening(const struct call *c, uint32_t stream)
+expects_reply(const struct call *c, uint32_t stream)
 {
 	if (!is_current(c, stream))
 		return false;
@@ -307,7 +308,7 @@
 	c->stream++;
 	c->state = STATE_SENDING;
 	g_array_append_val(c->tried, endpoint);
-	(void)act(c, CALL_SEND);
+	(void)add_action(c, CALL_SEND);
 }
 
 void
@@ -342,20 +343,20 @@
 call_connect_failed(struct call *c, uint32_t stream, uint64_t now_ms)
 {
 	if (is_current(c, stream) && c->state == STATE_SENDING)
-		not_run(c, REFUSAL_UNREACHABLE, 0, now_ms);
+		attempt_not_run(c, REFUSAL_UNREACHABLE, 0, now_ms);
 }
 
 void
 call_body_discarded(struct call *c)
 {
-	c->body_gone = true;
+	c->body_discarded = true;
 }
 
 void
 call_committed(struct call *c, uint32_t stream, uint64_t now_ms)
 {
 	(void)now_ms;
-	if (!is_listening(c, stream))
+	if (!expects_reply(c, stream))
 		return;
 	c->state = STATE_COMMITTED;
 	c->wake_ms = DEADLINE_NEVER;
@@ -365,12 +366,12 @@
 call_answered(struct call *c, uint32_t stream, uint64_t now_ms)
 {
 	(void)now_ms;
-	if (!is_listening(c, stream) &&
+	if (!expects_reply(c, stream) &&
 	    !(is_current(c, stream) && c->state == STATE_COMMITTED))
 		return;
 	retry_budget_success(c->budget);
-	note_moved(c, false);
-	act(c, CALL_DELIVER)->outcome = OUTCOME_DONE;
+	record_reroute(c, false);
+	add_action(c, CALL_DELIVER)->outcome = OUTCOME_DONE;
 	finish(c);
 }
 
@@ -378,34 +379,34 @@
 call_refused(struct call *c, uint32_t stream, enum refusal refusal,
     uint64_t retry_after_ms, uint64_t now_ms)
 {
-	if (!is_listening(c, stream))
+	if (!expects_reply(c, stream))
 		return;
 	if (refusal == REFUSAL_KEY_UNSETTLED)
-		c->unsure = true;
-	not_run(c, refusal, retry_after_ms, now_ms);
+		c->may_have_run = true;
+	attempt_not_run(c, refusal, retry_after_ms, now_ms);
 }
 
 void
 call_failed(struct call *c, uint32_t stream, uint64_t now_ms)
 {
-	if (is_listening(c, stream))
-		uncertain(c, now_ms);
+	if (expects_reply(c, stream))
+		attempt_unknown(c, now_ms);
 }
 
 static void
-lost_unanswered(struct call *c, uint64_t now_ms)
+connection_lost(struct call *c, uint64_t now_ms)
 {
 	if (c->cfg.naive) {
-		uncertain(c, now_ms);
+		attempt_unknown(c, now_ms);
 		return;
 	}
 	if (c->cfg.idempotent && !c->cfg.keyed) {
-		c->unsure = true;
+		c->may_have_run = true;
 		if (schedule_retry(c, true, now_ms))
 			return;
 	}
 	c->resolve_until_ms = now_ms + c->cfg.resolve_limit_ms;
-	resolve(c, c->overdue);
+	resolve(c, c->deadline_passed);
 }
 
 void
@@ -415,16 +416,16 @@
 		return;
 	switch (c->state) {
 	case STATE_SENDING:
-		not_run(c, REFUSAL_UNREACHABLE, 0, now_ms);
+		attempt_not_run(c, REFUSAL_UNREACHABLE, 0, now_ms);
 		return;
 	case STATE_WAITING:
-		lost_unanswered(c, now_ms);
+		connection_lost(c, now_ms);
 		return;
 	case STATE_RESOLVING:
 		call_resolve_failed(c, stream, now_ms);
 		return;
 	case STATE_COMMITTED:
-		(void)act(c, CALL_ABORT);
+		(void)add_action(c, CALL_ABORT);
 		finish(c);
 		return;
 	default:
@@ -440,17 +441,17 @@
 		return;
 	switch (r) {
 	case RESOLUTION_NOT_RUN:
-		not_run(c, REFUSAL_RESOLVED, 0, now_ms);
+		attempt_not_run(c, REFUSAL_RESOLVED, 0, now_ms);
 		return;
 	case RESOLUTION_ATTACHED:
 	case RESOLUTION_ANSWER:
 		c->state = STATE_WAITING;
-		if (c->overdue)
-			(void)act(c, CALL_CANCEL);
+		if (c->deadline_passed)
+			(void)add_action(c, CALL_CANCEL);
 		return;
 	case RESOLUTION_LOST:
 	case RESOLUTION_UNKNOWN:
-		uncertain(c, now_ms);
+		attempt_unknown(c, now_ms);
 		return;
 	}
 }
@@ -458,20 +459,20 @@
 void
 call_resolve_failed(struct call *c, uint32_t stream, uint64_t now_ms)
 {
-	uint64_t until, pause_ms;
+	uint64_t until, backoff_ms;
 
 	if (!is_current(c, stream) || c->state != STATE_RESOLVING)
 		return;
-	pause_ms = (uint64_t)RESOLVE_PAUSE_MS
-	    << MIN(c->unresolved, RESOLVE_PAUSE_SHIFT_MAX);
-	c->unresolved++;
-	until = MIN(c->resolve_until_ms, final_ms(c));
-	if (now_ms + pause_ms >= until) {
-		uncertain(c, now_ms);
+	backoff_ms = (uint64_t)RESOLVE_BACKOFF_MS
+	    << MIN(c->resolve_failures, RESOLVE_BACKOFF_SHIFT_MAX);
+	c->resolve_failures++;
+	until = MIN(c->resolve_until_ms, grace_end_ms(c));
+	if (now_ms + backoff_ms >= until) {
+		attempt_unknown(c, now_ms);
 		return;
 	}
-	c->state = STATE_RESOLVE_PAUSE;
-	c->wake_ms = MIN(now_ms + pause_ms, c->wake_ms);
+	c->state = STATE_RESOLVE_BACKOFF;
+	c->wake_ms = MIN(now_ms + backoff_ms, c->wake_ms);
 }
 
 void
@@ -482,7 +483,7 @@
 	case STATE_SENDING:
 	case STATE_WAITING:
 	case STATE_COMMITTED:
-		(void)act(c, CALL_CANCEL);
+		(void)add_action(c, CALL_CANCEL);
 		break;
 	default:
 		break;
@@ -492,26 +493,26 @@
 
 /* The deadline: what has started is not awaited for longer than the grace. */
 static void
-deadline(struct call *c, uint64_t now_ms)
+pass_deadline(struct call *c, uint64_t now_ms)
 {
-	c->overdue = true;
-	c->wake_ms = final_ms(c);
+	c->deadline_passed = true;
+	c->wake_ms = grace_end_ms(c);
 	switch (c->state) {
 	case STATE_BACKOFF:
 	case STATE_PLACING:
 		give_up(c, OUTCOME_NOT_RUN, REFUSAL_EXPIRED, 0);
 		return;
 	case STATE_SENDING:
-		(void)act(c, CALL_CANCEL);
+		(void)add_action(c, CALL_CANCEL);
 		give_up(c, OUTCOME_NOT_RUN, REFUSAL_EXPIRED, 0);
 		return;
 	case STATE_WAITING:
-		(void)act(c, CALL_CANCEL);
+		(void)add_action(c, CALL_CANCEL);
 		break;
 	default:
 		break;
 	}
-	if (c->cfg.idempotent || c->cfg.naive || now_ms >= final_ms(c))
+	if (c->cfg.idempotent || c->cfg.naive || now_ms >= grace_end_ms(c))
 		give_up_unknown(c);
 }
 
@@ -522,7 +523,7 @@
 	case STATE_OVER:
 		return;
 	case STATE_COMMITTED:
-		(void)act(c, CALL_ABORT);
+		(void)add_action(c, CALL_ABORT);
 		finish(c);
 		return;
 	case STATE_NEW:
@@ -531,7 +532,7 @@
 		give_up(c, OUTCOME_NOT_RUN, REFUSAL_STOPPING, 0);
 		return;
 	case STATE_SENDING:
-		(void)act(c, CALL_CANCEL);
+		(void)add_action(c, CALL_CANCEL);
 		give_up(c, OUTCOME_NOT_RUN, REFUSAL_STOPPING, 0);
 		return;
 	default:
@@ -545,19 +546,20 @@
 {
 	if (c->state == STATE_OVER || now_ms < c->wake_ms)
 		return;
-	if (!c->overdue && now_ms >= c->cfg.deadline_ms) {
-		deadline(c, now_ms);
+	if (!c->deadline_passed && now_ms >= c->cfg.deadline_ms) {
+		pass_deadline(c, now_ms);
 		return;
 	}
-	if (c->overdue && now_ms >= final_ms(c)) {
+	if (c->deadline_passed && now_ms >= grace_end_ms(c)) {
 		give_up_unknown(c);
 		return;
 	}
 	if (c->state == STATE_BACKOFF)
 		place(c);
-	if (c->state == STATE_RESOLVE_PAUSE) {
-		c->wake_ms = c->overdue ? final_ms(c) : c->cfg.deadline_ms;
-		resolve(c, c->overdue);
+	if (c->state == STATE_RESOLVE_BACKOFF) {
+		c->wake_ms =
+		    c->deadline_passed ? grace_end_ms(c) : c->cfg.deadline_ms;
+		resolve(c, c->deadline_passed);
 	}
 }
 
@@ -596,7 +598,7 @@
 bool
 call_may_have_run(const struct call *c)
 {
-	return c->unsure;
+	return c->may_have_run;
 }
 
 uint16_t
--- a/packages/traffic/src/centres.c
+++ b/packages/traffic/src/centres.c
@@ -4,7 +4,7 @@
 #include "centres.h"
 
 /* Hosts that fall silent within this time have the cause in common. */
-#define SILENT_TOGETHER_MS 2000
+#define CORRELATION_MS 2000
 
 /*
  * One call that may run twice is led there each time, so that a data centre of
@@ -12,7 +12,7 @@
  * Silent hosts are dialled again meanwhile, each 1.6 s at the latest, and one
  * that answers ends it as well.
  */
-#define TRIAL_MS 2000
+#define PROBE_INTERVAL_MS 2000
 
 GHashTable *
 centres_new(void)
@@ -34,54 +34,54 @@
 }
 
 bool
-centres_silent(
+centres_host_silent(
     GHashTable *centres, uint64_t centre, uint64_t host, uint64_t now_ms)
 {
 	struct centre *c = find_or_add(centres, centre);
 	bool another = c->silent_host != 0 && c->silent_host != host &&
-	    now_ms < c->silent_ms + SILENT_TOGETHER_MS;
+	    now_ms < c->silent_ms + CORRELATION_MS;
 
 	c->silent_host = host;
 	c->silent_ms = now_ms;
-	if (!another || c->cut)
+	if (!another || c->partitioned)
 		return false;
-	c->cut = true;
-	c->trial_ms = now_ms + TRIAL_MS;
+	c->partitioned = true;
+	c->probe_ms = now_ms + PROBE_INTERVAL_MS;
 	return true;
 }
 
 void
-centres_heard(GHashTable *centres, uint64_t centre)
+centres_received(GHashTable *centres, uint64_t centre)
 {
 	struct centre *c = g_hash_table_lookup(centres, &centre);
 
 	if (c == NULL)
 		return;
 	c->silent_host = 0;
-	c->cut = false;
+	c->partitioned = false;
 }
 
 bool
-centres_cut(GHashTable *centres, uint64_t centre)
+centres_is_partitioned(GHashTable *centres, uint64_t centre)
 {
 	const struct centre *c = g_hash_table_lookup(centres, &centre);
 
-	return c != NULL && c->cut;
+	return c != NULL && c->partitioned;
 }
 
 bool
-centres_trial_due(GHashTable *centres, uint64_t centre, uint64_t now_ms)
+centres_probe_due(GHashTable *centres, uint64_t centre, uint64_t now_ms)
 {
 	const struct centre *c = g_hash_table_lookup(centres, &centre);
 
-	return c != NULL && c->cut && now_ms >= c->trial_ms;
+	return c != NULL && c->partitioned && now_ms >= c->probe_ms;
 }
 
 void
-centres_tried(GHashTable *centres, uint64_t centre, uint64_t now_ms)
+centres_probe_sent(GHashTable *centres, uint64_t centre, uint64_t now_ms)
 {
 	struct centre *c = g_hash_table_lookup(centres, &centre);
 
 	if (c != NULL)
-		c->trial_ms = now_ms + TRIAL_MS;
+		c->probe_ms = now_ms + PROBE_INTERVAL_MS;
 }
--- a/packages/traffic/src/centres.h
+++ b/packages/traffic/src/centres.h
@@ -19,38 +19,38 @@
  * @id: which
  * @silent_host: the host that fell silent last, since anything was heard
  * @silent_ms: when it did
- * @cut: taken for cut off, until something is heard
- * @trial_ms: when one call may be led there to try it
+ * @partitioned: taken for cut off, until something is heard
+ * @probe_ms: when one call may be led there to try it
  */
 struct centre {
 	uint64_t id;
 	uint64_t silent_host;
 	uint64_t silent_ms;
-	bool cut;
-	uint64_t trial_ms;
+	bool partitioned;
+	uint64_t probe_ms;
 };
 
 /** centres_new() - a table; free with g_hash_table_destroy() */
 GHashTable *centres_new(void);
 
 /**
- * centres_silent() - a host there has fallen silent
+ * centres_host_silent() - a host there has fallen silent
  *
  * Return: whether the data centre is taken for cut off from now on.
  */
-bool centres_silent(
+bool centres_host_silent(
     GHashTable *centres, uint64_t centre, uint64_t host, uint64_t now_ms);
 
-/** centres_heard() - something came from there */
-void centres_heard(GHashTable *centres, uint64_t centre);
+/** centres_received() - something came from there */
+void centres_received(GHashTable *centres, uint64_t centre);
 
-/** centres_cut() - whether it is taken for cut off */
-bool centres_cut(GHashTable *centres, uint64_t centre);
+/** centres_is_partitioned() - whether it is taken for cut off */
+bool centres_is_partitioned(GHashTable *centres, uint64_t centre);
 
-/** centres_trial_due() - whether one call is to try it all the same */
-bool centres_trial_due(GHashTable *centres, uint64_t centre, uint64_t now_ms);
+/** centres_probe_due() - whether one call is to try it all the same */
+bool centres_probe_due(GHashTable *centres, uint64_t centre, uint64_t now_ms);
 
-/** centres_tried() - that call is on its way */
-void centres_tried(GHashTable *centres, uint64_t centre, uint64_t now_ms);
+/** centres_probe_sent() - that call is on its way */
+void centres_probe_sent(GHashTable *centres, uint64_t centre, uint64_t now_ms);
 
 #endif
--- a/packages/traffic/src/clean_runs.c
+++ b/packages/traffic/src/clean_runs.c
@@ -28,7 +28,7 @@
 {
 	c->sets[0] = set_new();
 	c->sets[1] = set_new();
-	c->begun_ms = now_ms;
+	c->rotated_ms = now_ms;
 }
 
 void
@@ -39,24 +39,24 @@
 }
 
 static void
-turn(struct clean_runs *c, uint64_t now_ms)
+rotate(struct clean_runs *c, uint64_t now_ms)
 {
 	GHashTable *old = c->sets[1];
 
 	c->sets[1] = c->sets[0];
 	c->sets[0] = old;
 	g_hash_table_remove_all(old);
-	c->begun_ms = now_ms;
+	c->rotated_ms = now_ms;
 }
 
 /* Lets sets that are too old go. */
 static void
-age(struct clean_runs *c, uint64_t now_ms)
+drop_old_sets(struct clean_runs *c, uint64_t now_ms)
 {
-	uint64_t old_ms = now_ms - MIN(now_ms, c->begun_ms);
+	uint64_t old_ms = now_ms - MIN(now_ms, c->rotated_ms);
 
 	if (old_ms >= CLEAN_RUNS_KEEP_MS)
-		turn(c, now_ms);
+		rotate(c, now_ms);
 	if (old_ms >= 2 * CLEAN_RUNS_KEEP_MS)
 		g_hash_table_remove_all(c->sets[1]);
 }
@@ -67,11 +67,11 @@
 {
 	struct fingerprint *key;
 
-	age(c, now_ms);
+	drop_old_sets(c, now_ms);
 	if (g_hash_table_contains(c->sets[0], f))
 		return;
 	if (g_hash_table_size(c->sets[0]) >= CLEAN_RUNS_MAX)
-		turn(c, now_ms);
+		rotate(c, now_ms);
 	key = g_new(struct fingerprint, 1);
 	*key = *f;
 	g_hash_table_add(c->sets[0], key);
@@ -81,7 +81,7 @@
 clean_runs_has(
     struct clean_runs *c, const struct fingerprint *f, uint64_t now_ms)
 {
-	age(c, now_ms);
+	drop_old_sets(c, now_ms);
 	return g_hash_table_contains(c->sets[0], f) ||
 	    g_hash_table_contains(c->sets[1], f);
 }
--- a/packages/traffic/src/drain.c
+++ b/packages/traffic/src/drain.c
@@ -20,28 +20,27 @@
 }
 
 /* Eighths of a stop in which new work is given to the upstream. */
-#define SERVES_EIGHTHS 3
+#define ACCEPT_EIGHTHS 3
 
 uint64_t
-drain_accepts_until_ms(uint64_t notice_ms, uint64_t bound_ms, uint64_t now_ms)
+drain_accepts_until_ms(uint64_t notice_ms, uint64_t stop_ms, uint64_t now_ms)
 {
-	uint64_t share_ms =
-	    clock_left_ms(bound_ms, now_ms) * SERVES_EIGHTHS / 8;
+	uint64_t share_ms = clock_left_ms(stop_ms, now_ms) * ACCEPT_EIGHTHS / 8;
 
 	return now_ms + MIN(notice_ms, share_ms);
 }
 
 /* Time that a process needs for its end, also on a slow host, and the share of
  * a short grace time that it gets at most. */
-#define END_MS 500
-#define END_DIVISOR 8
+#define EXIT_MS 500
+#define EXIT_DIVISOR 8
 
 uint64_t
 drain_wait_ms(uint64_t drain_ms, uint64_t grace_ms)
 {
 	if (grace_ms == 0)
 		return drain_ms;
-	return MIN(drain_ms, grace_ms - MIN(END_MS, grace_ms / END_DIVISOR));
+	return MIN(drain_ms, grace_ms - MIN(EXIT_MS, grace_ms / EXIT_DIVISOR));
 }
 
 void
@@ -49,34 +48,35 @@
 {
 	d->state = DRAIN_SERVING;
 	d->refuse_ms = DEADLINE_NEVER;
-	d->bound_ms = DEADLINE_NEVER;
+	d->stop_ms = DEADLINE_NEVER;
 	d->calls = 0;
 	d->requests = 0;
 }
 
 void
-drain_announce(struct drain *d, uint64_t bound_ms)
+drain_announce(struct drain *d, uint64_t stop_ms)
 {
-	d->bound_ms = bound_ms;
+	d->stop_ms = stop_ms;
 }
 
 /* For the answer to get from the upstream to the entry. */
-#define ANSWER_MS 200
+#define ANSWER_TRANSFER_MS 200
 /* The longest runs take several times the mean of their kind. */
-#define RUN_MEANS 8
+#define RUN_MEAN_FACTOR 8
 /* Taken for the mean while none of its kind has ended here. */
-#define RUN_UNKNOWN_MS 100
+#define RUN_DEFAULT_MS 100
 
 bool
 drain_may_start(const struct drain *d, uint64_t deadline_ms,
     uint64_t mean_run_ms, uint64_t now_ms)
 {
 	uint64_t run_ms =
-	    RUN_MEANS * (mean_run_ms != 0 ? mean_run_ms : RUN_UNKNOWN_MS);
+	    RUN_MEAN_FACTOR * (mean_run_ms != 0 ? mean_run_ms : RUN_DEFAULT_MS);
 
-	if (d->bound_ms == DEADLINE_NEVER)
+	if (d->stop_ms == DEADLINE_NEVER)
 		return true;
-	return MIN(deadline_ms, now_ms + run_ms) + ANSWER_MS <= d->bound_ms;
+	return MIN(deadline_ms, now_ms + run_ms) + ANSWER_TRANSFER_MS <=
+	    d->stop_ms;
 }
 
 void
@@ -86,7 +86,7 @@
 	if (d->state != DRAIN_SERVING)
 		return;
 	d->state = DRAIN_NOTICE;
-	d->bound_ms = now_ms + drain_for_ms;
+	d->stop_ms = now_ms + drain_for_ms;
 	d->refuse_ms = now_ms + MIN(notice_for_ms, drain_for_ms);
 	drain_tick(d, now_ms);
 }
@@ -104,13 +104,13 @@
 }
 
 bool
-drain_closes(const struct drain *d)
+drain_closes_connections(const struct drain *d)
 {
 	return d->state != DRAIN_SERVING;
 }
 
 static void
-settle(struct drain *d, uint64_t now_ms)
+update_state(struct drain *d, uint64_t now_ms)
 {
 	if (d->state == DRAIN_NOTICE && now_ms >= d->refuse_ms)
 		d->state = DRAIN_REFUSING;
@@ -118,7 +118,7 @@
 		return;
 	if (d->calls == 0 && d->requests == 0)
 		d->state = DRAIN_EMPTY;
-	else if (now_ms >= d->bound_ms)
+	else if (now_ms >= d->stop_ms)
 		d->state = DRAIN_OVERDUE;
 }
 
@@ -133,7 +133,7 @@
 {
 	if (d->calls > 0)
 		d->calls--;
-	settle(d, now_ms);
+	update_state(d, now_ms);
 }
 
 void
@@ -147,13 +147,13 @@
 {
 	if (d->requests > 0)
 		d->requests--;
-	settle(d, now_ms);
+	update_state(d, now_ms);
 }
 
 void
 drain_tick(struct drain *d, uint64_t now_ms)
 {
-	settle(d, now_ms);
+	update_state(d, now_ms);
 }
 
 uint64_t
@@ -162,7 +162,7 @@
 	if (d->state == DRAIN_NOTICE)
 		return d->refuse_ms;
 	if (d->state == DRAIN_REFUSING)
-		return d->bound_ms;
+		return d->stop_ms;
 	return DEADLINE_NEVER;
 }
 
--- a/packages/traffic/src/ejection.c
+++ b/packages/traffic/src/ejection.c
@@ -19,7 +19,7 @@
 /* A moving average over about this many times. */
 #define AVERAGE_SHIFT 4
 /* Slowness is judged at every so many results. */
-#define JUDGE_EVERY 16
+#define SLOW_CHECK_INTERVAL 16
 #define DOUBLINGS_MAX 16
 
 struct ejection {
@@ -34,11 +34,11 @@
 	cfg->failures = 3;
 	cfg->failure_percent = 50;
 	cfg->slow_factor = 4;
-	cfg->slow_least_us = 5000;
-	cfg->least_requests = 16;
+	cfg->slow_min_us = 5000;
+	cfg->min_requests = 16;
 	cfg->base_ms = 1000;
 	cfg->cap_ms = 30000;
-	cfg->most_percent = 50;
+	cfg->max_percent = 50;
 }
 
 struct ejection *
@@ -65,7 +65,7 @@
 }
 
 void
-ejection_forget(struct endpoint *ep)
+ejection_reset(struct endpoint *ep)
 {
 	if (ep->results.until_ms != 0 && ep->service != NULL)
 		ep->service->ejected--;
@@ -77,57 +77,57 @@
 {
 	uint64_t halvings;
 
-	halvings = (now_ms - MIN(r->decayed_ms, now_ms)) / DECAY_MS;
+	halvings = (now_ms - MIN(r->halved_ms, now_ms)) / DECAY_MS;
 	if (halvings == 0)
 		return;
 	halvings = MIN(halvings, DECAYS_MAX);
-	r->good >>= halvings;
-	r->bad >>= halvings;
-	r->decayed_ms = now_ms;
+	r->successes >>= halvings;
+	r->failures >>= halvings;
+	r->halved_ms = now_ms;
 }
 
 static bool
-floor_allows(const struct ejection *j, const struct service *s)
+may_eject(const struct ejection *j, const struct service *s)
 {
 	size_t most;
 
-	most = s->listed->len * j->cfg.most_percent / PERCENT;
+	most = s->listed->len * j->cfg.max_percent / PERCENT;
 	return s->ejected < most;
 }
 
 static void
-put_out(struct ejection *j, struct endpoint *ep, uint64_t now_ms)
+start_ejection(struct ejection *j, struct endpoint *ep, uint64_t now_ms)
 {
 	struct ejection_record *r = &ep->results;
 	uint64_t time_ms;
 
-	time_ms = (uint64_t)j->cfg.base_ms << MIN(r->times_out, DOUBLINGS_MAX);
+	time_ms = (uint64_t)j->cfg.base_ms << MIN(r->ejections, DOUBLINGS_MAX);
 	time_ms = MIN(time_ms, j->cfg.cap_ms);
-	r->times_out++;
+	r->ejections++;
 	r->until_ms = now_ms + time_ms;
 	r->probing = false;
 	r->consecutive = 0;
-	r->good = 0;
-	r->bad = 0;
-	r->timed = 0;
+	r->successes = 0;
+	r->failures = 0;
+	r->samples = 0;
 }
 
 static void
 eject(struct ejection *j, struct endpoint *ep, uint64_t now_ms)
 {
-	if (!floor_allows(j, ep->service))
+	if (!may_eject(j, ep->service))
 		return;
 	ep->service->ejected++;
-	put_out(j, ep, now_ms);
+	start_ejection(j, ep, now_ms);
 }
 
 static void
-take_back(const struct ejection *j, struct endpoint *ep, uint64_t now_ms)
+reinstate(const struct ejection *j, struct endpoint *ep, uint64_t now_ms)
 {
 	ep->service->ejected--;
 	ep->results.until_ms = 0;
 	ep->results.probing = false;
-	endpoints_warm_up(j->endpoints, ep, now_ms);
+	endpoints_begin_slow_start(j->endpoints, ep, now_ms);
 }
 
 static int
@@ -149,7 +149,7 @@
 	g_array_set_size(j->times, 0);
 	for (i = 0; i < ep->service->listed->len; i++) {
 		other = g_ptr_array_index(ep->service->listed, i);
-		if (other == ep || other->results.timed < j->cfg.least_requests)
+		if (other == ep || other->results.samples < j->cfg.min_requests)
 			continue;
 		g_array_append_val(j->times, other->results.took_us);
 	}
@@ -164,70 +164,71 @@
 {
 	uint64_t median;
 
-	if (j->cfg.slow_factor == 0 || took_us < j->cfg.slow_least_us)
+	if (j->cfg.slow_factor == 0 || took_us < j->cfg.slow_min_us)
 		return false;
 	median = siblings_median(j, ep);
 	return median > 0 && took_us > median * j->cfg.slow_factor;
 }
 
 static void
-note_time(struct ejection_record *r, uint64_t took_us)
+record_time(struct ejection_record *r, uint64_t took_us)
 {
-	if (r->timed == 0)
+	if (r->samples == 0)
 		r->took_us = took_us;
 	else
 		r->took_us +=
 		    (took_us >> AVERAGE_SHIFT) - (r->took_us >> AVERAGE_SHIFT);
-	r->timed++;
+	r->samples++;
 }
 
 static void
-note_good(
+record_success(
     struct ejection *j, struct endpoint *ep, uint64_t took_us, uint64_t now_ms)
 {
 	struct ejection_record *r = &ep->results;
 
 	r->consecutive = 0;
-	r->good++;
-	note_time(r, took_us);
-	if (r->timed < j->cfg.least_requests || r->timed % JUDGE_EVERY != 0)
+	r->successes++;
+	record_time(r, took_us);
+	if (r->samples < j->cfg.min_requests ||
+	    r->samples % SLOW_CHECK_INTERVAL != 0)
 		return;
 	if (is_slow(j, ep, r->took_us))
 		eject(j, ep, now_ms);
-	else if (r->times_out > 0 && r->timed > JUDGE_EVERY)
-		r->times_out--;
+	else if (r->ejections > 0 && r->samples > SLOW_CHECK_INTERVAL)
+		r->ejections--;
 }
 
 static void
-note_bad(struct ejection *j, struct endpoint *ep, uint64_t now_ms)
+record_failure(struct ejection *j, struct endpoint *ep, uint64_t now_ms)
 {
 	struct ejection_record *r = &ep->results;
 	uint32_t all;
 
 	r->consecutive++;
-	r->bad++;
-	all = r->good + r->bad;
+	r->failures++;
+	all = r->successes + r->failures;
 	if (r->consecutive >= j->cfg.failures ||
-	    (all >= j->cfg.least_requests &&
-		r->bad * PERCENT > all * j->cfg.failure_percent))
+	    (all >= j->cfg.min_requests &&
+		r->failures * PERCENT > all * j->cfg.failure_percent))
 		eject(j, ep, now_ms);
 }
 
 /* Only the probe counts; results of requests sent before say nothing new. */
 static void
-note_probe(struct ejection *j, struct endpoint *ep, bool good, uint64_t took_us,
-    uint64_t now_ms)
+record_probe(struct ejection *j, struct endpoint *ep, bool good,
+    uint64_t took_us, uint64_t now_ms)
 {
 	if (!ep->results.probing)
 		return;
 	if (good && !is_slow(j, ep, took_us))
-		take_back(j, ep, now_ms);
+		reinstate(j, ep, now_ms);
 	else
-		put_out(j, ep, now_ms);
+		start_ejection(j, ep, now_ms);
 }
 
 void
-ejection_note(struct ejection *j, struct endpoint *ep,
+ejection_add_result(struct ejection *j, struct endpoint *ep,
     enum endpoint_result result, uint64_t took_us, uint64_t now_ms)
 {
 	bool good;
@@ -247,31 +248,31 @@
 		return;
 	}
 	if (ep->results.until_ms != 0)
-		note_probe(j, ep, good, took_us, now_ms);
+		record_probe(j, ep, good, took_us, now_ms);
 	else if (good)
-		note_good(j, ep, took_us, now_ms);
+		record_success(j, ep, took_us, now_ms);
 	else
-		note_bad(j, ep, now_ms);
+		record_failure(j, ep, now_ms);
 }
 
 enum ejection_verdict
-ejection_judge(const struct ejection *j, const struct endpoint *ep,
+ejection_verdict_for(const struct ejection *j, const struct endpoint *ep,
     bool idempotent, uint64_t now_ms)
 {
 	const struct ejection_record *r = &ep->results;
-	uint64_t from_ms;
+	uint64_t probe_ms;
 
 	if (r->until_ms == 0)
 		return EJECTION_USABLE;
 	/* A booking tries only what no lookup has tried for long. */
-	from_ms = r->until_ms + (idempotent ? 0 : j->cfg.base_ms);
-	if (now_ms < from_ms || r->probing)
-		return EJECTION_OUT;
+	probe_ms = r->until_ms + (idempotent ? 0 : j->cfg.base_ms);
+	if (now_ms < probe_ms || r->probing)
+		return EJECTION_EJECTED;
 	return EJECTION_PROBE;
 }
 
 void
-ejection_probe(struct ejection *j, struct endpoint *ep)
+ejection_begin_probe(struct ejection *j, struct endpoint *ep)
 {
 	(void)j;
 	ep->results.probing = true;
@@ -284,8 +285,8 @@
 
 	ep = endpoints_find(j->endpoints, endpoint);
 	if (ep == NULL)
-		return EJECTION_OUT;
-	return ejection_judge(j, ep, true, now_ms);
+		return EJECTION_EJECTED;
+	return ejection_verdict_for(j, ep, true, now_ms);
 }
 
 size_t
--- a/packages/traffic/src/endpoints.c
+++ b/packages/traffic/src/endpoints.c
@@ -10,15 +10,15 @@
 
 #define PERCENT 100
 /* A new entry has heard of all endpoints after this time. */
-#define LEARN_MS 1000
+#define DISCOVERY_MS 1000
 /* One that may be cold starts with this share of its slots. */
-#define COLD_PERCENT 10
+#define COLD_START_PERCENT 10
 /* One that says how long it is slow, with this one: upstreams of the users'
  * platform take twice as long meanwhile. */
-#define COLD_TOLD_PERCENT 50
+#define COLD_ANNOUNCED_PERCENT 50
 /* Each report counts so much in the mean load, so that it is over the last ten
  * or so. */
-#define MEAN_SHARE 0.1
+#define MEAN_WEIGHT 0.1
 /* The mean load counts half after this time without a report. */
 #define MEAN_HALF_LIFE_MS 2000
 
@@ -27,7 +27,7 @@
 {
 	cfg->slow_start_ms = 5000;
 	cfg->load_half_life_ms = 500;
-	cfg->way_half_life_ms = 1000;
+	cfg->delay_half_life_ms = 1000;
 	cfg->drain_hold_ms = 5000;
 	cfg->absent_hold_ms = 500;
 }
@@ -82,7 +82,7 @@
 static void
 unlist(struct endpoints *e, struct endpoint *ep)
 {
-	ejection_forget(ep);
+	ejection_reset(ep);
 	ep->service = NULL;
 	ep->info.state = ENDPOINT_LEFT;
 	if (ep->in_flight == 0)
@@ -105,7 +105,7 @@
 }
 
 static void
-warm_up(
+set_slow_start(
     struct endpoint *ep, uint64_t from_ms, uint64_t until_ms, uint32_t percent)
 {
 	ep->warm_from_ms = from_ms;
@@ -114,24 +114,25 @@
 }
 
 void
-endpoints_warm_up(
+endpoints_begin_slow_start(
     const struct endpoints *e, struct endpoint *ep, uint64_t now_ms)
 {
-	warm_up(ep, now_ms, now_ms + e->cfg.slow_start_ms, COLD_PERCENT);
+	set_slow_start(
+	    ep, now_ms, now_ms + e->cfg.slow_start_ms, COLD_START_PERCENT);
 }
 
 /* It has just become ready. */
 static void
-begin(
+begin_slow_start(
     const struct endpoints *e, struct endpoint *ep, bool warm, uint64_t now_ms)
 {
 	if (warm)
-		warm_up(ep, 0, 0, 0);
+		set_slow_start(ep, 0, 0, 0);
 	else if (ep->info.cold_ms == UINT32_MAX)
-		endpoints_warm_up(e, ep, now_ms);
+		endpoints_begin_slow_start(e, ep, now_ms);
 	else
-		warm_up(
-		    ep, now_ms, now_ms + ep->info.cold_ms, COLD_TOLD_PERCENT);
+		set_slow_start(ep, now_ms, now_ms + ep->info.cold_ms,
+		    COLD_ANNOUNCED_PERCENT);
 }
 
 /* warm: this entry is new to the service, so it can't tell who is cold. */
@@ -145,21 +146,21 @@
 	becomes_ready = info->state == ENDPOINT_READY &&
 	    (replaced || ep->info.state != ENDPOINT_READY);
 	if (replaced) {
-		ejection_forget(ep);
+		ejection_reset(ep);
 		ep->others_milli = 0;
-		ep->way_us = 0;
+		ep->delay_us = 0;
 	}
 	ep->info = *info;
 	ep->info.slots = MAX(info->slots, 1);
 	if (!becomes_ready)
 		return;
 	/* News of it being ready is later than the refusal that left it out. */
-	ep->drains_until_ms = 0;
-	begin(e, ep, warm, now_ms);
+	ep->excluded_until_ms = 0;
+	begin_slow_start(e, ep, warm, now_ms);
 }
 
 static bool
-names(const struct endpoint_info *infos, size_t n, uint64_t id)
+contains_id(const struct endpoint_info *infos, size_t n, uint64_t id)
 {
 	size_t i;
 
@@ -179,7 +180,7 @@
 
 	for (i = s->listed->len; i > 0; i--) {
 		ep = g_ptr_array_index(s->listed, i - 1);
-		if (names(infos, n, ep->info.id))
+		if (contains_id(infos, n, ep->info.id))
 			continue;
 		g_ptr_array_remove_index_fast(s->listed, i - 1);
 		unlist(e, ep);
@@ -205,7 +206,7 @@
 		g_hash_table_insert(e->services, &s->id, s);
 	}
 	s->generation = generation;
-	warm = now_ms - s->since_ms < LEARN_MS;
+	warm = now_ms - s->since_ms < DISCOVERY_MS;
 	unlist_missing(e, s, infos, n);
 	for (i = 0; i < n; i++) {
 		ep = find_or_add(e, &infos[i]);
@@ -241,7 +242,7 @@
 
 /* Whether a result shows that something came from the endpoint's host. */
 static bool
-was_heard(enum endpoint_result result)
+proves_reachable(enum endpoint_result result)
 {
 	return result != ENDPOINT_SILENT && result != ENDPOINT_UNREACHABLE &&
 	    result != ENDPOINT_CANCELLED;
@@ -258,45 +259,47 @@
 		return;
 	if (ep->in_flight > 0)
 		ep->in_flight--;
-	if (was_heard(result))
-		centres_heard(e->centres, ep->info.centre);
+	if (proves_reachable(result))
+		centres_received(e->centres, ep->info.centre);
 	if (ep->service == NULL) {
 		if (ep->in_flight == 0)
 			g_hash_table_remove(e->endpoints, &endpoint);
 		return;
 	}
 	if (result == ENDPOINT_DRAINS)
-		ep->drains_until_ms = now_ms + e->cfg.drain_hold_ms;
+		ep->excluded_until_ms = now_ms + e->cfg.drain_hold_ms;
 	if (result == ENDPOINT_ABSENT)
-		ep->drains_until_ms =
-		    MAX(ep->drains_until_ms, now_ms + e->cfg.absent_hold_ms);
+		ep->excluded_until_ms =
+		    MAX(ep->excluded_until_ms, now_ms + e->cfg.absent_hold_ms);
 	if (e->ejection != NULL)
-		ejection_note(e->ejection, ep, result, took_us, now_ms);
+		ejection_add_result(e->ejection, ep, result, took_us, now_ms);
 }
 
 bool
 endpoints_set_silent(
-    struct endpoints *e, uint64_t endpoint, bool doubt, uint64_t now_ms)
+    struct endpoints *e, uint64_t endpoint, bool silent, uint64_t now_ms)
 {
 	struct endpoint *ep;
 
 	ep = endpoints_find(e, endpoint);
-	if (ep == NULL || ep->doubt == doubt)
+	if (ep == NULL || ep->silent == silent)
 		return false;
-	ep->doubt = doubt;
-	if (!doubt) {
-		ejection_forget(ep);
-		centres_heard(e->centres, ep->info.centre);
+	ep->silent = silent;
+	if (!silent) {
+		ejection_reset(ep);
+		centres_received(e->centres, ep->info.centre);
 		return false;
 	}
 	return !ep->info.local && ep->info.centre != 0 &&
-	    centres_silent(e->centres, ep->info.centre, ep->info.host, now_ms);
+	    centres_host_silent(
+		e->centres, ep->info.centre, ep->info.host, now_ms);
 }
 
 bool
-endpoints_cut_off(const struct endpoints *e, const struct endpoint *ep)
+endpoints_is_partitioned(const struct endpoints *e, const struct endpoint *ep)
 {
-	return !ep->info.local && centres_cut(e->centres, ep->info.centre);
+	return !ep->info.local &&
+	    centres_is_partitioned(e->centres, ep->info.centre);
 }
 
 bool
@@ -309,22 +312,23 @@
 }
 
 static struct mean_load *
-mean_of(const struct endpoint *ep)
+mean_load_of(const struct endpoint *ep)
 {
-	return ep->info.local ? &ep->service->near : &ep->service->far;
+	return ep->info.local ? &ep->service->local_mean
+			      : &ep->service->remote_mean;
 }
 
 static void
-note_mean(const struct endpoint *ep, uint64_t now_ms)
+update_mean(const struct endpoint *ep, uint64_t now_ms)
 {
 	struct mean_load *mean;
 	double per_slot;
 
 	if (ep->service == NULL || ep->info.slots == 0)
 		return;
-	mean = mean_of(ep);
+	mean = mean_load_of(ep);
 	per_slot = (double)ep->others_milli / ep->info.slots;
-	mean->per_slot += (per_slot - mean->per_slot) * MEAN_SHARE;
+	mean->per_slot += (per_slot - mean->per_slot) * MEAN_WEIGHT;
 	mean->reported_ms = now_ms;
 }
 
@@ -344,7 +348,7 @@
 	ep->reported_ms = now_ms;
 	if (load->slots > 0)
 		ep->info.slots = load->slots;
-	note_mean(ep, now_ms);
+	update_mean(ep, now_ms);
 }
 
 void
@@ -370,7 +374,7 @@
 
 /* What is left of a value that counts half after each half-life. */
 static double
-faded(double value, uint64_t since_ms, uint64_t now_ms, uint32_t half_life_ms)
+decayed(double value, uint64_t since_ms, uint64_t now_ms, uint32_t half_life_ms)
 {
 	if (half_life_ms == 0 || now_ms <= since_ms)
 		return value;
@@ -382,23 +386,23 @@
     uint64_t upstream_us, uint64_t now_ms)
 {
 	struct endpoint *ep = endpoints_find(e, endpoint);
-	uint64_t way_us;
+	uint64_t delay_us;
 
 	if (ep == NULL)
 		return;
 	if (upstream_us == 0)
 		upstream_us = ep->results.took_us;
-	way_us = took_us - MIN(upstream_us, took_us);
-	ep->way_us = (endpoints_way_us(e, ep, now_ms) + way_us) / 2;
-	ep->way_ms = now_ms;
+	delay_us = took_us - MIN(upstream_us, took_us);
+	ep->delay_us = (endpoints_delay_us(e, ep, now_ms) + delay_us) / 2;
+	ep->delay_updated_ms = now_ms;
 }
 
 uint64_t
-endpoints_way_us(
+endpoints_delay_us(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms)
 {
-	return (uint64_t)faded(
-	    (double)ep->way_us, ep->way_ms, now_ms, e->cfg.way_half_life_ms);
+	return (uint64_t)decayed((double)ep->delay_us, ep->delay_updated_ms,
+	    now_ms, e->cfg.delay_half_life_ms);
 }
 
 /* What others put on an endpoint of which nothing is known lately. */
@@ -409,8 +413,8 @@
 
 	if (ep->service == NULL)
 		return 0;
-	mean = mean_of(ep);
-	return faded(mean->per_slot, mean->reported_ms, now_ms,
+	mean = mean_load_of(ep);
+	return decayed(mean->per_slot, mean->reported_ms, now_ms,
 		   MEAN_HALF_LIFE_MS) *
 	    ep->info.slots;
 }
@@ -419,8 +423,8 @@
 endpoints_load_milli(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms)
 {
-	double others = faded((double)ep->others_milli, ep->reported_ms, now_ms,
-	    e->cfg.load_half_life_ms);
+	double others = decayed((double)ep->others_milli, ep->reported_ms,
+	    now_ms, e->cfg.load_half_life_ms);
 
 	return (uint64_t)ep->in_flight * MILLI + (uint64_t)others;
 }
@@ -431,7 +435,7 @@
 {
 	double mean = mean_milli(ep, now_ms);
 	double others = mean +
-	    faded((double)ep->others_milli - mean, ep->reported_ms, now_ms,
+	    decayed((double)ep->others_milli - mean, ep->reported_ms, now_ms,
 		e->cfg.load_half_life_ms);
 
 	return (uint64_t)ep->in_flight * MILLI + (uint64_t)MAX(others, 0);
--- a/packages/traffic/src/fate.c
+++ b/packages/traffic/src/fate.c
@@ -4,8 +4,8 @@
  * A record is active (queued or running) or settled.  Settled records stand
  * in a queue in the order in which they were settled and go after the window.
  * A request is taken only if it was sent within the window and after
- * floor_ms, and a record goes only when every frame of its request counts as
- * too old by then: so what is not in the table has not run.
+ * oldest_accepted_ms, and a record goes only when every frame of its request
+ * counts as too old by then: so what is not in the table has not run.
  */
 #include "traffic/fate.h"
 
@@ -15,7 +15,7 @@
 
 #define ID_SEED 3
 /* Kept this much longer than the window: clocks drift between two echoes. */
-#define KEEP_SLACK_MS 1000
+#define CLOCK_DRIFT_MARGIN_MS 1000
 /* More connections than this never wait for one answer. */
 #define WAITERS_MAX 8
 
@@ -23,7 +23,7 @@
 	struct request_id id;
 	struct request_id first;
 	enum fate_state state;
-	uint64_t seen_ms;
+	uint64_t received_ms;
 	uint64_t settled_ms;
 	GBytes *answer;
 	GArray *waiters;
@@ -38,7 +38,7 @@
 	GQueue *settled;
 	GQueue *answers;
 	size_t answers_bytes;
-	uint64_t floor_ms;
+	uint64_t oldest_accepted_ms;
 };
 
 static guint
@@ -101,7 +101,7 @@
 }
 
 static struct record *
-find(const struct fate_table *t, const struct request_id *id)
+find_record(const struct fate_table *t, const struct request_id *id)
 {
 	return g_hash_table_lookup(t->records, id);
 }
@@ -119,7 +119,7 @@
 }
 
 static void
-drop_oldest(struct fate_table *t)
+remove_oldest(struct fate_table *t)
 {
 	struct record *r;
 
@@ -130,30 +130,31 @@
 
 /* Whether a request that was sent at sent_ms may have been forgotten. */
 static bool
-too_old(const struct fate_table *t, uint64_t sent_ms, uint64_t now_ms)
+is_too_old(const struct fate_table *t, uint64_t sent_ms, uint64_t now_ms)
 {
-	if (sent_ms <= t->floor_ms)
+	if (sent_ms <= t->oldest_accepted_ms)
 		return true;
 	return sent_ms + t->cfg.window_ms < now_ms;
 }
 
 static struct record *
-add(struct fate_table *t, const struct request_id *id, enum fate_state state,
-    uint64_t now_ms)
+add_record(struct fate_table *t, const struct request_id *id,
+    enum fate_state state, uint64_t now_ms)
 {
 	struct record *r, *oldest;
 
 	if (g_hash_table_size(t->records) >= t->cfg.records_max) {
 		oldest = g_queue_peek_head(t->settled);
 		if (oldest != NULL) {
-			t->floor_ms = MAX(t->floor_ms, oldest->seen_ms);
-			drop_oldest(t);
+			t->oldest_accepted_ms =
+			    MAX(t->oldest_accepted_ms, oldest->received_ms);
+			remove_oldest(t);
 		}
 	}
 	r = g_new0(struct record, 1);
 	r->id = *id;
 	r->state = state;
-	r->seen_ms = now_ms;
+	r->received_ms = now_ms;
 	r->waiters = g_array_new(FALSE, FALSE, sizeof(struct fate_waiter));
 	g_hash_table_insert(t->records, &r->id, r);
 	g_queue_push_tail(t->active, r);
@@ -185,15 +186,15 @@
 	struct record *r;
 
 	fate_expire(t, now_ms);
-	r = find(t, id);
+	r = find_record(t, id);
 	if (r != NULL) {
 		if (r->state == FATE_STATE_NEVER)
 			return FATE_OFFER_NOT_RUN;
 		return FATE_OFFER_DUPLICATE;
 	}
-	if (too_old(t, sent_ms, now_ms))
+	if (is_too_old(t, sent_ms, now_ms))
 		return FATE_OFFER_TOO_OLD;
-	r = add(t, id, FATE_STATE_QUEUED, now_ms);
+	r = add_record(t, id, FATE_STATE_QUEUED, now_ms);
 	g_array_append_val(r->waiters, *waiter);
 	return FATE_OFFER_NEW;
 }
@@ -204,7 +205,7 @@
 	struct record *r;
 
 	(void)now_ms;
-	r = find(t, id);
+	r = find_record(t, id);
 	if (r == NULL || r->state != FATE_STATE_QUEUED)
 		return false;
 	r->state = FATE_STATE_RUNNING;
@@ -212,7 +213,7 @@
 }
 
 static void
-keep_answer(struct fate_table *t, struct record *r, GBytes *answer)
+store_answer(struct fate_table *t, struct record *r, GBytes *answer)
 {
 	size_t size;
 
@@ -233,12 +234,12 @@
 {
 	struct record *r;
 
-	r = find(t, id);
+	r = find_record(t, id);
 	if (r == NULL || r->state != FATE_STATE_RUNNING)
 		return;
 	settle(t, r, FATE_STATE_DONE, now_ms);
 	if (answer != NULL)
-		keep_answer(t, r, answer);
+		store_answer(t, r, answer);
 }
 
 void
@@ -246,7 +247,7 @@
 {
 	struct record *r;
 
-	r = find(t, id);
+	r = find_record(t, id);
 	if (r != NULL && r->state == FATE_STATE_RUNNING)
 		settle(t, r, FATE_STATE_FAILED, now_ms);
 }
@@ -256,7 +257,7 @@
 {
 	struct record *r;
 
-	r = find(t, id);
+	r = find_record(t, id);
 	if (r != NULL && is_active(r))
 		settle(t, r, FATE_STATE_NEVER, now_ms);
 }
@@ -266,7 +267,7 @@
 {
 	struct record *r;
 
-	r = find(t, id);
+	r = find_record(t, id);
 	if (r != NULL)
 		drop_answer(t, r);
 }
@@ -276,7 +277,7 @@
 {
 	struct record *r;
 
-	r = find(t, id);
+	r = find_record(t, id);
 	*n = r != NULL ? r->waiters->len : 0;
 	return r != NULL ? (const void *)r->waiters->data : NULL;
 }
@@ -299,7 +300,7 @@
 }
 
 static void
-attach(struct record *r, const struct fate_waiter *waiter)
+add_waiter(struct record *r, const struct fate_waiter *waiter)
 {
 	guint i;
 
@@ -316,17 +317,17 @@
 }
 
 static void
-resolve_unseen(struct fate_table *t, const struct fate_query *q,
+resolve_unknown(struct fate_table *t, const struct fate_query *q,
     uint64_t now_ms, struct fate_answer *out)
 {
 	struct record *r;
 
 	if (q->incarnation != t->cfg.incarnation ||
-	    too_old(t, q->sent_ms, now_ms)) {
+	    is_too_old(t, q->sent_ms, now_ms)) {
 		out->resolution = RESOLUTION_UNKNOWN;
 		return;
 	}
-	r = add(t, &q->id, FATE_STATE_NEVER, now_ms);
+	r = add_record(t, &q->id, FATE_STATE_NEVER, now_ms);
 	settle(t, r, FATE_STATE_NEVER, now_ms);
 	out->resolution = RESOLUTION_NOT_RUN;
 }
@@ -341,7 +342,7 @@
 		out->resolution = RESOLUTION_NOT_RUN;
 		return;
 	}
-	attach(r, &q->waiter);
+	add_waiter(r, &q->waiter);
 	out->resolution = RESOLUTION_ATTACHED;
 }
 
@@ -357,8 +358,8 @@
 }
 
 static void
-resolve_seen(struct fate_table *t, struct record *r, const struct fate_query *q,
-    uint64_t now_ms, struct fate_answer *out)
+resolve_known(struct fate_table *t, struct record *r,
+    const struct fate_query *q, uint64_t now_ms, struct fate_answer *out)
 {
 	switch (r->state) {
 	case FATE_STATE_NEVER:
@@ -386,16 +387,16 @@
 resolve_follower(struct fate_table *t, const struct record *r,
     const struct fate_query *q, uint64_t now_ms, struct fate_answer *out)
 {
-	struct fate_query of_first = *q;
+	struct fate_query for_first = *q;
 	struct record *first;
 
-	of_first.id = r->first;
-	of_first.cancel = false;
-	first = find(t, &r->first);
+	for_first.id = r->first;
+	for_first.cancel = false;
+	first = find_record(t, &r->first);
 	if (first == NULL)
 		out->resolution = RESOLUTION_LOST;
 	else
-		resolve_seen(t, first, &of_first, now_ms, out);
+		resolve_known(t, first, &for_first, now_ms, out);
 }
 
 void
@@ -406,13 +407,13 @@
 
 	memset(out, 0, sizeof(*out));
 	fate_expire(t, now_ms);
-	r = find(t, &q->id);
+	r = find_record(t, &q->id);
 	if (r == NULL)
-		resolve_unseen(t, q, now_ms, out);
+		resolve_unknown(t, q, now_ms, out);
 	else if (r->state == FATE_STATE_FOLLOWS)
 		resolve_follower(t, r, q, now_ms, out);
 	else
-		resolve_seen(t, r, q, now_ms, out);
+		resolve_known(t, r, q, now_ms, out);
 }
 
 void
@@ -425,7 +426,7 @@
 
 	memset(out, 0, sizeof(*out));
 	out->resolution = RESOLUTION_LOST;
-	r = find(t, id);
+	r = find_record(t, id);
 	if (r == NULL || r->state != FATE_STATE_QUEUED)
 		return;
 	settle(t, r, FATE_STATE_FOLLOWS, now_ms);
@@ -445,9 +446,10 @@
 		r = g_queue_peek_head(t->settled);
 		if (r == NULL)
 			return;
-		if (r->settled_ms + t->cfg.window_ms + KEEP_SLACK_MS >= now_ms)
+		if (r->settled_ms + t->cfg.window_ms + CLOCK_DRIFT_MARGIN_MS >=
+		    now_ms)
 			return;
-		drop_oldest(t);
+		remove_oldest(t);
 	}
 }
 
--- a/packages/traffic/src/frame_age.c
+++ b/packages/traffic/src/frame_age.c
@@ -10,8 +10,8 @@
 frame_age_init(struct frame_age *f)
 {
 	f->known = false;
-	f->older_ms = INT64_MIN;
-	f->newer_ms = INT64_MIN;
+	f->previous_offset_ms = INT64_MIN;
+	f->current_offset_ms = INT64_MIN;
 	f->period_ms = 0;
 }
 
@@ -19,20 +19,20 @@
 frame_age_echo(
     struct frame_age *f, uint64_t own_ms, uint64_t peer_ms, uint64_t now_ms)
 {
-	int64_t bound;
+	int64_t offset_ms;
 
 	if (own_ms > now_ms)
 		return;
-	bound = (int64_t)(own_ms - peer_ms);
+	offset_ms = (int64_t)(own_ms - peer_ms);
 	if (!f->known)
 		f->period_ms = own_ms;
 	if (own_ms > f->period_ms + FRAME_AGE_KEEP_MS) {
-		f->older_ms = f->newer_ms;
-		f->newer_ms = INT64_MIN;
+		f->previous_offset_ms = f->current_offset_ms;
+		f->current_offset_ms = INT64_MIN;
 		f->period_ms = own_ms;
 	}
 	f->known = true;
-	f->newer_ms = MAX(f->newer_ms, bound);
+	f->current_offset_ms = MAX(f->current_offset_ms, offset_ms);
 }
 
 uint64_t
@@ -42,7 +42,8 @@
 
 	if (!f->known)
 		return 0;
-	sent = (int64_t)(peer_ms + (uint64_t)MAX(f->older_ms, f->newer_ms));
+	sent = (int64_t)(peer_ms +
+	    (uint64_t)MAX(f->previous_offset_ms, f->current_offset_ms));
 	if (sent < 0)
 		return 0;
 	return MIN((uint64_t)sent, now_ms);
--- a/packages/traffic/src/key_views.c
+++ b/packages/traffic/src/key_views.c
@@ -141,7 +141,7 @@
 }
 
 bool
-key_views_vouch(const struct key_views *v, const struct key_id *key,
+key_views_excludes_others(const struct key_views *v, const struct key_id *key,
     uint64_t to, uint64_t to_age_ms, uint64_t now_ms)
 {
 	const struct view *w;
--- a/packages/traffic/src/key_views.h
+++ b/packages/traffic/src/key_views.h
@@ -47,11 +47,11 @@
     const struct key_id *key, uint64_t *home);
 
 /**
- * key_views_vouch() - whether all the time either the own endpoint was the
- * home, or the process of @to that is @to_age_ms old
+ * key_views_excludes_others() - whether all the time either the own endpoint
+ * was the home, or the process of @to that is @to_age_ms old
  */
-bool key_views_vouch(const struct key_views *v, const struct key_id *key,
-    uint64_t to, uint64_t to_age_ms, uint64_t now_ms);
+bool key_views_excludes_others(const struct key_views *v,
+    const struct key_id *key, uint64_t to, uint64_t to_age_ms, uint64_t now_ms);
 
 /** key_views_expire() - forget views that ended before the window */
 void key_views_expire(struct key_views *v, uint64_t now_ms);
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -21,9 +21,9 @@
 
 enum key_state {
 	KEY_SETTLING = 0,
-	KEY_HELD,
-	KEY_SPENT,
-	KEY_BARRED,
+	KEY_ACTIVE,
+	KEY_FINISHED,
+	KEY_HANDED_OVER,
 };
 
 struct entry {
@@ -33,19 +33,19 @@
 	uint64_t body;
 	uint64_t changed_ms;
 	/* The endpoint that it was given to, and when. */
-	uint64_t barred_for;
-	uint64_t barred_ms;
-	GArray *asked;
+	uint64_t handed_to;
+	uint64_t handed_ms;
+	GArray *released_by;
 	GList *link;
 };
 
 struct keyed {
 	struct keyed_config cfg;
 	uint64_t self;
-	uint64_t born_ms;
+	uint64_t created_ms;
 	GHashTable *entries;
 	/* Spent and barred ones, which expire. */
-	GQueue by_change;
+	GQueue by_expiry;
 	struct key_views views;
 };
 
@@ -87,13 +87,13 @@
 {
 	struct entry *e = data;
 
-	g_array_free(e->asked, TRUE);
+	g_array_free(e->released_by, TRUE);
 	g_free(e);
 }
 
 /* Another node may have been home by a view that this one had dropped. */
 static uint64_t
-memory_ms(const struct keyed *k)
+retention_ms(const struct keyed *k)
 {
 	return k->cfg.window_ms + k->cfg.propagation_ms;
 }
@@ -106,11 +106,11 @@
 	k = g_new0(struct keyed, 1);
 	k->cfg = *cfg;
 	k->self = self;
-	k->born_ms = now_ms;
+	k->created_ms = now_ms;
 	k->entries =
 	    g_hash_table_new_full(key_hash, key_equal, NULL, entry_free);
-	g_queue_init(&k->by_change);
-	key_views_init(&k->views, self, memory_ms(k));
+	g_queue_init(&k->by_expiry);
+	key_views_init(&k->views, self, retention_ms(k));
 	return k;
 }
 
@@ -119,7 +119,7 @@
 {
 	if (k == NULL)
 		return;
-	g_queue_clear(&k->by_change);
+	g_queue_clear(&k->by_expiry);
 	key_views_clear(&k->views);
 	g_hash_table_destroy(k->entries);
 	g_free(k);
@@ -128,13 +128,13 @@
 uint64_t
 keyed_age_ms(const struct keyed *k, uint64_t now_ms)
 {
-	return now_ms - MIN(k->born_ms, now_ms);
+	return now_ms - MIN(k->created_ms, now_ms);
 }
 
 static bool
-is_young(const struct keyed *k, uint64_t now_ms)
+is_recently_started(const struct keyed *k, uint64_t now_ms)
 {
-	return keyed_age_ms(k, now_ms) <= memory_ms(k);
+	return keyed_age_ms(k, now_ms) <= retention_ms(k);
 }
 
 void
@@ -145,12 +145,12 @@
 }
 
 static bool
-was_asked(const struct entry *e, uint64_t endpoint)
+has_released(const struct entry *e, uint64_t endpoint)
 {
 	guint i;
 
-	for (i = 0; i < e->asked->len; i++) {
-		if (g_array_index(e->asked, uint64_t, i) == endpoint)
+	for (i = 0; i < e->released_by->len; i++) {
+		if (g_array_index(e->released_by, uint64_t, i) == endpoint)
 			return true;
 	}
 	return false;
@@ -158,115 +158,115 @@
 
 /* An earlier home that has not given its word; 0 when all have. */
 static uint64_t
-next_to_ask(const struct keyed *k, const struct entry *e, uint64_t now_ms)
+next_home_to_ask(const struct keyed *k, const struct entry *e, uint64_t now_ms)
 {
 	uint64_t home;
 	size_t i;
 
-	if (e->barred_for != 0 && !was_asked(e, e->barred_for))
-		return e->barred_for;
+	if (e->handed_to != 0 && !has_released(e, e->handed_to))
+		return e->handed_to;
 	for (i = 0; key_views_home(&k->views, i, &e->key, &home); i++) {
-		if (home != 0 && home != k->self && !was_asked(e, home))
+		if (home != 0 && home != k->self && !has_released(e, home))
 			return home;
 	}
-	if (!is_young(k, now_ms))
+	if (!is_recently_started(k, now_ms))
 		return 0;
 	home = key_views_home_before(&k->views, &e->key);
-	return home != 0 && !was_asked(e, home) ? home : 0;
+	return home != 0 && !has_released(e, home) ? home : 0;
 }
 
 static void
-expire_never(struct keyed *k, struct entry *e)
+cancel_expiry(struct keyed *k, struct entry *e)
 {
 	if (e->link != NULL)
-		g_queue_delete_link(&k->by_change, e->link);
+		g_queue_delete_link(&k->by_expiry, e->link);
 	e->link = NULL;
 }
 
 static void
-expire_later(struct keyed *k, struct entry *e, uint64_t now_ms)
+schedule_expiry(struct keyed *k, struct entry *e, uint64_t now_ms)
 {
-	expire_never(k, e);
+	cancel_expiry(k, e);
 	e->changed_ms = now_ms;
-	g_queue_push_tail(&k->by_change, e);
-	e->link = g_queue_peek_tail_link(&k->by_change);
+	g_queue_push_tail(&k->by_expiry, e);
+	e->link = g_queue_peek_tail_link(&k->by_expiry);
 }
 
 static void
-hold(struct entry *e, struct keyed_decision *out)
+activate(struct entry *e, struct keyed_decision *out)
 {
-	e->state = KEY_HELD;
-	e->barred_for = 0;
+	e->state = KEY_ACTIVE;
+	e->handed_to = 0;
 	out->verdict = KEYED_RUN;
 }
 
 static struct entry *
-add(struct keyed *k, const struct key_id *key, enum key_state state)
+add_entry(struct keyed *k, const struct key_id *key, enum key_state state)
 {
 	struct entry *e;
 
 	e = g_new0(struct entry, 1);
 	e->key = *key;
 	e->state = state;
-	e->asked = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	e->released_by = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	g_hash_table_insert(k->entries, &e->key, e);
 	return e;
 }
 
 static void
-forget(struct keyed *k, struct entry *e)
+remove_entry(struct keyed *k, struct entry *e)
 {
-	expire_never(k, e);
+	cancel_expiry(k, e);
 	g_hash_table_remove(k->entries, &e->key);
 }
 
 /* What was barred stays barred; else the next request asks anew. */
 static void
-unsettled(struct keyed *k, struct entry *e, uint64_t now_ms,
+reject_unsettled(struct keyed *k, struct entry *e, uint64_t now_ms,
     struct keyed_decision *out)
 {
 	out->verdict = KEYED_UNSETTLED;
-	out->retry_after_ms = memory_ms(k);
-	if (e->barred_for == 0) {
-		forget(k, e);
+	out->retry_after_ms = retention_ms(k);
+	if (e->handed_to == 0) {
+		remove_entry(k, e);
 		return;
 	}
-	e->state = KEY_BARRED;
-	expire_later(k, e, now_ms);
+	e->state = KEY_HANDED_OVER;
+	schedule_expiry(k, e, now_ms);
 }
 
 static void
-settle_next(struct keyed *k, struct entry *e, uint64_t now_ms,
+ask_next_home(struct keyed *k, struct entry *e, uint64_t now_ms,
     struct keyed_decision *out)
 {
 	if (k->cfg.claim_always) {
 		out->verdict = KEYED_CLAIM;
 		return;
 	}
-	out->ask = next_to_ask(k, e, now_ms);
+	out->ask = next_home_to_ask(k, e, now_ms);
 	if (out->ask != 0) {
 		out->verdict = KEYED_ASK_HOME;
 		return;
 	}
-	if (is_young(k, now_ms) &&
+	if (is_recently_started(k, now_ms) &&
 	    key_views_home_before(&k->views, &e->key) == 0) {
-		unsettled(k, e, now_ms, out);
+		reject_unsettled(k, e, now_ms, out);
 		return;
 	}
-	hold(e, out);
+	activate(e, out);
 }
 
 static void
-offer_known(struct keyed *k, struct entry *e, uint64_t body,
+offer_existing(struct keyed *k, struct entry *e, uint64_t body,
     const struct request_id *id, uint64_t now_ms, struct keyed_decision *out)
 {
-	if (e->state == KEY_BARRED) {
+	if (e->state == KEY_HANDED_OVER) {
 		e->state = KEY_SETTLING;
-		expire_never(k, e);
+		cancel_expiry(k, e);
 		e->first = *id;
 		e->body = body;
-		g_array_set_size(e->asked, 0);
-		settle_next(k, e, now_ms, out);
+		g_array_set_size(e->released_by, 0);
+		ask_next_home(k, e, now_ms, out);
 		return;
 	}
 	out->verdict = e->body == body ? KEYED_FOLLOW : KEYED_BODY_MISMATCH;
@@ -282,8 +282,8 @@
 	memset(out, 0, sizeof(*out));
 	keyed_expire(k, now_ms);
 	e = g_hash_table_lookup(k->entries, key);
-	if (e != NULL && e->state != KEY_BARRED) {
-		offer_known(k, e, body, id, now_ms, out);
+	if (e != NULL && e->state != KEY_HANDED_OVER) {
+		offer_existing(k, e, body, id, now_ms, out);
 		return;
 	}
 	if (key_views_home_now(&k->views, key) != k->self) {
@@ -291,23 +291,23 @@
 		return;
 	}
 	if (e != NULL) {
-		offer_known(k, e, body, id, now_ms, out);
+		offer_existing(k, e, body, id, now_ms, out);
 		return;
 	}
 	if (g_hash_table_size(k->entries) >= k->cfg.keys_max) {
 		out->verdict = KEYED_FULL;
 		return;
 	}
-	e = add(k, key, KEY_SETTLING);
+	e = add_entry(k, key, KEY_SETTLING);
 	e->first = *id;
 	e->body = body;
-	settle_next(k, e, now_ms, out);
+	ask_next_home(k, e, now_ms, out);
 }
 
 /* The settling entry that the answer belongs to, or NULL if it is gone. */
 static struct entry *
-settling(struct keyed *k, const struct key_id *key, const struct request_id *id,
-    struct keyed_decision *out)
+find_settling(struct keyed *k, const struct key_id *key,
+    const struct request_id *id, struct keyed_decision *out)
 {
 	struct entry *e;
 
@@ -317,7 +317,7 @@
 	    request_id_equal(&e->first, id))
 		return e;
 	out->verdict = KEYED_UNSETTLED;
-	out->retry_after_ms = memory_ms(k);
+	out->retry_after_ms = retention_ms(k);
 	return NULL;
 }
 
@@ -328,15 +328,15 @@
 {
 	struct entry *e;
 
-	e = settling(k, key, id, out);
+	e = find_settling(k, key, id, out);
 	if (e == NULL)
 		return;
 	if (word != KEYED_WORD_FREE) {
-		unsettled(k, e, now_ms, out);
+		reject_unsettled(k, e, now_ms, out);
 		return;
 	}
-	g_array_append_val(e->asked, from);
-	settle_next(k, e, now_ms, out);
+	g_array_append_val(e->released_by, from);
+	ask_next_home(k, e, now_ms, out);
 }
 
 void
@@ -346,14 +346,14 @@
 {
 	struct entry *e;
 
-	e = settling(k, key, id, out);
+	e = find_settling(k, key, id, out);
 	if (e == NULL)
 		return;
 	if (word != KEYED_WORD_FREE) {
-		unsettled(k, e, now_ms, out);
+		reject_unsettled(k, e, now_ms, out);
 		return;
 	}
-	hold(e, out);
+	activate(e, out);
 }
 
 void
@@ -364,9 +364,9 @@
 
 	(void)now_ms;
 	e = g_hash_table_lookup(k->entries, key);
-	if (e != NULL && e->state != KEY_BARRED &&
+	if (e != NULL && e->state != KEY_HANDED_OVER &&
 	    request_id_equal(&e->first, id))
-		forget(k, e);
+		remove_entry(k, e);
 }
 
 void
@@ -376,20 +376,20 @@
 	struct entry *e;
 
 	e = g_hash_table_lookup(k->entries, key);
-	if (e == NULL || e->state != KEY_HELD ||
+	if (e == NULL || e->state != KEY_ACTIVE ||
 	    !request_id_equal(&e->first, id))
 		return;
-	e->state = KEY_SPENT;
-	expire_later(k, e, now_ms);
+	e->state = KEY_FINISHED;
+	schedule_expiry(k, e, now_ms);
 }
 
 /* The process that asks again; not one that has taken its place since. */
 static bool
-is_barred_for(
+is_handed_to(
     const struct entry *e, uint64_t to, uint64_t to_age_ms, uint64_t now_ms)
 {
-	return e->state == KEY_BARRED && e->barred_for == to &&
-	    now_ms - e->barred_ms <= to_age_ms;
+	return e->state == KEY_HANDED_OVER && e->handed_to == to &&
+	    now_ms - e->handed_ms <= to_age_ms;
 }
 
 enum keyed_word
@@ -400,27 +400,28 @@
 
 	keyed_expire(k, now_ms);
 	e = g_hash_table_lookup(k->entries, key);
-	if (e != NULL && is_barred_for(e, to, to_age_ms, now_ms)) {
-		expire_later(k, e, now_ms);
+	if (e != NULL && is_handed_to(e, to, to_age_ms, now_ms)) {
+		schedule_expiry(k, e, now_ms);
 		return KEYED_WORD_FREE;
 	}
-	if (e != NULL || is_young(k, now_ms) ||
-	    !key_views_vouch(&k->views, key, to, to_age_ms, now_ms))
+	if (e != NULL || is_recently_started(k, now_ms) ||
+	    !key_views_excludes_others(&k->views, key, to, to_age_ms, now_ms))
 		return KEYED_WORD_TAKEN;
 	if (g_hash_table_size(k->entries) >= k->cfg.keys_max)
 		return KEYED_WORD_TAKEN;
-	e = add(k, key, KEY_BARRED);
-	e->barred_for = to;
-	e->barred_ms = now_ms;
-	expire_later(k, e, now_ms);
+	e = add_entry(k, key, KEY_HANDED_OVER);
+	e->handed_to = to;
+	e->handed_ms = now_ms;
+	schedule_expiry(k, e, now_ms);
 	return KEYED_WORD_FREE;
 }
 
 /* A bar outlives the key at the endpoint that it was given for. */
 static uint64_t
-kept_for_ms(const struct keyed *k, const struct entry *e)
+lifetime_ms(const struct keyed *k, const struct entry *e)
 {
-	return e->state == KEY_BARRED ? 2 * k->cfg.window_ms : k->cfg.window_ms;
+	return e->state == KEY_HANDED_OVER ? 2 * k->cfg.window_ms
+					   : k->cfg.window_ms;
 }
 
 void
@@ -430,12 +431,12 @@
 
 	key_views_expire(&k->views, now_ms);
 	for (;;) {
-		e = g_queue_peek_head(&k->by_change);
+		e = g_queue_peek_head(&k->by_expiry);
 		if (e == NULL)
 			return;
-		if (e->changed_ms + kept_for_ms(k, e) >= now_ms)
+		if (e->changed_ms + lifetime_ms(k, e) >= now_ms)
 			return;
-		forget(k, e);
+		remove_entry(k, e);
 	}
 }
 
--- a/packages/traffic/src/placement.c
+++ b/packages/traffic/src/placement.c
@@ -11,15 +11,15 @@
 
 /* Answers after which times are compared.  More would be known better and too
  * late: of hundreds of endpoints each answers an entry once in seconds. */
-#define TIMED_LEAST 3
+#define TIMES_MIN 3
 
 /* Work of a request before any was timed: only the order counts then, and a
  * slow way should weigh as it does for short work. */
-#define WORK_UNKNOWN_US 50000
+#define WORK_DEFAULT_US 50000
 
 /* The own data centre is left for another one that answers so many times
  * sooner, as when links of the own one are full. */
-#define SPILL_TIMES 2
+#define SPILL_FACTOR 2
 
 /*
  * A full endpoint of the own data centre is waited for while its queue is
@@ -39,7 +39,7 @@
 	GRand *random;
 	GPtrArray *local;
 	GPtrArray *remote;
-	GPtrArray *spare;
+	GPtrArray *fallback;
 	GArray *ranked;
 };
 
@@ -74,7 +74,7 @@
 	p->random = g_rand_new_with_seed_array(seeds, G_N_ELEMENTS(seeds));
 	p->local = g_ptr_array_new();
 	p->remote = g_ptr_array_new();
-	p->spare = g_ptr_array_new();
+	p->fallback = g_ptr_array_new();
 	p->ranked = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	return p;
 }
@@ -87,7 +87,7 @@
 	g_rand_free(p->random);
 	g_ptr_array_free(p->local, TRUE);
 	g_ptr_array_free(p->remote, TRUE);
-	g_ptr_array_free(p->spare, TRUE);
+	g_ptr_array_free(p->fallback, TRUE);
 	g_array_free(p->ranked, TRUE);
 	g_free(p);
 }
@@ -104,7 +104,7 @@
 }
 
 static bool
-take(const struct placement *p, const struct endpoint *ep,
+fill_choice(const struct placement *p, const struct endpoint *ep,
     enum placement_reason reason, uint64_t now_ms, struct placement_choice *out)
 {
 	out->endpoint = ep->info.id;
@@ -120,7 +120,7 @@
 is_ready(const struct endpoint *ep, uint64_t now_ms)
 {
 	return ep->info.state == ENDPOINT_READY &&
-	    now_ms >= ep->drains_until_ms;
+	    now_ms >= ep->excluded_until_ms;
 }
 
 /* Whether it is of the current version and takes requests. */
@@ -143,32 +143,33 @@
 }
 
 static enum ejection_verdict
-judge(const struct placement *p, const struct placement_query *q,
+verdict_on(const struct placement *p, const struct placement_query *q,
     const struct endpoint *ep, uint64_t now_ms)
 {
 	if (p->ejection == NULL)
 		return EJECTION_USABLE;
-	return ejection_judge(p->ejection, ep, q->idempotent, now_ms);
+	return ejection_verdict_for(p->ejection, ep, q->idempotent, now_ms);
 }
 
 /* Whether a call is to try its data centre, from which nothing was heard. */
 static bool
-is_trial_due(const struct placement *p, const struct placement_query *q,
-    const struct endpoint *ep, uint64_t now_ms)
+is_partition_probe_due(const struct placement *p,
+    const struct placement_query *q, const struct endpoint *ep, uint64_t now_ms)
 {
 	return q->idempotent &&
-	    centres_trial_due(p->endpoints->centres, ep->info.centre, now_ms);
+	    centres_probe_due(p->endpoints->centres, ep->info.centre, now_ms);
 }
 
 /* Whether an endpoint that is not usable now may be tried. */
 static bool
-is_due(const struct placement *p, const struct placement_query *q,
+is_probe_due(const struct placement *p, const struct placement_query *q,
     const struct endpoint *ep, enum ejection_verdict v, uint64_t now_ms)
 {
-	if (ep->doubt || was_tried(q, ep->info.id))
+	if (ep->silent || was_tried(q, ep->info.id))
 		return false;
-	if (endpoints_cut_off(p->endpoints, ep))
-		return v == EJECTION_USABLE && is_trial_due(p, q, ep, now_ms);
+	if (endpoints_is_partitioned(p->endpoints, ep))
+		return v == EJECTION_USABLE &&
+		    is_partition_probe_due(p, q, ep, now_ms);
 	return v == EJECTION_PROBE;
 }
 
@@ -179,7 +180,7 @@
  * Return: one that is due for a probe, or NULL.
  */
 static struct endpoint *
-sort(struct placement *p, const struct placement_query *q,
+classify(struct placement *p, const struct placement_query *q,
     const struct service *s, uint64_t now_ms)
 {
 	struct endpoint *ep, *due = NULL;
@@ -188,18 +189,18 @@
 
 	g_ptr_array_set_size(p->local, 0);
 	g_ptr_array_set_size(p->remote, 0);
-	g_ptr_array_set_size(p->spare, 0);
+	g_ptr_array_set_size(p->fallback, 0);
 	for (i = 0; i < s->listed->len; i++) {
 		ep = g_ptr_array_index(s->listed, i);
 		if (!is_candidate(ep, now_ms))
 			continue;
-		v = judge(p, q, ep, now_ms);
-		if (is_due(p, q, ep, v, now_ms))
+		v = verdict_on(p, q, ep, now_ms);
+		if (is_probe_due(p, q, ep, v, now_ms))
 			due = ep;
-		if (v != EJECTION_USABLE || ep->doubt ||
-		    endpoints_cut_off(p->endpoints, ep) ||
+		if (v != EJECTION_USABLE || ep->silent ||
+		    endpoints_is_partitioned(p->endpoints, ep) ||
 		    was_tried(q, ep->info.id) || (q->avoid_own && ep->info.own))
-			g_ptr_array_add(p->spare, ep);
+			g_ptr_array_add(p->fallback, ep);
 		else if (ep->info.local || !p->cfg.local_first)
 			g_ptr_array_add(p->local, ep);
 		else
@@ -210,16 +211,17 @@
 
 /* A probe of the endpoint, or of the way to its data centre. */
 static void
-note_probe(struct placement *p, struct endpoint *ep, uint64_t now_ms)
+record_probe(struct placement *p, struct endpoint *ep, uint64_t now_ms)
 {
-	if (endpoints_cut_off(p->endpoints, ep))
-		centres_tried(p->endpoints->centres, ep->info.centre, now_ms);
+	if (endpoints_is_partitioned(p->endpoints, ep))
+		centres_probe_sent(
+		    p->endpoints->centres, ep->info.centre, now_ms);
 	else
-		ejection_probe(p->ejection, ep);
+		ejection_begin_probe(p->ejection, ep);
 }
 
 static struct endpoint *
-pick(struct placement *p, const GPtrArray *from)
+pick_random(struct placement *p, const GPtrArray *from)
 {
 	gint32 i;
 
@@ -229,9 +231,9 @@
 
 /* Time that a request takes at an endpoint, as far as it is known. */
 static uint64_t
-took_us(const struct endpoint *ep)
+mean_time_us(const struct endpoint *ep)
 {
-	return ep->results.timed >= TIMED_LEAST ? ep->results.took_us : 0;
+	return ep->results.samples >= TIMES_MIN ? ep->results.took_us : 0;
 }
 
 /*
@@ -246,7 +248,7 @@
 	    endpoints_expected_milli(p->endpoints, ep, now_ms) + MILLI;
 	uint64_t slots = endpoints_slots_milli(p->endpoints, ep, now_ms);
 
-	return endpoints_way_us(p->endpoints, ep, now_ms) +
+	return endpoints_delay_us(p->endpoints, ep, now_ms) +
 	    work_us * (slots + load) / slots;
 }
 
@@ -254,13 +256,13 @@
  * have answered often enough they are taken to be equally fast. */
 static bool
 is_better(const struct placement *p, const struct endpoint *a,
-    const struct endpoint *b, uint64_t times, uint64_t now_ms)
+    const struct endpoint *b, uint64_t factor, uint64_t now_ms)
 {
-	uint64_t a_us = took_us(a), b_us = took_us(b);
+	uint64_t a_us = mean_time_us(a), b_us = mean_time_us(b);
 
 	if (a_us == 0 || b_us == 0)
-		a_us = b_us = MAX(MAX(a_us, b_us), WORK_UNKNOWN_US);
-	return cost_us(p, a, a_us, now_ms) * times <
+		a_us = b_us = MAX(MAX(a_us, b_us), WORK_DEFAULT_US);
+	return cost_us(p, a, a_us, now_ms) * factor <
 	    cost_us(p, b, b_us, now_ms);
 }
 
@@ -294,26 +296,26 @@
 
 /* Only ejected endpoints and those tried already are left. */
 static bool
-choose_spare(struct placement *p, const struct placement_query *q,
+choose_fallback(struct placement *p, const struct placement_query *q,
     uint64_t now_ms, struct placement_choice *out)
 {
 	struct endpoint *ep;
 	guint i;
 
-	if (p->spare->len == 0)
+	if (p->fallback->len == 0)
 		return false;
-	for (i = 0; i < p->spare->len; i++) {
-		ep = g_ptr_array_index(p->spare, i);
+	for (i = 0; i < p->fallback->len; i++) {
+		ep = g_ptr_array_index(p->fallback, i);
 		if (!was_tried(q, ep->info.id))
-			return take(p, ep, PLACEMENT_PANIC, now_ms, out);
+			return fill_choice(p, ep, PLACEMENT_PANIC, now_ms, out);
 	}
-	ep = less_loaded_of_two(p, p->spare, now_ms);
-	return take(p, ep, PLACEMENT_REPEATED, now_ms, out);
+	ep = less_loaded_of_two(p, p->fallback, now_ms);
+	return fill_choice(p, ep, PLACEMENT_REPEATED, now_ms, out);
 }
 
 /* The endpoint on the own host, while it has room. */
 static struct endpoint *
-own_with_room(const struct placement *p, uint64_t now_ms)
+own_with_capacity(const struct placement *p, uint64_t now_ms)
 {
 	struct endpoint *ep;
 	uint64_t load, slots;
@@ -337,24 +339,24 @@
 {
 	struct endpoint *near, *far;
 
-	near = own_with_room(p, now_ms);
+	near = own_with_capacity(p, now_ms);
 	if (near != NULL)
-		return take(p, near, PLACEMENT_OWN, now_ms, out);
+		return fill_choice(p, near, PLACEMENT_OWN, now_ms, out);
 
 	near = less_loaded_of_two(p, p->local, now_ms);
 	far = less_loaded_of_two(p, p->remote, now_ms);
 	if (near != NULL && !is_saturated(p, near, now_ms) &&
-	    (far == NULL || !is_better(p, far, near, SPILL_TIMES, now_ms)))
-		return take(p, near, PLACEMENT_LOCAL, now_ms, out);
+	    (far == NULL || !is_better(p, far, near, SPILL_FACTOR, now_ms)))
+		return fill_choice(p, near, PLACEMENT_LOCAL, now_ms, out);
 	if (near == NULL && far == NULL)
 		return false;
 	if (far == NULL)
-		return take(p, near, PLACEMENT_LOCAL, now_ms, out);
+		return fill_choice(p, near, PLACEMENT_LOCAL, now_ms, out);
 	if (near == NULL)
-		return take(p, far, PLACEMENT_REMOTE, now_ms, out);
+		return fill_choice(p, far, PLACEMENT_REMOTE, now_ms, out);
 	if (is_better(p, far, near, 1, now_ms))
-		return take(p, far, PLACEMENT_SPILLED, now_ms, out);
-	return take(p, near, PLACEMENT_LOCAL, now_ms, out);
+		return fill_choice(p, far, PLACEMENT_SPILLED, now_ms, out);
+	return fill_choice(p, near, PLACEMENT_LOCAL, now_ms, out);
 }
 
 static bool
@@ -378,7 +380,7 @@
 	if (home == 0)
 		return false;
 	ep = endpoints_find(p->endpoints, home);
-	return take(p, ep, PLACEMENT_HOME, now_ms, out);
+	return fill_choice(p, ep, PLACEMENT_HOME, now_ms, out);
 }
 
 /* Endpoints that were tried or aren't heard from are passed over. */
@@ -394,7 +396,7 @@
 	g_array_set_size(p->ranked, 0);
 	for (i = 0; i < s->listed->len; i++) {
 		ep = g_ptr_array_index(s->listed, i);
-		if (is_candidate(ep, now_ms) && !ep->doubt &&
+		if (is_candidate(ep, now_ms) && !ep->silent &&
 		    !was_tried(q, ep->info.id))
 			g_array_append_val(p->ranked, ep->info.id);
 	}
@@ -404,7 +406,7 @@
 	if (first == 0)
 		return false;
 	ep = endpoints_find(p->endpoints, first);
-	return take(p, ep, PLACEMENT_RANKED, now_ms, out);
+	return fill_choice(p, ep, PLACEMENT_RANKED, now_ms, out);
 }
 
 /* Return: the usable endpoint of the tried version that comes next after the
@@ -419,8 +421,8 @@
 	for (i = 0; i < s->listed->len; i++) {
 		ep = g_ptr_array_index(s->listed, i);
 		if (ep->info.canary <= after || !is_ready(ep, now_ms) ||
-		    ep->doubt || endpoints_cut_off(p->endpoints, ep) ||
-		    judge(p, q, ep, now_ms) != EJECTION_USABLE)
+		    ep->silent || endpoints_is_partitioned(p->endpoints, ep) ||
+		    verdict_on(p, q, ep, now_ms) != EJECTION_USABLE)
 			continue;
 		if (next == NULL || ep->info.canary < next->info.canary)
 			next = ep;
@@ -446,7 +448,7 @@
 		g_ptr_array_add(p->local, ep);
 	}
 	ep = less_loaded_of_two(p, p->local, now_ms);
-	return ep != NULL && take(p, ep, PLACEMENT_CANARY, now_ms, out);
+	return ep != NULL && fill_choice(p, ep, PLACEMENT_CANARY, now_ms, out);
 }
 
 static bool
@@ -465,12 +467,13 @@
 		return choose_home(p, q, s, now_ms, out);
 	if (q->content != 0 && choose_ranked(p, q, s, now_ms, out))
 		return true;
-	due = sort(p, q, s, now_ms);
+	due = classify(p, q, s, now_ms);
 	if (due != NULL) {
-		note_probe(p, due, now_ms);
-		return take(p, due, PLACEMENT_PROBE, now_ms, out);
+		record_probe(p, due, now_ms);
+		return fill_choice(p, due, PLACEMENT_PROBE, now_ms, out);
 	}
-	return choose_usable(p, now_ms, out) || choose_spare(p, q, now_ms, out);
+	return choose_usable(p, now_ms, out) ||
+	    choose_fallback(p, q, now_ms, out);
 }
 
 static bool
@@ -492,7 +495,8 @@
 	}
 	if (p->local->len == 0)
 		return false;
-	return take(p, pick(p, p->local), PLACEMENT_RANDOM, now_ms, out);
+	return fill_choice(
+	    p, pick_random(p, p->local), PLACEMENT_RANDOM, now_ms, out);
 }
 
 static const struct placement_ops two_choices = {choose_two};
--- a/packages/traffic/src/quarantine.c
+++ b/packages/traffic/src/quarantine.c
@@ -27,11 +27,11 @@
 	q->success_reports =
 	    g_array_new(FALSE, TRUE, sizeof(struct success_report));
 	g_queue_init(&q->events);
-	clean_runs_init(&q->clean, now_ms);
+	clean_runs_init(&q->recent_successes, now_ms);
 	q->seed = seed;
-	q->contents =
+	q->crashes_by_content =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	q->settled_ms = DEADLINE_NEVER;
+	q->decide_ms = DEADLINE_NEVER;
 	return q;
 }
 
@@ -46,8 +46,8 @@
 	g_array_unref(q->cleared);
 	g_array_unref(q->success_reports);
 	g_queue_clear_full(&q->events, g_free);
-	clean_runs_clear(&q->clean);
-	g_hash_table_destroy(q->contents);
+	clean_runs_clear(&q->recent_successes);
+	g_hash_table_destroy(q->crashes_by_content);
 	g_free(q);
 }
 
@@ -87,7 +87,7 @@
 static void
 add_bounded(GArray *list, const struct quarantine_entry *e)
 {
-	if (list->len == QUARANTINE_HELD_MAX)
+	if (list->len == QUARANTINE_ENTRIES_MAX)
 		g_array_remove_index(list, 0);
 	g_array_append_val(list, *e);
 }
@@ -117,7 +117,7 @@
 {
 	struct quarantine_entry *e = quarantine_find_suspended(q, f);
 
-	return e != NULL && !e->over ? e : NULL;
+	return e != NULL && !e->expired ? e : NULL;
 }
 
 const struct quarantine_entry *
@@ -180,8 +180,7 @@
 }
 
 static void
-clearance_note(
-    struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
+add_clearance(struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
 {
 	struct clearance *c, made = {*f, at_ms};
 	guint i;
@@ -206,7 +205,7 @@
 	bool ended = false;
 	guint i;
 
-	clearance_note(q, f, at_ms);
+	add_clearance(q, f, at_ms);
 	for (i = q->quarantined->len; i > 0; i--) {
 		e = quarantined_at(q, i - 1);
 		if (e->since_ms > at_ms ||
@@ -221,8 +220,8 @@
 		    quarantine_covers(&suspended_at(q, i - 1)->print, f))
 			g_array_remove_index(q->suspended, i - 1);
 	/* Its crashes no longer explain or implicate other requests. */
-	if (quarantine_seen(q, f->content) > 0)
-		q->settled_ms = MIN(q->settled_ms, at_ms);
+	if (quarantine_crash_count(q, f->content) > 0)
+		q->decide_ms = MIN(q->decide_ms, at_ms);
 	return ended;
 }
 
@@ -249,9 +248,10 @@
 }
 
 uint32_t
-quarantine_seen(const struct quarantine *q, uint64_t content)
+quarantine_crash_count(const struct quarantine *q, uint64_t content)
 {
-	return GPOINTER_TO_UINT(g_hash_table_lookup(q->contents, &content));
+	return GPOINTER_TO_UINT(
+	    g_hash_table_lookup(q->crashes_by_content, &content));
 }
 
 static void
@@ -267,17 +267,17 @@
 }
 
 static bool
-is_sure(const struct quarantine_entry *e)
+is_certain(const struct quarantine_entry *e)
 {
 	return e->until_ms == DEADLINE_NEVER;
 }
 
 /* Quarantines the certain suspects of a judgement, or suspends the others. */
 static void
-apply_judgement(struct quarantine *q, uint64_t now_ms, bool sure)
+apply_judgement(struct quarantine *q, uint64_t now_ms, bool certain)
 {
 	GArray *suspects = quarantine_judge(q, now_ms);
-	struct quarantine_event event = {.kind = sure
+	struct quarantine_event event = {.kind = certain
 		? QUARANTINE_EVENT_QUARANTINED
 		: QUARANTINE_EVENT_SUSPENDED};
 	guint i;
@@ -285,10 +285,10 @@
 	for (i = 0; i < suspects->len; i++) {
 		event.entry =
 		    g_array_index(suspects, struct quarantine_entry, i);
-		if (is_sure(&event.entry) != sure ||
+		if (is_certain(&event.entry) != certain ||
 		    quarantine_find(q, &event.entry.print) != NULL)
 			continue;
-		if (sure)
+		if (certain)
 			add_bounded(q->quarantined, &event.entry);
 		else
 			suspend(q, &event.entry);
@@ -312,7 +312,7 @@
 
 	for (i = 0; i < q->suspended->len; i++)
 		if (now_ms >= suspended_at(q, i)->until_ms)
-			suspended_at(q, i)->over = true;
+			suspended_at(q, i)->expired = true;
 }
 
 /* The oldest crash whose requests ran in no other crash, else the oldest. */
@@ -328,7 +328,8 @@
 		c = quarantine_crash_at(q, i);
 		recurs = false;
 		for (r = 0; r < c->n_runs && !recurs; r++)
-			recurs = quarantine_seen(q, c->runs[r].content) > 1;
+			recurs =
+			    quarantine_crash_count(q, c->runs[r].content) > 1;
 	}
 	return recurs ? 0 : i - 1;
 }
@@ -352,20 +353,21 @@
 	uint32_t n, r;
 
 	for (r = 0; r < c->n_runs; r++) {
-		n = quarantine_seen(q, c->runs[r].content);
+		n = quarantine_crash_count(q, c->runs[r].content);
 		if (!in && n <= 1) {
-			g_hash_table_remove(q->contents, &c->runs[r].content);
+			g_hash_table_remove(
+			    q->crashes_by_content, &c->runs[r].content);
 			continue;
 		}
 		key = g_new(uint64_t, 1);
 		*key = c->runs[r].content;
-		g_hash_table_replace(
-		    q->contents, key, GUINT_TO_POINTER(in ? n + 1 : n - 1));
+		g_hash_table_replace(q->crashes_by_content, key,
+		    GUINT_TO_POINTER(in ? n + 1 : n - 1));
 	}
 }
 
 static void
-forget_one(struct quarantine *q)
+evict_crash(struct quarantine *q)
 {
 	guint i = least_informative(q);
 
@@ -375,19 +377,19 @@
 
 /* Return: false if the crash was known. */
 static bool
-take_crash(struct quarantine *q, const struct crash *c, uint64_t now_ms)
+add_crash(struct quarantine *q, const struct crash *c, uint64_t now_ms)
 {
 	struct crash *copy;
 
 	if (is_known(q, c->id))
 		return false;
 	if (q->crashes->len == QUARANTINE_CRASHES_MAX)
-		forget_one(q);
+		evict_crash(q);
 	copy = g_memdup2(c, sizeof(*c));
 	g_ptr_array_add(q->crashes, copy);
 	index_runs(q, copy, true);
-	quarantine_note_suspects(q, copy);
-	q->settled_ms = MIN(q->settled_ms, now_ms + QUARANTINE_SETTLE_MS);
+	quarantine_extend_suspicion(q, copy);
+	q->decide_ms = MIN(q->decide_ms, now_ms + QUARANTINE_SETTLE_MS);
 	return true;
 }
 
@@ -403,9 +405,9 @@
 	published->own = true;
 	published->n_runs = 0;
 	for (r = 0; r < c->n_runs; r++)
-		if (!clean_runs_take(&q->clean, &c->runs[r], now_ms))
+		if (!clean_runs_take(&q->recent_successes, &c->runs[r], now_ms))
 			published->runs[published->n_runs++] = c->runs[r];
-	if (take_crash(q, published, now_ms))
+	if (add_crash(q, published, now_ms))
 		emit_event(q, &event);
 }
 
@@ -416,11 +418,11 @@
 	struct success_report report;
 	uint32_t r;
 
-	if (!take_crash(q, c, now_ms))
+	if (!add_crash(q, c, now_ms))
 		return;
 	for (r = 0; r < c->n_runs; r++) {
 		if (q->success_reports->len == SUCCESS_REPORTS_MAX ||
-		    !clean_runs_has(&q->clean, &c->runs[r], now_ms))
+		    !clean_runs_has(&q->recent_successes, &c->runs[r], now_ms))
 			continue;
 		report.print = c->runs[r];
 		report.due_ms = now_ms +
@@ -435,15 +437,15 @@
 static bool
 is_suspect(const struct quarantine *q, const struct fingerprint *f)
 {
-	uint64_t harmless_ms;
+	uint64_t cleared_ms;
 	guint i;
 
-	if (quarantine_seen(q, f->content) == 0)
+	if (quarantine_crash_count(q, f->content) == 0)
 		return false;
-	harmless_ms = quarantine_cleared_ms(q, f);
+	cleared_ms = quarantine_cleared_ms(q, f);
 	for (i = 0; i < q->crashes->len; i++)
 		if (quarantine_ran_in(quarantine_crash_at(q, i), f) &&
-		    quarantine_crash_at(q, i)->at_ms > harmless_ms)
+		    quarantine_crash_at(q, i)->at_ms > cleared_ms)
 			return true;
 	return false;
 }
@@ -467,7 +469,7 @@
 quarantine_answered(
     struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
 {
-	clean_runs_add(&q->clean, f, now_ms);
+	clean_runs_add(&q->recent_successes, f, now_ms);
 	return exonerate(q, f, now_ms);
 }
 
@@ -492,16 +494,16 @@
 {
 	report_successes(q, now_ms);
 	end_suspensions(q, now_ms);
-	if (now_ms < q->settled_ms)
+	if (now_ms < q->decide_ms)
 		return;
-	q->settled_ms = DEADLINE_NEVER;
+	q->decide_ms = DEADLINE_NEVER;
 	decide(q, now_ms);
 }
 
 uint64_t
 quarantine_wake_ms(const struct quarantine *q)
 {
-	uint64_t next_ms = q->settled_ms;
+	uint64_t next_ms = q->decide_ms;
 	guint i;
 
 	for (i = 0; i < q->success_reports->len; i++)
@@ -509,7 +511,7 @@
 		    g_array_index(q->success_reports, struct success_report, i)
 			.due_ms);
 	for (i = 0; i < q->suspended->len; i++)
-		if (!suspended_at(q, i)->over)
+		if (!suspended_at(q, i)->expired)
 			next_ms = MIN(next_ms, suspended_at(q, i)->until_ms);
 	return next_ms;
 }
--- a/packages/traffic/src/quarantine_defs.h
+++ b/packages/traffic/src/quarantine_defs.h
@@ -35,11 +35,11 @@
  * @cleared: struct clearance
  * @success_reports: struct success_report
  * @events: struct quarantine_event that quarantine_pop() is to give
- * @clean: what was answered here lately
+ * @recent_successes: what was answered here lately
  * @seed: seed of random choices
- * @contents: content to the number of crashes in which it ran
- * @suspects_until_ms: when the last suspect is one no longer
- * @settled_ms: when what came last has settled; DEADLINE_NEVER when all has
+ * @crashes_by_content: content to the number of crashes in which it ran
+ * @suspects_expire_ms: when the last suspect is one no longer
+ * @decide_ms: when what came last has settled; DEADLINE_NEVER when all has
  */
 struct quarantine {
 	GPtrArray *crashes;
@@ -48,11 +48,11 @@
 	GArray *cleared;
 	GArray *success_reports;
 	GQueue events;
-	struct clean_runs clean;
+	struct clean_runs recent_successes;
 	uint64_t seed;
-	GHashTable *contents;
-	uint64_t suspects_until_ms;
-	uint64_t settled_ms;
+	GHashTable *crashes_by_content;
+	uint64_t suspects_expire_ms;
+	uint64_t decide_ms;
 };
 
 /** quarantine_covers() - whether @f is a request that @pattern stands for */
@@ -75,13 +75,13 @@
 /** quarantine_crash_at() - crash number @i, in the order in which they came */
 const struct crash *quarantine_crash_at(const struct quarantine *q, guint i);
 
-/** quarantine_seen() - in how many crashes a content ran */
-uint32_t quarantine_seen(const struct quarantine *q, uint64_t content);
+/** quarantine_crash_count() - in how many crashes a content ran */
+uint32_t quarantine_crash_count(const struct quarantine *q, uint64_t content);
 
 /* quarantine_suspect.c */
 
-/** quarantine_note_suspects() - what ran in a crash is suspect */
-void quarantine_note_suspects(struct quarantine *q, const struct crash *c);
+/** quarantine_extend_suspicion() - what ran in a crash is suspect */
+void quarantine_extend_suspicion(struct quarantine *q, const struct crash *c);
 
 /* quarantine_judge.c */
 
--- a/packages/traffic/src/quarantine_judge.c
+++ b/packages/traffic/src/quarantine_judge.c
@@ -20,7 +20,7 @@
 /* A quarantined request of another content ran there, and explains the crash.
  * The same content of another caller implicates @f instead. */
 static bool
-is_explained(const struct quarantine *q, const struct crash *c,
+is_attributed(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	uint32_t i;
@@ -34,7 +34,7 @@
 
 /* Many upstreams crashed about that time without @f. */
 static bool
-is_crowded(const struct quarantine *q, const struct crash *c,
+is_coincidence(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	uint32_t with = 0, without = 0;
@@ -43,30 +43,30 @@
 
 	for (i = 0; i < q->crashes->len; i++) {
 		other = quarantine_crash_at(q, i);
-		if (other->at_ms + QUARANTINE_CROWD_MS < c->at_ms ||
-		    other->at_ms > c->at_ms + QUARANTINE_CROWD_MS)
+		if (other->at_ms + QUARANTINE_COINCIDENCE_MS < c->at_ms ||
+		    other->at_ms > c->at_ms + QUARANTINE_COINCIDENCE_MS)
 			continue;
 		if (quarantine_ran_in(other, f))
 			with++;
-		else if (!is_explained(q, other, f))
+		else if (!is_attributed(q, other, f))
 			without++;
 	}
-	return without > with * QUARANTINE_CROWD_RATIO;
+	return without > with * QUARANTINE_COINCIDENCE_RATIO;
 }
 
 /* Whether a crash implicates @f. */
 static bool
-counts(const struct quarantine *q, const struct crash *c,
+implicates(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	return quarantine_ran_in(c, f) &&
-	    c->at_ms > quarantine_cleared_ms(q, f) && !is_explained(q, c, f) &&
-	    !is_crowded(q, c, f);
+	    c->at_ms > quarantine_cleared_ms(q, f) && !is_attributed(q, c, f) &&
+	    !is_coincidence(q, c, f);
 }
 
 /* It ran there and has not been answered since. */
 static bool
-may_be_to_blame(const struct quarantine *q, const struct crash *c,
+is_unexonerated(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	return quarantine_ran_in(c, f) &&
@@ -83,7 +83,7 @@
 	guint i;
 
 	for (i = 0; i < q->crashes->len && first == NULL; i++)
-		if (counts(q, quarantine_crash_at(q, i), f))
+		if (implicates(q, quarantine_crash_at(q, i), f))
 			first = quarantine_crash_at(q, i);
 	for (r = 0; first != NULL && r < first->n_runs; r++) {
 		if (first->runs[r].content == f->content)
@@ -91,8 +91,8 @@
 		in_all = true;
 		for (i = 0; i < q->crashes->len && in_all; i++) {
 			c = quarantine_crash_at(q, i);
-			in_all = !counts(q, c, f) ||
-			    may_be_to_blame(q, c, &first->runs[r]);
+			in_all = !implicates(q, c, f) ||
+			    is_unexonerated(q, c, &first->runs[r]);
 		}
 		if (in_all)
 			return true;
@@ -109,7 +109,8 @@
 
 	for (i = 0; i < q->crashes->len; i++) {
 		c = quarantine_crash_at(q, i);
-		if (counts(q, c, f) && (last == NULL || c->at_ms > last->at_ms))
+		if (implicates(q, c, f) &&
+		    (last == NULL || c->at_ms > last->at_ms))
 			last = c;
 	}
 	return last;
@@ -122,7 +123,7 @@
 	guint i;
 
 	for (i = 0; i < q->crashes->len; i++)
-		n += counts(q, quarantine_crash_at(q, i), f);
+		n += implicates(q, quarantine_crash_at(q, i), f);
 	return n;
 }
 
@@ -149,7 +150,7 @@
 
 /* The content crashed upstreams for three callers, or twice for each of two. */
 static bool
-is_of_all_callers(const struct quarantine *q, const struct fingerprint *f)
+affects_all_callers(const struct quarantine *q, const struct fingerprint *f)
 {
 	return callers_of(q, f->content, 1) >= QUARANTINE_CRASHES ||
 	    callers_of(q, f->content, 2) >= 2;
@@ -166,7 +167,7 @@
 }
 
 static void
-decide_on(const struct quarantine *q, const struct fingerprint *f,
+judge_request(const struct quarantine *q, const struct fingerprint *f,
     uint64_t now_ms, GArray *suspects)
 {
 	struct quarantine_entry e = {.print = *f,
@@ -176,7 +177,7 @@
 	const struct crash *last;
 
 	if (quarantine_find(q, f) != NULL || e.crashes < QUARANTINE_CRASHES ||
-	    (f->caller == 0 && !is_of_all_callers(q, f)))
+	    (f->caller == 0 && !affects_all_callers(q, f)))
 		return;
 	last = last_crash_of(q, f);
 	if (has_cosuspect(q, f)) {
@@ -218,7 +219,7 @@
 		c = quarantine_crash_at(q, i);
 		for (r = 0; r < c->n_runs; r++) {
 			f = &c->runs[r];
-			if (quarantine_seen(q, f->content) <
+			if (quarantine_crash_count(q, f->content) <
 				QUARANTINE_CRASHES ||
 			    is_among(out, f))
 				continue;
@@ -240,7 +241,7 @@
 	guint i;
 
 	for (i = 0; i < prints->len; i++)
-		decide_on(q, &g_array_index(prints, struct fingerprint, i),
+		judge_request(q, &g_array_index(prints, struct fingerprint, i),
 		    now_ms, suspects);
 	g_array_unref(prints);
 	return suspects;
--- a/packages/traffic/src/quarantine_suspect.c
+++ b/packages/traffic/src/quarantine_suspect.c
@@ -9,25 +9,27 @@
 /* A request is suspect for so long after a crash: its caller has come again
  * by then, or has given up. */
 #define SUSPECT_MS 10000
-/* Crashes within QUARANTINE_CROWD_MS from which on they have an external cause.
+/* Crashes within QUARANTINE_COINCIDENCE_MS from which on they have an external
+ * cause.
  */
 #define BURST_CRASHES 32
 
 /**
  * struct tally - recent crashes, as seen from one request
  * @with: those in which it ran and that no answer has cleared it of
- * @without: other ones within QUARANTINE_CROWD_MS
+ * @without: other ones within QUARANTINE_COINCIDENCE_MS
  */
-struct tally {
+struct crash_counts {
 	uint32_t with;
 	uint32_t without;
 };
 
-static struct tally
-count(const struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
+static struct crash_counts
+count_crashes(
+    const struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
 {
 	uint64_t cleared_ms = quarantine_cleared_ms(q, f);
-	struct tally t = {0, 0};
+	struct crash_counts t = {0, 0};
 	const struct crash *c;
 	guint i;
 
@@ -37,18 +39,18 @@
 			continue;
 		if (c->at_ms > cleared_ms && quarantine_ran_in(c, f))
 			t.with++;
-		else if (c->at_ms + QUARANTINE_CROWD_MS >= now_ms)
+		else if (c->at_ms + QUARANTINE_COINCIDENCE_MS >= now_ms)
 			t.without++;
 	}
 	return t;
 }
 
 static bool
-is_undecided(const struct quarantine *q, const struct tally *t)
+is_undecided(const struct quarantine *q, const struct crash_counts *t)
 {
-	return q->settled_ms != DEADLINE_NEVER &&
+	return q->decide_ms != DEADLINE_NEVER &&
 	    t->with >= QUARANTINE_CRASHES &&
-	    t->without <= t->with * QUARANTINE_CROWD_RATIO &&
+	    t->without <= t->with * QUARANTINE_COINCIDENCE_RATIO &&
 	    t->with + t->without <= BURST_CRASHES;
 }
 
@@ -56,13 +58,13 @@
 quarantine_suspicion(
     struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
 {
-	struct tally t;
+	struct crash_counts t;
 
 	if (!quarantine_has_suspects(q, now_ms) ||
-	    quarantine_seen(q, f->content) == 0 ||
-	    clean_runs_has(&q->clean, f, now_ms))
+	    quarantine_crash_count(q, f->content) == 0 ||
+	    clean_runs_has(&q->recent_successes, f, now_ms))
 		return SUSPICION_NONE;
-	t = count(q, f, now_ms);
+	t = count_crashes(q, f, now_ms);
 	if (is_undecided(q, &t))
 		return SUSPICION_UNDECIDED;
 	if (t.with > 0 || quarantine_find_suspended(q, f) != NULL)
@@ -73,11 +75,12 @@
 bool
 quarantine_has_suspects(const struct quarantine *q, uint64_t now_ms)
 {
-	return now_ms < q->suspects_until_ms || q->suspended->len > 0;
+	return now_ms < q->suspects_expire_ms || q->suspended->len > 0;
 }
 
 void
-quarantine_note_suspects(struct quarantine *q, const struct crash *c)
+quarantine_extend_suspicion(struct quarantine *q, const struct crash *c)
 {
-	q->suspects_until_ms = MAX(q->suspects_until_ms, c->at_ms + SUSPECT_MS);
+	q->suspects_expire_ms =
+	    MAX(q->suspects_expire_ms, c->at_ms + SUSPECT_MS);
 }
--- a/packages/traffic/src/retry.c
+++ b/packages/traffic/src/retry.c
@@ -22,17 +22,17 @@
  * random refuse about half; of a service that is down nothing succeeds. */
 #define HEALTHY_DIVISOR 4
 /* Fewer calls say nothing. */
-#define TELLING_CALLS 16
+#define HEALTH_MIN_CALLS 16
 #define HALVE_MS 1000
 
 /* Others have room while fewer of the calls sent elsewhere are refused again.
  */
-#define ROOM_REFUSED_PERCENT 50
+#define REROUTED_REFUSED_MAX_PERCENT 50
 
 /* Calls that were sent elsewhere and count: an entry of a large fleet sends a
  * few a second. */
-#define MOVED_KEPT 16
-#define MOVED_PRIOR 2
+#define REROUTED_MAX 16
+#define REROUTED_PRIOR 2
 
 void
 retry_config_default(struct retry_config *cfg)
@@ -75,20 +75,20 @@
 {
 	if (now_ms < b->halve_ms)
 		return;
-	b->asked /= 2;
+	b->calls /= 2;
 	b->succeeded /= 2;
 	b->halve_ms = now_ms + HALVE_MS;
 }
 
 static bool
-calls_pay(const struct retry_budget *b)
+is_healthy(const struct retry_budget *b)
 {
-	return b->asked < TELLING_CALLS ||
-	    (uint64_t)b->succeeded * HEALTHY_DIVISOR >= b->asked;
+	return b->calls < HEALTH_MIN_CALLS ||
+	    (uint64_t)b->succeeded * HEALTHY_DIVISOR >= b->calls;
 }
 
 static void
-pay(struct retry_budget *b)
+deposit(struct retry_budget *b)
 {
 	b->tokens_percent += b->cfg.budget_percent;
 	cap(b);
@@ -98,17 +98,17 @@
 retry_budget_call(struct retry_budget *b, uint64_t now_ms)
 {
 	halve(b, now_ms);
-	b->asked++;
-	if (calls_pay(b))
-		pay(b);
+	b->calls++;
+	if (is_healthy(b))
+		deposit(b);
 }
 
 void
 retry_budget_success(struct retry_budget *b)
 {
 	b->succeeded++;
-	if (!calls_pay(b))
-		pay(b);
+	if (!is_healthy(b))
+		deposit(b);
 }
 
 /* Whole tokens only, so that no part of a millisecond's refill is lost. */
@@ -139,22 +139,22 @@
 }
 
 void
-retry_budget_moved(struct retry_budget *b, bool refused)
+retry_budget_record_reroute(struct retry_budget *b, bool refused)
 {
-	if (b->moved >= MOVED_KEPT) {
-		b->moved /= 2;
-		b->moved_refused /= 2;
+	if (b->rerouted >= REROUTED_MAX) {
+		b->rerouted /= 2;
+		b->rerouted_refused /= 2;
 	}
-	b->moved++;
-	b->moved_refused += refused;
+	b->rerouted++;
+	b->rerouted_refused += refused;
 }
 
 /* Before any was moved, others are taken to have room. */
 bool
-retry_budget_room(const struct retry_budget *b)
+retry_budget_others_have_room(const struct retry_budget *b)
 {
-	return (b->moved + MOVED_PRIOR) * ROOM_REFUSED_PERCENT >
-	    b->moved_refused * PERCENT;
+	return (b->rerouted + REROUTED_PRIOR) * REROUTED_REFUSED_MAX_PERCENT >
+	    b->rerouted_refused * PERCENT;
 }
 
 uint64_t
--- a/packages/traffic/src/superseded.c
+++ b/packages/traffic/src/superseded.c
@@ -6,12 +6,12 @@
 #include "base/clock.h"
 
 /* Where operators were promised no time: what the smallest deployments have. */
-#define WITHIN_MS 2000
+#define GRACE_DEFAULT_MS 2000
 
 uint64_t
-superseded_grace_ms(uint64_t promised_ms)
+superseded_grace_ms(uint64_t announced_ms)
 {
-	return promised_ms != 0 ? promised_ms : WITHIN_MS;
+	return announced_ms != 0 ? announced_ms : GRACE_DEFAULT_MS;
 }
 
 static const struct superseded_entry *
@@ -34,7 +34,7 @@
 
 bool
 superseded_is_expired(const struct superseded *s, uint64_t version,
-    uint64_t now_ms, uint64_t within_ms)
+    uint64_t now_ms, uint64_t grace_ms)
 {
 	uint64_t since_ms = DEADLINE_NEVER;
 	uint32_t i;
@@ -43,5 +43,5 @@
 		if (s->entries[i].version > version &&
 		    s->entries[i].since_ms < since_ms)
 			since_ms = s->entries[i].since_ms;
-	return since_ms != DEADLINE_NEVER && now_ms >= since_ms + within_ms;
+	return since_ms != DEADLINE_NEVER && now_ms >= since_ms + grace_ms;
 }
--- a/packages/traffic/test/test_behind.c
+++ b/packages/traffic/test/test_behind.c
@@ -40,8 +40,8 @@
     {6, 10, 6, 199, ANY, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 300, ANY, 300},
     {6, 10, 6, 1500, ANY, 1500},
-    {6, 10, 6, 2000, ANY, BEHIND_MOST_MS},
-    {6, 10, 6, 600000, ANY, BEHIND_MOST_MS},
+    {6, 10, 6, 2000, ANY, BEHIND_RETRY_MAX_MS},
+    {6, 10, 6, 600000, ANY, BEHIND_RETRY_MAX_MS},
     {6, 7, 6, 300, ANY, 300},
     {0, 10, 0, 300, ANY, 300},
     /* Who has little time left comes back at half of it. */
@@ -51,11 +51,11 @@
     {6, 10, 6, 300, 400, 200},
     /* Who has none to come back in is told the truth. */
     {6, 10, 6, 300, 399, 300},
-    {6, 10, 6, 2500, 100, BEHIND_MOST_MS},
+    {6, 10, 6, 2500, 100, BEHIND_RETRY_MAX_MS},
     {6, 10, 6, 300, 0, 300},
     /* A call that began by an older version than is in force now. */
-    {10, 10, 6, 0, ANY, BEHIND_NOW_MS},
-    {10, 0, 6, 0, 600, BEHIND_NOW_MS},
+    {10, 10, 6, 0, ANY, BEHIND_RETRY_NOW_MS},
+    {10, 0, 6, 0, 600, BEHIND_RETRY_NOW_MS},
     {10, 12, 6, 300, ANY, 300},
     {10, 10, 10, 300, ANY, 0},
 };
--- a/packages/traffic/test/test_body_window.c
+++ b/packages/traffic/test/test_body_window.c
@@ -74,13 +74,13 @@
 
 /* Two come at once now and then, as callers do. */
 static struct flow *
-play(uint64_t first_bytes, uint64_t most_bytes)
+play(uint64_t first_bytes, uint64_t max_bytes)
 {
 	struct flow *f = g_new0(struct flow, 1);
 	uint64_t now_ms;
 	uint32_t n = 0;
 
-	body_window_init(&f->w, most_bytes);
+	body_window_init(&f->w, max_bytes);
 	g_queue_init(&f->order);
 	for (now_ms = 0; now_ms < RUN_MS; now_ms++) {
 		while (n < BODIES && now_ms / (4 * EVERY_MS) * 4 >= n) {
@@ -108,7 +108,7 @@
 	ck_assert_uint_ge(naive->longest / LINK_BYTES_PER_MS, 350);
 	ck_assert_uint_le(ours->longest / LINK_BYTES_PER_MS, 170);
 	ck_assert_uint_eq(ours->done, naive->done);
-	ck_assert_uint_eq(ours->w.out_bytes, 0);
+	ck_assert_uint_eq(ours->w.in_flight_bytes, 0);
 	g_free(naive);
 	g_free(ours);
 }
@@ -128,17 +128,17 @@
 	body_window_open(&w, &quick, NULL, BODY_BYTES, FIRST_BYTES, 0);
 	body_window_request(&w, &quick, BODY_BYTES);
 	ck_assert_ptr_null(body_window_next(&w, &bytes, 0));
-	body_window_received(&w, &quick, FIRST_BYTES, BODY_MOVES_MS - 1);
-	body_window_tick(&w, BODY_MOVES_MS);
-	ck_assert_ptr_eq(body_window_next(&w, &bytes, BODY_MOVES_MS), &quick);
+	body_window_received(&w, &quick, FIRST_BYTES, BODY_STALL_MS - 1);
+	body_window_tick(&w, BODY_STALL_MS);
+	ck_assert_ptr_eq(body_window_next(&w, &bytes, BODY_STALL_MS), &quick);
 	/* One that moves again counts again. */
-	body_window_received(&w, &slow[0], 1, BODY_MOVES_MS);
-	ck_assert_uint_eq(w.out_bytes, bytes + FIRST_BYTES - 1);
+	body_window_received(&w, &slow[0], 1, BODY_STALL_MS);
+	ck_assert_uint_eq(w.in_flight_bytes, bytes + FIRST_BYTES - 1);
 	for (i = 0; i < 4; i++)
 		body_window_end(&w, &slow[i]);
 	body_window_end(&w, &quick);
 	body_window_end(&w, &quick);
-	ck_assert_uint_eq(w.out_bytes, 0);
+	ck_assert_uint_eq(w.in_flight_bytes, 0);
 }
 END_TEST
 
--- a/packages/traffic/test/test_call.c
+++ b/packages/traffic/test/test_call.c
@@ -218,7 +218,7 @@
 	int i;
 
 	for (i = 0; i < 8; i++)
-		retry_budget_moved(b, true);
+		retry_budget_record_reroute(b, true);
 }
 
 static void
--- a/packages/traffic/test/test_limits.c
+++ b/packages/traffic/test/test_limits.c
@@ -337,7 +337,7 @@
 		drain_request_began(&d);
 	drain_begin(&d, 200, SECOND_MS, 0);
 	ck_assert(!drain_accepts_request(&d));
-	ck_assert(drain_accepts_call(&d) && drain_closes(&d));
+	ck_assert(drain_accepts_call(&d) && drain_closes_connections(&d));
 	for (now = 1; now < 2 * SECOND_MS && !drain_is_complete(&d); now++) {
 		if (now == dc->call_ends_ms)
 			drain_call_ended(&d, now);
--- a/packages/traffic/test/test_placement.c
+++ b/packages/traffic/test/test_placement.c
@@ -324,7 +324,8 @@
 
 	world_init(&w);
 	let_fail(&w, 1, 3, 100);
-	ck_assert_int_eq(ejection_verdict(w.ejection, 1, 100), EJECTION_OUT);
+	ck_assert_int_eq(
+	    ejection_verdict(w.ejection, 1, 100), EJECTION_EJECTED);
 	count(&w, 100, n);
 	ck_assert_int_eq(n[1], 0);
 	/* A failed probe doubles the time. */
@@ -333,7 +334,8 @@
 	ck_assert_uint_eq(c.endpoint, 1);
 	ck_assert_uint_ne(choose(&w, NULL, 0, 1100).endpoint, 1);
 	let_fail(&w, 1, 1, 1100);
-	ck_assert_int_eq(ejection_verdict(w.ejection, 1, 3099), EJECTION_OUT);
+	ck_assert_int_eq(
+	    ejection_verdict(w.ejection, 1, 3099), EJECTION_EJECTED);
 	/* A health check that claims to be well only brings a probe. */
 	endpoints_hint(w.endpoints, 1, true, 2000);
 	ck_assert_int_eq(ejection_verdict(w.ejection, 1, 2000), EJECTION_PROBE);
@@ -360,8 +362,8 @@
 	ck_assert_uint_ne(choose(&w, NULL, 0, 100).endpoint, 0);
 	/* However often it fails, it is tried again within the cap. */
 	for (now = 100; now < 1000000; now = until) {
-		for (until = now;
-		     ejection_verdict(w.ejection, 1, until) == EJECTION_OUT;)
+		for (until = now; ejection_verdict(w.ejection, 1, until) ==
+		     EJECTION_EJECTED;)
 			until += 100;
 		ck_assert_uint_le(until, now + 30100);
 		while (choose(&w, NULL, 0, until).endpoint != 1)
@@ -390,7 +392,7 @@
 			    ep == 2 ? 100000 : 10000, i);
 		}
 	}
-	ck_assert_int_eq(ejection_verdict(w.ejection, 2, 64), EJECTION_OUT);
+	ck_assert_int_eq(ejection_verdict(w.ejection, 2, 64), EJECTION_EJECTED);
 	ck_assert_uint_eq(ejection_count(w.ejection, SERVICE, 64), 1);
 	/* Refusals for load and cancelled requests say nothing. */
 	for (i = 0; i < 64; i++) {
