--- a/packages/traffic/include/traffic/admission.h
+++ b/packages/traffic/include/traffic/admission.h
@@ -1,6 +1,7 @@
 /*
- * Admission at the guard, for one endpoint: slots and a short queue that
- * knows deadlines.  What can't start in time is refused at once.
+ * Admission control at the guard, for one endpoint: slots and a short queue
+ * that respects deadlines.  A request that can't start in time is refused at
+ * once.
  */
 #ifndef TRAFFIC_ADMISSION_H
 #define TRAFFIC_ADMISSION_H
@@ -8,9 +9,9 @@
 #include "traffic/traffic_defs.h"
 
 /**
- * enum admission_class - kinds of requests that each keep a share
- * @ADMISSION_LOOKUP: idempotent
- * @ADMISSION_BOOKING: non-idempotent
+ * enum admission_class - classes of requests that each keep a share
+ * @ADMISSION_LOOKUP: idempotent requests
+ * @ADMISSION_BOOKING: non-idempotent requests
  */
 enum admission_class {
 	ADMISSION_LOOKUP = 0,
@@ -20,16 +21,19 @@
 
 /**
  * struct admission_config - limits of one endpoint
- * @slots: requests that the upstream may have at a time
- * @queue_max: requests that may wait
+ * @slots: maximum number of concurrent requests at the upstream
+ * @queue_max: maximum number of queued requests
  * @queue_wait_ms: longest wait in the queue
  * @booking_percent: share of slots and queue that bookings keep under
- *	overload; lookups keep the rest; what one leaves the other may use
- * @newest_first: once the oldest has waited for half of queue_wait_ms, the
- *	newest is served first: the oldest may come too late anyway
- * @refuse_early: refuse at once what is not expected to start in time;
- *	false only for the comparison in the bench program
- * @adapt_slots: use fewer slots after the upstream has shed
+ *	overload; lookups keep the rest; either class may use what the other
+ *	leaves free
+ * @newest_first: once the oldest request has waited for half of queue_wait_ms,
+ *	start the newest one first, since the oldest may be answered too late
+ *	anyway
+ * @refuse_early: refuse at once a request that is not expected to start in
+ *	time; false only for the comparison in the bench program
+ * @adapt_slots: use fewer slots after the upstream has refused a request for
+ *	load
  */
 struct admission_config {
 	uint32_t slots;
@@ -41,19 +45,22 @@
 	bool adapt_slots;
 };
 
-/** ADMISSION_PRIORITIES - priorities that are told apart; beyond, the last */
+/**
+ * ADMISSION_PRIORITIES - number of distinct priorities; lower ones count as
+ * the last
+ */
 #define ADMISSION_PRIORITIES 4
 
 /**
- * struct admission_request - a request that asks to run
- * @ticket: the shell's number of it, unique at this endpoint
- * @class: its kind
+ * struct admission_request - a request offered to admission
+ * @ticket: number of the request, unique at this endpoint
+ * @class: class of the request
  * @deadline_ms: monotonic deadline
- * @priority: 0 is the highest; a lower one waits for all higher ones
- * @target_ms: monotonic time by which its answer is worth most, 0 when not
- *	told.  One that can still make it goes before those of its priority
- *	that can't, the earliest target first, and waits no longer than it may
- *	for that.
+ * @priority: 0 is the highest; a request waits for all higher priorities
+ * @target_ms: monotonic time after which the response is worth less, 0 when
+ *	unknown.  Within a priority, requests that can still meet their target
+ *	go before those that can't, earliest target first, and wait no longer
+ *	than the target allows.
  */
 struct admission_request {
 	uint64_t ticket;
@@ -63,7 +70,7 @@
 	uint64_t target_ms;
 };
 
-/** enum admission_verdict - what becomes of a request */
+/** enum admission_verdict - decision on a request */
 enum admission_verdict {
 	ADMISSION_START = 0,
 	ADMISSION_QUEUE,
@@ -71,11 +78,11 @@
 };
 
 /**
- * struct admission_result - a verdict
- * @verdict: start now, wait, or refused
+ * struct admission_result - a decision
+ * @verdict: start now, queue, or refuse
  * @ticket: the request
- * @refusal: why it was refused
- * @retry_after_ms: when refused, when it is worth to come back
+ * @refusal: why the request was refused
+ * @retry_after_ms: when refused, the time after which a retry is worthwhile
  */
 struct admission_result {
 	enum admission_verdict verdict;
@@ -86,44 +93,51 @@
 
 struct admission;
 
-/** admission_config_default() - the values that measurement argued for */
+/** admission_config_default() - fill in the default settings */
 void admission_config_default(struct admission_config *cfg);
 
-/** admission_new() - for one endpoint; free with admission_free() */
+/**
+ * admission_new() - create the admission of one endpoint; free with
+ * admission_free()
+ */
 struct admission *admission_new(const struct admission_config *cfg);
 
-/** admission_free() - free it; queued requests are forgotten */
+/** admission_free() - free the admission; queued requests are dropped */
 void admission_free(struct admission *a);
 
-/** admission_configure() - new limits; what runs and waits stays */
+/**
+ * admission_configure() - change the limits; running and queued requests stay
+ */
 void
 admission_configure(struct admission *a, const struct admission_config *cfg);
 
 /**
- * admission_offer() - a request asks to run
+ * admission_offer() - offer a request
  * @a: the admission
  * @req: the request
  * @now_ms: monotonic time
- * @out: the verdict
+ * @out: the decision
  *
- * A queued request comes out of admission_next() later, to start or refused.
+ * admission_next() returns a queued request later, to start or as refused.
  */
 void admission_offer(struct admission *a, const struct admission_request *req,
     uint64_t now_ms, struct admission_result *out);
 
 /**
- * admission_record_run() - how long a request ran, for the estimate of waits
+ * admission_record_run() - record a run time for the estimate of waits
  * @a: the admission
- * @req: the request, answered; one that failed or was given up says nothing of
- *	how long its kind takes
- * @ran_ms: how long it held its slot
+ * @req: the request, answered.  Failed and cancelled requests are not
+ *	recorded, as they don't show how long their kind runs.
+ * @ran_ms: how long the request held its slot
  * @now_ms: monotonic time
  */
 void admission_record_run(struct admission *a,
     const struct admission_request *req, uint64_t ran_ms, uint64_t now_ms);
 
-/** admission_mean_run_ms() - how long requests like @req run until they are
- * answered, 0 when none was */
+/**
+ * admission_mean_run_ms() - mean run time of answered requests like @req, 0
+ * when there was none
+ */
 uint64_t admission_mean_run_ms(
     const struct admission *a, const struct admission_request *req);
 
@@ -131,8 +145,8 @@
  * admission_finished() - a started request has left its slot
  * @a: the admission
  * @ticket: the request
- * @class: its kind
- * @ran_ms: how long it held the slot
+ * @class: class of the request
+ * @ran_ms: how long the request held the slot
  * @now_ms: monotonic time
  */
 void admission_finished(struct admission *a, uint64_t ticket,
@@ -141,45 +155,48 @@
 /**
  * admission_shed() - the upstream refused a started request for load
  *
- * The slots in use are cut to what it evidently takes and grow back by one for
- * each round of answers, so that an upstream that announced too many slots or
- * is cold is not sent more than it takes.  One that refuses while most of its
- * slots are free, or while it runs fewer than it ran a second ago, does so for
- * another reason: then nothing is cut.  Cut all the same, an upstream that
+ * Reduces the slots in use to the number of requests that the upstream
+ * evidently accepts.  The slots grow back by one per round of responses, so
+ * that an upstream that announced too many slots or is cold is not sent more
+ * than it can run.  An upstream that refuses while most of its slots are free,
+ * or while it runs fewer requests than a second ago, refuses for another
+ * reason, and the slots stay: reduced in that case too, an upstream that
  * refuses half of all requests at random is left with one slot of twelve.
  *
- * Return: when it is worth to come back, in milliseconds from now.
+ * Return: time in ms after which a retry is worthwhile.
  */
 uint64_t admission_shed(struct admission *a, uint64_t ticket,
     enum admission_class class, uint64_t now_ms);
 
-/** admission_cancel() - take a queued request out; false if not queued */
+/** admission_cancel() - remove a queued request; false if it is not queued */
 bool admission_cancel(struct admission *a, uint64_t ticket);
 
 /**
- * admission_next() - the next queued request that starts or is refused
+ * admission_next() - take the next queued request that starts or is refused
  *
- * To be called until it returns false, after each event and at
- * admission_wake_ms().
+ * Call after each event and at admission_wake_ms() until it returns false.
  */
 bool admission_next(
     struct admission *a, uint64_t now_ms, struct admission_result *out);
 
-/** admission_wake_ms() - when a queued request expires; DEADLINE_NEVER */
+/**
+ * admission_wake_ms() - monotonic time at which the next queued request
+ * expires, or DEADLINE_NEVER
+ */
 uint64_t admission_wake_ms(const struct admission *a);
 
 /**
  * admission_drain() - refuse all new requests from now on
  *
- * What is queued has been promised nothing and is refused too, so that it
- * runs elsewhere; what has started runs on.
+ * Queued requests are refused too, so that they run elsewhere; started
+ * requests run to their end.
  */
 void admission_drain(struct admission *a);
 
-/** admission_undrain() - take requests again */
+/** admission_undrain() - accept requests again */
 void admission_undrain(struct admission *a);
 
-/** admission_load() - the load report for answers and refusals */
+/** admission_load() - load report for responses and refusals */
 void admission_load(const struct admission *a, struct load_report *out);
 
 #endif
--- a/packages/traffic/include/traffic/call.h
+++ b/packages/traffic/include/traffic/call.h
@@ -1,14 +1,17 @@
 /*
- * One call at the entry: from the caller's request to its one final answer.
+ * State machine of one call at the entry: from the caller's request to the
+ * final response.
  *
- * The shell feeds events and carries out the actions that call_next() gives.
- * Each SEND and each RESOLVE opens a stream with a new number; events name the
- * stream they belong to, and those of an earlier stream are ignored, so a late
- * answer is never taken for another.
+ * The caller of this module feeds events and carries out the actions that
+ * call_next() returns.  Each SEND and each RESOLVE opens a stream with a new
+ * number.  An event names its stream, and events of an earlier stream are
+ * ignored, so that a late response is never attributed to a later attempt.
  *
- * Rules: not_run is told only when it is certain.  A non-idempotent request is
- * sent again only after the earlier attempt is certain not to have run.
- * Final answers are given at once.
+ * Rules:
+ * - not_run is reported only when it is certain.
+ * - A non-idempotent request is sent again only after the earlier attempt is
+ *   certain not to have run.
+ * - Final responses are reported without delay.
  */
 #ifndef TRAFFIC_CALL_H
 #define TRAFFIC_CALL_H
@@ -19,16 +22,17 @@
 /**
  * struct call_config - policy of one call
  * @deadline_ms: monotonic deadline
- * @deadline_grace_ms: after the deadline, how long to wait for the guard's
- *	word whether a cancelled request had started
- * @resolve_limit_ms: how long to try to reach a guard for a resolve
- * @attempts: attempts altogether, 0 for what the budget says
- * @target_ms: when its answer is worth less to the caller; 0 when not told
- * @caller_gives_up_ms: when the caller itself gives up, which may be later than
- *	the deadline; DEADLINE_NEVER when not told
- * @idempotent: may be run more than once
- * @keyed: carries an idempotency key and goes to the key's home
- * @naive: the differential's version: retry thrice whatever happened
+ * @deadline_grace_ms: how long after the deadline the entry waits for the
+ *	guard to report whether a cancelled request had started
+ * @resolve_limit_ms: how long the entry tries to reach a guard for a resolve
+ * @attempts: maximum number of attempts, 0 for the retry budget's setting
+ * @target_ms: monotonic time after which the response is worth less to the
+ *	caller; 0 when unknown
+ * @caller_gives_up_ms: monotonic time at which the caller itself gives up,
+ *	which may be later than the deadline; DEADLINE_NEVER when unknown
+ * @idempotent: the request may run more than once
+ * @keyed: the request carries an idempotency key and goes to the key's home
+ * @naive: baseline for differential tests: retry three times after any result
  */
 struct call_config {
 	uint64_t deadline_ms;
@@ -43,19 +47,20 @@
 };
 
 /**
- * enum call_action_kind - what the shell is to do
- * @CALL_PLACE: choose an endpoint, leaving out call_tried(), then
+ * enum call_action_kind - actions for the caller of call_next()
+ * @CALL_PLACE: choose an endpoint other than those of call_tried(), then call
  *	call_placed() or call_no_endpoint()
- * @CALL_SEND: send attempt @attempt to @endpoint as @stream; then call_sent()
- *	or call_connect_failed()
- * @CALL_RESOLVE: ask @endpoint over a NEW connection what became of @attempt,
- *	as @stream; drop the old connection if it was silent
- * @CALL_CANCEL: tell @endpoint that @attempt is not wanted any more; no
- *	answer is awaited but for the grace after a deadline
- * @CALL_DELIVER: give the caller the answer of @stream; final
- * @CALL_GIVE_UP: tell the caller @outcome and @retry_after_ms; final
- * @CALL_ABORT: the answer was partly given and can't be completed: cut the
- *	caller's connection, so that it isn't taken for whole; final
+ * @CALL_SEND: send attempt @attempt to @endpoint as @stream, then call
+ *	call_sent() or call_connect_failed()
+ * @CALL_RESOLVE: resolve @attempt at @endpoint over a NEW connection, as
+ *	@stream; close the old connection if it was silent
+ * @CALL_CANCEL: notify @endpoint that @attempt is no longer wanted; the call
+ *	waits for no response except during the grace time after a deadline
+ * @CALL_DELIVER: pass the response of @stream to the caller; final
+ * @CALL_GIVE_UP: report @outcome and @retry_after_ms to the caller; final
+ * @CALL_ABORT: part of the response was passed on and the rest is lost: close
+ *	the caller's connection, so that the response is not mistaken for
+ *	complete; final
  */
 enum call_action_kind {
 	CALL_PLACE = 0,
@@ -71,17 +76,17 @@
 const char *call_action_name(enum call_action_kind k);
 
 /**
- * struct call_action - one thing to do
- * @kind: what
+ * struct call_action - one action
+ * @kind: the action
  * @stream: number of the stream, for SEND, RESOLVE and DELIVER
  * @attempt: number of the attempt, from 1; part of the request id
  * @endpoint: the endpoint concerned
- * @incarnation: RESOLVE: the guard process that the attempt was sent to
+ * @incarnation: RESOLVE: the guard process to which the attempt was sent
  * @sent_ms: RESOLVE: own time at which the attempt was sent
- * @cancel: RESOLVE: the answer is not wanted, only whether it started
- * @outcome: GIVE_UP: what to tell the caller
+ * @cancel: RESOLVE: only whether the attempt started matters, not its response
+ * @outcome: GIVE_UP: outcome to report
  * @refusal: GIVE_UP: the last refusal, for the message
- * @retry_after_ms: GIVE_UP: when the caller should come back
+ * @retry_after_ms: GIVE_UP: when the caller should retry
  */
 struct call_action {
 	enum call_action_kind kind;
@@ -99,12 +104,12 @@
 struct call;
 
 /**
- * call_new() - a call that has just come in
+ * call_new() - create a call for an arriving request
  * @cfg: policy; copied
  * @budget: retry budget of the service at this entry; borrowed
  * @seed: seed of the back-off
  *
- * Return: the call; call_start() sets it going.  Free with call_free().
+ * Return: the call, to be started with call_start().  Free with call_free().
  */
 struct call *call_new(
     const struct call_config *cfg, struct retry_budget *budget, uint64_t seed);
@@ -112,61 +117,71 @@
 /** call_free() - free the call */
 void call_free(struct call *c);
 
-/** call_start() - begin */
+/** call_start() - start the call */
 void call_start(struct call *c, uint64_t now_ms);
 
 /** call_placed() - an endpoint was chosen */
 void call_placed(struct call *c, uint64_t endpoint, uint64_t now_ms);
 
-/** call_no_endpoint() - no endpoint can be chosen */
+/** call_no_endpoint() - no endpoint is usable */
 void call_no_endpoint(struct call *c, uint64_t retry_after_ms, uint64_t now_ms);
 
-/** call_quarantined() - it is not to be run by anyone */
+/** call_quarantined() - the request is quarantined: no endpoint may run it */
 void call_quarantined(struct call *c, uint64_t retry_after_ms);
 
 /**
- * call_sent() - the first byte of a SEND is being handed to the connection
+ * call_sent() - the first byte of a SEND is being passed to the connection
  * @c: the call
  * @stream: the stream
  * @incarnation: guard process at the other end, from its hello
  * @now_ms: monotonic time, as put into the frame
  *
- * To be told BEFORE the first byte leaves: from here on it may run.
+ * Must be called BEFORE the first byte leaves: from then on the request may
+ * run.
  */
 void call_sent(
     struct call *c, uint32_t stream, uint64_t incarnation, uint64_t now_ms);
 
-/** call_connect_failed() - no connection could be had; not a byte of it has
- * left */
+/**
+ * call_connect_failed() - no connection is available; no byte of the request
+ * was sent
+ */
 void call_connect_failed(struct call *c, uint32_t stream, uint64_t now_ms);
 
-/** call_body_discarded() - part of the request's body can't be sent again */
+/**
+ * call_body_discarded() - part of the request's body is no longer buffered, so
+ * that the request can't be sent again
+ */
 void call_body_discarded(struct call *c);
 
 /**
- * call_committed() - the answer outgrew the buffer; its beginning is being
- * given to the caller
+ * call_committed() - the response exceeds the buffer; its beginning is being
+ * passed to the caller
  */
 void call_committed(struct call *c, uint32_t stream, uint64_t now_ms);
 
-/** call_answered() - the whole answer is there */
+/** call_answered() - the complete response has arrived */
 void call_answered(struct call *c, uint32_t stream, uint64_t now_ms);
 
 /**
- * call_refused() - the guard says that the attempt has not run and won't
+ * call_refused() - the guard refused the attempt, which has not run and never
+ * will
  * @c: the call
  * @stream: the stream
  * @refusal: why
- * @retry_after_ms: when it is worth to come back
+ * @retry_after_ms: when a retry is worthwhile
  * @now_ms: monotonic time
  */
 void call_refused(struct call *c, uint32_t stream, enum refusal refusal,
     uint64_t retry_after_ms, uint64_t now_ms);
 
-/** call_failed() - the guard says: started, and no answer will come */
+/**
+ * call_failed() - the guard reports that the attempt started and no response
+ * will come
+ */
 void call_failed(struct call *c, uint32_t stream, uint64_t now_ms);
 
-/** call_lost() - the stream's connection broke or is believed silent */
+/** call_lost() - the stream's connection broke or is considered silent */
 void call_lost(struct call *c, uint32_t stream, uint64_t now_ms);
 
 /** call_resolved() - the guard answered a RESOLVE */
@@ -177,36 +192,41 @@
 void call_resolve_failed(struct call *c, uint32_t stream, uint64_t now_ms);
 
 /**
- * call_caller_disconnected() - the caller hung up
+ * call_caller_disconnected() - the caller closed its connection
  *
- * The call is over; CANCEL is given if an attempt is out, but no final action.
+ * Ends the call.  CANCEL is returned if an attempt is in flight, but no final
+ * action.
  */
 void call_caller_disconnected(struct call *c, uint64_t now_ms);
 
 /**
- * call_stopped() - the entry stops now and has no more time for the call
+ * call_stopped() - the entry is stopping and ends the call now
  *
- * What was not sent is told not_run.
+ * An attempt that was not sent is reported as not_run.
  */
 void call_stopped(struct call *c);
 
-/** call_tick() - a time named by call_wake_ms() has come */
+/** call_tick() - the time that call_wake_ms() returned has come */
 void call_tick(struct call *c, uint64_t now_ms);
 
-/** call_wake_ms() - when call_tick() is wanted next; DEADLINE_NEVER */
+/**
+ * call_wake_ms() - monotonic time of the next call_tick(), or DEADLINE_NEVER
+ */
 uint64_t call_wake_ms(const struct call *c);
 
-/** call_next() - the next action; false when there is none */
+/** call_next() - take the next action; false when there is none */
 bool call_next(struct call *c, struct call_action *out);
 
-/** call_is_finished() - the final action has been given, or the caller is gone
+/**
+ * call_is_finished() - whether the final action was returned or the caller has
+ * disconnected
  */
 bool call_is_finished(const struct call *c);
 
-/** call_tried() - endpoints tried, for placement_query.tried */
+/** call_tried() - endpoints tried by this call, for placement_query.tried */
 const uint64_t *call_tried(const struct call *c, size_t *n);
 
-/** call_may_have_run() - an earlier attempt got no answer */
+/** call_may_have_run() - whether an earlier attempt may have run unanswered */
 bool call_may_have_run(const struct call *c);
 
 /** call_attempts() - number of attempts so far */
--- a/packages/traffic/include/traffic/clean_runs.h
+++ b/packages/traffic/include/traffic/clean_runs.h
@@ -1,12 +1,13 @@
 /*
- * Clean runs: which requests an upstream here has answered lately.
+ * Clean runs: requests that an upstream on this host has answered recently.
  *
- * A request that was answered doesn't end each upstream that runs it, whatever
- * ended one while it ran there.  This is what keeps requests that many send
- * from being blamed when upstreams end for another reason.
+ * A request with a recent response does not crash every upstream that runs it,
+ * whatever ended an upstream while the request was in flight.  This prevents
+ * popular requests from being blamed when upstreams end for another reason.
  *
- * Bounded: two sets of CLEAN_RUNS_MAX, of which the older goes when the newer
- * is full or CLEAN_RUNS_KEEP_MS old.
+ * The memory is bounded: there are two sets of CLEAN_RUNS_MAX requests, and
+ * the older set is dropped when the newer one is full or CLEAN_RUNS_KEEP_MS
+ * old.
  */
 #ifndef TRAFFIC_CLEAN_RUNS_H
 #define TRAFFIC_CLEAN_RUNS_H
@@ -22,34 +23,35 @@
 #define CLEAN_RUNS_KEEP_MS 30000
 
 /**
- * struct clean_runs - requests answered lately
+ * struct clean_runs - recently answered requests
  * @sets: fingerprints, the newer set first
- * @rotated_ms: when the newer one was begun
+ * @rotated_ms: monotonic time at which the newer set was started
  */
 struct clean_runs {
 	GHashTable *sets[2];
 	uint64_t rotated_ms;
 };
 
-/** clean_runs_init() - none; free with clean_runs_clear() */
+/** clean_runs_init() - start with empty sets; free with clean_runs_clear() */
 void clean_runs_init(struct clean_runs *c, uint64_t now_ms);
 
-/** clean_runs_clear() - free what it holds */
+/** clean_runs_clear() - free the sets */
 void clean_runs_clear(struct clean_runs *c);
 
-/** clean_runs_add() - @f was answered */
+/** clean_runs_add() - record that request @f was answered */
 void clean_runs_add(
     struct clean_runs *c, const struct fingerprint *f, uint64_t now_ms);
 
-/** clean_runs_has() - whether it was answered lately */
+/** clean_runs_has() - whether request @f was answered recently */
 bool clean_runs_has(
     struct clean_runs *c, const struct fingerprint *f, uint64_t now_ms);
 
 /**
- * clean_runs_take() - the same, and forget it
+ * clean_runs_take() - same as clean_runs_has(), and remove the request
  *
- * One answer exonerates a request of one crash: a request that begins to end
- * upstreams, as after a release, is not covered for long by what came before.
+ * A response exonerates a request from one crash only, so that responses from
+ * before a release don't cover for long a request that crashes the new
+ * release.
  */
 bool clean_runs_take(
     struct clean_runs *c, const struct fingerprint *f, uint64_t now_ms);
--- a/packages/traffic/include/traffic/ejection.h
+++ b/packages/traffic/include/traffic/ejection.h
@@ -1,7 +1,10 @@
 /*
- * Outlier ejection: leave out endpoints that fail, go silent or are far
- * slower than their siblings, for a growing but capped time, never more than
- * a share of a service; then let a few requests try them again.
+ * Outlier ejection: excludes endpoints that fail, fall silent or are much
+ * slower than the others of their service.
+ *
+ * The duration of repeated ejections grows up to a limit, and only a share of
+ * a service's endpoints is ejected at a time.  After the ejection a few
+ * requests probe the endpoint.
  */
 #ifndef TRAFFIC_EJECTION_H
 #define TRAFFIC_EJECTION_H
@@ -9,15 +12,16 @@
 #include "traffic/endpoints.h"
 
 /**
- * struct ejection_config - when an endpoint is ejected and for how long
- * @failures: consecutive failures that eject
- * @failure_percent: share of failures in the recent window that ejects
- * @slow_factor: times the siblings' median that ejects; 0 turns it off
- * @slow_min_us: never eject for slowness below this time
- * @min_requests: results needed before a share or a time is believed
- * @base_ms: time of the first ejection
- * @cap_ms: longest ejection
- * @max_percent: at most this share of a service is ejected
+ * struct ejection_config - settings of outlier ejection
+ * @failures: number of consecutive failures that ejects
+ * @failure_percent: share of failures among recent results that ejects
+ * @slow_factor: multiple of the median time of the service's other endpoints
+ *	that ejects; 0 turns this check off
+ * @slow_min_us: never eject for a time below this
+ * @min_requests: number of results before shares and times are evaluated
+ * @base_ms: duration of the first ejection
+ * @cap_ms: longest duration of an ejection
+ * @max_percent: largest share of a service's endpoints that may be ejected
  */
 struct ejection_config {
 	uint32_t failures;
@@ -32,9 +36,9 @@
 
 /**
  * enum ejection_verdict - whether an endpoint may be used
- * @EJECTION_USABLE: yes
- * @EJECTION_PROBE: its time is over; one request may try it
- * @EJECTION_EJECTED: it is ejected, or its probe is under way
+ * @EJECTION_USABLE: the endpoint is not ejected
+ * @EJECTION_PROBE: the ejection is over; one request may probe the endpoint
+ * @EJECTION_EJECTED: the endpoint is ejected, or a probe is in flight
  */
 enum ejection_verdict {
 	EJECTION_USABLE = 0,
@@ -44,25 +48,29 @@
 
 struct ejection;
 
-/** ejection_config_default() - the values that measurement argued for */
+/** ejection_config_default() - fill in the default settings */
 void ejection_config_default(struct ejection_config *cfg);
 
 /**
- * ejection_new() - outlier ejection over a table of endpoints
+ * ejection_new() - create outlier ejection for a table of endpoints
  * @cfg: settings; copied
- * @endpoints: borrowed; from now on endpoints_ended() feeds the ejection
+ * @endpoints: borrowed; endpoints_ended() reports results to the ejection from
+ *	now on
  */
 struct ejection *
 ejection_new(const struct ejection_config *cfg, struct endpoints *endpoints);
 
-/** ejection_free() - free it; the endpoints stay */
+/** ejection_free() - free the ejection; the endpoints are not freed */
 void ejection_free(struct ejection *j);
 
 /** ejection_verdict() - whether @endpoint may be used at @now_ms */
 enum ejection_verdict
 ejection_verdict(const struct ejection *j, uint64_t endpoint, uint64_t now_ms);
 
-/** ejection_count() - endpoints of @service that are ejected at @now_ms */
+/**
+ * ejection_count() - number of endpoints of @service that are ejected at
+ * @now_ms
+ */
 size_t
 ejection_count(const struct ejection *j, uint64_t service, uint64_t now_ms);
 
--- a/packages/traffic/include/traffic/endpoints.h
+++ b/packages/traffic/include/traffic/endpoints.h
@@ -1,8 +1,9 @@
 /*
- * What an entry knows of the endpoints it may call: state from the snapshot,
- * its own requests in flight, the load carried by answers, and results.
- * Placement and ejection decide on it.  The record of an endpoint survives
- * changes of the snapshot.
+ * Table of the endpoints that an entry may call: state from the snapshot, own
+ * requests in flight, load reports and results.
+ *
+ * Placement and ejection are based on this table.  The record of an endpoint
+ * persists across changes of the snapshot.
  */
 #ifndef TRAFFIC_ENDPOINTS_H
 #define TRAFFIC_ENDPOINTS_H
@@ -13,7 +14,7 @@
 
 struct endpoints;
 
-/** enum endpoint_state - what the snapshot says of an endpoint */
+/** enum endpoint_state - state of an endpoint in the snapshot */
 enum endpoint_state {
 	ENDPOINT_STARTING = 0,
 	ENDPOINT_READY,
@@ -25,18 +26,18 @@
  * struct endpoint_info - one endpoint of a service in the snapshot
  * @id: see endpoint_id()
  * @incarnation: changes when the upstream is replaced under the same name;
- *	its results so far are forgotten, and unless it says that it is warm
- *	it starts slowly
+ *	earlier results are then dropped, and the endpoint begins with a slow
+ *	start unless it announces that it is warm
  * @slots: announced number of slots; at least 1 is assumed
- * @cold_ms: how long it was still slow after its start when it was announced;
- *	UINT32_MAX when it didn't say
- * @host: its host, by any number that hosts differ in
- * @centre: its data centre, likewise; 0 when it has none
- * @state: state announced
+ * @cold_ms: announced time for which the upstream is still slow after its
+ *	start; UINT32_MAX when not announced
+ * @host: number of its host, unique per host
+ * @centre: number of its data centre, unique per data centre; 0 when unknown
+ * @state: announced state
  * @local: in this node's data centre
  * @own: on this node's own host
- * @canary: its place among the endpoints of a version that is tried, from 1
- *	on; 0 for one of the current version
+ * @canary: position among the endpoints of the version on trial, from 1; 0 for
+ *	an endpoint of the current version
  */
 struct endpoint_info {
 	uint64_t id;
@@ -52,15 +53,16 @@
 };
 
 /**
- * enum endpoint_result - how a request at an endpoint ended
- * @ENDPOINT_OK: the whole answer came and is no server error
- * @ENDPOINT_FAILED: a server error, a broken upstream or a cut answer
- * @ENDPOINT_SILENT: no answer within the deadline, or connection silent
+ * enum endpoint_result - result of a request at an endpoint
+ * @ENDPOINT_OK: the complete response arrived and is no server error
+ * @ENDPOINT_FAILED: a server error, a broken upstream or a truncated response
+ * @ENDPOINT_SILENT: no response within the deadline, or connection silent
  * @ENDPOINT_UNREACHABLE: the guard could not be reached
- * @ENDPOINT_REFUSED: the guard refused for load; no sign of illness
- * @ENDPOINT_DRAINS: the guard refused because the endpoint drains
- * @ENDPOINT_ABSENT: its guard is there and it is not: nothing was sent to it
- * @ENDPOINT_CANCELLED: this side gave up; says nothing about the endpoint
+ * @ENDPOINT_REFUSED: the guard refused for load; not counted as a failure
+ * @ENDPOINT_DRAINS: the guard refused because the endpoint is draining
+ * @ENDPOINT_ABSENT: the guard is reachable and the upstream is not; nothing
+ *	was sent to it
+ * @ENDPOINT_CANCELLED: this side gave up; not counted for the endpoint
  */
 enum endpoint_result {
 	ENDPOINT_OK = 0,
@@ -74,16 +76,17 @@
 };
 
 /**
- * struct endpoints_config - how measurements age
- * @slow_start_ms: time over which an endpoint's share grows to its full size
- *	when it didn't say how long it is slow; 0 turns slow start off
- * @load_half_life_ms: a reported load counts half after this time
- * @delay_half_life_ms: a delay on the way counts half after this time, so that
- *	one that was slow to reach is tried again
- * @drain_hold_ms: an endpoint that refused as draining is left out this
- *	long, until the snapshot tells the same
- * @absent_hold_ms: so is one that takes no connections; it may start again at
- *	any time, and who tries it too early loses a way to its guard
+ * struct endpoints_config - settings for the ageing of measurements
+ * @slow_start_ms: duration of a slow start when the endpoint has not announced
+ *	how long it is cold; 0 turns slow start off
+ * @load_half_life_ms: half-life of a reported load
+ * @delay_half_life_ms: half-life of a measured delay, so that an endpoint that
+ *	was slow to reach is tried again
+ * @drain_hold_ms: how long an endpoint that refused as draining is excluded,
+ *	unless the snapshot reports it earlier
+ * @absent_hold_ms: how long an endpoint that accepts no connections is
+ *	excluded; the upstream may start again at any time, and an attempt that
+ *	comes too early costs a connection to its guard
  */
 struct endpoints_config {
 	uint32_t slow_start_ms;
@@ -93,11 +96,11 @@
 	uint32_t absent_hold_ms;
 };
 
-/** endpoints_config_default() - the values that measurement argued for */
+/** endpoints_config_default() - fill in the default settings */
 void endpoints_config_default(struct endpoints_config *cfg);
 
 /**
- * endpoints_new() - an empty table
+ * endpoints_new() - create an empty table
  * @cfg: settings; copied
  *
  * Return: the table; free with endpoints_free().
@@ -108,7 +111,7 @@
 void endpoints_free(struct endpoints *e);
 
 /**
- * endpoints_set_service() - tell a service's endpoints
+ * endpoints_set_service() - set the endpoints of a service
  * @e: the table
  * @service: see service_id()
  * @generation: number of the snapshot, see endpoints_generation()
@@ -116,19 +119,19 @@
  * @n: number of @infos; 0 removes the service
  * @now_ms: monotonic time
  *
- * Endpoints no longer named take no new requests; their record goes once
- * nothing is in flight.
+ * Endpoints that are missing from @infos receive no new requests; their record
+ * is removed once nothing is in flight.
  */
 void endpoints_set_service(struct endpoints *e, uint64_t service,
     uint64_t generation, const struct endpoint_info *infos, size_t n,
     uint64_t now_ms);
 
 /**
- * endpoints_generation() - the snapshot a service was last told from
+ * endpoints_generation() - snapshot from which a service was last set
  *
- * So that the shell may tell services lazily, when a call for one comes.
+ * Allows the caller to set services lazily, when a call for one arrives.
  *
- * Return: the generation, 0 when the service has never been told.
+ * Return: the generation, 0 when the service has never been set.
  */
 uint64_t endpoints_generation(const struct endpoints *e, uint64_t service);
 
@@ -136,70 +139,73 @@
 void endpoints_began(struct endpoints *e, uint64_t endpoint, uint64_t now_ms);
 
 /**
- * endpoints_ended() - a request begun with endpoints_began() is over
+ * endpoints_ended() - a request begun with endpoints_began() has ended
  * @e: the table
  * @endpoint: the endpoint
- * @result: how it ended
- * @took_us: time from sending to the head of the answer; used when OK
+ * @result: result of the request
+ * @took_us: time from sending to the response head; used for ENDPOINT_OK
  * @now_ms: monotonic time
  */
 void endpoints_ended(struct endpoints *e, uint64_t endpoint,
     enum endpoint_result result, uint64_t took_us, uint64_t now_ms);
 
 /**
- * endpoints_record_delay() - what a request took besides the upstream's work
+ * endpoints_record_delay() - record the time of a request beyond the
+ * upstream's processing time
  * @e: the table
  * @endpoint: endpoint id
- * @took_us: time from its sending to the answer's head, or so far when no
- *	answer came
- * @upstream_us: the upstream's part; 0 when no answer came, then as much as
- *	its requests usually take is left out
+ * @took_us: time from sending to the response head, or until now when no
+ *	response arrived
+ * @upstream_us: processing time of the upstream; 0 when no response arrived,
+ *	then the usual time of its requests is subtracted
  * @now_ms: monotonic time
  *
- * Only requests without a body tell: the transfer of one takes its time on
- * any way.
+ * Call only for requests without a body, as the transfer of a body takes time
+ * on any path.
  */
 void endpoints_record_delay(struct endpoints *e, uint64_t endpoint,
     uint64_t took_us, uint64_t upstream_us, uint64_t now_ms);
 
 /**
- * endpoints_set_silent() - whether the way to an endpoint is in doubt
+ * endpoints_set_silent() - set whether the host of an endpoint is silent
  * @e: the table
  * @endpoint: the endpoint
- * @doubt: nothing is heard from its host; it is left out while others are
- *	usable.  When the doubt is over its results so far are forgotten, since
- *	they told of the way and not of the endpoint.
+ * @silent: nothing arrives from the host; the endpoint is excluded while
+ *	others are usable.  At the end of the silence earlier results are
+ *	dropped, since they reflect the network path and not the endpoint.
  * @now_ms: monotonic time
  *
- * Return: whether its data centre, another than the own one, is taken for cut
- * off from now on: two of its hosts fell silent within 2 s, with nothing heard
- * from there between.  Its endpoints are left out then until something is
- * heard, but for one call each 2 s that may run twice.
+ * Return: whether the endpoint's data centre, if not the own one, is
+ * considered partitioned from now on: two of its hosts fell silent within 2 s,
+ * with nothing received from there in between.  All its endpoints are then
+ * excluded until something is received, except for one idempotent call every 2
+ * s.
  */
 bool endpoints_set_silent(
     struct endpoints *e, uint64_t endpoint, bool silent, uint64_t now_ms);
 
-/** endpoints_listed() - whether the snapshot in force has the endpoint */
+/** endpoints_listed() - whether the snapshot in force contains the endpoint */
 bool endpoints_listed(const struct endpoints *e, uint64_t endpoint);
 
 /**
- * endpoints_report() - an answer or refusal of @endpoint carried @load
+ * endpoints_report() - a response or refusal of @endpoint carried @load
  *
- * To be told after endpoints_ended() of the request it came with.
+ * Call after endpoints_ended() of the same request.
  */
 void endpoints_report(struct endpoints *e, uint64_t endpoint,
     const struct load_report *load, uint64_t now_ms);
 
 /**
- * endpoints_hint() - what the endpoint's health check claims
+ * endpoints_hint() - result of the endpoint's own health check
  *
- * A hint only: it brings the next probe of an ejected endpoint forward
- * (healthy) and never ejects one by itself, since health checks may lie.
+ * Used as a hint only: a healthy result brings the next probe of an ejected
+ * endpoint forward, and no result ejects an endpoint, since health checks may
+ * be wrong.
  */
 void endpoints_hint(
     struct endpoints *e, uint64_t endpoint, bool healthy, uint64_t now_ms);
 
-/** endpoints_in_flight() - own requests in flight at @endpoint */
+/** endpoints_in_flight() - number of own requests in flight at @endpoint */
 uint32_t endpoints_in_flight(const struct endpoints *e, uint64_t endpoint);
 
 #endif
--- a/packages/traffic/include/traffic/fate.h
+++ b/packages/traffic/include/traffic/fate.h
@@ -1,7 +1,9 @@
 /*
- * Fates at the guard: what became of each request, so that an entry whose
- * connection broke or fell silent can ask over another one, and so that no
- * request runs after somebody was told that it never will.
+ * Fate table of a guard: the state and the result of each request.
+ *
+ * An entry whose connection broke or fell silent resolves a request over
+ * another connection.  The table also guarantees that a request never runs
+ * after a guard has answered that it will not.
  */
 #ifndef TRAFFIC_FATE_H
 #define TRAFFIC_FATE_H
@@ -13,13 +15,14 @@
 #include "traffic/traffic_defs.h"
 
 /**
- * enum fate_state - where a request is
- * @FATE_STATE_NEVER: resolved before it was seen, or refused: it will never run
+ * enum fate_state - state of a request
+ * @FATE_STATE_NEVER: refused, or resolved before it arrived: will never run
  * @FATE_STATE_QUEUED: accepted, not started
- * @FATE_STATE_RUNNING: handed to the upstream
- * @FATE_STATE_DONE: the upstream answered
- * @FATE_STATE_FAILED: it started, and no answer will come
- * @FATE_STATE_FOLLOWS: it has the fate of an earlier request with its key
+ * @FATE_STATE_RUNNING: passed to the upstream
+ * @FATE_STATE_DONE: the upstream responded
+ * @FATE_STATE_FAILED: started, and no response will come
+ * @FATE_STATE_FOLLOWS: shares the fate of an earlier request with the same
+ *	idempotency key
  */
 enum fate_state {
 	FATE_STATE_NEVER = 0,
@@ -31,10 +34,10 @@
 };
 
 /**
- * enum fate_offer - what to do with a request frame
- * @FATE_OFFER_NEW: it is new and now queued: offer it to admission
- * @FATE_OFFER_DUPLICATE: the same request came before: drop the frame
- * @FATE_OFFER_NOT_RUN: it was resolved or refused: answer not_run
+ * enum fate_offer - how to handle a request frame
+ * @FATE_OFFER_NEW: new, and now queued: offer the request to admission
+ * @FATE_OFFER_DUPLICATE: the request arrived before: drop the frame
+ * @FATE_OFFER_NOT_RUN: the request was resolved or refused: answer not_run
  * @FATE_OFFER_TOO_OLD: older than the window: answer not_run
  */
 enum fate_offer {
@@ -45,12 +48,12 @@
 };
 
 /**
- * enum resolution - a guard's answer to resolve(request)
- * @RESOLUTION_NOT_RUN: it has not run and never will
- * @RESOLUTION_ATTACHED: queued or running; the answer follows here
- * @RESOLUTION_ANSWER: done; the kept answer follows here
- * @RESOLUTION_LOST: it ran, but the answer is not there (any more)
- * @RESOLUTION_UNKNOWN: sent to an earlier process or too long ago
+ * enum resolution - a guard's answer to a resolve
+ * @RESOLUTION_NOT_RUN: the request has not run and never will
+ * @RESOLUTION_ATTACHED: queued or running; the response follows on this stream
+ * @RESOLUTION_ANSWER: done; the stored response follows on this stream
+ * @RESOLUTION_LOST: the request ran, but its response is not stored (any more)
+ * @RESOLUTION_UNKNOWN: sent to an earlier process, or too long ago
  */
 enum resolution {
 	RESOLUTION_NOT_RUN = 0,
@@ -64,13 +67,13 @@
 const char *resolution_name(enum resolution r);
 
 /**
- * struct fate_config - bounds of the table
+ * struct fate_config - limits of the table
  * @incarnation: number of this process, also sent in its hello
  * @window_ms: how long a fate is kept after its last change
- * @records_max: most fates kept; when there are more the oldest finished one
- *	goes, and everything sent before it counts as too old
- * @answers_max_bytes: all kept answers together
- * @answer_max_bytes: largest answer that is kept
+ * @records_max: maximum number of fates; above it the oldest finished fate is
+ *	removed, and every request sent before that one counts as too old
+ * @answers_max_bytes: maximum total size of the stored responses
+ * @answer_max_bytes: maximum size of one stored response
  */
 struct fate_config {
 	uint64_t incarnation;
@@ -81,9 +84,9 @@
 };
 
 /**
- * struct fate_waiter - who is to get the answer
- * @conn: the shell's number of the connection
- * @stream: the entry's number of its question on that connection
+ * struct fate_waiter - a stream that waits for a response
+ * @conn: the caller's number of the connection
+ * @stream: the entry's number of the stream on that connection
  */
 struct fate_waiter {
 	uint64_t conn;
@@ -91,14 +94,14 @@
 };
 
 /**
- * struct fate_query - resolve(request)
+ * struct fate_query - a resolve of one request
  * @id: the request
- * @incarnation: the guard process that it was sent to
- * @sent_ms: own time at which it was sent, from frame_age_sent_ms() less the
- *	age that the entry names
- * @cancel: the entry does not want it any more: if it has not started it
- *	never will
- * @waiter: who asks
+ * @incarnation: the guard process to which the request was sent
+ * @sent_ms: own time at which the request was sent: frame_age_sent_ms() minus
+ *	the age that the entry reports
+ * @cancel: the entry no longer wants the request: never start it if it has not
+ *	started
+ * @waiter: the stream on which the entry waits
  */
 struct fate_query {
 	struct request_id id;
@@ -109,10 +112,11 @@
 };
 
 /**
- * struct fate_answer - a resolve's result
- * @resolution: what to tell
- * @answer: with RESOLUTION_ANSWER: the answer; the receiver owns a reference
- * @cancelled: it was queued and is not to run: take it out of admission
+ * struct fate_answer - result of a resolve
+ * @resolution: the answer for the entry
+ * @answer: for RESOLUTION_ANSWER: the response; the receiver owns a reference
+ * @cancelled: the request was queued and must not run: remove it from
+ *	admission
  */
 struct fate_answer {
 	enum resolution resolution;
@@ -122,59 +126,60 @@
 
 struct fate_table;
 
-/** fate_table_new() - an empty table; free with fate_table_free() */
+/** fate_table_new() - create an empty table; free with fate_table_free() */
 struct fate_table *fate_table_new(const struct fate_config *cfg);
 
-/** fate_table_free() - free the table and the kept answers */
+/** fate_table_free() - free the table and the stored responses */
 void fate_table_free(struct fate_table *t);
 
 /**
- * fate_offer() - a request frame came
+ * fate_offer() - handle an arriving request frame
  * @t: the table
  * @id: the request
- * @sent_ms: own time at which it was sent at the earliest, see frame_age
- * @waiter: the connection and stream that it came on
+ * @sent_ms: earliest own time at which the frame was sent, see frame_age
+ * @waiter: the connection and stream on which the frame arrived
  * @now_ms: monotonic time
  */
 enum fate_offer fate_offer(struct fate_table *t, const struct request_id *id,
     uint64_t sent_ms, const struct fate_waiter *waiter, uint64_t now_ms);
 
 /**
- * fate_start() - the request is about to be handed to the upstream
+ * fate_start() - record that a request is about to be passed to the upstream
  *
- * Return: true when it may; false when it was cancelled or is not queued.
+ * Return: true when the request may start; false when it was cancelled or is
+ * not queued.
  */
 bool
 fate_start(struct fate_table *t, const struct request_id *id, uint64_t now_ms);
 
 /**
- * fate_done() - the upstream's whole answer is there
+ * fate_done() - record the upstream's complete response
  * @t: the table
  * @id: the request
- * @answer: encoded answer to keep, or NULL when it is too large; the table
+ * @answer: encoded response to store, or NULL when it is too large; the table
  *	takes its own reference
  * @now_ms: monotonic time
  */
 void fate_done(struct fate_table *t, const struct request_id *id,
     GBytes *answer, uint64_t now_ms);
 
-/** fate_failed() - the request started and no answer will come */
+/** fate_failed() - record that a request started and no response will come */
 void
 fate_failed(struct fate_table *t, const struct request_id *id, uint64_t now_ms);
 
 /**
- * fate_refused() - the request certainly has not run and will not
+ * fate_refused() - record that a request has not run and never will
  *
- * For refusals by admission, and for an upstream that said not_run.
+ * Used for refusals by admission, and for an upstream that reported not_run.
  */
 void fate_refused(
     struct fate_table *t, const struct request_id *id, uint64_t now_ms);
 
-/** fate_acknowledged() - the entry has the whole answer: forget its bytes */
+/** fate_acknowledged() - the entry has the complete response: free its bytes */
 void fate_acknowledged(struct fate_table *t, const struct request_id *id);
 
 /**
- * fate_waiters() - who is to get the answer or the refusal
+ * fate_waiters() - streams that wait for the response or the refusal
  * @t: the table
  * @id: the request
  * @n: number of waiters
@@ -185,16 +190,16 @@
     const struct fate_table *t, const struct request_id *id, size_t *n);
 
 /**
- * fate_connection_lost() - a connection is gone; nobody waits there any more
+ * fate_connection_lost() - remove the waiters of a closed connection
  * @t: the table
  * @conn: the connection
  */
 void fate_connection_lost(struct fate_table *t, uint64_t conn);
 
 /**
- * fate_resolve() - an entry asks what became of a request
+ * fate_resolve() - resolve a request for an entry
  * @t: the table
- * @q: the question
+ * @q: the request and the waiting stream
  * @now_ms: monotonic time
  * @out: the answer
  */
@@ -202,26 +207,26 @@
     uint64_t now_ms, struct fate_answer *out);
 
 /**
- * fate_follow() - a queued request gets the fate of an earlier one
+ * fate_follow() - give a queued request the fate of an earlier one
  * @t: the table
  * @id: the request, just offered
- * @first: the request that has the idempotency key
+ * @first: the request that owns the idempotency key
  * @now_ms: monotonic time
  * @out: the fate of @first: ATTACHED, ANSWER, LOST, or NOT_RUN
  *
- * Its waiters now wait for @first.  They asked to run it, not for its fate:
- * LOST is told them as failed, and NOT_RUN as refused.
+ * The waiters of @id now wait for @first.  They sent a request, not a resolve,
+ * so that the guard answers LOST as failed and NOT_RUN as refused.
  */
 void fate_follow(struct fate_table *t, const struct request_id *id,
     const struct request_id *first, uint64_t now_ms, struct fate_answer *out);
 
-/** fate_expire() - forget what is older than the window */
+/** fate_expire() - remove fates older than the window */
 void fate_expire(struct fate_table *t, uint64_t now_ms);
 
-/** fate_count() - number of fates kept */
+/** fate_count() - number of fates in the table */
 size_t fate_count(const struct fate_table *t);
 
-/** fate_answers_bytes() - bytes of kept answers */
+/** fate_answers_bytes() - total size of the stored responses */
 size_t fate_answers_bytes(const struct fate_table *t);
 
 #endif
--- a/packages/traffic/include/traffic/fingerprint.h
+++ b/packages/traffic/include/traffic/fingerprint.h
@@ -1,12 +1,14 @@
 /*
- * Fingerprint: what tells that two attempts are the same request.
+ * Fingerprint: identifies the same request across attempts and callers'
+ * retries.
  *
- * Each attempt has an id of its own, so the same request sent again can only be
- * known by what it asks: method, host, path, body and who asks.  The service is
- * left out: a route may lead the same request to another one.
+ * Each attempt has its own id, so a repeated request is recognised by its
+ * method, host, path, body and caller.  The service is not part of the
+ * fingerprint, since a route may send the same request to another service.
  *
- * Of a body its length and first FINGERPRINT_BODY_BYTES count, as much as is
- * there before an attempt starts.  Two requests that agree in all this are one.
+ * Of a body, the length and the first FINGERPRINT_BODY_BYTES are included,
+ * which are available before an attempt starts.  Two requests that agree in
+ * all of this count as the same.
  */
 #ifndef TRAFFIC_FINGERPRINT_H
 #define TRAFFIC_FINGERPRINT_H
@@ -17,14 +19,17 @@
 
 #define FINGERPRINT_BODY_BYTES 16384
 
-/* The content's 16 digits, a point, the caller's 16. */
+/*
+ * 16 digits of the content, a dot, 16 digits of the caller, and the final NUL.
+ */
 #define FINGERPRINT_TEXT_BYTES 34
 
 /**
  * struct fingerprint - identity of a request
- * @content: hash of what is asked; 0 for none
- * @caller: hash of who asks, apart from @content, so that nobody can make a
- *	request that passes for another caller's; 0 stands for any caller
+ * @content: hash of everything but the caller; 0 for none
+ * @caller: hash of the caller, separate from @content, so that no caller can
+ *	forge the fingerprint of another caller's request; 0 stands for any
+ *	caller
  */
 struct fingerprint {
 	uint64_t content;
@@ -32,15 +37,15 @@
 };
 
 /**
- * struct fingerprint_parts - what a request is known by
+ * struct fingerprint_parts - the parts of a request that identify it
  * @method: HTTP method
- * @host: host that it names, "" for none; an address counts as none, since it
- *	is that of the node which was called
+ * @host: host name in the request, "" for none; an address is treated as none,
+ *	since it is the address of the node that was called
  * @path: path and query
- * @caller: who asks, "" when that isn't known
- * @body_bytes: length of the body, -1 when it isn't known
- * @body: its beginning
- * @body_len: bytes of @body; those above FINGERPRINT_BODY_BYTES don't count
+ * @caller: the caller, "" when unknown
+ * @body_bytes: length of the body, -1 when unknown
+ * @body: beginning of the body
+ * @body_len: bytes of @body; bytes beyond FINGERPRINT_BODY_BYTES are ignored
  */
 struct fingerprint_parts {
 	const char *method;
@@ -52,19 +57,21 @@
 	size_t body_len;
 };
 
-/** fingerprint_make() - the fingerprint of a request */
+/** fingerprint_make() - compute the fingerprint of a request */
 void
 fingerprint_make(const struct fingerprint_parts *p, struct fingerprint *out);
 
-/** fingerprint_equal() - whether both are the same request of one caller */
+/**
+ * fingerprint_equal() - whether both are the same request of the same caller
+ */
 bool
 fingerprint_equal(const struct fingerprint *a, const struct fingerprint *b);
 
-/** fingerprint_text() - as logs and operators see it */
+/** fingerprint_text() - textual form for logs and operators */
 const char *fingerprint_text(
     const struct fingerprint *f, char text[FINGERPRINT_TEXT_BYTES]);
 
-/** fingerprint_parse() - read what fingerprint_text() wrote */
+/** fingerprint_parse() - parse the output of fingerprint_text() */
 bool fingerprint_parse(const char *text, struct fingerprint *out);
 
 #endif
--- a/packages/traffic/include/traffic/placement.h
+++ b/packages/traffic/include/traffic/placement.h
@@ -1,8 +1,9 @@
 /*
- * Placement: which endpoint serves a call.
+ * Placement: chooses the endpoint that serves a call.
  *
- * Power of two choices on an estimate of each endpoint's load, own data
- * centre first, spill-over when the local ones are saturated or absent.
+ * Uses power of two choices on an estimate of each endpoint's load, prefers
+ * the own data centre, and spills over to other data centres when the local
+ * endpoints are saturated or absent.
  */
 #ifndef TRAFFIC_PLACEMENT_H
 #define TRAFFIC_PLACEMENT_H
@@ -11,18 +12,18 @@
 #include "traffic/ejection.h"
 
 /**
- * enum placement_reason - why an endpoint was (or none could be) chosen
- * @PLACEMENT_OWN: on the own host, with room
- * @PLACEMENT_LOCAL: less loaded of two in the own data centre
- * @PLACEMENT_SPILLED: local ones are saturated, a remote one is not
+ * enum placement_reason - why an endpoint was chosen, or why none was
+ * @PLACEMENT_OWN: on the own host, with free capacity
+ * @PLACEMENT_LOCAL: the less loaded of two in the own data centre
+ * @PLACEMENT_SPILLED: the local endpoints are saturated, a remote one is not
  * @PLACEMENT_REMOTE: the own data centre has no usable endpoint
- * @PLACEMENT_PROBE: an ejected endpoint is tried again
- * @PLACEMENT_PANIC: all usable ones are ejected; the ejection is ignored
- * @PLACEMENT_REPEATED: only endpoints already tried are left
+ * @PLACEMENT_PROBE: an ejected endpoint is probed
+ * @PLACEMENT_PANIC: all usable endpoints are ejected; the ejection is ignored
+ * @PLACEMENT_REPEATED: only endpoints that this call has tried are left
  * @PLACEMENT_HOME: the home of the call's idempotency key
- * @PLACEMENT_RANKED: first in rank for the call's content
- * @PLACEMENT_CANARY: of a version that is tried, for its share of calls
- * @PLACEMENT_RANDOM: the naive version's pick
+ * @PLACEMENT_RANKED: first in rendezvous rank for the call's content
+ * @PLACEMENT_CANARY: runs the version on trial and gets its share of the calls
+ * @PLACEMENT_RANDOM: chosen by the naive policy
  * @PLACEMENT_NONE: no endpoint is usable
  */
 enum placement_reason {
@@ -40,22 +41,25 @@
 	PLACEMENT_NONE,
 };
 
-/** placement_reason_name() - short name for the log line */
+/** placement_reason_name() - short name for log lines */
 const char *placement_reason_name(enum placement_reason r);
 
 /**
- * struct placement_query - what is to be placed
+ * struct placement_query - the call to place
  * @service: see service_id()
- * @key: idempotency key, or NULL; a keyed call goes to the key's home
- * @key_len: bytes of @key
- * @content: of a request that may crash upstreams: it goes to the one that this
- *	ranks first, the same for all entries; 0 for any other
+ * @key: idempotency key, or NULL; a call with a key goes to the key's home
+ * @key_len: length of @key in bytes
+ * @content: hash of the content of a request that may crash upstreams; such a
+ *	request goes to the endpoint that ranks first for this hash, which is
+ *	the same at all entries; 0 for all other requests
  * @tried: endpoints that this call has tried
  * @n_tried: number of @tried
- * @idempotent: a probe of an ejected endpoint takes only such requests
- * @avoid_own: an endpoint on the own host is the last choice
- * @canaries: the call goes to one of the first so many usable endpoints of the
- *	version that is tried; 0 for one of the current version
+ * @idempotent: an idempotent request may probe an ejected endpoint earlier
+ *	than others
+ * @avoid_own: an endpoint on the own host is used only if no other one is
+ *	usable
+ * @canaries: the call goes to one of this many first usable endpoints of the
+ *	version on trial; 0 for an endpoint of the current version
  */
 struct placement_query {
 	uint64_t service;
@@ -71,10 +75,11 @@
 
 /**
  * struct placement_choice - the decision, for the call and its log line
- * @endpoint: the endpoint, 0 for none
- * @reason: why
- * @load: estimated load of the endpoint
- * @slots: its slots as counted now (fewer during slow start)
+ * @endpoint: the chosen endpoint, 0 for none
+ * @reason: why it was chosen
+ * @load: estimated load of the endpoint in requests
+ * @slots: slots of the endpoint as used for the decision; reduced during slow
+ *	start
  */
 struct placement_choice {
 	uint64_t endpoint;
@@ -84,12 +89,12 @@
 };
 
 /**
- * struct placement_config - the policy
- * @saturation_percent: a local endpoint counts as saturated from this share
- *	of its slots on
- * @own_percent: an endpoint on the own host goes first up to this share of
- *	its slots; 0 for never.  It spares both ends of a link each request and
- *	answer, and a second node's work.
+ * struct placement_config - settings of a placement policy
+ * @saturation_percent: load, in percent of its slots, from which a local
+ *	endpoint is saturated
+ * @own_percent: load, in percent of its slots, up to which an endpoint on the
+ *	own host is preferred; 0 for never.  Such a call crosses no link and
+ *	costs no second node any work.
  * @local_first: prefer the own data centre
  */
 struct placement_config {
@@ -101,7 +106,7 @@
 struct placement;
 
 /**
- * struct placement_ops - a placement policy
+ * struct placement_ops - operations of a placement policy
  * @choose: see placement_choose()
  */
 struct placement_ops {
@@ -109,32 +114,35 @@
 	    uint64_t now_ms, struct placement_choice *out);
 };
 
-/** placement_config_default() - the values that measurement argued for */
+/** placement_config_default() - fill in the default settings */
 void placement_config_default(struct placement_config *cfg);
 
 /**
- * placement_new() - power of two choices
+ * placement_new() - create the power-of-two-choices policy
  * @cfg: settings; copied
  * @endpoints: borrowed; must outlive the placement
- * @ejection: borrowed; NULL ejects nothing
- * @seed: seed of the random picks
+ * @ejection: borrowed; NULL disables ejection
+ * @seed: seed of the random choices
  */
 struct placement *placement_new(const struct placement_config *cfg,
     struct endpoints *endpoints, struct ejection *ejection, uint64_t seed);
 
-/** placement_new_naive() - a random endpoint that the snapshot calls ready */
+/**
+ * placement_new_naive() - create a policy that picks a random ready endpoint
+ * of the snapshot; the baseline for comparisons
+ */
 struct placement *
 placement_new_naive(struct endpoints *endpoints, uint64_t seed);
 
-/** placement_free() - free it; endpoints and ejection stay */
+/** placement_free() - free the policy; endpoints and ejection are not freed */
 void placement_free(struct placement *p);
 
 /**
- * placement_choose() - choose an endpoint
+ * placement_choose() - choose an endpoint for a call
  * @p: the placement
  * @q: the call
  * @now_ms: monotonic time
- * @out: the choice; its reason is PLACEMENT_NONE when there is none
+ * @out: the choice; its reason is PLACEMENT_NONE when no endpoint is usable
  *
  * Return: true when an endpoint was chosen.
  */
--- a/packages/traffic/include/traffic/quarantine.h
+++ b/packages/traffic/include/traffic/quarantine.h
@@ -1,19 +1,22 @@
 /*
  * Quarantine of requests that crash the upstreams which run them.
  *
- * Its input are the crashes of all hosts, each with the requests in flight
- * there, and exonerations: answers of upstreams and releases by operators.  All
- * nodes with the same input decide alike, in whatever order it came.  Events of
- * the own host are returned for publication to all nodes.
+ * The inputs are the crashes on all hosts, each with the requests in flight
+ * there, and exonerations: responses of upstreams and releases by operators.
+ * All nodes with the same input come to the same decision, in whatever order
+ * the input arrived.  Events of the own host are returned for publication to
+ * all nodes.
  *
  * A request is quarantined once QUARANTINE_CRASHES crashes implicate it:
- *  - no upstream has answered it since;
- *  - no co-suspect was in flight in all of these crashes and unanswered since,
- *    else both are suspended for some seconds and run again;
- *  - no quarantined request was in flight in the crash, as that explains it;
- *  - few other upstreams crashed about that time without it: else a power loss,
- *    a kill or a release is the cause.
- * Content that crashes upstreams for several callers is quarantined for all.
+ * - no upstream has answered the request since;
+ * - no co-suspect was in flight in all of these crashes and unanswered since,
+ *   else both requests are suspended for some seconds and run again;
+ * - no quarantined request was in flight in the crash, as that explains it;
+ * - few other upstreams crashed about that time without the request: else a
+ *   power loss, a kill or a release is the cause.
+ *
+ * Content that crashes upstreams for several callers is quarantined for all
+ * callers.
  *
  * A quarantine lasts until an operator releases the request, or an upstream
  * answers it.
@@ -28,49 +31,60 @@
 
 #include "traffic/fingerprint.h"
 
-/* Most requests that are remembered of one crash. */
+/* Maximum number of requests that are recorded per crash. */
 #define CRASH_RUNS_MAX 32
 
-/* Crashes after which a request is quarantined. */
+/* Number of crashes after which a request is quarantined. */
 #define QUARANTINE_CRASHES 3
 
-/* Bounds of the lists of crashes, quarantined and exonerated requests.  The
- * least informative crash is dropped first. */
+/*
+ * Maximum lengths of the lists of crashes, quarantined and exonerated
+ * requests. The least informative crash is dropped first.
+ */
 #define QUARANTINE_CRASHES_MAX 128
 #define QUARANTINE_ENTRIES_MAX 128
 #define QUARANTINE_CLEARED_MAX 128
 
-/* Crashes within this time may have one cause. */
+/* Crashes within this time may have a common cause. */
 #define QUARANTINE_COINCIDENCE_MS 1000
 
-/* Crashes without a request may outnumber those with it by this factor, as up
- * to four requests may be crashing upstreams at once. */
+/*
+ * Crashes without a request may outnumber those with it by this factor, as up
+ * to four requests may be crashing upstreams at the same time.
+ */
 #define QUARANTINE_COINCIDENCE_RATIO 3
 
 /* Reports of simultaneous crashes arrive within this time. */
 #define QUARANTINE_SETTLE_MS 300
 
-/* Nodes that have answered a request of a peer's crash report it after a random
- * delay up to this, unless another node has: a few of hundreds report.  Shorter
- * than QUARANTINE_SETTLE_MS, so that reports count in the decision. */
+/*
+ * A node that has answered a request of a peer's crash reports that after a
+ * random delay up to this, unless another node has reported it: a few of
+ * hundreds report.  Shorter than QUARANTINE_SETTLE_MS, so that the reports are
+ * part of the decision.
+ */
 #define QUARANTINE_REPORT_MS 150
 
-/* Co-suspects are suspended for this and up to as long again, by node, so that
- * few nodes run them again at the same time. */
+/*
+ * Co-suspects are suspended for this time and up to as long again, varying by
+ * node, so that few nodes run them again at the same time.
+ */
 #define QUARANTINE_SUSPEND_MS 4000
 
-/* When the caller of an undecided request may come back: more than
- * QUARANTINE_SETTLE_MS, so that it finds it decided. */
+/*
+ * Retry-After of an undecided request: more than QUARANTINE_SETTLE_MS, so that
+ * the retry arrives after the decision.
+ */
 #define QUARANTINE_UNDECIDED_RETRY_MS 500
 
 /* Retry-After of quarantined requests, which need an operator's attention. */
 #define QUARANTINE_RETRY_AFTER_MS 60000
 
 /**
- * struct crash - an upstream crashed
+ * struct crash - a crash of an upstream
  * @id: number of the crash, the same at all nodes
- * @at_ms: monotonic time, as this node reckons
- * @own: it was an upstream of the own host
+ * @at_ms: time of the crash in this node's monotonic time
+ * @own: the upstream ran on the own host
  * @n_runs: number of @runs
  * @runs: requests in flight there, without exonerated ones
  */
@@ -84,14 +98,16 @@
 
 /**
  * struct quarantine_entry - a quarantined or suspended request
- * @print: the request; caller 0 stands for all callers
- * @since_ms: monotonic time since when
- * @crashes: crashes that this node knows of, 0 when a peer reported it
- * @last_crash: number of the last of them, 0 when a peer reported it
- * @own: that one was of the own host, which then publishes the decision
+ * @print: fingerprint of the request; caller 0 stands for all callers
+ * @since_ms: monotonic time at which the quarantine or suspension began
+ * @crashes: number of crashes that this node knows of, 0 when a peer reported
+ *	the quarantine
+ * @last_crash: id of the last of these crashes, 0 when a peer reported the
+ *	quarantine
+ * @own: the last crash was on the own host, which then publishes the decision
  * @until_ms: end of a suspension, DEADLINE_NEVER when quarantined
  * @expired: the suspension has expired
- * @asked: rejected calls on this node
+ * @asked: number of calls that this node rejected
  */
 struct quarantine_entry {
 	struct fingerprint print;
@@ -105,12 +121,12 @@
 };
 
 /**
- * enum quarantine_event_kind - what happened
+ * enum quarantine_event_kind - kinds of events
  * @QUARANTINE_EVENT_CRASHED: an upstream of the own host crashed
  * @QUARANTINE_EVENT_QUARANTINED: a request is quarantined
  * @QUARANTINE_EVENT_EXONERATED: a suspect was answered
- * @QUARANTINE_EVENT_SUSPENDED: a co-suspect is suspended; not published, as all
- *	nodes decide it alike
+ * @QUARANTINE_EVENT_SUSPENDED: a co-suspect is suspended; not published, as
+ *	all nodes come to the same decision
  */
 enum quarantine_event_kind {
 	QUARANTINE_EVENT_CRASHED = 0,
@@ -120,10 +136,10 @@
 };
 
 /**
- * struct quarantine_event - something to log or publish
- * @kind: what it is
+ * struct quarantine_event - an event to log or publish
+ * @kind: kind of the event
  * @crash: the crash
- * @entry: the request; of an exonerated one its print only
+ * @entry: the request; for an exonerated one only its fingerprint and time
  */
 struct quarantine_event {
 	enum quarantine_event_kind kind;
@@ -134,7 +150,7 @@
 struct quarantine;
 
 /**
- * quarantine_new() - an empty quarantine
+ * quarantine_new() - create an empty quarantine
  * @seed: seed of its random choices
  * @now_ms: monotonic time
  *
@@ -142,7 +158,7 @@
  */
 struct quarantine *quarantine_new(uint64_t seed, uint64_t now_ms);
 
-/** quarantine_free() - free it; NULL is allowed */
+/** quarantine_free() - free the quarantine; NULL is allowed */
 void quarantine_free(struct quarantine *q);
 
 /**
@@ -166,7 +182,7 @@
 /**
  * quarantine_add_peer_crash() - a peer reports a crash
  * @q: the quarantine
- * @c: the crash; one that is known already is ignored
+ * @c: the crash; a known crash is ignored
  * @now_ms: monotonic time
  */
 void quarantine_add_peer_crash(
@@ -176,18 +192,20 @@
  * quarantine_add() - a peer reports a quarantined request
  * @q: the quarantine
  * @f: the request
- * @since_ms: since when, as this node reckons
+ * @since_ms: begin of the quarantine in this node's monotonic time
  *
- * Return: false if that was known, or if it was exonerated later.
+ * Return: false if the quarantine was known, or if the request was exonerated
+ * later.
  */
 bool quarantine_add(
     struct quarantine *q, const struct fingerprint *f, uint64_t since_ms);
 
 /**
- * quarantine_exonerate() - exonerate a request of crashes before @at_ms
+ * quarantine_exonerate() - exonerate a request from crashes before @at_ms
  * @q: the quarantine
  * @f: the request; caller 0 for all callers
- * @at_ms: when it was answered, or cleared by an operator
+ * @at_ms: monotonic time at which the request was answered, or released by an
+ *	operator
  *
  * Return: whether this ended its quarantine.
  */
@@ -195,11 +213,11 @@
     struct quarantine *q, const struct fingerprint *f, uint64_t at_ms);
 
 /**
- * quarantine_check() - look a request up
+ * quarantine_check() - look up a request
  * @q: the quarantine
  * @f: the request
  *
- * Return: its entry, borrowed, or NULL if it may run.
+ * Return: its entry, borrowed, or NULL if the request may run.
  */
 const struct quarantine_entry *
 quarantine_check(struct quarantine *q, const struct fingerprint *f);
@@ -209,13 +227,15 @@
 quarantine_retry_after_ms(const struct quarantine_entry *e, uint64_t now_ms);
 
 /**
- * enum suspicion - what recent crashes say of a request that may run
- * @SUSPICION_NONE: nothing
- * @SUSPICION_SUSPECT: it ran in one; it is sent to the upstream that its
- *content ranks first, the same for all entries, so that one that crashes
- *upstreams takes down one at a time
- * @SUSPICION_UNDECIDED: it ran in as many as are needed to quarantine it, and
- *	that is about to be decided; it must not run meanwhile
+ * enum suspicion - result of recent crashes for a request that may run
+ * @SUSPICION_NONE: not suspect
+ * @SUSPICION_SUSPECT: the request was in flight in a crash.  It is sent to the
+ *	endpoint that ranks first for its content, which is the same at all
+ *	entries, so that a request that crashes upstreams takes down one at a
+ *	time.
+ * @SUSPICION_UNDECIDED: the request was in flight in as many crashes as a
+ *	quarantine needs, and the decision is pending; the request must not run
+ *	until then
  */
 enum suspicion {
 	SUSPICION_NONE = 0,
@@ -232,26 +252,34 @@
 enum suspicion quarantine_suspicion(
     struct quarantine *q, const struct fingerprint *f, uint64_t now_ms);
 
-/** quarantine_has_suspects() - false when no request is suspect, no need to ask
+/**
+ * quarantine_has_suspects() - false when no request is suspect, so that
+ * quarantine_suspicion() need not be called
  */
 bool quarantine_has_suspects(const struct quarantine *q, uint64_t now_ms);
 
 /** quarantine_is_empty() - no request is quarantined or suspended */
 bool quarantine_is_empty(const struct quarantine *q);
 
-/** quarantine_list() - append all struct quarantine_entry to @out */
+/**
+ * quarantine_list() - append the struct quarantine_entry of all quarantined
+ * requests to @out
+ */
 void quarantine_list(const struct quarantine *q, GArray *out);
 
-/** quarantine_tick() - run what is due */
+/** quarantine_tick() - take decisions and end suspensions that are due */
 void quarantine_tick(struct quarantine *q, uint64_t now_ms);
 
-/** quarantine_wake_ms() - when quarantine_tick() is wanted; DEADLINE_NEVER */
+/**
+ * quarantine_wake_ms() - monotonic time of the next quarantine_tick(), or
+ * DEADLINE_NEVER
+ */
 uint64_t quarantine_wake_ms(const struct quarantine *q);
 
 /**
  * quarantine_pop() - take the next event
  * @q: the quarantine
- * @out: where it goes
+ * @out: the event
  *
  * Return: false when there is none.
  */
--- a/packages/traffic/include/traffic/rate_limit.h
+++ b/packages/traffic/include/traffic/rate_limit.h
@@ -1,5 +1,5 @@
 /*
- * Limits on calls per second, for each caller and for each service: token
+ * Rate limits on calls per second, for each caller and for each service: token
  * buckets by key, in a table of bounded size.
  */
 #ifndef TRAFFIC_RATE_LIMIT_H
@@ -12,8 +12,9 @@
 struct rate_limit;
 
 /**
- * rate_limit_new() - an empty table
- * @keys_max: most keys remembered; the one idle longest goes first
+ * rate_limit_new() - create an empty table
+ * @keys_max: maximum number of keys; above it the least recently used key is
+ *	removed
  */
 struct rate_limit *rate_limit_new(size_t keys_max);
 
@@ -21,16 +22,16 @@
 void rate_limit_free(struct rate_limit *r);
 
 /**
- * rate_limit_take() - ask for one call
+ * rate_limit_take() - take a token for one call
  * @r: the table
- * @key: hash of what is limited (the caller's address or header, with the
+ * @key: hash of the limited subject (the caller's address or header, with the
  *	service)
  * @per_s: calls allowed per second; 0 means no limit
- * @burst: calls saved up at most; at least 1
+ * @burst: maximum number of saved tokens; at least 1
  * @now_ms: monotonic time
- * @retry_after_ms: when refused, the time until the next call is granted
+ * @retry_after_ms: when refused, the time until the next token is available
  *
- * Return: true when granted.
+ * Return: true when the call is allowed.
  */
 bool rate_limit_take(struct rate_limit *r, uint64_t key, uint32_t per_s,
     uint32_t burst, uint64_t now_ms, uint64_t *retry_after_ms);
--- a/packages/traffic/include/traffic/retry.h
+++ b/packages/traffic/include/traffic/retry.h
@@ -1,8 +1,10 @@
 /*
- * Retry budget of one service at one entry: a share of its calls, so that
- * retries cannot multiply the load of a service.  While hardly any call
- * succeeds only successes pay: then retries don't help, and in a chain of
- * services they would multiply from one layer to the next.
+ * Retry budget of one service at one entry: retries are limited to a share of
+ * the calls, so that they can't multiply the load of a service.
+ *
+ * While hardly any call succeeds, only successes add to the budget: retries
+ * don't help then, and in a chain of services they would multiply from layer
+ * to layer.
  */
 #ifndef TRAFFIC_RETRY_H
 #define TRAFFIC_RETRY_H
@@ -12,12 +14,13 @@
 
 /**
  * struct retry_config - retry policy of a service
- * @attempts: attempts of a call altogether, at least 1
+ * @attempts: maximum number of attempts of a call, at least 1
  * @budget_percent: retries allowed per hundred calls
- * @reserve_per_s: retries allowed per second beside the share, so that a
- *	service with little traffic may retry at all
- * @burst: most retries saved up
- * @backoff_ms: longest wait before the first retry; doubled for each next
+ * @reserve_per_s: retries allowed per second in addition, so that a service
+ *	with little traffic may retry at all
+ * @burst: maximum number of saved retries
+ * @backoff_ms: longest wait before the first retry; doubled for each further
+ *	one
  * @backoff_cap_ms: longest wait before any retry
  */
 struct retry_config {
@@ -32,14 +35,14 @@
 /**
  * struct retry_budget - token bucket
  * @cfg: the policy
- * @tokens_percent: what is saved up, in hundredths of a retry
- * @refilled_ms: up to when the reserve was paid in
- * @calls: calls of late, and @succeeded: those that were answered; both are
- *	halved each second, next at @halve_ms
- * @rerouted: calls of late that were sent elsewhere after a refusal for load,
- *and
- *	@rerouted_refused: those that were refused for load there too; halved
- *when there are many
+ * @tokens_percent: saved tokens, in hundredths of a retry
+ * @refilled_ms: monotonic time up to which the reserve was added
+ * @calls: recent calls; halved every second
+ * @succeeded: recent calls that were answered; halved every second
+ * @halve_ms: monotonic time at which both are halved next
+ * @rerouted: recent calls that were sent to another endpoint after a refusal
+ *	for load; halved when there are many
+ * @rerouted_refused: those of them that were refused for load again
  */
 struct retry_budget {
 	struct retry_config cfg;
@@ -52,49 +55,50 @@
 	uint32_t rerouted_refused;
 };
 
-/** retry_config_default() - the values that measurement argued for */
+/** retry_config_default() - fill in the default settings */
 void retry_config_default(struct retry_config *cfg);
 
-/** retry_budget_init() - a budget that holds its burst */
+/** retry_budget_init() - initialise a budget with its full burst */
 void retry_budget_init(
     struct retry_budget *b, const struct retry_config *cfg, uint64_t now_ms);
 
-/** retry_budget_configure() - new settings; what is saved up stays */
+/** retry_budget_configure() - change the settings; saved tokens are kept */
 void
 retry_budget_configure(struct retry_budget *b, const struct retry_config *cfg);
 
-/** retry_budget_call() - a call of the service has come */
+/** retry_budget_call() - record a call of the service */
 void retry_budget_call(struct retry_budget *b, uint64_t now_ms);
 
-/** retry_budget_success() - a call of the service was answered */
+/** retry_budget_success() - record that a call of the service was answered */
 void retry_budget_success(struct retry_budget *b);
 
 /**
- * retry_budget_take() - ask for one retry
+ * retry_budget_take() - take the token for one retry
  *
- * Return: true when it is granted; it is then paid for.
+ * Return: true when the retry is granted.
  */
 bool retry_budget_take(struct retry_budget *b, uint64_t now_ms);
 
 /**
- * retry_budget_record_reroute() - a call that was sent elsewhere after a
- * refusal for load
+ * retry_budget_record_reroute() - record the result of a call that was sent to
+ * another endpoint after a refusal for load
  * @b: the budget
- * @refused: it was refused for load there too
+ * @refused: the other endpoint refused the call for load too
  */
 void retry_budget_record_reroute(struct retry_budget *b, bool refused);
 
 /**
- * retry_budget_others_have_room() - whether others have room where one has none
+ * retry_budget_others_have_room() - whether other endpoints have capacity
+ * after a refusal for load
  *
- * As calls that were sent elsewhere of late have found it.  Then a refusal for
- * load costs no retry: it only spreads the load.  Where all are full another
- * try fills another queue with what comes too late.
+ * Based on the results of recently rerouted calls.  If others have capacity, a
+ * retry after a refusal for load only spreads the load and is not charged.  If
+ * all are full, another attempt only adds late requests to another queue.
  */
 bool retry_budget_others_have_room(const struct retry_budget *b);
 
 /**
- * retry_backoff_ms() - wait before a retry, with full jitter
+ * retry_backoff_ms() - wait in ms before a retry, with full jitter
  * @cfg: the policy
  * @retry: number of the retry, from 1
  * @random: a random number
--- a/packages/traffic/include/traffic/traffic_defs.h
+++ b/packages/traffic/include/traffic/traffic_defs.h
@@ -1,6 +1,6 @@
 /*
  * Types shared by the traffic decisions: request ids, outcomes, load reports
- * and the reasons of a refusal.
+ * and the reasons for a refusal.
  */
 #ifndef TRAFFIC_TRAFFIC_DEFS_H
 #define TRAFFIC_TRAFFIC_DEFS_H
@@ -11,10 +11,10 @@
 #define REQUEST_ID_BYTES 16
 
 /**
- * struct request_id - name of one attempt of one call
- * @bytes: 8 random bytes of the entry process, 6 bytes of a sequence and 2
- *	bytes of the attempt's number, so that a second attempt is a different
- *	request to the guard's fate table
+ * struct request_id - id of one attempt of one call
+ * @bytes: 8 random bytes of the entry process, 6 bytes of the call's sequence
+ *	number and 2 bytes of the attempt's number, so that a retry is a
+ *	different request in the guard's fate table
  */
 struct request_id {
 	uint8_t bytes[REQUEST_ID_BYTES];
@@ -22,9 +22,9 @@
 
 /**
  * request_id_make() - build the id of an attempt
- * @id: where the id goes
+ * @id: the resulting id
  * @entry: random number of the entry process, drawn once at its start
- * @sequence: number of the call at this entry; 48 bits are used
+ * @sequence: number of the call at this entry; the low 48 bits are used
  * @attempt: number of the attempt, from 1
  */
 void request_id_make(
@@ -34,10 +34,10 @@
 bool request_id_equal(const struct request_id *a, const struct request_id *b);
 
 /**
- * enum outcome - what a caller is told about its request
- * @OUTCOME_DONE: it ran and this is its answer
- * @OUTCOME_NOT_RUN: it certainly has not run and never will
- * @OUTCOME_UNKNOWN: it may have run
+ * enum outcome - final result that is reported to a caller
+ * @OUTCOME_DONE: the request ran; the response follows
+ * @OUTCOME_NOT_RUN: the request has not run and never will
+ * @OUTCOME_UNKNOWN: the request may have run
  */
 enum outcome {
 	OUTCOME_DONE = 0,
@@ -49,30 +49,33 @@
 const char *outcome_name(enum outcome o);
 
 /**
- * enum refusal - why a guard (or an entry) refused a request unrun
+ * enum refusal - why a guard or an entry refused a request without running it
  * @REFUSAL_NONE: not refused
- * @REFUSAL_QUEUE_FULL: no slot and the queue's share is used up
+ * @REFUSAL_QUEUE_FULL: no slot is free and the class has used up its share of
+ *	the queue
  * @REFUSAL_WAIT: the expected wait exceeds queue_wait_ms or the time left
- * @REFUSAL_EXPIRED: the deadline passed while it was queued
- * @REFUSAL_DRAINING: the endpoint is draining or left
+ * @REFUSAL_EXPIRED: the deadline passed while the request was queued
+ * @REFUSAL_DRAINING: the endpoint is draining or has left
  * @REFUSAL_STARTING: the endpoint is not ready yet
- * @REFUSAL_CALLER_LIMIT: the caller's rate is used up
- * @REFUSAL_SERVICE_LIMIT: the service's rate is used up
+ * @REFUSAL_CALLER_LIMIT: the caller's rate limit is exceeded
+ * @REFUSAL_SERVICE_LIMIT: the service's rate limit is exceeded
  * @REFUSAL_TOO_OLD: the frame is older than the fate window
- * @REFUSAL_RESOLVED: a resolve has already ruled that it will never run
- * @REFUSAL_CANCELLED: the entry cancelled it before it started
- * @REFUSAL_NOT_HOME: keyed, and this endpoint is not the key's home
- * @REFUSAL_UPSTREAM: the upstream said that it has not run it
- * @REFUSAL_NO_ENDPOINT: no usable endpoint is known, or the one that was chosen
- *	takes no connections; not a byte was sent to it
- * @REFUSAL_KEY_UNSETTLED: keyed, and an earlier request with the key may have
- *	run elsewhere
+ * @REFUSAL_RESOLVED: an earlier resolve has settled that the request never
+ *	runs
+ * @REFUSAL_CANCELLED: the entry cancelled the request before it started
+ * @REFUSAL_NOT_HOME: the request has an idempotency key and this endpoint is
+ *	not the key's home
+ * @REFUSAL_UPSTREAM: the upstream reported that it has not run the request
+ * @REFUSAL_NO_ENDPOINT: no usable endpoint is known, or the chosen one accepts
+ *	no connections; no byte was sent to it
+ * @REFUSAL_KEY_UNSETTLED: an earlier request with the same idempotency key may
+ *	have run elsewhere
  * @REFUSAL_STOPPING: the node is stopping
- * @REFUSAL_KEY_REUSED: keyed, and the key belongs to a different request
- * @REFUSAL_UNREACHABLE: no connection to the guard; not a byte was sent
+ * @REFUSAL_KEY_REUSED: the idempotency key belongs to a different request
+ * @REFUSAL_UNREACHABLE: no connection to the guard; no byte was sent
  * @REFUSAL_QUARANTINED: each upstream that ran this request has crashed
- * @REFUSAL_SUPERSEDED: it was routed by a version whose time is up, and the one
- *	in force here routes it elsewhere
+ * @REFUSAL_SUPERSEDED: the request was routed by an expired version, and the
+ *	version in force here routes it elsewhere
  */
 enum refusal {
 	REFUSAL_NONE = 0,
@@ -97,40 +100,42 @@
 	REFUSAL_SUPERSEDED,
 };
 
-/** REFUSAL_LAST - the largest refusal */
+/** REFUSAL_LAST - the largest value of enum refusal */
 #define REFUSAL_LAST REFUSAL_SUPERSEDED
 
 /** refusal_name() - short name for logs, such as "queue_full" */
 const char *refusal_name(enum refusal r);
 
 /**
- * refusal_is_final() - whether another endpoint would refuse alike
+ * refusal_is_final() - whether another endpoint would refuse the request too
  *
- * Such a request is not sent again.
+ * A call that is refused for such a reason is not retried.
  */
 bool refusal_is_final(enum refusal r);
 
 /**
- * refusal_is_free() - whether a retry after it needs no budget
+ * refusal_is_free() - whether a retry is not charged to the retry budget
  *
- * True where nothing was sent to an upstream, and where refusals stop by
- * themselves once the news has travelled.
+ * True for refusals where nothing was sent to an upstream, or which stop by
+ * themselves once the change of the endpoint's state has reached the entry.
  */
 bool refusal_is_free(enum refusal r);
 
 /**
- * refusal_settles_key() - whether it says that no request with the key ran
+ * refusal_settles_key() - whether a refusal proves that no request with the
+ * idempotency key ran
  *
  * True only for refusals that the key's home gives after it has settled that
- * no earlier request with the key ran.  After any other one an earlier request
- * may have run elsewhere, and a keyed call is told unknown.
+ * no earlier request with the key ran.  After any other refusal an earlier
+ * request may have run elsewhere, and the outcome of the call is unknown.
  */
 bool refusal_settles_key(enum refusal r);
 
 /**
- * struct load_report - load at a guard, carried by each answer and refusal
+ * struct load_report - load of an endpoint, sent by its guard with each
+ * response and refusal
  * @in_flight: requests in slots
- * @queued: requests waiting for a slot
+ * @queued: requests that wait for a slot
  * @slots: slots of the endpoint
  */
 struct load_report {
@@ -140,7 +145,7 @@
 };
 
 /**
- * endpoint_id() - number of an endpoint
+ * endpoint_id() - id of an endpoint
  * @host: host name
  * @service: service name
  *
@@ -148,7 +153,7 @@
  */
 uint64_t endpoint_id(const char *host, const char *service);
 
-/** service_id() - number of a service: a 64-bit hash of its name; never 0 */
+/** service_id() - id of a service: a 64-bit hash of its name; never 0 */
 uint64_t service_id(const char *service);
 
 #endif
--- a/packages/traffic/src/admission.c
+++ b/packages/traffic/src/admission.c
@@ -1,16 +1,17 @@
 /*
  * Slots and the queue of one endpoint.
  *
- * Requests wait by rank: by priority, and within one those that can still make
- * their target first.  Within a rank each class has its own queue: a class
- * below its share of the slots goes first; a class that uses the other's share
- * of the queue gives it back when the other needs it.
+ * Requests wait by rank: by priority, and within a priority those that can
+ * still meet their target first.  Within a rank each class has its own queue.
+ * A class below its share of the slots goes first.  A class that uses the
+ * other's share of the queue is evicted from it when the other class needs the
+ * space.
  */
 #include "base/clock.h"
 
 #include "admission_defs.h"
 
-/* So many times the queue of those in time may wait late. */
+/* Late requests may use this many additional multiples of queue_max. */
 #define LATE_QUEUE_FACTOR 3
 
 void
@@ -129,7 +130,10 @@
 	return w;
 }
 
-/* The newest of the lowest rank below @rank; NULL when there is none. */
+/*
+ * Remove the newest request of the lowest rank below @rank; NULL if there is
+ * none.
+ */
 static struct waiting *
 evict_lowest(struct admission *a, uint32_t rank)
 {
@@ -144,7 +148,10 @@
 	return NULL;
 }
 
-/* The newest of the class that uses more than its share, of the same rank. */
+/*
+ * Remove the newest request of the other class and the same rank, if that
+ * class uses more than its share.
+ */
 static struct waiting *
 evict_from_other_class(
     struct admission *a, enum admission_class class, uint32_t rank)
@@ -158,8 +165,10 @@
 	return admission_dequeue(o, rank, o->waiting[rank].tail);
 }
 
-/* Places in the queue for a rank.  Those that are late may use more of them,
- * and give them back when somebody in time wants one. */
+/*
+ * Queue limit for a rank.  Late requests may use more of the queue, and are
+ * evicted when a request in time needs the space.
+ */
 static uint32_t
 queue_max(const struct admission *a, uint32_t rank, uint64_t now_ms)
 {
@@ -170,7 +179,7 @@
 	return a->cfg.queue_max;
 }
 
-/* Puts out somebody whose place this one may have. */
+/* Make room in the queue by evicting a request that ranks lower. */
 static bool
 make_room(
     struct admission *a, const struct admission_request *req, uint64_t now_ms)
--- a/packages/traffic/src/admission_defs.h
+++ b/packages/traffic/src/admission_defs.h
@@ -1,5 +1,5 @@
 /*
- * Admission, as its own files see it.
+ * Internal definitions shared by the admission_*.c files.
  */
 #ifndef TRAFFIC_ADMISSION_DEFS_H
 #define TRAFFIC_ADMISSION_DEFS_H
@@ -11,13 +11,18 @@
 #define PERCENT 100
 #define US_PER_MS 1000
 
-/* The limit on slots is counted in this many parts of a slot. */
+/* Fixed-point unit of admission.limit: this many parts per slot. */
 #define LIMIT_UNIT 1024
 
-/* Each priority twice: in time and late. */
+/* Two ranks per priority: in time for the target, and late. */
 #define RANKS (2 * ADMISSION_PRIORITIES)
 
-/** struct waiting - a request in the queue */
+/**
+ * struct waiting - a queued request
+ * @req: the request
+ * @arrived_ms: monotonic time of its arrival
+ * @expires_ms: monotonic time at which the request is refused
+ */
 struct waiting {
 	struct admission_request req;
 	uint64_t arrived_ms;
@@ -25,13 +30,13 @@
 };
 
 /**
- * struct lane - a class: lookups or bookings
+ * struct lane - queue and statistics of one class: lookups or bookings
  * @waiting: struct waiting by rank
- * @n_waiting: their number
- * @in_slots: its requests that run
- * @mean_us: how long they run, smoothed
- * @run_us: the same by priority
- * @run_ms: when the last of a priority was timed
+ * @n_waiting: total number of queued requests
+ * @in_slots: running requests
+ * @mean_us: moving average of the run time
+ * @run_us: moving average of the run time by priority
+ * @run_ms: monotonic time of the last update of @run_us by priority
  */
 struct lane {
 	GQueue waiting[RANKS];
@@ -42,23 +47,32 @@
 	uint64_t run_ms[ADMISSION_PRIORITIES];
 };
 
-/** struct running - a request in a slot */
+/**
+ * struct running - a request in a slot
+ * @ticket: the request
+ * @started_ms: monotonic time of its start
+ */
 struct running {
 	uint64_t ticket;
 	uint64_t started_ms;
 };
 
 /**
- * struct proven - what the upstream was seen to run at a time
- * @until_ms: end of the period
- * @peak: most requests that ran, in this and the last period
+ * struct concurrency - observed concurrency of the upstream
+ * @until_ms: end of the current period
+ * @peak: highest number of running requests, in this and the last period
  */
 struct concurrency {
 	uint64_t until_ms;
 	uint32_t peak[2];
 };
 
-/** struct pressure - starts and refusals of this and the last period */
+/**
+ * struct refusal_rate - starts and refusals of this and the last period
+ * @until_ms: end of the current period
+ * @started: started requests
+ * @refused: refused requests
+ */
 struct refusal_rate {
 	uint64_t until_ms;
 	uint32_t started[2];
@@ -70,16 +84,16 @@
  * @cfg: its limits
  * @now_ms: time of the last event
  * @lanes: by class
- * @running: struct running, in the order of their starts
- * @concurrency: what the upstream takes, for judging its refusals
+ * @running: struct running, in order of start
+ * @concurrency: observed concurrency, to classify the upstream's refusals
  * @limit: slots that may be used, in parts of LIMIT_UNIT
- * @lowest_credit_us: time in a slot that the lowest rank that waits is owed
- * @refusal_rate: for the time to come back
- * @overload_since_ms: since when requests are refused without a pause
- * @overload_until_ms: end of that pause, should nobody be refused before
- * @refused: struct admission_result that are to be told
- * @next_refused: the first of them that wasn't
- * @draining: nothing new starts
+ * @lowest_credit_us: slot time that the lowest waiting rank has earned
+ * @refusal_rate: for the Retry-After of refused requests
+ * @overload_since_ms: start of the current series of refusals
+ * @overload_until_ms: end of the series if no further request is refused
+ * @refused: struct admission_result of evicted requests
+ * @next_refused: index of the first one that admission_next() has not returned
+ * @draining: no new request starts
  */
 struct admission {
 	struct admission_config cfg;
@@ -97,81 +111,96 @@
 	bool draining;
 };
 
-/** admission_slots() - slots that may be used now */
+/** admission_slots() - number of slots that may be used now */
 uint32_t admission_slots(const struct admission *a);
 
-/** admission_in_slots() - requests that run */
+/** admission_in_slots() - number of running requests */
 uint32_t admission_in_slots(const struct admission *a);
 
-/** admission_queued() - requests that wait */
+/** admission_queued() - number of queued requests */
 uint32_t admission_queued(const struct admission *a);
 
 /**
- * admission_share() - what a class of a priority keeps of a whole under
+ * admission_share() - part of @whole that a class and priority keep under
  * overload
  *
- * The shares of both classes add up to the whole.
+ * The shares of both classes add up to @whole.
  */
 uint32_t admission_share(const struct admission *a, uint32_t priority,
     enum admission_class class, uint32_t whole);
 
 /**
- * admission_run_us() - how long a request runs
+ * admission_run_us() - expected run time of a request in us
  *
- * That of its class before one of its priority has, 0 before any has.  What
- * hasn't been timed lately counts less and less: were it believed, a kind
- * that was once slow would be refused for it, and never be timed again.
+ * Returns the mean of the class until a request of the priority has run, and 0
+ * until any request of the class has.  A measurement loses weight with age:
+ * otherwise a kind of request that was slow once would be refused for that,
+ * and never be measured again.
  */
 uint64_t admission_run_us(
     const struct admission *a, uint32_t priority, enum admission_class class);
 
-/** admission_priority_of() - its priority among those that are told apart */
+/** admission_priority_of() - priority, limited to ADMISSION_PRIORITIES - 1 */
 uint32_t admission_priority_of(const struct admission_request *req);
 
 /** admission_other() - the other class */
 enum admission_class admission_other(enum admission_class class);
 
-/** admission_rank_of() - by priority, and within one late after in time */
+/**
+ * admission_rank_of() - rank by priority, and within a priority late requests
+ * after those in time
+ */
 uint32_t admission_rank_of(const struct admission *a,
     const struct admission_request *req, uint64_t now_ms);
 
-/** admission_overload_persists() - requests are refused for longer than a
- * transient overload lasts
+/**
+ * admission_overload_persists() - whether requests have been refused for
+ * longer than a transient overload lasts
  */
 bool admission_overload_persists(const struct admission *a, uint64_t now_ms);
 
-/** admission_queue_position() - requests of a queue that go before one of a
- * target */
+/**
+ * admission_queue_position() - number of queued requests that go before a
+ * request with the target @target_ms
+ */
 uint32_t admission_queue_position(const GQueue *q, uint64_t target_ms);
 
-/** admission_allowed_wait_ms() - longest wait that makes sense for a request */
+/** admission_allowed_wait_ms() - longest useful wait of a request in ms */
 uint64_t admission_allowed_wait_ms(const struct admission *a,
     const struct admission_request *req, uint64_t now_ms);
 
-/** admission_starts_in_time() - whether it is expected to, if it waits */
+/**
+ * admission_starts_in_time() - whether a queued request is expected to start
+ * in time
+ */
 bool admission_starts_in_time(const struct admission *a,
     const struct admission_request *req, uint64_t now_ms);
 
-/** admission_count_refused() - one was refused, for the time to come back */
+/** admission_count_refused() - count a refusal for the refusal rate */
 void admission_count_refused(struct admission *a, uint64_t now_ms);
 
-/** admission_count_started() - one was started, for the time to come back */
+/** admission_count_started() - count a start for the refusal rate */
 void admission_count_started(struct admission *a, uint64_t now_ms);
 
-/** admission_retry_after_ms() - in how long there is room for a request of a
- * rank */
+/**
+ * admission_retry_after_ms() - time in ms until there is room for a request of
+ * a rank
+ */
 uint64_t admission_retry_after_ms(const struct admission *a,
     const struct admission_request *req, uint32_t rank);
 
-/** admission_start() - count a request as running and say so */
+/** admission_start() - start a request and fill in the result */
 void admission_start(struct admission *a, const struct admission_request *req,
     uint64_t now_ms, struct admission_result *out);
 
-/** admission_refuse() - refuse a request, with a time to come back */
+/**
+ * admission_refuse() - refuse a request and fill in the result with a
+ * Retry-After
+ */
 void admission_refuse(struct admission *a, const struct admission_request *req,
     enum refusal refusal, uint64_t now_ms, struct admission_result *out);
 
-/** admission_dequeue() - take a request out of a lane; the caller frees it */
+/** admission_dequeue() - remove a request from a lane; the caller frees it */
 struct waiting *admission_dequeue(struct lane *l, uint32_t rank, GList *link);
 
 #endif
--- a/packages/traffic/src/admission_next.c
+++ b/packages/traffic/src/admission_next.c
@@ -1,23 +1,22 @@
 /*
- * What the slots of an endpoint are given to next, and who has waited too
- * long.
+ * Selection of the next request to start, and expiry of queued requests.
  */
 #include "base/clock.h"
 
 #include "admission_defs.h"
 
 /*
- * This share of the slots' time goes to the lowest rank that waits, so that
- * none starves.  A share of the starts would be more than that where its
- * requests are the longer ones: with every tenth start reads of 880 ms took
+ * This share of the slot time goes to the lowest waiting rank, so that no rank
+ * starves.  A share of the starts would be more than that where the lowest
+ * rank's requests are longer: with every tenth start, reads of 880 ms took
  * half of the slots from calls of 55 ms, of which a third were refused.
  */
 #define LOWEST_RANK_PERCENT 10
 
-/* The lowest rank is owed no more than so many of its requests. */
+/* Limit of the lowest rank's credit, in requests of that rank. */
 #define LOWEST_CREDIT_MAX 2
 
-/* Time of a request before one of its kind has run. */
+/* Assumed run time until a request of the kind has run. */
 #define RUN_DEFAULT_US 1000
 
 static bool
@@ -71,7 +70,7 @@
 	return false;
 }
 
-/* Whether lookups (rather than bookings) of a rank get the free slot. */
+/* Return: the class of a rank that gets the free slot. */
 static enum admission_class
 next_class(const struct admission *a, uint32_t rank)
 {
@@ -99,7 +98,7 @@
 	    0;
 }
 
-/* Time that the next request of a rank is expected to hold its slot. */
+/* Expected slot time of the next request of a rank. */
 static uint64_t
 next_run_us(const struct admission *a, uint32_t rank)
 {
@@ -107,8 +106,10 @@
 	    admission_run_us(a, rank / 2, next_class(a, rank)), RUN_DEFAULT_US);
 }
 
-/* The rank that gets the free slot: the highest, or the lowest if it is owed
- * the time. */
+/*
+ * Return: the rank that gets the free slot: the highest waiting one, or the
+ * lowest if its credit suffices.
+ */
 static uint32_t
 next_rank(const struct admission *a)
 {
@@ -121,7 +122,10 @@
 	return a->lowest_credit_us >= next_run_us(a, last) ? last : first;
 }
 
-/* Counts what a start takes from the lowest rank that waits, or gives it. */
+/*
+ * Charge a start of the lowest waiting rank to its credit, or add to the
+ * credit for a start of a higher rank.
+ */
 static void
 account_start(struct admission *a, uint32_t rank)
 {
--- a/packages/traffic/src/admission_share.c
+++ b/packages/traffic/src/admission_share.c
@@ -1,17 +1,18 @@
 /*
- * Shares of the classes: what lookups and bookings of one priority keep of
- * slots and queue while both want more than there is.
+ * Shares of the classes: the part of slots and queue that lookups and bookings
+ * of one priority keep while both want more than there is.
  */
 #include "admission_defs.h"
 
 /*
- * Where one class runs over twice as long as the other of its priority, it
- * keeps this share only.  The short ones are mostly calls that other upstreams
- * make while they run a request: 20 to 60 ms against bookings of 120 to 290,
- * and each that is refused wastes the run that made it.  A slot's time serves
- * five of them or one booking.  Of 100 requests 9.5 instead of 10.2 got nothing
- * on five days of the court registry, 4.9 instead of 5.4 on five of the
- * transfer office, two seeds each.
+ * A class whose requests run over twice as long as those of the other class of
+ * its priority keeps only this share.  The short requests are mostly nested
+ * calls that other upstreams make while they run a request: 20 to 60 ms
+ * against bookings of 120 to 290 ms, and each refusal wastes the run that made
+ * the call.  The slot time of one booking serves five of them.  With this
+ * rule, of 100 requests 9.5 instead of 10.2 were not served on five days of
+ * the court registry, and 4.9 instead of 5.4 on five days of the transfer
+ * office, two seeds each.
  */
 #define LONG_RUN_FACTOR 2
 #define LONG_RUN_PERCENT 20
@@ -21,7 +22,10 @@
 	return class == ADMISSION_LOOKUP ? ADMISSION_BOOKING : ADMISSION_LOOKUP;
 }
 
-/* Whether requests of a class run so much longer than the other's. */
+/*
+ * Whether requests of @class run more than LONG_RUN_FACTOR times as long as
+ * those of @than.
+ */
 static bool
 runs_longer(const struct admission *a, uint32_t priority,
     enum admission_class class, enum admission_class than)
@@ -43,7 +47,7 @@
 	return percent;
 }
 
-/* Both shares add up to the whole. */
+/* Both shares add up to @whole. */
 uint32_t
 admission_share(const struct admission *a, uint32_t priority,
     enum admission_class class, uint32_t whole)
--- a/packages/traffic/src/admission_slots.c
+++ b/packages/traffic/src/admission_slots.c
@@ -1,20 +1,28 @@
 /*
- * What is learned from requests in their slots: how long each kind runs, how
- * many the upstream runs at a time, and whether it refuses for load.
+ * Estimates from running requests: how long each kind runs, how many requests
+ * the upstream runs concurrently, and whether it refuses for load.
  */
 #include "admission_defs.h"
 
 #define MEAN_SHIFT 3
-/* An upstream that refused with slots free takes the next one at once: about
- * a round trip to a caller. */
+/*
+ * Retry-After when an upstream refused with slots free: it accepts the next
+ * request at once, so about one round trip to a caller.
+ */
 #define RETRY_SOON_MS 20
-/* It refuses for load only if this share of its slots was in use. */
+/* A refusal is for load only if at least this share of the slots was in use. */
 #define OVERLOAD_MIN_PERCENT 75
-/* A refusal for load comes at once: what has run for so long has a slot. */
+/*
+ * An upstream refuses for load at once: a request that has run this long was
+ * accepted.
+ */
 #define ACCEPTED_AFTER_MS 10
-/* How long it is remembered how many requests the upstream ran. */
+/* Period of the observed concurrency. */
 #define CONCURRENCY_PERIOD_MS 1000
-/* A kind's time that is so old counts half, and so on; but not for nothing. */
+/*
+ * Half-life of a measured run time, and the number of halvings after which it
+ * stays.
+ */
 #define RUN_HALF_LIFE_MS 500
 #define RUN_HALVINGS_MAX 3
 
@@ -77,7 +85,7 @@
 		g_array_remove_index(a->running, i);
 }
 
-/* Requests that the upstream evidently runs now. */
+/* Number of requests that the upstream has evidently accepted. */
 static uint32_t
 accepted_count(const struct admission *a, uint64_t now_ms)
 {
@@ -119,7 +127,7 @@
 	a->limit = MIN(a->limit, (uint64_t)a->cfg.slots * LIMIT_UNIT);
 }
 
-/* Whether the upstream refuses because of what it has to do. */
+/* Whether the upstream refuses because of its load. */
 static bool
 is_overloaded(const struct admission *a, uint32_t accepted)
 {
--- a/packages/traffic/src/admission_wait.c
+++ b/packages/traffic/src/admission_wait.c
@@ -1,33 +1,34 @@
 /*
- * What a request may expect: when it could start, whether that is in time, how
- * long it may wait, and when there is room for one that is refused.
+ * Expectations for a request: when it could start, whether that is in time,
+ * how long it may wait, and when there is room for a refused request.
  */
 #include "base/clock.h"
 
 #include "admission_defs.h"
 
 #define RETRY_AFTER_MIN_MS 50
-/* Wait that is allowed to any request, so that a short burst is smoothed. */
+/* Wait that is allowed to any request, so that short bursts are smoothed. */
 #define WAIT_MIN_MS 30
-/* Starts and refusals are counted over this time, for the time to come back. */
+/* Period over which starts and refusals are counted for the Retry-After. */
 #define REFUSAL_RATE_PERIOD_MS 1000
 
 /*
- * Who is late for its target may wait for the end of a transient overload,
- * behind all that is in time, up to its deadline: it has come back already, and
- * refused it would end unserved.  Bursts, cold starts and restarts last 2 to 5
- * s; what lasts longer is a lack of upstreams, where waiting helps nobody.
- * Five days of the robot cells with three seeds each: in 100 requests 5.2
- * instead of 5.5 were refused, on the days without a lasting lack 3.1 instead
- * of 3.5.  Where a service lost two of three upstreams for 35 s, 31.3 in 100
- * got nothing without the bound, 29.7 with it.
+ * A request that is late for its target may wait for the end of a transient
+ * overload, behind all requests in time, up to its deadline: its caller has
+ * already retried, and a refused request would end unserved.  Bursts, cold
+ * starts and restarts last 2 to 5 s; a longer overload is a lack of upstreams,
+ * where waiting doesn't help.  On five days of the robot cells with three
+ * seeds each, 5.2 instead of 5.5 of 100 requests were refused, on the days
+ * without a lasting lack 3.1 instead of 3.5.  Where a service lost two of
+ * three upstreams for 35 s, 31.3 of 100 requests were not served without this
+ * limit, 29.7 with it.
  */
 #define TRANSIENT_OVERLOAD_MS 5000
 
 /*
- * How long a request runs, by what was timed of its kind.  Nothing is held
- * against one of a kind that never was: refused for the time that others of
- * its class take, it would never be.
+ * Expected run time of a request from measurements of its own kind.  0 for a
+ * kind that was never measured: with the mean of its class such a request
+ * could be refused, and the kind would never be measured.
  */
 static uint64_t
 expected_run_ms(const struct admission *a, const struct admission_request *req)
@@ -38,7 +39,7 @@
 	    US_PER_MS;
 }
 
-/* Whether it can no longer be answered by its target. */
+/* Whether the request can no longer be answered by its target. */
 static bool
 is_late(const struct admission *a, const struct admission_request *req,
     uint64_t now_ms)
@@ -56,7 +57,7 @@
 	    (is_late(a, req, now_ms) ? 1 : 0);
 }
 
-/* Time in slots of what waits at a rank. */
+/* Total expected run time of the requests that wait at a rank. */
 static uint64_t
 queued_work_us(const struct admission *a, uint32_t rank)
 {
@@ -77,8 +78,6 @@
 	a->overload_until_ms = now_ms + REFUSAL_RATE_PERIOD_MS;
 }
 
-/* Whether requests have been refused for longer than a transient overload
- * lasts. */
 bool
 admission_overload_persists(const struct admission *a, uint64_t now_ms)
 {
@@ -102,7 +101,7 @@
 	p->until_ms = now_ms + REFUSAL_RATE_PERIOD_MS;
 }
 
-/* Slots that the class gets while the other's demand is as it is now. */
+/* Slots available to the class at the other class's present demand. */
 static uint32_t
 available_slots(
     const struct admission *a, uint32_t priority, enum admission_class class)
@@ -117,7 +116,6 @@
 	return MAX(kept, 1);
 }
 
-/* Requests of a queue that go before one with a target. */
 uint32_t
 admission_queue_position(const GQueue *q, uint64_t target_ms)
 {
@@ -149,8 +147,8 @@
 }
 
 /*
- * When there is room: once those ahead have run, and for as many more rounds
- * as others were refused for each that was started, since they return too.
+ * There is room once the requests ahead have run, plus as many rounds as
+ * requests were refused per started one, since those are retried too.
  */
 uint64_t
 admission_retry_after_ms(const struct admission *a,
@@ -166,8 +164,10 @@
 	return MAX(wait, RETRY_AFTER_MIN_MS);
 }
 
-/* Longest wait that makes sense: until the target, less the time to run; of
- * one that is late for it, until its deadline. */
+/*
+ * The longest useful wait ends at the target minus the run time, or for a
+ * request that is late for its target, at its deadline minus the run time.
+ */
 uint64_t
 admission_allowed_wait_ms(const struct admission *a,
     const struct admission_request *req, uint64_t now_ms)
--- a/packages/traffic/src/behind.c
+++ b/packages/traffic/src/behind.c
@@ -1,5 +1,5 @@
 /*
- * What is in force against what is known of.
+ * Compares the version in force with the newest known version.
  */
 #include "traffic/behind.h"
 
@@ -30,7 +30,10 @@
 	b->since_ms = now_ms;
 }
 
-/* A still newer version doesn't bring the awaited ones any sooner. */
+/*
+ * An even newer version doesn't reset the time: the awaited versions come into
+ * force no sooner because of it.
+ */
 void
 behind_known(struct behind *b, uint64_t version, uint64_t now_ms)
 {
@@ -47,7 +50,10 @@
 	return is_behind(b) ? clock_left_ms(now_ms, b->since_ms) : 0;
 }
 
-/* Callers come back twice: at half of their time, and at half of the rest. */
+/*
+ * A caller retries twice: after half of its remaining time, and after half of
+ * the rest.
+ */
 static uint64_t
 cap_to_deadline(uint64_t retry_ms, uint64_t now_ms, uint64_t deadline_ms)
 {
--- a/packages/traffic/src/body_window.c
+++ b/packages/traffic/src/body_window.c
@@ -1,10 +1,13 @@
 /*
- * One window for the bodies of all requests to a host, in turns.
+ * One flow-control window for the bodies of all requests to a host, granted in
+ * turns.
  */
 #include "traffic/body_window.h"
 
-/* What a body gets in its turn: half a frame of the call protocol, 26 ms on a
- * link of 5 Mbit/s. */
+/*
+ * Size of one grant: half a frame of the call protocol, 26 ms on a link of 5
+ * Mbit/s.
+ */
 #define TURN_BYTES 16384
 
 void
--- a/packages/traffic/src/call.c
+++ b/packages/traffic/src/call.c
@@ -1,9 +1,10 @@
 /*
- * The state machine of one call.
+ * State machine of one call.
  *
- * unsure says that an earlier attempt may have run; a call that is unsure is
- * never told not_run, whatever became of its last attempt.  A keyed call is
- * told not_run only when the key's home says that nothing ran with the key.
+ * may_have_run is set when an earlier attempt may have run.  Such a call is
+ * never reported as not_run, whatever the result of its last attempt.  A call
+ * with an idempotency key is reported as not_run only when the key's home
+ * confirms that no request with the key ran.
  */
 #include "traffic/call.h"
 
@@ -13,24 +14,29 @@
 #include "base/hash.h"
 
 #define NAIVE_ATTEMPTS 4
-/* Attempts that reached no upstream don't count, up to so many: of an entry's
- * endpoints several may have gone at once, a rack or a service's release. */
+/*
+ * Attempts that reached no upstream are not counted, up to this number:
+ * several of an entry's endpoints may disappear at once, such as a rack or a
+ * release of a service.
+ */
 #define FREE_ATTEMPTS_MAX 3
-/* Wait between two tries to reach a guard for a resolve, doubled from one to
- * the next.  At 20 ms each the calls that a cut data centre lost made 7,000
- * tries a second on 65 hosts with a tenth of a core. */
+/*
+ * Wait between two attempts to reach a guard for a resolve, doubled each time.
+ * With a constant 20 ms, the calls that were lost to a partitioned data centre
+ * made 7,000 attempts a second on 65 hosts with a tenth of a core.
+ */
 #define RESOLVE_BACKOFF_MS 20
 #define RESOLVE_BACKOFF_SHIFT_MAX 4
-/* When nothing better is known, when a caller should come back. */
+/* Default Retry-After. */
 #define RETRY_AFTER_MS 1000
 
 /*
- * A caller that comes back too late for its target has nothing to lose by
- * waiting longer, and rather finds the overload over.  It is asked for a third
- * of the time that it has left, which leaves it the time to come back once
- * more. Bursts, cold starts and lost hosts last 2 to 8 s, callers wait 1.5 to 3
- * s and come back twice: with the time until one slot is free, 0.1 to 0.3 s,
- * both returns fall into the same overload.
+ * A caller whose retry would miss its target loses nothing by waiting longer,
+ * and is more likely to find the overload over.  Its Retry-After is a third of
+ * the time that it has left, which leaves time for one more retry.  Bursts,
+ * cold starts and lost hosts last 2 to 8 s, and callers wait 1.5 to 3 s and
+ * retry twice: with a Retry-After until the next free slot, 0.1 to 0.3 s, both
+ * retries fall into the same overload.
  */
 #define LATE_RETRY_DIVISOR 3
 
@@ -142,7 +148,7 @@
 	finish(c);
 }
 
-/* The deadline has passed and nobody knows whether the attempt started. */
+/* The deadline has passed, and whether the attempt started is unknown. */
 static void
 give_up_unknown(struct call *c)
 {
@@ -215,7 +221,7 @@
 	return refusal == REFUSAL_WAIT || refusal == REFUSAL_QUEUE_FULL;
 }
 
-/* When the caller should come back; @after_ms is when there is a slot. */
+/* Retry-After of the caller; @after_ms is the time until a slot is free. */
 static uint64_t
 caller_retry_after_ms(const struct call *c, enum refusal refusal,
     uint64_t after_ms, uint64_t now_ms)
@@ -230,7 +236,7 @@
 	return MAX(after_ms, left_ms / LATE_RETRY_DIVISOR);
 }
 
-/* What became of an attempt that followed a refusal for load. */
+/* Record the result of an attempt that followed a refusal for load. */
 static void
 record_reroute(struct call *c, bool refused)
 {
@@ -239,7 +245,7 @@
 	c->rerouted = false;
 }
 
-/* The last attempt has certainly not run. */
+/* The last attempt has certainly not run: retry or give up. */
 static void
 attempt_not_run(struct call *c, enum refusal refusal, uint64_t retry_after_ms,
     uint64_t now_ms)
@@ -258,7 +264,10 @@
 	    caller_retry_after_ms(c, refusal, retry_after_ms, now_ms));
 }
 
-/* Nobody will say whether the last attempt ran. */
+/*
+ * Whether the last attempt ran can't be determined: retry if idempotent, else
+ * give up.
+ */
 static void
 attempt_unknown(struct call *c, uint64_t now_ms)
 {
@@ -275,7 +284,7 @@
 	return c->state != STATE_OVER && stream == c->stream;
 }
 
-/* An attempt or a resolve is out and its stream may speak. */
+/* Whether an attempt or a resolve is in flight on @stream. */
 static bool
 expects_reply(const struct call *c, uint32_t stream)
 {
@@ -491,7 +500,7 @@
 	finish(c);
 }
 
-/* The deadline: what has started is not awaited for longer than the grace. */
+/* Handle the deadline: a started attempt is awaited for the grace time only. */
 static void
 pass_deadline(struct call *c, uint64_t now_ms)
 {
--- a/packages/traffic/src/canary.c
+++ b/packages/traffic/src/canary.c
@@ -1,5 +1,5 @@
 /*
- * Which calls go to a version that is tried.
+ * Selection of the calls that go to a version on trial.
  */
 #include "traffic/canary.h"
 
--- a/packages/traffic/src/centres.c
+++ b/packages/traffic/src/centres.c
@@ -1,16 +1,16 @@
 /*
- * Which other data centres an entry takes for cut off: see centres.h.
+ * Detection of partitioned data centres: see centres.h.
  */
 #include "centres.h"
 
-/* Hosts that fall silent within this time have the cause in common. */
+/* Hosts that fall silent within this time have a common cause. */
 #define CORRELATION_MS 2000
 
 /*
- * One call that may run twice is led there each time, so that a data centre of
- * which two hosts happened to end together is back with the first answer.
- * Silent hosts are dialled again meanwhile, each 1.6 s at the latest, and one
- * that answers ends it as well.
+ * Interval of the idempotent calls that probe a partitioned data centre, so
+ * that a data centre in which two hosts happened to end together is used again
+ * with the first response.  Silent hosts are redialled meanwhile, at least
+ * every 1.6 s, and a host that answers ends the partition as well.
  */
 #define PROBE_INTERVAL_MS 2000
 
--- a/packages/traffic/src/clean_runs.c
+++ b/packages/traffic/src/clean_runs.c
@@ -1,5 +1,5 @@
 /*
- * Requests that were answered lately.
+ * Recently answered requests.
  */
 #include "traffic/clean_runs.h"
 
@@ -49,7 +49,7 @@
 	c->rotated_ms = now_ms;
 }
 
-/* Lets sets that are too old go. */
+/* Drop sets that are too old. */
 static void
 drop_old_sets(struct clean_runs *c, uint64_t now_ms)
 {
--- a/packages/traffic/src/drain.c
+++ b/packages/traffic/src/drain.c
@@ -1,8 +1,8 @@
 /*
  * Graceful stop: SERVING -> NOTICE -> REFUSING -> EMPTY or OVERDUE.
  *
- * The notice lasts its full time also when nothing is in flight, so that
- * callers and peers learn of it before calls are refused.
+ * The notice lasts its full time even when nothing is in flight, so that
+ * callers and peers are notified before calls are refused.
  */
 #include "traffic/drain.h"
 
@@ -19,7 +19,7 @@
 	return (size_t)s < G_N_ELEMENTS(names) ? names[s] : "?";
 }
 
-/* Eighths of a stop in which new work is given to the upstream. */
+/* Eighths of a stop during which the upstream receives new requests. */
 #define ACCEPT_EIGHTHS 3
 
 uint64_t
@@ -30,8 +30,10 @@
 	return now_ms + MIN(notice_ms, share_ms);
 }
 
-/* Time that a process needs for its end, also on a slow host, and the share of
- * a short grace time that it gets at most. */
+/*
+ * Time that a process needs to exit, also on a slow host, and the divisor that
+ * limits it to a share of a short grace time.
+ */
 #define EXIT_MS 500
 #define EXIT_DIVISOR 8
 
@@ -59,11 +61,11 @@
 	d->stop_ms = stop_ms;
 }
 
-/* For the answer to get from the upstream to the entry. */
+/* Time for the response to travel from the upstream to the entry. */
 #define ANSWER_TRANSFER_MS 200
-/* The longest runs take several times the mean of their kind. */
+/* The longest run times are several times the mean of their kind. */
 #define RUN_MEAN_FACTOR 8
-/* Taken for the mean while none of its kind has ended here. */
+/* Assumed mean run time until a request of the kind has ended here. */
 #define RUN_DEFAULT_MS 100
 
 bool
--- a/packages/traffic/src/ejection.c
+++ b/packages/traffic/src/ejection.c
@@ -1,9 +1,10 @@
 /*
  * Outlier ejection.
  *
- * usable -> out, when results are bad and the floor allows; out -> probing,
- * when its time is over and a request tries it; probing -> usable when that
- * one is answered in time, else out again for longer.
+ * usable -> ejected, when results are bad and the limit on ejections allows
+ * it; ejected -> probing, when the ejection is over and a request is sent as a
+ * probe; probing -> usable when the probe is answered in time, else ejected
+ * again for longer.
  */
 #include "traffic/ejection.h"
 
@@ -13,12 +14,12 @@
 #include "endpoints_defs.h"
 
 #define PERCENT 100
-/* Counts of recent results are halved this often. */
+/* Interval at which the counts of recent results are halved. */
 #define DECAY_MS 2000
 #define DECAYS_MAX 31
-/* A moving average over about this many times. */
+/* A new time has a weight of 1/2^AVERAGE_SHIFT in the moving average. */
 #define AVERAGE_SHIFT 4
-/* Slowness is judged at every so many results. */
+/* Number of results between two checks for slowness. */
 #define SLOW_CHECK_INTERVAL 16
 #define DOUBLINGS_MAX 16
 
@@ -139,7 +140,10 @@
 	return (x > y) - (x < y);
 }
 
-/* Median of the siblings' times; 0 when there is none to compare with. */
+/*
+ * Median time of the service's other endpoints; 0 when none has enough
+ * results.
+ */
 static uint64_t
 siblings_median(struct ejection *j, const struct endpoint *ep)
 {
@@ -214,7 +218,10 @@
 		eject(j, ep, now_ms);
 }
 
-/* Only the probe counts; results of requests sent before say nothing new. */
+/*
+ * Only the probe is evaluated: requests sent before the ejection carry no new
+ * information.
+ */
 static void
 record_probe(struct ejection *j, struct endpoint *ep, bool good,
     uint64_t took_us, uint64_t now_ms)
@@ -264,7 +271,10 @@
 
 	if (r->until_ms == 0)
 		return EJECTION_USABLE;
-	/* A booking tries only what no lookup has tried for long. */
+	/*
+	 * A non-idempotent request probes an endpoint only if no idempotent
+	 * request has done so for base_ms.
+	 */
 	probe_ms = r->until_ms + (idempotent ? 0 : j->cfg.base_ms);
 	if (now_ms < probe_ms || r->probing)
 		return EJECTION_EJECTED;
--- a/packages/traffic/src/endpoints.c
+++ b/packages/traffic/src/endpoints.c
@@ -9,17 +9,18 @@
 #include "endpoints_defs.h"
 
 #define PERCENT 100
-/* A new entry has heard of all endpoints after this time. */
+/* A new entry has received the state of all endpoints after this time. */
 #define DISCOVERY_MS 1000
-/* One that may be cold starts with this share of its slots. */
+/* Share of its slots with which an endpoint starts that may be cold. */
 #define COLD_START_PERCENT 10
-/* One that says how long it is slow, with this one: upstreams of the users'
- * platform take twice as long meanwhile. */
+/*
+ * Share of its slots with which an endpoint starts that has announced how long
+ * it is cold: upstreams of the users' platform take twice as long while cold.
+ */
 #define COLD_ANNOUNCED_PERCENT 50
-/* Each report counts so much in the mean load, so that it is over the last ten
- * or so. */
+/* Weight of one report in the mean load, which averages about the last ten. */
 #define MEAN_WEIGHT 0.1
-/* The mean load counts half after this time without a report. */
+/* Half-life of the mean load without a report. */
 #define MEAN_HALF_LIFE_MS 2000
 
 void
@@ -121,7 +122,7 @@
 	    ep, now_ms, now_ms + e->cfg.slow_start_ms, COLD_START_PERCENT);
 }
 
-/* It has just become ready. */
+/* Set the slow start of an endpoint that has just become ready. */
 static void
 begin_slow_start(
     const struct endpoints *e, struct endpoint *ep, bool warm, uint64_t now_ms)
@@ -135,7 +136,10 @@
 		    COLD_ANNOUNCED_PERCENT);
 }
 
-/* warm: this entry is new to the service, so it can't tell who is cold. */
+/*
+ * @warm: this entry is new to the service and can't tell which endpoints are
+ *	cold.
+ */
 static void
 update(const struct endpoints *e, struct endpoint *ep,
     const struct endpoint_info *info, bool warm, uint64_t now_ms)
@@ -154,7 +158,10 @@
 	ep->info.slots = MAX(info->slots, 1);
 	if (!becomes_ready)
 		return;
-	/* News of it being ready is later than the refusal that left it out. */
+	/*
+	 * The ready state is newer than the refusal that excluded the
+	 * endpoint.
+	 */
 	ep->excluded_until_ms = 0;
 	begin_slow_start(e, ep, warm, now_ms);
 }
@@ -240,7 +247,7 @@
 		ep->in_flight++;
 }
 
-/* Whether a result shows that something came from the endpoint's host. */
+/* Whether a result proves that something arrived from the endpoint's host. */
 static bool
 proves_reachable(enum endpoint_result result)
 {
@@ -372,7 +379,7 @@
 	return ep != NULL ? ep->in_flight : 0;
 }
 
-/* What is left of a value that counts half after each half-life. */
+/* Value after exponential decay with the given half-life. */
 static double
 decayed(double value, uint64_t since_ms, uint64_t now_ms, uint32_t half_life_ms)
 {
@@ -405,7 +412,7 @@
 	    now_ms, e->cfg.delay_half_life_ms);
 }
 
-/* What others put on an endpoint of which nothing is known lately. */
+/* Expected load by other entries on an endpoint without a recent report. */
 static double
 mean_milli(const struct endpoint *ep, uint64_t now_ms)
 {
--- a/packages/traffic/src/endpoints_defs.h
+++ b/packages/traffic/src/endpoints_defs.h
@@ -8,20 +8,20 @@
 
 #include "traffic/ejection.h"
 
-/* Loads and slots are counted in thousandths of a request. */
+/* Loads and slots are in thousandths of a request. */
 #define MILLI 1000
 
 /**
- * struct ejection_record - results of one endpoint, for the ejection
- * @consecutive: failures without a success between
+ * struct ejection_record - results of one endpoint for outlier ejection
+ * @consecutive: failures since the last success
  * @successes: recent successes, decaying
  * @failures: recent failures, decaying
- * @halved_ms: when the counts were last halved
- * @took_us: moving average of the time to the answer's head
+ * @halved_ms: monotonic time at which the counts were last halved
+ * @took_us: moving average of the time to the response head
  * @samples: number of times in the average
- * @ejections: ejections that followed each other, for the growing time
- * @until_ms: end of the ejection; 0 when it is not ejected
- * @probing: a probe is under way
+ * @ejections: number of successive ejections, for the growing duration
+ * @until_ms: end of the ejection; 0 when not ejected
+ * @probing: a probe is in flight
  */
 struct ejection_record {
 	uint32_t consecutive;
@@ -36,9 +36,9 @@
 };
 
 /**
- * struct mean_load - load that others put on endpoints, on average
- * @per_slot: of one slot, by the last reports of all of them
- * @reported_ms: when the last one came
+ * struct mean_load - mean load by other entries on a group of endpoints
+ * @per_slot: load per slot, averaged over the last reports of all of them
+ * @reported_ms: monotonic time of the last report
  */
 struct mean_load {
 	double per_slot;
@@ -46,14 +46,14 @@
 };
 
 /**
- * struct service - one service and its endpoints
+ * struct service - a service and its endpoints
  * @id: see service_id()
- * @generation: snapshot it was told from
- * @since_ms: when it was first told
+ * @generation: snapshot from which the service was last set
+ * @since_ms: monotonic time at which the service was first set
  * @listed: struct endpoint of all endpoints in the snapshot
- * @ejected: how many of them are ejected
- * @local_mean: mean load of those of the own data centre
- * @remote_mean: mean load of the others
+ * @ejected: number of ejected endpoints
+ * @local_mean: mean load of the endpoints in the own data centre
+ * @remote_mean: mean load of the other endpoints
  */
 struct service {
 	uint64_t id;
@@ -66,21 +66,21 @@
 };
 
 /**
- * struct endpoint - what is known of one endpoint
+ * struct endpoint - state of one endpoint
  * @info: from the snapshot
- * @service: its service; NULL once no snapshot lists it
- * @in_flight: own requests
- * @others_milli: load that others put on it, by its last report
- * @reported_ms: when the report came
- * @delay_us: time on the way to it and in its queue, averaged
- * @delay_updated_ms: when that was averaged
- * @warm_from_ms: start of the slow start; 0 when it was always warm
+ * @service: its service; NULL once no snapshot lists the endpoint
+ * @in_flight: number of own requests in flight
+ * @others_milli: load by other entries, from the endpoint's last report
+ * @reported_ms: monotonic time of the last report
+ * @delay_us: moving average of the time on the network and in the queue
+ * @delay_updated_ms: monotonic time of the last update of @delay_us
+ * @warm_from_ms: start of the slow start; 0 when the endpoint was always warm
  * @warm_until_ms: end of the slow start
  * @warm_percent: share of its slots with which the slow start begins
- * @excluded_until_ms: it refused as draining, or took no connection; left out
- *	until then
- * @silent: nothing is heard from its host
- * @results: for the ejection
+ * @excluded_until_ms: excluded until then, after a refusal as draining or a
+ *	refused connection
+ * @silent: nothing arrives from its host
+ * @results: for outlier ejection
  */
 struct endpoint {
 	struct endpoint_info info;
@@ -104,7 +104,7 @@
  * @services: service id -> struct service
  * @endpoints: endpoint id -> struct endpoint
  * @centres: data centre -> struct centre, see centres.h
- * @ejection: told of results; NULL for none
+ * @ejection: receives the results; NULL for none
  */
 struct endpoints {
 	struct endpoints_config cfg;
@@ -120,43 +120,57 @@
 /** endpoints_service() - record of a service, or NULL */
 struct service *endpoints_service(const struct endpoints *e, uint64_t id);
 
-/** endpoints_is_partitioned() - whether its data centre is taken for cut off */
+/**
+ * endpoints_is_partitioned() - whether the endpoint's data centre is
+ * considered partitioned
+ */
 bool
 endpoints_is_partitioned(const struct endpoints *e, const struct endpoint *ep);
 
-/** endpoints_begin_slow_start() - it may be cold, and doesn't say for how long
- */
+/** endpoints_begin_slow_start() - begin a slow start of the default duration */
 void endpoints_begin_slow_start(
     const struct endpoints *e, struct endpoint *ep, uint64_t now_ms);
 
-/** endpoints_load_milli() - estimated load of an endpoint */
+/**
+ * endpoints_load_milli() - estimated load of an endpoint; an old report decays
+ * to an idle endpoint
+ */
 uint64_t endpoints_load_milli(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms);
 
-/** endpoints_expected_milli() - the same, old reports taken for the mean */
+/**
+ * endpoints_expected_milli() - estimated load of an endpoint; an old report
+ * decays to the mean load of its group
+ */
 uint64_t endpoints_expected_milli(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms);
 
-/** endpoints_delay_us() - expected time on the way to an endpoint */
+/** endpoints_delay_us() - expected time on the network and in the queue */
 uint64_t endpoints_delay_us(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms);
 
-/** endpoints_slots_milli() - slots, fewer during slow start */
+/** endpoints_slots_milli() - slots of an endpoint, reduced during slow start */
 uint64_t endpoints_slots_milli(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms);
 
-/** ejection_add_result() - a result came in */
+/** ejection_add_result() - record the result of a request */
 void ejection_add_result(struct ejection *j, struct endpoint *ep,
     enum endpoint_result result, uint64_t took_us, uint64_t now_ms);
 
-/** ejection_verdict_for() - verdict on an endpoint for a kind of request */
+/**
+ * ejection_verdict_for() - verdict on an endpoint for an idempotent request or
+ * another one
+ */
 enum ejection_verdict ejection_verdict_for(const struct ejection *j,
     const struct endpoint *ep, bool idempotent, uint64_t now_ms);
 
-/** ejection_begin_probe() - a request is sent to try the endpoint again */
+/** ejection_begin_probe() - record that a request is sent as a probe */
 void ejection_begin_probe(struct ejection *j, struct endpoint *ep);
 
-/** ejection_reset() - the endpoint was replaced or is listed no more */
+/**
+ * ejection_reset() - drop the results of an endpoint that was replaced or is
+ * no longer listed
+ */
 void ejection_reset(struct endpoint *ep);
 
 #endif
--- a/packages/traffic/src/fate.c
+++ b/packages/traffic/src/fate.c
@@ -1,11 +1,12 @@
 /*
  * The table of fates.
  *
- * A record is active (queued or running) or settled.  Settled records stand
- * in a queue in the order in which they were settled and go after the window.
- * A request is taken only if it was sent within the window and after
- * oldest_accepted_ms, and a record goes only when every frame of its request
- * counts as too old by then: so what is not in the table has not run.
+ * A record is active (queued or running) or settled.  Settled records are in a
+ * queue in the order in which they were settled, and are removed after the
+ * window.  A request is accepted only if it was sent within the window and
+ * after oldest_accepted_ms, and a record is removed only when every frame of
+ * its request counts as too old.  A request without a record has therefore not
+ * run.
  */
 #include "traffic/fate.h"
 
@@ -14,9 +15,14 @@
 #include "base/hash.h"
 
 #define ID_SEED 3
-/* Kept this much longer than the window: clocks drift between two echoes. */
+/*
+ * Records are kept this much longer than the window, since clocks drift
+ * between two echoes.
+ */
 #define CLOCK_DRIFT_MARGIN_MS 1000
-/* More connections than this never wait for one answer. */
+/*
+ * Limit on the connections that wait for one response; the oldest is dropped.
+ */
 #define WAITERS_MAX 8
 
 struct record {
@@ -128,7 +134,7 @@
 	g_hash_table_remove(t->records, &r->id);
 }
 
-/* Whether a request that was sent at sent_ms may have been forgotten. */
+/* Whether the record of a request sent at @sent_ms may have been removed. */
 static bool
 is_too_old(const struct fate_table *t, uint64_t sent_ms, uint64_t now_ms)
 {
@@ -380,7 +386,7 @@
 }
 
 /*
- * Somebody else also wants the first one's answer, so that a follower can't
+ * The first request's own waiters need its response too, so a follower can't
  * cancel it.
  */
 static void
--- a/packages/traffic/src/fingerprint.c
+++ b/packages/traffic/src/fingerprint.c
@@ -15,21 +15,21 @@
 #define HEX 16
 #define HEX_DIGITS 16
 
-/* The zero at its end keeps a part apart from the next one. */
+/* Includes the terminating NUL, which separates a part from the next one. */
 static void
 add_text(GByteArray *all, const char *text)
 {
 	g_byte_array_append(all, (const guint8 *)text, (guint)strlen(text) + 1);
 }
 
-/* A number names the node that was called, not what is asked of it. */
+/* An address identifies the node that was called, not the request. */
 static bool
 is_number(const char *host)
 {
 	return strspn(host, "0123456789.:[]") == strlen(host);
 }
 
-/* Names are alike in any case and at any port. */
+/* Host names are compared without case and port. */
 static void
 add_host(GByteArray *all, const char *host)
 {
@@ -44,7 +44,7 @@
 	g_free(name);
 }
 
-/* 0 has a meaning of its own. */
+/* 0 is reserved for "none" and "any". */
 static uint64_t
 nonzero(uint64_t hash)
 {
--- a/packages/traffic/src/frame_age.c
+++ b/packages/traffic/src/frame_age.c
@@ -1,5 +1,5 @@
 /*
- * Age of a frame at its receiver; see the header for why it never is too
+ * Age of a frame at its receiver; the header explains why the age is never too
  * small.
  */
 #include "traffic/frame_age.h"
--- a/packages/traffic/src/key_views.c
+++ b/packages/traffic/src/key_views.c
@@ -1,5 +1,5 @@
 /*
- * The history of views of a service's endpoints.
+ * History of a node's views of the endpoints of a service.
  */
 #include "key_views.h"
 
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -1,11 +1,12 @@
 /*
  * Idempotency keys of one service at one endpoint.
  *
- * A key is settling (earlier homes are being asked, or a claim is being
- * made), held (by a request that is to run), spent (that one has ended), barred
- * (given to another endpoint) or, when it is not in the table, not known.  What
- * is not known may run only if every process that was the key's home within the
- * window says that it never ran there.
+ * States of a key: settling (earlier homes are being queried, or a claim is in
+ * progress), active (owned by a request that is to run), finished (that
+ * request has ended), handed over (to another endpoint), or unknown when the
+ * key is not in the table.  A request with an unknown key may run only if
+ * every process that was the key's home within the window replies that no
+ * request with the key ran there.
  */
 #include "traffic/keyed.h"
 
@@ -32,7 +33,7 @@
 	struct request_id first;
 	uint64_t body;
 	uint64_t changed_ms;
-	/* The endpoint that it was given to, and when. */
+	/* Endpoint to which the key was handed over, and the time. */
 	uint64_t handed_to;
 	uint64_t handed_ms;
 	GArray *released_by;
@@ -44,7 +45,7 @@
 	uint64_t self;
 	uint64_t created_ms;
 	GHashTable *entries;
-	/* Spent and barred ones, which expire. */
+	/* Finished and handed-over keys in order of expiry. */
 	GQueue by_expiry;
 	struct key_views views;
 };
@@ -91,7 +92,10 @@
 	g_free(e);
 }
 
-/* Another node may have been home by a view that this one had dropped. */
+/*
+ * Retention of views and keys: the window, plus the time in which another node
+ * may still have been the home by a view that this node had dropped.
+ */
 static uint64_t
 retention_ms(const struct keyed *k)
 {
@@ -156,7 +160,7 @@
 	return false;
 }
 
-/* An earlier home that has not given its word; 0 when all have. */
+/* The next earlier home that has not released the key; 0 when all have. */
 static uint64_t
 next_home_to_ask(const struct keyed *k, const struct entry *e, uint64_t now_ms)
 {
@@ -220,7 +224,10 @@
 	g_hash_table_remove(k->entries, &e->key);
 }
 
-/* What was barred stays barred; else the next request asks anew. */
+/*
+ * A key that was handed over stays so; any other key is removed, so that the
+ * next request queries again.
+ */
 static void
 reject_unsettled(struct keyed *k, struct entry *e, uint64_t now_ms,
     struct keyed_decision *out)
@@ -304,7 +311,7 @@
 	ask_next_home(k, e, now_ms, out);
 }
 
-/* The settling entry that the answer belongs to, or NULL if it is gone. */
+/* The settling entry to which the reply belongs, or NULL if it is gone. */
 static struct entry *
 find_settling(struct keyed *k, const struct key_id *key,
     const struct request_id *id, struct keyed_decision *out)
@@ -383,7 +390,10 @@
 	schedule_expiry(k, e, now_ms);
 }
 
-/* The process that asks again; not one that has taken its place since. */
+/*
+ * Whether the same process repeats its query, and not a later process of that
+ * endpoint.
+ */
 static bool
 is_handed_to(
     const struct entry *e, uint64_t to, uint64_t to_age_ms, uint64_t now_ms)
@@ -416,7 +426,10 @@
 	return KEYED_WORD_FREE;
 }
 
-/* A bar outlives the key at the endpoint that it was given for. */
+/*
+ * A handed-over key is kept longer than the key at the endpoint that received
+ * it.
+ */
 static uint64_t
 lifetime_ms(const struct keyed *k, const struct entry *e)
 {
--- a/packages/traffic/src/patience.c
+++ b/packages/traffic/src/patience.c
@@ -1,17 +1,17 @@
 /*
- * The longest time that a caller of each route had left.
+ * Longest remaining time of any caller, by route.
  */
 #include "traffic/patience.h"
 
 #include <glib.h>
 
-/* Routes remembered, some 50 bytes each; beyond, all are forgotten. */
+/* Maximum number of routes, some 50 bytes each; above it all are dropped. */
 #define ROUTES_MAX 65536
 
 /**
- * struct longest - what is known of a route
- * @route: its number
- * @ms: the longest time that a caller had left
+ * struct longest - record of a route
+ * @route: number of the route
+ * @ms: longest remaining time of any caller
  */
 struct longest {
 	uint64_t route;
@@ -20,7 +20,7 @@
 
 /**
  * struct patience - see traffic/patience.h
- * @routes: route to struct longest
+ * @routes: route -> struct longest
  */
 struct patience {
 	GHashTable *routes;
--- a/packages/traffic/src/placement.c
+++ b/packages/traffic/src/placement.c
@@ -1,5 +1,6 @@
 /*
- * Power of two choices, own data centre first; and the naive version.
+ * Power of two choices with preference for the own data centre, and the naive
+ * policy.
  */
 #include "traffic/placement.h"
 
@@ -9,25 +10,33 @@
 
 #define PERCENT 100
 
-/* Answers after which times are compared.  More would be known better and too
- * late: of hundreds of endpoints each answers an entry once in seconds. */
+/*
+ * Number of responses after which times are compared.  A larger number would
+ * be more accurate but too late: of hundreds of endpoints, each responds to an
+ * entry once in some seconds.
+ */
 #define TIMES_MIN 3
 
-/* Work of a request before any was timed: only the order counts then, and a
- * slow way should weigh as it does for short work. */
+/*
+ * Assumed run time until a response was timed.  Only the order of the
+ * endpoints depends on it, and a slow path should weigh as much as it does for
+ * short requests.
+ */
 #define WORK_DEFAULT_US 50000
 
-/* The own data centre is left for another one that answers so many times
- * sooner, as when links of the own one are full. */
+/*
+ * Another data centre is preferred if it responds this many times sooner, such
+ * as when links of the own data centre are full.
+ */
 #define SPILL_FACTOR 2
 
 /*
- * A full endpoint of the own data centre is waited for while its queue is
- * shorter than this share of its slots: less than half a request's time,
- * against a way to another data centre and its bytes.  With 140 instead of 100
- * a sixth fewer bytes went between data centres on five days of the robot
- * cells, with three seeds each, and no fewer requests were served; 200 spares
- * no more.
+ * A full endpoint of the own data centre is used while its queue is shorter
+ * than this share of its slots minus 100 %: a wait of less than half a
+ * request's time, compared with the path and the bytes to another data centre.
+ * With 140 instead of 100, a sixth fewer bytes were sent between data centres
+ * on five days of the robot cells with three seeds each, and no fewer requests
+ * were served; 200 saves no more.
  */
 #define SATURATION_PERCENT 140
 
@@ -123,7 +132,7 @@
 	    now_ms >= ep->excluded_until_ms;
 }
 
-/* Whether it is of the current version and takes requests. */
+/* Whether the endpoint runs the current version and accepts requests. */
 static bool
 is_candidate(const struct endpoint *ep, uint64_t now_ms)
 {
@@ -151,7 +160,7 @@
 	return ejection_verdict_for(p->ejection, ep, q->idempotent, now_ms);
 }
 
-/* Whether a call is to try its data centre, from which nothing was heard. */
+/* Whether the call should probe the endpoint's partitioned data centre. */
 static bool
 is_partition_probe_due(const struct placement *p,
     const struct placement_query *q, const struct endpoint *ep, uint64_t now_ms)
@@ -160,7 +169,7 @@
 	    centres_probe_due(p->endpoints->centres, ep->info.centre, now_ms);
 }
 
-/* Whether an endpoint that is not usable now may be tried. */
+/* Whether an endpoint that is not usable now should be probed. */
 static bool
 is_probe_due(const struct placement *p, const struct placement_query *q,
     const struct endpoint *ep, enum ejection_verdict v, uint64_t now_ms)
@@ -174,10 +183,10 @@
 }
 
 /*
- * Sort the service's endpoints into local and remote usable ones and spare
- * ones (ejected, not heard from, tried already or a last choice).
+ * Sort the service's endpoints into local and remote usable ones and fallbacks
+ * (ejected, silent, already tried, or to be avoided).
  *
- * Return: one that is due for a probe, or NULL.
+ * Return: an endpoint that is due for a probe, or NULL.
  */
 static struct endpoint *
 classify(struct placement *p, const struct placement_query *q,
@@ -209,7 +218,7 @@
 	return due;
 }
 
-/* A probe of the endpoint, or of the way to its data centre. */
+/* Record a probe of the endpoint, or of its partitioned data centre. */
 static void
 record_probe(struct placement *p, struct endpoint *ep, uint64_t now_ms)
 {
@@ -229,7 +238,7 @@
 	return g_ptr_array_index(from, (guint)i);
 }
 
-/* Time that a request takes at an endpoint, as far as it is known. */
+/* Mean time of a request at an endpoint, 0 if unknown. */
 static uint64_t
 mean_time_us(const struct endpoint *ep)
 {
@@ -237,8 +246,8 @@
 }
 
 /*
- * Time until the answer of a request that is placed now: on the way, and at
- * the endpoint, where it takes the longer the fuller it is.
+ * Expected time until the response of a request that is placed now: the
+ * network delay, and the time at the endpoint, which grows with its load.
  */
 static uint64_t
 cost_us(const struct placement *p, const struct endpoint *ep, uint64_t work_us,
@@ -252,8 +261,10 @@
 	    work_us * (slots + load) / slots;
 }
 
-/* Whether a request is answered @times sooner at @a than at @b.  Unless both
- * have answered often enough they are taken to be equally fast. */
+/*
+ * Whether @a responds @factor times sooner than @b.  Unless both have
+ * responded often enough, both are assumed to be equally fast.
+ */
 static bool
 is_better(const struct placement *p, const struct endpoint *a,
     const struct endpoint *b, uint64_t factor, uint64_t now_ms)
@@ -294,7 +305,7 @@
 	return load * PERCENT > slots * p->cfg.saturation_percent;
 }
 
-/* Only ejected endpoints and those tried already are left. */
+/* Only ejected endpoints and those already tried are left. */
 static bool
 choose_fallback(struct placement *p, const struct placement_query *q,
     uint64_t now_ms, struct placement_choice *out)
@@ -313,7 +324,7 @@
 	return fill_choice(p, ep, PLACEMENT_REPEATED, now_ms, out);
 }
 
-/* The endpoint on the own host, while it has room. */
+/* The endpoint on the own host, while it has free capacity. */
 static struct endpoint *
 own_with_capacity(const struct placement *p, uint64_t now_ms)
 {
@@ -383,7 +394,7 @@
 	return fill_choice(p, ep, PLACEMENT_HOME, now_ms, out);
 }
 
-/* Endpoints that were tried or aren't heard from are passed over. */
+/* Skips endpoints that were tried or are silent. */
 static bool
 choose_ranked(struct placement *p, const struct placement_query *q,
     const struct service *s, uint64_t now_ms, struct placement_choice *out)
@@ -409,8 +420,10 @@
 	return fill_choice(p, ep, PLACEMENT_RANKED, now_ms, out);
 }
 
-/* Return: the usable endpoint of the tried version that comes next after the
- * place @after, or NULL. */
+/*
+ * Return: the usable endpoint of the version on trial with the next position
+ * after @after, or NULL.
+ */
 static struct endpoint *
 next_canary(const struct placement *p, const struct placement_query *q,
     const struct service *s, uint32_t after, uint64_t now_ms)
@@ -430,8 +443,10 @@
 	return next;
 }
 
-/* An endpoint that is ejected or not heard from is left out, and the next in
- * place serves in its stead. */
+/*
+ * An endpoint that is ejected or silent is skipped, and the next position
+ * takes its place.
+ */
 static bool
 choose_canary(struct placement *p, const struct placement_query *q,
     const struct service *s, uint64_t now_ms, struct placement_choice *out)
--- a/packages/traffic/src/quarantine.c
+++ b/packages/traffic/src/quarantine.c
@@ -1,6 +1,6 @@
 /*
- * State of the quarantine: known crashes, quarantined, suspended and exonerated
- * requests, and the events to publish.
+ * State of the quarantine: known crashes, quarantined, suspended and
+ * exonerated requests, and the events to publish.
  */
 #include <string.h>
 
@@ -9,8 +9,10 @@
 
 #include "quarantine_defs.h"
 
-/* Bounds the queue of success reports; a larger burst of crashes has an
- * external cause. */
+/*
+ * Maximum length of the queue of success reports; a larger burst of crashes
+ * has an external cause.
+ */
 #define SUCCESS_REPORTS_MAX 256
 
 struct quarantine *
@@ -110,8 +112,10 @@
 	return NULL;
 }
 
-/* Expired suspensions stay in the list, so that the same crashes don't suspend
- * a request again. */
+/*
+ * Expired suspensions stay in the list, so that the same crashes don't suspend
+ * a request again.
+ */
 static struct quarantine_entry *
 suspension_of(const struct quarantine *q, const struct fingerprint *f)
 {
@@ -162,7 +166,7 @@
 	return &g_array_index(q->cleared, struct clearance, i);
 }
 
-/* An answer to any caller exonerates the content for all callers. */
+/* A response to any caller exonerates the content for all callers. */
 uint64_t
 quarantine_cleared_ms(const struct quarantine *q, const struct fingerprint *f)
 {
@@ -219,7 +223,10 @@
 		if (quarantine_covers(f, &suspended_at(q, i - 1)->print) ||
 		    quarantine_covers(&suspended_at(q, i - 1)->print, f))
 			g_array_remove_index(q->suspended, i - 1);
-	/* Its crashes no longer explain or implicate other requests. */
+	/*
+	 * The crashes of the request no longer explain or implicate other
+	 * requests.
+	 */
 	if (quarantine_crash_count(q, f->content) > 0)
 		q->decide_ms = MIN(q->decide_ms, at_ms);
 	return ended;
@@ -272,7 +279,10 @@
 	return e->until_ms == DEADLINE_NEVER;
 }
 
-/* Quarantines the certain suspects of a judgement, or suspends the others. */
+/*
+ * Quarantine the certain suspects of a judgement, or suspend the uncertain
+ * ones.
+ */
 static void
 apply_judgement(struct quarantine *q, uint64_t now_ms, bool certain)
 {
@@ -297,7 +307,10 @@
 	g_array_unref(suspects);
 }
 
-/* A certain suspect may explain the crashes of an uncertain one. */
+/*
+ * The certain suspects come first: they may explain the crashes of an
+ * uncertain one.
+ */
 static void
 decide(struct quarantine *q, uint64_t now_ms)
 {
@@ -315,7 +328,10 @@
 			suspended_at(q, i)->expired = true;
 }
 
-/* The oldest crash whose requests ran in no other crash, else the oldest. */
+/*
+ * Index of the oldest crash whose requests were in no other crash, else of the
+ * oldest crash.
+ */
 static guint
 least_informative(const struct quarantine *q)
 {
@@ -345,7 +361,7 @@
 	return false;
 }
 
-/* Adds a crash's requests to the index, or removes them. */
+/* Add the requests of a crash to the index, or remove them. */
 static void
 index_runs(struct quarantine *q, const struct crash *c, bool in)
 {
@@ -433,7 +449,10 @@
 	}
 }
 
-/* It ran in a crash later than its last exoneration. */
+/*
+ * Whether the request was in flight in a crash later than its last
+ * exoneration.
+ */
 static bool
 is_suspect(const struct quarantine *q, const struct fingerprint *f)
 {
--- a/packages/traffic/src/quarantine_defs.h
+++ b/packages/traffic/src/quarantine_defs.h
@@ -1,5 +1,5 @@
 /*
- * State of the quarantine, shared by its bookkeeping and its judgement.
+ * State of the quarantine, shared by quarantine*.c.
  */
 #ifndef TRAFFIC_QUARANTINE_DEFS_H
 #define TRAFFIC_QUARANTINE_DEFS_H
@@ -8,9 +8,9 @@
 #include "traffic/quarantine.h"
 
 /**
- * struct clearance - a request is exonerated
- * @print: the request; caller 0 for all callers
- * @at_ms: earlier crashes don't implicate it
+ * struct clearance - an exoneration of a request
+ * @print: fingerprint of the request; caller 0 for all callers
+ * @at_ms: monotonic time; earlier crashes don't implicate the request
  */
 struct clearance {
 	struct fingerprint print;
@@ -19,8 +19,9 @@
 
 /**
  * struct success_report - a request in a peer's crash was answered here
- * @print: the request
- * @due_ms: when to report it, unless another node has
+ * @print: fingerprint of the request
+ * @due_ms: monotonic time at which it is reported, unless another node has
+ *	done so
  */
 struct success_report {
 	struct fingerprint print;
@@ -29,17 +30,18 @@
 
 /**
  * struct quarantine - the quarantine
- * @crashes: struct crash, in the order in which they came
+ * @crashes: struct crash, in order of arrival
  * @quarantined: struct quarantine_entry
- * @suspended: struct quarantine_entry of co-suspects, expired ones included
+ * @suspended: struct quarantine_entry of co-suspects, including expired ones
  * @cleared: struct clearance
  * @success_reports: struct success_report
- * @events: struct quarantine_event that quarantine_pop() is to give
- * @recent_successes: what was answered here lately
+ * @events: struct quarantine_event for quarantine_pop()
+ * @recent_successes: requests that were answered on this host recently
  * @seed: seed of random choices
- * @crashes_by_content: content to the number of crashes in which it ran
- * @suspects_expire_ms: when the last suspect is one no longer
- * @decide_ms: when what came last has settled; DEADLINE_NEVER when all has
+ * @crashes_by_content: content -> number of crashes in which it was in flight
+ * @suspects_expire_ms: monotonic time at which the last suspect expires
+ * @decide_ms: monotonic time of the next decision; DEADLINE_NEVER when none is
+ *	pending
  */
 struct quarantine {
 	GPtrArray *crashes;
@@ -55,48 +57,59 @@
 	uint64_t decide_ms;
 };
 
-/** quarantine_covers() - whether @f is a request that @pattern stands for */
+/** quarantine_covers() - whether @pattern matches the request @f */
 bool quarantine_covers(
     const struct fingerprint *pattern, const struct fingerprint *f);
 
-/** quarantine_find() - the entry that covers a request, or NULL */
+/** quarantine_find() - the quarantine entry that covers a request, or NULL */
 struct quarantine_entry *
 quarantine_find(const struct quarantine *q, const struct fingerprint *f);
 
-/** quarantine_find_suspended() - a request's suspension, expired or not, or
- * NULL */
+/**
+ * quarantine_find_suspended() - the suspension of a request, also an expired
+ * one, or NULL
+ */
 struct quarantine_entry *quarantine_find_suspended(
     const struct quarantine *q, const struct fingerprint *f);
 
-/** quarantine_cleared_ms() - when a request was last exonerated, 0 for never */
+/**
+ * quarantine_cleared_ms() - time of the last exoneration of a request, 0 for
+ * none
+ */
 uint64_t
 quarantine_cleared_ms(const struct quarantine *q, const struct fingerprint *f);
 
-/** quarantine_crash_at() - crash number @i, in the order in which they came */
+/** quarantine_crash_at() - crash number @i in order of arrival */
 const struct crash *quarantine_crash_at(const struct quarantine *q, guint i);
 
-/** quarantine_crash_count() - in how many crashes a content ran */
+/**
+ * quarantine_crash_count() - number of crashes in which a content was in
+ * flight
+ */
 uint32_t quarantine_crash_count(const struct quarantine *q, uint64_t content);
 
 /* quarantine_suspect.c */
 
-/** quarantine_extend_suspicion() - what ran in a crash is suspect */
+/**
+ * quarantine_extend_suspicion() - the requests in flight in a crash become
+ * suspect
+ */
 void quarantine_extend_suspicion(struct quarantine *q, const struct crash *c);
 
 /* quarantine_judge.c */
 
-/** quarantine_ran_in() - whether a request ran in a crash */
+/** quarantine_ran_in() - whether a request was in flight in a crash */
 bool quarantine_ran_in(const struct crash *c, const struct fingerprint *f);
 
 /**
- * quarantine_judge() - attribute the known crashes
+ * quarantine_judge() - attribute the known crashes to requests
  * @q: the quarantine
  * @now_ms: monotonic time
  *
- * All are judged before the first is quarantined, as that one would explain the
- * crashes of the others.
+ * All requests are judged before the first is quarantined, as a quarantined
+ * request would explain the crashes of the others.
  *
- * Return: struct quarantine_entry of those to be quarantined, or suspended
+ * Return: struct quarantine_entry of the requests to quarantine, or to suspend
  * until their @until_ms if they have a co-suspect; free with g_array_unref().
  */
 GArray *quarantine_judge(const struct quarantine *q, uint64_t now_ms);
--- a/packages/traffic/src/quarantine_judge.c
+++ b/packages/traffic/src/quarantine_judge.c
@@ -17,8 +17,10 @@
 	return false;
 }
 
-/* A quarantined request of another content ran there, and explains the crash.
- * The same content of another caller implicates @f instead. */
+/*
+ * Whether a quarantined request with other content was in flight in the crash
+ * and explains it.  The same content of another caller implicates @f instead.
+ */
 static bool
 is_attributed(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
@@ -32,7 +34,7 @@
 	return false;
 }
 
-/* Many upstreams crashed about that time without @f. */
+/* Whether many upstreams crashed about that time without @f. */
 static bool
 is_coincidence(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
@@ -64,7 +66,7 @@
 	    !is_coincidence(q, c, f);
 }
 
-/* It ran there and has not been answered since. */
+/* Whether @f was in flight in the crash and has not been answered since. */
 static bool
 is_unexonerated(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
@@ -73,7 +75,7 @@
 	    c->at_ms > quarantine_cleared_ms(q, f);
 }
 
-/* Another request may have caused all the crashes that implicate @f. */
+/* Whether another request may have caused all the crashes that implicate @f. */
 static bool
 has_cosuspect(const struct quarantine *q, const struct fingerprint *f)
 {
@@ -127,7 +129,7 @@
 	return n;
 }
 
-/* How many callers of a content had at least @least crashes. */
+/* Number of callers of a content that at least @least crashes implicate. */
 static uint32_t
 callers_of(const struct quarantine *q, uint64_t content, uint32_t least)
 {
@@ -148,7 +150,10 @@
 	return n;
 }
 
-/* The content crashed upstreams for three callers, or twice for each of two. */
+/*
+ * Whether the content crashed upstreams for three callers, or twice for each
+ * of two callers.
+ */
 static bool
 affects_all_callers(const struct quarantine *q, const struct fingerprint *f)
 {
@@ -156,7 +161,9 @@
 	    callers_of(q, f->content, 2) >= 2;
 }
 
-/* Suspended, or no crash has implicated it since its suspension. */
+/*
+ * Whether @f is suspended, or no crash has implicated it since its suspension.
+ */
 static bool
 is_suspended(const struct quarantine *q, const struct fingerprint *f,
     const struct crash *last)
@@ -203,8 +210,10 @@
 	return false;
 }
 
-/* Requests whose content ran in enough crashes, each once, and the contents for
- * all callers. */
+/*
+ * The requests whose content was in flight in enough crashes, each once, and
+ * their contents for all callers.
+ */
 static GArray *
 candidates(const struct quarantine *q)
 {
--- a/packages/traffic/src/quarantine_suspect.c
+++ b/packages/traffic/src/quarantine_suspect.c
@@ -1,23 +1,27 @@
 /*
- * Requests that ran at an upstream when it crashed, before it is known which
- * of them crashed it.
+ * Suspects: requests that were in flight at an upstream when it crashed,
+ * before the crash is attributed to one of them.
  */
 #include "base/clock.h"
 
 #include "quarantine_defs.h"
 
-/* A request is suspect for so long after a crash: its caller has come again
- * by then, or has given up. */
+/*
+ * How long a request stays suspect after a crash: its caller has retried by
+ * then, or has given up.
+ */
 #define SUSPECT_MS 10000
-/* Crashes within QUARANTINE_COINCIDENCE_MS from which on they have an external
- * cause.
+/*
+ * Number of crashes within QUARANTINE_COINCIDENCE_MS above which they have an
+ * external cause.
  */
 #define BURST_CRASHES 32
 
 /**
- * struct tally - recent crashes, as seen from one request
- * @with: those in which it ran and that no answer has cleared it of
- * @without: other ones within QUARANTINE_COINCIDENCE_MS
+ * struct crash_counts - recent crashes from the view of one request
+ * @with: crashes in which the request was in flight, without a later
+ *	exoneration
+ * @without: other crashes within QUARANTINE_COINCIDENCE_MS
  */
 struct crash_counts {
 	uint32_t with;
--- a/packages/traffic/src/rate_limit.c
+++ b/packages/traffic/src/rate_limit.c
@@ -1,6 +1,7 @@
 /*
- * Token buckets by key.  Keys stand in a queue by last use, so that the one
- * idle longest is forgotten first; a forgotten key starts with a full bucket.
+ * Token buckets by key.  Keys are in a queue by last use, so that the least
+ * recently used key is removed first; a removed key starts again with a full
+ * bucket.
  */
 #include "traffic/rate_limit.h"
 
@@ -77,7 +78,7 @@
 	return b;
 }
 
-/* One call a second is one part of a token (of TOKEN) a millisecond. */
+/* At one call per second a bucket gains one part (of TOKEN) per millisecond. */
 static void
 refill(struct bucket *b, uint32_t per_s, uint32_t burst, uint64_t now_ms)
 {
--- a/packages/traffic/src/retry.c
+++ b/packages/traffic/src/retry.c
@@ -1,12 +1,12 @@
 /*
- * Retry budget: each call pays in a share of a retry, each retry costs a whole
- * one.
+ * Retry budget: each call deposits a share of a retry, each retry withdraws a
+ * whole one.
  *
- * Upstreams that refuse half of all requests at random leave half of the
- * successes, but all the calls: paid by successes the budget shrank when it
- * was needed.  Where all upstreams of a service refuse 55 % for 8 s, 3.1 and
- * 2.7 in 100 requests of the day were refused instead of 3.5 and 3.2 (robot
- * cells, first heavy day, two seeds).
+ * Calls deposit rather than successes, since upstreams that refuse half of all
+ * requests at random halve the successes but not the calls: with deposits by
+ * successes the budget shrank when it was needed.  Where all upstreams of a
+ * service refuse 55 % for 8 s, 3.1 and 2.7 of 100 requests of the day were
+ * refused instead of 3.5 and 3.2 (robot cells, first heavy day, two seeds).
  */
 #include "traffic/retry.h"
 
@@ -18,19 +18,26 @@
 #define MS_PER_S 1000
 #define BACKOFF_DOUBLINGS_MAX 16
 
-/* Calls pay while at least one of so many succeeds.  Upstreams that refuse at
- * random refuse about half; of a service that is down nothing succeeds. */
+/*
+ * Calls deposit while at least one of this many succeeds.  Upstreams that
+ * refuse at random refuse about half; of a service that is down no call
+ * succeeds.
+ */
 #define HEALTHY_DIVISOR 4
-/* Fewer calls say nothing. */
+/* Below this number of calls the share of successes is not evaluated. */
 #define HEALTH_MIN_CALLS 16
 #define HALVE_MS 1000
 
-/* Others have room while fewer of the calls sent elsewhere are refused again.
+/*
+ * Other endpoints have capacity while less than this share of the rerouted
+ * calls is refused again.
  */
 #define REROUTED_REFUSED_MAX_PERCENT 50
 
-/* Calls that were sent elsewhere and count: an entry of a large fleet sends a
- * few a second. */
+/*
+ * Number of rerouted calls that are evaluated: an entry of a large fleet sends
+ * a few per second.
+ */
 #define REROUTED_MAX 16
 #define REROUTED_PRIOR 2
 
@@ -111,7 +118,10 @@
 		deposit(b);
 }
 
-/* Whole tokens only, so that no part of a millisecond's refill is lost. */
+/*
+ * Add whole hundredths of a retry only, so that fractions of a millisecond's
+ * refill are not lost.
+ */
 static void
 refill(struct retry_budget *b, uint64_t now_ms)
 {
@@ -149,7 +159,7 @@
 	b->rerouted_refused += refused;
 }
 
-/* Before any was moved, others are taken to have room. */
+/* Other endpoints are assumed to have capacity until a call was rerouted. */
 bool
 retry_budget_others_have_room(const struct retry_budget *b)
 {
--- a/packages/traffic/src/split.c
+++ b/packages/traffic/src/split.c
@@ -10,15 +10,16 @@
 #include "base/hash.h"
 
 /*
- * Routes remembered, some 100 bytes each with two parts; beyond, all are
- * forgotten and begin anew.
+ * Maximum number of routes, some 100 bytes each with two services; above it
+ * all are dropped and begin again.
  */
 #define ROUTES_MAX 65536
 
 /**
- * struct turn - a part and where it stands in the rounds
- * @part: the part
- * @credit: by how much it is behind its share
+ * struct turn - a service of a route and its progress in the round
+ * @part: the service and its weight
+ * @credit: requests that the service lacks for its share, times the sum of
+ *	weights
  */
 struct turn {
 	struct split_part part;
@@ -26,10 +27,10 @@
 };
 
 /**
- * struct split - rounds of one route
+ * struct split - round of one route
  * @route: number of the route
- * @n: number of parts
- * @turns: one for each part
+ * @n: number of services
+ * @turns: one element for each service
  */
 struct split {
 	uint64_t route;
@@ -39,9 +40,9 @@
 
 /**
  * struct split_table - see traffic/split.h
- * @seed: of the places where rounds begin
- * @begun: rounds that were begun
- * @splits: route to struct split
+ * @seed: varies the start points of the rounds
+ * @begun: number of rounds that were begun
+ * @splits: route -> struct split
  */
 struct split_table {
 	uint64_t seed;
@@ -100,8 +101,8 @@
 }
 
 /*
- * Begins a route's rounds some way into one: each time somewhere else, so that
- * a route that is forgotten again and again keeps its shares on average.
+ * Begin a route's round at a start point that differs each time, so that a
+ * route that is dropped repeatedly keeps its shares on average.
  */
 static struct split *
 begin(struct split_table *t, uint64_t route, const struct split_part *parts,
--- a/packages/traffic/src/superseded.c
+++ b/packages/traffic/src/superseded.c
@@ -1,11 +1,11 @@
 /*
- * Since when a later version is in force here.
+ * History of the versions in force.
  */
 #include "traffic/superseded.h"
 
 #include "base/clock.h"
 
-/* Where operators were promised no time: what the smallest deployments have. */
+/* Default grace time: that of the smallest deployments. */
 #define GRACE_DEFAULT_MS 2000
 
 uint64_t
