--- a/packages/traffic/bench/bench_traffic.c
+++ b/packages/traffic/bench/bench_traffic.c
@@ -219,7 +219,7 @@
 /* What calls pay that have nothing to do with quarantined requests: @held
  * requests are, after crashes under eighteen requests each. */
 static void
-bench_quarantine(const char *when, uint32_t held)
+bench_quarantine(const char *when, uint32_t quarantined)
 {
 	struct quarantine *q = quarantine_new(1, 0);
 	struct fingerprint f = {0, 1};
@@ -229,7 +229,7 @@
 	uint32_t r;
 
 	memset(&c, 0, sizeof(c));
-	for (i = 0; i < held; i++) {
+	for (i = 0; i < quarantined; i++) {
 		c.id = i + 1;
 		c.n_runs = 18;
 		for (r = 0; r < c.n_runs; r++)
--- a/packages/traffic/test/test_behind.c
+++ b/packages/traffic/test/test_behind.c
@@ -60,7 +60,7 @@
     {10, 10, 10, 300, ANY, 0},
 };
 
-START_TEST(a_wrong_request_is_told_from_an_old_version)
+START_TEST(retry_time_follows_the_age_of_the_known_version)
 {
 	const struct behind_case *c;
 	uint64_t now_ms, deadline_ms, got;
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-START_TEST(a_still_newer_version_does_not_begin_the_wait_anew)
+START_TEST(even_newer_known_version_keeps_the_age)
 {
 	struct behind b;
 
@@ -96,7 +96,7 @@
 }
 END_TEST
 
-START_TEST(a_version_in_force_begins_it_anew)
+START_TEST(other_version_in_force_resets_the_age)
 {
 	struct behind b;
 
@@ -114,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(what_was_known_wrongly_is_forgotten)
+START_TEST(wrong_known_version_is_dropped)
 {
 	struct behind b;
 
@@ -136,10 +136,10 @@
 	Suite *suite = suite_create("behind");
 	TCase *tc = tcase_create("behind");
 
-	tcase_add_test(tc, a_wrong_request_is_told_from_an_old_version);
-	tcase_add_test(tc, a_still_newer_version_does_not_begin_the_wait_anew);
-	tcase_add_test(tc, a_version_in_force_begins_it_anew);
-	tcase_add_test(tc, what_was_known_wrongly_is_forgotten);
+	tcase_add_test(tc, retry_time_follows_the_age_of_the_known_version);
+	tcase_add_test(tc, even_newer_known_version_keeps_the_age);
+	tcase_add_test(tc, other_version_in_force_resets_the_age);
+	tcase_add_test(tc, wrong_known_version_is_dropped);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_body_window.c
+++ b/packages/traffic/test/test_body_window.c
@@ -49,7 +49,7 @@
 
 /* What the link carries in a millisecond, in the order it came. */
 static void
-carry(struct flow *f, uint64_t now_ms)
+transmit(struct flow *f, uint64_t now_ms)
 {
 	uint64_t left = LINK_BYTES_PER_MS, n;
 	uint32_t i;
@@ -74,7 +74,7 @@
 
 /* Two come at once now and then, as callers do. */
 static struct flow *
-play(uint64_t first_bytes, uint64_t max_bytes)
+simulate(uint64_t first_bytes, uint64_t max_bytes)
 {
 	struct flow *f = g_new0(struct flow, 1);
 	uint64_t now_ms;
@@ -91,7 +91,7 @@
 			n++;
 		}
 		grant(f, now_ms);
-		carry(f, now_ms);
+		transmit(f, now_ms);
 		body_window_tick(&f->w, now_ms);
 	}
 	g_queue_clear(&f->order);
@@ -102,19 +102,19 @@
  * short call waits for. */
 START_TEST(short_calls_wait_less_behind_uploads)
 {
-	struct flow *naive = play(65536, UINT64_MAX);
-	struct flow *ours = play(FIRST_BYTES, MOST_BYTES);
+	struct flow *naive = simulate(65536, UINT64_MAX);
+	struct flow *windowed = simulate(FIRST_BYTES, MOST_BYTES);
 
 	ck_assert_uint_ge(naive->longest / LINK_BYTES_PER_MS, 350);
-	ck_assert_uint_le(ours->longest / LINK_BYTES_PER_MS, 170);
-	ck_assert_uint_eq(ours->done, naive->done);
-	ck_assert_uint_eq(ours->w.in_flight_bytes, 0);
+	ck_assert_uint_le(windowed->longest / LINK_BYTES_PER_MS, 170);
+	ck_assert_uint_eq(windowed->done, naive->done);
+	ck_assert_uint_eq(windowed->w.in_flight_bytes, 0);
 	g_free(naive);
-	g_free(ours);
+	g_free(windowed);
 }
 END_TEST
 
-START_TEST(a_sender_that_dribbles_keeps_nobody_waiting)
+START_TEST(slow_sender_does_not_block_others)
 {
 	struct body_share slow[4], quick;
 	struct body_window w;
@@ -143,7 +143,7 @@
 END_TEST
 
 /* No more is granted than the body is long. */
-START_TEST(grants_end_with_the_body)
+START_TEST(grants_do_not_exceed_the_body)
 {
 	struct body_window w;
 	struct body_share s;
@@ -168,8 +168,8 @@
 	TCase *tc = tcase_create("body_window");
 
 	tcase_add_test(tc, short_calls_wait_less_behind_uploads);
-	tcase_add_test(tc, a_sender_that_dribbles_keeps_nobody_waiting);
-	tcase_add_test(tc, grants_end_with_the_body);
+	tcase_add_test(tc, slow_sender_does_not_block_others);
+	tcase_add_test(tc, grants_do_not_exceed_the_body);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/traffic/test/test_call.c
+++ b/packages/traffic/test/test_call.c
@@ -213,7 +213,7 @@
 
 /* Calls that were sent elsewhere of late were refused there too. */
 static void
-others_are_full(struct retry_budget *b)
+fill_other_endpoints(struct retry_budget *b)
 {
 	int i;
 
@@ -232,7 +232,7 @@
 	case KEYED:
 		break;
 	case FULL:
-		others_are_full(&w->budget);
+		fill_other_endpoints(&w->budget);
 		break;
 	case PLACED:
 		call_placed(c, s->arg, now);
@@ -435,7 +435,7 @@
 END_TEST
 
 /* A guard that stays away is asked less and less often, until the limit. */
-START_TEST(test_resolves_get_rarer)
+START_TEST(test_resolve_backoff)
 {
 	const struct call_config cfg = {
 	    .deadline_ms = 10000, .resolve_limit_ms = 2000};
@@ -474,7 +474,7 @@
 enum stop_at { STOP_NEW, STOP_PLACING, STOP_SENDING, STOP_WAITING, STOP_ENDS };
 
 static void
-go_to(struct call *c, enum stop_at at)
+advance_to(struct call *c, enum stop_at at)
 {
 	struct call_action a;
 
@@ -487,7 +487,7 @@
 			call_sent(c, a.stream, 1, 0);
 }
 
-START_TEST(a_stopped_call_that_was_not_sent_has_not_run)
+START_TEST(stopped_call_is_not_run_unless_sent)
 {
 	const struct call_config cfg = {
 	    .deadline_ms = 10000, .resolve_limit_ms = 2000};
@@ -499,7 +499,7 @@
 	retry_config_default(&rc);
 	retry_budget_init(&b, &rc, 0);
 	c = call_new(&cfg, &b, 1);
-	go_to(c, (enum stop_at)_i);
+	advance_to(c, (enum stop_at)_i);
 	call_stopped(c);
 	ck_assert(call_is_finished(c));
 	while (a.kind != CALL_GIVE_UP)
@@ -516,22 +516,22 @@
 }
 END_TEST
 
-#define PATIENCE_MS 2400
+#define GIVES_UP_MS 2400
 
 /* What a caller is told that is refused for @refusal at @now_ms. */
 static uint64_t
-return_after_ms(enum refusal refusal, uint64_t now_ms, uint64_t after_ms)
+retry_after_of(enum refusal refusal, uint64_t now_ms, uint64_t after_ms)
 {
 	const struct call_config cfg = {.deadline_ms = 1200,
 	    .target_ms = 400,
-	    .caller_gives_up_ms = PATIENCE_MS};
+	    .caller_gives_up_ms = GIVES_UP_MS};
 	struct retry_config rc = {.attempts = 1};
 	struct retry_budget b;
 	struct call_action a;
 	struct call *c;
 
 	retry_budget_init(&b, &rc, now_ms);
-	others_are_full(&b);
+	fill_other_endpoints(&b);
 	c = call_new(&cfg, &b, 1);
 	call_start(c, now_ms);
 	ck_assert(call_next(c, &a) && a.kind == CALL_PLACE);
@@ -550,14 +550,14 @@
  * still make its target comes back when there is a slot; who can't is asked to
  * let the overload pass, as far as its patience goes.
  */
-START_TEST(test_late_callers_come_back_later)
+START_TEST(test_late_callers_get_a_longer_retry_after)
 {
-	ck_assert_uint_eq(return_after_ms(REFUSAL_WAIT, 0, 200), 200);
-	ck_assert_uint_eq(return_after_ms(REFUSAL_WAIT, 300, 200), 700);
-	ck_assert_uint_eq(return_after_ms(REFUSAL_QUEUE_FULL, 900, 200), 500);
-	ck_assert_uint_eq(return_after_ms(REFUSAL_WAIT, 900, 1100), 1100);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 0, 200), 200);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 300, 200), 700);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_QUEUE_FULL, 900, 200), 500);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 900, 1100), 1100);
 	/* A refusal at random is no overload. */
-	ck_assert_uint_eq(return_after_ms(REFUSAL_UPSTREAM, 900, 20), 20);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_UPSTREAM, 900, 20), 20);
 }
 END_TEST
 
@@ -569,13 +569,13 @@
 
 	suite = suite_create("call");
 	tc = tcase_create("call");
-	tcase_add_test(tc, test_resolves_get_rarer);
+	tcase_add_test(tc, test_resolve_backoff);
 	tcase_add_loop_test(
-	    tc, a_stopped_call_that_was_not_sent_has_not_run, 0, STOP_ENDS);
+	    tc, stopped_call_is_not_run_unless_sent, 0, STOP_ENDS);
 	tcase_add_loop_test(tc, test_scenario, 0,
 	    (int)(sizeof(scenarios) / sizeof(scenarios[0])));
 	tcase_add_test(tc, test_random_events);
-	tcase_add_test(tc, test_late_callers_come_back_later);
+	tcase_add_test(tc, test_late_callers_get_a_longer_retry_after);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_canary.c
+++ b/packages/traffic/test/test_canary.c
@@ -13,7 +13,7 @@
 #define SHARE_MILLI 50
 #define ENTRIES 91
 
-START_TEST(nothing_is_taken_without_an_order)
+START_TEST(no_canary_calls_without_an_order)
 {
 	struct canary c = {0};
 	int i;
@@ -24,7 +24,7 @@
 END_TEST
 
 /* Each entry sees a few calls, as in a large fleet with a short order. */
-START_TEST(entries_with_few_calls_send_the_share_together)
+START_TEST(entries_with_few_calls_send_the_share_in_total)
 {
 	GRand *r = g_rand_new_with_seed(SEED);
 	uint32_t e, i, taken = 0, calls = 0;
@@ -44,7 +44,7 @@
 
 /* A change of the endpoints within an order must not begin the round anew, or
  * an entry that is told often would send more than the share. */
-START_TEST(an_order_has_one_round)
+START_TEST(update_within_an_order_keeps_the_credit)
 {
 	struct canary c = {0};
 	uint32_t i, taken = 0;
@@ -63,9 +63,9 @@
 	Suite *s = suite_create("canary");
 	TCase *tc = tcase_create("canary");
 
-	tcase_add_test(tc, nothing_is_taken_without_an_order);
-	tcase_add_test(tc, entries_with_few_calls_send_the_share_together);
-	tcase_add_test(tc, an_order_has_one_round);
+	tcase_add_test(tc, no_canary_calls_without_an_order);
+	tcase_add_test(tc, entries_with_few_calls_send_the_share_in_total);
+	tcase_add_test(tc, update_within_an_order_keeps_the_credit);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/traffic/test/test_clean_runs.c
+++ b/packages/traffic/test/test_clean_runs.c
@@ -23,7 +23,7 @@
 	clean_runs_clear(&runs);
 }
 
-START_TEST(what_was_answered_is_known_for_a_while)
+START_TEST(answered_request_is_kept_for_a_time)
 {
 	struct fingerprint a = {1, 1}, b = {1, 2};
 
@@ -34,7 +34,7 @@
 }
 END_TEST
 
-START_TEST(a_long_silence_forgets_all)
+START_TEST(both_sets_are_dropped_after_a_pause)
 {
 	struct fingerprint a = {1, 1};
 
@@ -43,7 +43,7 @@
 }
 END_TEST
 
-START_TEST(an_answer_vouches_for_one_crash)
+START_TEST(answer_exonerates_from_one_crash)
 {
 	struct fingerprint a = {1, 1};
 
@@ -53,7 +53,7 @@
 }
 END_TEST
 
-START_TEST(a_flood_is_bounded_and_what_is_asked_often_stays)
+START_TEST(sets_are_bounded_and_frequent_requests_stay)
 {
 	struct fingerprint often = {1, 1}, other = {0, 1};
 	uint32_t i;
@@ -77,10 +77,10 @@
 	TCase *tc = tcase_create("clean_runs");
 
 	tcase_add_checked_fixture(tc, setup, teardown);
-	tcase_add_test(tc, what_was_answered_is_known_for_a_while);
-	tcase_add_test(tc, a_long_silence_forgets_all);
-	tcase_add_test(tc, an_answer_vouches_for_one_crash);
-	tcase_add_test(tc, a_flood_is_bounded_and_what_is_asked_often_stays);
+	tcase_add_test(tc, answered_request_is_kept_for_a_time);
+	tcase_add_test(tc, both_sets_are_dropped_after_a_pause);
+	tcase_add_test(tc, answer_exonerates_from_one_crash);
+	tcase_add_test(tc, sets_are_bounded_and_frequent_requests_stay);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_fate.c
+++ b/packages/traffic/test/test_fate.c
@@ -130,7 +130,7 @@
 }
 END_TEST
 
-START_TEST(test_answer_goes_to_who_asked_last)
+START_TEST(test_answer_goes_to_the_last_waiter)
 {
 	struct fate_table *t = table_new(10, 1000);
 	struct request_id id = id_of(1);
@@ -187,7 +187,7 @@
 END_TEST
 
 /* A frame that outlived its tombstone or its record is too old to run. */
-START_TEST(test_forgotten_is_never_run)
+START_TEST(test_request_without_record_is_too_old)
 {
 	struct fate_table *t = table_new(10, 1000);
 	struct request_id ids[2] = {id_of(1), id_of(2)};
@@ -214,7 +214,7 @@
 END_TEST
 
 /* The same when a full table forgets earlier than the window. */
-START_TEST(test_full_table_raises_the_floor)
+START_TEST(test_full_table_raises_oldest_accepted)
 {
 	struct fate_table *t = table_new(3, 1000);
 	struct request_id id = id_of(0), other;
@@ -339,10 +339,10 @@
 	tc = tcase_create("fate");
 	tcase_add_loop_test(
 	    tc, test_resolve, 0, (int)G_N_ELEMENTS(resolve_cases));
-	tcase_add_test(tc, test_answer_goes_to_who_asked_last);
+	tcase_add_test(tc, test_answer_goes_to_the_last_waiter);
 	tcase_add_test(tc, test_follow);
-	tcase_add_test(tc, test_forgotten_is_never_run);
-	tcase_add_test(tc, test_full_table_raises_the_floor);
+	tcase_add_test(tc, test_request_without_record_is_too_old);
+	tcase_add_test(tc, test_full_table_raises_oldest_accepted);
 	tcase_add_test(tc, test_answers_are_bounded);
 	tcase_add_loop_test(
 	    tc, test_frame_age, 0, (int)G_N_ELEMENTS(age_cases));
--- a/packages/traffic/test/test_fingerprint.c
+++ b/packages/traffic/test/test_fingerprint.c
@@ -18,7 +18,7 @@
     .body_len = 3};
 
 static struct fingerprint
-made(const struct fingerprint_parts *p)
+fingerprint_of(const struct fingerprint_parts *p)
 {
 	struct fingerprint f;
 
@@ -26,19 +26,19 @@
 	return f;
 }
 
-START_TEST(the_same_parts_are_the_same_request)
+START_TEST(equal_parts_give_equal_fingerprints)
 {
-	struct fingerprint a = made(&base), b = made(&base);
+	struct fingerprint a = fingerprint_of(&base), b = fingerprint_of(&base);
 
 	ck_assert(fingerprint_equal(&a, &b));
 	ck_assert(a.content != 0 && a.caller != 0);
 }
 END_TEST
 
-START_TEST(each_part_makes_another_request)
+START_TEST(each_part_changes_the_fingerprint)
 {
 	struct fingerprint_parts p[] = {base, base, base, base, base, base};
-	struct fingerprint a = made(&base), b;
+	struct fingerprint a = fingerprint_of(&base), b;
 	size_t i;
 
 	p[0].method = "PUT";
@@ -48,14 +48,14 @@
 	p[4].body = (const uint8_t *)"abd";
 	p[5].body_bytes = 4;
 	for (i = 0; i < G_N_ELEMENTS(p); i++) {
-		b = made(&p[i]);
+		b = fingerprint_of(&p[i]);
 		ck_assert_msg(!fingerprint_equal(&a, &b), "part %zu", i);
 	}
 }
 END_TEST
 
 /* Moving a letter from one part to the next makes another request. */
-START_TEST(parts_are_kept_apart)
+START_TEST(parts_are_delimited)
 {
 	struct fingerprint_parts p = base, q = base;
 	struct fingerprint a, b;
@@ -64,43 +64,43 @@
 	p.path = "/bc";
 	q.host = "a/b";
 	q.path = "c";
-	a = made(&p);
-	b = made(&q);
+	a = fingerprint_of(&p);
+	b = fingerprint_of(&q);
 	ck_assert(!fingerprint_equal(&a, &b));
 }
 END_TEST
 
-START_TEST(any_node_may_be_called_by_its_address)
+START_TEST(node_addresses_are_ignored)
 {
 	struct fingerprint_parts p = base, q = base;
 	struct fingerprint a, b;
 
 	p.host = "127.1.0.1:8080";
 	q.host = "[::1]:8081";
-	a = made(&p);
-	b = made(&q);
+	a = fingerprint_of(&p);
+	b = fingerprint_of(&q);
 	ck_assert(fingerprint_equal(&a, &b));
 	p.host = "A.example:80";
-	a = made(&p);
-	b = made(&base);
+	a = fingerprint_of(&p);
+	b = fingerprint_of(&base);
 	ck_assert(fingerprint_equal(&a, &b));
 }
 END_TEST
 
 /* The same content by another caller shares the content's half only. */
-START_TEST(callers_are_told_apart)
+START_TEST(caller_changes_its_half_only)
 {
 	struct fingerprint_parts p = base;
-	struct fingerprint a = made(&base), b;
+	struct fingerprint a = fingerprint_of(&base), b;
 
 	p.caller = "search";
-	b = made(&p);
+	b = fingerprint_of(&p);
 	ck_assert_uint_eq(a.content, b.content);
 	ck_assert_uint_ne(a.caller, b.caller);
 }
 END_TEST
 
-START_TEST(the_beginning_of_a_long_body_counts)
+START_TEST(only_the_beginning_of_a_body_is_hashed)
 {
 	uint8_t body[FINGERPRINT_BODY_BYTES + 1];
 	struct fingerprint_parts p = base;
@@ -110,20 +110,20 @@
 	p.body = body;
 	p.body_len = sizeof(body);
 	p.body_bytes = sizeof(body);
-	a = made(&p);
+	a = fingerprint_of(&p);
 	body[FINGERPRINT_BODY_BYTES] = 'y';
-	b = made(&p);
+	b = fingerprint_of(&p);
 	ck_assert(fingerprint_equal(&a, &b));
 	body[FINGERPRINT_BODY_BYTES - 1] = 'y';
-	b = made(&p);
+	b = fingerprint_of(&p);
 	ck_assert(!fingerprint_equal(&a, &b));
 }
 END_TEST
 
-START_TEST(its_text_can_be_read_back)
+START_TEST(text_round_trip)
 {
 	char text[FINGERPRINT_TEXT_BYTES];
-	struct fingerprint a = made(&base), b;
+	struct fingerprint a = fingerprint_of(&base), b;
 
 	ck_assert(fingerprint_parse(fingerprint_text(&a, text), &b));
 	ck_assert(fingerprint_equal(&a, &b));
@@ -139,13 +139,13 @@
 	Suite *suite = suite_create("fingerprint");
 	TCase *tc = tcase_create("fingerprint");
 
-	tcase_add_test(tc, the_same_parts_are_the_same_request);
-	tcase_add_test(tc, each_part_makes_another_request);
-	tcase_add_test(tc, parts_are_kept_apart);
-	tcase_add_test(tc, any_node_may_be_called_by_its_address);
-	tcase_add_test(tc, callers_are_told_apart);
-	tcase_add_test(tc, the_beginning_of_a_long_body_counts);
-	tcase_add_test(tc, its_text_can_be_read_back);
+	tcase_add_test(tc, equal_parts_give_equal_fingerprints);
+	tcase_add_test(tc, each_part_changes_the_fingerprint);
+	tcase_add_test(tc, parts_are_delimited);
+	tcase_add_test(tc, node_addresses_are_ignored);
+	tcase_add_test(tc, caller_changes_its_half_only);
+	tcase_add_test(tc, only_the_beginning_of_a_body_is_hashed);
+	tcase_add_test(tc, text_round_trip);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -12,7 +12,7 @@
 #include "test_run.h"
 
 #define WINDOW_MS 1000
-#define NEWS_MS 200
+#define PROPAGATION_MS 200
 #define OLD_MS (10 * WINDOW_MS)
 #define SELF 1
 #define OTHER 2
@@ -23,11 +23,11 @@
 static const uint64_t three[] = {SELF, OTHER, THIRD};
 
 static struct keyed *
-keys_of(uint64_t self, bool claim, uint64_t born_ms)
+keys_new(uint64_t self, bool claim, uint64_t created_ms)
 {
-	struct keyed_config cfg = {WINDOW_MS, NEWS_MS, KEYS_MAX, claim};
+	struct keyed_config cfg = {WINDOW_MS, PROPAGATION_MS, KEYS_MAX, claim};
 
-	return keyed_new(&cfg, self, born_ms);
+	return keyed_new(&cfg, self, created_ms);
 }
 
 /* The n-th key whose home among the endpoints is the one named. */
@@ -66,7 +66,7 @@
 
 START_TEST(test_second_follows_first)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(SELF, both, 2, 0);
 	struct request_id first = id_of(1);
 	struct keyed_decision d;
@@ -90,7 +90,7 @@
 
 START_TEST(test_not_home_and_bounds)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct request_id id;
 	struct key_id key;
 	int i;
@@ -135,7 +135,7 @@
 START_TEST(test_home_moved)
 {
 	const struct word_case *wc = &word_cases[_i];
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(OTHER, both, 2, 0);
 	struct request_id id = id_of(1);
 	struct keyed_decision d;
@@ -156,22 +156,22 @@
 /* After the window nobody needs to be asked. */
 START_TEST(test_home_moved_long_ago)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(OTHER, both, 2, 0);
 
 	keyed_set_view(k, both, 2, 0);
 	keyed_set_view(k, both, 1, OLD_MS);
 	ck_assert_int_eq(
-	    offer(k, &key, 1, OLD_MS + WINDOW_MS + NEWS_MS + 1).verdict,
+	    offer(k, &key, 1, OLD_MS + WINDOW_MS + PROPAGATION_MS + 1).verdict,
 	    KEYED_RUN);
 	keyed_free(k);
 }
 END_TEST
 
 /* A new process knows nothing of the time before it. */
-START_TEST(test_young_home)
+START_TEST(test_recently_started_home)
 {
-	struct keyed *k = keys_of(SELF, false, OLD_MS);
+	struct keyed *k = keys_new(SELF, false, OLD_MS);
 	struct key_id key = key_at(SELF, both, 2, 0);
 	struct keyed_decision d;
 
@@ -189,9 +189,9 @@
 END_TEST
 
 /* What an earlier home says to the endpoint that is the home now. */
-struct yield_case {
+struct hand_over_case {
 	const char *name;
-	uint64_t born_ms;
+	uint64_t created_ms;
 	/* The view changes to {OTHER} alone this long ago; 0: never. */
 	uint64_t moved_ms;
 	uint64_t asker_age_ms;
@@ -199,7 +199,7 @@
 	enum keyed_word want;
 };
 
-static const struct yield_case yield_cases[] = {
+static const struct hand_over_case hand_over_cases[] = {
     {"never seen, asker is new", 0, 0, 100, false, KEYED_WORD_FREE},
     {"ran here", 0, 0, 100, true, KEYED_WORD_TAKEN},
     {"too young to know", OLD_MS - 500, 0, 100, false, KEYED_WORD_TAKEN},
@@ -207,14 +207,14 @@
     {"asker's predecessor was home", 0, 300, 200, false, KEYED_WORD_TAKEN},
 };
 
-START_TEST(test_yield)
+START_TEST(test_hand_over)
 {
-	const struct yield_case *yc = &yield_cases[_i];
-	struct keyed *k = keys_of(SELF, false, yc->born_ms);
+	const struct hand_over_case *yc = &hand_over_cases[_i];
+	struct keyed *k = keys_new(SELF, false, yc->created_ms);
 	struct key_id key = key_at(SELF, both, 2, 0);
 	enum keyed_word word;
 
-	keyed_set_view(k, both, 2, yc->born_ms);
+	keyed_set_view(k, both, 2, yc->created_ms);
 	if (yc->ran)
 		(void)offer(k, &key, 1, OLD_MS - 10);
 	if (yc->moved_ms != 0)
@@ -234,9 +234,9 @@
 }
 END_TEST
 
-START_TEST(test_barred_again_for_the_same)
+START_TEST(test_hand_over_repeated)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(SELF, three, 3, 0);
 
 	keyed_set_view(k, three, 3, 0);
@@ -257,7 +257,7 @@
 {
 	static const enum keyed_word words[] = {
 	    KEYED_WORD_FREE, KEYED_WORD_TAKEN, KEYED_WORD_NONE};
-	struct keyed *k = keys_of(SELF, true, OLD_MS);
+	struct keyed *k = keys_new(SELF, true, OLD_MS);
 	struct request_id id = id_of(1), stranger = id_of(2);
 	struct keyed_decision d;
 	struct key_id key;
@@ -292,9 +292,10 @@
 	tcase_add_loop_test(
 	    tc, test_home_moved, 0, (int)G_N_ELEMENTS(word_cases));
 	tcase_add_test(tc, test_home_moved_long_ago);
-	tcase_add_test(tc, test_young_home);
-	tcase_add_loop_test(tc, test_yield, 0, (int)G_N_ELEMENTS(yield_cases));
-	tcase_add_test(tc, test_barred_again_for_the_same);
+	tcase_add_test(tc, test_recently_started_home);
+	tcase_add_loop_test(
+	    tc, test_hand_over, 0, (int)G_N_ELEMENTS(hand_over_cases));
+	tcase_add_test(tc, test_hand_over_repeated);
 	tcase_add_test(tc, test_claim);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
--- a/packages/traffic/test/test_limits.c
+++ b/packages/traffic/test/test_limits.c
@@ -19,7 +19,7 @@
 /* Retries granted while one call comes each millisecond for ten seconds, and
  * one in @success_one_in succeeds; 0 for none. */
 static int
-granted_of(int success_one_in)
+retries_granted(int success_one_in)
 {
 	struct retry_config cfg;
 	struct retry_budget b;
@@ -44,15 +44,15 @@
 
 	retry_config_default(&cfg);
 	burst = (int)cfg.burst;
-	ck_assert_int_ge(granted_of(1), 1000);
-	ck_assert_int_le(granted_of(1), 1000 + burst);
+	ck_assert_int_ge(retries_granted(1), 1000);
+	ck_assert_int_le(retries_granted(1), 1000 + burst);
 	/* Half is refused at random: all the more retries are wanted. */
-	ck_assert_int_ge(granted_of(2), 1000);
-	ck_assert_int_le(granted_of(2), 1000 + burst);
+	ck_assert_int_ge(retries_granted(2), 1000);
+	ck_assert_int_le(retries_granted(2), 1000 + burst);
 	/* Hardly any succeeds: a share of successes, nothing when it's down. */
-	ck_assert_int_ge(granted_of(10), 100);
-	ck_assert_int_le(granted_of(10), 100 + burst + 2);
-	ck_assert_int_le(granted_of(0), burst + 2);
+	ck_assert_int_ge(retries_granted(10), 100);
+	ck_assert_int_le(retries_granted(10), 100 + burst + 2);
+	ck_assert_int_le(retries_granted(0), burst + 2);
 }
 END_TEST
 
@@ -166,7 +166,7 @@
 }
 END_TEST
 
-START_TEST(test_refused_at_once_when_it_would_wait_too_long)
+START_TEST(test_refused_at_once_for_a_long_wait)
 {
 	struct admission *a = admission_of(1, 100);
 	uint64_t i;
@@ -189,7 +189,7 @@
 }
 END_TEST
 
-START_TEST(test_queued_expire_at_their_time)
+START_TEST(test_queued_requests_expire)
 {
 	struct admission *a = admission_of(1, 10);
 	struct admission_result r;
@@ -259,7 +259,7 @@
 }
 END_TEST
 
-START_TEST(test_shed_cuts_the_slots_and_answers_give_them_back)
+START_TEST(test_shed_reduces_slots_and_answers_restore_them)
 {
 	struct admission *a = admission_of(10, 10);
 	struct admission_result r;
@@ -354,7 +354,7 @@
 
 /* A restart within 5,250 ms whose notice is 3,000 ms, and shorter ones. */
 /* Bookings that a stop could give up are not started. */
-START_TEST(test_drain_starts_what_can_end)
+START_TEST(test_drain_may_start)
 {
 	struct drain d;
 
@@ -373,7 +373,7 @@
 END_TEST
 
 /* Half a second of the grace time is left for the end of the process. */
-START_TEST(test_drain_work)
+START_TEST(test_drain_wait)
 {
 	ck_assert_uint_eq(drain_wait_ms(600000, 0), 600000);
 	ck_assert_uint_eq(drain_wait_ms(600000, 10000), 9500);
@@ -382,7 +382,7 @@
 }
 END_TEST
 
-START_TEST(test_drain_serves_on)
+START_TEST(test_drain_accepts_until)
 {
 	ck_assert_uint_eq(
 	    drain_accepts_until_ms(3000, 6250, 1000), 1000 + 1968);
@@ -405,15 +405,15 @@
 	tcase_add_test(tc, test_backoff);
 	tcase_add_test(tc, test_rate_limit);
 	tcase_add_test(tc, test_slots_then_queue_then_refusal);
-	tcase_add_test(tc, test_refused_at_once_when_it_would_wait_too_long);
-	tcase_add_test(tc, test_queued_expire_at_their_time);
+	tcase_add_test(tc, test_refused_at_once_for_a_long_wait);
+	tcase_add_test(tc, test_queued_requests_expire);
 	tcase_add_test(tc, test_each_class_keeps_its_share);
 	tcase_add_test(tc, test_newest_first_once_the_oldest_waits_long);
-	tcase_add_test(tc, test_shed_cuts_the_slots_and_answers_give_them_back);
+	tcase_add_test(tc, test_shed_reduces_slots_and_answers_restore_them);
 	tcase_add_test(tc, test_draining_refuses_new_and_queued);
-	tcase_add_test(tc, test_drain_starts_what_can_end);
-	tcase_add_test(tc, test_drain_work);
-	tcase_add_test(tc, test_drain_serves_on);
+	tcase_add_test(tc, test_drain_may_start);
+	tcase_add_test(tc, test_drain_wait);
+	tcase_add_test(tc, test_drain_accepts_until);
 	tcase_add_loop_test(tc, test_drain, 0, (int)G_N_ELEMENTS(drain_cases));
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
--- a/packages/traffic/test/test_overload.c
+++ b/packages/traffic/test/test_overload.c
@@ -38,8 +38,8 @@
 };
 
 /** struct tally - what became of a kind */
-struct tally {
-	uint32_t asked;
+struct counts {
+	uint32_t offered;
 	uint32_t in_time;
 	uint32_t served;
 	uint32_t refused;
@@ -54,18 +54,18 @@
 	struct admission_request req;
 };
 
-struct play {
+struct simulation {
 	const struct kind *kinds;
 	bool naive;
 	struct admission *a;
 	struct running all[400000];
 	uint64_t n;
 	GArray *slots;
-	struct tally tally[KINDS];
+	struct counts counts[KINDS];
 };
 
 static void
-start(struct play *p, uint64_t ticket, uint64_t now_ms)
+start(struct simulation *p, uint64_t ticket, uint64_t now_ms)
 {
 	struct running *r = &p->all[ticket];
 
@@ -74,9 +74,10 @@
 }
 
 static void
-carry_out(struct play *p, const struct admission_result *res, uint64_t now_ms)
+apply_result(
+    struct simulation *p, const struct admission_result *res, uint64_t now_ms)
 {
-	struct tally *t = &p->tally[p->all[res->ticket].kind];
+	struct counts *t = &p->counts[p->all[res->ticket].kind];
 
 	if (res->verdict == ADMISSION_START) {
 		start(p, res->ticket, now_ms);
@@ -87,7 +88,7 @@
 }
 
 static void
-arrive(struct play *p, int kind, uint64_t now_ms)
+arrive(struct simulation *p, int kind, uint64_t now_ms)
 {
 	const struct kind *k = &p->kinds[kind];
 	struct running *r = &p->all[p->n];
@@ -100,13 +101,13 @@
 	r->req.deadline_ms = now_ms + k->deadline_ms;
 	r->req.priority = p->naive ? 0 : k->priority;
 	r->req.target_ms = p->naive ? 0 : now_ms + k->target_ms;
-	p->tally[kind].asked++;
+	p->counts[kind].offered++;
 	admission_offer(p->a, &r->req, now_ms, &res);
-	carry_out(p, &res, now_ms);
+	apply_result(p, &res, now_ms);
 }
 
 static void
-finish(struct play *p, guint slot, uint64_t now_ms)
+finish(struct simulation *p, guint slot, uint64_t now_ms)
 {
 	struct running *r = &p->all[g_array_index(p->slots, uint64_t, slot)];
 	const struct kind *k = &p->kinds[r->kind];
@@ -114,13 +115,13 @@
 	g_array_remove_index_fast(p->slots, slot);
 	admission_record_run(p->a, &r->req, k->work_ms, now_ms);
 	admission_finished(p->a, r->req.ticket, k->class, k->work_ms, now_ms);
-	p->tally[r->kind].served++;
+	p->counts[r->kind].served++;
 	if (now_ms <= r->arrived_ms + k->target_ms)
-		p->tally[r->kind].in_time++;
+		p->counts[r->kind].in_time++;
 }
 
 static void
-step(struct play *p, uint64_t now_ms)
+step(struct simulation *p, uint64_t now_ms)
 {
 	struct admission_result res;
 	guint i;
@@ -132,17 +133,18 @@
 			finish(p, i - 1, now_ms);
 	for (kind = 0; kind < KINDS; kind++)
 		while (p->kinds[kind].every_us > 0 &&
-		    (uint64_t)p->tally[kind].asked * p->kinds[kind].every_us <
+		    (uint64_t)p->counts[kind].offered *
+			    p->kinds[kind].every_us <
 			now_ms * 1000)
 			arrive(p, kind, now_ms);
 	while (admission_next(p->a, now_ms, &res))
-		carry_out(p, &res, now_ms);
+		apply_result(p, &res, now_ms);
 }
 
-static struct play *
-play(const struct kind *kinds, bool naive)
+static struct simulation *
+simulate(const struct kind *kinds, bool naive)
 {
-	struct play *p = g_new0(struct play, 1);
+	struct simulation *p = g_new0(struct simulation, 1);
 	struct admission_config cfg;
 	uint64_t now_ms;
 
@@ -172,13 +174,18 @@
 	    {ADMISSION_LOOKUP, 1, 9000, 22, 100, 250},
 	    {ADMISSION_LOOKUP, 2, 20000, 360, 1000, 6000},
 	};
-	struct play *p = play(kinds, false), *n = play(kinds, true);
+	struct simulation *p = simulate(kinds, false),
+			  *n = simulate(kinds, true);
 
-	ck_assert_uint_ge(percent(p->tally[0].in_time, p->tally[0].asked), 95);
-	ck_assert_uint_le(percent(n->tally[0].in_time, n->tally[0].asked), 70);
+	ck_assert_uint_ge(
+	    percent(p->counts[0].in_time, p->counts[0].offered), 95);
+	ck_assert_uint_le(
+	    percent(n->counts[0].in_time, n->counts[0].offered), 70);
 	/* The reads get what is left, and those that run are in time. */
-	ck_assert_uint_ge(percent(p->tally[1].served, p->tally[1].asked), 50);
-	ck_assert_uint_ge(percent(p->tally[1].in_time, p->tally[1].served), 95);
+	ck_assert_uint_ge(
+	    percent(p->counts[1].served, p->counts[1].offered), 50);
+	ck_assert_uint_ge(
+	    percent(p->counts[1].in_time, p->counts[1].served), 95);
 	g_free(p);
 	g_free(n);
 }
@@ -193,15 +200,18 @@
 	    {ADMISSION_LOOKUP, 1, 12000, 110, 400, 2500},
 	    {ADMISSION_LOOKUP, 2, 12000, 110, 400, 2500},
 	};
-	struct play *p = play(kinds, false);
+	struct simulation *p = simulate(kinds, false);
 	uint32_t i;
 
 	for (i = 1; i < KINDS; i++)
 		ck_assert_uint_ge(
-		    percent(p->tally[i - 1].served, p->tally[i - 1].asked) + 5,
-		    percent(p->tally[i].served, p->tally[i].asked));
-	ck_assert_uint_ge(percent(p->tally[0].in_time, p->tally[0].asked), 95);
-	ck_assert_uint_ge(percent(p->tally[2].served, p->tally[2].asked), 5);
+		    percent(p->counts[i - 1].served, p->counts[i - 1].offered) +
+			5,
+		    percent(p->counts[i].served, p->counts[i].offered));
+	ck_assert_uint_ge(
+	    percent(p->counts[0].in_time, p->counts[0].offered), 95);
+	ck_assert_uint_ge(
+	    percent(p->counts[2].served, p->counts[2].offered), 5);
 	g_free(p);
 }
 END_TEST
@@ -217,11 +227,14 @@
 	    {ADMISSION_BOOKING, 1, 64000, 260, 800, 5000},
 	    {ADMISSION_LOOKUP, 2, 43000, 880, 2500, 15000},
 	};
-	struct play *p = play(kinds, false);
-
-	ck_assert_uint_ge(percent(p->tally[0].in_time, p->tally[0].asked), 95);
-	ck_assert_uint_ge(percent(p->tally[1].in_time, p->tally[1].asked), 95);
-	ck_assert_uint_ge(percent(p->tally[2].served, p->tally[2].asked), 20);
+	struct simulation *p = simulate(kinds, false);
+
+	ck_assert_uint_ge(
+	    percent(p->counts[0].in_time, p->counts[0].offered), 95);
+	ck_assert_uint_ge(
+	    percent(p->counts[1].in_time, p->counts[1].offered), 95);
+	ck_assert_uint_ge(
+	    percent(p->counts[2].served, p->counts[2].offered), 20);
 	g_free(p);
 }
 END_TEST
@@ -238,11 +251,13 @@
 	    {ADMISSION_LOOKUP, 1, 3000, 22, 100, 250},
 	    {ADMISSION_BOOKING, 1, 5000, 120, 400, 2500},
 	};
-	struct play *p = play(kinds, false);
+	struct simulation *p = simulate(kinds, false);
 
-	ck_assert_uint_ge(percent(p->tally[0].in_time, p->tally[0].asked), 95);
+	ck_assert_uint_ge(
+	    percent(p->counts[0].in_time, p->counts[0].offered), 95);
 	/* The bookings have the rest of the slots. */
-	ck_assert_uint_ge(percent(p->tally[1].served, p->tally[1].asked), 15);
+	ck_assert_uint_ge(
+	    percent(p->counts[1].served, p->counts[1].offered), 15);
 	g_free(p);
 }
 END_TEST
@@ -252,7 +267,7 @@
  * have.  Refused for it, none was timed again, and 1,000 in a row were refused
  * while their work would have been 55 ms.
  */
-START_TEST(a_kind_that_was_slow_once_is_tried_again)
+START_TEST(slow_kind_is_measured_again)
 {
 	struct admission_request call = {0, ADMISSION_LOOKUP, 0, 1, 0};
 	struct admission_request read = {0, ADMISSION_LOOKUP, 60000, 2, 0};
@@ -287,7 +302,7 @@
  * After a restart only reads of 1.7 s had run when the first short call came.
  * Taken to need as long, it and 852 more were refused, and none was ever timed.
  */
-START_TEST(a_kind_that_never_ran_is_not_taken_for_a_long_one)
+START_TEST(unmeasured_kind_is_not_refused)
 {
 	struct admission_request call = {0, ADMISSION_LOOKUP, 583, 1, 200};
 	struct admission_request read = {1, ADMISSION_LOOKUP, 60000, 2, 8000};
@@ -314,18 +329,22 @@
 END_TEST
 
 /* A third too many: what is served is served in time, not all of it late. */
-START_TEST(what_is_served_under_overload_is_in_time)
+START_TEST(served_requests_are_in_time_under_overload)
 {
 	static const struct kind kinds[KINDS] = {
 	    {ADMISSION_LOOKUP, 1, 5600, 90, 300, 2000},
 	};
-	struct play *p = play(kinds, false), *n = play(kinds, true);
+	struct simulation *p = simulate(kinds, false),
+			  *n = simulate(kinds, true);
 
-	ck_assert_uint_ge(percent(p->tally[0].in_time, p->tally[0].served), 97);
-	ck_assert_uint_ge(p->tally[0].in_time * 100, n->tally[0].in_time * 99);
+	ck_assert_uint_ge(
+	    percent(p->counts[0].in_time, p->counts[0].served), 97);
+	ck_assert_uint_ge(
+	    p->counts[0].in_time * 100, n->counts[0].in_time * 99);
 	/* It takes longer to find room than one round, since others return. */
-	ck_assert_uint_gt(p->tally[0].refused, 0);
-	ck_assert_uint_ge(p->tally[0].retry_after_ms / p->tally[0].refused, 50);
+	ck_assert_uint_gt(p->counts[0].refused, 0);
+	ck_assert_uint_ge(
+	    p->counts[0].retry_after_ms / p->counts[0].refused, 50);
 	g_free(p);
 	g_free(n);
 }
@@ -333,7 +352,7 @@
 
 /* An upstream that refuses half of what it is sent while most of its slots are
  * free keeps them, and callers may come back at once. */
-START_TEST(refusals_with_slots_free_cut_no_slots)
+START_TEST(refusals_with_free_slots_keep_the_limit)
 {
 	struct admission_request req = {0, ADMISSION_LOOKUP, 100000, 0, 0};
 	struct admission_result res;
@@ -369,7 +388,7 @@
  * @random: for the choice of those that it refuses
  * @work_ms: how long each runs that it takes
  * @takes: requests that it runs at a time
- * @refuses_percent: of those that it could run, refused at random
+ * @refuse_percent: of those that it could run, refused at random
  * @per_ms: requests that arrive in a millisecond
  * @until_ms: until when each has its slot, by ticket
  * @taken: whether it runs, by ticket
@@ -381,35 +400,35 @@
 	struct admission *a;
 	GRand *random;
 	uint32_t work_ms;
-	uint32_t takes;
-	int refuses_percent;
+	uint32_t capacity;
+	int refuse_percent;
 	int per_ms;
 	uint64_t until_ms[200000];
-	bool taken[200000];
+	bool accepted[200000];
 	GArray *tickets;
 	uint32_t served;
 	uint32_t refused;
 };
 
 static uint32_t
-flood_running(const struct flood *f)
+flood_accepted(const struct flood *f)
 {
 	uint32_t n = 0;
 	guint i;
 
 	for (i = 0; i < f->tickets->len; i++)
-		n += f->taken[g_array_index(f->tickets, uint64_t, i)];
+		n += f->accepted[g_array_index(f->tickets, uint64_t, i)];
 	return n;
 }
 
 static void
 flood_start(struct flood *f, uint64_t ticket, uint64_t now_ms)
 {
-	bool taken = flood_running(f) < f->takes &&
-	    g_rand_int_range(f->random, 0, 100) >= f->refuses_percent;
+	bool accepted = flood_accepted(f) < f->capacity &&
+	    g_rand_int_range(f->random, 0, 100) >= f->refuse_percent;
 
-	f->taken[ticket] = taken;
-	f->until_ms[ticket] = now_ms + (taken ? f->work_ms : REFUSED_MS);
+	f->accepted[ticket] = accepted;
+	f->until_ms[ticket] = now_ms + (accepted ? f->work_ms : REFUSED_MS);
 	g_array_append_val(f->tickets, ticket);
 }
 
@@ -424,7 +443,7 @@
 		if (f->until_ms[ticket] > now_ms)
 			continue;
 		g_array_remove_index(f->tickets, i - 1);
-		if (!f->taken[ticket]) {
+		if (!f->accepted[ticket]) {
 			f->refused++;
 			(void)admission_shed(
 			    f->a, ticket, ADMISSION_LOOKUP, now_ms);
@@ -467,7 +486,7 @@
 	admission_free(f->a);
 	g_rand_free(f->random);
 	g_array_free(f->tickets, TRUE);
-	return f->served * f->work_ms * 100 / (f->takes * for_ms);
+	return f->served * f->work_ms * 100 / (f->capacity * for_ms);
 }
 
 /*
@@ -475,13 +494,13 @@
  * and callers press: two arrive each millisecond, 210 ms of work each.  Cut to
  * one slot of twelve by it, they did a tenth of what they could.
  */
-START_TEST(refusals_at_random_leave_most_slots_in_use)
+START_TEST(random_refusals_keep_most_slots_in_use)
 {
 	struct flood *f = g_new0(struct flood, 1);
 
 	f->work_ms = 210;
-	f->takes = SLOTS;
-	f->refuses_percent = 55;
+	f->capacity = SLOTS;
+	f->refuse_percent = 55;
 	f->per_ms = 2;
 	ck_assert_uint_ge(flood_run(f, SLOTS, 8000), 75);
 	g_free(f);
@@ -489,12 +508,12 @@
 END_TEST
 
 /* One that announced four times what it takes isn't sent all that. */
-START_TEST(an_upstream_that_promised_too_much_is_found_out)
+START_TEST(excess_announced_slots_are_detected)
 {
 	struct flood *f = g_new0(struct flood, 1);
 
 	f->work_ms = 210;
-	f->takes = SLOTS;
+	f->capacity = SLOTS;
 	f->per_ms = 10;
 	ck_assert_uint_ge(flood_run(f, 4 * SLOTS, 8000), 90);
 	ck_assert_uint_le(f->refused, f->served);
@@ -549,7 +568,7 @@
 }
 
 static void
-burst_end_some(struct burst *r, uint64_t now_ms)
+burst_end_due(struct burst *r, uint64_t now_ms)
 {
 	while (
 	    r->ends->len > 0 && g_array_index(r->ends, uint64_t, 0) <= now_ms) {
@@ -563,7 +582,7 @@
 /* Lets a burst last for @for_ms, then offers one that is late for its target
  * while the queue is still full.  Return: whether it was served in the end. */
 static bool
-late_one_is_served_after(uint64_t for_ms)
+late_request_is_served_after(uint64_t for_ms)
 {
 	struct burst r = {.req = {.class = ADMISSION_LOOKUP}};
 	struct admission_config cfg;
@@ -575,7 +594,7 @@
 	r.a = admission_new(&cfg);
 	r.ends = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (now_ms = 1; now_ms <= for_ms + BACK_LEFT_MS; now_ms++) {
-		burst_end_some(&r, now_ms);
+		burst_end_due(&r, now_ms);
 		if (now_ms < for_ms && now_ms % BURST_EVERY_MS == 0)
 			burst_offer(&r, now_ms + 400, now_ms);
 		if (now_ms == for_ms) {
@@ -594,10 +613,10 @@
  * Who comes back late during a burst of 3 s or a cold start is served once it
  * is over; where upstreams have been missing for longer it is told at once.
  */
-START_TEST(who_is_late_waits_for_the_end_of_a_burst_only)
+START_TEST(late_request_waits_for_a_short_burst_only)
 {
-	ck_assert(late_one_is_served_after(3000));
-	ck_assert(!late_one_is_served_after(15000));
+	ck_assert(late_request_is_served_after(3000));
+	ck_assert(!late_request_is_served_after(15000));
 }
 END_TEST
 
@@ -612,13 +631,13 @@
 	tcase_add_test(
 	    tc, long_reads_take_no_more_than_their_share_from_short_calls);
 	tcase_add_test(tc, short_calls_go_before_bookings_that_run_longer);
-	tcase_add_test(tc, a_kind_that_was_slow_once_is_tried_again);
-	tcase_add_test(tc, a_kind_that_never_ran_is_not_taken_for_a_long_one);
-	tcase_add_test(tc, what_is_served_under_overload_is_in_time);
-	tcase_add_test(tc, refusals_with_slots_free_cut_no_slots);
-	tcase_add_test(tc, refusals_at_random_leave_most_slots_in_use);
-	tcase_add_test(tc, an_upstream_that_promised_too_much_is_found_out);
-	tcase_add_test(tc, who_is_late_waits_for_the_end_of_a_burst_only);
+	tcase_add_test(tc, slow_kind_is_measured_again);
+	tcase_add_test(tc, unmeasured_kind_is_not_refused);
+	tcase_add_test(tc, served_requests_are_in_time_under_overload);
+	tcase_add_test(tc, refusals_with_free_slots_keep_the_limit);
+	tcase_add_test(tc, random_refusals_keep_most_slots_in_use);
+	tcase_add_test(tc, excess_announced_slots_are_detected);
+	tcase_add_test(tc, late_request_waits_for_a_short_burst_only);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
--- a/packages/traffic/test/test_patience.c
+++ b/packages/traffic/test/test_patience.c
@@ -10,7 +10,7 @@
 /* As many as large deployments have. */
 #define ROUTES_MANY 57000
 
-START_TEST(who_has_less_time_left_is_back)
+START_TEST(less_time_left_means_a_retry)
 {
 	struct patience *p = patience_new();
 
@@ -23,7 +23,7 @@
 }
 END_TEST
 
-START_TEST(each_of_many_routes_is_known)
+START_TEST(many_routes_are_kept)
 {
 	struct patience *p = patience_new();
 	uint64_t i;
@@ -42,8 +42,8 @@
 	Suite *suite = suite_create("patience");
 	TCase *tc = tcase_create("patience");
 
-	tcase_add_test(tc, who_has_less_time_left_is_back);
-	tcase_add_test(tc, each_of_many_routes_is_known);
+	tcase_add_test(tc, less_time_left_means_a_retry);
+	tcase_add_test(tc, many_routes_are_kept);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_placement.c
+++ b/packages/traffic/test/test_placement.c
@@ -24,7 +24,7 @@
 };
 
 static void
-tell(struct world *w, size_t n, uint64_t now_ms)
+publish(struct world *w, size_t n, uint64_t now_ms)
 {
 	w->generation++;
 	endpoints_set_service(
@@ -54,7 +54,7 @@
 	w->endpoints = endpoints_new(&ec);
 	w->ejection = ejection_new(&jc, w->endpoints);
 	w->placement = placement_new(&pc, w->endpoints, w->ejection, 7);
-	tell(w, ENDPOINTS, 1);
+	publish(w, ENDPOINTS, 1);
 }
 
 static void
@@ -101,7 +101,7 @@
 }
 
 static void
-let_fail(struct world *w, uint64_t endpoint, int times, uint64_t now_ms)
+fail_requests(struct world *w, uint64_t endpoint, int times, uint64_t now_ms)
 {
 	int i;
 
@@ -132,9 +132,9 @@
 	ck_assert_int_eq(choose(&w, NULL, 0, 10).reason, PLACEMENT_LOCAL);
 	w.infos[0].state = ENDPOINT_DRAINING;
 	w.infos[1].state = ENDPOINT_LEFT;
-	tell(&w, ENDPOINTS, 11);
+	publish(&w, ENDPOINTS, 11);
 	ck_assert_int_eq(choose(&w, NULL, 0, 11).reason, PLACEMENT_REMOTE);
-	tell(&w, 0, 12);
+	publish(&w, 0, 12);
 	ck_assert_int_eq(choose(&w, NULL, 0, 12).reason, PLACEMENT_NONE);
 	ck_assert_uint_eq(endpoints_generation(w.endpoints, SERVICE), 0);
 	world_clear(&w);
@@ -174,7 +174,7 @@
 }
 END_TEST
 
-START_TEST(test_draining_is_left_out_before_the_news_comes)
+START_TEST(test_draining_is_excluded_before_the_snapshot)
 {
 	struct world w;
 	int n[ENDPOINTS + 1];
@@ -195,7 +195,7 @@
  * and its host was left out for 5 s although it was ready again after some
  * milliseconds; where it is the only one, callers had nobody.
  */
-START_TEST(test_what_is_ready_again_is_called_at_once)
+START_TEST(test_ready_again_is_used_at_once)
 {
 	struct world w;
 	int n[ENDPOINTS + 1];
@@ -204,9 +204,9 @@
 	endpoints_began(w.endpoints, 1, 10);
 	endpoints_ended(w.endpoints, 1, ENDPOINT_DRAINS, 0, 10);
 	w.infos[0].state = ENDPOINT_DRAINING;
-	tell(&w, ENDPOINTS, 12);
+	publish(&w, ENDPOINTS, 12);
 	w.infos[0].state = ENDPOINT_READY;
-	tell(&w, ENDPOINTS, 20);
+	publish(&w, ENDPOINTS, 20);
 	count(&w, 21, n);
 	ck_assert_int_gt(n[1], 0);
 	world_clear(&w);
@@ -225,10 +225,10 @@
 
 	world_init(&w);
 	w.infos[1].incarnation = 5;
-	tell(&w, ENDPOINTS, 1000);
+	publish(&w, ENDPOINTS, 1000);
 	ck_assert_uint_eq(choose(&w, others, 3, 1000).slots, 10);
 	w.infos[1].incarnation = 6;
-	tell(&w, ENDPOINTS, 11000);
+	publish(&w, ENDPOINTS, 11000);
 	c = choose(&w, others, 3, 11000);
 	ck_assert_uint_eq(c.endpoint, 2);
 	ck_assert_uint_eq(c.slots, 1);
@@ -242,7 +242,7 @@
  * A rolling restart of the nodes: their upstreams run on and say that they are
  * warm.  Ramped up over 5 s each, a quarter of all slots stood idle for it.
  */
-START_TEST(test_what_says_that_it_is_warm_gets_its_share)
+START_TEST(test_warm_endpoint_skips_slow_start)
 {
 	static const uint64_t others[] = {1, 3, 4};
 	struct world w;
@@ -250,14 +250,14 @@
 	world_init(&w);
 	w.infos[1].incarnation = 5;
 	w.infos[1].cold_ms = 0;
-	tell(&w, ENDPOINTS, 11000);
+	publish(&w, ENDPOINTS, 11000);
 	ck_assert_uint_eq(choose(&w, others, 3, 11000).slots, 10);
 	world_clear(&w);
 }
 END_TEST
 
 /* One that tells how long it is slow has its share by then, not later. */
-START_TEST(test_what_says_how_long_it_is_cold_warms_up_by_then)
+START_TEST(test_announced_cold_time_bounds_slow_start)
 {
 	static const uint64_t others[] = {1, 3, 4};
 	struct world w;
@@ -265,7 +265,7 @@
 	world_init(&w);
 	w.infos[1].incarnation = 5;
 	w.infos[1].cold_ms = 3000;
-	tell(&w, ENDPOINTS, 11000);
+	publish(&w, ENDPOINTS, 11000);
 	ck_assert_uint_eq(choose(&w, others, 3, 11000).slots, 5);
 	ck_assert_uint_eq(choose(&w, others, 3, 13400).slots, 8);
 	ck_assert_uint_eq(choose(&w, others, 3, 14000).slots, 10);
@@ -278,7 +278,7 @@
  * calls of 22 ms behind them are answered after 0.5 s.  Such a host looks idle
  * by its slots, and was chosen most.
  */
-START_TEST(test_a_full_link_is_left_and_tried_again)
+START_TEST(test_delayed_endpoint_is_avoided_then_retried)
 {
 	struct world w;
 	int n[ENDPOINTS + 1], i;
@@ -302,7 +302,7 @@
 END_TEST
 
 /* What the upstream itself took is no delay on the way. */
-START_TEST(test_long_work_is_no_slow_way)
+START_TEST(test_processing_time_is_no_delay)
 {
 	struct world w;
 	int n[ENDPOINTS + 1], i;
@@ -316,14 +316,14 @@
 }
 END_TEST
 
-START_TEST(test_failing_is_ejected_and_probed_back)
+START_TEST(test_failing_endpoint_is_ejected_and_probed)
 {
 	struct world w;
 	struct placement_choice c;
 	int n[ENDPOINTS + 1];
 
 	world_init(&w);
-	let_fail(&w, 1, 3, 100);
+	fail_requests(&w, 1, 3, 100);
 	ck_assert_int_eq(
 	    ejection_verdict(w.ejection, 1, 100), EJECTION_EJECTED);
 	count(&w, 100, n);
@@ -333,7 +333,7 @@
 	ck_assert_int_eq(c.reason, PLACEMENT_PROBE);
 	ck_assert_uint_eq(c.endpoint, 1);
 	ck_assert_uint_ne(choose(&w, NULL, 0, 1100).endpoint, 1);
-	let_fail(&w, 1, 1, 1100);
+	fail_requests(&w, 1, 1, 1100);
 	ck_assert_int_eq(
 	    ejection_verdict(w.ejection, 1, 3099), EJECTION_EJECTED);
 	/* A health check that claims to be well only brings a probe. */
@@ -350,14 +350,14 @@
 }
 END_TEST
 
-START_TEST(test_floor_and_cap)
+START_TEST(test_max_ejected_and_longest_ejection)
 {
 	struct world w;
 	uint64_t now, ep, until;
 
 	world_init(&w);
 	for (ep = 1; ep <= ENDPOINTS; ep++)
-		let_fail(&w, ep, 20, 100);
+		fail_requests(&w, ep, 20, 100);
 	ck_assert_uint_eq(ejection_count(w.ejection, SERVICE, 100), 2);
 	ck_assert_uint_ne(choose(&w, NULL, 0, 100).endpoint, 0);
 	/* However often it fails, it is tried again within the cap. */
@@ -368,18 +368,18 @@
 		ck_assert_uint_le(until, now + 30100);
 		while (choose(&w, NULL, 0, until).endpoint != 1)
 			;
-		let_fail(&w, 1, 1, until);
+		fail_requests(&w, 1, 1, until);
 	}
 	/* Replaced: its past is forgotten. */
 	w.infos[0].incarnation = 2;
-	tell(&w, ENDPOINTS, now);
+	publish(&w, ENDPOINTS, now);
 	ck_assert_int_eq(ejection_verdict(w.ejection, 1, now), EJECTION_USABLE);
 	ck_assert_uint_eq(ejection_count(w.ejection, SERVICE, now), 1);
 	world_clear(&w);
 }
 END_TEST
 
-START_TEST(test_far_slower_than_siblings)
+START_TEST(test_slow_endpoint_is_ejected)
 {
 	struct world w;
 	uint64_t ep, i;
@@ -413,11 +413,11 @@
 
 	world_init(&w);
 	endpoints_began(w.endpoints, 4, 1);
-	tell(&w, 3, 2);
+	publish(&w, 3, 2);
 	ck_assert_uint_eq(endpoints_in_flight(w.endpoints, 4), 1);
-	tell(&w, ENDPOINTS, 3);
+	publish(&w, ENDPOINTS, 3);
 	ck_assert_uint_eq(endpoints_in_flight(w.endpoints, 4), 1);
-	tell(&w, 3, 4);
+	publish(&w, 3, 4);
 	endpoints_ended(w.endpoints, 4, ENDPOINT_FAILED, 0, 4);
 	ck_assert_uint_eq(endpoints_in_flight(w.endpoints, 4), 0);
 	ck_assert_uint_eq(ejection_count(w.ejection, SERVICE, 4), 0);
@@ -427,7 +427,7 @@
 
 /* An entry whose version is late leaves it to other hosts to check a route;
  * where there are none the own upstream is as good as before. */
-START_TEST(the_own_upstream_is_the_last_choice_of_a_late_entry)
+START_TEST(own_endpoint_is_avoided_on_request)
 {
 	struct placement_query q = {
 	    .service = SERVICE, .idempotent = true, .avoid_own = true};
@@ -437,16 +437,16 @@
 
 	world_init(&w);
 	w.infos[0].own = true;
-	tell(&w, ENDPOINTS, 1);
+	publish(&w, ENDPOINTS, 1);
 	for (i = 0; i < 100; i++) {
 		ck_assert(placement_choose(w.placement, &q, 1000, &c));
 		ck_assert_uint_ne(c.endpoint, 1);
 	}
-	tell(&w, 1, 2);
+	publish(&w, 1, 2);
 	ck_assert(placement_choose(w.placement, &q, 1000, &c));
 	ck_assert_uint_eq(c.endpoint, 1);
 	q.avoid_own = false;
-	tell(&w, ENDPOINTS, 3);
+	publish(&w, ENDPOINTS, 3);
 	ck_assert(placement_choose(w.placement, &q, 1000, &c));
 	ck_assert_uint_eq(c.endpoint, 1);
 	world_clear(&w);
@@ -455,7 +455,7 @@
 
 /* Each entry leads a suspect to the same endpoint, whatever it knows of loads,
  * and not to one that the call has tried. */
-START_TEST(suspect_has_one_endpoint)
+START_TEST(suspect_goes_to_its_ranked_endpoint)
 {
 	struct placement_query q = {.service = SERVICE, .content = 17};
 	struct placement_choice a, b;
@@ -489,11 +489,11 @@
 	ck_assert(placement_choose(w.placement, &q, 1, &a));
 	ck_assert_int_eq(a.reason, PLACEMENT_HOME);
 	report(&w, a.endpoint, 50, 1);
-	let_fail(&w, a.endpoint, 5, 1);
+	fail_requests(&w, a.endpoint, 5, 1);
 	ck_assert(placement_choose(w.placement, &q, 1, &b));
 	ck_assert_uint_eq(a.endpoint, b.endpoint);
 	w.infos[a.endpoint - 1].state = ENDPOINT_DRAINING;
-	tell(&w, ENDPOINTS, 2);
+	publish(&w, ENDPOINTS, 2);
 	ck_assert(placement_choose(w.placement, &q, 2, &b));
 	ck_assert_uint_ne(a.endpoint, b.endpoint);
 	world_clear(&w);
@@ -511,19 +511,19 @@
 	tcase_add_test(tc, test_local_first_then_spill);
 	tcase_add_test(tc, test_less_loaded_and_old_load_decays);
 	tcase_add_test(tc, test_retry_goes_elsewhere);
-	tcase_add_test(tc, test_draining_is_left_out_before_the_news_comes);
-	tcase_add_test(tc, test_what_is_ready_again_is_called_at_once);
+	tcase_add_test(tc, test_draining_is_excluded_before_the_snapshot);
+	tcase_add_test(tc, test_ready_again_is_used_at_once);
 	tcase_add_test(tc, test_slow_start);
-	tcase_add_test(tc, test_what_says_that_it_is_warm_gets_its_share);
-	tcase_add_test(tc, test_what_says_how_long_it_is_cold_warms_up_by_then);
-	tcase_add_test(tc, test_a_full_link_is_left_and_tried_again);
-	tcase_add_test(tc, test_long_work_is_no_slow_way);
-	tcase_add_test(tc, test_failing_is_ejected_and_probed_back);
-	tcase_add_test(tc, test_floor_and_cap);
-	tcase_add_test(tc, test_far_slower_than_siblings);
+	tcase_add_test(tc, test_warm_endpoint_skips_slow_start);
+	tcase_add_test(tc, test_announced_cold_time_bounds_slow_start);
+	tcase_add_test(tc, test_delayed_endpoint_is_avoided_then_retried);
+	tcase_add_test(tc, test_processing_time_is_no_delay);
+	tcase_add_test(tc, test_failing_endpoint_is_ejected_and_probed);
+	tcase_add_test(tc, test_max_ejected_and_longest_ejection);
+	tcase_add_test(tc, test_slow_endpoint_is_ejected);
 	tcase_add_test(tc, test_snapshot_changes_under_requests);
-	tcase_add_test(tc, the_own_upstream_is_the_last_choice_of_a_late_entry);
-	tcase_add_test(tc, suspect_has_one_endpoint);
+	tcase_add_test(tc, own_endpoint_is_avoided_on_request);
+	tcase_add_test(tc, suspect_goes_to_its_ranked_endpoint);
 	tcase_add_test(tc, test_key_has_one_home);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
--- a/packages/traffic/test/test_placement_fleet.c
+++ b/packages/traffic/test/test_placement_fleet.c
@@ -11,7 +11,7 @@
 
 #define SERVICE 9
 
-enum { OWN_CENTRE = 1, CUT_CENTRE, OTHER_CENTRE };
+enum { OWN_CENTRE = 1, PARTITIONED_CENTRE, OTHER_CENTRE };
 
 static struct endpoint_info
 info_in(uint64_t id, uint64_t centre)
@@ -66,7 +66,7 @@
 	return e;
 }
 
-START_TEST(known_room_is_used_before_what_is_not_known)
+START_TEST(known_capacity_is_used_before_unknown)
 {
 	struct load_report full = {10, 12, 10}, room = {1, 0, 10};
 	struct endpoints *e = many_new();
@@ -103,14 +103,14 @@
  * hosts during a cut of six seconds, and each of the others as well.
  */
 #define CENTRE_HOSTS 25
-#define CUT_FROM_MS 1000
-#define CUT_FOR_MS 6000
+#define PARTITION_START_MS 1000
+#define PARTITION_DURATION_MS 6000
 #define CALL_EACH_MS 50
 #define SILENT_AFTER_MS 500
 
 /* Half of the calls go there until two hosts are known to be silent, within a
  * second; then one each 2 s, to find out when the cut is over. */
-#define LOST_MOST (1000 / CALL_EACH_MS / 2 + CUT_FOR_MS / 2000)
+#define LOST_MAX (1000 / CALL_EACH_MS / 2 + PARTITION_DURATION_MS / 2000)
 
 /* One local endpoint, which is full, and two data centres. */
 static struct endpoints *
@@ -125,7 +125,7 @@
 	e = endpoints_new(&ec);
 	infos[n++] = info_in(1, OWN_CENTRE);
 	for (i = 0; i < CENTRE_HOSTS; i++) {
-		infos[n++] = info_in(100 + i, CUT_CENTRE);
+		infos[n++] = info_in(100 + i, PARTITIONED_CENTRE);
 		infos[n++] = info_in(200 + i, OTHER_CENTRE);
 	}
 	endpoints_set_service(e, SERVICE, 1, infos, n, 0);
@@ -135,13 +135,13 @@
 }
 
 static bool
-is_behind_cut(uint64_t id, uint64_t now_ms)
+is_partitioned(uint64_t id, uint64_t now_ms)
 {
-	return id >= 100 && id < 200 && now_ms >= CUT_FROM_MS &&
-	    now_ms < CUT_FROM_MS + CUT_FOR_MS;
+	return id >= 100 && id < 200 && now_ms >= PARTITION_START_MS &&
+	    now_ms < PARTITION_START_MS + PARTITION_DURATION_MS;
 }
 
-START_TEST(a_cut_costs_few_calls)
+START_TEST(partition_costs_few_calls)
 {
 	uint64_t silent_ms[100 + CENTRE_HOSTS] = {0}, id, now_ms;
 	struct endpoints *e = fleet_new();
@@ -152,27 +152,29 @@
 
 	placement_config_default(&pc);
 	p = placement_new(&pc, e, NULL, (uint64_t)_i);
-	for (now_ms = 0; now_ms < CUT_FROM_MS + CUT_FOR_MS + 4000;
+	for (now_ms = 0;
+	     now_ms < PARTITION_START_MS + PARTITION_DURATION_MS + 4000;
 	     now_ms += CALL_EACH_MS) {
 		for (i = 100; i < 100 + CENTRE_HOSTS; i++) {
 			if (silent_ms[i] == 0 || now_ms < silent_ms[i])
 				continue;
 			/* Dialled again, once the cut is over it answers. */
 			(void)endpoints_set_silent(
-			    e, i, is_behind_cut(i, now_ms), now_ms);
+			    e, i, is_partitioned(i, now_ms), now_ms);
 		}
 		id = place(p, now_ms);
 		endpoints_began(e, id, now_ms);
-		if (is_behind_cut(id, now_ms)) {
+		if (is_partitioned(id, now_ms)) {
 			lost++;
 			silent_ms[id] = now_ms + SILENT_AFTER_MS;
 			endpoints_ended(e, id, ENDPOINT_CANCELLED, 0, now_ms);
 			continue;
 		}
 		endpoints_ended(e, id, ENDPOINT_OK, 1000, now_ms);
-		back += id < 200 && now_ms >= CUT_FROM_MS + CUT_FOR_MS;
+		back += id < 200 &&
+		    now_ms >= PARTITION_START_MS + PARTITION_DURATION_MS;
 	}
-	ck_assert_msg(lost <= LOST_MOST, "%u calls were lost", lost);
+	ck_assert_msg(lost <= LOST_MAX, "%u calls were lost", lost);
 	ck_assert_msg(back > 0, "it is not called after the cut");
 	placement_free(p);
 	endpoints_free(e);
@@ -180,7 +182,7 @@
 END_TEST
 
 /* Two hosts that end by themselves while others there answer are no cut. */
-START_TEST(two_silent_hosts_among_others_that_answer_are_no_cut)
+START_TEST(silent_hosts_among_answering_ones_are_no_partition)
 {
 	struct endpoints *e = fleet_new();
 
@@ -195,7 +197,7 @@
 END_TEST
 
 /* One host is no data centre, and neither are two that end at other times. */
-START_TEST(one_silent_host_is_no_cut)
+START_TEST(one_silent_host_is_no_partition)
 {
 	struct endpoints *e = fleet_new();
 
@@ -231,7 +233,7 @@
 	return id <= SPARSE_SLOW ? SLOW_US : QUICK_US;
 }
 
-START_TEST(slow_endpoints_are_known_after_a_few_answers)
+START_TEST(slow_endpoints_are_detected_after_few_responses)
 {
 	struct endpoint_info infos[SPARSE];
 	uint32_t i, slow = 0, all = 0;
@@ -279,13 +281,11 @@
 	Suite *suite = suite_create("placement_fleet");
 	TCase *tc = tcase_create("placement");
 
-	tcase_add_loop_test(
-	    tc, known_room_is_used_before_what_is_not_known, 0, 10);
-	tcase_add_loop_test(tc, a_cut_costs_few_calls, 0, 10);
-	tcase_add_test(
-	    tc, two_silent_hosts_among_others_that_answer_are_no_cut);
-	tcase_add_test(tc, one_silent_host_is_no_cut);
-	tcase_add_test(tc, slow_endpoints_are_known_after_a_few_answers);
+	tcase_add_loop_test(tc, known_capacity_is_used_before_unknown, 0, 10);
+	tcase_add_loop_test(tc, partition_costs_few_calls, 0, 10);
+	tcase_add_test(tc, silent_hosts_among_answering_ones_are_no_partition);
+	tcase_add_test(tc, one_silent_host_is_no_partition);
+	tcase_add_test(tc, slow_endpoints_are_detected_after_few_responses);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_quarantine.c
+++ b/packages/traffic/test/test_quarantine.c
@@ -12,9 +12,9 @@
 
 #define T0 UINT64_C(100000)
 #define HOUR_MS UINT64_C(3600000)
-#define SETTLED_MS QUARANTINE_SETTLE_MS
+#define SETTLE_MS QUARANTINE_SETTLE_MS
 #define MANY 300
-#define FLOOD 5000
+#define CRASHES_EXCESS 5000
 #define SLOTS 10
 #define A 11
 #define B 12
@@ -37,7 +37,7 @@
 }
 
 static struct fingerprint
-print(uint64_t content, uint64_t caller)
+request(uint64_t content, uint64_t caller)
 {
 	struct fingerprint f = {content, caller};
 
@@ -61,32 +61,32 @@
 static void
 crash_alone(uint64_t at_ms, uint64_t content, uint64_t caller)
 {
-	crash(at_ms, print(content, caller), print(0, 0));
+	crash(at_ms, request(content, caller), request(0, 0));
 }
 
 static bool
-held(uint64_t content, uint64_t caller)
+is_quarantined(uint64_t content, uint64_t caller)
 {
-	struct fingerprint f = print(content, caller);
+	struct fingerprint f = request(content, caller);
 
 	return quarantine_check(q, &f) != NULL;
 }
 
-START_TEST(the_third_crash_holds_a_request_off)
+START_TEST(third_crash_quarantines_a_request)
 {
 	struct quarantine_event e;
 
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 5000, 1, A);
 	quarantine_tick(q, T0 + 10000);
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 	crash_alone(T0 + 10000, 1, A);
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 	ck_assert_uint_eq(
 	    quarantine_wake_ms(q), T0 + 10000 + QUARANTINE_SETTLE_MS);
-	quarantine_tick(q, T0 + 10000 + SETTLED_MS);
-	ck_assert(held(1, A));
-	ck_assert(!held(2, A));
+	quarantine_tick(q, T0 + 10000 + SETTLE_MS);
+	ck_assert(is_quarantined(1, A));
+	ck_assert(!is_quarantined(2, A));
 	ck_assert(quarantine_pop(q, &e));
 	ck_assert_int_eq(e.kind, QUARANTINE_EVENT_QUARANTINED);
 	ck_assert_uint_eq(e.entry.print.content, 1);
@@ -99,17 +99,17 @@
 static enum suspicion
 suspicion(uint64_t content, uint64_t now_ms)
 {
-	struct fingerprint f = print(content, A);
+	struct fingerprint f = request(content, A);
 
 	return quarantine_suspicion(q, &f, now_ms);
 }
 
 START_TEST(request_is_suspect_after_a_crash_until_it_is_answered)
 {
-	struct fingerprint f = print(1, A);
+	struct fingerprint f = request(1, A);
 
 	ck_assert_int_eq(suspicion(1, T0), SUSPICION_NONE);
-	crash(T0, f, print(2, A));
+	crash(T0, f, request(2, A));
 	ck_assert_int_eq(suspicion(1, T0), SUSPICION_SUSPECT);
 	ck_assert_int_eq(suspicion(2, T0), SUSPICION_SUSPECT);
 	ck_assert_int_eq(suspicion(3, T0), SUSPICION_NONE);
@@ -122,16 +122,16 @@
 }
 END_TEST
 
-START_TEST(request_is_undecided_from_its_third_crash_to_the_decision)
+START_TEST(request_is_undecided_until_the_decision)
 {
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 10, 1, A);
 	ck_assert_int_eq(suspicion(1, T0 + 10), SUSPICION_SUSPECT);
 	crash_alone(T0 + 20, 1, A);
 	ck_assert_int_eq(suspicion(1, T0 + 20), SUSPICION_UNDECIDED);
-	ck_assert(!held(1, A));
-	quarantine_tick(q, T0 + 20 + SETTLED_MS);
-	ck_assert(held(1, A));
+	ck_assert(!is_quarantined(1, A));
+	quarantine_tick(q, T0 + 20 + SETTLE_MS);
+	ck_assert(is_quarantined(1, A));
 }
 END_TEST
 
@@ -147,7 +147,7 @@
 END_TEST
 
 /* Others crashed without it: one cause for all of them is not this request. */
-START_TEST(crashes_without_a_request_leave_it_decided)
+START_TEST(coinciding_crashes_leave_nothing_undecided)
 {
 	int i;
 
@@ -159,35 +159,35 @@
 }
 END_TEST
 
-START_TEST(crashes_are_told_twice_and_counted_once)
+START_TEST(repeated_crash_reports_count_once)
 {
 	struct crash c = {.id = 7, .at_ms = T0, .n_runs = 1};
 	int i;
 
-	c.runs[0] = print(1, A);
+	c.runs[0] = request(1, A);
 	for (i = 0; i < 5; i++)
 		quarantine_add_peer_crash(q, &c, T0 + 100);
 	quarantine_tick(q, T0 + 1000);
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 }
 END_TEST
 
-START_TEST(pauses_of_hours_change_nothing)
+START_TEST(crashes_hours_apart_count)
 {
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 5 * HOUR_MS, 1, A);
 	crash_alone(T0 + 30 * HOUR_MS, 1, A);
-	quarantine_tick(q, T0 + 30 * HOUR_MS + SETTLED_MS);
-	ck_assert(held(1, A));
+	quarantine_tick(q, T0 + 30 * HOUR_MS + SETTLE_MS);
+	ck_assert(is_quarantined(1, A));
 	quarantine_tick(q, T0 + 300 * HOUR_MS);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 }
 END_TEST
 
 /* An upstream was able to answer it. */
-START_TEST(what_is_answered_meanwhile_is_not_to_blame)
+START_TEST(answered_request_is_exonerated)
 {
-	struct fingerprint f = print(1, A);
+	struct fingerprint f = request(1, A);
 	struct quarantine_event e;
 
 	crash_alone(T0, 1, A);
@@ -199,7 +199,7 @@
 	crash_alone(T0 + 2000, 1, A);
 	crash_alone(T0 + 3000, 1, A);
 	quarantine_tick(q, T0 + 4000);
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 }
 END_TEST
 
@@ -212,74 +212,74 @@
  * it, also where the rival had been answered meanwhile. Proof: the crashes
  * alone, below.
  */
-START_TEST(a_rival_that_was_answered_is_none)
+START_TEST(answered_request_is_no_cosuspect)
 {
-	struct fingerprint other = print(2, A);
+	struct fingerprint other = request(2, A);
 
-	crash(T0, print(1, A), other);
-	crash(T0 + 100, print(1, A), other);
-	crash(T0 + 300, print(1, A), other);
+	crash(T0, request(1, A), other);
+	crash(T0 + 100, request(1, A), other);
+	crash(T0 + 300, request(1, A), other);
 	(void)quarantine_answered(q, &other, T0 + 500);
 	quarantine_tick(q, T0 + 700);
-	ck_assert(held(1, A));
-	ck_assert(!held(2, A));
+	ck_assert(is_quarantined(1, A));
+	ck_assert(!is_quarantined(2, A));
 }
 END_TEST
 
 /* Neither is run for some seconds, each node its own; then the first crash
  * without the other one tells. */
-START_TEST(rivals_are_put_off_until_one_is_told_apart)
+START_TEST(cosuspects_are_suspended_until_one_is_implicated)
 {
 	uint64_t over_ms = T0 + 1500 + QUARANTINE_SUSPEND_MS * 2;
 	struct quarantine_event e;
 
-	crash(T0, print(1, A), print(2, A));
-	crash(T0 + 500, print(1, A), print(2, A));
-	crash(T0 + 1000, print(1, A), print(2, A));
+	crash(T0, request(1, A), request(2, A));
+	crash(T0 + 500, request(1, A), request(2, A));
+	crash(T0 + 1000, request(1, A), request(2, A));
 	quarantine_tick(q, T0 + 1500);
-	ck_assert(held(1, A));
-	ck_assert(held(2, A));
+	ck_assert(is_quarantined(1, A));
+	ck_assert(is_quarantined(2, A));
 	ck_assert(quarantine_pop(q, &e));
 	ck_assert_int_eq(e.kind, QUARANTINE_EVENT_SUSPENDED);
 	quarantine_tick(q, T0 + 1500 + QUARANTINE_SUSPEND_MS - 1);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 	quarantine_tick(q, over_ms);
-	ck_assert(!held(1, A));
-	ck_assert(!held(2, A));
+	ck_assert(!is_quarantined(1, A));
+	ck_assert(!is_quarantined(2, A));
 	quarantine_tick(q, over_ms + 1000);
-	ck_assert(!held(1, A));
-	crash(over_ms + 2000, print(1, A), print(3, A));
+	ck_assert(!is_quarantined(1, A));
+	crash(over_ms + 2000, request(1, A), request(3, A));
 	quarantine_tick(q, over_ms + 2500);
-	ck_assert(held(1, A));
-	ck_assert(!held(2, A));
-	crash(over_ms + 3000, print(2, A), print(1, A));
-	crash(over_ms + 4000, print(2, A), print(1, A));
+	ck_assert(is_quarantined(1, A));
+	ck_assert(!is_quarantined(2, A));
+	crash(over_ms + 3000, request(2, A), request(1, A));
+	crash(over_ms + 4000, request(2, A), request(1, A));
 	quarantine_tick(q, over_ms + 5000);
-	ck_assert(!held(2, A));
+	ck_assert(!is_quarantined(2, A));
 	quarantine_tick(q, over_ms + HOUR_MS);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 }
 END_TEST
 
-START_TEST(an_answer_ends_a_doubt)
+START_TEST(answer_ends_a_suspension)
 {
-	struct fingerprint other = print(2, A);
+	struct fingerprint other = request(2, A);
 
-	crash(T0, print(1, A), other);
-	crash(T0 + 500, print(1, A), other);
-	crash(T0 + 1000, print(1, A), other);
+	crash(T0, request(1, A), other);
+	crash(T0 + 500, request(1, A), other);
+	crash(T0 + 1000, request(1, A), other);
 	quarantine_tick(q, T0 + 1500);
-	ck_assert(held(2, A));
+	ck_assert(is_quarantined(2, A));
 	(void)quarantine_answered(q, &other, T0 + 1600);
-	ck_assert(!held(2, A));
+	ck_assert(!is_quarantined(2, A));
 	quarantine_tick(q, T0 + 2000);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 	quarantine_tick(q, T0 + HOUR_MS);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 }
 END_TEST
 
-START_TEST(a_full_upstream_is_crashed_and_nobody_else_pays)
+START_TEST(only_the_recurring_request_is_quarantined)
 {
 	struct crash c;
 	uint32_t i, r;
@@ -289,20 +289,20 @@
 		c.id = i + 1;
 		c.at_ms = T0 + i * 300;
 		c.n_runs = SLOTS;
-		c.runs[0] = print(1, A);
+		c.runs[0] = request(1, A);
 		for (r = 1; r < SLOTS; r++)
-			c.runs[r] = print(100 + r + (i % 3 == 2 ? i : 0), A);
+			c.runs[r] = request(100 + r + (i % 3 == 2 ? i : 0), A);
 		quarantine_add_peer_crash(q, &c, c.at_ms);
 		quarantine_tick(q, c.at_ms);
 	}
 	quarantine_tick(q, T0 + 60000);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 	for (r = 100; r < 200; r++)
-		ck_assert(!held(r, A));
+		ck_assert(!is_quarantined(r, A));
 }
 END_TEST
 
-START_TEST(two_such_requests_at_once_are_both_held_off)
+START_TEST(two_concurrent_crashing_requests_are_both_quarantined)
 {
 	uint32_t i;
 
@@ -311,14 +311,14 @@
 		crash_alone(T0 + i * 400 + 100, 2, B);
 	}
 	quarantine_tick(q, T0 + 5000);
-	ck_assert(held(1, A));
-	ck_assert(held(2, B));
+	ck_assert(is_quarantined(1, A));
+	ck_assert(is_quarantined(2, B));
 }
 END_TEST
 
 /* Hundreds of upstreams are killed in a second: what each ran is tried again on
  * one that is killed a moment later. */
-START_TEST(a_kill_of_hundreds_blames_nobody)
+START_TEST(mass_kill_quarantines_nothing)
 {
 	struct crash c;
 	uint32_t i, r;
@@ -329,25 +329,25 @@
 		c.at_ms = T0 + i * 1000 / MANY;
 		c.n_runs = SLOTS;
 		for (r = 0; r < SLOTS; r++)
-			c.runs[r] = print(1 + i % 60 * SLOTS + r, A);
+			c.runs[r] = request(1 + i % 60 * SLOTS + r, A);
 		quarantine_add_peer_crash(q, &c, c.at_ms);
 		quarantine_tick(q, c.at_ms);
 	}
-	quarantine_tick(q, T0 + 1000 + SETTLED_MS);
+	quarantine_tick(q, T0 + 1000 + SETTLE_MS);
 	ck_assert(quarantine_is_empty(q));
 }
 END_TEST
 
 /* All upstreams of hundreds of hosts run one popular path when they end: each
  * guard has seen it answered, and leaves it out of what it tells. */
-START_TEST(a_popular_request_is_left_out_by_those_who_saw_it_answered)
+START_TEST(answered_request_is_not_published)
 {
 	struct crash c = {.id = 1, .at_ms = T0 + 1000, .n_runs = 2};
-	struct fingerprint popular = print(1, A);
+	struct fingerprint popular = request(1, A);
 	struct quarantine_event e;
 
 	(void)quarantine_answered(q, &popular, T0);
-	c.runs[0] = print(2, A);
+	c.runs[0] = request(2, A);
 	c.runs[1] = popular;
 	quarantine_add_own_crash(q, &c, T0 + 1000);
 	ck_assert(quarantine_pop(q, &e));
@@ -360,17 +360,17 @@
 
 /* Guards that hadn't seen it answered list it; one that has speaks for it
  * before anybody holds it off. */
-START_TEST(one_node_that_saw_an_answer_speaks_for_a_request)
+START_TEST(answer_on_one_node_exonerates_a_request)
 {
-	struct fingerprint popular = print(1, A);
+	struct fingerprint popular = request(1, A);
 	struct quarantine_event e;
 	uint32_t i;
 
 	(void)quarantine_answered(q, &popular, T0);
 	for (i = 0; i < MANY; i++)
 		crash_alone(T0 + 1000 + i * 1000 / MANY, 1, A);
-	quarantine_tick(q, T0 + 2000 + SETTLED_MS);
-	ck_assert(!held(1, A));
+	quarantine_tick(q, T0 + 2000 + SETTLE_MS);
+	ck_assert(!is_quarantined(1, A));
 	ck_assert(quarantine_pop(q, &e));
 	ck_assert_int_eq(e.kind, QUARANTINE_EVENT_EXONERATED);
 }
@@ -378,9 +378,9 @@
 
 /* What an earlier release answered speaks for one crash a host, not for ever.
  */
-START_TEST(an_old_answer_does_not_cover_what_a_release_broke)
+START_TEST(old_answer_exonerates_from_one_crash_only)
 {
-	struct fingerprint f = print(1, A);
+	struct fingerprint f = request(1, A);
 	struct crash c = {.n_runs = 1, .runs = {f}};
 	uint32_t i;
 
@@ -392,18 +392,18 @@
 		quarantine_tick(q, c.at_ms);
 	}
 	quarantine_tick(q, T0 + 5000);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 }
 END_TEST
 
-START_TEST(nobody_pays_for_another_caller)
+START_TEST(other_callers_are_not_quarantined)
 {
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 1000, 1, A);
 	crash_alone(T0 + 2000, 1, A);
 	quarantine_tick(q, T0 + 3000);
-	ck_assert(held(1, A));
-	ck_assert(!held(1, B));
+	ck_assert(is_quarantined(1, A));
+	ck_assert(!is_quarantined(1, B));
 }
 END_TEST
 
@@ -413,114 +413,114 @@
 	crash_alone(T0 + 1000, 1, A);
 	crash_alone(T0 + 2000, 1, B);
 	quarantine_tick(q, T0 + 3000);
-	ck_assert(!held(1, A));
-	ck_assert(!held(1, B));
+	ck_assert(!is_quarantined(1, A));
+	ck_assert(!is_quarantined(1, B));
 	crash_alone(T0 + 4000, 1, B);
 	quarantine_tick(q, T0 + 5000);
-	ck_assert(held(1, A));
-	ck_assert(held(1, C));
+	ck_assert(is_quarantined(1, A));
+	ck_assert(is_quarantined(1, C));
 }
 END_TEST
 
-START_TEST(content_that_crashes_for_three_callers_is_held_off_for_all)
+START_TEST(content_is_quarantined_for_all_after_three_callers)
 {
-	struct fingerprint b = print(1, B);
+	struct fingerprint b = request(1, B);
 
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 1000, 1, B);
 	crash_alone(T0 + 2000, 1, C);
 	quarantine_tick(q, T0 + 3000);
-	ck_assert(held(1, 99));
-	ck_assert(!held(2, A));
+	ck_assert(is_quarantined(1, 99));
+	ck_assert(!is_quarantined(2, A));
 	ck_assert(quarantine_exonerate(q, &b, T0 + 4000));
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 }
 END_TEST
 
 /* That one caller's is quarantined already doesn't clear the others'. */
-START_TEST(content_is_held_off_for_all_also_after_one_caller_was)
+START_TEST(content_is_quarantined_for_all_after_one_caller_was)
 {
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 1000, 1, A);
 	crash_alone(T0 + 2000, 1, A);
 	quarantine_tick(q, T0 + 3000);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 	crash_alone(T0 + 4000, 1, B);
 	quarantine_tick(q, T0 + 5000);
-	ck_assert(!held(1, B));
+	ck_assert(!is_quarantined(1, B));
 	crash_alone(T0 + 6000, 1, B);
 	quarantine_tick(q, T0 + 7000);
-	ck_assert(held(1, B));
-	ck_assert(held(1, C));
-	ck_assert(!held(2, C));
+	ck_assert(is_quarantined(1, B));
+	ck_assert(is_quarantined(1, C));
+	ck_assert(!is_quarantined(2, C));
 }
 END_TEST
 
-START_TEST(an_operator_ends_it_and_older_news_does_not_bring_it_back)
+START_TEST(release_is_not_undone_by_an_older_report)
 {
-	struct fingerprint all = print(1, 0), f = print(1, A);
+	struct fingerprint all = request(1, 0), f = request(1, A);
 
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 1000, 1, A);
 	crash_alone(T0 + 2000, 1, A);
 	quarantine_tick(q, T0 + 3000);
 	ck_assert(quarantine_exonerate(q, &all, T0 + 60000));
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 	ck_assert(!quarantine_add(q, &f, T0 + 3000));
 	quarantine_tick(q, T0 + 70000);
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 	crash_alone(T0 + 80000, 1, A);
 	crash_alone(T0 + 81000, 1, A);
 	crash_alone(T0 + 82000, 1, A);
 	quarantine_tick(q, T0 + 90000);
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 }
 END_TEST
 
-START_TEST(a_peer_tells_what_is_held_off)
+START_TEST(peer_report_quarantines_a_request)
 {
-	struct fingerprint f = print(1, A);
+	struct fingerprint f = request(1, A);
 	struct quarantine_event e;
 
 	ck_assert(quarantine_add(q, &f, T0));
 	ck_assert(!quarantine_add(q, &f, T0 + 1));
-	ck_assert(held(1, A));
+	ck_assert(is_quarantined(1, A));
 	ck_assert(!quarantine_pop(q, &e));
 }
 END_TEST
 
 /* It ran on when it was quarantined, and was answered. */
-START_TEST(an_answer_ends_it_also_where_only_a_peer_told)
+START_TEST(answer_ends_a_quarantine_reported_by_a_peer)
 {
-	struct fingerprint f = print(1, A);
+	struct fingerprint f = request(1, A);
 	struct quarantine_event e;
 
 	ck_assert(quarantine_add(q, &f, T0));
 	ck_assert(quarantine_answered(q, &f, T0 + 100));
-	ck_assert(!held(1, A));
+	ck_assert(!is_quarantined(1, A));
 	ck_assert(quarantine_pop(q, &e));
 	ck_assert_int_eq(e.kind, QUARANTINE_EVENT_EXONERATED);
 }
 END_TEST
 
 /* Crashes of many requests, each seen once, don't push out what recurs. */
-START_TEST(a_flood_is_bounded_and_forgets_what_tells_least)
+START_TEST(least_informative_crashes_are_dropped)
 {
 	uint32_t i;
 
 	crash_alone(T0, 1, A);
 	crash_alone(T0 + 2000, 1, A);
-	for (i = 0; i < FLOOD; i++)
+	for (i = 0; i < CRASHES_EXCESS; i++)
 		crash_alone(T0 + 4000 + i * 10, 1000 + i, A);
 	crash_alone(T0 + HOUR_MS, 1, A);
-	quarantine_tick(q, T0 + HOUR_MS + SETTLED_MS);
-	ck_assert(held(1, A));
-	ck_assert(!held(1000, A));
+	quarantine_tick(q, T0 + HOUR_MS + SETTLE_MS);
+	ck_assert(is_quarantined(1, A));
+	ck_assert(!is_quarantined(1000, A));
 }
 END_TEST
 
 /* News comes in any order at each node. */
-START_TEST(the_order_of_news_does_not_matter)
+START_TEST(order_of_reports_does_not_matter)
 {
 	static const uint64_t order[][4] = {
 	    {0, 1, 2, 3}, {3, 2, 1, 0}, {1, 3, 0, 2}, {2, 0, 3, 1}};
@@ -535,13 +535,13 @@
 			c.id = order[i][j] + 1;
 			c.at_ms = T0 + order[i][j] * 1000;
 			c.n_runs = 2;
-			c.runs[0] = print(1, A);
-			c.runs[1] = print(order[i][j] < 3 ? 2 : 3, A);
+			c.runs[0] = request(1, A);
+			c.runs[1] = request(order[i][j] < 3 ? 2 : 3, A);
 			quarantine_add_peer_crash(q, &c, T0 + 5000);
 		}
-		quarantine_tick(q, T0 + 5000 + SETTLED_MS);
-		ck_assert(held(1, A));
-		ck_assert(!held(2, A));
+		quarantine_tick(q, T0 + 5000 + SETTLE_MS);
+		ck_assert(is_quarantined(1, A));
+		ck_assert(!is_quarantined(2, A));
 	}
 }
 END_TEST
@@ -553,38 +553,34 @@
 	TCase *tc = tcase_create("quarantine");
 
 	tcase_add_checked_fixture(tc, setup, teardown);
-	tcase_add_test(tc, the_third_crash_holds_a_request_off);
+	tcase_add_test(tc, third_crash_quarantines_a_request);
 	tcase_add_test(
 	    tc, request_is_suspect_after_a_crash_until_it_is_answered);
-	tcase_add_test(
-	    tc, request_is_undecided_from_its_third_crash_to_the_decision);
+	tcase_add_test(tc, request_is_undecided_until_the_decision);
 	tcase_add_test(tc, burst_of_crashes_leaves_nothing_undecided);
-	tcase_add_test(tc, crashes_without_a_request_leave_it_decided);
-	tcase_add_test(tc, crashes_are_told_twice_and_counted_once);
-	tcase_add_test(tc, pauses_of_hours_change_nothing);
-	tcase_add_test(tc, what_is_answered_meanwhile_is_not_to_blame);
-	tcase_add_test(tc, a_rival_that_was_answered_is_none);
-	tcase_add_test(tc, rivals_are_put_off_until_one_is_told_apart);
-	tcase_add_test(tc, an_answer_ends_a_doubt);
-	tcase_add_test(tc, a_full_upstream_is_crashed_and_nobody_else_pays);
-	tcase_add_test(tc, two_such_requests_at_once_are_both_held_off);
-	tcase_add_test(tc, a_kill_of_hundreds_blames_nobody);
+	tcase_add_test(tc, coinciding_crashes_leave_nothing_undecided);
+	tcase_add_test(tc, repeated_crash_reports_count_once);
+	tcase_add_test(tc, crashes_hours_apart_count);
+	tcase_add_test(tc, answered_request_is_exonerated);
+	tcase_add_test(tc, answered_request_is_no_cosuspect);
+	tcase_add_test(tc, cosuspects_are_suspended_until_one_is_implicated);
+	tcase_add_test(tc, answer_ends_a_suspension);
+	tcase_add_test(tc, only_the_recurring_request_is_quarantined);
 	tcase_add_test(
-	    tc, a_popular_request_is_left_out_by_those_who_saw_it_answered);
-	tcase_add_test(tc, one_node_that_saw_an_answer_speaks_for_a_request);
-	tcase_add_test(tc, an_old_answer_does_not_cover_what_a_release_broke);
-	tcase_add_test(tc, nobody_pays_for_another_caller);
+	    tc, two_concurrent_crashing_requests_are_both_quarantined);
+	tcase_add_test(tc, mass_kill_quarantines_nothing);
+	tcase_add_test(tc, answered_request_is_not_published);
+	tcase_add_test(tc, answer_on_one_node_exonerates_a_request);
+	tcase_add_test(tc, old_answer_exonerates_from_one_crash_only);
+	tcase_add_test(tc, other_callers_are_not_quarantined);
 	tcase_add_test(tc, one_crash_of_another_caller_is_not_enough);
-	tcase_add_test(
-	    tc, content_that_crashes_for_three_callers_is_held_off_for_all);
-	tcase_add_test(
-	    tc, content_is_held_off_for_all_also_after_one_caller_was);
-	tcase_add_test(
-	    tc, an_operator_ends_it_and_older_news_does_not_bring_it_back);
-	tcase_add_test(tc, a_peer_tells_what_is_held_off);
-	tcase_add_test(tc, an_answer_ends_it_also_where_only_a_peer_told);
-	tcase_add_test(tc, a_flood_is_bounded_and_forgets_what_tells_least);
-	tcase_add_test(tc, the_order_of_news_does_not_matter);
+	tcase_add_test(tc, content_is_quarantined_for_all_after_three_callers);
+	tcase_add_test(tc, content_is_quarantined_for_all_after_one_caller_was);
+	tcase_add_test(tc, release_is_not_undone_by_an_older_report);
+	tcase_add_test(tc, peer_report_quarantines_a_request);
+	tcase_add_test(tc, answer_ends_a_quarantine_reported_by_a_peer);
+	tcase_add_test(tc, least_informative_crashes_are_dropped);
+	tcase_add_test(tc, order_of_reports_does_not_matter);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_split.c
+++ b/packages/traffic/test/test_split.c
@@ -14,7 +14,7 @@
 
 /* As many as large deployments have, and beyond what a table remembers. */
 #define ROUTES_MANY 57000
-#define ROUTES_BEYOND 100000
+#define ROUTES_EXCESS 100000
 #define ROUNDS 10
 
 /* More than a table remembers. */
@@ -80,7 +80,7 @@
 END_TEST
 
 /* Sixty-four parts share one route, and each gets its turn. */
-START_TEST(as_many_parts_as_there_may_be)
+START_TEST(maximum_number_of_services)
 {
 	struct split_part many[SPLIT_PARTS_MAX];
 	struct split_table *t = split_table_new(1);
@@ -99,7 +99,7 @@
 }
 END_TEST
 
-START_TEST(other_weights_count_at_once)
+START_TEST(changed_weights_apply_at_once)
 {
 	static const struct split_part other[] = {{11, 10}, {12, 90}};
 	struct split_table *t = split_table_new(3);
@@ -149,16 +149,16 @@
  * all to one part, and all together keep the shares. */
 START_TEST(shares_hold_on_average_when_routes_are_forgotten)
 {
-	uint8_t *second = call_in_turn(ROUTES_BEYOND, parts, 2 * ROUNDS);
+	uint8_t *second = call_in_turn(ROUTES_EXCESS, parts, 2 * ROUNDS);
 	uint32_t j, all = 0, of_one = 0;
 
-	for (j = 0; j < ROUTES_BEYOND; j++) {
+	for (j = 0; j < ROUTES_EXCESS; j++) {
 		all += second[j];
 		of_one += second[j] == 2 * ROUNDS;
 	}
 	ck_assert_uint_eq(of_one, 0);
-	ck_assert_uint_ge(all, ROUTES_BEYOND * 19 / 10);
-	ck_assert_uint_le(all, ROUTES_BEYOND * 21 / 10);
+	ck_assert_uint_ge(all, ROUTES_EXCESS * 19 / 10);
+	ck_assert_uint_le(all, ROUTES_EXCESS * 21 / 10);
 	g_free(second);
 }
 END_TEST
@@ -172,8 +172,8 @@
 	tcase_add_test(tc, shares_hold_over_every_window);
 	tcase_add_test(tc, shares_hold_over_entries_with_few_requests);
 	tcase_add_test(tc, shares_hold_over_many_routes);
-	tcase_add_test(tc, as_many_parts_as_there_may_be);
-	tcase_add_test(tc, other_weights_count_at_once);
+	tcase_add_test(tc, maximum_number_of_services);
+	tcase_add_test(tc, changed_weights_apply_at_once);
 	tcase_add_test(tc, shares_hold_for_each_of_many_routes);
 	tcase_add_test(tc, shares_hold_on_average_when_routes_are_forgotten);
 	tcase_set_timeout(tc, 60);
--- a/packages/traffic/test/test_spread_load.c
+++ b/packages/traffic/test/test_spread_load.c
@@ -84,7 +84,7 @@
 }
 
 static void
-play(uint32_t full, double *answered, double *tries)
+simulate(uint32_t full, double *answered, double *tries)
 {
 	GRand *r = g_rand_new_with_seed(SEED);
 	uint32_t i, n = 0, sent = 0;
@@ -99,46 +99,46 @@
 }
 
 /* A few endpoints are slower than others and full, as 5 of 34 were. */
-START_TEST(a_call_finds_room_where_others_have_it)
+START_TEST(call_is_served_if_a_few_are_full)
 {
 	double answered, tries;
 
-	play(5, &answered, &tries);
+	simulate(5, &answered, &tries);
 	ck_assert_msg(answered >= 0.995, "%f answered", answered);
 	ck_assert_msg(tries <= 1.25, "%f tries", tries);
 }
 END_TEST
 
-START_TEST(a_call_finds_room_where_a_third_has_none)
+START_TEST(call_is_served_if_a_third_is_full)
 {
 	double answered, tries;
 
-	play(ENDPOINTS / 3, &answered, &tries);
+	simulate(ENDPOINTS / 3, &answered, &tries);
 	ck_assert_msg(answered >= 0.96, "%f answered", answered);
 }
 END_TEST
 
 /* The budget alone allows one retry in ten calls. */
-START_TEST(a_full_service_is_hardly_asked_twice)
+START_TEST(full_service_gets_few_retries)
 {
 	double answered, tries;
 
-	play(ENDPOINTS, &answered, &tries);
+	simulate(ENDPOINTS, &answered, &tries);
 	ck_assert_msg(tries <= 1.2, "%f tries", tries);
 }
 END_TEST
 
-START_TEST(an_almost_full_service_is_hardly_asked_twice)
+START_TEST(almost_full_service_gets_few_retries)
 {
 	double answered, tries;
 
-	play(ENDPOINTS - 3, &answered, &tries);
+	simulate(ENDPOINTS - 3, &answered, &tries);
 	ck_assert_msg(tries <= 1.3, "%f tries", tries);
 }
 END_TEST
 
 /* A service that was full and has room again is found out. */
-START_TEST(room_that_comes_back_is_found)
+START_TEST(freed_capacity_is_detected)
 {
 	GRand *r = g_rand_new_with_seed(SEED);
 	uint32_t i, n = 0, sent = 0;
@@ -160,11 +160,11 @@
 	Suite *s = suite_create("spread_load");
 	TCase *tc = tcase_create("spread_load");
 
-	tcase_add_test(tc, a_call_finds_room_where_others_have_it);
-	tcase_add_test(tc, a_call_finds_room_where_a_third_has_none);
-	tcase_add_test(tc, a_full_service_is_hardly_asked_twice);
-	tcase_add_test(tc, an_almost_full_service_is_hardly_asked_twice);
-	tcase_add_test(tc, room_that_comes_back_is_found);
+	tcase_add_test(tc, call_is_served_if_a_few_are_full);
+	tcase_add_test(tc, call_is_served_if_a_third_is_full);
+	tcase_add_test(tc, full_service_gets_few_retries);
+	tcase_add_test(tc, almost_full_service_gets_few_retries);
+	tcase_add_test(tc, freed_capacity_is_detected);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
