--- a/packages/traffic/bench/bench_traffic.c
+++ b/packages/traffic/bench/bench_traffic.c
@@ -1,5 +1,5 @@
 /*
- * Processor time of single decisions, and memory of their tables.
+ * CPU time of single decisions, and memory of their tables.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -216,8 +216,10 @@
 	g_free(body);
 }
 
-/* What calls pay that have nothing to do with quarantined requests: @held
- * requests are, after crashes under eighteen requests each. */
+/*
+ * Cost for calls that are not quarantined while @quarantined requests are,
+ * after crashes with eighteen requests in flight each.
+ */
 static void
 bench_quarantine(const char *when, uint32_t quarantined)
 {
--- a/packages/traffic/test/test_behind.c
+++ b/packages/traffic/test/test_behind.c
@@ -1,5 +1,5 @@
 /*
- * Tests of what a node answers while it knows of a newer version.
+ * Tests of the Retry-After of a node that knows of a newer version.
  */
 #include <check.h>
 #include <glib.h>
@@ -12,13 +12,13 @@
 #define ANY DEADLINE_NEVER
 
 /**
- * struct behind_case - one question, and what is to come of it
+ * struct behind_case - one call of behind_retry_ms() and its expected result
  * @in_force: version in force
- * @known: newest version known of, since T0
+ * @known: newest known version, since T0
  * @by: version by which the request looks wrong
  * @age_ms: time since T0
- * @left_ms: time that the caller has left, or ANY
- * @retry_ms: when it is to come back, 0 for never
+ * @left_ms: time until the caller's deadline, or ANY
+ * @retry_ms: expected Retry-After, 0 when the request is wrong
  */
 struct behind_case {
 	uint64_t in_force;
@@ -30,12 +30,12 @@
 };
 
 static const struct behind_case cases[] = {
-    /* Nothing newer is known: the request is wrong. */
+    /* No newer version is known: the request is wrong. */
     {6, 0, 6, 0, ANY, 0},
     {6, 6, 6, 5000, ANY, 0},
     {6, 4, 6, 5000, ANY, 0},
     {6, 6, 6, 0, 600, 0},
-    /* A newer one is known: first soon, later as long as it was awaited. */
+    /* A newer version is known: the Retry-After grows with its age. */
     {6, 10, 6, 0, ANY, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 199, ANY, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 300, ANY, 300},
@@ -44,16 +44,16 @@
     {6, 10, 6, 600000, ANY, BEHIND_RETRY_MAX_MS},
     {6, 7, 6, 300, ANY, 300},
     {0, 10, 0, 300, ANY, 300},
-    /* Who has little time left comes back at half of it. */
+    /* A caller with little time left retries after half of it. */
     {6, 10, 6, 1500, 1000, 500},
     {6, 10, 6, 600000, 3000, 1500},
     {6, 10, 6, 0, 600, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 300, 400, 200},
-    /* Who has none to come back in is told the truth. */
+    /* A caller without time for a retry gets the Retry-After by age. */
     {6, 10, 6, 300, 399, 300},
     {6, 10, 6, 2500, 100, BEHIND_RETRY_MAX_MS},
     {6, 10, 6, 300, 0, 300},
-    /* A call that began by an older version than is in force now. */
+    /* The call began with an older version than the one in force now. */
     {10, 10, 6, 0, ANY, BEHIND_RETRY_NOW_MS},
     {10, 0, 6, 0, 600, BEHIND_RETRY_NOW_MS},
     {10, 12, 6, 300, ANY, 300},
--- a/packages/traffic/test/test_body_window.c
+++ b/packages/traffic/test/test_body_window.c
@@ -1,7 +1,7 @@
 /*
- * The window of a host's bodies under the load that it answers: uploads of 60
- * KB to a host with 5 Mbit/s, and short calls behind them on the same link.
- * A naive version, where each upload sends 64 KB at once, is played too.
+ * The window of a host's bodies under its expected load: uploads of 60 KB to a
+ * host with 5 Mbit/s, and short calls behind them on the same link.  The same
+ * load runs without a window, where each upload sends 64 KB at once.
  */
 #include <check.h>
 
@@ -17,7 +17,7 @@
 #define EVERY_MS 115
 #define RUN_MS 12000
 
-/** struct flow - the link of the host, a queue of bytes */
+/** struct flow - the link of the host, modelled as a queue of bytes */
 struct flow {
 	struct body_window w;
 	struct body_share shares[BODIES];
@@ -47,7 +47,7 @@
 		queue(f, (uint32_t)(s - f->shares), bytes);
 }
 
-/* What the link carries in a millisecond, in the order it came. */
+/* Transmit what the link carries in a millisecond, in order of arrival. */
 static void
 transmit(struct flow *f, uint64_t now_ms)
 {
@@ -72,7 +72,7 @@
 	grant(f, now_ms);
 }
 
-/* Two come at once now and then, as callers do. */
+/* Uploads arrive in groups, as callers send them. */
 static struct flow *
 simulate(uint64_t first_bytes, uint64_t max_bytes)
 {
@@ -98,8 +98,10 @@
 	return f;
 }
 
-/* Four uploads at a time, 0.8 of the link: what waits in its queue is what a
- * short call waits for. */
+/*
+ * Four uploads at a time use 0.8 of the link: the bytes in its queue delay a
+ * short call.
+ */
 START_TEST(short_calls_wait_less_behind_uploads)
 {
 	struct flow *naive = simulate(65536, UINT64_MAX);
@@ -131,7 +133,7 @@
 	body_window_received(&w, &quick, FIRST_BYTES, BODY_STALL_MS - 1);
 	body_window_tick(&w, BODY_STALL_MS);
 	ck_assert_ptr_eq(body_window_next(&w, &bytes, BODY_STALL_MS), &quick);
-	/* One that moves again counts again. */
+	/* A stalled body that receives bytes counts again. */
 	body_window_received(&w, &slow[0], 1, BODY_STALL_MS);
 	ck_assert_uint_eq(w.in_flight_bytes, bytes + FIRST_BYTES - 1);
 	for (i = 0; i < 4; i++)
@@ -142,7 +144,7 @@
 }
 END_TEST
 
-/* No more is granted than the body is long. */
+/* Grants don't exceed the length of the body. */
 START_TEST(grants_do_not_exceed_the_body)
 {
 	struct body_window w;
--- a/packages/traffic/test/test_call.c
+++ b/packages/traffic/test/test_call.c
@@ -1,6 +1,7 @@
 /*
- * The state machine of a call, step by step: what the entry does when guard,
- * connection or upstream fails at each step, for both kinds of requests.
+ * The state machine of a call, step by step: actions of the entry when guard,
+ * connection or upstream fails at each step, for idempotent and non-idempotent
+ * requests.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -21,11 +22,12 @@
 /* A seed whose first back-off is not 0. */
 #define SEED 6
 
-/* Events; a number after them is the argument. */
+/* Events; the number after an event is its argument. */
 enum event {
 	END = 0,
-	/* First step only: the call has an idempotency key. */
+	/* Other endpoints are full. */
 	FULL,
+	/* First step only: the call has an idempotency key. */
 	KEYED,
 	PLACED,
 	UNPLACED,
@@ -41,7 +43,7 @@
 	UNRESOLVED,
 	GONE,
 	TICK,
-	/* The same events of the stream before the current one. */
+	/* The same events on the stream before the current one. */
 	LATE_ANSWERED,
 	LATE_REFUSED,
 	LATE_LOST,
@@ -60,7 +62,7 @@
 	struct step steps[STEPS_MAX];
 };
 
-/* Times: each TICK names its time; other events come at the last one. */
+/* Each TICK sets the time; other events occur at the time of the last TICK. */
 static const struct scenario scenarios[] = {
     {"answered", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {ANSWERED, 0, "deliver"}}},
@@ -211,7 +213,7 @@
 	uint64_t now_ms;
 };
 
-/* Calls that were sent elsewhere of late were refused there too. */
+/* Record that recently rerouted calls were refused again. */
 static void
 fill_other_endpoints(struct retry_budget *b)
 {
@@ -342,7 +344,7 @@
 	call_start(w->call, 0);
 }
 
-/* "backoff" stands for: nothing yet, but a tick is wanted soon. */
+/* "backoff" stands for: no action yet, but a tick is due soon. */
 static void
 check_step(struct world *w, const struct scenario *s, const struct step *st)
 {
@@ -395,8 +397,9 @@
 }
 
 /*
- * Whatever comes in whatever order, there is one final action, at the latest
- * when the grace is over (or the connection lost, if the answer has begun).
+ * Random events in random order lead to exactly one final action, at the
+ * latest at the end of the grace time (or when the connection is lost, if the
+ * response has begun).
  */
 START_TEST(test_random_events)
 {
@@ -434,7 +437,7 @@
 }
 END_TEST
 
-/* A guard that stays away is asked less and less often, until the limit. */
+/* Resolves at an unreachable guard back off until the limit. */
 START_TEST(test_resolve_backoff)
 {
 	const struct call_config cfg = {
@@ -470,7 +473,7 @@
 }
 END_TEST
 
-/* How far a call gets before its entry stops. */
+/* State of a call when its entry stops. */
 enum stop_at { STOP_NEW, STOP_PLACING, STOP_SENDING, STOP_WAITING, STOP_ENDS };
 
 static void
@@ -518,7 +521,7 @@
 
 #define GIVES_UP_MS 2400
 
-/* What a caller is told that is refused for @refusal at @now_ms. */
+/* Retry-After of a caller that is refused for @refusal at @now_ms. */
 static uint64_t
 retry_after_of(enum refusal refusal, uint64_t now_ms, uint64_t after_ms)
 {
@@ -546,9 +549,10 @@
 }
 
 /*
- * A burst or a cold start of 2 to 8 s, callers with 2.4 s of patience.  Who can
- * still make its target comes back when there is a slot; who can't is asked to
- * let the overload pass, as far as its patience goes.
+ * A burst or a cold start lasts 2 to 8 s, and callers give up after 2.4 s.  A
+ * caller that can still meet its target gets the time until a slot is free as
+ * Retry-After; any other caller gets a part of its remaining time, so that the
+ * overload may pass.
  */
 START_TEST(test_late_callers_get_a_longer_retry_after)
 {
@@ -556,7 +560,7 @@
 	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 300, 200), 700);
 	ck_assert_uint_eq(retry_after_of(REFUSAL_QUEUE_FULL, 900, 200), 500);
 	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 900, 1100), 1100);
-	/* A refusal at random is no overload. */
+	/* A random refusal by the upstream is no overload. */
 	ck_assert_uint_eq(retry_after_of(REFUSAL_UPSTREAM, 900, 20), 20);
 }
 END_TEST
--- a/packages/traffic/test/test_canary.c
+++ b/packages/traffic/test/test_canary.c
@@ -1,6 +1,6 @@
 /*
- * Tests of the share of calls that a version on trial gets: by all entries
- * together it is the share, however few calls each of them sees.
+ * Tests of the share of calls for a version on trial: all entries together
+ * send the configured share, however few calls each of them handles.
  */
 #include <check.h>
 
@@ -23,7 +23,7 @@
 }
 END_TEST
 
-/* Each entry sees a few calls, as in a large fleet with a short order. */
+/* Each entry handles a few calls, as in a large fleet with a short order. */
 START_TEST(entries_with_few_calls_send_the_share_in_total)
 {
 	GRand *r = g_rand_new_with_seed(SEED);
@@ -42,8 +42,10 @@
 }
 END_TEST
 
-/* A change of the endpoints within an order must not begin the round anew, or
- * an entry that is told often would send more than the share. */
+/*
+ * A change of the endpoints within an order must not reset the credit, or an
+ * entry with frequent updates would send more than the share.
+ */
 START_TEST(update_within_an_order_keeps_the_credit)
 {
 	struct canary c = {0};
--- a/packages/traffic/test/test_clean_runs.c
+++ b/packages/traffic/test/test_clean_runs.c
@@ -1,5 +1,5 @@
 /*
- * Requests that were answered lately.
+ * Recently answered requests.
  */
 #include <check.h>
 
--- a/packages/traffic/test/test_fate.c
+++ b/packages/traffic/test/test_fate.c
@@ -1,6 +1,6 @@
 /*
- * Fates at the guard and the age of frames: each step at which a request can
- * be resolved, and frames that come late, doubled or after a restart.
+ * Fate table of a guard and the age of frames: a resolve at each state of a
+ * request, and frames that arrive late, twice or after a restart.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -41,7 +41,7 @@
 	return id;
 }
 
-/* What happened to the request before the resolve. */
+/* State of the request before the resolve. */
 enum step {
 	NOTHING = 0,
 	QUEUED,
@@ -84,7 +84,10 @@
 	bool cancel;
 	uint64_t incarnation;
 	enum resolution want;
-	/* Afterwards: the frame again, and whether it may still start. */
+	/*
+	 * Expected afterwards: the result for the same frame, and whether the
+	 * request may still start.
+	 */
 	enum fate_offer again;
 	bool starts;
 };
@@ -155,7 +158,10 @@
 }
 END_TEST
 
-/* A repeated idempotency key: the second request gets the first one's fate. */
+/*
+ * With a repeated idempotency key the second request shares the fate of the
+ * first.
+ */
 START_TEST(test_follow)
 {
 	struct fate_table *t = table_new(10, 1000);
@@ -174,7 +180,7 @@
 	fate_follow(t, &second, &first, NOW_MS, &a);
 	ck_assert_int_eq(a.resolution, RESOLUTION_ATTACHED);
 	ck_assert(!fate_start(t, &second, NOW_MS));
-	/* A follower who goes away doesn't cancel the first. */
+	/* A cancelled follower doesn't cancel the first request. */
 	fate_resolve(t, &q, NOW_MS, &a);
 	ck_assert_int_eq(a.resolution, RESOLUTION_ATTACHED);
 	(void)fate_waiters(t, &first, &n);
@@ -186,7 +192,7 @@
 }
 END_TEST
 
-/* A frame that outlived its tombstone or its record is too old to run. */
+/* A frame that arrives after the removal of its record is too old to run. */
 START_TEST(test_request_without_record_is_too_old)
 {
 	struct fate_table *t = table_new(10, 1000);
@@ -213,7 +219,7 @@
 }
 END_TEST
 
-/* The same when a full table forgets earlier than the window. */
+/* The same when a full table removes a record before the end of the window. */
 START_TEST(test_full_table_raises_oldest_accepted)
 {
 	struct fate_table *t = table_new(3, 1000);
@@ -261,11 +267,17 @@
 }
 END_TEST
 
-/* A process that was paused reads frames late; their age must show. */
+/*
+ * A process that was paused reads frames late, and their age must include the
+ * pause.
+ */
 struct age_case {
 	const char *name;
-	/* True times: hello stamped, echo stamped, echo read, frame sent and
-	 * read.  The peer's clock is ahead by 900,000 ms. */
+	/*
+	 * Real times at which the hello was stamped, the echo stamped, the
+	 * echo read, the frame sent and the frame read.  The peer's clock is
+	 * ahead by 900,000 ms.
+	 */
 	uint64_t hello_ms, echo_ms, read_ms, sent_ms, now_ms;
 	uint64_t least_ms, most_ms;
 };
@@ -299,7 +311,7 @@
 }
 END_TEST
 
-/* Clocks that drift apart: old bounds must not make frames look younger. */
+/* With drifting clocks, old offsets must not make frames look younger. */
 START_TEST(test_frame_age_drift)
 {
 	struct frame_age f;
@@ -316,7 +328,7 @@
 }
 END_TEST
 
-/* Frames that keep echoing the hello of long ago do not age the others. */
+/* Frames that keep echoing an old hello don't make the others look older. */
 START_TEST(test_frame_age_old_echo)
 {
 	struct frame_age f;
--- a/packages/traffic/test/test_fingerprint.c
+++ b/packages/traffic/test/test_fingerprint.c
@@ -1,5 +1,5 @@
 /*
- * What tells that two attempts are the same request.
+ * Tests of the fingerprint that identifies attempts of the same request.
  */
 #include <string.h>
 
@@ -54,7 +54,7 @@
 }
 END_TEST
 
-/* Moving a letter from one part to the next makes another request. */
+/* Moving a character from one part to the next changes the fingerprint. */
 START_TEST(parts_are_delimited)
 {
 	struct fingerprint_parts p = base, q = base;
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-/* The same content by another caller shares the content's half only. */
+/* The same content from another caller shares only the content hash. */
 START_TEST(caller_changes_its_half_only)
 {
 	struct fingerprint_parts p = base;
--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -1,5 +1,6 @@
 /*
- * Idempotency keys: what a home knows, what it must ask, and what it refuses.
+ * Idempotency keys at a home: decisions from its own records, queries of
+ * earlier homes, and refusals.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -30,7 +31,7 @@
 	return keyed_new(&cfg, self, created_ms);
 }
 
-/* The n-th key whose home among the endpoints is the one named. */
+/* The n-th key with the given home among the endpoints. */
 static struct key_id
 key_at(uint64_t home, const uint64_t *endpoints, size_t n, int nth)
 {
@@ -78,10 +79,10 @@
 	ck_assert(request_id_equal(&d.first, &first));
 	keyed_offer(k, &key, 98, &first, OLD_MS, &d);
 	ck_assert_int_eq(d.verdict, KEYED_BODY_MISMATCH);
-	/* The first was refused unrun: the next one may run. */
+	/* The first request was refused unrun: the next one may run. */
 	keyed_release(k, &key, &first, OLD_MS);
 	ck_assert_int_eq(offer(k, &key, 3, OLD_MS).verdict, KEYED_RUN);
-	/* A release by a request that hasn't got the key is no release. */
+	/* A release by a request that doesn't own the key has no effect. */
 	keyed_release(k, &key, &first, OLD_MS);
 	ck_assert_int_eq(offer(k, &key, 4, OLD_MS).verdict, KEYED_FOLLOW);
 	keyed_free(k);
@@ -103,7 +104,7 @@
 		ck_assert_int_eq(offer(k, &key, (uint64_t)i, OLD_MS).verdict,
 		    i < KEYS_MAX ? KEYED_RUN : KEYED_FULL);
 	}
-	/* What still runs is not forgotten, what has ended is. */
+	/* Keys of running requests are kept, keys of ended requests expire. */
 	keyed_expire(k, OLD_MS + 5 * WINDOW_MS);
 	ck_assert_uint_eq(keyed_count(k), KEYS_MAX);
 	for (i = 0; i < KEYS_MAX; i++) {
@@ -119,7 +120,7 @@
 }
 END_TEST
 
-/* The home moved here: what the earlier home's word leads to. */
+/* The home moved to this endpoint: decision by the earlier home's reply. */
 struct word_case {
 	enum keyed_word word;
 	enum keyed_verdict want;
@@ -153,7 +154,7 @@
 }
 END_TEST
 
-/* After the window nobody needs to be asked. */
+/* After the window no earlier home is queried. */
 START_TEST(test_home_moved_long_ago)
 {
 	struct keyed *k = keys_new(SELF, false, 0);
@@ -168,7 +169,7 @@
 }
 END_TEST
 
-/* A new process knows nothing of the time before it. */
+/* A new process has no records from before its start. */
 START_TEST(test_recently_started_home)
 {
 	struct keyed *k = keys_new(SELF, false, OLD_MS);
@@ -188,11 +189,11 @@
 }
 END_TEST
 
-/* What an earlier home says to the endpoint that is the home now. */
+/* Reply of an earlier home to the endpoint that is the home now. */
 struct hand_over_case {
 	const char *name;
 	uint64_t created_ms;
-	/* The view changes to {OTHER} alone this long ago; 0: never. */
+	/* How long ago the view changes to {OTHER} alone; 0: never. */
 	uint64_t moved_ms;
 	uint64_t asker_age_ms;
 	bool ran;
@@ -225,7 +226,10 @@
 		keyed_free(k);
 		return;
 	}
-	/* Barred: never run here without asking back; nobody else gets it. */
+	/*
+	 * The key is handed over: a request here requires a query of the new
+	 * owner, and no other endpoint gets the key.
+	 */
 	keyed_set_view(k, both, 2, OLD_MS + 1);
 	ck_assert_int_eq(offer(k, &key, 2, OLD_MS + 2).verdict, KEYED_ASK_HOME);
 	ck_assert_int_eq(
@@ -246,7 +250,10 @@
 	    keyed_hand_over(k, &key, OTHER, 100, OLD_MS + 1), KEYED_WORD_FREE);
 	ck_assert_int_eq(
 	    keyed_hand_over(k, &key, THIRD, 100, OLD_MS + 2), KEYED_WORD_TAKEN);
-	/* A new process of the same endpoint: the old one may have run it. */
+	/*
+	 * A new process of the same endpoint: its predecessor may have run a
+	 * request.
+	 */
 	ck_assert_int_eq(keyed_hand_over(k, &key, OTHER, 100, OLD_MS + 101),
 	    KEYED_WORD_TAKEN);
 	keyed_free(k);
--- a/packages/traffic/test/test_limits.c
+++ b/packages/traffic/test/test_limits.c
@@ -1,5 +1,5 @@
 /*
- * Retry budget, rate limits, admission and drain.
+ * Tests of the retry budget, rate limits, admission and drain.
  */
 #include <string.h>
 
@@ -16,8 +16,10 @@
 
 #define SECOND_MS 1000
 
-/* Retries granted while one call comes each millisecond for ten seconds, and
- * one in @success_one_in succeeds; 0 for none. */
+/*
+ * Number of granted retries with one call per millisecond for ten seconds, of
+ * which one in @success_one_in succeeds; 0 for none.
+ */
 static int
 retries_granted(int success_one_in)
 {
@@ -46,10 +48,13 @@
 	burst = (int)cfg.burst;
 	ck_assert_int_ge(retries_granted(1), 1000);
 	ck_assert_int_le(retries_granted(1), 1000 + burst);
-	/* Half is refused at random: all the more retries are wanted. */
+	/* Half of the calls are refused at random: retries are needed most. */
 	ck_assert_int_ge(retries_granted(2), 1000);
 	ck_assert_int_le(retries_granted(2), 1000 + burst);
-	/* Hardly any succeeds: a share of successes, nothing when it's down. */
+	/*
+	 * Hardly any call succeeds: a share of the successes, none when the
+	 * service is down.
+	 */
 	ck_assert_int_ge(retries_granted(10), 100);
 	ck_assert_int_le(retries_granted(10), 100 + burst + 2);
 	ck_assert_int_le(retries_granted(0), burst + 2);
@@ -105,7 +110,7 @@
 	ck_assert(rate_limit_take(r, 1, 0, 0, now, &after));
 	ck_assert(rate_limit_take(r, 2, 1, 1, now, &after));
 	ck_assert(!rate_limit_take(r, 2, 1, 1, now, &after));
-	/* A third key pushes out the one used least lately. */
+	/* A third key replaces the least recently used one. */
 	ck_assert(rate_limit_take(r, 3, 1, 1, now, &after));
 	ck_assert(!rate_limit_take(r, 2, 1, 1, now, &after));
 	rate_limit_free(r);
@@ -176,7 +181,9 @@
 	admission_finished(a, 0, ADMISSION_LOOKUP, 50, 50);
 	for (i = 1; i < 5; i++)
 		(void)offer(a, i, ADMISSION_LOOKUP, 5000, 50);
-	/* One runs and three wait for 50 ms each; the limit is 200 ms. */
+	/*
+	 * One request runs and three wait for 50 ms each; the limit is 200 ms.
+	 */
 	ck_assert_int_eq(
 	    offer(a, 5, ADMISSION_LOOKUP, 5000, 50).verdict, ADMISSION_QUEUE);
 	ck_assert_int_eq(
@@ -211,7 +218,10 @@
 }
 END_TEST
 
-/* A flood of lookups: bookings get in and keep their share of the slots. */
+/*
+ * Under an overload of lookups, bookings are accepted and keep their share of
+ * the slots.
+ */
 START_TEST(test_each_class_keeps_its_share)
 {
 	struct admission *a = admission_of(4, 8);
@@ -306,7 +316,10 @@
 }
 END_TEST
 
-/* Work in flight when the stop begins, and when it ends; 0: never. */
+/*
+ * Requests in flight when the stop begins, and the times of their end; 0:
+ * never.
+ */
 struct drain_case {
 	const char *name;
 	bool call, request;
@@ -352,8 +365,7 @@
 }
 END_TEST
 
-/* A restart within 5,250 ms whose notice is 3,000 ms, and shorter ones. */
-/* Bookings that a stop could give up are not started. */
+/* Non-idempotent requests that the stop could cut off don't start. */
 START_TEST(test_drain_may_start)
 {
 	struct drain d;
@@ -372,7 +384,7 @@
 }
 END_TEST
 
-/* Half a second of the grace time is left for the end of the process. */
+/* Half a second of the grace time is left for the exit of the process. */
 START_TEST(test_drain_wait)
 {
 	ck_assert_uint_eq(drain_wait_ms(600000, 0), 600000);
@@ -382,6 +394,7 @@
 }
 END_TEST
 
+/* Stops within 5,250 ms with a notice of 3,000 ms, and shorter ones. */
 START_TEST(test_drain_accepts_until)
 {
 	ck_assert_uint_eq(
--- a/packages/traffic/test/test_overload.c
+++ b/packages/traffic/test/test_overload.c
@@ -1,10 +1,10 @@
 /*
- * Admission under the loads it is made for: one upstream, played in steps of a
- * millisecond.  A naive version, which knows no targets and priorities, is
- * played on the same arrivals.
+ * Admission under overload: a simulation of one upstream in steps of a
+ * millisecond.  The same arrivals run without targets and priorities for
+ * comparison.
  *
- * The figures are those of the registry's document store when one of its
- * upstreams is left: 12 slots, reads of 360 ms, calls of 22 ms that other
+ * The figures are those of the registry's document store with one of its
+ * upstreams left: 12 slots, reads of 360 ms, nested calls of 22 ms that other
  * upstreams make while they run a request.
  */
 #include <check.h>
@@ -24,9 +24,9 @@
  * @class: its class
  * @priority: its priority
  * @every_us: time between two arrivals
- * @work_ms: how long it runs
- * @target_ms: when its answer is worth less
- * @deadline_ms: when nobody waits any more
+ * @work_ms: run time
+ * @target_ms: time from arrival after which the response is worth less
+ * @deadline_ms: time from arrival to the deadline
  */
 struct kind {
 	enum admission_class class;
@@ -37,7 +37,7 @@
 	uint32_t deadline_ms;
 };
 
-/** struct tally - what became of a kind */
+/** struct counts - results of the requests of one kind */
 struct counts {
 	uint32_t offered;
 	uint32_t in_time;
@@ -167,7 +167,10 @@
 	return of > 0 ? n * 100 / of : 100;
 }
 
-/* Reads alone want 1.5 times the slots; nested calls a fifth of them. */
+/*
+ * Reads alone need 1.5 times the slots; nested calls need a fifth of the
+ * slots.
+ */
 START_TEST(nested_calls_among_long_reads_are_served)
 {
 	static const struct kind kinds[KINDS] = {
@@ -181,7 +184,7 @@
 	    percent(p->counts[0].in_time, p->counts[0].offered), 95);
 	ck_assert_uint_le(
 	    percent(n->counts[0].in_time, n->counts[0].offered), 70);
-	/* The reads get what is left, and those that run are in time. */
+	/* The reads get the remaining slots, and those that run are in time. */
 	ck_assert_uint_ge(
 	    percent(p->counts[1].served, p->counts[1].offered), 50);
 	ck_assert_uint_ge(
@@ -191,8 +194,10 @@
 }
 END_TEST
 
-/* Three kinds want twice the slots together; each priority is served no less
- * often than the one below it, and none is left without. */
+/*
+ * Three kinds need twice the slots together; each priority is served no less
+ * often than the one below it, and none starves.
+ */
 START_TEST(no_priority_is_served_less_than_a_lower_one)
 {
 	static const struct kind kinds[KINDS] = {
@@ -217,8 +222,8 @@
 END_TEST
 
 /*
- * Two thirds of a service's upstreams are gone: nested calls and uploads want
- * half of the slots that are left, long reads nearly twice all of them.
+ * Two thirds of a service's upstreams are lost: nested calls and uploads need
+ * half of the remaining slots, long reads nearly twice all of them.
  */
 START_TEST(long_reads_take_no_more_than_their_share_from_short_calls)
 {
@@ -241,9 +246,10 @@
 
 /*
  * One of three upstreams of a booking service is left.  Bookings of 120 ms and
- * calls of 22 ms, made by other upstreams while they run a request, have one
- * priority; the calls want three fifths of the slots, the bookings twice all of
- * them.  A refused call wastes the run that made it.
+ * nested calls of 22 ms that other upstreams make while they run a request
+ * have the same priority; the calls need three fifths of the slots, the
+ * bookings twice all of them.  Refusing a nested call wastes the run that made
+ * it.
  */
 START_TEST(short_calls_go_before_bookings_that_run_longer)
 {
@@ -255,7 +261,7 @@
 
 	ck_assert_uint_ge(
 	    percent(p->counts[0].in_time, p->counts[0].offered), 95);
-	/* The bookings have the rest of the slots. */
+	/* The bookings get the remaining slots. */
 	ck_assert_uint_ge(
 	    percent(p->counts[1].served, p->counts[1].offered), 15);
 	g_free(p);
@@ -263,9 +269,10 @@
 END_TEST
 
 /*
- * After a restart the first calls of a kind took longer than all later ones
- * have.  Refused for it, none was timed again, and 1,000 in a row were refused
- * while their work would have been 55 ms.
+ * Guards against a kind of request that is refused forever for a slow start.
+ * After a restart its first requests took longer than all later ones; it was
+ * refused for that and not measured again, and 1,000 in a row were refused
+ * that would have run for 55 ms.
  */
 START_TEST(slow_kind_is_measured_again)
 {
@@ -299,8 +306,10 @@
 END_TEST
 
 /*
- * After a restart only reads of 1.7 s had run when the first short call came.
- * Taken to need as long, it and 852 more were refused, and none was ever timed.
+ * Guards against a kind of request that is refused before it was ever
+ * measured. After a restart only reads of 1.7 s had run when the first short
+ * call arrived; with the reads' time as the estimate, this call and 852 more
+ * were refused.
  */
 START_TEST(unmeasured_kind_is_not_refused)
 {
@@ -328,7 +337,10 @@
 }
 END_TEST
 
-/* A third too many: what is served is served in time, not all of it late. */
+/*
+ * A third more requests than the slots can run: the served ones are served in
+ * time, rather than all of them late.
+ */
 START_TEST(served_requests_are_in_time_under_overload)
 {
 	static const struct kind kinds[KINDS] = {
@@ -341,7 +353,10 @@
 	    percent(p->counts[0].in_time, p->counts[0].served), 97);
 	ck_assert_uint_ge(
 	    p->counts[0].in_time * 100, n->counts[0].in_time * 99);
-	/* It takes longer to find room than one round, since others return. */
+	/*
+	 * The Retry-After exceeds one round, since other refused callers retry
+	 * too.
+	 */
 	ck_assert_uint_gt(p->counts[0].refused, 0);
 	ck_assert_uint_ge(
 	    p->counts[0].retry_after_ms / p->counts[0].refused, 50);
@@ -350,8 +365,10 @@
 }
 END_TEST
 
-/* An upstream that refuses half of what it is sent while most of its slots are
- * free keeps them, and callers may come back at once. */
+/*
+ * An upstream that refuses half of its requests while most of its slots are
+ * free keeps them, and callers may retry at once.
+ */
 START_TEST(refusals_with_free_slots_keep_the_limit)
 {
 	struct admission_request req = {0, ADMISSION_LOOKUP, 100000, 0, 0};
@@ -379,22 +396,23 @@
 }
 END_TEST
 
-/* Until an upstream's refusal is back. */
+/* Time until the upstream's refusal arrives. */
 #define REFUSED_MS 5
 
 /**
- * struct flood - more than an upstream takes, for as long as the test runs
- * @a: its admission
- * @random: for the choice of those that it refuses
- * @work_ms: how long each runs that it takes
- * @takes: requests that it runs at a time
- * @refuse_percent: of those that it could run, refused at random
- * @per_ms: requests that arrive in a millisecond
- * @until_ms: until when each has its slot, by ticket
- * @taken: whether it runs, by ticket
- * @tickets: those in a slot
- * @served: those that it ran to their end
- * @refused: those that it refused
+ * struct flood - an overload that lasts for the whole test
+ * @a: admission of the upstream
+ * @random: selects the requests that the upstream refuses
+ * @work_ms: run time of an accepted request
+ * @capacity: number of requests that the upstream runs concurrently
+ * @refuse_percent: share of requests within the capacity that are refused at
+ *	random
+ * @per_ms: arrivals per millisecond
+ * @until_ms: end of the slot time, by ticket
+ * @accepted: whether the upstream runs the request, by ticket
+ * @tickets: requests in a slot
+ * @served: number of requests that ran to their end
+ * @refused: number of requests that the upstream refused
  */
 struct flood {
 	struct admission *a;
@@ -455,7 +473,7 @@
 	}
 }
 
-/* Return: share of the upstream's slots that was used, in percent. */
+/* Return: used share of the upstream's capacity, in percent. */
 static uint32_t
 flood_run(struct flood *f, uint32_t announced, uint32_t for_ms)
 {
@@ -490,9 +508,10 @@
 }
 
 /*
- * All upstreams of a service refuse 55 % of their requests at random for 8 s,
- * and callers press: two arrive each millisecond, 210 ms of work each.  Cut to
- * one slot of twelve by it, they did a tenth of what they could.
+ * Guards against a reduction of the slots by random refusals.  All upstreams
+ * of a service refuse 55 % of their requests at random for 8 s, while two
+ * requests of 210 ms arrive per millisecond.  Reduced to one slot of twelve,
+ * the upstreams ran a tenth of what they could.
  */
 START_TEST(random_refusals_keep_most_slots_in_use)
 {
@@ -507,7 +526,10 @@
 }
 END_TEST
 
-/* One that announced four times what it takes isn't sent all that. */
+/*
+ * An upstream that announced four times its capacity is not sent that many
+ * requests.
+ */
 START_TEST(excess_announced_slots_are_detected)
 {
 	struct flood *f = g_new0(struct flood, 1);
@@ -521,19 +543,19 @@
 }
 END_TEST
 
-/* A burst: twice what the slots take, of requests that run for so long. */
+/* A burst of twice the requests that the slots can run, with this run time. */
 #define BURST_WORK_MS 120
 #define BURST_EVERY_MS 5
-/* What a caller that came back has left of its 2.5 s, by its route's time. */
+/* Time that a retrying caller has left of its 2.5 s. */
 #define BACK_LEFT_MS 1200
 
 /**
  * struct burst - a burst at one upstream
- * @a: its admission
+ * @a: admission of the upstream
  * @req: the last request
- * @ends: when those in slots end, in order
- * @late: ticket of the one that is late, 0 before it came
- * @late_started: it was served
+ * @ends: end times of the requests in slots, in order
+ * @late: ticket of the late request, 0 before its arrival
+ * @late_started: the late request started
  */
 struct burst {
 	struct admission *a;
@@ -579,8 +601,11 @@
 	}
 }
 
-/* Lets a burst last for @for_ms, then offers one that is late for its target
- * while the queue is still full.  Return: whether it was served in the end. */
+/*
+ * Run a burst for @for_ms, then offer a request that is late for its target
+ * while the queue is still full.  Return: whether that request was served in
+ * the end.
+ */
 static bool
 late_request_is_served_after(uint64_t for_ms)
 {
@@ -610,8 +635,8 @@
 }
 
 /*
- * Who comes back late during a burst of 3 s or a cold start is served once it
- * is over; where upstreams have been missing for longer it is told at once.
+ * A late retry during a burst of 3 s or a cold start is served once the burst
+ * is over; with upstreams missing for longer it is refused at once.
  */
 START_TEST(late_request_waits_for_a_short_burst_only)
 {
--- a/packages/traffic/test/test_patience.c
+++ b/packages/traffic/test/test_patience.c
@@ -1,5 +1,5 @@
 /*
- * Tests of how long ago a caller first asked.
+ * Tests of the estimated time since a caller's first attempt.
  */
 #include <check.h>
 
@@ -7,7 +7,7 @@
 
 #include "test_run.h"
 
-/* As many as large deployments have. */
+/* Number of routes in large deployments. */
 #define ROUTES_MANY 57000
 
 START_TEST(less_time_left_means_a_retry)
--- a/packages/traffic/test/test_placement.c
+++ b/packages/traffic/test/test_placement.c
@@ -1,5 +1,5 @@
 /*
- * Endpoints, placement and ejection.
+ * Tests of endpoints, placement and ejection.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -31,7 +31,7 @@
 	    w->endpoints, SERVICE, w->generation, w->infos, n, now_ms);
 }
 
-/* Endpoints 1 and 2 are local, 3 and 4 remote; ten slots each. */
+/* Endpoints 1 and 2 are local, 3 and 4 remote; each has ten slots. */
 static void
 world_init(struct world *w)
 {
@@ -120,7 +120,10 @@
 	world_init(&w);
 	count(&w, 1, n);
 	ck_assert_int_eq(n[1] + n[2], ROUNDS);
-	/* Full, but a short queue is no reason to leave the data centre. */
+	/*
+	 * The local endpoints are full, but a short queue doesn't cause a
+	 * spill-over.
+	 */
 	report(&w, 1, 11, 10);
 	report(&w, 2, 11, 10);
 	ck_assert_int_eq(choose(&w, NULL, 0, 10).reason, PLACEMENT_LOCAL);
@@ -191,9 +194,10 @@
 END_TEST
 
 /*
- * An upstream whose lease lapsed for a moment: a call was refused meanwhile,
- * and its host was left out for 5 s although it was ready again after some
- * milliseconds; where it is the only one, callers had nobody.
+ * Guards against the exclusion of an endpoint that is ready again.  The lease
+ * of an upstream expired for a moment, and a call was refused as draining; the
+ * host was then excluded for 5 s although it was ready after some
+ * milliseconds, and callers of a service with this endpoint only had none.
  */
 START_TEST(test_ready_again_is_used_at_once)
 {
@@ -214,8 +218,9 @@
 END_TEST
 
 /*
- * A cold endpoint's slots grow; a replaced one is cold again.  A new entry,
- * which learns of the endpoints one after the other, takes none for cold.
+ * The slots of a cold endpoint grow, and a replaced endpoint is cold again.  A
+ * new entry, which learns of the endpoints one after the other, takes none for
+ * cold.
  */
 START_TEST(test_slow_start)
 {
@@ -239,8 +244,9 @@
 END_TEST
 
 /*
- * A rolling restart of the nodes: their upstreams run on and say that they are
- * warm.  Ramped up over 5 s each, a quarter of all slots stood idle for it.
+ * In a rolling restart of the nodes the upstreams keep running and announce
+ * that they are warm.  With a slow start of 5 s each, a quarter of all slots
+ * was idle.
  */
 START_TEST(test_warm_endpoint_skips_slow_start)
 {
@@ -256,7 +262,10 @@
 }
 END_TEST
 
-/* One that tells how long it is slow has its share by then, not later. */
+/*
+ * An endpoint that announces how long it is cold has all its slots at that
+ * time.
+ */
 START_TEST(test_announced_cold_time_bounds_slow_start)
 {
 	static const uint64_t others[] = {1, 3, 4};
@@ -274,9 +283,10 @@
 END_TEST
 
 /*
- * Six hosts of a data centre with links of 5 Mbit/s take its uploads of 60 KB;
- * calls of 22 ms behind them are answered after 0.5 s.  Such a host looks idle
- * by its slots, and was chosen most.
+ * Guards against the preference for hosts with full links.  Six hosts of a
+ * data centre with links of 5 Mbit/s receive its uploads of 60 KB, and calls
+ * of 22 ms behind them are answered after 0.5 s.  Such a host looks idle by
+ * its slots, and was chosen most.
  */
 START_TEST(test_delayed_endpoint_is_avoided_then_retried)
 {
@@ -289,19 +299,22 @@
 	count(&w, 100, n);
 	ck_assert_int_eq(n[1], 0);
 	ck_assert_int_gt(n[2], 0);
-	/* Both local ones: another data centre answers sooner. */
+	/*
+	 * Both local endpoints are delayed: another data centre responds
+	 * sooner.
+	 */
 	for (i = 0; i < 4; i++)
 		endpoints_record_delay(w.endpoints, 2, 522000, 22000, 100);
 	count(&w, 100, n);
 	ck_assert_int_eq(n[1] + n[2], 0);
-	/* Without news it is tried again before long. */
+	/* Without new measurements the endpoints are soon tried again. */
 	count(&w, 100 + 5000, n);
 	ck_assert_int_eq(n[3] + n[4], 0);
 	world_clear(&w);
 }
 END_TEST
 
-/* What the upstream itself took is no delay on the way. */
+/* The processing time of the upstream is no delay. */
 START_TEST(test_processing_time_is_no_delay)
 {
 	struct world w;
@@ -328,7 +341,7 @@
 	    ejection_verdict(w.ejection, 1, 100), EJECTION_EJECTED);
 	count(&w, 100, n);
 	ck_assert_int_eq(n[1], 0);
-	/* A failed probe doubles the time. */
+	/* A failed probe doubles the duration of the ejection. */
 	c = choose(&w, NULL, 0, 1100);
 	ck_assert_int_eq(c.reason, PLACEMENT_PROBE);
 	ck_assert_uint_eq(c.endpoint, 1);
@@ -336,7 +349,7 @@
 	fail_requests(&w, 1, 1, 1100);
 	ck_assert_int_eq(
 	    ejection_verdict(w.ejection, 1, 3099), EJECTION_EJECTED);
-	/* A health check that claims to be well only brings a probe. */
+	/* A healthy health check only brings the probe forward. */
 	endpoints_hint(w.endpoints, 1, true, 2000);
 	ck_assert_int_eq(ejection_verdict(w.ejection, 1, 2000), EJECTION_PROBE);
 	c = choose(&w, NULL, 0, 2000);
@@ -360,7 +373,10 @@
 		fail_requests(&w, ep, 20, 100);
 	ck_assert_uint_eq(ejection_count(w.ejection, SERVICE, 100), 2);
 	ck_assert_uint_ne(choose(&w, NULL, 0, 100).endpoint, 0);
-	/* However often it fails, it is tried again within the cap. */
+	/*
+	 * The endpoint is probed within the longest ejection, however often it
+	 * fails.
+	 */
 	for (now = 100; now < 1000000; now = until) {
 		for (until = now; ejection_verdict(w.ejection, 1, until) ==
 		     EJECTION_EJECTED;)
@@ -370,7 +386,7 @@
 			;
 		fail_requests(&w, 1, 1, until);
 	}
-	/* Replaced: its past is forgotten. */
+	/* A replaced endpoint loses its earlier results. */
 	w.infos[0].incarnation = 2;
 	publish(&w, ENDPOINTS, now);
 	ck_assert_int_eq(ejection_verdict(w.ejection, 1, now), EJECTION_USABLE);
@@ -394,7 +410,7 @@
 	}
 	ck_assert_int_eq(ejection_verdict(w.ejection, 2, 64), EJECTION_EJECTED);
 	ck_assert_uint_eq(ejection_count(w.ejection, SERVICE, 64), 1);
-	/* Refusals for load and cancelled requests say nothing. */
+	/* Refusals for load and cancelled requests are not counted. */
 	for (i = 0; i < 64; i++) {
 		endpoints_began(w.endpoints, 1, i);
 		endpoints_ended(w.endpoints, 1,
@@ -405,7 +421,9 @@
 }
 END_TEST
 
-/* Requests in flight outlive the listing; nothing is leaked or counted twice.
+/*
+ * Requests in flight persist when the snapshot drops their endpoint; none is
+ * leaked or counted twice.
  */
 START_TEST(test_snapshot_changes_under_requests)
 {
@@ -425,8 +443,10 @@
 }
 END_TEST
 
-/* An entry whose version is late leaves it to other hosts to check a route;
- * where there are none the own upstream is as good as before. */
+/*
+ * An entry with an outdated version prefers other hosts, which check the
+ * route; without other hosts the own upstream is used.
+ */
 START_TEST(own_endpoint_is_avoided_on_request)
 {
 	struct placement_query q = {
@@ -453,8 +473,10 @@
 }
 END_TEST
 
-/* Each entry leads a suspect to the same endpoint, whatever it knows of loads,
- * and not to one that the call has tried. */
+/*
+ * Each entry sends a suspect to the same endpoint, whatever its load reports,
+ * and not to an endpoint that the call has tried.
+ */
 START_TEST(suspect_goes_to_its_ranked_endpoint)
 {
 	struct placement_query q = {.service = SERVICE, .content = 17};
--- a/packages/traffic/test/test_placement_fleet.c
+++ b/packages/traffic/test/test_placement_fleet.c
@@ -1,6 +1,5 @@
 /*
- * Placement among many hosts: reports that are old, and a data centre that is
- * cut off.
+ * Placement among many hosts: old reports, and a partitioned data centre.
  */
 #include <check.h>
 #include <glib.h>
@@ -37,13 +36,15 @@
 }
 
 /*
- * Hundreds of hosts: an entry hears of each endpoint every few seconds only.
+ * With hundreds of hosts an entry receives a report of each endpoint only
+ * every few seconds.
  *
- * The load: three of four endpoints are full, by calls of other entries.  Five
- * calls a second of this one tell of one endpoint each, so that a report is
- * four seconds old when its endpoint comes up again.  If an old report stood
- * for an idle endpoint, three of four calls would go to full ones, as by
- * chance; known room has to be used before what is not known.
+ * The load: three of four endpoints are full with calls of other entries.
+ * Five calls a second of this entry return the load of one endpoint each, so
+ * that a report is four seconds old when its endpoint is considered again.  If
+ * an old report meant an idle endpoint, three of four calls would go to full
+ * endpoints, as with a random choice; known capacity must be used before
+ * unknown capacity.
  */
 #define MANY 20
 #define FREE_OF_MANY 5
@@ -94,13 +95,14 @@
 END_TEST
 
 /*
- * A data centre is cut off under load.
+ * A data centre is partitioned under load.
  *
- * The load: the own data centre is full, so twenty calls a second go to others.
- * Behind the cut the endpoints look idle, as nothing comes back that says
- * otherwise; each call sent there fails, and tells after half a second that its
- * host is silent.  Seen: one entry of 76 lost a call or more on each of 25
- * hosts during a cut of six seconds, and each of the others as well.
+ * The load: the own data centre is full, so twenty calls a second go to
+ * others. The endpoints in the partition look idle, as no load report arrives
+ * from them; each call sent there fails, and after half a second its host is
+ * known to be silent.  Without detection, one entry of 76 lost a call or more
+ * on each of 25 hosts during a partition of six seconds, and so did each of
+ * the other entries.
  */
 #define CENTRE_HOSTS 25
 #define PARTITION_START_MS 1000
@@ -108,11 +110,13 @@
 #define CALL_EACH_MS 50
 #define SILENT_AFTER_MS 500
 
-/* Half of the calls go there until two hosts are known to be silent, within a
- * second; then one each 2 s, to find out when the cut is over. */
+/*
+ * Half of the calls go there until two hosts are known to be silent, within a
+ * second; then one call every 2 s, to detect the end of the partition.
+ */
 #define LOST_MAX (1000 / CALL_EACH_MS / 2 + PARTITION_DURATION_MS / 2000)
 
-/* One local endpoint, which is full, and two data centres. */
+/* One local endpoint, which is full, and two other data centres. */
 static struct endpoints *
 fleet_new(void)
 {
@@ -158,7 +162,10 @@
 		for (i = 100; i < 100 + CENTRE_HOSTS; i++) {
 			if (silent_ms[i] == 0 || now_ms < silent_ms[i])
 				continue;
-			/* Dialled again, once the cut is over it answers. */
+			/*
+			 * Redialled: the host answers once the partition is
+			 * over.
+			 */
 			(void)endpoints_set_silent(
 			    e, i, is_partitioned(i, now_ms), now_ms);
 		}
@@ -181,7 +188,10 @@
 }
 END_TEST
 
-/* Two hosts that end by themselves while others there answer are no cut. */
+/*
+ * Two hosts that fail independently while others there answer are no
+ * partition.
+ */
 START_TEST(silent_hosts_among_answering_ones_are_no_partition)
 {
 	struct endpoints *e = fleet_new();
@@ -196,7 +206,9 @@
 }
 END_TEST
 
-/* One host is no data centre, and neither are two that end at other times. */
+/*
+ * One host is no partition, and neither are two that fail at different times.
+ */
 START_TEST(one_silent_host_is_no_partition)
 {
 	struct endpoints *e = fleet_new();
@@ -205,19 +217,19 @@
 	ck_assert(!endpoints_set_silent(e, 100, false, 1500));
 	ck_assert(!endpoints_set_silent(e, 100, true, 2000));
 	ck_assert(!endpoints_set_silent(e, 101, true, 9000));
-	/* The own data centre has nowhere to be left for. */
+	/* The own data centre is never considered partitioned. */
 	ck_assert(!endpoints_set_silent(e, 1, true, 9100));
 	endpoints_free(e);
 }
 END_TEST
 
 /*
- * A large fleet: each entry shares many endpoints with many other entries.
+ * In a large fleet each entry shares many endpoints with many other entries.
  *
  * The load: 34 endpoints of six slots, a third of them 2.5 times slower; an
- * entry sends eleven calls a second, so each endpoint answers it once in three
- * seconds.  An entry that waits for many answers before it compares sends the
- * slow ones the share of the quick ones for as long as anybody waits.
+ * entry sends eleven calls a second, so each endpoint responds to it once in
+ * three seconds.  An entry that needs many responses before it compares times
+ * sends the slow endpoints as many calls as the fast ones until then.
  */
 #define SPARSE 34
 #define SPARSE_SLOW 11
@@ -266,7 +278,7 @@
 		all++;
 		slow += id <= SPARSE_SLOW;
 	}
-	/* Of two choices both are slow in one of ten. */
+	/* Both of two random choices are slow in one of ten cases. */
 	ck_assert_msg(
 	    slow * 5 <= all, "%u of %u calls went to slow ones", slow, all);
 	placement_free(p);
--- a/packages/traffic/test/test_quarantine.c
+++ b/packages/traffic/test/test_quarantine.c
@@ -1,6 +1,6 @@
 /*
- * Which requests are no longer run: those under which upstreams crash, and
- * never those that merely ran when upstreams ended for another reason.
+ * Quarantine of requests that crash upstreams, and never of requests that were
+ * merely in flight when upstreams ended for another reason.
  */
 #include <string.h>
 
@@ -44,7 +44,10 @@
 	return f;
 }
 
-/* An upstream ends at @at_ms while two requests run, 0 for none. */
+/*
+ * Report the crash of an upstream at @at_ms with up to two requests in flight;
+ * content 0 stands for none.
+ */
 static void
 crash(uint64_t at_ms, struct fingerprint a, struct fingerprint b)
 {
@@ -135,7 +138,7 @@
 }
 END_TEST
 
-/* Hundreds of crashes at once have an external cause. */
+/* Hundreds of simultaneous crashes have an external cause. */
 START_TEST(burst_of_crashes_leaves_nothing_undecided)
 {
 	int i;
@@ -146,7 +149,10 @@
 }
 END_TEST
 
-/* Others crashed without it: one cause for all of them is not this request. */
+/*
+ * Other upstreams crashed without the request: a common cause of all these
+ * crashes is not the request.
+ */
 START_TEST(coinciding_crashes_leave_nothing_undecided)
 {
 	int i;
@@ -184,7 +190,7 @@
 }
 END_TEST
 
-/* An upstream was able to answer it. */
+/* An upstream answered the request between the crashes. */
 START_TEST(answered_request_is_exonerated)
 {
 	struct fingerprint f = request(1, A);
@@ -204,13 +210,14 @@
 END_TEST
 
 /*
- * Seen: a request was sent to upstreams 4 and 6 times more, over 3 s after its
- * third crash, though all nodes knew of it.
- * How: with all upstreams of a service down but one, callers' tries follow the
- * crasher from the one to the next, so that others ran in each of its crashes
- * too. Cause: a request with such a rival was run on until a crash came without
- * it, also where the rival had been answered meanwhile. Proof: the crashes
- * alone, below.
+ * Guards against a late quarantine.  A request was sent to upstreams 4 and 6
+ * more times, over 3 s after its third crash, although all nodes knew of the
+ * crashes.  With all upstreams of a service down but one, callers' retries
+ * follow the crashing request from one upstream to the next, so that other
+ * requests are in flight in each of its crashes too.  A request with such a
+ * co-suspect ran on until a crash came without the co-suspect, even when the
+ * co-suspect had been answered meanwhile.  The sequence of crashes below
+ * reproduces the fault.
  */
 START_TEST(answered_request_is_no_cosuspect)
 {
@@ -226,8 +233,10 @@
 }
 END_TEST
 
-/* Neither is run for some seconds, each node its own; then the first crash
- * without the other one tells. */
+/*
+ * Both co-suspects are suspended for some seconds, which vary by node; then
+ * the first crash without the other one implicates a request.
+ */
 START_TEST(cosuspects_are_suspended_until_one_is_implicated)
 {
 	uint64_t over_ms = T0 + 1500 + QUARANTINE_SUSPEND_MS * 2;
@@ -316,8 +325,10 @@
 }
 END_TEST
 
-/* Hundreds of upstreams are killed in a second: what each ran is tried again on
- * one that is killed a moment later. */
+/*
+ * Hundreds of upstreams are killed within a second, and the requests of each
+ * are retried on another one that is killed a moment later.
+ */
 START_TEST(mass_kill_quarantines_nothing)
 {
 	struct crash c;
@@ -338,8 +349,11 @@
 }
 END_TEST
 
-/* All upstreams of hundreds of hosts run one popular path when they end: each
- * guard has seen it answered, and leaves it out of what it tells. */
+/*
+ * All upstreams of hundreds of hosts run one popular path when they end: each
+ * guard has seen a response to it, and omits the request from its crash
+ * report.
+ */
 START_TEST(answered_request_is_not_published)
 {
 	struct crash c = {.id = 1, .at_ms = T0 + 1000, .n_runs = 2};
@@ -358,8 +372,10 @@
 }
 END_TEST
 
-/* Guards that hadn't seen it answered list it; one that has speaks for it
- * before anybody holds it off. */
+/*
+ * Guards without a response to the request report it in flight; a guard with a
+ * response exonerates the request before any node quarantines it.
+ */
 START_TEST(answer_on_one_node_exonerates_a_request)
 {
 	struct fingerprint popular = request(1, A);
@@ -376,8 +392,7 @@
 }
 END_TEST
 
-/* What an earlier release answered speaks for one crash a host, not for ever.
- */
+/* A response from before a release exonerates from one crash per host only. */
 START_TEST(old_answer_exonerates_from_one_crash_only)
 {
 	struct fingerprint f = request(1, A);
@@ -437,7 +452,7 @@
 }
 END_TEST
 
-/* That one caller's is quarantined already doesn't clear the others'. */
+/* A quarantine for one caller doesn't exonerate the content for others. */
 START_TEST(content_is_quarantined_for_all_after_one_caller_was)
 {
 	crash_alone(T0, 1, A);
@@ -489,7 +504,7 @@
 }
 END_TEST
 
-/* It ran on when it was quarantined, and was answered. */
+/* The request was in flight when it was quarantined, and was answered. */
 START_TEST(answer_ends_a_quarantine_reported_by_a_peer)
 {
 	struct fingerprint f = request(1, A);
@@ -503,7 +518,7 @@
 }
 END_TEST
 
-/* Crashes of many requests, each seen once, don't push out what recurs. */
+/* Crashes of many requests that occur once don't displace recurring ones. */
 START_TEST(least_informative_crashes_are_dropped)
 {
 	uint32_t i;
@@ -519,7 +534,7 @@
 }
 END_TEST
 
-/* News comes in any order at each node. */
+/* Reports arrive in a different order at each node. */
 START_TEST(order_of_reports_does_not_matter)
 {
 	static const uint64_t order[][4] = {
--- a/packages/traffic/test/test_split.c
+++ b/packages/traffic/test/test_split.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the split of a route by weight.
+ * Tests of weighted routes.
  */
 #include <check.h>
 
@@ -12,17 +12,21 @@
 #define ENTRIES 10
 #define ROUTE 7
 
-/* As many as large deployments have, and beyond what a table remembers. */
+/*
+ * Number of routes in large deployments, and a number above the table's limit.
+ */
 #define ROUTES_MANY 57000
 #define ROUTES_EXCESS 100000
 #define ROUNDS 10
 
-/* More than a table remembers. */
+/* Number of routes that are called in turn. */
 #define MANY_ROUTES 5000
 
 static const struct split_part parts[] = {{11, 90}, {12, 10}};
 
-/* Over every window, not only in the long run. */
+/*
+ * The shares hold over every window of 100 requests, not only in the long run.
+ */
 START_TEST(shares_hold_over_every_window)
 {
 	struct split_table *t = split_table_new(1);
@@ -41,8 +45,10 @@
 }
 END_TEST
 
-/* Few requests at each of many entries: a random start, so that the small
- * part isn't left out, or in front, everywhere. */
+/*
+ * With few requests at each of many entries a random start point keeps the
+ * service of small weight from being omitted, or first, at all of them.
+ */
 START_TEST(shares_hold_over_entries_with_few_requests)
 {
 	struct split_table *t;
@@ -59,7 +65,7 @@
 }
 END_TEST
 
-/* More routes than are remembered, in turn: each still keeps its shares. */
+/* Many routes are called in turn: each still keeps its shares. */
 START_TEST(shares_hold_over_many_routes)
 {
 	static const struct split_part halves[] = {{11, 1}, {12, 1}};
@@ -79,7 +85,7 @@
 }
 END_TEST
 
-/* Sixty-four parts share one route, and each gets its turn. */
+/* SPLIT_PARTS_MAX services share one route, and each gets its requests. */
 START_TEST(maximum_number_of_services)
 {
 	struct split_part many[SPLIT_PARTS_MAX];
@@ -115,7 +121,10 @@
 }
 END_TEST
 
-/* Calls each of @routes in turn; Return: how often each got the second part. */
+/*
+ * Choose for each of @routes in turn; Return: how often each got the second
+ * service.
+ */
 static uint8_t *
 call_in_turn(uint32_t routes, const struct split_part *p, uint32_t rounds)
 {
@@ -130,7 +139,7 @@
 	return second;
 }
 
-/* Each of them by itself, however many others are called in between. */
+/* Each route keeps its shares, however many others are called in between. */
 START_TEST(shares_hold_for_each_of_many_routes)
 {
 	static const struct split_part even[] = {{11, 50}, {12, 50}};
@@ -145,8 +154,10 @@
 }
 END_TEST
 
-/* A route that was forgotten begins somewhere else each time: no route sends
- * all to one part, and all together keep the shares. */
+/*
+ * A dropped route begins at another point each time: no route sends all
+ * requests to one service, and all routes together keep the shares.
+ */
 START_TEST(shares_hold_on_average_when_routes_are_forgotten)
 {
 	uint8_t *second = call_in_turn(ROUTES_EXCESS, parts, 2 * ROUNDS);
--- a/packages/traffic/test/test_spread_load.c
+++ b/packages/traffic/test/test_spread_load.c
@@ -1,8 +1,8 @@
 /*
- * Tests of calls that a guard refuses for load, in a service of which some
- * endpoints are full: all, most, some or one.  Where others have room a call
- * finds it, at no cost of the retry budget; where none has, a call is refused
- * after hardly more than one try.
+ * Tests of calls that a guard refuses for load, in a service of which all,
+ * most, some or one of the endpoints are full.  If other endpoints have
+ * capacity, the call is served without a charge to the retry budget; if none
+ * has, the call is refused after few retries.
  */
 #include <check.h>
 
@@ -17,7 +17,7 @@
 #define STEP_MS 5
 #define DEADLINE_MS 500
 
-/* A budget like that of one of 91 entries: next to nothing is saved up. */
+/* A budget as of one of 91 entries: hardly any tokens are saved. */
 static void
 make_budget(struct retry_budget *b)
 {
@@ -30,7 +30,10 @@
 	retry_budget_init(b, &cfg, 0);
 }
 
-/* An endpoint that was not tried; those numbered below @full have no room. */
+/*
+ * Pick a random endpoint that was not tried; those numbered below @full are
+ * full.
+ */
 static uint64_t
 pick(struct call *c, GRand *r)
 {
@@ -47,7 +50,7 @@
 	return endpoint;
 }
 
-/* Return: whether it was answered; its tries are added to @tries. */
+/* Return: whether the call was answered; its attempts are added to @tries. */
 static bool
 run(struct retry_budget *b, GRand *r, uint64_t now_ms, uint32_t full,
     uint32_t *tries)
@@ -118,7 +121,7 @@
 }
 END_TEST
 
-/* The budget alone allows one retry in ten calls. */
+/* The budget allows one retry in ten calls. */
 START_TEST(full_service_gets_few_retries)
 {
 	double answered, tries;
@@ -137,7 +140,7 @@
 }
 END_TEST
 
-/* A service that was full and has room again is found out. */
+/* The capacity of a service that was full is detected when it is free again. */
 START_TEST(freed_capacity_is_detected)
 {
 	GRand *r = g_rand_new_with_seed(SEED);
--- a/packages/traffic/test/test_superseded.c
+++ b/packages/traffic/test/test_superseded.c
@@ -1,5 +1,6 @@
 /*
- * When a request that was routed by an older version is checked again.
+ * Tests of the time after which a request routed by an older version is
+ * checked.
  */
 #include <check.h>
 
@@ -22,7 +23,7 @@
 }
 END_TEST
 
-/* A still later version doesn't give it more time. */
+/* A further version doesn't extend the grace time. */
 START_TEST(grace_time_starts_at_the_first_later_version)
 {
 	struct superseded s = {0};
@@ -36,7 +37,7 @@
 }
 END_TEST
 
-/* A node that has just started, and one that another node is ahead of. */
+/* A node that has just started, and a node that is behind another one. */
 START_TEST(no_expiry_without_a_later_version)
 {
 	struct superseded s = {0};
