--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -201,11 +201,14 @@
 };
 
 static const struct hand_over_case hand_over_cases[] = {
-    {"never seen, asker is new", 0, 0, 100, false, KEYED_WORD_FREE},
+    {"key unknown, querying process is new", 0, 0, 100, false, KEYED_WORD_FREE},
     {"ran here", 0, 0, 100, true, KEYED_WORD_TAKEN},
-    {"too young to know", OLD_MS - 500, 0, 100, false, KEYED_WORD_TAKEN},
-    {"asker was home all the time since", 0, 300, 400, false, KEYED_WORD_FREE},
-    {"asker's predecessor was home", 0, 300, 200, false, KEYED_WORD_TAKEN},
+    {"this process is younger than the window", OLD_MS - 500, 0, 100, false,
+	KEYED_WORD_TAKEN},
+    {"querying process was the home since", 0, 300, 400, false,
+	KEYED_WORD_FREE},
+    {"predecessor of the querying process was home", 0, 300, 200, false,
+	KEYED_WORD_TAKEN},
 };
 
 START_TEST(test_hand_over)
--- a/packages/traffic/test/test_placement_fleet.c
+++ b/packages/traffic/test/test_placement_fleet.c
@@ -182,7 +182,7 @@
 		    now_ms >= PARTITION_START_MS + PARTITION_DURATION_MS;
 	}
 	ck_assert_msg(lost <= LOST_MAX, "%u calls were lost", lost);
-	ck_assert_msg(back > 0, "it is not called after the cut");
+	ck_assert_msg(back > 0, "no call after the end of the partition");
 	placement_free(p);
 	endpoints_free(e);
 }
@@ -201,7 +201,7 @@
 	endpoints_ended(e, 102, ENDPOINT_REFUSED, 0, 1100);
 	ck_assert(!endpoints_set_silent(e, 101, true, 1200));
 	ck_assert_msg(endpoints_set_silent(e, 103, true, 1300),
-	    "nothing was heard between these two");
+	    "nothing was received between these two");
 	endpoints_free(e);
 }
 END_TEST
@@ -279,8 +279,8 @@
 		slow += id <= SPARSE_SLOW;
 	}
 	/* Both of two random choices are slow in one of ten cases. */
-	ck_assert_msg(
-	    slow * 5 <= all, "%u of %u calls went to slow ones", slow, all);
+	ck_assert_msg(slow * 5 <= all, "%u of %u calls went to slow endpoints",
+	    slow, all);
 	placement_free(p);
 	ejection_free(j);
 	endpoints_free(e);
