--- a/packages/traffic/include/traffic/call.h
+++ b/packages/traffic/include/traffic/call.h
@@ -2,7 +2,7 @@
  * State machine of one call at the entry: from the caller's request to the
  * final response.
  *
- * The caller of this module feeds events and carries out the actions that
+ * The user of this module feeds events and carries out the actions that
  * call_next() returns.  Each SEND and each RESOLVE opens a stream with a new
  * number.  An event names its stream, and events of an earlier stream are
  * ignored, so that a late response is never attributed to a later attempt.
@@ -47,7 +47,7 @@
 };
 
 /**
- * enum call_action_kind - actions for the caller of call_next()
+ * enum call_action_kind - actions to carry out
  * @CALL_PLACE: choose an endpoint other than those of call_tried(), then call
  *	call_placed() or call_no_endpoint()
  * @CALL_SEND: send attempt @attempt to @endpoint as @stream, then call
--- a/packages/traffic/include/traffic/endpoints.h
+++ b/packages/traffic/include/traffic/endpoints.h
@@ -129,7 +129,7 @@
 /**
  * endpoints_generation() - snapshot from which a service was last set
  *
- * Allows the caller to set services lazily, when a call for one arrives.
+ * Allows services to be set lazily, when a call for one arrives.
  *
  * Return: the generation, 0 when the service has never been set.
  */
--- a/packages/traffic/include/traffic/fate.h
+++ b/packages/traffic/include/traffic/fate.h
@@ -85,8 +85,8 @@
 
 /**
  * struct fate_waiter - a stream that waits for a response
- * @conn: the caller's number of the connection
- * @stream: the entry's number of the stream on that connection
+ * @conn: number of the connection, assigned by the network layer
+ * @stream: number of the stream on that connection, assigned by the entry
  */
 struct fate_waiter {
 	uint64_t conn;
