--- a/packages/traffic/include/traffic/body_window.h
+++ b/packages/traffic/include/traffic/body_window.h
@@ -45,7 +45,7 @@
  * @queued: in the list of bodies that wait for a grant
  * @open: more of the body may arrive
  * @link: node in the list of all bodies
- * @turn: node in the list of bodies that wait for a grant
+ * @queue_link: node in the list of bodies that wait for a grant
  */
 struct body_share {
 	void *owner;
@@ -58,7 +58,7 @@
 	bool queued;
 	bool open;
 	GList link;
-	GList turn;
+	GList queue_link;
 };
 
 /** body_window_init() - initialise an empty window */
--- a/packages/traffic/include/traffic/quarantine.h
+++ b/packages/traffic/include/traffic/quarantine.h
@@ -43,7 +43,7 @@
  */
 #define QUARANTINE_CRASHES_MAX 128
 #define QUARANTINE_ENTRIES_MAX 128
-#define QUARANTINE_CLEARED_MAX 128
+#define QUARANTINE_EXONERATIONS_MAX 128
 
 /* Crashes within this time may have a common cause. */
 #define QUARANTINE_COINCIDENCE_MS 1000
--- a/packages/traffic/src/admission_slots.c
+++ b/packages/traffic/src/admission_slots.c
@@ -19,10 +19,7 @@
 #define ACCEPTED_AFTER_MS 10
 /* Period of the observed concurrency. */
 #define CONCURRENCY_PERIOD_MS 1000
-/*
- * Half-life of a measured run time, and the number of halvings after which it
- * stays.
- */
+/* Half-life of a measured run time, and the maximum number of halvings. */
 #define RUN_HALF_LIFE_MS 500
 #define RUN_HALVINGS_MAX 3
 
@@ -102,16 +99,16 @@
 static void
 record_concurrency(struct admission *a, uint32_t n, uint64_t now_ms)
 {
-	struct concurrency *p = &a->concurrency;
+	struct concurrency *c = &a->concurrency;
 
-	if (now_ms >= p->until_ms) {
-		p->peak[1] = now_ms < p->until_ms + CONCURRENCY_PERIOD_MS
-		    ? p->peak[0]
+	if (now_ms >= c->until_ms) {
+		c->peak[1] = now_ms < c->until_ms + CONCURRENCY_PERIOD_MS
+		    ? c->peak[0]
 		    : 0;
-		p->peak[0] = 0;
-		p->until_ms = now_ms + CONCURRENCY_PERIOD_MS;
+		c->peak[0] = 0;
+		c->until_ms = now_ms + CONCURRENCY_PERIOD_MS;
 	}
-	p->peak[0] = MAX(p->peak[0], n);
+	c->peak[0] = MAX(c->peak[0], n);
 }
 
 void
@@ -131,11 +128,11 @@
 static bool
 is_overloaded(const struct admission *a, uint32_t accepted)
 {
-	const struct concurrency *p = &a->concurrency;
+	const struct concurrency *c = &a->concurrency;
 
 	return admission_in_slots(a) * PERCENT >=
 	    admission_slots(a) * (uint64_t)OVERLOAD_MIN_PERCENT &&
-	    accepted >= MAX(p->peak[0], p->peak[1]);
+	    accepted >= MAX(c->peak[0], c->peak[1]);
 }
 
 uint64_t
--- a/packages/traffic/src/admission_wait.c
+++ b/packages/traffic/src/admission_wait.c
@@ -88,17 +88,19 @@
 static void
 rotate_refusal_rate(struct admission *a, uint64_t now_ms)
 {
-	struct refusal_rate *p = &a->refusal_rate;
+	struct refusal_rate *rate = &a->refusal_rate;
 
-	if (now_ms < p->until_ms)
+	if (now_ms < rate->until_ms)
 		return;
-	p->started[1] =
-	    now_ms < p->until_ms + REFUSAL_RATE_PERIOD_MS ? p->started[0] : 0;
-	p->refused[1] =
-	    now_ms < p->until_ms + REFUSAL_RATE_PERIOD_MS ? p->refused[0] : 0;
-	p->started[0] = 0;
-	p->refused[0] = 0;
-	p->until_ms = now_ms + REFUSAL_RATE_PERIOD_MS;
+	rate->started[1] = now_ms < rate->until_ms + REFUSAL_RATE_PERIOD_MS
+	    ? rate->started[0]
+	    : 0;
+	rate->refused[1] = now_ms < rate->until_ms + REFUSAL_RATE_PERIOD_MS
+	    ? rate->refused[0]
+	    : 0;
+	rate->started[0] = 0;
+	rate->refused[0] = 0;
+	rate->until_ms = now_ms + REFUSAL_RATE_PERIOD_MS;
 }
 
 /* Slots available to the class at the other class's present demand. */
@@ -154,9 +156,9 @@
 admission_retry_after_ms(const struct admission *a,
     const struct admission_request *req, uint32_t rank)
 {
-	const struct refusal_rate *p = &a->refusal_rate;
-	uint64_t started = p->started[0] + p->started[1];
-	uint64_t refused = p->refused[0] + p->refused[1];
+	const struct refusal_rate *rate = &a->refusal_rate;
+	uint64_t started = rate->started[0] + rate->started[1];
+	uint64_t refused = rate->refused[0] + rate->refused[1];
 	uint64_t wait = expected_wait_ms(a, req, rank);
 
 	if (started > 0)
--- a/packages/traffic/src/body_window.c
+++ b/packages/traffic/src/body_window.c
@@ -8,7 +8,7 @@
  * Size of one grant: half a frame of the call protocol, 26 ms on a link of 5
  * Mbit/s.
  */
-#define TURN_BYTES 16384
+#define GRANT_BYTES 16384
 
 void
 body_window_init(struct body_window *w, uint64_t max_bytes)
@@ -52,7 +52,7 @@
 	    .stalls_at_ms = now_ms + BODY_STALL_MS,
 	    .open = true,
 	    .link.data = s,
-	    .turn.data = s,
+	    .queue_link.data = s,
 	};
 	w->in_flight_bytes += s->granted_bytes;
 	g_queue_push_tail_link(&w->bodies, &s->link);
@@ -70,7 +70,7 @@
 	if (s->wanted_bytes == 0 || s->queued)
 		return;
 	s->queued = true;
-	g_queue_push_tail_link(&w->waiting, &s->turn);
+	g_queue_push_tail_link(&w->waiting, &s->queue_link);
 }
 
 void
@@ -95,7 +95,7 @@
 	s->open = false;
 	g_queue_unlink(&w->bodies, &s->link);
 	if (s->queued)
-		g_queue_unlink(&w->waiting, &s->turn);
+		g_queue_unlink(&w->waiting, &s->queue_link);
 	s->queued = false;
 }
 
@@ -103,15 +103,15 @@
 body_window_next(struct body_window *w, uint32_t *bytes, uint64_t now_ms)
 {
 	struct body_share *s;
-	GList *turn;
+	GList *node;
 
 	if (w->in_flight_bytes >= w->max_bytes)
 		return NULL;
-	turn = g_queue_pop_head_link(&w->waiting);
-	if (turn == NULL)
+	node = g_queue_pop_head_link(&w->waiting);
+	if (node == NULL)
 		return NULL;
-	s = turn->data;
-	*bytes = (uint32_t)MIN(s->wanted_bytes, TURN_BYTES);
+	s = node->data;
+	*bytes = (uint32_t)MIN(s->wanted_bytes, GRANT_BYTES);
 	include_share(w, s);
 	s->wanted_bytes -= *bytes;
 	s->granted_bytes += *bytes;
@@ -119,7 +119,7 @@
 	w->in_flight_bytes += *bytes;
 	s->queued = s->wanted_bytes > 0;
 	if (s->queued)
-		g_queue_push_tail_link(&w->waiting, turn);
+		g_queue_push_tail_link(&w->waiting, node);
 	return s;
 }
 
--- a/packages/traffic/src/call.c
+++ b/packages/traffic/src/call.c
@@ -49,7 +49,7 @@
 	STATE_COMMITTED,
 	STATE_RESOLVING,
 	STATE_RESOLVE_BACKOFF,
-	STATE_OVER,
+	STATE_FINISHED,
 };
 
 struct call {
@@ -72,7 +72,7 @@
 	uint16_t free_attempts;
 	GArray *tried;
 	GArray *actions;
-	guint next;
+	guint next_action;
 };
 
 const char *
@@ -128,7 +128,7 @@
 static void
 finish(struct call *c)
 {
-	c->state = STATE_OVER;
+	c->state = STATE_FINISHED;
 	c->wake_ms = DEADLINE_NEVER;
 }
 
@@ -191,7 +191,7 @@
 }
 
 static bool
-schedule_retry(struct call *c, bool paid, uint64_t now_ms)
+schedule_retry(struct call *c, bool charged, uint64_t now_ms)
 {
 	uint64_t wait, random;
 
@@ -200,11 +200,11 @@
 		return false;
 	random = hash64(&c->attempt, sizeof(c->attempt), c->seed);
 	wait = retry_backoff_ms(&c->budget->cfg, c->attempt, random);
-	if (!paid || c->cfg.naive)
+	if (!charged || c->cfg.naive)
 		wait = 0;
 	if (now_ms + wait >= c->cfg.deadline_ms)
 		return false;
-	if (paid && !c->cfg.naive && !retry_budget_take(c->budget, now_ms))
+	if (charged && !c->cfg.naive && !retry_budget_take(c->budget, now_ms))
 		return false;
 	if (wait == 0) {
 		place(c);
@@ -281,7 +281,7 @@
 static bool
 is_current(const struct call *c, uint32_t stream)
 {
-	return c->state != STATE_OVER && stream == c->stream;
+	return c->state != STATE_FINISHED && stream == c->stream;
 }
 
 /* Whether an attempt or a resolve is in flight on @stream. */
@@ -529,7 +529,7 @@
 call_stopped(struct call *c)
 {
 	switch (c->state) {
-	case STATE_OVER:
+	case STATE_FINISHED:
 		return;
 	case STATE_COMMITTED:
 		(void)add_action(c, CALL_ABORT);
@@ -553,7 +553,7 @@
 void
 call_tick(struct call *c, uint64_t now_ms)
 {
-	if (c->state == STATE_OVER || now_ms < c->wake_ms)
+	if (c->state == STATE_FINISHED || now_ms < c->wake_ms)
 		return;
 	if (!c->deadline_passed && now_ms >= c->cfg.deadline_ms) {
 		pass_deadline(c, now_ms);
@@ -581,20 +581,20 @@
 bool
 call_next(struct call *c, struct call_action *out)
 {
-	if (c->next == c->actions->len) {
+	if (c->next_action == c->actions->len) {
 		g_array_set_size(c->actions, 0);
-		c->next = 0;
+		c->next_action = 0;
 		return false;
 	}
-	*out = g_array_index(c->actions, struct call_action, c->next);
-	c->next++;
+	*out = g_array_index(c->actions, struct call_action, c->next_action);
+	c->next_action++;
 	return true;
 }
 
 bool
 call_is_finished(const struct call *c)
 {
-	return c->state == STATE_OVER;
+	return c->state == STATE_FINISHED;
 }
 
 const uint64_t *
--- a/packages/traffic/src/endpoints.c
+++ b/packages/traffic/src/endpoints.c
@@ -124,7 +124,7 @@
 
 /* Set the slow start of an endpoint that has just become ready. */
 static void
-begin_slow_start(
+choose_slow_start(
     const struct endpoints *e, struct endpoint *ep, bool warm, uint64_t now_ms)
 {
 	if (warm)
@@ -141,7 +141,7 @@
  *	cold.
  */
 static void
-update(const struct endpoints *e, struct endpoint *ep,
+update_endpoint(const struct endpoints *e, struct endpoint *ep,
     const struct endpoint_info *info, bool warm, uint64_t now_ms)
 {
 	bool replaced, becomes_ready;
@@ -163,7 +163,7 @@
 	 * endpoint.
 	 */
 	ep->excluded_until_ms = 0;
-	begin_slow_start(e, ep, warm, now_ms);
+	choose_slow_start(e, ep, warm, now_ms);
 }
 
 static bool
@@ -217,7 +217,7 @@
 	unlist_missing(e, s, infos, n);
 	for (i = 0; i < n; i++) {
 		ep = find_or_add(e, &infos[i]);
-		update(e, ep, &infos[i], warm, now_ms);
+		update_endpoint(e, ep, &infos[i], warm, now_ms);
 		if (ep->service == s)
 			continue;
 		ep->service = s;
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -36,7 +36,7 @@
 	/* Endpoint to which the key was handed over, and the time. */
 	uint64_t handed_to;
 	uint64_t handed_ms;
-	GArray *released_by;
+	GArray *free_at;
 	GList *link;
 };
 
@@ -45,8 +45,11 @@
 	uint64_t self;
 	uint64_t created_ms;
 	GHashTable *entries;
-	/* Finished and handed-over keys in order of expiry. */
-	GQueue by_expiry;
+	/*
+	 * Finished and handed-over keys, which expire, in order of their last
+	 * change.
+	 */
+	GQueue by_changed;
 	struct key_views views;
 };
 
@@ -88,7 +91,7 @@
 {
 	struct entry *e = data;
 
-	g_array_free(e->released_by, TRUE);
+	g_array_free(e->free_at, TRUE);
 	g_free(e);
 }
 
@@ -113,7 +116,7 @@
 	k->created_ms = now_ms;
 	k->entries =
 	    g_hash_table_new_full(key_hash, key_equal, NULL, entry_free);
-	g_queue_init(&k->by_expiry);
+	g_queue_init(&k->by_changed);
 	key_views_init(&k->views, self, retention_ms(k));
 	return k;
 }
@@ -123,7 +126,7 @@
 {
 	if (k == NULL)
 		return;
-	g_queue_clear(&k->by_expiry);
+	g_queue_clear(&k->by_changed);
 	key_views_clear(&k->views);
 	g_hash_table_destroy(k->entries);
 	g_free(k);
@@ -149,41 +152,41 @@
 }
 
 static bool
-has_released(const struct entry *e, uint64_t endpoint)
+is_free_at(const struct entry *e, uint64_t endpoint)
 {
 	guint i;
 
-	for (i = 0; i < e->released_by->len; i++) {
-		if (g_array_index(e->released_by, uint64_t, i) == endpoint)
+	for (i = 0; i < e->free_at->len; i++) {
+		if (g_array_index(e->free_at, uint64_t, i) == endpoint)
 			return true;
 	}
 	return false;
 }
 
-/* The next earlier home that has not released the key; 0 when all have. */
+/* The next earlier home that has not replied FREE; 0 when all have. */
 static uint64_t
 next_home_to_ask(const struct keyed *k, const struct entry *e, uint64_t now_ms)
 {
 	uint64_t home;
 	size_t i;
 
-	if (e->handed_to != 0 && !has_released(e, e->handed_to))
+	if (e->handed_to != 0 && !is_free_at(e, e->handed_to))
 		return e->handed_to;
 	for (i = 0; key_views_home(&k->views, i, &e->key, &home); i++) {
-		if (home != 0 && home != k->self && !has_released(e, home))
+		if (home != 0 && home != k->self && !is_free_at(e, home))
 			return home;
 	}
 	if (!is_recently_started(k, now_ms))
 		return 0;
 	home = key_views_home_before(&k->views, &e->key);
-	return home != 0 && !has_released(e, home) ? home : 0;
+	return home != 0 && !is_free_at(e, home) ? home : 0;
 }
 
 static void
 cancel_expiry(struct keyed *k, struct entry *e)
 {
 	if (e->link != NULL)
-		g_queue_delete_link(&k->by_expiry, e->link);
+		g_queue_delete_link(&k->by_changed, e->link);
 	e->link = NULL;
 }
 
@@ -192,8 +195,8 @@
 {
 	cancel_expiry(k, e);
 	e->changed_ms = now_ms;
-	g_queue_push_tail(&k->by_expiry, e);
-	e->link = g_queue_peek_tail_link(&k->by_expiry);
+	g_queue_push_tail(&k->by_changed, e);
+	e->link = g_queue_peek_tail_link(&k->by_changed);
 }
 
 static void
@@ -212,7 +215,7 @@
 	e = g_new0(struct entry, 1);
 	e->key = *key;
 	e->state = state;
-	e->released_by = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	e->free_at = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	g_hash_table_insert(k->entries, &e->key, e);
 	return e;
 }
@@ -243,7 +246,7 @@
 }
 
 static void
-ask_next_home(struct keyed *k, struct entry *e, uint64_t now_ms,
+continue_settling(struct keyed *k, struct entry *e, uint64_t now_ms,
     struct keyed_decision *out)
 {
 	if (k->cfg.claim_always) {
@@ -272,8 +275,8 @@
 		cancel_expiry(k, e);
 		e->first = *id;
 		e->body = body;
-		g_array_set_size(e->released_by, 0);
-		ask_next_home(k, e, now_ms, out);
+		g_array_set_size(e->free_at, 0);
+		continue_settling(k, e, now_ms, out);
 		return;
 	}
 	out->verdict = e->body == body ? KEYED_FOLLOW : KEYED_BODY_MISMATCH;
@@ -308,7 +311,7 @@
 	e = add_entry(k, key, KEY_SETTLING);
 	e->first = *id;
 	e->body = body;
-	ask_next_home(k, e, now_ms, out);
+	continue_settling(k, e, now_ms, out);
 }
 
 /* The settling entry to which the reply belongs, or NULL if it is gone. */
@@ -342,8 +345,8 @@
 		reject_unsettled(k, e, now_ms, out);
 		return;
 	}
-	g_array_append_val(e->released_by, from);
-	ask_next_home(k, e, now_ms, out);
+	g_array_append_val(e->free_at, from);
+	continue_settling(k, e, now_ms, out);
 }
 
 void
@@ -444,7 +447,7 @@
 
 	key_views_expire(&k->views, now_ms);
 	for (;;) {
-		e = g_queue_peek_head(&k->by_expiry);
+		e = g_queue_peek_head(&k->by_changed);
 		if (e == NULL)
 			return;
 		if (e->changed_ms + lifetime_ms(k, e) >= now_ms)
--- a/packages/traffic/src/quarantine.c
+++ b/packages/traffic/src/quarantine.c
@@ -25,7 +25,7 @@
 	    g_array_new(FALSE, TRUE, sizeof(struct quarantine_entry));
 	q->suspended =
 	    g_array_new(FALSE, TRUE, sizeof(struct quarantine_entry));
-	q->cleared = g_array_new(FALSE, TRUE, sizeof(struct clearance));
+	q->exonerations = g_array_new(FALSE, TRUE, sizeof(struct exoneration));
 	q->success_reports =
 	    g_array_new(FALSE, TRUE, sizeof(struct success_report));
 	g_queue_init(&q->events);
@@ -45,7 +45,7 @@
 	g_ptr_array_unref(q->crashes);
 	g_array_unref(q->quarantined);
 	g_array_unref(q->suspended);
-	g_array_unref(q->cleared);
+	g_array_unref(q->exonerations);
 	g_array_unref(q->success_reports);
 	g_queue_clear_full(&q->events, g_free);
 	clean_runs_clear(&q->recent_successes);
@@ -158,24 +158,25 @@
 	return q->quarantined->len == 0 && q->suspended->len == 0;
 }
 
-/* Clearances */
+/* Exonerations */
 
-static struct clearance *
-clearance_at(const struct quarantine *q, guint i)
+static struct exoneration *
+exoneration_at(const struct quarantine *q, guint i)
 {
-	return &g_array_index(q->cleared, struct clearance, i);
+	return &g_array_index(q->exonerations, struct exoneration, i);
 }
 
 /* A response to any caller exonerates the content for all callers. */
 uint64_t
-quarantine_cleared_ms(const struct quarantine *q, const struct fingerprint *f)
+quarantine_exonerated_ms(
+    const struct quarantine *q, const struct fingerprint *f)
 {
-	const struct clearance *c;
+	const struct exoneration *c;
 	uint64_t at_ms = 0;
 	guint i;
 
-	for (i = 0; i < q->cleared->len; i++) {
-		c = clearance_at(q, i);
+	for (i = 0; i < q->exonerations->len; i++) {
+		c = exoneration_at(q, i);
 		if (quarantine_covers(&c->print, f) ||
 		    quarantine_covers(f, &c->print))
 			at_ms = MAX(at_ms, c->at_ms);
@@ -184,21 +185,22 @@
 }
 
 static void
-add_clearance(struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
+add_exoneration(
+    struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
 {
-	struct clearance *c, made = {*f, at_ms};
+	struct exoneration *c, added = {*f, at_ms};
 	guint i;
 
-	for (i = 0; i < q->cleared->len; i++) {
-		c = clearance_at(q, i);
+	for (i = 0; i < q->exonerations->len; i++) {
+		c = exoneration_at(q, i);
 		if (fingerprint_equal(&c->print, f)) {
 			c->at_ms = MAX(c->at_ms, at_ms);
 			return;
 		}
 	}
-	if (q->cleared->len == QUARANTINE_CLEARED_MAX)
-		g_array_remove_index(q->cleared, 0);
-	g_array_append_val(q->cleared, made);
+	if (q->exonerations->len == QUARANTINE_EXONERATIONS_MAX)
+		g_array_remove_index(q->exonerations, 0);
+	g_array_append_val(q->exonerations, added);
 }
 
 bool
@@ -209,7 +211,7 @@
 	bool ended = false;
 	guint i;
 
-	add_clearance(q, f, at_ms);
+	add_exoneration(q, f, at_ms);
 	for (i = q->quarantined->len; i > 0; i--) {
 		e = quarantined_at(q, i - 1);
 		if (e->since_ms > at_ms ||
@@ -240,7 +242,7 @@
 	    .print = *f, .since_ms = since_ms, .until_ms = DEADLINE_NEVER};
 
 	if (quarantine_find(q, f) != NULL ||
-	    quarantine_cleared_ms(q, f) >= since_ms)
+	    quarantine_exonerated_ms(q, f) >= since_ms)
 		return false;
 	add_bounded(q->quarantined, &e);
 	return true;
@@ -456,15 +458,15 @@
 static bool
 is_suspect(const struct quarantine *q, const struct fingerprint *f)
 {
-	uint64_t cleared_ms;
+	uint64_t exonerated_ms;
 	guint i;
 
 	if (quarantine_crash_count(q, f->content) == 0)
 		return false;
-	cleared_ms = quarantine_cleared_ms(q, f);
+	exonerated_ms = quarantine_exonerated_ms(q, f);
 	for (i = 0; i < q->crashes->len; i++)
 		if (quarantine_ran_in(quarantine_crash_at(q, i), f) &&
-		    quarantine_crash_at(q, i)->at_ms > cleared_ms)
+		    quarantine_crash_at(q, i)->at_ms > exonerated_ms)
 			return true;
 	return false;
 }
--- a/packages/traffic/src/quarantine_defs.h
+++ b/packages/traffic/src/quarantine_defs.h
@@ -8,11 +8,11 @@
 #include "traffic/quarantine.h"
 
 /**
- * struct clearance - an exoneration of a request
+ * struct exoneration - an exoneration of a request
  * @print: fingerprint of the request; caller 0 for all callers
  * @at_ms: monotonic time; earlier crashes don't implicate the request
  */
-struct clearance {
+struct exoneration {
 	struct fingerprint print;
 	uint64_t at_ms;
 };
@@ -33,7 +33,7 @@
  * @crashes: struct crash, in order of arrival
  * @quarantined: struct quarantine_entry
  * @suspended: struct quarantine_entry of co-suspects, including expired ones
- * @cleared: struct clearance
+ * @exonerations: struct exoneration
  * @success_reports: struct success_report
  * @events: struct quarantine_event for quarantine_pop()
  * @recent_successes: requests that were answered on this host recently
@@ -47,7 +47,7 @@
 	GPtrArray *crashes;
 	GArray *quarantined;
 	GArray *suspended;
-	GArray *cleared;
+	GArray *exonerations;
 	GArray *success_reports;
 	GQueue events;
 	struct clean_runs recent_successes;
@@ -73,11 +73,11 @@
     const struct quarantine *q, const struct fingerprint *f);
 
 /**
- * quarantine_cleared_ms() - time of the last exoneration of a request, 0 for
+ * quarantine_exonerated_ms() - time of the last exoneration of a request, 0 for
  * none
  */
-uint64_t
-quarantine_cleared_ms(const struct quarantine *q, const struct fingerprint *f);
+uint64_t quarantine_exonerated_ms(
+    const struct quarantine *q, const struct fingerprint *f);
 
 /** quarantine_crash_at() - crash number @i in order of arrival */
 const struct crash *quarantine_crash_at(const struct quarantine *q, guint i);
--- a/packages/traffic/src/quarantine_judge.c
+++ b/packages/traffic/src/quarantine_judge.c
@@ -62,8 +62,8 @@
     const struct fingerprint *f)
 {
 	return quarantine_ran_in(c, f) &&
-	    c->at_ms > quarantine_cleared_ms(q, f) && !is_attributed(q, c, f) &&
-	    !is_coincidence(q, c, f);
+	    c->at_ms > quarantine_exonerated_ms(q, f) &&
+	    !is_attributed(q, c, f) && !is_coincidence(q, c, f);
 }
 
 /* Whether @f was in flight in the crash and has not been answered since. */
@@ -72,7 +72,7 @@
     const struct fingerprint *f)
 {
 	return quarantine_ran_in(c, f) &&
-	    c->at_ms > quarantine_cleared_ms(q, f);
+	    c->at_ms > quarantine_exonerated_ms(q, f);
 }
 
 /* Whether another request may have caused all the crashes that implicate @f. */
--- a/packages/traffic/src/quarantine_suspect.c
+++ b/packages/traffic/src/quarantine_suspect.c
@@ -32,7 +32,7 @@
 count_crashes(
     const struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
 {
-	uint64_t cleared_ms = quarantine_cleared_ms(q, f);
+	uint64_t exonerated_ms = quarantine_exonerated_ms(q, f);
 	struct crash_counts t = {0, 0};
 	const struct crash *c;
 	guint i;
@@ -41,7 +41,7 @@
 		c = quarantine_crash_at(q, i);
 		if (c->at_ms + SUSPECT_MS < now_ms)
 			continue;
-		if (c->at_ms > cleared_ms && quarantine_ran_in(c, f))
+		if (c->at_ms > exonerated_ms && quarantine_ran_in(c, f))
 			t.with++;
 		else if (c->at_ms + QUARANTINE_COINCIDENCE_MS >= now_ms)
 			t.without++;
--- a/packages/traffic/src/split.c
+++ b/packages/traffic/src/split.c
@@ -16,12 +16,12 @@
 #define ROUTES_MAX 65536
 
 /**
- * struct turn - a service of a route and its progress in the round
+ * struct share - a service of a route and its progress in the round
  * @part: the service and its weight
  * @credit: requests that the service lacks for its share, times the sum of
  *	weights
  */
-struct turn {
+struct share {
 	struct split_part part;
 	int64_t credit;
 };
@@ -30,23 +30,23 @@
  * struct split - round of one route
  * @route: number of the route
  * @n: number of services
- * @turns: one element for each service
+ * @shares: one element for each service
  */
 struct split {
 	uint64_t route;
 	uint32_t n;
-	struct turn turns[];
+	struct share shares[];
 };
 
 /**
  * struct split_table - see traffic/split.h
  * @seed: varies the start points of the rounds
- * @begun: number of rounds that were begun
+ * @rounds: number of rounds that were begun
  * @splits: route -> struct split
  */
 struct split_table {
 	uint64_t seed;
-	uint64_t begun;
+	uint64_t rounds;
 	GHashTable *splits;
 };
 
@@ -78,8 +78,8 @@
 	if (s->n != n)
 		return false;
 	for (i = 0; i < n; i++)
-		if (s->turns[i].part.service != parts[i].service ||
-		    s->turns[i].part.weight != parts[i].weight)
+		if (s->shares[i].part.service != parts[i].service ||
+		    s->shares[i].part.weight != parts[i].weight)
 			return false;
 	return true;
 }
@@ -91,12 +91,12 @@
 	uint32_t i, best = 0;
 
 	for (i = 0; i < s->n; i++) {
-		s->turns[i].credit += s->turns[i].part.weight;
-		total += s->turns[i].part.weight;
-		if (s->turns[i].credit > s->turns[best].credit)
+		s->shares[i].credit += s->shares[i].part.weight;
+		total += s->shares[i].part.weight;
+		if (s->shares[i].credit > s->shares[best].credit)
 			best = i;
 	}
-	s->turns[best].credit -= total;
+	s->shares[best].credit -= total;
 	return best;
 }
 
@@ -108,18 +108,18 @@
 begin(struct split_table *t, uint64_t route, const struct split_part *parts,
     uint32_t n)
 {
-	struct split *s = g_malloc0(sizeof(*s) + n * sizeof(s->turns[0]));
+	struct split *s = g_malloc0(sizeof(*s) + n * sizeof(s->shares[0]));
 	uint64_t total = 0, skip = 0;
 	uint32_t i;
 
 	s->route = route;
 	s->n = n;
 	for (i = 0; i < n; i++) {
-		s->turns[i].part = parts[i];
+		s->shares[i].part = parts[i];
 		total += parts[i].weight;
 	}
 	if (total > 0)
-		skip = hash64(&route, sizeof(route), t->seed + t->begun++) %
+		skip = hash64(&route, sizeof(route), t->seed + t->rounds++) %
 		    MIN(total, 1000);
 	while (skip-- > 0)
 		(void)next(s);
