--- a/packages/traffic/include/traffic/admission.h
+++ b/packages/traffic/include/traffic/admission.h
@@ -70,7 +70,12 @@
 	uint64_t target_ms;
 };
 
-/** enum admission_verdict - decision on a request */
+/**
+ * enum admission_verdict - decision on a request
+ * @ADMISSION_START: start the request now
+ * @ADMISSION_QUEUE: the request waits; admission_next() returns it later
+ * @ADMISSION_REFUSE: the request is refused and has not run
+ */
 enum admission_verdict {
 	ADMISSION_START = 0,
 	ADMISSION_QUEUE,
--- a/packages/traffic/include/traffic/endpoints.h
+++ b/packages/traffic/include/traffic/endpoints.h
@@ -14,7 +14,13 @@
 
 struct endpoints;
 
-/** enum endpoint_state - state of an endpoint in the snapshot */
+/**
+ * enum endpoint_state - state of an endpoint in the snapshot
+ * @ENDPOINT_STARTING: not ready yet
+ * @ENDPOINT_READY: accepts requests
+ * @ENDPOINT_DRAINING: finishes its requests and accepts no new ones
+ * @ENDPOINT_LEFT: no longer part of the service
+ */
 enum endpoint_state {
 	ENDPOINT_STARTING = 0,
 	ENDPOINT_READY,
--- a/packages/traffic/src/call.c
+++ b/packages/traffic/src/call.c
@@ -52,6 +52,29 @@
 	STATE_FINISHED,
 };
 
+/**
+ * struct call - see traffic/call.h
+ * @cfg: policy
+ * @budget: retry budget of the service
+ * @seed: seed of the back-off
+ * @state: see enum call_state
+ * @may_have_run: an earlier attempt may have run
+ * @body_discarded: part of the body can't be sent again
+ * @deadline_passed: the deadline was handled; the grace time runs
+ * @rerouted: the current attempt follows a refusal for load
+ * @attempt: number of the current attempt
+ * @stream: number of the current stream
+ * @endpoint: endpoint of the current attempt
+ * @incarnation: guard process to which the attempt was sent
+ * @sent_ms: monotonic time at which the attempt was sent
+ * @wake_ms: monotonic time of the next call_tick()
+ * @resolve_until_ms: monotonic time at which resolving is given up
+ * @resolve_failures: resolves for which the guard could not be reached
+ * @free_attempts: attempts that are not counted
+ * @tried: endpoints of all attempts
+ * @actions: struct call_action for call_next()
+ * @next_action: index of the next one of @actions
+ */
 struct call {
 	struct call_config cfg;
 	struct retry_budget *budget;
--- a/packages/traffic/src/ejection.c
+++ b/packages/traffic/src/ejection.c
@@ -23,6 +23,12 @@
 #define SLOW_CHECK_INTERVAL 16
 #define DOUBLINGS_MAX 16
 
+/**
+ * struct ejection - see traffic/ejection.h
+ * @cfg: settings
+ * @endpoints: table of endpoints
+ * @times: buffer for the computation of a median
+ */
 struct ejection {
 	struct ejection_config cfg;
 	struct endpoints *endpoints;
--- a/packages/traffic/src/fate.c
+++ b/packages/traffic/src/fate.c
@@ -25,6 +25,18 @@
  */
 #define WAITERS_MAX 8
 
+/**
+ * struct record - fate of one request
+ * @id: the request
+ * @first: FATE_STATE_FOLLOWS: the request whose fate this one shares
+ * @state: see enum fate_state
+ * @received_ms: monotonic time at which the record was added
+ * @settled_ms: monotonic time at which the record was settled
+ * @answer: stored response, or NULL
+ * @waiters: struct fate_waiter, latest last
+ * @active_link: node in the list of active records
+ * @answer_link: node in the list of stored responses
+ */
 struct record {
 	struct request_id id;
 	struct request_id first;
@@ -37,6 +49,16 @@
 	GList *answer_link;
 };
 
+/**
+ * struct fate_table - see traffic/fate.h
+ * @cfg: limits
+ * @records: request id -> struct record
+ * @active: queued and running records
+ * @settled: settled records in the order in which they were settled
+ * @answers: records with a stored response, oldest first
+ * @answers_bytes: total size of the stored responses
+ * @oldest_accepted_ms: requests sent at this time or earlier are too old
+ */
 struct fate_table {
 	struct fate_config cfg;
 	GHashTable *records;
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -27,28 +27,45 @@
 	KEY_HANDED_OVER,
 };
 
+/**
+ * struct entry - state of one key
+ * @key: the key
+ * @state: see enum key_state
+ * @first: the request that has the key
+ * @body: hash of that request's method, path and body
+ * @changed_ms: monotonic time of the last change, for the expiry
+ * @handed_to: endpoint to which the key was handed over, 0 for none
+ * @handed_ms: monotonic time of the handover
+ * @free_at: earlier homes that replied FREE
+ * @link: node in keyed.by_changed, NULL while the key does not expire
+ */
 struct entry {
 	struct key_id key;
 	enum key_state state;
 	struct request_id first;
 	uint64_t body;
 	uint64_t changed_ms;
-	/* Endpoint to which the key was handed over, and the time. */
 	uint64_t handed_to;
 	uint64_t handed_ms;
 	GArray *free_at;
 	GList *link;
 };
 
+/**
+ * struct keyed - see traffic/keyed.h
+ * @cfg: limits and mode
+ * @self: the own endpoint
+ * @created_ms: monotonic time at which the table was created
+ * @entries: struct key_id -> struct entry
+ * @by_changed: finished and handed-over keys, which expire, in order of their
+ *	last change
+ * @views: history of the service's endpoints
+ */
 struct keyed {
 	struct keyed_config cfg;
 	uint64_t self;
 	uint64_t created_ms;
 	GHashTable *entries;
-	/*
-	 * Finished and handed-over keys, which expire, in order of their last
-	 * change.
-	 */
 	GQueue by_changed;
 	struct key_views views;
 };
--- a/packages/traffic/src/placement.c
+++ b/packages/traffic/src/placement.c
@@ -31,15 +31,27 @@
 #define SPILL_FACTOR 2
 
 /*
- * A full endpoint of the own data centre is used while its queue is shorter
- * than this share of its slots minus 100 %: a wait of less than half a
- * request's time, compared with the path and the bytes to another data centre.
- * With 140 instead of 100, a sixth fewer bytes were sent between data centres
- * on five days of the robot cells with three seeds each, and no fewer requests
- * were served; 200 saves no more.
+ * Load, in percent of its slots, up to which an endpoint of the own data
+ * centre is preferred although requests queue there: at 140 they wait for less
+ * than half a request's time, compared with the path and the bytes to another
+ * data centre.  With 140 instead of 100, a sixth fewer bytes were sent between
+ * data centres on five days of the robot cells with three seeds each, and no
+ * fewer requests were served; 200 saves no more.
  */
 #define SATURATION_PERCENT 140
 
+/**
+ * struct placement - see traffic/placement.h
+ * @ops: the policy
+ * @cfg: settings
+ * @endpoints: table of endpoints
+ * @ejection: outlier ejection, or NULL
+ * @random: random numbers for the choices
+ * @local: usable endpoints in the own data centre, for the current call
+ * @remote: usable endpoints elsewhere, for the current call
+ * @fallback: endpoints that are used if no usable one is left
+ * @ranked: ids of the endpoints that are ranked for the current call
+ */
 struct placement {
 	const struct placement_ops *ops;
 	struct placement_config cfg;
--- a/packages/traffic/src/rate_limit.c
+++ b/packages/traffic/src/rate_limit.c
@@ -10,6 +10,13 @@
 #define MS_PER_S 1000
 #define TOKEN 1000
 
+/**
+ * struct bucket - token bucket of one key
+ * @key: the key
+ * @tokens: saved tokens, in parts of TOKEN
+ * @refilled_ms: monotonic time of the last refill
+ * @link: node in rate_limit.by_use
+ */
 struct bucket {
 	uint64_t key;
 	uint64_t tokens;
@@ -17,6 +24,12 @@
 	GList *link;
 };
 
+/**
+ * struct rate_limit - see traffic/rate_limit.h
+ * @buckets: key -> struct bucket
+ * @by_use: buckets, least recently used first
+ * @keys_max: maximum number of keys
+ */
 struct rate_limit {
 	GHashTable *buckets;
 	GQueue by_use;
