--- a/packages/traffic/test/test_call.c
+++ b/packages/traffic/test/test_call.c
@@ -224,7 +224,7 @@
 }
 
 static void
-fire(struct world *w, const struct step *s)
+dispatch(struct world *w, const struct step *s)
 {
 	struct call *c = w->call;
 	uint64_t now = w->now_ms;
@@ -350,7 +350,7 @@
 {
 	char got[128];
 
-	fire(w, st);
+	dispatch(w, st);
 	collect(w, got, sizeof(got));
 	if (strcmp(st->actions, "backoff") != 0) {
 		ck_assert_msg(strcmp(got, st->actions) == 0,
@@ -422,11 +422,11 @@
 			if (s.event == TICK)
 				s.arg += w.now_ms + s.arg * 50;
 			gone |= s.event == GONE;
-			fire(&w, &s);
+			dispatch(&w, &s);
 			finals += count_finals(&w);
 		}
 		for (i = 0; i < 3; i++) {
-			fire(&w, &last[i]);
+			dispatch(&w, &last[i]);
 			finals += count_finals(&w);
 		}
 		ck_assert(call_is_finished(w.call));
--- a/packages/traffic/test/test_fate.c
+++ b/packages/traffic/test/test_fate.c
@@ -54,7 +54,7 @@
 };
 
 static void
-bring_to(struct fate_table *t, const struct request_id *id, enum step step)
+advance_to(struct fate_table *t, const struct request_id *id, enum step step)
 {
 	char large[101] = {0};
 	GBytes *answer;
@@ -119,7 +119,7 @@
 	    .waiter = second_waiter};
 	struct fate_answer a;
 
-	bring_to(t, &id, rc->step);
+	advance_to(t, &id, rc->step);
 	fate_resolve(t, &q, NOW_MS + 1, &a);
 	ck_assert_int_eq(a.resolution, rc->want);
 	ck_assert(a.cancelled == (rc->step == QUEUED && rc->cancel));
@@ -145,7 +145,7 @@
 	struct fate_answer a;
 	size_t n;
 
-	bring_to(t, &id, RUNNING);
+	advance_to(t, &id, RUNNING);
 	fate_resolve(t, &q, NOW_MS, &a);
 	fate_resolve(t, &q, NOW_MS, &a);
 	fate_connection_lost(t, first_waiter.conn);
@@ -174,7 +174,7 @@
 	struct fate_answer a;
 	size_t n;
 
-	bring_to(t, &first, QUEUED);
+	advance_to(t, &first, QUEUED);
 	ck_assert_int_eq(fate_offer(t, &second, NOW_MS, &second_waiter, NOW_MS),
 	    FATE_OFFER_NEW);
 	fate_follow(t, &second, &first, NOW_MS, &a);
@@ -204,7 +204,7 @@
 	int i;
 
 	fate_resolve(t, &q, NOW_MS, &a);
-	bring_to(t, &ids[1], DONE);
+	advance_to(t, &ids[1], DONE);
 	fate_expire(t, later);
 	ck_assert_uint_eq(fate_count(t), 0);
 	for (i = 0; i < 2; i++) {
@@ -220,13 +220,13 @@
 END_TEST
 
 /* The same when a full table removes a record before the end of the window. */
-START_TEST(test_full_table_raises_oldest_accepted)
+START_TEST(test_full_table_rejects_older_requests)
 {
 	struct fate_table *t = table_new(3, 1000);
 	struct request_id id = id_of(0), other;
 	uint64_t i;
 
-	bring_to(t, &id, DONE);
+	advance_to(t, &id, DONE);
 	for (i = 1; i < 4; i++) {
 		other = id_of(i);
 		ck_assert_int_eq(fate_offer(t, &other, NOW_MS + i,
@@ -255,7 +255,7 @@
 	answer = g_bytes_new("0123456789012345678901234567890123456789", 40);
 	for (i = 0; i < 50; i++) {
 		id = id_of(i);
-		bring_to(t, &id, RUNNING);
+		advance_to(t, &id, RUNNING);
 		fate_done(t, &id, answer, NOW_MS);
 		ck_assert_uint_le(fate_answers_bytes(t), 250);
 	}
@@ -354,7 +354,7 @@
 	tcase_add_test(tc, test_answer_goes_to_the_last_waiter);
 	tcase_add_test(tc, test_follow);
 	tcase_add_test(tc, test_request_without_record_is_too_old);
-	tcase_add_test(tc, test_full_table_raises_oldest_accepted);
+	tcase_add_test(tc, test_full_table_rejects_older_requests);
 	tcase_add_test(tc, test_answers_are_bounded);
 	tcase_add_loop_test(
 	    tc, test_frame_age, 0, (int)G_N_ELEMENTS(age_cases));
