--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -141,7 +141,7 @@
 	struct entry *e = c->entry;
 	struct placement_query q = {.service = c->service->id,
 	    .idempotent = c->idempotent,
-	    .not_own = entry_is_overdue(e)};
+	    .avoid_own = entry_is_overdue(e)};
 	struct placement_choice choice;
 	const struct endpoint *ep;
 	uint64_t now_ms = loop_now_ms(e->loop);
@@ -154,7 +154,7 @@
 	}
 	q.tried = call_tried(c->machine, &q.n_tried);
 	if (!choose_endpoint(c, &q, now_ms, &choice)) {
-		call_unplaced(c->machine, 0, now_ms);
+		call_no_endpoint(c->machine, 0, now_ms);
 		return;
 	}
 	ep = entry_service_endpoint(c->service, choice.endpoint);
@@ -175,7 +175,8 @@
 
 	ep = entry_service_endpoint(c->service, action->endpoint);
 	if (ep == NULL) {
-		call_unsent(c->machine, action->stream, loop_now_ms(e->loop));
+		call_connect_failed(
+		    c->machine, action->stream, loop_now_ms(e->loop));
 		return;
 	}
 	a = entry_attempt_new(c, action);
@@ -258,7 +259,7 @@
 {
 	if (action->refusal != REFUSAL_NONE)
 		return refusal_name(action->refusal);
-	if (drain_stops(&c->entry->drain))
+	if (drain_is_complete(&c->entry->drain))
 		return "stopped";
 	if (loop_now_ms(c->entry->loop) >= c->deadline_ms)
 		return "deadline";
@@ -322,7 +323,7 @@
 	while (call_next(c->machine, &action))
 		run_action(c, &action);
 	c->running_actions = false;
-	if (call_over(c->machine))
+	if (call_is_finished(c->machine))
 		finish_call(c);
 	else
 		loop_timer_set(&c->timer, call_wake_ms(c->machine));
@@ -363,7 +364,7 @@
 	if (c->body.bytes <= max_body_bytes(c->entry, &c->config->limits))
 		return false;
 	entry_behind_body_too_large(c);
-	call_caller_gone(c->machine, loop_now_ms(c->entry->loop));
+	call_caller_disconnected(c->machine, loop_now_ms(c->entry->loop));
 	entry_call_run(c);
 	return true;
 }
@@ -380,7 +381,8 @@
 	    events.request_body_end == EXCHANGE_ABORTED) {
 		entry_log_end(c, OUTCOME_UNKNOWN,
 		    events.disconnected ? "caller_gone" : "body_cut");
-		call_caller_gone(c->machine, loop_now_ms(c->entry->loop));
+		call_caller_disconnected(
+		    c->machine, loop_now_ms(c->entry->loop));
 		entry_call_run(c);
 		return;
 	}
@@ -401,7 +403,7 @@
 	cfg->deadline_ms = c->deadline_ms;
 	cfg->attempts = c->route->attempts;
 	cfg->target_ms = c->target_ms;
-	cfg->patient_until_ms = c->request->deadline_ms;
+	cfg->caller_gives_up_ms = c->request->deadline_ms;
 	cfg->deadline_grace_ms = DEADLINE_GRACE_MS;
 	cfg->resolve_limit_ms = RESOLVE_LIMIT_MS;
 	cfg->idempotent = c->idempotent;
@@ -439,7 +441,7 @@
 	if (c->route->target_ms == 0)
 		return 0;
 	if (c->request->deadline_ms != DEADLINE_NEVER)
-		waited_ms = patience_asked_ms(c->entry->patience,
+		waited_ms = patience_elapsed_ms(c->entry->patience,
 		    entry_route_key(c->route),
 		    clock_left_ms(c->request->deadline_ms, now_ms));
 	return now_ms + c->route->target_ms - MIN(waited_ms, now_ms);
@@ -521,7 +523,7 @@
 	const struct call_request *r = call_exchange_request(x);
 	enum http_method method;
 
-	if (!drain_takes_call(&e->drain)) {
+	if (!drain_accepts_call(&e->drain)) {
 		entry_log_refused(e, r, HTTP_UNAVAILABLE, "draining");
 		entry_answer_stopping(x);
 		return false;
--- a/packages/node/src/entry_peer.c
+++ b/packages/node/src/entry_peer.c
@@ -66,7 +66,7 @@
 	p->suspected = suspected;
 	log_peer(p, suspected ? "suspected, no answer" : "heard again");
 	for (i = 0; i < p->endpoints->len; i++)
-		unreachable |= endpoints_doubt(p->entry->endpoints,
+		unreachable |= endpoints_set_silent(p->entry->endpoints,
 		    g_array_index(p->endpoints, uint64_t, i), suspected,
 		    now_ms);
 	if (unreachable)
@@ -430,7 +430,7 @@
 		if (g_array_index(p->endpoints, uint64_t, i) == id)
 			return;
 	g_array_append_val(p->endpoints, id);
-	(void)endpoints_doubt(
+	(void)endpoints_set_silent(
 	    p->entry->endpoints, id, p->suspected, loop_now_ms(p->entry->loop));
 }
 
--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -82,8 +82,8 @@
 	atomic_store(&g->busy_conns, busy_conns(g));
 	loop_timer_set(&g->tick,
 	    now_ms +
-		(drain_takes_request(&g->drain) ? TICK_INTERVAL_MS
-						: DRAIN_TICK_INTERVAL_MS));
+		(drain_accepts_request(&g->drain) ? TICK_INTERVAL_MS
+						  : DRAIN_TICK_INTERVAL_MS));
 }
 
 static struct fate_table *
--- a/packages/node/src/guard_credit.c
+++ b/packages/node/src/guard_credit.c
@@ -26,12 +26,12 @@
 guard_credit_open(struct guard_request *r)
 {
 	struct guard *g = r->guard;
-	uint64_t total =
-	    r->body_bytes < 0 ? BODY_LENGTH_OPEN : (uint64_t)r->body_bytes;
+	uint64_t total = r->body_bytes < 0 ? BODY_WINDOW_LENGTH_UNKNOWN
+					   : (uint64_t)r->body_bytes;
 
 	body_window_open(&g->window, &r->body_share, r, total,
 	    CALL_INITIAL_CREDIT_BYTES, loop_now_ms(g->loop));
-	body_window_want(&g->window, &r->body_share,
+	body_window_request(&g->window, &r->body_share,
 	    CALL_BODY_PREFIX_BYTES - CALL_INITIAL_CREDIT_BYTES);
 	send_credit(g);
 }
@@ -56,7 +56,7 @@
 	if (!r->full_window)
 		bytes += CALL_WINDOW_BYTES - CALL_BODY_PREFIX_BYTES;
 	r->full_window = true;
-	body_window_want(&g->window, &r->body_share, bytes);
+	body_window_request(&g->window, &r->body_share, bytes);
 	send_credit(g);
 }
 
--- a/packages/node/src/guard_keyed.c
+++ b/packages/node/src/guard_keyed.c
@@ -28,7 +28,7 @@
 guard_keyed_new(struct guard *g, const char *service)
 {
 	struct keyed_config cfg = {.window_ms = g->settings->fate_window_ms,
-	    .news_ms =
+	    .propagation_ms =
 		PROPAGATION_SUSPICIONS * (uint64_t)g->settings->suspicion_ms,
 	    .keys_max = KEYS_MAX};
 
@@ -73,7 +73,7 @@
 		record_address(g, ready[n], &list->endpoints[i]);
 		n++;
 	}
-	keyed_view(u->keyed, ready, n, loop_now_ms(g->loop));
+	keyed_set_view(u->keyed, ready, n, loop_now_ms(g->loop));
 	g_free(ready);
 }
 
@@ -198,7 +198,7 @@
 	case KEYED_FOLLOW:
 		follow(r, &d->first);
 		return;
-	case KEYED_ASK:
+	case KEYED_ASK_HOME:
 		query_earlier_home(r, d->ask);
 		return;
 	case KEYED_NOT_HOME:
@@ -207,7 +207,7 @@
 	case KEYED_FULL:
 		guard_request_refuse(r, REFUSAL_QUEUE_FULL, 0);
 		return;
-	case KEYED_OTHER_BODY:
+	case KEYED_BODY_MISMATCH:
 		guard_request_refuse(r, REFUSAL_KEY_REUSED, 0);
 		return;
 	case KEYED_CLAIM:
@@ -234,10 +234,11 @@
 					   : "no answer");
 	if (u == NULL)
 		return;
-	keyed_asked(u->keyed, &q->key, &q->id, q->home, word, now_ms, &d);
+	keyed_home_answered(
+	    u->keyed, &q->key, &q->id, q->home, word, now_ms, &d);
 	if (r != NULL && r->state == REQUEST_AWAITING_KEY)
 		apply_decision(r, &d);
-	else if (d.verdict == KEYED_RUN || d.verdict == KEYED_ASK)
+	else if (d.verdict == KEYED_RUN || d.verdict == KEYED_ASK_HOME)
 		keyed_release(u->keyed, &q->key, &q->id, now_ms);
 }
 
@@ -264,6 +265,6 @@
 	if (u == NULL)
 		return KEYED_WORD_TAKEN;
 	guard_keyed_refresh_snapshot(g);
-	return keyed_yield(
+	return keyed_hand_over(
 	    u->keyed, &key, m->to, m->to_age_ms, loop_now_ms(g->loop));
 }
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -270,7 +270,7 @@
 		}
 	}
 	export_entries(g);
-	loop_timer_set(&g->quarantine.timer, quarantine_next_ms(q));
+	loop_timer_set(&g->quarantine.timer, quarantine_wake_ms(q));
 }
 
 static void
@@ -291,7 +291,7 @@
 
 	c.id = make_record_id(g);
 	memcpy(c.runs, runs, n_runs * sizeof(runs[0]));
-	quarantine_crashed(g->quarantine.state, &c, now_ms(g));
+	quarantine_add_own_crash(g->quarantine.state, &c, now_ms(g));
 	reject_queued(g);
 	process_events(g);
 }
@@ -384,7 +384,7 @@
 		c.runs[c.n_runs].content = item->prints[c.n_runs].content;
 		c.runs[c.n_runs].caller = item->prints[c.n_runs].caller;
 	}
-	quarantine_crash(g->quarantine.state, &c, now_ms(g));
+	quarantine_add_peer_crash(g->quarantine.state, &c, now_ms(g));
 }
 
 static void
@@ -413,9 +413,9 @@
 	bool changed;
 
 	if (item->kind == QUARANTINE_HELD)
-		changed = quarantine_hold(q, &f, item->at_ms);
+		changed = quarantine_add(q, &f, item->at_ms);
 	else
-		changed = quarantine_clear(q, &f, item->at_ms);
+		changed = quarantine_exonerate(q, &f, item->at_ms);
 	if (changed)
 		log_received(g, item, &f);
 	if (changed && item->kind == QUARANTINE_HELD)
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -80,7 +80,7 @@
 	struct admission_request req;
 
 	guard_request_admission(r, &req);
-	admission_ran(r->upstream->admission, &req, run_time_ms(r),
+	admission_record_run(r->upstream->admission, &req, run_time_ms(r),
 	    loop_now_ms(r->guard->loop));
 }
 
--- a/packages/traffic/bench/bench_traffic.c
+++ b/packages/traffic/bench/bench_traffic.c
@@ -1,5 +1,5 @@
 /*
- * Processor time of single decisions, and memory of their tables.
+ * CPU time of single decisions, and memory of their tables.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -155,7 +155,7 @@
 
 	before = heap_bytes();
 	k = keyed_new(&cfg, 1, 0);
-	keyed_view(k, endpoints, 1, 0);
+	keyed_set_view(k, endpoints, 1, 0);
 	began = cpu_ns();
 	for (i = 0; i < RECORDS; i++) {
 		request_id_make(&id, 7, i, 1);
@@ -216,10 +216,12 @@
 	g_free(body);
 }
 
-/* What calls pay that have nothing to do with quarantined requests: @held
- * requests are, after crashes under eighteen requests each. */
+/*
+ * Cost for calls that are not quarantined while @quarantined requests are,
+ * after crashes with eighteen requests in flight each.
+ */
 static void
-bench_quarantine(const char *when, uint32_t held)
+bench_quarantine(const char *when, uint32_t quarantined)
 {
 	struct quarantine *q = quarantine_new(1, 0);
 	struct fingerprint f = {0, 1};
@@ -229,14 +231,14 @@
 	uint32_t r;
 
 	memset(&c, 0, sizeof(c));
-	for (i = 0; i < held; i++) {
+	for (i = 0; i < quarantined; i++) {
 		c.id = i + 1;
 		c.n_runs = 18;
 		for (r = 0; r < c.n_runs; r++)
 			c.runs[r].content = 1000000 + i * 18 + r;
-		quarantine_crash(q, &c, i);
+		quarantine_add_peer_crash(q, &c, i);
 		f.content = i + 1;
-		(void)quarantine_hold(q, &f, i);
+		(void)quarantine_add(q, &f, i);
 	}
 	began = cpu_ns();
 	for (i = 0; i < ROUNDS; i++) {
@@ -250,7 +252,7 @@
 	print_cost(name, began, ROUNDS);
 	began = cpu_ns();
 	c.id = UINT32_MAX;
-	quarantine_crash(q, &c, 1000);
+	quarantine_add_peer_crash(q, &c, 1000);
 	quarantine_tick(q, 1000 + QUARANTINE_SETTLE_MS);
 	(void)snprintf(
 	    name, sizeof(name), "a crash and its decision, %s", when);
--- a/packages/traffic/src/behind.c
+++ b/packages/traffic/src/behind.c
@@ -1,5 +1,5 @@
 /*
- * What is in force against what is known of.
+ * Compares the version in force with the newest known version.
  */
 #include "traffic/behind.h"
 
@@ -30,7 +30,10 @@
 	b->since_ms = now_ms;
 }
 
-/* A still newer version doesn't bring the awaited ones any sooner. */
+/*
+ * An even newer version doesn't reset the time: the awaited versions come into
+ * force no sooner because of it.
+ */
 void
 behind_known(struct behind *b, uint64_t version, uint64_t now_ms)
 {
@@ -47,13 +50,16 @@
 	return is_behind(b) ? clock_left_ms(now_ms, b->since_ms) : 0;
 }
 
-/* Callers come back twice: at half of their time, and at half of the rest. */
+/*
+ * A caller retries twice: after half of its remaining time, and after half of
+ * the rest.
+ */
 static uint64_t
-within(uint64_t retry_ms, uint64_t now_ms, uint64_t deadline_ms)
+cap_to_deadline(uint64_t retry_ms, uint64_t now_ms, uint64_t deadline_ms)
 {
 	uint64_t half_ms = clock_left_ms(deadline_ms, now_ms) / 2;
 
-	if (half_ms < BEHIND_FIRST_MS)
+	if (half_ms < BEHIND_RETRY_MIN_MS)
 		return retry_ms;
 	return MIN(retry_ms, half_ms);
 }
@@ -67,7 +73,7 @@
 	if (version >= MAX(b->known, b->in_force))
 		return 0;
 	if (!is_behind(b))
-		return BEHIND_NOW_MS;
-	retry_ms = CLAMP(retry_ms, BEHIND_FIRST_MS, BEHIND_MOST_MS);
-	return within(retry_ms, now_ms, deadline_ms);
+		return BEHIND_RETRY_NOW_MS;
+	retry_ms = CLAMP(retry_ms, BEHIND_RETRY_MIN_MS, BEHIND_RETRY_MAX_MS);
+	return cap_to_deadline(retry_ms, now_ms, deadline_ms);
 }
--- a/packages/traffic/src/drain.c
+++ b/packages/traffic/src/drain.c
@@ -1,8 +1,8 @@
 /*
  * Graceful stop: SERVING -> NOTICE -> REFUSING -> EMPTY or OVERDUE.
  *
- * The notice lasts its full time also when nothing is in flight, so that
- * callers and peers learn of it before calls are refused.
+ * The notice lasts its full time even when nothing is in flight, so that
+ * callers and peers are notified before calls are refused.
  */
 #include "traffic/drain.h"
 
@@ -19,29 +19,30 @@
 	return (size_t)s < G_N_ELEMENTS(names) ? names[s] : "?";
 }
 
-/* Eighths of a stop in which new work is given to the upstream. */
-#define SERVES_EIGHTHS 3
+/* Eighths of a stop during which the upstream receives new requests. */
+#define ACCEPT_EIGHTHS 3
 
 uint64_t
-drain_serves_until_ms(uint64_t notice_ms, uint64_t bound_ms, uint64_t now_ms)
+drain_accepts_until_ms(uint64_t notice_ms, uint64_t stop_ms, uint64_t now_ms)
 {
-	uint64_t share_ms =
-	    clock_left_ms(bound_ms, now_ms) * SERVES_EIGHTHS / 8;
+	uint64_t share_ms = clock_left_ms(stop_ms, now_ms) * ACCEPT_EIGHTHS / 8;
 
 	return now_ms + MIN(notice_ms, share_ms);
 }
 
-/* Time that a process needs for its end, also on a slow host, and the share of
- * a short grace time that it gets at most. */
-#define END_MS 500
-#define END_DIVISOR 8
+/*
+ * Time that a process needs to exit, also on a slow host, and the divisor that
+ * limits it to a share of a short grace time.
+ */
+#define EXIT_MS 500
+#define EXIT_DIVISOR 8
 
 uint64_t
-drain_work_ms(uint64_t drain_ms, uint64_t grace_ms)
+drain_wait_ms(uint64_t drain_ms, uint64_t grace_ms)
 {
 	if (grace_ms == 0)
 		return drain_ms;
-	return MIN(drain_ms, grace_ms - MIN(END_MS, grace_ms / END_DIVISOR));
+	return MIN(drain_ms, grace_ms - MIN(EXIT_MS, grace_ms / EXIT_DIVISOR));
 }
 
 void
@@ -49,34 +50,35 @@
 {
 	d->state = DRAIN_SERVING;
 	d->refuse_ms = DEADLINE_NEVER;
-	d->bound_ms = DEADLINE_NEVER;
+	d->stop_ms = DEADLINE_NEVER;
 	d->calls = 0;
 	d->requests = 0;
 }
 
 void
-drain_announce(struct drain *d, uint64_t bound_ms)
+drain_announce(struct drain *d, uint64_t stop_ms)
 {
-	d->bound_ms = bound_ms;
+	d->stop_ms = stop_ms;
 }
 
-/* For the answer to get from the upstream to the entry. */
-#define ANSWER_MS 200
-/* The longest runs take several times the mean of their kind. */
-#define RUN_MEANS 8
-/* Taken for the mean while none of its kind has ended here. */
-#define RUN_UNKNOWN_MS 100
+/* Time for the response to travel from the upstream to the entry. */
+#define ANSWER_TRANSFER_MS 200
+/* The longest run times are several times the mean of their kind. */
+#define RUN_MEAN_FACTOR 8
+/* Assumed mean run time until a request of the kind has ended here. */
+#define RUN_DEFAULT_MS 100
 
 bool
 drain_may_start(const struct drain *d, uint64_t deadline_ms,
     uint64_t mean_run_ms, uint64_t now_ms)
 {
 	uint64_t run_ms =
-	    RUN_MEANS * (mean_run_ms != 0 ? mean_run_ms : RUN_UNKNOWN_MS);
+	    RUN_MEAN_FACTOR * (mean_run_ms != 0 ? mean_run_ms : RUN_DEFAULT_MS);
 
-	if (d->bound_ms == DEADLINE_NEVER)
+	if (d->stop_ms == DEADLINE_NEVER)
 		return true;
-	return MIN(deadline_ms, now_ms + run_ms) + ANSWER_MS <= d->bound_ms;
+	return MIN(deadline_ms, now_ms + run_ms) + ANSWER_TRANSFER_MS <=
+	    d->stop_ms;
 }
 
 void
@@ -86,31 +88,31 @@
 	if (d->state != DRAIN_SERVING)
 		return;
 	d->state = DRAIN_NOTICE;
-	d->bound_ms = now_ms + drain_for_ms;
+	d->stop_ms = now_ms + drain_for_ms;
 	d->refuse_ms = now_ms + MIN(notice_for_ms, drain_for_ms);
 	drain_tick(d, now_ms);
 }
 
 bool
-drain_takes_call(const struct drain *d)
+drain_accepts_call(const struct drain *d)
 {
 	return d->state == DRAIN_SERVING || d->state == DRAIN_NOTICE;
 }
 
 bool
-drain_takes_request(const struct drain *d)
+drain_accepts_request(const struct drain *d)
 {
 	return d->state == DRAIN_SERVING;
 }
 
 bool
-drain_closes(const struct drain *d)
+drain_closes_connections(const struct drain *d)
 {
 	return d->state != DRAIN_SERVING;
 }
 
 static void
-settle(struct drain *d, uint64_t now_ms)
+update_state(struct drain *d, uint64_t now_ms)
 {
 	if (d->state == DRAIN_NOTICE && now_ms >= d->refuse_ms)
 		d->state = DRAIN_REFUSING;
@@ -118,7 +120,7 @@
 		return;
 	if (d->calls == 0 && d->requests == 0)
 		d->state = DRAIN_EMPTY;
-	else if (now_ms >= d->bound_ms)
+	else if (now_ms >= d->stop_ms)
 		d->state = DRAIN_OVERDUE;
 }
 
@@ -133,7 +135,7 @@
 {
 	if (d->calls > 0)
 		d->calls--;
-	settle(d, now_ms);
+	update_state(d, now_ms);
 }
 
 void
@@ -147,13 +149,13 @@
 {
 	if (d->requests > 0)
 		d->requests--;
-	settle(d, now_ms);
+	update_state(d, now_ms);
 }
 
 void
 drain_tick(struct drain *d, uint64_t now_ms)
 {
-	settle(d, now_ms);
+	update_state(d, now_ms);
 }
 
 uint64_t
@@ -162,12 +164,12 @@
 	if (d->state == DRAIN_NOTICE)
 		return d->refuse_ms;
 	if (d->state == DRAIN_REFUSING)
-		return d->bound_ms;
+		return d->stop_ms;
 	return DEADLINE_NEVER;
 }
 
 bool
-drain_stops(const struct drain *d)
+drain_is_complete(const struct drain *d)
 {
 	return d->state == DRAIN_EMPTY || d->state == DRAIN_OVERDUE;
 }
--- a/packages/traffic/src/placement.c
+++ b/packages/traffic/src/placement.c
@@ -1,5 +1,6 @@
 /*
- * Power of two choices, own data centre first; and the naive version.
+ * Power of two choices with preference for the own data centre, and the naive
+ * policy.
  */
 #include "traffic/placement.h"
 
@@ -9,28 +10,48 @@
 
 #define PERCENT 100
 
-/* Answers after which times are compared.  More would be known better and too
- * late: of hundreds of endpoints each answers an entry once in seconds. */
-#define TIMED_LEAST 3
+/*
+ * Number of responses after which times are compared.  A larger number would
+ * be more accurate but too late: of hundreds of endpoints, each responds to an
+ * entry once in some seconds.
+ */
+#define TIMES_MIN 3
 
-/* Work of a request before any was timed: only the order counts then, and a
- * slow way should weigh as it does for short work. */
-#define WORK_UNKNOWN_US 50000
+/*
+ * Assumed run time until a response was timed.  Only the order of the
+ * endpoints depends on it, and a slow path should weigh as much as it does for
+ * short requests.
+ */
+#define WORK_DEFAULT_US 50000
 
-/* The own data centre is left for another one that answers so many times
- * sooner, as when links of the own one are full. */
-#define SPILL_TIMES 2
+/*
+ * Another data centre is preferred if it responds this many times sooner, such
+ * as when links of the own data centre are full.
+ */
+#define SPILL_FACTOR 2
 
 /*
- * A full endpoint of the own data centre is waited for while its queue is
- * shorter than this share of its slots: less than half a request's time,
- * against a way to another data centre and its bytes.  With 140 instead of 100
- * a sixth fewer bytes went between data centres on five days of the robot
- * cells, with three seeds each, and no fewer requests were served; 200 spares
- * no more.
+ * Load, in percent of its slots, up to which an endpoint of the own data
+ * centre is preferred although requests queue there: at 140 they wait for less
+ * than half a request's time, compared with the path and the bytes to another
+ * data centre.  With 140 instead of 100, a sixth fewer bytes were sent between
+ * data centres on five days of the robot cells with three seeds each, and no
+ * fewer requests were served; 200 saves no more.
  */
 #define SATURATION_PERCENT 140
 
+/**
+ * struct placement - see traffic/placement.h
+ * @ops: the policy
+ * @cfg: settings
+ * @endpoints: table of endpoints
+ * @ejection: outlier ejection, or NULL
+ * @random: random numbers for the choices
+ * @local: usable endpoints in the own data centre, for the current call
+ * @remote: usable endpoints elsewhere, for the current call
+ * @fallback: endpoints that are used if no usable one is left
+ * @ranked: ids of the endpoints that are ranked for the current call
+ */
 struct placement {
 	const struct placement_ops *ops;
 	struct placement_config cfg;
@@ -39,7 +60,7 @@
 	GRand *random;
 	GPtrArray *local;
 	GPtrArray *remote;
-	GPtrArray *spare;
+	GPtrArray *fallback;
 	GArray *ranked;
 };
 
@@ -74,7 +95,7 @@
 	p->random = g_rand_new_with_seed_array(seeds, G_N_ELEMENTS(seeds));
 	p->local = g_ptr_array_new();
 	p->remote = g_ptr_array_new();
-	p->spare = g_ptr_array_new();
+	p->fallback = g_ptr_array_new();
 	p->ranked = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	return p;
 }
@@ -87,7 +108,7 @@
 	g_rand_free(p->random);
 	g_ptr_array_free(p->local, TRUE);
 	g_ptr_array_free(p->remote, TRUE);
-	g_ptr_array_free(p->spare, TRUE);
+	g_ptr_array_free(p->fallback, TRUE);
 	g_array_free(p->ranked, TRUE);
 	g_free(p);
 }
@@ -104,7 +125,7 @@
 }
 
 static bool
-take(const struct placement *p, const struct endpoint *ep,
+fill_choice(const struct placement *p, const struct endpoint *ep,
     enum placement_reason reason, uint64_t now_ms, struct placement_choice *out)
 {
 	out->endpoint = ep->info.id;
@@ -120,10 +141,10 @@
 is_ready(const struct endpoint *ep, uint64_t now_ms)
 {
 	return ep->info.state == ENDPOINT_READY &&
-	    now_ms >= ep->drains_until_ms;
+	    now_ms >= ep->excluded_until_ms;
 }
 
-/* Whether it is of the current version and takes requests. */
+/* Whether the endpoint runs the current version and accepts requests. */
 static bool
 is_candidate(const struct endpoint *ep, uint64_t now_ms)
 {
@@ -143,43 +164,44 @@
 }
 
 static enum ejection_verdict
-judge(const struct placement *p, const struct placement_query *q,
+verdict_on(const struct placement *p, const struct placement_query *q,
     const struct endpoint *ep, uint64_t now_ms)
 {
 	if (p->ejection == NULL)
 		return EJECTION_USABLE;
-	return ejection_judge(p->ejection, ep, q->idempotent, now_ms);
+	return ejection_verdict_for(p->ejection, ep, q->idempotent, now_ms);
 }
 
-/* Whether a call is to try its data centre, from which nothing was heard. */
+/* Whether the call should probe the endpoint's partitioned data centre. */
 static bool
-is_trial_due(const struct placement *p, const struct placement_query *q,
-    const struct endpoint *ep, uint64_t now_ms)
+is_partition_probe_due(const struct placement *p,
+    const struct placement_query *q, const struct endpoint *ep, uint64_t now_ms)
 {
 	return q->idempotent &&
-	    centres_trial_due(p->endpoints->centres, ep->info.centre, now_ms);
+	    centres_probe_due(p->endpoints->centres, ep->info.centre, now_ms);
 }
 
-/* Whether an endpoint that is not usable now may be tried. */
+/* Whether an endpoint that is not usable now should be probed. */
 static bool
-is_due(const struct placement *p, const struct placement_query *q,
+is_probe_due(const struct placement *p, const struct placement_query *q,
     const struct endpoint *ep, enum ejection_verdict v, uint64_t now_ms)
 {
-	if (ep->doubt || was_tried(q, ep->info.id))
+	if (ep->silent || was_tried(q, ep->info.id))
 		return false;
-	if (endpoints_cut_off(p->endpoints, ep))
-		return v == EJECTION_USABLE && is_trial_due(p, q, ep, now_ms);
+	if (endpoints_is_partitioned(p->endpoints, ep))
+		return v == EJECTION_USABLE &&
+		    is_partition_probe_due(p, q, ep, now_ms);
 	return v == EJECTION_PROBE;
 }
 
 /*
- * Sort the service's endpoints into local and remote usable ones and spare
- * ones (ejected, not heard from, tried already or a last choice).
+ * Sort the service's endpoints into local and remote usable ones and fallbacks
+ * (ejected, silent, already tried, or to be avoided).
  *
- * Return: one that is due for a probe, or NULL.
+ * Return: an endpoint that is due for a probe, or NULL.
  */
 static struct endpoint *
-sort(struct placement *p, const struct placement_query *q,
+classify(struct placement *p, const struct placement_query *q,
     const struct service *s, uint64_t now_ms)
 {
 	struct endpoint *ep, *due = NULL;
@@ -188,18 +210,18 @@
 
 	g_ptr_array_set_size(p->local, 0);
 	g_ptr_array_set_size(p->remote, 0);
-	g_ptr_array_set_size(p->spare, 0);
+	g_ptr_array_set_size(p->fallback, 0);
 	for (i = 0; i < s->listed->len; i++) {
 		ep = g_ptr_array_index(s->listed, i);
 		if (!is_candidate(ep, now_ms))
 			continue;
-		v = judge(p, q, ep, now_ms);
-		if (is_due(p, q, ep, v, now_ms))
+		v = verdict_on(p, q, ep, now_ms);
+		if (is_probe_due(p, q, ep, v, now_ms))
 			due = ep;
-		if (v != EJECTION_USABLE || ep->doubt ||
-		    endpoints_cut_off(p->endpoints, ep) ||
-		    was_tried(q, ep->info.id) || (q->not_own && ep->info.own))
-			g_ptr_array_add(p->spare, ep);
+		if (v != EJECTION_USABLE || ep->silent ||
+		    endpoints_is_partitioned(p->endpoints, ep) ||
+		    was_tried(q, ep->info.id) || (q->avoid_own && ep->info.own))
+			g_ptr_array_add(p->fallback, ep);
 		else if (ep->info.local || !p->cfg.local_first)
 			g_ptr_array_add(p->local, ep);
 		else
@@ -208,18 +230,19 @@
 	return due;
 }
 
-/* A probe of the endpoint, or of the way to its data centre. */
+/* Record a probe of the endpoint, or of its partitioned data centre. */
 static void
-note_probe(struct placement *p, struct endpoint *ep, uint64_t now_ms)
+record_probe(struct placement *p, struct endpoint *ep, uint64_t now_ms)
 {
-	if (endpoints_cut_off(p->endpoints, ep))
-		centres_tried(p->endpoints->centres, ep->info.centre, now_ms);
+	if (endpoints_is_partitioned(p->endpoints, ep))
+		centres_probe_sent(
+		    p->endpoints->centres, ep->info.centre, now_ms);
 	else
-		ejection_probe(p->ejection, ep);
+		ejection_begin_probe(p->ejection, ep);
 }
 
 static struct endpoint *
-pick(struct placement *p, const GPtrArray *from)
+pick_random(struct placement *p, const GPtrArray *from)
 {
 	gint32 i;
 
@@ -227,16 +250,16 @@
 	return g_ptr_array_index(from, (guint)i);
 }
 
-/* Time that a request takes at an endpoint, as far as it is known. */
+/* Mean time of a request at an endpoint, 0 if unknown. */
 static uint64_t
-took_us(const struct endpoint *ep)
+mean_time_us(const struct endpoint *ep)
 {
-	return ep->results.timed >= TIMED_LEAST ? ep->results.took_us : 0;
+	return ep->results.samples >= TIMES_MIN ? ep->results.took_us : 0;
 }
 
 /*
- * Time until the answer of a request that is placed now: on the way, and at
- * the endpoint, where it takes the longer the fuller it is.
+ * Expected time until the response of a request that is placed now: the
+ * network delay, and the time at the endpoint, which grows with its load.
  */
 static uint64_t
 cost_us(const struct placement *p, const struct endpoint *ep, uint64_t work_us,
@@ -246,21 +269,23 @@
 	    endpoints_expected_milli(p->endpoints, ep, now_ms) + MILLI;
 	uint64_t slots = endpoints_slots_milli(p->endpoints, ep, now_ms);
 
-	return endpoints_way_us(p->endpoints, ep, now_ms) +
+	return endpoints_delay_us(p->endpoints, ep, now_ms) +
 	    work_us * (slots + load) / slots;
 }
 
-/* Whether a request is answered @times sooner at @a than at @b.  Unless both
- * have answered often enough they are taken to be equally fast. */
+/*
+ * Whether @a responds @factor times sooner than @b.  Unless both have
+ * responded often enough, both are assumed to be equally fast.
+ */
 static bool
 is_better(const struct placement *p, const struct endpoint *a,
-    const struct endpoint *b, uint64_t times, uint64_t now_ms)
+    const struct endpoint *b, uint64_t factor, uint64_t now_ms)
 {
-	uint64_t a_us = took_us(a), b_us = took_us(b);
+	uint64_t a_us = mean_time_us(a), b_us = mean_time_us(b);
 
 	if (a_us == 0 || b_us == 0)
-		a_us = b_us = MAX(MAX(a_us, b_us), WORK_UNKNOWN_US);
-	return cost_us(p, a, a_us, now_ms) * times <
+		a_us = b_us = MAX(MAX(a_us, b_us), WORK_DEFAULT_US);
+	return cost_us(p, a, a_us, now_ms) * factor <
 	    cost_us(p, b, b_us, now_ms);
 }
 
@@ -292,28 +317,28 @@
 	return load * PERCENT > slots * p->cfg.saturation_percent;
 }
 
-/* Only ejected endpoints and those tried already are left. */
+/* Only ejected endpoints and those already tried are left. */
 static bool
-choose_spare(struct placement *p, const struct placement_query *q,
+choose_fallback(struct placement *p, const struct placement_query *q,
     uint64_t now_ms, struct placement_choice *out)
 {
 	struct endpoint *ep;
 	guint i;
 
-	if (p->spare->len == 0)
+	if (p->fallback->len == 0)
 		return false;
-	for (i = 0; i < p->spare->len; i++) {
-		ep = g_ptr_array_index(p->spare, i);
+	for (i = 0; i < p->fallback->len; i++) {
+		ep = g_ptr_array_index(p->fallback, i);
 		if (!was_tried(q, ep->info.id))
-			return take(p, ep, PLACEMENT_PANIC, now_ms, out);
+			return fill_choice(p, ep, PLACEMENT_PANIC, now_ms, out);
 	}
-	ep = less_loaded_of_two(p, p->spare, now_ms);
-	return take(p, ep, PLACEMENT_REPEATED, now_ms, out);
+	ep = less_loaded_of_two(p, p->fallback, now_ms);
+	return fill_choice(p, ep, PLACEMENT_REPEATED, now_ms, out);
 }
 
-/* The endpoint on the own host, while it has room. */
+/* The endpoint on the own host, while it has free capacity. */
 static struct endpoint *
-own_with_room(const struct placement *p, uint64_t now_ms)
+own_with_capacity(const struct placement *p, uint64_t now_ms)
 {
 	struct endpoint *ep;
 	uint64_t load, slots;
@@ -337,24 +362,24 @@
 {
 	struct endpoint *near, *far;
 
-	near = own_with_room(p, now_ms);
+	near = own_with_capacity(p, now_ms);
 	if (near != NULL)
-		return take(p, near, PLACEMENT_OWN, now_ms, out);
+		return fill_choice(p, near, PLACEMENT_OWN, now_ms, out);
 
 	near = less_loaded_of_two(p, p->local, now_ms);
 	far = less_loaded_of_two(p, p->remote, now_ms);
 	if (near != NULL && !is_saturated(p, near, now_ms) &&
-	    (far == NULL || !is_better(p, far, near, SPILL_TIMES, now_ms)))
-		return take(p, near, PLACEMENT_LOCAL, now_ms, out);
+	    (far == NULL || !is_better(p, far, near, SPILL_FACTOR, now_ms)))
+		return fill_choice(p, near, PLACEMENT_LOCAL, now_ms, out);
 	if (near == NULL && far == NULL)
 		return false;
 	if (far == NULL)
-		return take(p, near, PLACEMENT_LOCAL, now_ms, out);
+		return fill_choice(p, near, PLACEMENT_LOCAL, now_ms, out);
 	if (near == NULL)
-		return take(p, far, PLACEMENT_REMOTE, now_ms, out);
+		return fill_choice(p, far, PLACEMENT_REMOTE, now_ms, out);
 	if (is_better(p, far, near, 1, now_ms))
-		return take(p, far, PLACEMENT_SPILLED, now_ms, out);
-	return take(p, near, PLACEMENT_LOCAL, now_ms, out);
+		return fill_choice(p, far, PLACEMENT_SPILLED, now_ms, out);
+	return fill_choice(p, near, PLACEMENT_LOCAL, now_ms, out);
 }
 
 static bool
@@ -378,10 +403,10 @@
 	if (home == 0)
 		return false;
 	ep = endpoints_find(p->endpoints, home);
-	return take(p, ep, PLACEMENT_HOME, now_ms, out);
+	return fill_choice(p, ep, PLACEMENT_HOME, now_ms, out);
 }
 
-/* Endpoints that were tried or aren't heard from are passed over. */
+/* Skips endpoints that were tried or are silent. */
 static bool
 choose_ranked(struct placement *p, const struct placement_query *q,
     const struct service *s, uint64_t now_ms, struct placement_choice *out)
@@ -394,7 +419,7 @@
 	g_array_set_size(p->ranked, 0);
 	for (i = 0; i < s->listed->len; i++) {
 		ep = g_ptr_array_index(s->listed, i);
-		if (is_candidate(ep, now_ms) && !ep->doubt &&
+		if (is_candidate(ep, now_ms) && !ep->silent &&
 		    !was_tried(q, ep->info.id))
 			g_array_append_val(p->ranked, ep->info.id);
 	}
@@ -404,11 +429,13 @@
 	if (first == 0)
 		return false;
 	ep = endpoints_find(p->endpoints, first);
-	return take(p, ep, PLACEMENT_RANKED, now_ms, out);
+	return fill_choice(p, ep, PLACEMENT_RANKED, now_ms, out);
 }
 
-/* Return: the usable endpoint of the tried version that comes next after the
- * place @after, or NULL. */
+/*
+ * Return: the usable endpoint of the version on trial with the next position
+ * after @after, or NULL.
+ */
 static struct endpoint *
 next_canary(const struct placement *p, const struct placement_query *q,
     const struct service *s, uint32_t after, uint64_t now_ms)
@@ -419,8 +446,8 @@
 	for (i = 0; i < s->listed->len; i++) {
 		ep = g_ptr_array_index(s->listed, i);
 		if (ep->info.canary <= after || !is_ready(ep, now_ms) ||
-		    ep->doubt || endpoints_cut_off(p->endpoints, ep) ||
-		    judge(p, q, ep, now_ms) != EJECTION_USABLE)
+		    ep->silent || endpoints_is_partitioned(p->endpoints, ep) ||
+		    verdict_on(p, q, ep, now_ms) != EJECTION_USABLE)
 			continue;
 		if (next == NULL || ep->info.canary < next->info.canary)
 			next = ep;
@@ -428,8 +455,10 @@
 	return next;
 }
 
-/* An endpoint that is ejected or not heard from is left out, and the next in
- * place serves in its stead. */
+/*
+ * An endpoint that is ejected or silent is skipped, and the next position
+ * takes its place.
+ */
 static bool
 choose_canary(struct placement *p, const struct placement_query *q,
     const struct service *s, uint64_t now_ms, struct placement_choice *out)
@@ -446,7 +475,7 @@
 		g_ptr_array_add(p->local, ep);
 	}
 	ep = less_loaded_of_two(p, p->local, now_ms);
-	return ep != NULL && take(p, ep, PLACEMENT_CANARY, now_ms, out);
+	return ep != NULL && fill_choice(p, ep, PLACEMENT_CANARY, now_ms, out);
 }
 
 static bool
@@ -465,12 +494,13 @@
 		return choose_home(p, q, s, now_ms, out);
 	if (q->content != 0 && choose_ranked(p, q, s, now_ms, out))
 		return true;
-	due = sort(p, q, s, now_ms);
+	due = classify(p, q, s, now_ms);
 	if (due != NULL) {
-		note_probe(p, due, now_ms);
-		return take(p, due, PLACEMENT_PROBE, now_ms, out);
+		record_probe(p, due, now_ms);
+		return fill_choice(p, due, PLACEMENT_PROBE, now_ms, out);
 	}
-	return choose_usable(p, now_ms, out) || choose_spare(p, q, now_ms, out);
+	return choose_usable(p, now_ms, out) ||
+	    choose_fallback(p, q, now_ms, out);
 }
 
 static bool
@@ -492,7 +522,8 @@
 	}
 	if (p->local->len == 0)
 		return false;
-	return take(p, pick(p, p->local), PLACEMENT_RANDOM, now_ms, out);
+	return fill_choice(
+	    p, pick_random(p, p->local), PLACEMENT_RANDOM, now_ms, out);
 }
 
 static const struct placement_ops two_choices = {choose_two};
--- a/packages/traffic/src/quarantine.c
+++ b/packages/traffic/src/quarantine.c
@@ -1,6 +1,6 @@
 /*
- * State of the quarantine: known crashes, quarantined, suspended and exonerated
- * requests, and the events to publish.
+ * State of the quarantine: known crashes, quarantined, suspended and
+ * exonerated requests, and the events to publish.
  */
 #include <string.h>
 
@@ -9,8 +9,10 @@
 
 #include "quarantine_defs.h"
 
-/* Bounds the queue of success reports; a larger burst of crashes has an
- * external cause. */
+/*
+ * Maximum length of the queue of success reports; a larger burst of crashes
+ * has an external cause.
+ */
 #define SUCCESS_REPORTS_MAX 256
 
 struct quarantine *
@@ -23,15 +25,15 @@
 	    g_array_new(FALSE, TRUE, sizeof(struct quarantine_entry));
 	q->suspended =
 	    g_array_new(FALSE, TRUE, sizeof(struct quarantine_entry));
-	q->cleared = g_array_new(FALSE, TRUE, sizeof(struct clearance));
+	q->exonerations = g_array_new(FALSE, TRUE, sizeof(struct exoneration));
 	q->success_reports =
 	    g_array_new(FALSE, TRUE, sizeof(struct success_report));
 	g_queue_init(&q->events);
-	clean_runs_init(&q->clean, now_ms);
+	clean_runs_init(&q->recent_successes, now_ms);
 	q->seed = seed;
-	q->contents =
+	q->crashes_by_content =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	q->settled_ms = DEADLINE_NEVER;
+	q->decide_ms = DEADLINE_NEVER;
 	return q;
 }
 
@@ -43,11 +45,11 @@
 	g_ptr_array_unref(q->crashes);
 	g_array_unref(q->quarantined);
 	g_array_unref(q->suspended);
-	g_array_unref(q->cleared);
+	g_array_unref(q->exonerations);
 	g_array_unref(q->success_reports);
 	g_queue_clear_full(&q->events, g_free);
-	clean_runs_clear(&q->clean);
-	g_hash_table_destroy(q->contents);
+	clean_runs_clear(&q->recent_successes);
+	g_hash_table_destroy(q->crashes_by_content);
 	g_free(q);
 }
 
@@ -87,7 +89,7 @@
 static void
 add_bounded(GArray *list, const struct quarantine_entry *e)
 {
-	if (list->len == QUARANTINE_HELD_MAX)
+	if (list->len == QUARANTINE_ENTRIES_MAX)
 		g_array_remove_index(list, 0);
 	g_array_append_val(list, *e);
 }
@@ -110,14 +112,16 @@
 	return NULL;
 }
 
-/* Expired suspensions stay in the list, so that the same crashes don't suspend
- * a request again. */
+/*
+ * Expired suspensions stay in the list, so that the same crashes don't suspend
+ * a request again.
+ */
 static struct quarantine_entry *
 suspension_of(const struct quarantine *q, const struct fingerprint *f)
 {
 	struct quarantine_entry *e = quarantine_find_suspended(q, f);
 
-	return e != NULL && !e->over ? e : NULL;
+	return e != NULL && !e->expired ? e : NULL;
 }
 
 const struct quarantine_entry *
@@ -154,24 +158,25 @@
 	return q->quarantined->len == 0 && q->suspended->len == 0;
 }
 
-/* Clearances */
+/* Exonerations */
 
-static struct clearance *
-clearance_at(const struct quarantine *q, guint i)
+static struct exoneration *
+exoneration_at(const struct quarantine *q, guint i)
 {
-	return &g_array_index(q->cleared, struct clearance, i);
+	return &g_array_index(q->exonerations, struct exoneration, i);
 }
 
-/* An answer to any caller exonerates the content for all callers. */
+/* A response to any caller exonerates the content for all callers. */
 uint64_t
-quarantine_cleared_ms(const struct quarantine *q, const struct fingerprint *f)
+quarantine_exonerated_ms(
+    const struct quarantine *q, const struct fingerprint *f)
 {
-	const struct clearance *c;
+	const struct exoneration *c;
 	uint64_t at_ms = 0;
 	guint i;
 
-	for (i = 0; i < q->cleared->len; i++) {
-		c = clearance_at(q, i);
+	for (i = 0; i < q->exonerations->len; i++) {
+		c = exoneration_at(q, i);
 		if (quarantine_covers(&c->print, f) ||
 		    quarantine_covers(f, &c->print))
 			at_ms = MAX(at_ms, c->at_ms);
@@ -180,33 +185,33 @@
 }
 
 static void
-clearance_note(
+add_exoneration(
     struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
 {
-	struct clearance *c, made = {*f, at_ms};
+	struct exoneration *c, added = {*f, at_ms};
 	guint i;
 
-	for (i = 0; i < q->cleared->len; i++) {
-		c = clearance_at(q, i);
+	for (i = 0; i < q->exonerations->len; i++) {
+		c = exoneration_at(q, i);
 		if (fingerprint_equal(&c->print, f)) {
 			c->at_ms = MAX(c->at_ms, at_ms);
 			return;
 		}
 	}
-	if (q->cleared->len == QUARANTINE_CLEARED_MAX)
-		g_array_remove_index(q->cleared, 0);
-	g_array_append_val(q->cleared, made);
+	if (q->exonerations->len == QUARANTINE_EXONERATIONS_MAX)
+		g_array_remove_index(q->exonerations, 0);
+	g_array_append_val(q->exonerations, added);
 }
 
 bool
-quarantine_clear(
+quarantine_exonerate(
     struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
 {
 	const struct quarantine_entry *e;
 	bool ended = false;
 	guint i;
 
-	clearance_note(q, f, at_ms);
+	add_exoneration(q, f, at_ms);
 	for (i = q->quarantined->len; i > 0; i--) {
 		e = quarantined_at(q, i - 1);
 		if (e->since_ms > at_ms ||
@@ -220,21 +225,24 @@
 		if (quarantine_covers(f, &suspended_at(q, i - 1)->print) ||
 		    quarantine_covers(&suspended_at(q, i - 1)->print, f))
 			g_array_remove_index(q->suspended, i - 1);
-	/* Its crashes no longer explain or implicate other requests. */
-	if (quarantine_seen(q, f->content) > 0)
-		q->settled_ms = MIN(q->settled_ms, at_ms);
+	/*
+	 * The crashes of the request no longer explain or implicate other
+	 * requests.
+	 */
+	if (quarantine_crash_count(q, f->content) > 0)
+		q->decide_ms = MIN(q->decide_ms, at_ms);
 	return ended;
 }
 
 bool
-quarantine_hold(
+quarantine_add(
     struct quarantine *q, const struct fingerprint *f, uint64_t since_ms)
 {
 	struct quarantine_entry e = {
 	    .print = *f, .since_ms = since_ms, .until_ms = DEADLINE_NEVER};
 
 	if (quarantine_find(q, f) != NULL ||
-	    quarantine_cleared_ms(q, f) >= since_ms)
+	    quarantine_exonerated_ms(q, f) >= since_ms)
 		return false;
 	add_bounded(q->quarantined, &e);
 	return true;
@@ -249,9 +257,10 @@
 }
 
 uint32_t
-quarantine_seen(const struct quarantine *q, uint64_t content)
+quarantine_crash_count(const struct quarantine *q, uint64_t content)
 {
-	return GPOINTER_TO_UINT(g_hash_table_lookup(q->contents, &content));
+	return GPOINTER_TO_UINT(
+	    g_hash_table_lookup(q->crashes_by_content, &content));
 }
 
 static void
@@ -267,17 +276,20 @@
 }
 
 static bool
-is_sure(const struct quarantine_entry *e)
+is_certain(const struct quarantine_entry *e)
 {
 	return e->until_ms == DEADLINE_NEVER;
 }
 
-/* Quarantines the certain suspects of a judgement, or suspends the others. */
+/*
+ * Quarantine the certain suspects of a judgement, or suspend the uncertain
+ * ones.
+ */
 static void
-apply_judgement(struct quarantine *q, uint64_t now_ms, bool sure)
+apply_judgement(struct quarantine *q, uint64_t now_ms, bool certain)
 {
 	GArray *suspects = quarantine_judge(q, now_ms);
-	struct quarantine_event event = {.kind = sure
+	struct quarantine_event event = {.kind = certain
 		? QUARANTINE_EVENT_QUARANTINED
 		: QUARANTINE_EVENT_SUSPENDED};
 	guint i;
@@ -285,10 +297,10 @@
 	for (i = 0; i < suspects->len; i++) {
 		event.entry =
 		    g_array_index(suspects, struct quarantine_entry, i);
-		if (is_sure(&event.entry) != sure ||
+		if (is_certain(&event.entry) != certain ||
 		    quarantine_find(q, &event.entry.print) != NULL)
 			continue;
-		if (sure)
+		if (certain)
 			add_bounded(q->quarantined, &event.entry);
 		else
 			suspend(q, &event.entry);
@@ -297,7 +309,10 @@
 	g_array_unref(suspects);
 }
 
-/* A certain suspect may explain the crashes of an uncertain one. */
+/*
+ * The certain suspects come first: they may explain the crashes of an
+ * uncertain one.
+ */
 static void
 decide(struct quarantine *q, uint64_t now_ms)
 {
@@ -312,10 +327,13 @@
 
 	for (i = 0; i < q->suspended->len; i++)
 		if (now_ms >= suspended_at(q, i)->until_ms)
-			suspended_at(q, i)->over = true;
+			suspended_at(q, i)->expired = true;
 }
 
-/* The oldest crash whose requests ran in no other crash, else the oldest. */
+/*
+ * Index of the oldest crash whose requests were in no other crash, else of the
+ * oldest crash.
+ */
 static guint
 least_informative(const struct quarantine *q)
 {
@@ -328,7 +346,8 @@
 		c = quarantine_crash_at(q, i);
 		recurs = false;
 		for (r = 0; r < c->n_runs && !recurs; r++)
-			recurs = quarantine_seen(q, c->runs[r].content) > 1;
+			recurs =
+			    quarantine_crash_count(q, c->runs[r].content) > 1;
 	}
 	return recurs ? 0 : i - 1;
 }
@@ -344,7 +363,7 @@
 	return false;
 }
 
-/* Adds a crash's requests to the index, or removes them. */
+/* Add the requests of a crash to the index, or remove them. */
 static void
 index_runs(struct quarantine *q, const struct crash *c, bool in)
 {
@@ -352,20 +371,21 @@
 	uint32_t n, r;
 
 	for (r = 0; r < c->n_runs; r++) {
-		n = quarantine_seen(q, c->runs[r].content);
+		n = quarantine_crash_count(q, c->runs[r].content);
 		if (!in && n <= 1) {
-			g_hash_table_remove(q->contents, &c->runs[r].content);
+			g_hash_table_remove(
+			    q->crashes_by_content, &c->runs[r].content);
 			continue;
 		}
 		key = g_new(uint64_t, 1);
 		*key = c->runs[r].content;
-		g_hash_table_replace(
-		    q->contents, key, GUINT_TO_POINTER(in ? n + 1 : n - 1));
+		g_hash_table_replace(q->crashes_by_content, key,
+		    GUINT_TO_POINTER(in ? n + 1 : n - 1));
 	}
 }
 
 static void
-forget_one(struct quarantine *q)
+evict_crash(struct quarantine *q)
 {
 	guint i = least_informative(q);
 
@@ -375,24 +395,25 @@
 
 /* Return: false if the crash was known. */
 static bool
-take_crash(struct quarantine *q, const struct crash *c, uint64_t now_ms)
+add_crash(struct quarantine *q, const struct crash *c, uint64_t now_ms)
 {
 	struct crash *copy;
 
 	if (is_known(q, c->id))
 		return false;
 	if (q->crashes->len == QUARANTINE_CRASHES_MAX)
-		forget_one(q);
+		evict_crash(q);
 	copy = g_memdup2(c, sizeof(*c));
 	g_ptr_array_add(q->crashes, copy);
 	index_runs(q, copy, true);
-	quarantine_note_suspects(q, copy);
-	q->settled_ms = MIN(q->settled_ms, now_ms + QUARANTINE_SETTLE_MS);
+	quarantine_extend_suspicion(q, copy);
+	q->decide_ms = MIN(q->decide_ms, now_ms + QUARANTINE_SETTLE_MS);
 	return true;
 }
 
 void
-quarantine_crashed(struct quarantine *q, const struct crash *c, uint64_t now_ms)
+quarantine_add_own_crash(
+    struct quarantine *q, const struct crash *c, uint64_t now_ms)
 {
 	struct quarantine_event event = {
 	    .kind = QUARANTINE_EVENT_CRASHED, .crash = *c};
@@ -402,23 +423,24 @@
 	published->own = true;
 	published->n_runs = 0;
 	for (r = 0; r < c->n_runs; r++)
-		if (!clean_runs_take(&q->clean, &c->runs[r], now_ms))
+		if (!clean_runs_take(&q->recent_successes, &c->runs[r], now_ms))
 			published->runs[published->n_runs++] = c->runs[r];
-	if (take_crash(q, published, now_ms))
+	if (add_crash(q, published, now_ms))
 		emit_event(q, &event);
 }
 
 void
-quarantine_crash(struct quarantine *q, const struct crash *c, uint64_t now_ms)
+quarantine_add_peer_crash(
+    struct quarantine *q, const struct crash *c, uint64_t now_ms)
 {
 	struct success_report report;
 	uint32_t r;
 
-	if (!take_crash(q, c, now_ms))
+	if (!add_crash(q, c, now_ms))
 		return;
 	for (r = 0; r < c->n_runs; r++) {
 		if (q->success_reports->len == SUCCESS_REPORTS_MAX ||
-		    !clean_runs_has(&q->clean, &c->runs[r], now_ms))
+		    !clean_runs_has(&q->recent_successes, &c->runs[r], now_ms))
 			continue;
 		report.print = c->runs[r];
 		report.due_ms = now_ms +
@@ -429,19 +451,22 @@
 	}
 }
 
-/* It ran in a crash later than its last exoneration. */
+/*
+ * Whether the request was in flight in a crash later than its last
+ * exoneration.
+ */
 static bool
 is_suspect(const struct quarantine *q, const struct fingerprint *f)
 {
-	uint64_t harmless_ms;
+	uint64_t exonerated_ms;
 	guint i;
 
-	if (quarantine_seen(q, f->content) == 0)
+	if (quarantine_crash_count(q, f->content) == 0)
 		return false;
-	harmless_ms = quarantine_cleared_ms(q, f);
+	exonerated_ms = quarantine_exonerated_ms(q, f);
 	for (i = 0; i < q->crashes->len; i++)
 		if (quarantine_ran_in(quarantine_crash_at(q, i), f) &&
-		    quarantine_crash_at(q, i)->at_ms > harmless_ms)
+		    quarantine_crash_at(q, i)->at_ms > exonerated_ms)
 			return true;
 	return false;
 }
@@ -454,7 +479,7 @@
 
 	if (!is_suspect(q, f) && quarantine_find(q, f) == NULL)
 		return false;
-	(void)quarantine_clear(q, f, now_ms);
+	(void)quarantine_exonerate(q, f, now_ms);
 	event.entry.print = *f;
 	event.entry.since_ms = now_ms;
 	emit_event(q, &event);
@@ -465,7 +490,7 @@
 quarantine_answered(
     struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
 {
-	clean_runs_add(&q->clean, f, now_ms);
+	clean_runs_add(&q->recent_successes, f, now_ms);
 	return exonerate(q, f, now_ms);
 }
 
@@ -490,16 +515,16 @@
 {
 	report_successes(q, now_ms);
 	end_suspensions(q, now_ms);
-	if (now_ms < q->settled_ms)
+	if (now_ms < q->decide_ms)
 		return;
-	q->settled_ms = DEADLINE_NEVER;
+	q->decide_ms = DEADLINE_NEVER;
 	decide(q, now_ms);
 }
 
 uint64_t
-quarantine_next_ms(const struct quarantine *q)
+quarantine_wake_ms(const struct quarantine *q)
 {
-	uint64_t next_ms = q->settled_ms;
+	uint64_t next_ms = q->decide_ms;
 	guint i;
 
 	for (i = 0; i < q->success_reports->len; i++)
@@ -507,7 +532,7 @@
 		    g_array_index(q->success_reports, struct success_report, i)
 			.due_ms);
 	for (i = 0; i < q->suspended->len; i++)
-		if (!suspended_at(q, i)->over)
+		if (!suspended_at(q, i)->expired)
 			next_ms = MIN(next_ms, suspended_at(q, i)->until_ms);
 	return next_ms;
 }
--- a/packages/traffic/src/quarantine_judge.c
+++ b/packages/traffic/src/quarantine_judge.c
@@ -17,10 +17,12 @@
 	return false;
 }
 
-/* A quarantined request of another content ran there, and explains the crash.
- * The same content of another caller implicates @f instead. */
+/*
+ * Whether a quarantined request with other content was in flight in the crash
+ * and explains it.  The same content of another caller implicates @f instead.
+ */
 static bool
-is_explained(const struct quarantine *q, const struct crash *c,
+is_attributed(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	uint32_t i;
@@ -32,9 +34,9 @@
 	return false;
 }
 
-/* Many upstreams crashed about that time without @f. */
+/* Whether many upstreams crashed about that time without @f. */
 static bool
-is_crowded(const struct quarantine *q, const struct crash *c,
+is_coincidence(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	uint32_t with = 0, without = 0;
@@ -43,37 +45,37 @@
 
 	for (i = 0; i < q->crashes->len; i++) {
 		other = quarantine_crash_at(q, i);
-		if (other->at_ms + QUARANTINE_CROWD_MS < c->at_ms ||
-		    other->at_ms > c->at_ms + QUARANTINE_CROWD_MS)
+		if (other->at_ms + QUARANTINE_COINCIDENCE_MS < c->at_ms ||
+		    other->at_ms > c->at_ms + QUARANTINE_COINCIDENCE_MS)
 			continue;
 		if (quarantine_ran_in(other, f))
 			with++;
-		else if (!is_explained(q, other, f))
+		else if (!is_attributed(q, other, f))
 			without++;
 	}
-	return without > with * QUARANTINE_CROWD_RATIO;
+	return without > with * QUARANTINE_COINCIDENCE_RATIO;
 }
 
 /* Whether a crash implicates @f. */
 static bool
-counts(const struct quarantine *q, const struct crash *c,
+implicates(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	return quarantine_ran_in(c, f) &&
-	    c->at_ms > quarantine_cleared_ms(q, f) && !is_explained(q, c, f) &&
-	    !is_crowded(q, c, f);
+	    c->at_ms > quarantine_exonerated_ms(q, f) &&
+	    !is_attributed(q, c, f) && !is_coincidence(q, c, f);
 }
 
-/* It ran there and has not been answered since. */
+/* Whether @f was in flight in the crash and has not been answered since. */
 static bool
-may_be_to_blame(const struct quarantine *q, const struct crash *c,
+is_unexonerated(const struct quarantine *q, const struct crash *c,
     const struct fingerprint *f)
 {
 	return quarantine_ran_in(c, f) &&
-	    c->at_ms > quarantine_cleared_ms(q, f);
+	    c->at_ms > quarantine_exonerated_ms(q, f);
 }
 
-/* Another request may have caused all the crashes that implicate @f. */
+/* Whether another request may have caused all the crashes that implicate @f. */
 static bool
 has_cosuspect(const struct quarantine *q, const struct fingerprint *f)
 {
@@ -83,7 +85,7 @@
 	guint i;
 
 	for (i = 0; i < q->crashes->len && first == NULL; i++)
-		if (counts(q, quarantine_crash_at(q, i), f))
+		if (implicates(q, quarantine_crash_at(q, i), f))
 			first = quarantine_crash_at(q, i);
 	for (r = 0; first != NULL && r < first->n_runs; r++) {
 		if (first->runs[r].content == f->content)
@@ -91,8 +93,8 @@
 		in_all = true;
 		for (i = 0; i < q->crashes->len && in_all; i++) {
 			c = quarantine_crash_at(q, i);
-			in_all = !counts(q, c, f) ||
-			    may_be_to_blame(q, c, &first->runs[r]);
+			in_all = !implicates(q, c, f) ||
+			    is_unexonerated(q, c, &first->runs[r]);
 		}
 		if (in_all)
 			return true;
@@ -109,7 +111,8 @@
 
 	for (i = 0; i < q->crashes->len; i++) {
 		c = quarantine_crash_at(q, i);
-		if (counts(q, c, f) && (last == NULL || c->at_ms > last->at_ms))
+		if (implicates(q, c, f) &&
+		    (last == NULL || c->at_ms > last->at_ms))
 			last = c;
 	}
 	return last;
@@ -122,11 +125,11 @@
 	guint i;
 
 	for (i = 0; i < q->crashes->len; i++)
-		n += counts(q, quarantine_crash_at(q, i), f);
+		n += implicates(q, quarantine_crash_at(q, i), f);
 	return n;
 }
 
-/* How many callers of a content had at least @least crashes. */
+/* Number of callers of a content that at least @least crashes implicate. */
 static uint32_t
 callers_of(const struct quarantine *q, uint64_t content, uint32_t least)
 {
@@ -147,15 +150,20 @@
 	return n;
 }
 
-/* The content crashed upstreams for three callers, or twice for each of two. */
+/*
+ * Whether the content crashed upstreams for three callers, or twice for each
+ * of two callers.
+ */
 static bool
-is_of_all_callers(const struct quarantine *q, const struct fingerprint *f)
+affects_all_callers(const struct quarantine *q, const struct fingerprint *f)
 {
 	return callers_of(q, f->content, 1) >= QUARANTINE_CRASHES ||
 	    callers_of(q, f->content, 2) >= 2;
 }
 
-/* Suspended, or no crash has implicated it since its suspension. */
+/*
+ * Whether @f is suspended, or no crash has implicated it since its suspension.
+ */
 static bool
 is_suspended(const struct quarantine *q, const struct fingerprint *f,
     const struct crash *last)
@@ -166,7 +174,7 @@
 }
 
 static void
-decide_on(const struct quarantine *q, const struct fingerprint *f,
+judge_request(const struct quarantine *q, const struct fingerprint *f,
     uint64_t now_ms, GArray *suspects)
 {
 	struct quarantine_entry e = {.print = *f,
@@ -176,7 +184,7 @@
 	const struct crash *last;
 
 	if (quarantine_find(q, f) != NULL || e.crashes < QUARANTINE_CRASHES ||
-	    (f->caller == 0 && !is_of_all_callers(q, f)))
+	    (f->caller == 0 && !affects_all_callers(q, f)))
 		return;
 	last = last_crash_of(q, f);
 	if (has_cosuspect(q, f)) {
@@ -202,8 +210,10 @@
 	return false;
 }
 
-/* Requests whose content ran in enough crashes, each once, and the contents for
- * all callers. */
+/*
+ * The requests whose content was in flight in enough crashes, each once, and
+ * their contents for all callers.
+ */
 static GArray *
 candidates(const struct quarantine *q)
 {
@@ -218,7 +228,7 @@
 		c = quarantine_crash_at(q, i);
 		for (r = 0; r < c->n_runs; r++) {
 			f = &c->runs[r];
-			if (quarantine_seen(q, f->content) <
+			if (quarantine_crash_count(q, f->content) <
 				QUARANTINE_CRASHES ||
 			    is_among(out, f))
 				continue;
@@ -240,7 +250,7 @@
 	guint i;
 
 	for (i = 0; i < prints->len; i++)
-		decide_on(q, &g_array_index(prints, struct fingerprint, i),
+		judge_request(q, &g_array_index(prints, struct fingerprint, i),
 		    now_ms, suspects);
 	g_array_unref(prints);
 	return suspects;
--- a/packages/traffic/src/rate_limit.c
+++ b/packages/traffic/src/rate_limit.c
@@ -1,6 +1,7 @@
 /*
- * Token buckets by key.  Keys stand in a queue by last use, so that the one
- * idle longest is forgotten first; a forgotten key starts with a full bucket.
+ * Token buckets by key.  Keys are in a queue by last use, so that the least
+ * recently used key is removed first; a removed key starts again with a full
+ * bucket.
  */
 #include "traffic/rate_limit.h"
 
@@ -9,6 +10,13 @@
 #define MS_PER_S 1000
 #define TOKEN 1000
 
+/**
+ * struct bucket - token bucket of one key
+ * @key: the key
+ * @tokens: saved tokens, in parts of TOKEN
+ * @refilled_ms: monotonic time of the last refill
+ * @link: node in rate_limit.by_use
+ */
 struct bucket {
 	uint64_t key;
 	uint64_t tokens;
@@ -16,6 +24,12 @@
 	GList *link;
 };
 
+/**
+ * struct rate_limit - see traffic/rate_limit.h
+ * @buckets: key -> struct bucket
+ * @by_use: buckets, least recently used first
+ * @keys_max: maximum number of keys
+ */
 struct rate_limit {
 	GHashTable *buckets;
 	GQueue by_use;
@@ -77,7 +91,7 @@
 	return b;
 }
 
-/* One call a second is one part of a token (of TOKEN) a millisecond. */
+/* At one call per second a bucket gains one part (of TOKEN) per millisecond. */
 static void
 refill(struct bucket *b, uint32_t per_s, uint32_t burst, uint64_t now_ms)
 {
--- a/packages/traffic/src/superseded.c
+++ b/packages/traffic/src/superseded.c
@@ -1,17 +1,17 @@
 /*
- * Since when a later version is in force here.
+ * History of the versions in force.
  */
 #include "traffic/superseded.h"
 
 #include "base/clock.h"
 
-/* Where operators were promised no time: what the smallest deployments have. */
-#define WITHIN_MS 2000
+/* Default grace time: that of the smallest deployments. */
+#define GRACE_DEFAULT_MS 2000
 
 uint64_t
-superseded_within_ms(uint64_t promised_ms)
+superseded_grace_ms(uint64_t announced_ms)
 {
-	return promised_ms != 0 ? promised_ms : WITHIN_MS;
+	return announced_ms != 0 ? announced_ms : GRACE_DEFAULT_MS;
 }
 
 static const struct superseded_entry *
@@ -21,7 +21,7 @@
 }
 
 void
-superseded_note(struct superseded *s, uint64_t version, uint64_t now_ms)
+superseded_record(struct superseded *s, uint64_t version, uint64_t now_ms)
 {
 	struct superseded_entry *e = &s->entries[s->next];
 
@@ -33,8 +33,8 @@
 }
 
 bool
-superseded_is_over(const struct superseded *s, uint64_t version,
-    uint64_t now_ms, uint64_t within_ms)
+superseded_is_expired(const struct superseded *s, uint64_t version,
+    uint64_t now_ms, uint64_t grace_ms)
 {
 	uint64_t since_ms = DEADLINE_NEVER;
 	uint32_t i;
@@ -43,5 +43,5 @@
 		if (s->entries[i].version > version &&
 		    s->entries[i].since_ms < since_ms)
 			since_ms = s->entries[i].since_ms;
-	return since_ms != DEADLINE_NEVER && now_ms >= since_ms + within_ms;
+	return since_ms != DEADLINE_NEVER && now_ms >= since_ms + grace_ms;
 }
--- a/packages/traffic/test/test_behind.c
+++ b/packages/traffic/test/test_behind.c
@@ -1,5 +1,5 @@
 /*
- * Tests of what a node answers while it knows of a newer version.
+ * Tests of the Retry-After of a node that knows of a newer version.
  */
 #include <check.h>
 #include <glib.h>
@@ -12,13 +12,13 @@
 #define ANY DEADLINE_NEVER
 
 /**
- * struct behind_case - one question, and what is to come of it
+ * struct behind_case - one call of behind_retry_ms() and its expected result
  * @in_force: version in force
- * @known: newest version known of, since T0
+ * @known: newest known version, since T0
  * @by: version by which the request looks wrong
  * @age_ms: time since T0
- * @left_ms: time that the caller has left, or ANY
- * @retry_ms: when it is to come back, 0 for never
+ * @left_ms: time until the caller's deadline, or ANY
+ * @retry_ms: expected Retry-After, 0 when the request is wrong
  */
 struct behind_case {
 	uint64_t in_force;
@@ -30,37 +30,37 @@
 };
 
 static const struct behind_case cases[] = {
-    /* Nothing newer is known: the request is wrong. */
+    /* No newer version is known: the request is wrong. */
     {6, 0, 6, 0, ANY, 0},
     {6, 6, 6, 5000, ANY, 0},
     {6, 4, 6, 5000, ANY, 0},
     {6, 6, 6, 0, 600, 0},
-    /* A newer one is known: first soon, later as long as it was awaited. */
-    {6, 10, 6, 0, ANY, BEHIND_FIRST_MS},
-    {6, 10, 6, 199, ANY, BEHIND_FIRST_MS},
+    /* A newer version is known: the Retry-After grows with its age. */
+    {6, 10, 6, 0, ANY, BEHIND_RETRY_MIN_MS},
+    {6, 10, 6, 199, ANY, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 300, ANY, 300},
     {6, 10, 6, 1500, ANY, 1500},
-    {6, 10, 6, 2000, ANY, BEHIND_MOST_MS},
-    {6, 10, 6, 600000, ANY, BEHIND_MOST_MS},
+    {6, 10, 6, 2000, ANY, BEHIND_RETRY_MAX_MS},
+    {6, 10, 6, 600000, ANY, BEHIND_RETRY_MAX_MS},
     {6, 7, 6, 300, ANY, 300},
     {0, 10, 0, 300, ANY, 300},
-    /* Who has little time left comes back at half of it. */
+    /* A caller with little time left retries after half of it. */
     {6, 10, 6, 1500, 1000, 500},
     {6, 10, 6, 600000, 3000, 1500},
-    {6, 10, 6, 0, 600, BEHIND_FIRST_MS},
+    {6, 10, 6, 0, 600, BEHIND_RETRY_MIN_MS},
     {6, 10, 6, 300, 400, 200},
-    /* Who has none to come back in is told the truth. */
+    /* A caller without time for a retry gets the Retry-After by age. */
     {6, 10, 6, 300, 399, 300},
-    {6, 10, 6, 2500, 100, BEHIND_MOST_MS},
+    {6, 10, 6, 2500, 100, BEHIND_RETRY_MAX_MS},
     {6, 10, 6, 300, 0, 300},
-    /* A call that began by an older version than is in force now. */
-    {10, 10, 6, 0, ANY, BEHIND_NOW_MS},
-    {10, 0, 6, 0, 600, BEHIND_NOW_MS},
+    /* The call began with an older version than the one in force now. */
+    {10, 10, 6, 0, ANY, BEHIND_RETRY_NOW_MS},
+    {10, 0, 6, 0, 600, BEHIND_RETRY_NOW_MS},
     {10, 12, 6, 300, ANY, 300},
     {10, 10, 10, 300, ANY, 0},
 };
 
-START_TEST(a_wrong_request_is_told_from_an_old_version)
+START_TEST(retry_time_follows_the_age_of_the_known_version)
 {
 	const struct behind_case *c;
 	uint64_t now_ms, deadline_ms, got;
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-START_TEST(a_still_newer_version_does_not_begin_the_wait_anew)
+START_TEST(even_newer_known_version_keeps_the_age)
 {
 	struct behind b;
 
@@ -96,7 +96,7 @@
 }
 END_TEST
 
-START_TEST(a_version_in_force_begins_it_anew)
+START_TEST(other_version_in_force_resets_the_age)
 {
 	struct behind b;
 
@@ -107,14 +107,14 @@
 	ck_assert_uint_eq(behind_age_ms(&b, T0 + 1000), 1000);
 	behind_in_force(&b, 10, T0 + 1500);
 	ck_assert_uint_eq(
-	    behind_retry_ms(&b, 10, T0 + 1600, ANY), BEHIND_FIRST_MS);
+	    behind_retry_ms(&b, 10, T0 + 1600, ANY), BEHIND_RETRY_MIN_MS);
 	behind_in_force(&b, 12, T0 + 1700);
 	ck_assert_uint_eq(behind_retry_ms(&b, 12, T0 + 1800, ANY), 0);
 	ck_assert_uint_eq(behind_age_ms(&b, T0 + 1800), 0);
 }
 END_TEST
 
-START_TEST(what_was_known_wrongly_is_forgotten)
+START_TEST(wrong_known_version_is_dropped)
 {
 	struct behind b;
 
@@ -126,7 +126,7 @@
 	ck_assert_uint_eq(behind_retry_ms(&b, 6, T0 + 30000, ANY), 0);
 	behind_known(&b, 10, T0 + 90000);
 	ck_assert_uint_eq(
-	    behind_retry_ms(&b, 6, T0 + 90000, ANY), BEHIND_FIRST_MS);
+	    behind_retry_ms(&b, 6, T0 + 90000, ANY), BEHIND_RETRY_MIN_MS);
 }
 END_TEST
 
@@ -136,10 +136,10 @@
 	Suite *suite = suite_create("behind");
 	TCase *tc = tcase_create("behind");
 
-	tcase_add_test(tc, a_wrong_request_is_told_from_an_old_version);
-	tcase_add_test(tc, a_still_newer_version_does_not_begin_the_wait_anew);
-	tcase_add_test(tc, a_version_in_force_begins_it_anew);
-	tcase_add_test(tc, what_was_known_wrongly_is_forgotten);
+	tcase_add_test(tc, retry_time_follows_the_age_of_the_known_version);
+	tcase_add_test(tc, even_newer_known_version_keeps_the_age);
+	tcase_add_test(tc, other_version_in_force_resets_the_age);
+	tcase_add_test(tc, wrong_known_version_is_dropped);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_call.c
+++ b/packages/traffic/test/test_call.c
@@ -1,6 +1,7 @@
 /*
- * The state machine of a call, step by step: what the entry does when guard,
- * connection or upstream fails at each step, for both kinds of requests.
+ * The state machine of a call, step by step: actions of the entry when guard,
+ * connection or upstream fails at each step, for idempotent and non-idempotent
+ * requests.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -21,11 +22,12 @@
 /* A seed whose first back-off is not 0. */
 #define SEED 6
 
-/* Events; a number after them is the argument. */
+/* Events; the number after an event is its argument. */
 enum event {
 	END = 0,
-	/* First step only: the call has an idempotency key. */
+	/* Other endpoints are full. */
 	FULL,
+	/* First step only: the call has an idempotency key. */
 	KEYED,
 	PLACED,
 	UNPLACED,
@@ -41,7 +43,7 @@
 	UNRESOLVED,
 	GONE,
 	TICK,
-	/* The same events of the stream before the current one. */
+	/* The same events on the stream before the current one. */
 	LATE_ANSWERED,
 	LATE_REFUSED,
 	LATE_LOST,
@@ -60,29 +62,29 @@
 	struct step steps[STEPS_MAX];
 };
 
-/* Times: each TICK names its time; other events come at the last one. */
+/* Each TICK sets the time; other events occur at the time of the last TICK. */
 static const struct scenario scenarios[] = {
     {"answered", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {ANSWERED, 0, "deliver"}}},
     {"no endpoint", false, false, {{UNPLACED, 0, "give_up:not_run"}}},
-    {"guard can't be reached: elsewhere, and needs no budget", false, true,
+    {"guard unreachable: retried elsewhere without budget", false, true,
 	{{PLACED, 1, "send1"}, {UNSENT, 0, "place"}, {PLACED, 2, "send2"},
 	    {UNSENT, 0, "place"}, {PLACED, 3, "send3"}, {UNSENT, 0, "place"},
 	    {PLACED, 4, "send4"}, {UNSENT, 0, "place"}, {PLACED, 5, "send5"},
 	    {UNSENT, 0, "give_up:not_run"}}},
     {"connection lost before sending: certain", false, true,
 	{{PLACED, 1, "send1"}, {LOST, 0, "place"}}},
-    {"what reached no upstream is no attempt", false, false,
+    {"attempts that reached no upstream are not counted", false, false,
 	{{PLACED, 1, "send1"}, {UNSENT, 0, "place"}, {PLACED, 2, "send2"},
 	    {SENT, 0, ""}, {REFUSED, REFUSAL_UPSTREAM, "backoff"},
 	    {TICK, 10, "place"}, {PLACED, 3, "send3"}, {SENT, 0, ""},
 	    {REFUSED, REFUSAL_UPSTREAM, "give_up:not_run"}}},
-    {"refused for load, others have room: elsewhere at once", false, true,
+    {"refused for load, others have room: retried at once", false, true,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {REFUSED, REFUSAL_QUEUE_FULL, "place"}, {PLACED, 2, "send2"},
 	    {SENT, 0, ""}, {REFUSED, REFUSAL_WAIT, "place"},
 	    {PLACED, 3, "send3"}, {SENT, 0, ""}, {ANSWERED, 0, "deliver"}}},
-    {"refused for load, others are full: elsewhere", false, false,
+    {"refused for load, others are full: retried", false, false,
 	{{FULL, 0, ""}, {PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {REFUSED, REFUSAL_QUEUE_FULL, "backoff"}, {TICK, 10, "place"},
 	    {PLACED, 2, "send2"}, {SENT, 0, ""}, {ANSWERED, 0, "deliver"}}},
@@ -92,10 +94,10 @@
     {"draining needs no budget", false, true,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {REFUSED, REFUSAL_DRAINING, "place"}}},
-    {"no upstream there: elsewhere, and needs no budget", false, true,
+    {"upstream absent: retried elsewhere without budget", false, true,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {REFUSED, REFUSAL_NO_ENDPOINT, "place"}}},
-    {"caller's limit: not elsewhere", true, false,
+    {"caller's rate limit: no retry", true, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {REFUSED, REFUSAL_CALLER_LIMIT, "give_up:not_run"}}},
     {"key unsettled: unknown", false, false,
@@ -112,19 +114,19 @@
     {"body can't be sent again", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {BODY_GONE, 0, ""},
 	    {REFUSED, REFUSAL_QUEUE_FULL, "give_up:not_run"}}},
-    {"booking lost, never seen: elsewhere", false, false,
+    {"booking lost, never received: retried", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "resolve"},
 	    {RESOLVED, RESOLUTION_NOT_RUN, "backoff"}, {TICK, 10, "place"}}},
     {"booking lost while it ran: answer over the new connection", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "resolve"},
 	    {RESOLVED, RESOLUTION_ATTACHED, ""}, {ANSWERED, 0, "deliver"}}},
-    {"booking lost, ran: kept answer", false, false,
+    {"booking lost, ran: stored answer", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "resolve"},
 	    {RESOLVED, RESOLUTION_ANSWER, ""}, {ANSWERED, 0, "deliver"}}},
-    {"booking lost, answer not kept: unknown, not again", false, false,
+    {"booking lost, answer not stored: unknown, no retry", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "resolve"},
 	    {RESOLVED, RESOLUTION_LOST, "give_up:unknown"}}},
-    {"booking lost, guard replaced: unknown, not again", false, false,
+    {"booking lost, guard replaced: unknown, no retry", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "resolve"},
 	    {RESOLVED, RESOLUTION_UNKNOWN, "give_up:unknown"}}},
     {"booking lost, attached stream lost too: resolve again", false, false,
@@ -136,7 +138,7 @@
 	    {UNRESOLVED, 0, ""}, {TICK, 20, "resolve"}, {UNRESOLVED, 0, ""},
 	    {TICK, 100, "resolve"}, {TICK, 190, ""},
 	    {LOST, 0, "give_up:unknown"}}},
-    {"lookup lost: elsewhere at once", true, false,
+    {"lookup lost: retried at once", true, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "backoff"},
 	    {TICK, 10, "place"}, {PLACED, 2, "send2"}, {SENT, 0, ""},
 	    {ANSWERED, 0, "deliver"}}},
@@ -144,15 +146,15 @@
 	{{FULL, 0, ""}, {PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {LOST, 0, "backoff"}, {TICK, 10, "place"}, {PLACED, 2, "send2"},
 	    {SENT, 0, ""}, {REFUSED, REFUSAL_WAIT, "give_up:unknown"}}},
-    {"lookup lost without budget: ask", true, true,
+    {"lookup lost without budget: resolve", true, true,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "resolve"},
 	    {RESOLVED, RESOLUTION_ATTACHED, ""}, {ANSWERED, 0, "deliver"}}},
     {"booking's upstream failed after the start: unknown", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {FAILED, 0, "give_up:unknown"}}},
-    {"lookup's upstream failed: elsewhere", true, false,
+    {"lookup's upstream failed: retried", true, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {FAILED, 0, "backoff"},
 	    {TICK, 10, "place"}}},
-    {"answer cut after its beginning was given: cut the caller", true, false,
+    {"answer cut after its beginning was passed on: abort", true, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {COMMITTED, 0, ""},
 	    {LOST, 0, "abort"}}},
     {"large answer outlives the deadline", false, false,
@@ -170,7 +172,7 @@
     {"deadline, answer within the grace", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {TICK, 1000, "cancel"},
 	    {ANSWERED, 0, "deliver"}}},
-    {"deadline, lookup: at once", true, false,
+    {"deadline, lookup: unknown at once", true, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {TICK, 1000, "cancel give_up:unknown"}}},
     {"deadline while resolving: cancelled once attached", false, false,
@@ -178,28 +180,28 @@
 	    {LOST, 0, "resolve"}, {TICK, 1000, ""},
 	    {RESOLVED, RESOLUTION_ATTACHED, "cancel"},
 	    {TICK, 1050, "give_up:unknown"}}},
-    {"deadline while resolving, never seen", false, false,
+    {"deadline while resolving, never received", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {TICK, 990, ""},
 	    {LOST, 0, "resolve"}, {TICK, 1000, ""},
 	    {RESOLVED, RESOLUTION_NOT_RUN, "give_up:not_run"}}},
-    {"entry thawed long after the deadline", false, false,
+    {"entry resumed long after the deadline", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""},
 	    {TICK, 9000, "cancel give_up:unknown"}, {ANSWERED, 0, ""}}},
-    {"caller gone while queued", false, false,
+    {"caller disconnected while queued", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {GONE, 0, "cancel"},
 	    {ANSWERED, 0, ""}}},
-    {"caller gone before sending", false, false,
+    {"caller disconnected before sending", false, false,
 	{{PLACED, 1, "send1"}, {GONE, 0, "cancel"}, {SENT, 0, ""}}},
     {"late answer of an earlier attempt", true, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "backoff"},
 	    {TICK, 10, "place"}, {PLACED, 2, "send2"}, {SENT, 0, ""},
 	    {LATE_ANSWERED, 0, ""}, {LATE_LOST, 0, ""},
 	    {ANSWERED, 0, "deliver"}}},
-    {"late refusal after a resolve is no news", false, false,
+    {"late refusal after a resolve is ignored", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {LOST, 0, "resolve"},
 	    {LATE_REFUSED, REFUSAL_RESOLVED, ""},
 	    {RESOLVED, RESOLUTION_NOT_RUN, "backoff"}}},
-    {"doubled answer", false, false,
+    {"duplicate answer", false, false,
 	{{PLACED, 1, "send1"}, {SENT, 0, ""}, {ANSWERED, 0, "deliver"},
 	    {ANSWERED, 0, ""}, {LOST, 0, ""}}},
 };
@@ -211,18 +213,18 @@
 	uint64_t now_ms;
 };
 
-/* Calls that were sent elsewhere of late were refused there too. */
+/* Record that recently rerouted calls were refused again. */
 static void
-others_are_full(struct retry_budget *b)
+fill_other_endpoints(struct retry_budget *b)
 {
 	int i;
 
 	for (i = 0; i < 8; i++)
-		retry_budget_moved(b, true);
+		retry_budget_record_reroute(b, true);
 }
 
 static void
-fire(struct world *w, const struct step *s)
+dispatch(struct world *w, const struct step *s)
 {
 	struct call *c = w->call;
 	uint64_t now = w->now_ms;
@@ -232,22 +234,22 @@
 	case KEYED:
 		break;
 	case FULL:
-		others_are_full(&w->budget);
+		fill_other_endpoints(&w->budget);
 		break;
 	case PLACED:
 		call_placed(c, s->arg, now);
 		break;
 	case UNPLACED:
-		call_unplaced(c, s->arg, now);
+		call_no_endpoint(c, s->arg, now);
 		break;
 	case SENT:
 		call_sent(c, w->stream, INCARNATION, now);
 		break;
 	case UNSENT:
-		call_unsent(c, w->stream, now);
+		call_connect_failed(c, w->stream, now);
 		break;
 	case BODY_GONE:
-		call_body_gone(c);
+		call_body_discarded(c);
 		break;
 	case COMMITTED:
 		call_committed(c, w->stream, now);
@@ -268,10 +270,10 @@
 		call_resolved(c, w->stream, (enum resolution)s->arg, now);
 		break;
 	case UNRESOLVED:
-		call_unresolved(c, w->stream, now);
+		call_resolve_failed(c, w->stream, now);
 		break;
 	case GONE:
-		call_caller_gone(c, now);
+		call_caller_disconnected(c, now);
 		break;
 	case TICK:
 		w->now_ms = s->arg;
@@ -342,13 +344,13 @@
 	call_start(w->call, 0);
 }
 
-/* "backoff" stands for: nothing yet, but a tick is wanted soon. */
+/* "backoff" stands for: no action yet, but a tick is due soon. */
 static void
 check_step(struct world *w, const struct scenario *s, const struct step *st)
 {
 	char got[128];
 
-	fire(w, st);
+	dispatch(w, st);
 	collect(w, got, sizeof(got));
 	if (strcmp(st->actions, "backoff") != 0) {
 		ck_assert_msg(strcmp(got, st->actions) == 0,
@@ -395,8 +397,9 @@
 }
 
 /*
- * Whatever comes in whatever order, there is one final action, at the latest
- * when the grace is over (or the connection lost, if the answer has begun).
+ * Random events in random order lead to exactly one final action, at the
+ * latest at the end of the grace time (or when the connection is lost, if the
+ * response has begun).
  */
 START_TEST(test_random_events)
 {
@@ -419,14 +422,14 @@
 			if (s.event == TICK)
 				s.arg += w.now_ms + s.arg * 50;
 			gone |= s.event == GONE;
-			fire(&w, &s);
+			dispatch(&w, &s);
 			finals += count_finals(&w);
 		}
 		for (i = 0; i < 3; i++) {
-			fire(&w, &last[i]);
+			dispatch(&w, &last[i]);
 			finals += count_finals(&w);
 		}
-		ck_assert(call_over(w.call));
+		ck_assert(call_is_finished(w.call));
 		ck_assert_int_le(finals, 1);
 		ck_assert(gone || finals == 1);
 		call_free(w.call);
@@ -434,8 +437,8 @@
 }
 END_TEST
 
-/* A guard that stays away is asked less and less often, until the limit. */
-START_TEST(test_resolves_get_rarer)
+/* Resolves at an unreachable guard back off until the limit. */
+START_TEST(test_resolve_backoff)
 {
 	const struct call_config cfg = {
 	    .deadline_ms = 10000, .resolve_limit_ms = 2000};
@@ -455,26 +458,26 @@
 	ck_assert(call_next(c, &a) && a.kind == CALL_SEND);
 	call_sent(c, a.stream, 1, 0);
 	call_lost(c, a.stream, 0);
-	for (now_ms = 0; now_ms < 3000 && !call_over(c); now_ms++) {
+	for (now_ms = 0; now_ms < 3000 && !call_is_finished(c); now_ms++) {
 		call_tick(c, now_ms);
 		while (call_next(c, &a)) {
 			asked += a.kind == CALL_RESOLVE;
 			if (a.kind == CALL_RESOLVE)
-				call_unresolved(c, a.stream, now_ms);
+				call_resolve_failed(c, a.stream, now_ms);
 		}
 	}
-	ck_assert(call_over(c));
+	ck_assert(call_is_finished(c));
 	ck_assert_uint_ge(asked, 6);
 	ck_assert_uint_le(asked, 12);
 	call_free(c);
 }
 END_TEST
 
-/* How far a call gets before its entry stops. */
+/* State of a call when its entry stops. */
 enum stop_at { STOP_NEW, STOP_PLACING, STOP_SENDING, STOP_WAITING, STOP_ENDS };
 
 static void
-go_to(struct call *c, enum stop_at at)
+advance_to(struct call *c, enum stop_at at)
 {
 	struct call_action a;
 
@@ -487,7 +490,7 @@
 			call_sent(c, a.stream, 1, 0);
 }
 
-START_TEST(a_stopped_call_that_was_not_sent_has_not_run)
+START_TEST(stopped_call_is_not_run_unless_sent)
 {
 	const struct call_config cfg = {
 	    .deadline_ms = 10000, .resolve_limit_ms = 2000};
@@ -499,9 +502,9 @@
 	retry_config_default(&rc);
 	retry_budget_init(&b, &rc, 0);
 	c = call_new(&cfg, &b, 1);
-	go_to(c, (enum stop_at)_i);
+	advance_to(c, (enum stop_at)_i);
 	call_stopped(c);
-	ck_assert(call_over(c));
+	ck_assert(call_is_finished(c));
 	while (a.kind != CALL_GIVE_UP)
 		ck_assert(call_next(c, &a));
 	if (_i == STOP_WAITING) {
@@ -516,22 +519,22 @@
 }
 END_TEST
 
-#define PATIENCE_MS 2400
+#define GIVES_UP_MS 2400
 
-/* What a caller is told that is refused for @refusal at @now_ms. */
+/* Retry-After of a caller that is refused for @refusal at @now_ms. */
 static uint64_t
-return_after_ms(enum refusal refusal, uint64_t now_ms, uint64_t after_ms)
+retry_after_of(enum refusal refusal, uint64_t now_ms, uint64_t after_ms)
 {
 	const struct call_config cfg = {.deadline_ms = 1200,
 	    .target_ms = 400,
-	    .patient_until_ms = PATIENCE_MS};
+	    .caller_gives_up_ms = GIVES_UP_MS};
 	struct retry_config rc = {.attempts = 1};
 	struct retry_budget b;
 	struct call_action a;
 	struct call *c;
 
 	retry_budget_init(&b, &rc, now_ms);
-	others_are_full(&b);
+	fill_other_endpoints(&b);
 	c = call_new(&cfg, &b, 1);
 	call_start(c, now_ms);
 	ck_assert(call_next(c, &a) && a.kind == CALL_PLACE);
@@ -546,18 +549,19 @@
 }
 
 /*
- * A burst or a cold start of 2 to 8 s, callers with 2.4 s of patience.  Who can
- * still make its target comes back when there is a slot; who can't is asked to
- * let the overload pass, as far as its patience goes.
+ * A burst or a cold start lasts 2 to 8 s, and callers give up after 2.4 s.  A
+ * caller that can still meet its target gets the time until a slot is free as
+ * Retry-After; any other caller gets a part of its remaining time, so that the
+ * overload may pass.
  */
-START_TEST(test_late_callers_come_back_later)
+START_TEST(test_late_callers_get_a_longer_retry_after)
 {
-	ck_assert_uint_eq(return_after_ms(REFUSAL_WAIT, 0, 200), 200);
-	ck_assert_uint_eq(return_after_ms(REFUSAL_WAIT, 300, 200), 700);
-	ck_assert_uint_eq(return_after_ms(REFUSAL_QUEUE_FULL, 900, 200), 500);
-	ck_assert_uint_eq(return_after_ms(REFUSAL_WAIT, 900, 1100), 1100);
-	/* A refusal at random is no overload. */
-	ck_assert_uint_eq(return_after_ms(REFUSAL_UPSTREAM, 900, 20), 20);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 0, 200), 200);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 300, 200), 700);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_QUEUE_FULL, 900, 200), 500);
+	ck_assert_uint_eq(retry_after_of(REFUSAL_WAIT, 900, 1100), 1100);
+	/* A random refusal by the upstream is no overload. */
+	ck_assert_uint_eq(retry_after_of(REFUSAL_UPSTREAM, 900, 20), 20);
 }
 END_TEST
 
@@ -569,13 +573,13 @@
 
 	suite = suite_create("call");
 	tc = tcase_create("call");
-	tcase_add_test(tc, test_resolves_get_rarer);
+	tcase_add_test(tc, test_resolve_backoff);
 	tcase_add_loop_test(
-	    tc, a_stopped_call_that_was_not_sent_has_not_run, 0, STOP_ENDS);
+	    tc, stopped_call_is_not_run_unless_sent, 0, STOP_ENDS);
 	tcase_add_loop_test(tc, test_scenario, 0,
 	    (int)(sizeof(scenarios) / sizeof(scenarios[0])));
 	tcase_add_test(tc, test_random_events);
-	tcase_add_test(tc, test_late_callers_come_back_later);
+	tcase_add_test(tc, test_late_callers_get_a_longer_retry_after);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_fate.c
+++ b/packages/traffic/test/test_fate.c
@@ -1,6 +1,6 @@
 /*
- * Fates at the guard and the age of frames: each step at which a request can
- * be resolved, and frames that come late, doubled or after a restart.
+ * Fate table of a guard and the age of frames: a resolve at each state of a
+ * request, and frames that arrive late, twice or after a restart.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -41,7 +41,7 @@
 	return id;
 }
 
-/* What happened to the request before the resolve. */
+/* State of the request before the resolve. */
 enum step {
 	NOTHING = 0,
 	QUEUED,
@@ -54,7 +54,7 @@
 };
 
 static void
-bring_to(struct fate_table *t, const struct request_id *id, enum step step)
+advance_to(struct fate_table *t, const struct request_id *id, enum step step)
 {
 	char large[101] = {0};
 	GBytes *answer;
@@ -84,24 +84,27 @@
 	bool cancel;
 	uint64_t incarnation;
 	enum resolution want;
-	/* Afterwards: the frame again, and whether it may still start. */
+	/*
+	 * Expected afterwards: the result for the same frame, and whether the
+	 * request may still start.
+	 */
 	enum fate_offer again;
 	bool starts;
 };
 
 static const struct resolve_case resolve_cases[] = {
-    {NOTHING, false, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NEVER, false},
-    {NOTHING, true, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NEVER, false},
+    {NOTHING, false, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NOT_RUN, false},
+    {NOTHING, true, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NOT_RUN, false},
     {NOTHING, false, 6, RESOLUTION_UNKNOWN, FATE_OFFER_NEW, true},
-    {QUEUED, false, 7, RESOLUTION_ATTACHED, FATE_OFFER_SEEN, true},
-    {QUEUED, true, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NEVER, false},
-    {RUNNING, false, 7, RESOLUTION_ATTACHED, FATE_OFFER_SEEN, false},
-    {RUNNING, true, 7, RESOLUTION_ATTACHED, FATE_OFFER_SEEN, false},
-    {DONE, false, 7, RESOLUTION_ANSWER, FATE_OFFER_SEEN, false},
-    {DONE_LARGE, false, 7, RESOLUTION_LOST, FATE_OFFER_SEEN, false},
-    {FAILED, false, 7, RESOLUTION_LOST, FATE_OFFER_SEEN, false},
-    {REFUSED, false, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NEVER, false},
-    {ACKNOWLEDGED, false, 7, RESOLUTION_LOST, FATE_OFFER_SEEN, false},
+    {QUEUED, false, 7, RESOLUTION_ATTACHED, FATE_OFFER_DUPLICATE, true},
+    {QUEUED, true, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NOT_RUN, false},
+    {RUNNING, false, 7, RESOLUTION_ATTACHED, FATE_OFFER_DUPLICATE, false},
+    {RUNNING, true, 7, RESOLUTION_ATTACHED, FATE_OFFER_DUPLICATE, false},
+    {DONE, false, 7, RESOLUTION_ANSWER, FATE_OFFER_DUPLICATE, false},
+    {DONE_LARGE, false, 7, RESOLUTION_LOST, FATE_OFFER_DUPLICATE, false},
+    {FAILED, false, 7, RESOLUTION_LOST, FATE_OFFER_DUPLICATE, false},
+    {REFUSED, false, 7, RESOLUTION_NOT_RUN, FATE_OFFER_NOT_RUN, false},
+    {ACKNOWLEDGED, false, 7, RESOLUTION_LOST, FATE_OFFER_DUPLICATE, false},
 };
 
 START_TEST(test_resolve)
@@ -116,7 +119,7 @@
 	    .waiter = second_waiter};
 	struct fate_answer a;
 
-	bring_to(t, &id, rc->step);
+	advance_to(t, &id, rc->step);
 	fate_resolve(t, &q, NOW_MS + 1, &a);
 	ck_assert_int_eq(a.resolution, rc->want);
 	ck_assert(a.cancelled == (rc->step == QUEUED && rc->cancel));
@@ -130,7 +133,7 @@
 }
 END_TEST
 
-START_TEST(test_answer_goes_to_who_asked_last)
+START_TEST(test_answer_goes_to_the_last_waiter)
 {
 	struct fate_table *t = table_new(10, 1000);
 	struct request_id id = id_of(1);
@@ -142,7 +145,7 @@
 	struct fate_answer a;
 	size_t n;
 
-	bring_to(t, &id, RUNNING);
+	advance_to(t, &id, RUNNING);
 	fate_resolve(t, &q, NOW_MS, &a);
 	fate_resolve(t, &q, NOW_MS, &a);
 	fate_connection_lost(t, first_waiter.conn);
@@ -155,7 +158,10 @@
 }
 END_TEST
 
-/* A repeated idempotency key: the second request gets the first one's fate. */
+/*
+ * With a repeated idempotency key the second request shares the fate of the
+ * first.
+ */
 START_TEST(test_follow)
 {
 	struct fate_table *t = table_new(10, 1000);
@@ -168,13 +174,13 @@
 	struct fate_answer a;
 	size_t n;
 
-	bring_to(t, &first, QUEUED);
+	advance_to(t, &first, QUEUED);
 	ck_assert_int_eq(fate_offer(t, &second, NOW_MS, &second_waiter, NOW_MS),
 	    FATE_OFFER_NEW);
 	fate_follow(t, &second, &first, NOW_MS, &a);
 	ck_assert_int_eq(a.resolution, RESOLUTION_ATTACHED);
 	ck_assert(!fate_start(t, &second, NOW_MS));
-	/* A follower who goes away doesn't cancel the first. */
+	/* A cancelled follower doesn't cancel the first request. */
 	fate_resolve(t, &q, NOW_MS, &a);
 	ck_assert_int_eq(a.resolution, RESOLUTION_ATTACHED);
 	(void)fate_waiters(t, &first, &n);
@@ -186,8 +192,8 @@
 }
 END_TEST
 
-/* A frame that outlived its tombstone or its record is too old to run. */
-START_TEST(test_forgotten_is_never_run)
+/* A frame that arrives after the removal of its record is too old to run. */
+START_TEST(test_request_without_record_is_too_old)
 {
 	struct fate_table *t = table_new(10, 1000);
 	struct request_id ids[2] = {id_of(1), id_of(2)};
@@ -198,7 +204,7 @@
 	int i;
 
 	fate_resolve(t, &q, NOW_MS, &a);
-	bring_to(t, &ids[1], DONE);
+	advance_to(t, &ids[1], DONE);
 	fate_expire(t, later);
 	ck_assert_uint_eq(fate_count(t), 0);
 	for (i = 0; i < 2; i++) {
@@ -213,14 +219,14 @@
 }
 END_TEST
 
-/* The same when a full table forgets earlier than the window. */
-START_TEST(test_full_table_raises_the_floor)
+/* The same when a full table removes a record before the end of the window. */
+START_TEST(test_full_table_rejects_older_requests)
 {
 	struct fate_table *t = table_new(3, 1000);
 	struct request_id id = id_of(0), other;
 	uint64_t i;
 
-	bring_to(t, &id, DONE);
+	advance_to(t, &id, DONE);
 	for (i = 1; i < 4; i++) {
 		other = id_of(i);
 		ck_assert_int_eq(fate_offer(t, &other, NOW_MS + i,
@@ -249,7 +255,7 @@
 	answer = g_bytes_new("0123456789012345678901234567890123456789", 40);
 	for (i = 0; i < 50; i++) {
 		id = id_of(i);
-		bring_to(t, &id, RUNNING);
+		advance_to(t, &id, RUNNING);
 		fate_done(t, &id, answer, NOW_MS);
 		ck_assert_uint_le(fate_answers_bytes(t), 250);
 	}
@@ -261,11 +267,17 @@
 }
 END_TEST
 
-/* A process that was paused reads frames late; their age must show. */
+/*
+ * A process that was paused reads frames late, and their age must include the
+ * pause.
+ */
 struct age_case {
 	const char *name;
-	/* True times: hello stamped, echo stamped, echo read, frame sent and
-	 * read.  The peer's clock is ahead by 900,000 ms. */
+	/*
+	 * Real times at which the hello was stamped, the echo stamped, the
+	 * echo read, the frame sent and the frame read.  The peer's clock is
+	 * ahead by 900,000 ms.
+	 */
 	uint64_t hello_ms, echo_ms, read_ms, sent_ms, now_ms;
 	uint64_t least_ms, most_ms;
 };
@@ -299,7 +311,7 @@
 }
 END_TEST
 
-/* Clocks that drift apart: old bounds must not make frames look younger. */
+/* With drifting clocks, old offsets must not make frames look younger. */
 START_TEST(test_frame_age_drift)
 {
 	struct frame_age f;
@@ -316,7 +328,7 @@
 }
 END_TEST
 
-/* Frames that keep echoing the hello of long ago do not age the others. */
+/* Frames that keep echoing an old hello don't make the others look older. */
 START_TEST(test_frame_age_old_echo)
 {
 	struct frame_age f;
@@ -339,10 +351,10 @@
 	tc = tcase_create("fate");
 	tcase_add_loop_test(
 	    tc, test_resolve, 0, (int)G_N_ELEMENTS(resolve_cases));
-	tcase_add_test(tc, test_answer_goes_to_who_asked_last);
+	tcase_add_test(tc, test_answer_goes_to_the_last_waiter);
 	tcase_add_test(tc, test_follow);
-	tcase_add_test(tc, test_forgotten_is_never_run);
-	tcase_add_test(tc, test_full_table_raises_the_floor);
+	tcase_add_test(tc, test_request_without_record_is_too_old);
+	tcase_add_test(tc, test_full_table_rejects_older_requests);
 	tcase_add_test(tc, test_answers_are_bounded);
 	tcase_add_loop_test(
 	    tc, test_frame_age, 0, (int)G_N_ELEMENTS(age_cases));
--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -1,5 +1,6 @@
 /*
- * Idempotency keys: what a home knows, what it must ask, and what it refuses.
+ * Idempotency keys at a home: decisions from its own records, queries of
+ * earlier homes, and refusals.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +13,7 @@
 #include "test_run.h"
 
 #define WINDOW_MS 1000
-#define NEWS_MS 200
+#define PROPAGATION_MS 200
 #define OLD_MS (10 * WINDOW_MS)
 #define SELF 1
 #define OTHER 2
@@ -23,14 +24,14 @@
 static const uint64_t three[] = {SELF, OTHER, THIRD};
 
 static struct keyed *
-keys_of(uint64_t self, bool claim, uint64_t born_ms)
+keys_new(uint64_t self, bool claim, uint64_t created_ms)
 {
-	struct keyed_config cfg = {WINDOW_MS, NEWS_MS, KEYS_MAX, claim};
+	struct keyed_config cfg = {WINDOW_MS, PROPAGATION_MS, KEYS_MAX, claim};
 
-	return keyed_new(&cfg, self, born_ms);
+	return keyed_new(&cfg, self, created_ms);
 }
 
-/* The n-th key whose home among the endpoints is the one named. */
+/* The n-th key with the given home among the endpoints. */
 static struct key_id
 key_at(uint64_t home, const uint64_t *endpoints, size_t n, int nth)
 {
@@ -66,22 +67,22 @@
 
 START_TEST(test_second_follows_first)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(SELF, both, 2, 0);
 	struct request_id first = id_of(1);
 	struct keyed_decision d;
 
-	keyed_view(k, both, 2, 0);
+	keyed_set_view(k, both, 2, 0);
 	ck_assert_int_eq(offer(k, &key, 1, OLD_MS).verdict, KEYED_RUN);
 	d = offer(k, &key, 2, OLD_MS + 900);
 	ck_assert_int_eq(d.verdict, KEYED_FOLLOW);
 	ck_assert(request_id_equal(&d.first, &first));
 	keyed_offer(k, &key, 98, &first, OLD_MS, &d);
-	ck_assert_int_eq(d.verdict, KEYED_OTHER_BODY);
-	/* The first was refused unrun: the next one may run. */
+	ck_assert_int_eq(d.verdict, KEYED_BODY_MISMATCH);
+	/* The first request was refused unrun: the next one may run. */
 	keyed_release(k, &key, &first, OLD_MS);
 	ck_assert_int_eq(offer(k, &key, 3, OLD_MS).verdict, KEYED_RUN);
-	/* A release by a request that hasn't got the key is no release. */
+	/* A release by a request that doesn't own the key has no effect. */
 	keyed_release(k, &key, &first, OLD_MS);
 	ck_assert_int_eq(offer(k, &key, 4, OLD_MS).verdict, KEYED_FOLLOW);
 	keyed_free(k);
@@ -90,12 +91,12 @@
 
 START_TEST(test_not_home_and_bounds)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct request_id id;
 	struct key_id key;
 	int i;
 
-	keyed_view(k, both, 2, 0);
+	keyed_set_view(k, both, 2, 0);
 	key = key_at(OTHER, both, 2, 0);
 	ck_assert_int_eq(offer(k, &key, 1, OLD_MS).verdict, KEYED_NOT_HOME);
 	for (i = 0; i <= KEYS_MAX; i++) {
@@ -103,7 +104,7 @@
 		ck_assert_int_eq(offer(k, &key, (uint64_t)i, OLD_MS).verdict,
 		    i < KEYS_MAX ? KEYED_RUN : KEYED_FULL);
 	}
-	/* What still runs is not forgotten, what has ended is. */
+	/* Keys of running requests are kept, keys of ended requests expire. */
 	keyed_expire(k, OLD_MS + 5 * WINDOW_MS);
 	ck_assert_uint_eq(keyed_count(k), KEYS_MAX);
 	for (i = 0; i < KEYS_MAX; i++) {
@@ -119,7 +120,7 @@
 }
 END_TEST
 
-/* The home moved here: what the earlier home's word leads to. */
+/* The home moved to this endpoint: decision by the earlier home's reply. */
 struct word_case {
 	enum keyed_word word;
 	enum keyed_verdict want;
@@ -128,59 +129,59 @@
 
 static const struct word_case word_cases[] = {
     {KEYED_WORD_FREE, KEYED_RUN, KEYED_FOLLOW},
-    {KEYED_WORD_TAKEN, KEYED_UNSETTLED, KEYED_ASK},
-    {KEYED_WORD_NONE, KEYED_UNSETTLED, KEYED_ASK},
+    {KEYED_WORD_TAKEN, KEYED_UNSETTLED, KEYED_ASK_HOME},
+    {KEYED_WORD_NONE, KEYED_UNSETTLED, KEYED_ASK_HOME},
 };
 
 START_TEST(test_home_moved)
 {
 	const struct word_case *wc = &word_cases[_i];
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(OTHER, both, 2, 0);
 	struct request_id id = id_of(1);
 	struct keyed_decision d;
 
-	keyed_view(k, both, 2, 0);
-	keyed_view(k, both, 1, OLD_MS);
+	keyed_set_view(k, both, 2, 0);
+	keyed_set_view(k, both, 1, OLD_MS);
 	d = offer(k, &key, 1, OLD_MS + 500);
-	ck_assert_int_eq(d.verdict, KEYED_ASK);
+	ck_assert_int_eq(d.verdict, KEYED_ASK_HOME);
 	ck_assert_uint_eq(d.ask, OTHER);
 	ck_assert_int_eq(offer(k, &key, 2, OLD_MS + 500).verdict, KEYED_FOLLOW);
-	keyed_asked(k, &key, &id, OTHER, wc->word, OLD_MS + 501, &d);
+	keyed_home_answered(k, &key, &id, OTHER, wc->word, OLD_MS + 501, &d);
 	ck_assert_int_eq(d.verdict, wc->want);
 	ck_assert_int_eq(offer(k, &key, 3, OLD_MS + 502).verdict, wc->next);
 	keyed_free(k);
 }
 END_TEST
 
-/* After the window nobody needs to be asked. */
+/* After the window no earlier home is queried. */
 START_TEST(test_home_moved_long_ago)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(OTHER, both, 2, 0);
 
-	keyed_view(k, both, 2, 0);
-	keyed_view(k, both, 1, OLD_MS);
+	keyed_set_view(k, both, 2, 0);
+	keyed_set_view(k, both, 1, OLD_MS);
 	ck_assert_int_eq(
-	    offer(k, &key, 1, OLD_MS + WINDOW_MS + NEWS_MS + 1).verdict,
+	    offer(k, &key, 1, OLD_MS + WINDOW_MS + PROPAGATION_MS + 1).verdict,
 	    KEYED_RUN);
 	keyed_free(k);
 }
 END_TEST
 
-/* A new process knows nothing of the time before it. */
-START_TEST(test_young_home)
+/* A new process has no records from before its start. */
+START_TEST(test_recently_started_home)
 {
-	struct keyed *k = keys_of(SELF, false, OLD_MS);
+	struct keyed *k = keys_new(SELF, false, OLD_MS);
 	struct key_id key = key_at(SELF, both, 2, 0);
 	struct keyed_decision d;
 
-	keyed_view(k, both, 1, OLD_MS);
+	keyed_set_view(k, both, 1, OLD_MS);
 	d = offer(k, &key, 1, OLD_MS + 1);
 	ck_assert_int_eq(d.verdict, KEYED_UNSETTLED);
-	keyed_view(k, both, 2, OLD_MS + 2);
+	keyed_set_view(k, both, 2, OLD_MS + 2);
 	d = offer(k, &key, 2, OLD_MS + 3);
-	ck_assert_int_eq(d.verdict, KEYED_ASK);
+	ck_assert_int_eq(d.verdict, KEYED_ASK_HOME);
 	ck_assert_uint_eq(d.ask, OTHER);
 	d = offer(k, &key, 3, OLD_MS + WINDOW_MS + 1);
 	ck_assert_int_eq(d.verdict, KEYED_FOLLOW);
@@ -188,67 +189,76 @@
 }
 END_TEST
 
-/* What an earlier home says to the endpoint that is the home now. */
-struct yield_case {
+/* Reply of an earlier home to the endpoint that is the home now. */
+struct hand_over_case {
 	const char *name;
-	uint64_t born_ms;
-	/* The view changes to {OTHER} alone this long ago; 0: never. */
+	uint64_t created_ms;
+	/* How long ago the view changes to {OTHER} alone; 0: never. */
 	uint64_t moved_ms;
 	uint64_t asker_age_ms;
 	bool ran;
 	enum keyed_word want;
 };
 
-static const struct yield_case yield_cases[] = {
-    {"never seen, asker is new", 0, 0, 100, false, KEYED_WORD_FREE},
+static const struct hand_over_case hand_over_cases[] = {
+    {"key unknown, querying process is new", 0, 0, 100, false, KEYED_WORD_FREE},
     {"ran here", 0, 0, 100, true, KEYED_WORD_TAKEN},
-    {"too young to know", OLD_MS - 500, 0, 100, false, KEYED_WORD_TAKEN},
-    {"asker was home all the time since", 0, 300, 400, false, KEYED_WORD_FREE},
-    {"asker's predecessor was home", 0, 300, 200, false, KEYED_WORD_TAKEN},
+    {"this process is younger than the window", OLD_MS - 500, 0, 100, false,
+	KEYED_WORD_TAKEN},
+    {"querying process was the home since", 0, 300, 400, false,
+	KEYED_WORD_FREE},
+    {"predecessor of the querying process was home", 0, 300, 200, false,
+	KEYED_WORD_TAKEN},
 };
 
-START_TEST(test_yield)
+START_TEST(test_hand_over)
 {
-	const struct yield_case *yc = &yield_cases[_i];
-	struct keyed *k = keys_of(SELF, false, yc->born_ms);
+	const struct hand_over_case *yc = &hand_over_cases[_i];
+	struct keyed *k = keys_new(SELF, false, yc->created_ms);
 	struct key_id key = key_at(SELF, both, 2, 0);
 	enum keyed_word word;
 
-	keyed_view(k, both, 2, yc->born_ms);
+	keyed_set_view(k, both, 2, yc->created_ms);
 	if (yc->ran)
 		(void)offer(k, &key, 1, OLD_MS - 10);
 	if (yc->moved_ms != 0)
-		keyed_view(k, &both[1], 1, OLD_MS - yc->moved_ms);
-	word = keyed_yield(k, &key, OTHER, yc->asker_age_ms, OLD_MS);
+		keyed_set_view(k, &both[1], 1, OLD_MS - yc->moved_ms);
+	word = keyed_hand_over(k, &key, OTHER, yc->asker_age_ms, OLD_MS);
 	ck_assert_msg(word == yc->want, "%s", yc->name);
 	if (word != KEYED_WORD_FREE) {
 		keyed_free(k);
 		return;
 	}
-	/* Barred: never run here without asking back; nobody else gets it. */
-	keyed_view(k, both, 2, OLD_MS + 1);
-	ck_assert_int_eq(offer(k, &key, 2, OLD_MS + 2).verdict, KEYED_ASK);
+	/*
+	 * The key is handed over: a request here requires a query of the new
+	 * owner, and no other endpoint gets the key.
+	 */
+	keyed_set_view(k, both, 2, OLD_MS + 1);
+	ck_assert_int_eq(offer(k, &key, 2, OLD_MS + 2).verdict, KEYED_ASK_HOME);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, THIRD, 100, OLD_MS + 3), KEYED_WORD_TAKEN);
+	    keyed_hand_over(k, &key, THIRD, 100, OLD_MS + 3), KEYED_WORD_TAKEN);
 	keyed_free(k);
 }
 END_TEST
 
-START_TEST(test_barred_again_for_the_same)
+START_TEST(test_hand_over_repeated)
 {
-	struct keyed *k = keys_of(SELF, false, 0);
+	struct keyed *k = keys_new(SELF, false, 0);
 	struct key_id key = key_at(SELF, three, 3, 0);
 
-	keyed_view(k, three, 3, 0);
+	keyed_set_view(k, three, 3, 0);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, OTHER, 100, OLD_MS), KEYED_WORD_FREE);
+	    keyed_hand_over(k, &key, OTHER, 100, OLD_MS), KEYED_WORD_FREE);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, OTHER, 100, OLD_MS + 1), KEYED_WORD_FREE);
+	    keyed_hand_over(k, &key, OTHER, 100, OLD_MS + 1), KEYED_WORD_FREE);
 	ck_assert_int_eq(
-	    keyed_yield(k, &key, THIRD, 100, OLD_MS + 2), KEYED_WORD_TAKEN);
-	/* A new process of the same endpoint: the old one may have run it. */
-	ck_assert_int_eq(
-	    keyed_yield(k, &key, OTHER, 100, OLD_MS + 101), KEYED_WORD_TAKEN);
+	    keyed_hand_over(k, &key, THIRD, 100, OLD_MS + 2), KEYED_WORD_TAKEN);
+	/*
+	 * A new process of the same endpoint: its predecessor may have run a
+	 * request.
+	 */
+	ck_assert_int_eq(keyed_hand_over(k, &key, OTHER, 100, OLD_MS + 101),
+	    KEYED_WORD_TAKEN);
 	keyed_free(k);
 }
 END_TEST
@@ -257,13 +267,13 @@
 {
 	static const enum keyed_word words[] = {
 	    KEYED_WORD_FREE, KEYED_WORD_TAKEN, KEYED_WORD_NONE};
-	struct keyed *k = keys_of(SELF, true, OLD_MS);
+	struct keyed *k = keys_new(SELF, true, OLD_MS);
 	struct request_id id = id_of(1), stranger = id_of(2);
 	struct keyed_decision d;
 	struct key_id key;
 	int i;
 
-	keyed_view(k, both, 2, OLD_MS);
+	keyed_set_view(k, both, 2, OLD_MS);
 	for (i = 0; i < 3; i++) {
 		key = key_at(SELF, both, 2, i);
 		ck_assert_int_eq(
@@ -292,9 +302,10 @@
 	tcase_add_loop_test(
 	    tc, test_home_moved, 0, (int)G_N_ELEMENTS(word_cases));
 	tcase_add_test(tc, test_home_moved_long_ago);
-	tcase_add_test(tc, test_young_home);
-	tcase_add_loop_test(tc, test_yield, 0, (int)G_N_ELEMENTS(yield_cases));
-	tcase_add_test(tc, test_barred_again_for_the_same);
+	tcase_add_test(tc, test_recently_started_home);
+	tcase_add_loop_test(
+	    tc, test_hand_over, 0, (int)G_N_ELEMENTS(hand_over_cases));
+	tcase_add_test(tc, test_hand_over_repeated);
 	tcase_add_test(tc, test_claim);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
--- a/packages/traffic/test/test_limits.c
+++ b/packages/traffic/test/test_limits.c
@@ -1,5 +1,5 @@
 /*
- * Retry budget, rate limits, admission and drain.
+ * Tests of the retry budget, rate limits, admission and drain.
  */
 #include <string.h>
 
@@ -16,10 +16,12 @@
 
 #define SECOND_MS 1000
 
-/* Retries granted while one call comes each millisecond for ten seconds, and
- * one in @success_one_in succeeds; 0 for none. */
+/*
+ * Number of granted retries with one call per millisecond for ten seconds, of
+ * which one in @success_one_in succeeds; 0 for none.
+ */
 static int
-granted_of(int success_one_in)
+retries_granted(int success_one_in)
 {
 	struct retry_config cfg;
 	struct retry_budget b;
@@ -44,15 +46,18 @@
 
 	retry_config_default(&cfg);
 	burst = (int)cfg.burst;
-	ck_assert_int_ge(granted_of(1), 1000);
-	ck_assert_int_le(granted_of(1), 1000 + burst);
-	/* Half is refused at random: all the more retries are wanted. */
-	ck_assert_int_ge(granted_of(2), 1000);
-	ck_assert_int_le(granted_of(2), 1000 + burst);
-	/* Hardly any succeeds: a share of successes, nothing when it's down. */
-	ck_assert_int_ge(granted_of(10), 100);
-	ck_assert_int_le(granted_of(10), 100 + burst + 2);
-	ck_assert_int_le(granted_of(0), burst + 2);
+	ck_assert_int_ge(retries_granted(1), 1000);
+	ck_assert_int_le(retries_granted(1), 1000 + burst);
+	/* Half of the calls are refused at random: retries are needed most. */
+	ck_assert_int_ge(retries_granted(2), 1000);
+	ck_assert_int_le(retries_granted(2), 1000 + burst);
+	/*
+	 * Hardly any call succeeds: a share of the successes, none when the
+	 * service is down.
+	 */
+	ck_assert_int_ge(retries_granted(10), 100);
+	ck_assert_int_le(retries_granted(10), 100 + burst + 2);
+	ck_assert_int_le(retries_granted(0), burst + 2);
 }
 END_TEST
 
@@ -105,7 +110,7 @@
 	ck_assert(rate_limit_take(r, 1, 0, 0, now, &after));
 	ck_assert(rate_limit_take(r, 2, 1, 1, now, &after));
 	ck_assert(!rate_limit_take(r, 2, 1, 1, now, &after));
-	/* A third key pushes out the one used least lately. */
+	/* A third key replaces the least recently used one. */
 	ck_assert(rate_limit_take(r, 3, 1, 1, now, &after));
 	ck_assert(!rate_limit_take(r, 2, 1, 1, now, &after));
 	rate_limit_free(r);
@@ -166,7 +171,7 @@
 }
 END_TEST
 
-START_TEST(test_refused_at_once_when_it_would_wait_too_long)
+START_TEST(test_refused_at_once_for_a_long_wait)
 {
 	struct admission *a = admission_of(1, 100);
 	uint64_t i;
@@ -176,7 +181,9 @@
 	admission_finished(a, 0, ADMISSION_LOOKUP, 50, 50);
 	for (i = 1; i < 5; i++)
 		(void)offer(a, i, ADMISSION_LOOKUP, 5000, 50);
-	/* One runs and three wait for 50 ms each; the limit is 200 ms. */
+	/*
+	 * One request runs and three wait for 50 ms each; the limit is 200 ms.
+	 */
 	ck_assert_int_eq(
 	    offer(a, 5, ADMISSION_LOOKUP, 5000, 50).verdict, ADMISSION_QUEUE);
 	ck_assert_int_eq(
@@ -189,7 +196,7 @@
 }
 END_TEST
 
-START_TEST(test_queued_expire_at_their_time)
+START_TEST(test_queued_requests_expire)
 {
 	struct admission *a = admission_of(1, 10);
 	struct admission_result r;
@@ -211,7 +218,10 @@
 }
 END_TEST
 
-/* A flood of lookups: bookings get in and keep their share of the slots. */
+/*
+ * Under an overload of lookups, bookings are accepted and keep their share of
+ * the slots.
+ */
 START_TEST(test_each_class_keeps_its_share)
 {
 	struct admission *a = admission_of(4, 8);
@@ -259,7 +269,7 @@
 }
 END_TEST
 
-START_TEST(test_shed_cuts_the_slots_and_answers_give_them_back)
+START_TEST(test_shed_reduces_slots_and_answers_restore_them)
 {
 	struct admission *a = admission_of(10, 10);
 	struct admission_result r;
@@ -306,7 +316,10 @@
 }
 END_TEST
 
-/* Work in flight when the stop begins, and when it ends; 0: never. */
+/*
+ * Requests in flight when the stop begins, and the times of their end; 0:
+ * never.
+ */
 struct drain_case {
 	const char *name;
 	bool call, request;
@@ -330,38 +343,37 @@
 	uint64_t now;
 
 	drain_init(&d);
-	ck_assert(drain_takes_call(&d) && drain_takes_request(&d));
+	ck_assert(drain_accepts_call(&d) && drain_accepts_request(&d));
 	if (dc->call)
 		drain_call_began(&d);
 	if (dc->request)
 		drain_request_began(&d);
 	drain_begin(&d, 200, SECOND_MS, 0);
-	ck_assert(!drain_takes_request(&d));
-	ck_assert(drain_takes_call(&d) && drain_closes(&d));
-	for (now = 1; now < 2 * SECOND_MS && !drain_stops(&d); now++) {
+	ck_assert(!drain_accepts_request(&d));
+	ck_assert(drain_accepts_call(&d) && drain_closes_connections(&d));
+	for (now = 1; now < 2 * SECOND_MS && !drain_is_complete(&d); now++) {
 		if (now == dc->call_ends_ms)
 			drain_call_ended(&d, now);
 		if (now == dc->request_ends_ms)
 			drain_request_ended(&d, now);
 		if (now >= drain_wake_ms(&d))
 			drain_tick(&d, now);
-		ck_assert(drain_takes_call(&d) == (now < 200));
+		ck_assert(drain_accepts_call(&d) == (now < 200));
 	}
 	ck_assert_msg(d.state == dc->at_end, "%s", dc->name);
 	ck_assert_uint_eq(now - 1, dc->ends_ms);
 }
 END_TEST
 
-/* A restart within 5,250 ms whose notice is 3,000 ms, and shorter ones. */
-/* Bookings that a stop could give up are not started. */
-START_TEST(test_drain_starts_what_can_end)
+/* Non-idempotent requests that the stop could cut off don't start. */
+START_TEST(test_drain_may_start)
 {
 	struct drain d;
 
 	drain_init(&d);
 	ck_assert(drain_may_start(&d, 60000, 0, 1000));
 	drain_announce(&d, 6500);
-	ck_assert(drain_takes_request(&d));
+	ck_assert(drain_accepts_request(&d));
 	ck_assert(drain_may_start(&d, 6300, 0, 1000));
 	ck_assert(drain_may_start(&d, 60000, 0, 5500));
 	ck_assert(!drain_may_start(&d, 60000, 0, 5501));
@@ -372,22 +384,24 @@
 }
 END_TEST
 
-/* Half a second of the grace time is left for the end of the process. */
-START_TEST(test_drain_work)
+/* Half a second of the grace time is left for the exit of the process. */
+START_TEST(test_drain_wait)
 {
-	ck_assert_uint_eq(drain_work_ms(600000, 0), 600000);
-	ck_assert_uint_eq(drain_work_ms(600000, 10000), 9500);
-	ck_assert_uint_eq(drain_work_ms(600000, 2000), 1750);
-	ck_assert_uint_eq(drain_work_ms(1000, 10000), 1000);
+	ck_assert_uint_eq(drain_wait_ms(600000, 0), 600000);
+	ck_assert_uint_eq(drain_wait_ms(600000, 10000), 9500);
+	ck_assert_uint_eq(drain_wait_ms(600000, 2000), 1750);
+	ck_assert_uint_eq(drain_wait_ms(1000, 10000), 1000);
 }
 END_TEST
 
-START_TEST(test_drain_serves_on)
+/* Stops within 5,250 ms with a notice of 3,000 ms, and shorter ones. */
+START_TEST(test_drain_accepts_until)
 {
-	ck_assert_uint_eq(drain_serves_until_ms(3000, 6250, 1000), 1000 + 1968);
-	ck_assert_uint_eq(drain_serves_until_ms(500, 6250, 1000), 1500);
-	ck_assert_uint_eq(drain_serves_until_ms(0, 6250, 1000), 1000);
-	ck_assert_uint_eq(drain_serves_until_ms(3000, 900, 1000), 1000);
+	ck_assert_uint_eq(
+	    drain_accepts_until_ms(3000, 6250, 1000), 1000 + 1968);
+	ck_assert_uint_eq(drain_accepts_until_ms(500, 6250, 1000), 1500);
+	ck_assert_uint_eq(drain_accepts_until_ms(0, 6250, 1000), 1000);
+	ck_assert_uint_eq(drain_accepts_until_ms(3000, 900, 1000), 1000);
 }
 END_TEST
 
@@ -404,15 +418,15 @@
 	tcase_add_test(tc, test_backoff);
 	tcase_add_test(tc, test_rate_limit);
 	tcase_add_test(tc, test_slots_then_queue_then_refusal);
-	tcase_add_test(tc, test_refused_at_once_when_it_would_wait_too_long);
-	tcase_add_test(tc, test_queued_expire_at_their_time);
+	tcase_add_test(tc, test_refused_at_once_for_a_long_wait);
+	tcase_add_test(tc, test_queued_requests_expire);
 	tcase_add_test(tc, test_each_class_keeps_its_share);
 	tcase_add_test(tc, test_newest_first_once_the_oldest_waits_long);
-	tcase_add_test(tc, test_shed_cuts_the_slots_and_answers_give_them_back);
+	tcase_add_test(tc, test_shed_reduces_slots_and_answers_restore_them);
 	tcase_add_test(tc, test_draining_refuses_new_and_queued);
-	tcase_add_test(tc, test_drain_starts_what_can_end);
-	tcase_add_test(tc, test_drain_work);
-	tcase_add_test(tc, test_drain_serves_on);
+	tcase_add_test(tc, test_drain_may_start);
+	tcase_add_test(tc, test_drain_wait);
+	tcase_add_test(tc, test_drain_accepts_until);
 	tcase_add_loop_test(tc, test_drain, 0, (int)G_N_ELEMENTS(drain_cases));
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
--- a/packages/traffic/test/test_placement_fleet.c
+++ b/packages/traffic/test/test_placement_fleet.c
@@ -1,6 +1,5 @@
 /*
- * Placement among many hosts: reports that are old, and a data centre that is
- * cut off.
+ * Placement among many hosts: old reports, and a partitioned data centre.
  */
 #include <check.h>
 #include <glib.h>
@@ -11,7 +10,7 @@
 
 #define SERVICE 9
 
-enum { OWN_CENTRE = 1, CUT_CENTRE, OTHER_CENTRE };
+enum { OWN_CENTRE = 1, PARTITIONED_CENTRE, OTHER_CENTRE };
 
 static struct endpoint_info
 info_in(uint64_t id, uint64_t centre)
@@ -37,13 +36,15 @@
 }
 
 /*
- * Hundreds of hosts: an entry hears of each endpoint every few seconds only.
+ * With hundreds of hosts an entry receives a report of each endpoint only
+ * every few seconds.
  *
- * The load: three of four endpoints are full, by calls of other entries.  Five
- * calls a second of this one tell of one endpoint each, so that a report is
- * four seconds old when its endpoint comes up again.  If an old report stood
- * for an idle endpoint, three of four calls would go to full ones, as by
- * chance; known room has to be used before what is not known.
+ * The load: three of four endpoints are full with calls of other entries.
+ * Five calls a second of this entry return the load of one endpoint each, so
+ * that a report is four seconds old when its endpoint is considered again.  If
+ * an old report meant an idle endpoint, three of four calls would go to full
+ * endpoints, as with a random choice; known capacity must be used before
+ * unknown capacity.
  */
 #define MANY 20
 #define FREE_OF_MANY 5
@@ -66,7 +67,7 @@
 	return e;
 }
 
-START_TEST(known_room_is_used_before_what_is_not_known)
+START_TEST(known_capacity_is_used_before_unknown)
 {
 	struct load_report full = {10, 12, 10}, room = {1, 0, 10};
 	struct endpoints *e = many_new();
@@ -94,25 +95,28 @@
 END_TEST
 
 /*
- * A data centre is cut off under load.
+ * A data centre is partitioned under load.
  *
- * The load: the own data centre is full, so twenty calls a second go to others.
- * Behind the cut the endpoints look idle, as nothing comes back that says
- * otherwise; each call sent there fails, and tells after half a second that its
- * host is silent.  Seen: one entry of 76 lost a call or more on each of 25
- * hosts during a cut of six seconds, and each of the others as well.
+ * The load: the own data centre is full, so twenty calls a second go to
+ * others. The endpoints in the partition look idle, as no load report arrives
+ * from them; each call sent there fails, and after half a second its host is
+ * known to be silent.  Without detection, one entry of 76 lost a call or more
+ * on each of 25 hosts during a partition of six seconds, and so did each of
+ * the other entries.
  */
 #define CENTRE_HOSTS 25
-#define CUT_FROM_MS 1000
-#define CUT_FOR_MS 6000
+#define PARTITION_START_MS 1000
+#define PARTITION_DURATION_MS 6000
 #define CALL_EACH_MS 50
 #define SILENT_AFTER_MS 500
 
-/* Half of the calls go there until two hosts are known to be silent, within a
- * second; then one each 2 s, to find out when the cut is over. */
-#define LOST_MOST (1000 / CALL_EACH_MS / 2 + CUT_FOR_MS / 2000)
+/*
+ * Half of the calls go there until two hosts are known to be silent, within a
+ * second; then one call every 2 s, to detect the end of the partition.
+ */
+#define LOST_MAX (1000 / CALL_EACH_MS / 2 + PARTITION_DURATION_MS / 2000)
 
-/* One local endpoint, which is full, and two data centres. */
+/* One local endpoint, which is full, and two other data centres. */
 static struct endpoints *
 fleet_new(void)
 {
@@ -125,7 +129,7 @@
 	e = endpoints_new(&ec);
 	infos[n++] = info_in(1, OWN_CENTRE);
 	for (i = 0; i < CENTRE_HOSTS; i++) {
-		infos[n++] = info_in(100 + i, CUT_CENTRE);
+		infos[n++] = info_in(100 + i, PARTITIONED_CENTRE);
 		infos[n++] = info_in(200 + i, OTHER_CENTRE);
 	}
 	endpoints_set_service(e, SERVICE, 1, infos, n, 0);
@@ -135,13 +139,13 @@
 }
 
 static bool
-is_behind_cut(uint64_t id, uint64_t now_ms)
+is_partitioned(uint64_t id, uint64_t now_ms)
 {
-	return id >= 100 && id < 200 && now_ms >= CUT_FROM_MS &&
-	    now_ms < CUT_FROM_MS + CUT_FOR_MS;
+	return id >= 100 && id < 200 && now_ms >= PARTITION_START_MS &&
+	    now_ms < PARTITION_START_MS + PARTITION_DURATION_MS;
 }
 
-START_TEST(a_cut_costs_few_calls)
+START_TEST(partition_costs_few_calls)
 {
 	uint64_t silent_ms[100 + CENTRE_HOSTS] = {0}, id, now_ms;
 	struct endpoints *e = fleet_new();
@@ -152,70 +156,80 @@
 
 	placement_config_default(&pc);
 	p = placement_new(&pc, e, NULL, (uint64_t)_i);
-	for (now_ms = 0; now_ms < CUT_FROM_MS + CUT_FOR_MS + 4000;
+	for (now_ms = 0;
+	     now_ms < PARTITION_START_MS + PARTITION_DURATION_MS + 4000;
 	     now_ms += CALL_EACH_MS) {
 		for (i = 100; i < 100 + CENTRE_HOSTS; i++) {
 			if (silent_ms[i] == 0 || now_ms < silent_ms[i])
 				continue;
-			/* Dialled again, once the cut is over it answers. */
-			(void)endpoints_doubt(
-			    e, i, is_behind_cut(i, now_ms), now_ms);
+			/*
+			 * Redialled: the host answers once the partition is
+			 * over.
+			 */
+			(void)endpoints_set_silent(
+			    e, i, is_partitioned(i, now_ms), now_ms);
 		}
 		id = place(p, now_ms);
 		endpoints_began(e, id, now_ms);
-		if (is_behind_cut(id, now_ms)) {
+		if (is_partitioned(id, now_ms)) {
 			lost++;
 			silent_ms[id] = now_ms + SILENT_AFTER_MS;
 			endpoints_ended(e, id, ENDPOINT_CANCELLED, 0, now_ms);
 			continue;
 		}
 		endpoints_ended(e, id, ENDPOINT_OK, 1000, now_ms);
-		back += id < 200 && now_ms >= CUT_FROM_MS + CUT_FOR_MS;
+		back += id < 200 &&
+		    now_ms >= PARTITION_START_MS + PARTITION_DURATION_MS;
 	}
-	ck_assert_msg(lost <= LOST_MOST, "%u calls were lost", lost);
-	ck_assert_msg(back > 0, "it is not called after the cut");
+	ck_assert_msg(lost <= LOST_MAX, "%u calls were lost", lost);
+	ck_assert_msg(back > 0, "no call after the end of the partition");
 	placement_free(p);
 	endpoints_free(e);
 }
 END_TEST
 
-/* Two hosts that end by themselves while others there answer are no cut. */
-START_TEST(two_silent_hosts_among_others_that_answer_are_no_cut)
+/*
+ * Two hosts that fail independently while others there answer are no
+ * partition.
+ */
+START_TEST(silent_hosts_among_answering_ones_are_no_partition)
 {
 	struct endpoints *e = fleet_new();
 
-	ck_assert(!endpoints_doubt(e, 100, true, 1000));
+	ck_assert(!endpoints_set_silent(e, 100, true, 1000));
 	endpoints_began(e, 102, 1100);
 	endpoints_ended(e, 102, ENDPOINT_REFUSED, 0, 1100);
-	ck_assert(!endpoints_doubt(e, 101, true, 1200));
-	ck_assert_msg(endpoints_doubt(e, 103, true, 1300),
-	    "nothing was heard between these two");
+	ck_assert(!endpoints_set_silent(e, 101, true, 1200));
+	ck_assert_msg(endpoints_set_silent(e, 103, true, 1300),
+	    "nothing was received between these two");
 	endpoints_free(e);
 }
 END_TEST
 
-/* One host is no data centre, and neither are two that end at other times. */
-START_TEST(one_silent_host_is_no_cut)
+/*
+ * One host is no partition, and neither are two that fail at different times.
+ */
+START_TEST(one_silent_host_is_no_partition)
 {
 	struct endpoints *e = fleet_new();
 
-	ck_assert(!endpoints_doubt(e, 100, true, 1000));
-	ck_assert(!endpoints_doubt(e, 100, false, 1500));
-	ck_assert(!endpoints_doubt(e, 100, true, 2000));
-	ck_assert(!endpoints_doubt(e, 101, true, 9000));
-	/* The own data centre has nowhere to be left for. */
-	ck_assert(!endpoints_doubt(e, 1, true, 9100));
+	ck_assert(!endpoints_set_silent(e, 100, true, 1000));
+	ck_assert(!endpoints_set_silent(e, 100, false, 1500));
+	ck_assert(!endpoints_set_silent(e, 100, true, 2000));
+	ck_assert(!endpoints_set_silent(e, 101, true, 9000));
+	/* The own data centre is never considered partitioned. */
+	ck_assert(!endpoints_set_silent(e, 1, true, 9100));
 	endpoints_free(e);
 }
 END_TEST
 
 /*
- * A large fleet: each entry shares many endpoints with many other entries.
+ * In a large fleet each entry shares many endpoints with many other entries.
  *
  * The load: 34 endpoints of six slots, a third of them 2.5 times slower; an
- * entry sends eleven calls a second, so each endpoint answers it once in three
- * seconds.  An entry that waits for many answers before it compares sends the
- * slow ones the share of the quick ones for as long as anybody waits.
+ * entry sends eleven calls a second, so each endpoint responds to it once in
+ * three seconds.  An entry that needs many responses before it compares times
+ * sends the slow endpoints as many calls as the fast ones until then.
  */
 #define SPARSE 34
 #define SPARSE_SLOW 11
@@ -231,7 +245,7 @@
 	return id <= SPARSE_SLOW ? SLOW_US : QUICK_US;
 }
 
-START_TEST(slow_endpoints_are_known_after_a_few_answers)
+START_TEST(slow_endpoints_are_detected_after_few_responses)
 {
 	struct endpoint_info infos[SPARSE];
 	uint32_t i, slow = 0, all = 0;
@@ -264,9 +278,9 @@
 		all++;
 		slow += id <= SPARSE_SLOW;
 	}
-	/* Of two choices both are slow in one of ten. */
-	ck_assert_msg(
-	    slow * 5 <= all, "%u of %u calls went to slow ones", slow, all);
+	/* Both of two random choices are slow in one of ten cases. */
+	ck_assert_msg(slow * 5 <= all, "%u of %u calls went to slow endpoints",
+	    slow, all);
 	placement_free(p);
 	ejection_free(j);
 	endpoints_free(e);
@@ -279,13 +293,11 @@
 	Suite *suite = suite_create("placement_fleet");
 	TCase *tc = tcase_create("placement");
 
-	tcase_add_loop_test(
-	    tc, known_room_is_used_before_what_is_not_known, 0, 10);
-	tcase_add_loop_test(tc, a_cut_costs_few_calls, 0, 10);
-	tcase_add_test(
-	    tc, two_silent_hosts_among_others_that_answer_are_no_cut);
-	tcase_add_test(tc, one_silent_host_is_no_cut);
-	tcase_add_test(tc, slow_endpoints_are_known_after_a_few_answers);
+	tcase_add_loop_test(tc, known_capacity_is_used_before_unknown, 0, 10);
+	tcase_add_loop_test(tc, partition_costs_few_calls, 0, 10);
+	tcase_add_test(tc, silent_hosts_among_answering_ones_are_no_partition);
+	tcase_add_test(tc, one_silent_host_is_no_partition);
+	tcase_add_test(tc, slow_endpoints_are_detected_after_few_responses);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_spread_load.c
+++ b/packages/traffic/test/test_spread_load.c
@@ -1,8 +1,8 @@
 /*
- * Tests of calls that a guard refuses for load, in a service of which some
- * endpoints are full: all, most, some or one.  Where others have room a call
- * finds it, at no cost of the retry budget; where none has, a call is refused
- * after hardly more than one try.
+ * Tests of calls that a guard refuses for load, in a service of which all,
+ * most, some or one of the endpoints are full.  If other endpoints have
+ * capacity, the call is served without a charge to the retry budget; if none
+ * has, the call is refused after few retries.
  */
 #include <check.h>
 
@@ -17,7 +17,7 @@
 #define STEP_MS 5
 #define DEADLINE_MS 500
 
-/* A budget like that of one of 91 entries: next to nothing is saved up. */
+/* A budget as of one of 91 entries: hardly any tokens are saved. */
 static void
 make_budget(struct retry_budget *b)
 {
@@ -30,7 +30,10 @@
 	retry_budget_init(b, &cfg, 0);
 }
 
-/* An endpoint that was not tried; those numbered below @full have no room. */
+/*
+ * Pick a random endpoint that was not tried; those numbered below @full are
+ * full.
+ */
 static uint64_t
 pick(struct call *c, GRand *r)
 {
@@ -47,7 +50,7 @@
 	return endpoint;
 }
 
-/* Return: whether it was answered; its tries are added to @tries. */
+/* Return: whether the call was answered; its attempts are added to @tries. */
 static bool
 run(struct retry_budget *b, GRand *r, uint64_t now_ms, uint32_t full,
     uint32_t *tries)
@@ -60,7 +63,7 @@
 	bool answered = false;
 
 	call_start(c, now_ms);
-	while (!call_over(c)) {
+	while (!call_is_finished(c)) {
 		while (call_next(c, &a)) {
 			if (a.kind == CALL_PLACE)
 				call_placed(c, pick(c, r), now_ms);
@@ -76,7 +79,7 @@
 				    c, a.stream, REFUSAL_WAIT, 50, now_ms);
 			}
 		}
-		if (!call_over(c))
+		if (!call_is_finished(c))
 			call_tick(c, call_wake_ms(c));
 	}
 	call_free(c);
@@ -84,7 +87,7 @@
 }
 
 static void
-play(uint32_t full, double *answered, double *tries)
+simulate(uint32_t full, double *answered, double *tries)
 {
 	GRand *r = g_rand_new_with_seed(SEED);
 	uint32_t i, n = 0, sent = 0;
@@ -99,46 +102,46 @@
 }
 
 /* A few endpoints are slower than others and full, as 5 of 34 were. */
-START_TEST(a_call_finds_room_where_others_have_it)
+START_TEST(call_is_served_if_a_few_are_full)
 {
 	double answered, tries;
 
-	play(5, &answered, &tries);
+	simulate(5, &answered, &tries);
 	ck_assert_msg(answered >= 0.995, "%f answered", answered);
 	ck_assert_msg(tries <= 1.25, "%f tries", tries);
 }
 END_TEST
 
-START_TEST(a_call_finds_room_where_a_third_has_none)
+START_TEST(call_is_served_if_a_third_is_full)
 {
 	double answered, tries;
 
-	play(ENDPOINTS / 3, &answered, &tries);
+	simulate(ENDPOINTS / 3, &answered, &tries);
 	ck_assert_msg(answered >= 0.96, "%f answered", answered);
 }
 END_TEST
 
-/* The budget alone allows one retry in ten calls. */
-START_TEST(a_full_service_is_hardly_asked_twice)
+/* The budget allows one retry in ten calls. */
+START_TEST(full_service_gets_few_retries)
 {
 	double answered, tries;
 
-	play(ENDPOINTS, &answered, &tries);
+	simulate(ENDPOINTS, &answered, &tries);
 	ck_assert_msg(tries <= 1.2, "%f tries", tries);
 }
 END_TEST
 
-START_TEST(an_almost_full_service_is_hardly_asked_twice)
+START_TEST(almost_full_service_gets_few_retries)
 {
 	double answered, tries;
 
-	play(ENDPOINTS - 3, &answered, &tries);
+	simulate(ENDPOINTS - 3, &answered, &tries);
 	ck_assert_msg(tries <= 1.3, "%f tries", tries);
 }
 END_TEST
 
-/* A service that was full and has room again is found out. */
-START_TEST(room_that_comes_back_is_found)
+/* The capacity of a service that was full is detected when it is free again. */
+START_TEST(freed_capacity_is_detected)
 {
 	GRand *r = g_rand_new_with_seed(SEED);
 	uint32_t i, n = 0, sent = 0;
@@ -160,11 +163,11 @@
 	Suite *s = suite_create("spread_load");
 	TCase *tc = tcase_create("spread_load");
 
-	tcase_add_test(tc, a_call_finds_room_where_others_have_it);
-	tcase_add_test(tc, a_call_finds_room_where_a_third_has_none);
-	tcase_add_test(tc, a_full_service_is_hardly_asked_twice);
-	tcase_add_test(tc, an_almost_full_service_is_hardly_asked_twice);
-	tcase_add_test(tc, room_that_comes_back_is_found);
+	tcase_add_test(tc, call_is_served_if_a_few_are_full);
+	tcase_add_test(tc, call_is_served_if_a_third_is_full);
+	tcase_add_test(tc, full_service_gets_few_retries);
+	tcase_add_test(tc, almost_full_service_gets_few_retries);
+	tcase_add_test(tc, freed_capacity_is_detected);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
