--- a/packages/node/include/node/control.h
+++ b/packages/node/include/node/control.h
@@ -40,41 +40,42 @@
     struct guard *g, uint64_t incarnation, uint64_t seed, struct control **out);
 
 /**
- * struct upstream_beat - what an upstream says of itself in a heartbeat
+ * struct upstream_heartbeat - what an upstream says of itself in a heartbeat
  * @service: service that it is an endpoint of
  * @version: version of its software, empty when it didn't say
  * @address: where it listens, on this host
  * @slots: requests that it runs at once
  * @state: ready or draining
- * @born_ms: when the run started, by its clock; 0 when it doesn't say
+ * @started_ms: when the run started, by its clock; 0 when it doesn't say
  * @seq: rises with each heartbeat of a run
  * @cold_ms: how much longer it is slow after its start
  */
-struct upstream_beat {
+struct upstream_heartbeat {
 	char service[SERVICE_NAME_BYTES];
 	char version[MEMBER_NAME_BYTES];
 	struct net_addr address;
 	uint16_t slots;
 	enum endpoint_state state;
-	uint64_t born_ms;
+	uint64_t started_ms;
 	uint64_t seq;
 	uint32_t cold_ms;
 };
 
 /**
- * control_use() - take configurations and peers from an adapter's platform
+ * control_set_platform() - take configurations and peers from an adapter's
+ * platform
  * @c: the control, before it is started
  * @feed: where configurations come from; must outlive the thread
  * @directory: where nodes find one another; must outlive the thread
  * @keep: what outlives all nodes; must outlive the thread
  * @rollouts: orders of services and their outcome; must outlive the thread
  */
-void
-control_use(struct control *c, struct feed *feed, struct directory *directory,
-    struct keep *keep, struct rollout_store *rollouts);
+void control_set_platform(struct control *c, struct feed *feed,
+    struct directory *directory, struct keep *keep,
+    struct rollout_store *rollouts);
 
 /**
- * control_beat() - a heartbeat of the upstream on this host
+ * control_heartbeat() - a heartbeat of the upstream on this host
  * @c: the control
  * @instance: name of the run that sent it
  * @b: what it says
@@ -85,20 +86,20 @@
  * Return: STATUS_OK, also for one that is late and changes nothing;
  * STATUS_INVALID.
  */
-enum status control_beat(
-    struct control *c, const char *instance, const struct upstream_beat *b);
+enum status control_heartbeat(struct control *c, const char *instance,
+    const struct upstream_heartbeat *b);
 
 /**
  * control_upstream_left() - a run of the upstream said that it leaves
  * @c: the control
  * @instance: name of the run
- * @born_ms: when it started; 0 when it doesn't say
+ * @started_ms: when it started; 0 when it doesn't say
  */
 void control_upstream_left(
-    struct control *c, const char *instance, uint64_t born_ms);
+    struct control *c, const char *instance, uint64_t started_ms);
 
-/** control_takes_callers() - whether callers may be led here; any thread */
-int control_takes_callers(const struct control *c);
+/** control_accepts_callers() - whether callers may be led here; any thread */
+int control_accepts_callers(const struct control *c);
 
 /** control_start() - start the thread; Return: STATUS_OK or STATUS_IO */
 enum status control_start(struct control *c);
--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -429,8 +429,9 @@
 }
 
 void
-control_use(struct control *c, struct feed *feed, struct directory *directory,
-    struct keep *keep, struct rollout_store *rollouts)
+control_set_platform(struct control *c, struct feed *feed,
+    struct directory *directory, struct keep *keep,
+    struct rollout_store *rollouts)
 {
 	control_rollout_use(c, rollouts);
 	control_feed_use(c, feed);
@@ -533,7 +534,7 @@
 }
 
 int
-control_takes_callers(const struct control *c)
+control_accepts_callers(const struct control *c)
 {
 	return control_ready(c) && !atomic_load(&c->leaving);
 }
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -13,7 +13,7 @@
  * heartbeat is more likely somebody else's.
  */
 static int
-may_be_new(const struct control *c, const struct upstream_beat *b)
+may_be_new(const struct control *c, const struct upstream_heartbeat *b)
 {
 	const struct member *own = membership_self(c->membership);
 	uint32_t i;
@@ -30,9 +30,9 @@
  * acknowledged once a newer version has its service no longer. */
 static int
 is_known(const struct control *c, const char *instance,
-    const struct upstream_beat *b)
+    const struct upstream_heartbeat *b)
 {
-	return instances_is_latest(&c->instances, instance, b->born_ms) &&
+	return instances_is_latest(&c->instances, instance, b->started_ms) &&
 	    b->address.port == c->instance_port &&
 	    strcmp(b->service, c->instance_service) == 0;
 }
@@ -41,7 +41,7 @@
  * must not take the place of the one that is here. */
 static enum status
 check(const struct control *c, const char *instance,
-    const struct upstream_beat *b)
+    const struct upstream_heartbeat *b)
 {
 	if (b->address.ip != c->settings->address)
 		return status_set(STATUS_INVALID,
@@ -59,28 +59,28 @@
 }
 
 enum status
-control_beat(
-    struct control *c, const char *instance, const struct upstream_beat *b)
+control_heartbeat(
+    struct control *c, const char *instance, const struct upstream_heartbeat *b)
 {
 	int fresh = strcmp(instances_current(&c->instances), instance) != 0;
-	uint64_t born_ms = instances_current_born_ms(&c->instances);
+	uint64_t started_ms = instances_current_born_ms(&c->instances);
 	enum status st = check(c, instance, b);
 
 	if (st != STATUS_OK)
 		return st;
-	if (instances_heard(&c->instances, instance, b->born_ms, b->seq) !=
+	if (instances_heard(&c->instances, instance, b->started_ms, b->seq) !=
 	    INSTANCE_CURRENT) {
 		log_info("heartbeat %" G_GUINT64_FORMAT
 			 " of %s, started %" G_GUINT64_FORMAT
 			 ", is late, nothing changes",
-		    b->seq, instance, b->born_ms);
+		    b->seq, instance, b->started_ms);
 		return STATUS_OK;
 	}
-	fresh |= instances_current_born_ms(&c->instances) != born_ms;
+	fresh |= instances_current_born_ms(&c->instances) != started_ms;
 	if (fresh) {
 		log_info("%s of %s, started %" G_GUINT64_FORMAT
 			 ", at port %u is the upstream here, %u slots",
-		    instance, b->service, b->born_ms, b->address.port,
+		    instance, b->service, b->started_ms, b->address.port,
 		    b->slots);
 		c->dirty = 1;
 	}
@@ -94,16 +94,17 @@
 }
 
 void
-control_upstream_left(struct control *c, const char *instance, uint64_t born_ms)
+control_upstream_left(
+    struct control *c, const char *instance, uint64_t started_ms)
 {
 	const struct member *own = membership_self(c->membership);
 	char service[MEMBER_NAME_BYTES] = "";
 	uint32_t i;
 
-	if (!instances_left(&c->instances, instance, born_ms)) {
+	if (!instances_left(&c->instances, instance, started_ms)) {
 		log_info("end of %s, started %" G_GUINT64_FORMAT
 			 ", is late, nothing changes",
-		    instance, born_ms);
+		    instance, started_ms);
 		return;
 	}
 	for (i = 0; i < own->n_endpoints; i++)
