--- a/packages/node/include/node/adapter.h
+++ b/packages/node/include/node/adapter.h
@@ -24,7 +24,7 @@
 	const struct call_dialect *dialect;
 	enum status (*start)(const struct settings *s, struct control *c,
 	    uint64_t seed, void **out);
-	void (*free)(void *adapted);
+	void (*free)(void *data);
 };
 
 #endif
--- a/packages/node/include/node/control.h
+++ b/packages/node/include/node/control.h
@@ -119,10 +119,10 @@
 uint64_t control_version(const struct control *c);
 
 /**
- * control_turn_away() - callers are to go elsewhere; any thread
+ * control_stop_accepting() - callers are to go elsewhere; any thread
  * @c: the control
  */
-void control_turn_away(struct control *c);
+void control_stop_accepting(struct control *c);
 
 /**
  * control_leave() - tell peers that this node stops; any thread
@@ -165,13 +165,13 @@
 control_withdraw(struct control *c, const char *service, uint16_t port);
 
 /**
- * control_operate() - run an operation on the platform's rows
+ * control_run_operation() - run an operation on the platform's rows
  *
  * Parameters and result as operation_start(); what it writes is also put on
  * its way to the peers at once.
  */
 enum status
-control_operate(struct control *c, const struct signoff_request *req,
+control_run_operation(struct control *c, const struct signoff_request *req,
     struct bundle *bundle, operation_fn *fn, void *arg);
 
 /** control_store() - the platform */
@@ -201,8 +201,8 @@
  * the array */
 json_t *control_rollouts_json(struct control *c);
 
-/** control_ask_progress() - ask the data centres how far the roll is */
-void control_ask_progress(struct control *c);
+/** control_request_progress() - ask the data centres how far the roll is */
+void control_request_progress(struct control *c);
 
 /**
  * control_progress_json() - how far a version has come
--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -109,13 +109,13 @@
 }
 
 struct admin_call *
-admin_call_hold(struct admin_call *call)
+admin_call_ref(struct admin_call *call)
 {
 	return g_atomic_rc_box_acquire(call);
 }
 
 void
-admin_call_release(struct admin_call *call)
+admin_call_unref(struct admin_call *call)
 {
 	g_atomic_rc_box_release_full(call, admin_call_free);
 }
@@ -189,7 +189,7 @@
 admin_dispatch(void *arg)
 {
 	admin_route(arg);
-	admin_call_release(arg);
+	admin_call_unref(arg);
 }
 
 static void
@@ -248,12 +248,12 @@
 static void
 admin_wait(struct admin_call *call)
 {
-	gint64 until = g_get_monotonic_time() +
+	gint64 deadline_us = g_get_monotonic_time() +
 	    (ADMIN_OPERATION_MS + ADMIN_GRACE_MS) * G_TIME_SPAN_MILLISECOND;
 
 	g_mutex_lock(&call->lock);
 	while (!call->answered &&
-	    g_cond_wait_until(&call->done, &call->lock, until))
+	    g_cond_wait_until(&call->done, &call->lock, deadline_us))
 		continue;
 	g_mutex_unlock(&call->lock);
 }
@@ -314,17 +314,17 @@
 		admin_send_error(conn, STATUS_TOO_LARGE,
 		    "The body is larger than 8 MiB.",
 		    "Split the bundle or shorten it.");
-		admin_call_release(call);
+		admin_call_unref(call);
 		return;
 	}
-	admin_prepare(call);
+	admin_parse_bundle(call);
 	if (!call->answered) {
 		loop_post(control_loop(a->control), admin_dispatch,
-		    admin_call_hold(call));
+		    admin_call_ref(call));
 		admin_wait(call);
 	}
 	admin_reply(conn, call);
-	admin_call_release(call);
+	admin_call_unref(call);
 }
 
 static void
--- a/packages/node/src/admin_bundles.c
+++ b/packages/node/src/admin_bundles.c
@@ -38,7 +38,7 @@
 }
 
 void
-admin_prepare(struct admin_call *call)
+admin_parse_bundle(struct admin_call *call)
 {
 	enum status st;
 
--- a/packages/node/src/admin_priv.h
+++ b/packages/node/src/admin_priv.h
@@ -70,14 +70,14 @@
 };
 
 /**
- * admin_call_hold() - keep a request for an answer given later
+ * admin_call_ref() - keep a request for an answer given later
  *
- * Return: @call, to be given back with admin_call_release().
+ * Return: @call, to be given back with admin_call_unref().
  */
-struct admin_call *admin_call_hold(struct admin_call *call);
+struct admin_call *admin_call_ref(struct admin_call *call);
 
-/** admin_call_release() - give a request back */
-void admin_call_release(struct admin_call *call);
+/** admin_call_unref() - give a request back */
+void admin_call_unref(struct admin_call *call);
 
 /** admin_call_answer() - give the answer, once; @reply is taken over */
 void admin_call_answer(struct admin_call *call, int code, json_t *reply);
@@ -113,10 +113,10 @@
 int admin_error_code(enum status st);
 
 /**
- * admin_prepare() - parse the bundle in a request's body, in the worker
+ * admin_parse_bundle() - parse the bundle in a request's body, in the worker
  * @call: the request; answered with all problems when its bundle is bad
  */
-void admin_prepare(struct admin_call *call);
+void admin_parse_bundle(struct admin_call *call);
 
 /** admin_status() - GET /v1/status; likewise */
 void admin_status(struct admin_call *call);
--- a/packages/node/src/admin_quarantine.c
+++ b/packages/node/src/admin_quarantine.c
@@ -9,7 +9,7 @@
 #define QUARANTINE_PATH "quarantine"
 
 static void
-list(struct admin_call *call)
+list_requests(struct admin_call *call)
 {
 	json_t *requests = control_quarantine_json(call->admin->control);
 
@@ -17,7 +17,7 @@
 }
 
 static void
-release(struct admin_call *call, const char *name)
+release_request(struct admin_call *call, const char *name)
 {
 	struct fingerprint f;
 	enum status st;
@@ -43,9 +43,9 @@
 	const char *rest = call->path + strlen(QUARANTINE_PATH);
 
 	if (*rest == '\0' && strcmp(call->method, "GET") == 0)
-		list(call);
+		list_requests(call);
 	else if (*rest == '/' && strcmp(call->method, "DELETE") == 0)
-		release(call, rest + 1);
+		release_request(call, rest + 1);
 	else
 		admin_call_fail(call, STATUS_INVALID,
 		    "The list takes GET, a request in it DELETE.",
--- a/packages/node/src/admin_status.c
+++ b/packages/node/src/admin_status.c
@@ -14,7 +14,7 @@
 };
 
 static void
-status_on_time(void *arg)
+status_on_timer(void *arg)
 {
 	struct status_call *sc = arg;
 	struct control *c = sc->call->admin->control;
@@ -23,7 +23,7 @@
 	json_object_set_new(
 	    reply, "fleet", control_progress_json(c, control_version(c)));
 	admin_call_answer(sc->call, 200, reply);
-	admin_call_release(sc->call);
+	admin_call_unref(sc->call);
 	g_free(sc);
 }
 
@@ -34,10 +34,10 @@
 	struct control *c = call->admin->control;
 	struct loop *loop = control_loop(c);
 
-	sc->call = admin_call_hold(call);
-	loop_timer_init(&sc->timer, loop, status_on_time, sc);
+	sc->call = admin_call_ref(call);
+	loop_timer_init(&sc->timer, loop, status_on_timer, sc);
 	loop_timer_set(&sc->timer, loop_now_ms(loop) + ADMIN_PROGRESS_MS);
-	control_ask_progress(c);
+	control_request_progress(c);
 }
 
 void
--- a/packages/node/src/admin_upstreams.c
+++ b/packages/node/src/admin_upstreams.c
@@ -10,7 +10,7 @@
 #include "proto/settings.h"
 
 #define PORT_MAX 65535
-#define LEASE_LEAST_MS 100
+#define LEASE_MIN_MS 100
 #define LOOPBACK "127.0.0.1"
 
 /* What an announcement says. */
@@ -49,9 +49,9 @@
 static enum status
 announcement_parse(const struct admin_call *call, struct announcement *out)
 {
-	uint32_t longest = call->admin->settings->announce_lease_ms;
+	uint32_t lease_max_ms = call->admin->settings->announce_lease_ms;
 	const char *state = "ready";
-	json_int_t lease = longest;
+	json_int_t lease = lease_max_ms;
 	json_int_t port = 0, slots = 0;
 	json_error_t err;
 	json_t *o;
@@ -75,14 +75,14 @@
 		return status_set(
 		    STATUS_INVALID, "The announcement is wrong: %s.", err.text);
 	if (port < 1 || port > PORT_MAX || slots < 1 ||
-	    slots > SERVICE_SLOTS_MAX || lease < LEASE_LEAST_MS)
+	    slots > SERVICE_SLOTS_MAX || lease < LEASE_MIN_MS)
 		return status_set(STATUS_INVALID,
 		    "port and slots must be 1 to 65535 and lease_ms at least "
 		    "%d.",
-		    LEASE_LEAST_MS);
+		    LEASE_MIN_MS);
 	out->port = (uint16_t)port;
 	out->slots = (uint16_t)slots;
-	out->lease_ms = (uint32_t)MIN(lease, longest);
+	out->lease_ms = (uint32_t)MIN(lease, lease_max_ms);
 	return STATUS_OK;
 }
 
--- a/packages/node/src/admin_versions.c
+++ b/packages/node/src/admin_versions.c
@@ -12,7 +12,7 @@
 
 #define HISTORY_DEFAULT 20
 #define NUMBER_BYTES 24
-#define SEED_MIX UINT64_C(0x9e3779b97f4a7c15)
+#define SEED_MULTIPLIER UINT64_C(0x9e3779b97f4a7c15)
 
 /* A request for one version: its row, and a pause for the progress. */
 struct version_call {
@@ -22,7 +22,7 @@
 	json_t *row;
 	enum status st;
 	int row_done;
-	int time_done;
+	int timer_done;
 };
 
 static uint64_t
@@ -71,7 +71,7 @@
 		admin_call_answer(
 		    call, 200, json_pack("{s:o}", "versions", list));
 	}
-	admin_call_release(call);
+	admin_call_unref(call);
 }
 
 static uint64_t
@@ -111,7 +111,7 @@
 {
 	store_read_head(control_store(call->admin->control),
 	    admin_now(call) + SIGNOFF_STEP_MS, history_on_head,
-	    admin_call_hold(call));
+	    admin_call_ref(call));
 }
 
 /* One version with its progress. */
@@ -122,7 +122,7 @@
 	struct control *c = vc->call->admin->control;
 	json_t *reply, *row;
 
-	if (!vc->row_done || !vc->time_done)
+	if (!vc->row_done || !vc->timer_done)
 		return;
 	if (vc->st == STATUS_NOT_FOUND) {
 		admin_call_fail(vc->call, STATUS_NOT_FOUND,
@@ -136,7 +136,7 @@
 		admin_call_answer(vc->call, 200, reply);
 	}
 	json_decref(vc->row);
-	admin_call_release(vc->call);
+	admin_call_unref(vc->call);
 	g_free(vc);
 }
 
@@ -155,11 +155,11 @@
 }
 
 static void
-version_on_time(void *arg)
+version_on_timer(void *arg)
 {
 	struct version_call *vc = arg;
 
-	vc->time_done = 1;
+	vc->timer_done = 1;
 	version_finish(vc);
 }
 
@@ -169,11 +169,11 @@
 	struct version_call *vc = g_new0(struct version_call, 1);
 	struct control *c = call->admin->control;
 
-	vc->call = admin_call_hold(call);
+	vc->call = admin_call_ref(call);
 	vc->version = version;
-	loop_timer_init(&vc->timer, control_loop(c), version_on_time, vc);
+	loop_timer_init(&vc->timer, control_loop(c), version_on_timer, vc);
 	loop_timer_set(&vc->timer, admin_now(call) + ADMIN_PROGRESS_MS);
-	control_ask_progress(c);
+	control_request_progress(c);
 	store_read_versions(control_store(c), version, version,
 	    admin_now(call) + SIGNOFF_STEP_MS, version_on_row, vc);
 }
@@ -266,7 +266,7 @@
 		admin_call_answer(oc->call, oc->code, outcome_json(o, oc->op));
 	else
 		answer_failure(oc->call, o, st, oc->op);
-	admin_call_release(oc->call);
+	admin_call_unref(oc->call);
 	g_free(oc);
 }
 
@@ -300,7 +300,7 @@
 	req->after_seq = strtoull(text, NULL, 10);
 	req->wall_ms = clock_wall_ms();
 	req->deadline_ms = call->deadline_ms;
-	req->seed = (uint32_t)((clock_now_us() * SEED_MIX) >> 32);
+	req->seed = (uint32_t)((clock_now_us() * SEED_MULTIPLIER) >> 32);
 }
 
 static void
@@ -310,17 +310,17 @@
 	struct bundle *b = call->bundle;
 	enum status st;
 
-	oc->call = admin_call_hold(call);
+	oc->call = admin_call_ref(call);
 	oc->code = code;
 	(void)g_strlcpy(oc->op, req->op, sizeof(oc->op));
 	call->bundle = NULL;
-	st =
-	    control_operate(call->admin->control, req, b, operation_on_end, oc);
+	st = control_run_operation(
+	    call->admin->control, req, b, operation_on_end, oc);
 	if (st == STATUS_OK)
 		return;
 	admin_call_fail(call, st, status_message(),
 	    "Correct the request; see docs/API.md.", 0);
-	admin_call_release(oc->call);
+	admin_call_unref(oc->call);
 	g_free(oc);
 }
 
@@ -339,7 +339,7 @@
 }
 
 static void
-versions_act(struct admin_call *call, uint64_t version, const char *verb)
+versions_action(struct admin_call *call, uint64_t version, const char *verb)
 {
 	struct signoff_request req;
 
@@ -384,7 +384,7 @@
 		    "A version is a number from 1 up.",
 		    "List the versions with GET /v1/versions.", 0);
 	else if (post)
-		versions_act(call, version, end);
+		versions_action(call, version, end);
 	else
 		versions_one(call, version);
 }
--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -41,7 +41,7 @@
 
 /* Tells the guard which endpoints this host has, with their limits. */
 static void
-control_tell_guard(struct control *c)
+control_update_guard(struct control *c)
 {
 	const struct member *self = membership_self(c->membership);
 	struct guard_endpoint list[MEMBER_ENDPOINTS_MAX];
@@ -65,7 +65,7 @@
 			    instances_current(&c->instances),
 			    sizeof(list[n].instance));
 		list[n].limits = service->limits;
-		control_rollout_own(c, e, &list[n]);
+		control_rollout_set_own_state(c, e, &list[n]);
 		n++;
 	}
 	guard_set_endpoints(c->guard, list, n);
@@ -93,7 +93,7 @@
 		next = snapshot_compile(c->catalog, c->endpoints);
 	if (next != NULL) {
 		next->n_nodes = membership_live(c->membership);
-		control_rollout_versions(c, next);
+		control_rollout_set_versions(c, next);
 		(void)snapshot_ref(next);
 	}
 	snapshot_unref(c->snapshot);
@@ -102,15 +102,15 @@
 	metric_add(&publish_count, 1);
 	metric_set(&ready_gauge, ready);
 	atomic_store(&c->ready, ready);
-	control_version_in_force(
+	control_version_set_in_force(
 	    c, next != NULL ? next->version : 0, clock_now_us() - begun_us);
 	entry_snapshot_changed(c->entry);
-	control_tell_guard(c);
+	control_update_guard(c);
 }
 
 /* Copies a member's endpoints into the set that snapshots are made from. */
 static void
-control_take_member(struct control *c, const char *host)
+control_update_endpoints(struct control *c, const char *host)
 {
 	const struct member *m = membership_find(c->membership, host);
 	struct endpoint list[MEMBER_ENDPOINTS_MAX];
@@ -146,7 +146,7 @@
 }
 
 static void
-control_heard(struct control *c, const struct membership_action *a)
+control_on_gossip_head(struct control *c, const struct membership_action *a)
 {
 	struct rec_head head = {
 	    .seq = a->head.seq,
@@ -164,15 +164,15 @@
 {
 	switch (a->kind) {
 	case MEMBERSHIP_CHANGED:
-		control_take_member(c, a->host);
+		control_update_endpoints(c, a->host);
 		metric_set(&members_gauge, membership_live(c->membership));
 		break;
 	case MEMBERSHIP_HEARD:
-		control_heard(c, a);
+		control_on_gossip_head(c, a);
 		break;
 	case MEMBERSHIP_PHASE:
 		log_info("Membership is %s.", membership_phase_name(a->phase));
-		atomic_store(&c->left, a->phase == MEMBERSHIP_LEFT);
+		atomic_store(&c->leave_sent, a->phase == MEMBERSHIP_LEFT);
 		c->dirty = 1;
 		break;
 	case MEMBERSHIP_WARNING:
@@ -182,7 +182,7 @@
 }
 
 static void
-control_applied(struct control *c, const struct spread_action *a)
+control_log_held(struct control *c, const struct spread_action *a)
 {
 	if (!control_may_serve(c))
 		log_info(
@@ -195,7 +195,7 @@
 static void
 control_reader_changed(const struct spread_action *a)
 {
-	static const char *const why[] = {
+	static const char *const reasons[] = {
 	    [READER_GROUP_STANDS_BY] = "",
 	    [READER_GROUP_PLACE] = "by its rank",
 	    [READER_GROUP_FAILED] = "since others can't",
@@ -209,7 +209,7 @@
 	if (a->to != 0)
 		log_info("This node reads the platform for its data centre, as "
 			 "number %" G_GUINT64_FORMAT " of its group, %s.",
-		    a->to, why[a->why]);
+		    a->to, reasons[a->why]);
 	else
 		log_info("This node no longer reads the platform for its data "
 			 "centre.");
@@ -231,8 +231,8 @@
 			source_read(c->source, a);
 		break;
 	case SPREAD_APPLY:
-		control_version_taken(c, a);
-		control_applied(c, a);
+		control_version_set_steps(c, a);
+		control_log_held(c, a);
 		break;
 	case SPREAD_READY:
 		log_info("This node may serve.");
@@ -252,7 +252,7 @@
 		control_reader_changed(a);
 		break;
 	case SPREAD_REFUSED:
-		control_refused_note(c, a->to, a->reason);
+		control_refused_record(c, a->to, a->reason);
 		break;
 	case SPREAD_HALTED:
 		log_info("Version %" G_GUINT64_FORMAT
@@ -264,7 +264,7 @@
 
 /* Lets probes carry the newest head that this node knows. */
 static void
-control_share_head(struct control *c)
+control_gossip_head(struct control *c)
 {
 	const struct rec_head *head = spread_head(c->spread);
 	struct rec_gossip_head gossip = {
@@ -288,8 +288,8 @@
 		control_membership_action(c, &ma);
 	while (spread_pop(c->spread, &sa))
 		control_spread_action(c, &sa);
-	control_share_head(c);
-	control_news_share(c);
+	control_gossip_head(c);
+	control_news_publish(c);
 	control_quarantine_pump(c);
 	peers_flush(c->peers, c->outbox);
 	peers_flush(c->peers, spread_outbox(c->spread));
@@ -323,7 +323,7 @@
 }
 
 static void
-control_on_answer(void *arg)
+control_on_source_read(void *arg)
 {
 	control_pump(arg);
 }
@@ -405,7 +405,7 @@
 }
 
 static void
-control_make_decisions(struct control *c, uint64_t incarnation, uint64_t seed)
+control_create_modules(struct control *c, uint64_t incarnation, uint64_t seed)
 {
 	struct membership_settings ms;
 	struct spread_config sc;
@@ -425,7 +425,7 @@
 	c->endpoints = endpoint_set_new();
 	instances_init(&c->instances);
 	finder_init(&c->finder, seed + 2, now_ms);
-	places_first(c->settings->data_centre, c->find_from);
+	places_first(c->settings->data_centre, c->lookup_from);
 }
 
 void
@@ -433,8 +433,8 @@
     struct directory *directory, struct keep *keep,
     struct rollout_store *rollouts)
 {
-	control_rollout_use(c, rollouts);
-	control_feed_use(c, feed);
+	control_rollout_set_store(c, rollouts);
+	control_feed_set(c, feed);
 	c->directory = directory;
 	c->keep = keep;
 }
@@ -461,12 +461,12 @@
 		return st;
 	}
 	control_register_metrics();
-	control_make_decisions(c, incarnation, seed);
+	control_create_modules(c, incarnation, seed);
 	c->http = http_client_new(c->loop, NULL);
 	c->store =
 	    http_store_new(c->http, c->loop, s->table_url, s->object_url);
 	c->source =
-	    source_new(c->loop, c->store, c->spread, control_on_answer, c);
+	    source_new(c->loop, c->store, c->spread, control_on_source_read, c);
 	loop_timer_init(&c->timer, c->loop, control_on_timer, c);
 	*out = c;
 	return STATUS_OK;
@@ -521,7 +521,7 @@
 }
 
 void
-control_turn_away(struct control *c)
+control_stop_accepting(struct control *c)
 {
 	atomic_store(&c->leaving, 1);
 }
@@ -529,7 +529,7 @@
 void
 control_leave(struct control *c)
 {
-	control_turn_away(c);
+	control_stop_accepting(c);
 	loop_post(c->loop, control_leave_posted, c);
 }
 
@@ -542,7 +542,7 @@
 int
 control_has_left(const struct control *c)
 {
-	return atomic_load(&c->left);
+	return atomic_load(&c->leave_sent);
 }
 
 void
--- a/packages/node/src/control_api.c
+++ b/packages/node/src/control_api.c
@@ -57,7 +57,7 @@
 }
 
 void
-control_ask_progress(struct control *c)
+control_request_progress(struct control *c)
 {
 	spread_progress_ask(c->spread, control_now(c));
 	control_pump(c);
@@ -72,7 +72,7 @@
 
 /* Hands the spread the contents of a bundle, which it need not fetch then. */
 static void
-control_stock(struct control *c, const struct bundle *b)
+control_add_contents(struct control *c, const struct bundle *b)
 {
 	const struct section *section;
 	GBytes **contents;
@@ -89,7 +89,7 @@
 
 /* Puts what was just written on its way to the peers. */
 static void
-control_signed(struct control *c, const struct operation_end *end)
+control_distribute_write(struct control *c, const struct operation_end *end)
 {
 	struct rec_head head = source_head(&end->head);
 	struct msg_version_changes changes = {0};
@@ -101,7 +101,7 @@
 		    source_row(&end->version, &changes, &row) == STATUS_OK &&
 		    !row.whole;
 	if (end->bundle != NULL)
-		control_stock(c, end->bundle);
+		control_add_contents(c, end->bundle);
 	spread_on_signed(
 	    c->spread, control_now(c), &head, has_row ? &row : NULL);
 	msg_version_changes_clear(&changes);
@@ -116,13 +116,13 @@
 	log_info("Operation ended as %s: %s",
 	    signoff_result_name(end->outcome->result), end->outcome->message);
 	if (end->wrote)
-		control_signed(op->control, end);
+		control_distribute_write(op->control, end);
 	op->fn(end, op->arg);
 	g_free(op);
 }
 
 enum status
-control_operate(struct control *c, const struct signoff_request *req,
+control_run_operation(struct control *c, const struct signoff_request *req,
     struct bundle *bundle, operation_fn *fn, void *arg)
 {
 	struct control_operation *op = g_new0(struct control_operation, 1);
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -15,32 +15,33 @@
 #define FEED_WAIT_MS 1800
 
 /* Room in a line for the first warnings of a version: some five of them. */
-#define WARNINGS_BYTES 512
+#define WARNINGS_LINE_BYTES 512
 
 /* One line each time that the platform is lost or back. */
 static void
-note_status(struct control *c, enum status st)
+log_status(struct control *c, enum status st)
 {
 	if (st == STATUS_OK)
-		c->answered_ms = control_now(c);
+		c->feed_answered_ms = control_now(c);
 	if ((st == STATUS_OK) == (c->feed_status == STATUS_OK))
 		return;
 	c->feed_status = st;
 	if (st == STATUS_OK)
 		log_info("The platform's feed is back.");
-	else if (c->answered_ms == 0)
+	else if (c->feed_answered_ms == 0)
 		log_warning("The platform's feed can't be read (%s): %s",
 		    status_name(st), status_message());
 	else
 		log_warning("The platform's feed is lost (%s), last answered "
 			    "%" G_GUINT64_FORMAT " ms ago: %s",
-		    status_name(st), control_now(c) - c->answered_ms,
+		    status_name(st), control_now(c) - c->feed_answered_ms,
 		    status_message());
 }
 
 /* The sections of a bundle, for the spread. */
 static void
-give(struct control *c, const struct feed_answer *a, const struct bundle *b)
+pass_bundle(
+    struct control *c, const struct feed_answer *a, const struct bundle *b)
 {
 	struct rec_head head = {.seq = a->version,
 	    .version = a->version,
@@ -58,7 +59,7 @@
 		section = g_ptr_array_index(b->sections, i);
 		contents[i] = section->content;
 	}
-	c->given = head;
+	c->feed_head = head;
 	spread_on_given(
 	    c->spread, control_now(c), &head, list, contents, b->sections->len);
 	g_free(contents);
@@ -69,21 +70,21 @@
 largest_section(const struct bundle *b)
 {
 	const struct section *section;
-	size_t most = 0;
+	size_t largest = 0;
 	guint i;
 
 	for (i = 0; i < b->sections->len; i++) {
 		section = g_ptr_array_index(b->sections, i);
-		most = MAX(most, g_bytes_get_size(section->content));
+		largest = MAX(largest, g_bytes_get_size(section->content));
 	}
-	return most;
+	return largest;
 }
 
 /* What is run of a version otherwise than it is written. */
 static void
 log_warnings(const struct feed_answer *a, const struct bundle *b)
 {
-	char line[WARNINGS_BYTES], *text = bundle_warnings(b);
+	char line[WARNINGS_LINE_BYTES], *text = bundle_warnings(b);
 	char *all = g_strjoin(" ", a->notes != NULL ? a->notes : text,
 	    a->notes != NULL ? text : NULL, NULL);
 
@@ -98,20 +99,20 @@
 
 /* Return: whether the answer holds a bundle that can be used. */
 static int
-take(struct control *c, const struct feed_answer *a)
+handle_answer(struct control *c, const struct feed_answer *a)
 {
 	struct bundle *b = NULL;
 	int ok;
 
-	control_news_seen(c, a->version);
-	control_rollout_orders(c, a->orders, a->n_orders);
+	control_news_add_seen(c, a->version);
+	control_rollout_add_orders(c, a->orders, a->n_orders);
 	if (a->problem != NULL)
-		control_refused_note(c, a->version, a->problem);
+		control_refused_record(c, a->version, a->problem);
 	if (a->build == NULL)
 		return 0;
 	ok = bundle_build_end(a->build, &b) == STATUS_OK;
 	if (ok) {
-		control_refused_given(
+		control_refused_version_readable(
 		    c, a->version, b->n_warnings + (a->notes != NULL ? 1 : 0));
 		log_warnings(a, b);
 		log_info("version %" G_GUINT64_FORMAT
@@ -119,9 +120,9 @@
 			 " largest section %zu bytes",
 		    a->version, b->sections->len, a->row_bytes,
 		    largest_section(b));
-		give(c, a, b);
+		pass_bundle(c, a, b);
 	} else {
-		control_refused_note(c, a->version, status_message());
+		control_refused_record(c, a->version, status_message());
 	}
 	bundle_free(b);
 	return ok;
@@ -129,15 +130,15 @@
 
 /* A configuration that is too large to be read is refused unread. */
 static void
-note_read(struct control *c, enum status st)
+check_status(struct control *c, enum status st)
 {
-	note_status(c, st);
+	log_status(c, st);
 	if (st == STATUS_TOO_LARGE)
-		control_refused_note(c, 0, status_message());
+		control_refused_record(c, 0, status_message());
 }
 
 static struct spread_read_end
-end_of(const struct feed_answer *a)
+read_end_from(const struct feed_answer *a)
 {
 	struct spread_read_end end = {0};
 
@@ -154,16 +155,17 @@
 on_head(enum status st, const struct feed_answer *a, void *arg)
 {
 	struct control *c = arg;
-	const struct rec_head *head = c->given.seq != 0 ? &c->given : NULL;
-	struct spread_read_end end = end_of(a);
+	const struct rec_head *head =
+	    c->feed_head.seq != 0 ? &c->feed_head : NULL;
+	struct spread_read_end end = read_end_from(a);
 
-	c->following = 0;
-	note_read(c, st);
+	c->feed_poll_pending = 0;
+	check_status(c, st);
 	if (st == STATUS_OK)
 		spread_on_head_read(c->spread, control_now(c), &end);
 	if (st != STATUS_OK)
 		spread_on_head(c->spread, control_now(c), st, NULL);
-	else if (!take(c, a))
+	else if (!handle_answer(c, a))
 		spread_on_head(c->spread, control_now(c),
 		    head != NULL ? STATUS_OK : STATUS_NOT_FOUND, head);
 	control_pump(c);
@@ -171,7 +173,7 @@
 
 /* A version that is large takes a while on a slow link. */
 static void
-on_begun(void *arg)
+on_answer_begun(void *arg)
 {
 	struct control *c = arg;
 
@@ -184,10 +186,10 @@
 on_probe(enum status st, const struct feed_answer *a, void *arg)
 {
 	struct control *c = arg;
-	struct spread_read_end end = end_of(a);
+	struct spread_read_end end = read_end_from(a);
 
 	if (st == STATUS_OK)
-		(void)take(c, a);
+		(void)handle_answer(c, a);
 	spread_on_probed(c->spread, control_now(c), &end);
 	control_pump(c);
 }
@@ -198,9 +200,9 @@
 {
 	struct control *c = arg;
 
-	c->fetching = 0;
-	note_read(c, st);
-	if (st == STATUS_OK && !take(c, a))
+	c->feed_fetch_pending = 0;
+	check_status(c, st);
+	if (st == STATUS_OK && !handle_answer(c, a))
 		st = STATUS_UNAVAILABLE;
 	/* What was given may be older than what peers told of: the read is
 	 * over in any case, so that peers are asked again. */
@@ -211,7 +213,7 @@
 
 /* A read of the feed is under way and gives what there is by itself. */
 static void
-on_followed(void *arg)
+on_read_pending(void *arg)
 {
 	struct control *c = arg;
 
@@ -221,10 +223,10 @@
 }
 
 void
-control_feed_use(struct control *c, struct feed *feed)
+control_feed_set(struct control *c, struct feed *feed)
 {
 	c->feed = feed;
-	feed_watch(feed, on_begun, c);
+	feed_watch(feed, on_answer_begun, c);
 	spread_follow(c->spread, FEED_WAIT_MS);
 }
 
@@ -232,16 +234,16 @@
 control_feed_read(struct control *c, const struct spread_action *a)
 {
 	if (a->kind == SPREAD_READ_HEAD) {
-		c->following = 1;
+		c->feed_poll_pending = 1;
 		feed_read(
 		    c->feed, a->from, control_now(c) + a->wait_ms, on_head, c);
 	} else if (a->kind == SPREAD_PROBE_HEAD) {
 		feed_probe(c->feed, a->beyond != 0, on_probe, c);
 	} else if (a->kind == SPREAD_READ_VERSIONS &&
-	    (c->following || c->fetching)) {
-		loop_post(c->loop, on_followed, c);
+	    (c->feed_poll_pending || c->feed_fetch_pending)) {
+		loop_post(c->loop, on_read_pending, c);
 	} else if (a->kind == SPREAD_READ_VERSIONS) {
-		c->fetching = 1;
+		c->feed_fetch_pending = 1;
 		feed_read(c->feed, 0, 0, on_versions, c);
 	}
 }
--- a/packages/node/src/control_find.c
+++ b/packages/node/src/control_find.c
@@ -20,7 +20,7 @@
 }
 
 static void
-on_entered(enum status st, void *arg)
+on_registered(enum status st, void *arg)
 {
 	struct control *c = arg;
 
@@ -38,44 +38,45 @@
 
 /* Takes what was found; the next look goes on behind it, or at the start. */
 static void
-take(struct control *c, const struct directory_entry *entries, uint32_t n)
+handle_entries(
+    struct control *c, const struct directory_entry *entries, uint32_t n)
 {
 	struct net_addr others[DIRECTORY_SAMPLE_MAX], own = self(c);
 	char place[PLACE_BYTES];
 	uint32_t n_others = 0, i;
-	int entered = 0;
+	int registered = 0;
 
 	places_of(c->settings->data_centre, c->settings->host, place);
 	for (i = 0; i < n; i++) {
 		if (!addr_equal(&entries[i].node, &own))
 			others[n_others++] = entries[i].node;
 		else if (strcmp(entries[i].place, place) == 0)
-			entered = 1;
+			registered = 1;
 	}
 	if (n >= FINDER_FEW)
-		(void)g_snprintf(c->find_from, sizeof(c->find_from), "%s/",
+		(void)g_snprintf(c->lookup_from, sizeof(c->lookup_from), "%s/",
 		    entries[n - 1].place);
 	else
-		c->find_from[0] = '\0';
+		c->lookup_from[0] = '\0';
 	log_info("%u nodes found in the directory, this one is %sentered",
-	    n_others, entered ? "" : "not ");
+	    n_others, registered ? "" : "not ");
 	membership_add_seeds(c->membership, control_now(c), others, n_others);
-	if (entered && places_reads_first(c->settings->host)) {
+	if (registered && places_reads_first(c->settings->host)) {
 		log_info(
 		    "%s is a first place: the platform is read now", place);
 		spread_read_now(c->spread, control_now(c));
 	}
-	finder_found(&c->finder, n_others, entered, control_now(c));
+	finder_found(&c->finder, n_others, registered, control_now(c));
 }
 
 static void
-on_sample(enum status st, const struct directory_entry *entries, uint32_t n,
+on_looked_up(enum status st, const struct directory_entry *entries, uint32_t n,
     void *arg)
 {
 	struct control *c = arg;
 
 	if (st == STATUS_OK) {
-		take(c, entries, n);
+		handle_entries(c, entries, n);
 	} else {
 		log_warning("no nodes found in the directory (%s): %s",
 		    status_name(st), status_message());
@@ -86,18 +87,20 @@
 }
 
 static void
-enter(struct control *c)
+register_self(struct control *c)
 {
 	char place[PLACE_BYTES];
 
 	places_of(c->settings->data_centre, c->settings->host, place);
-	c->directory->ops->enter(c->directory, place, self(c), on_entered, c);
+	c->directory->ops->enter(
+	    c->directory, place, self(c), on_registered, c);
 }
 
 static void
-look(struct control *c)
+look_up(struct control *c)
 {
-	c->directory->ops->sample(c->directory, c->find_from, on_sample, c);
+	c->directory->ops->sample(
+	    c->directory, c->lookup_from, on_looked_up, c);
 }
 
 void
@@ -114,10 +117,10 @@
 	view.holder = places_held(c->membership);
 	switch (finder_next(&c->finder, &view, now_ms)) {
 	case FINDER_ENTER:
-		enter(c);
+		register_self(c);
 		break;
 	case FINDER_SAMPLE:
-		look(c);
+		look_up(c);
 		break;
 	case FINDER_NONE:
 		break;
--- a/packages/node/src/control_json.c
+++ b/packages/node/src/control_json.c
@@ -185,7 +185,7 @@
 	GArray *list =
 	    g_array_new(FALSE, FALSE, sizeof(struct membership_data_centre));
 	const struct membership_data_centre *dc;
-	json_t *all = json_object();
+	json_t *data_centres = json_object();
 	json_t *o = json_object();
 	uint32_t holding = 0, nodes = 0;
 	guint i;
@@ -195,13 +195,13 @@
 		dc = &g_array_index(list, struct membership_data_centre, i);
 		if (dc->live == 0)
 			continue;
-		json_object_set_new(all, dc->name,
+		json_object_set_new(data_centres, dc->name,
 		    progress_data_centre(c, version, dc, &nodes, &holding));
 	}
 	json_object_set_new(o, "nodes", json_integer(nodes));
 	json_object_set_new(o, "holding", json_integer(holding));
 	json_object_set_new(o, "refused", refusals_json(c, list));
 	g_array_unref(list);
-	json_object_set_new(o, "data_centres", all);
+	json_object_set_new(o, "data_centres", data_centres);
 	return o;
 }
--- a/packages/node/src/control_keep.c
+++ b/packages/node/src/control_keep.c
@@ -16,7 +16,7 @@
 #define ID_SEED 15
 
 static struct fingerprint
-print_of(const struct quarantine_item *item)
+fingerprint_of(const struct quarantine_item *item)
 {
 	struct fingerprint f = {
 	    item->prints[0].content, item->prints[0].caller};
@@ -27,7 +27,7 @@
 /* Rows */
 
 static char *
-row_text(const struct control *c, const struct quarantine_item *item)
+row_to_json(const struct control *c, const struct quarantine_item *item)
 {
 	uint64_t age_ms = control_now(c) - MIN(control_now(c), item->at_ms);
 	json_t *o = json_pack("{s:I,s:i,s:s,s:s,s:s}", "since_wall_ms",
@@ -42,7 +42,7 @@
 
 /* What was asked, and who, is not needed to hold it off, and may be missing. */
 static void
-take_texts(const json_t *o, struct quarantine_item *item)
+read_texts(const json_t *o, struct quarantine_item *item)
 {
 	const char *host = json_string_value(json_object_get(o, "host"));
 	const char *what = json_string_value(json_object_get(o, "what"));
@@ -57,7 +57,7 @@
 }
 
 static bool
-row_read(const struct control *c, const struct keep_row *row,
+row_parse(const struct control *c, const struct keep_row *row,
     struct quarantine_item *item)
 {
 	uint64_t now_ms = control_now(c), wall_ms = clock_wall_ms(), since_ms;
@@ -78,7 +78,7 @@
 	item->at_ms = now_ms - MIN(now_ms, wall_ms - MIN(wall_ms, since_ms));
 	item->crashes =
 	    (uint32_t)json_integer_value(json_object_get(o, "crashes"));
-	take_texts(o, item);
+	read_texts(o, item);
 	item->prints[0].content = f.content;
 	item->prints[0].caller = f.caller;
 	item->n_prints = 1;
@@ -88,7 +88,8 @@
 
 /* Whether what @cleared tells ends what @held told. */
 static bool
-ends(const struct quarantine_item *cleared, const struct quarantine_item *held)
+clears(
+    const struct quarantine_item *cleared, const struct quarantine_item *held)
 {
 	const struct rec_print *c = &cleared->prints[0];
 	const struct rec_print *h = &held->prints[0];
@@ -107,18 +108,18 @@
 
 	for (i = 0; i < quarantine_news_count(c->quarantine); i++) {
 		item = quarantine_news_at(c->quarantine, i);
-		if (!ends(cleared, item))
+		if (!clears(cleared, item))
 			continue;
-		f = print_of(item);
+		f = fingerprint_of(item);
 		quarantine_rows_put(
 		    &c->quarantine_rows, fingerprint_text(&f, key), NULL);
 	}
 }
 
 void
-control_keep_note(struct control *c, const struct quarantine_item *item)
+control_keep_record(struct control *c, const struct quarantine_item *item)
 {
-	struct fingerprint f = print_of(item);
+	struct fingerprint f = fingerprint_of(item);
 	char key[FINGERPRINT_TEXT_BYTES];
 	char *text;
 
@@ -128,7 +129,7 @@
 		remove_rows(c, item);
 		return;
 	}
-	text = row_text(c, item);
+	text = row_to_json(c, item);
 	quarantine_rows_put(
 	    &c->quarantine_rows, fingerprint_text(&f, key), text);
 	free(text);
@@ -137,7 +138,7 @@
 /* Calls */
 
 static void
-done(struct control *c, enum status st, const char *what)
+finish(struct control *c, enum status st, const char *what)
 {
 	if (st != STATUS_OK)
 		log_warning(
@@ -152,7 +153,7 @@
 static void
 on_put(enum status st, void *arg)
 {
-	done(arg, st, "written");
+	finish(arg, st, "written");
 }
 
 static void
@@ -160,27 +161,27 @@
 {
 	struct quarantine_item item;
 	struct control *c = arg;
-	uint32_t i, taken = 0;
+	uint32_t i, n_valid = 0;
 
 	for (i = 0; i < n; i++) {
-		if (!row_read(c, &rows[i], &item)) {
+		if (!row_parse(c, &rows[i], &item)) {
 			log_warning("row %s of the quarantine can't be read",
 			    rows[i].key);
 			continue;
 		}
 		quarantine_news_add(c->quarantine, &item, control_now(c));
 		guard_apply_quarantine_item(c->guard, &item);
-		taken++;
+		n_valid++;
 	}
 	if (st == STATUS_OK)
 		log_info("%u requests are quarantined by the platform's rows",
-		    taken);
-	done(c, st, "read");
+		    n_valid);
+	finish(c, st, "read");
 }
 
 /* After the start the first hosts of each data centre read for it. */
 static bool
-is_reader(const struct control *c)
+is_first_reader(const struct control *c)
 {
 	return membership_phase(c->membership) == MEMBERSHIP_JOINED &&
 	    spread_first_reader(c->spread, control_now(c)) != 0;
@@ -194,7 +195,7 @@
 	if (c->keep == NULL)
 		return;
 	switch (quarantine_rows_next(
-	    &c->quarantine_rows, is_reader(c), control_now(c), &row)) {
+	    &c->quarantine_rows, is_first_reader(c), control_now(c), &row)) {
 	case QUARANTINE_ROWS_READ:
 		c->keep->ops->read(c->keep, on_rows, c);
 		return;
@@ -211,5 +212,5 @@
 {
 	if (c->keep == NULL)
 		return DEADLINE_NEVER;
-	return quarantine_rows_due_ms(&c->quarantine_rows, is_reader(c));
+	return quarantine_rows_due_ms(&c->quarantine_rows, is_first_reader(c));
 }
--- a/packages/node/src/control_news.c
+++ b/packages/node/src/control_news.c
@@ -18,7 +18,7 @@
 }
 
 void
-control_news_seen(struct control *c, uint64_t version)
+control_news_add_seen(struct control *c, uint64_t version)
 {
 	if (version != 0)
 		membership_set_known(c->membership, version);
@@ -26,28 +26,28 @@
 
 /* One that can't be used here doesn't come, however long it is awaited. */
 static void
-share_awaited(struct control *c, uint64_t version)
+update_awaited(struct control *c, uint64_t version)
 {
 	if (c->refused.active)
 		version = 0;
-	if (version == c->awaited)
+	if (version == c->awaited_version)
 		return;
-	c->awaited = version;
+	c->awaited_version = version;
 	entry_version_awaited(c->entry, version);
 }
 
 /* A halted version won't come in force. */
 void
-control_news_share(struct control *c)
+control_news_publish(struct control *c)
 {
 	const struct rec_head *head = spread_head(c->spread);
 	uint64_t known = membership_known(c->membership, control_now(c));
 
-	share_awaited(c, head->in_force);
+	update_awaited(c, head->in_force);
 	known = MAX(known, head->in_force);
-	if (known == c->known)
+	if (known == c->known_version)
 		return;
-	c->known = known;
+	c->known_version = known;
 	metric_set(&known_gauge, (int64_t)known);
 	entry_version_known(c->entry, known);
 }
--- a/packages/node/src/control_priv.h
+++ b/packages/node/src/control_priv.h
@@ -44,29 +44,32 @@
  * @dirty: the snapshot in force is to be compiled anew
  * @ready: whether this node serves; read by other threads
  * @feed: where configurations come from, NULL for the product's own store
- * @given: head that the feed gave last, seq 0 for none
+ * @feed_head: head that the feed gave last, seq 0 for none
  * @refused: the newest version that can't be used here
  * @refused_row: what operators are told of it at the platform
- * @steps: what the version taken last needed on its way here
- * @known: newest version known of, in force or not, usable or not
- * @awaited: newest version that some node could read; 0 while one is refused
+ * @version_steps: what the version taken last needed on its way here
+ * @known_version: newest version known of, in force or not, usable or not
+ * @awaited_version: newest version that some node could read; 0 while one is
+ * refused
  * @quarantine: crashes and quarantined requests, between nodes
  * @quarantine_peers: whom it talks to
  * @quarantine_rows: what of it is to be read or written at the platform
  * @keep: where that outlives all nodes, NULL for nowhere
  * @rollout: orders to move services to other versions
  * @feed_status: how the last read of the feed ended
- * @answered_ms: when a read of the feed was last answered, 0 for never
- * @following: a read of the feed waits for a change
- * @fetching: a read of the feed gives the whole, which may take a minute
+ * @feed_answered_ms: when a read of the feed was last answered, 0 for never
+ * @feed_poll_pending: a read of the feed waits for a change
+ * @feed_fetch_pending: a read of the feed gives the whole, which may take a
+ * minute
  * @directory: where nodes find one another, NULL for seeds of the settings
  * @finder: when the directory is written and read
- * @find_from: where in the directory the next look begins, empty for its start
+ * @lookup_from: where in the directory the next look begins, empty for its
+ * start
  * @instances: runs of the upstream that sends heartbeats
  * @instance_port: port of the one that counts
  * @instance_service: its service
  * @leaving: this node stops
- * @left: whether peers were told that this node stops
+ * @leave_sent: whether peers were told that this node stops
  * @version: version in force here
  */
 struct control {
@@ -86,24 +89,24 @@
 	struct store *store;
 	struct source *source;
 	struct feed *feed;
-	struct rec_head given;
+	struct rec_head feed_head;
 	struct refused refused;
 	struct refused_row refused_row;
-	struct spread_steps steps;
-	uint64_t known;
-	uint64_t awaited;
+	struct spread_steps version_steps;
+	uint64_t known_version;
+	uint64_t awaited_version;
 	struct quarantine_news *quarantine;
 	struct control_peers quarantine_peers;
 	struct quarantine_rows quarantine_rows;
 	struct keep *keep;
 	struct control_rollout *rollout;
 	enum status feed_status;
-	uint64_t answered_ms;
-	int following;
-	int fetching;
+	uint64_t feed_answered_ms;
+	int feed_poll_pending;
+	int feed_fetch_pending;
 	struct directory *directory;
 	struct finder finder;
-	char find_from[DIRECTORY_PLACE_BYTES];
+	char lookup_from[DIRECTORY_PLACE_BYTES];
 	struct instances instances;
 	uint16_t instance_port;
 	char instance_service[SERVICE_NAME_BYTES];
@@ -112,7 +115,7 @@
 	int dirty;
 	_Atomic int ready;
 	_Atomic int leaving;
-	_Atomic int left;
+	_Atomic int leave_sent;
 	_Atomic uint64_t version;
 };
 
@@ -124,8 +127,8 @@
 
 /* control_feed.c */
 
-/** control_feed_use() - take configurations from a feed; borrowed */
-void control_feed_use(struct control *c, struct feed *feed);
+/** control_feed_set() - take configurations from a feed; borrowed */
+void control_feed_set(struct control *c, struct feed *feed);
 
 /** control_feed_read() - carry out a SPREAD_READ_* action or SPREAD_PROBE_*
  * action on the feed */
@@ -137,16 +140,17 @@
  * took to the metrics */
 void control_version_register(void);
 
-/** control_version_taken() - the catalog moved, as a SPREAD_APPLY tells */
-void control_version_taken(struct control *c, const struct spread_action *a);
+/** control_version_set_steps() - the catalog moved, as a SPREAD_APPLY tells */
+void
+control_version_set_steps(struct control *c, const struct spread_action *a);
 
 /**
- * control_version_in_force() - note the version that calls are served by
+ * control_version_set_in_force() - note the version that calls are served by
  * @c: the control
  * @version: the version, 0 for none
  * @compile_us: time that its snapshot took
  */
-void control_version_in_force(
+void control_version_set_in_force(
     struct control *c, uint64_t version, uint64_t compile_us);
 
 /* control_refused.c */
@@ -154,16 +158,17 @@
 /** control_refused_register() - add what tells of refusals to the metrics */
 void control_refused_register(void);
 
-/** control_refused_note() - a version can't be used; its number or 0, why */
+/** control_refused_record() - a version can't be used; its number or 0, why */
 void
-control_refused_note(struct control *c, uint64_t version, const char *reason);
+control_refused_record(struct control *c, uint64_t version, const char *reason);
 
-/** control_refused_given() - the platform's newest version can be read */
-void
-control_refused_given(struct control *c, uint64_t version, uint32_t n_warnings);
+/** control_refused_version_readable() - the platform's newest version can be
+ * read */
+void control_refused_version_readable(
+    struct control *c, uint64_t version, uint32_t n_warnings);
 
-/** control_refused_in_force() - a version came in force */
-void control_refused_in_force(struct control *c, uint64_t version);
+/** control_refused_version_in_force() - a version came in force */
+void control_refused_version_in_force(struct control *c, uint64_t version);
 
 /** control_refused_tick() - tell operators at the platform if that is due */
 void control_refused_tick(struct control *c);
@@ -176,11 +181,11 @@
 
 /* control_news.c */
 
-/** control_news_seen() - the platform gave @version, usable or not */
-void control_news_seen(struct control *c, uint64_t version);
+/** control_news_add_seen() - the platform gave @version, usable or not */
+void control_news_add_seen(struct control *c, uint64_t version);
 
-/** control_news_share() - tell the entry when the newest known one changed */
-void control_news_share(struct control *c);
+/** control_news_publish() - tell the entry when the newest known one changed */
+void control_news_publish(struct control *c);
 
 /** control_news_register() - add the newest known version to the metrics */
 void control_news_register(void);
@@ -195,9 +200,9 @@
 
 /* control_keep.c */
 
-/** control_keep_note() - something that this node tells all is to outlive them,
- * or what did so no longer is */
-void control_keep_note(struct control *c, const struct quarantine_item *item);
+/** control_keep_record() - something that this node tells all is to outlive
+ * them, or what did so no longer is */
+void control_keep_record(struct control *c, const struct quarantine_item *item);
 
 /** control_keep_tick() - read or write at the platform if that is due */
 void control_keep_tick(struct control *c);
@@ -213,24 +218,25 @@
 /** control_rollout_free() - free it */
 void control_rollout_free(struct control *c);
 
-/** control_rollout_use() - where orders outlive all nodes; borrowed */
-void control_rollout_use(struct control *c, struct rollout_store *store);
+/** control_rollout_set_store() - where orders outlive all nodes; borrowed */
+void control_rollout_set_store(struct control *c, struct rollout_store *store);
 
-/** control_rollout_orders() - the feed gave orders of operators */
-void control_rollout_orders(
+/** control_rollout_add_orders() - the feed gave orders of operators */
+void control_rollout_add_orders(
     struct control *c, const struct feed_order *orders, uint32_t n);
 
-/** control_rollout_versions() - fill in which endpoints get requests */
-void control_rollout_versions(struct control *c, struct snapshot *s);
+/** control_rollout_set_versions() - fill in which endpoints get requests */
+void control_rollout_set_versions(struct control *c, struct snapshot *s);
 
 /**
- * control_rollout_own() - what the own guard is to do with an endpoint
+ * control_rollout_set_own_state() - what the own guard is to do with an
+ * endpoint
  * @c: the control
  * @e: the own endpoint
  * @info: where state and order go
  */
-void control_rollout_own(struct control *c, const struct member_endpoint *e,
-    struct guard_endpoint *info);
+void control_rollout_set_own_state(struct control *c,
+    const struct member_endpoint *e, struct guard_endpoint *info);
 
 /** control_rollout_receive() - a datagram of a peer; false when it is for
  * others */
--- a/packages/node/src/control_quarantine.c
+++ b/packages/node/src/control_quarantine.c
@@ -30,15 +30,15 @@
 }
 
 /* A record on its way to the control thread. */
-struct told {
+struct publish_task {
 	struct control *control;
 	struct quarantine_item item;
 };
 
 static void
-pass_on(struct control *c, const struct quarantine_item *item)
+distribute(struct control *c, const struct quarantine_item *item)
 {
-	control_keep_note(c, item);
+	control_keep_record(c, item);
 	quarantine_news_add(c->quarantine, item, control_now(c));
 	quarantine_news_tick(c->quarantine, control_now(c));
 	control_keep_tick(c);
@@ -46,11 +46,11 @@
 }
 
 static void
-do_tell(void *arg)
+publish_posted(void *arg)
 {
-	struct told *t = arg;
+	struct publish_task *t = arg;
 
-	pass_on(t->control, &t->item);
+	distribute(t->control, &t->item);
 	g_free(t);
 }
 
@@ -59,11 +59,11 @@
 on_publish(const struct quarantine_item *item, void *arg)
 {
 	struct control *c = arg;
-	struct told *t = g_new(struct told, 1);
+	struct publish_task *t = g_new(struct publish_task, 1);
 
 	t->control = c;
 	t->item = *item;
-	loop_post(c->loop, do_tell, t);
+	loop_post(c->loop, publish_posted, t);
 }
 
 void
@@ -90,7 +90,7 @@
 
 /* What a peer told of a request, or NULL. */
 static const struct quarantine_item *
-item_of(const struct control *c, const struct fingerprint *f)
+find_item(const struct control *c, const struct fingerprint *f)
 {
 	const struct quarantine_item *item;
 	uint32_t i;
@@ -108,7 +108,7 @@
 static json_t *
 entry_json(const struct control *c, const struct quarantine_entry *e)
 {
-	const struct quarantine_item *item = item_of(c, &e->print);
+	const struct quarantine_item *item = find_item(c, &e->print);
 	uint64_t age_ms = control_now(c) - MIN(control_now(c), e->since_ms);
 	uint32_t crashes = item != NULL ? item->crashes : e->crashes;
 	char text[FINGERPRINT_TEXT_BYTES];
@@ -140,19 +140,19 @@
 }
 
 static bool
-is_held(struct control *c, const struct fingerprint *f)
+is_quarantined(struct control *c, const struct fingerprint *f)
 {
 	GArray *list =
 	    g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
-	bool held = false;
+	bool found = false;
 	guint i;
 
 	guard_quarantine_list(c->guard, list);
-	for (i = 0; i < list->len && !held; i++)
-		held = fingerprint_equal(
+	for (i = 0; i < list->len && !found; i++)
+		found = fingerprint_equal(
 		    &g_array_index(list, struct quarantine_entry, i).print, f);
 	g_array_unref(list);
-	return held;
+	return found;
 }
 
 enum status
@@ -165,7 +165,7 @@
 	uint64_t wall_ms = clock_wall_ms();
 	char text[FINGERPRINT_TEXT_BYTES];
 
-	if (!is_held(c, f))
+	if (!is_quarantined(c, f))
 		return status_set(STATUS_NOT_FOUND,
 		    "No such request is quarantined here; see the list.");
 	(void)g_strlcpy(item.host, c->settings->host, sizeof(item.host));
@@ -175,6 +175,6 @@
 	log_warning(
 	    "request=%s is released by an operator", fingerprint_text(f, text));
 	guard_apply_quarantine_item(c->guard, &item);
-	pass_on(c, &item);
+	distribute(c, &item);
 	return STATUS_OK;
 }
--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -32,7 +32,7 @@
 }
 
 static int64_t
-shown_version(const struct refused *r)
+metric_version(const struct refused *r)
 {
 	if (!r->active)
 		return 0;
@@ -55,65 +55,67 @@
 
 /* What the node's progress reports tell. */
 static void
-report(struct control *c)
+report_progress(struct control *c)
 {
 	const struct refused *r = &c->refused;
-	struct spread_refusal told = {0};
+	struct spread_refusal refusal = {0};
 
 	if (r->active) {
-		told.nodes = 1;
-		told.version = r->version;
-		told.since_wall_ms = r->since_wall_ms;
-		refused_copy_text(told.reason, sizeof(told.reason), r->reason);
+		refusal.nodes = 1;
+		refusal.version = r->version;
+		refusal.since_wall_ms = r->since_wall_ms;
+		refused_copy_text(
+		    refusal.reason, sizeof(refusal.reason), r->reason);
 	}
-	spread_refuse(c->spread, control_now(c), &told);
+	spread_refuse(c->spread, control_now(c), &refusal);
 }
 
 static void
-tell(struct control *c, enum refused_change news)
+publish_change(struct control *c, enum refused_change change)
 {
 	struct refused *r = &c->refused;
 
-	metric_set(&version_gauge, shown_version(r));
+	metric_set(&version_gauge, metric_version(r));
 	metric_set(&since_gauge, r->active ? (int64_t)r->since_wall_ms : 0);
 	metric_set(&refused_count, (int64_t)r->n_versions);
-	report(c);
-	if (news == REFUSED_ENDED)
+	report_progress(c);
+	if (change == REFUSED_ENDED)
 		log_info("the refusal of versions has ended, the last was "
 			 "%" G_GUINT64_FORMAT " since %" G_GUINT64_FORMAT ".",
 		    r->version, r->since_wall_ms);
-	else if (news != REFUSED_UNCHANGED)
+	else if (change != REFUSED_UNCHANGED)
 		log_refused(r);
 }
 
 void
-control_refused_note(struct control *c, uint64_t version, const char *reason)
+control_refused_record(struct control *c, uint64_t version, const char *reason)
 {
 	struct refused_time at = {control_now(c), clock_wall_ms()};
 
-	refused_version_known(&c->refused, c->known);
-	tell(c,
+	refused_version_known(&c->refused, c->known_version);
+	publish_change(c,
 	    refused_record(
 		&c->refused, at, version, catalog_version(c->catalog), reason));
 }
 
 void
-control_refused_given(struct control *c, uint64_t version, uint32_t n_warnings)
+control_refused_version_readable(
+    struct control *c, uint64_t version, uint32_t n_warnings)
 {
 	metric_set(&warnings_gauge, n_warnings);
-	tell(c,
+	publish_change(c,
 	    refused_version_readable(
 		&c->refused, version, catalog_version(c->catalog)));
 }
 
 void
-control_refused_in_force(struct control *c, uint64_t version)
+control_refused_version_in_force(struct control *c, uint64_t version)
 {
-	tell(c, refused_version_in_force(&c->refused, version));
+	publish_change(c, refused_version_in_force(&c->refused, version));
 }
 
 static void
-on_told(enum status st, void *arg)
+on_row_written(enum status st, void *arg)
 {
 	struct control *c = arg;
 
@@ -125,7 +127,7 @@
 }
 
 static int
-can_tell(const struct control *c)
+can_write_row(const struct control *c)
 {
 	return c->feed != NULL && c->feed->ops->tell != NULL;
 }
@@ -134,24 +136,25 @@
 control_refused_tick(struct control *c)
 {
 	const struct refused *r = &c->refused;
-	const struct feed_refusal told = {
+	const struct feed_refusal refusal = {
 	    r->version, r->in_force, r->since_wall_ms, r->reason};
-	enum refused_row_action act;
+	enum refused_row_action action;
 
-	if (!can_tell(c))
+	if (!can_write_row(c))
 		return;
-	act = refused_row_next(&c->refused_row, r,
+	action = refused_row_next(&c->refused_row, r,
 	    spread_first_reader(c->spread, control_now(c)) != 0,
 	    control_now(c));
-	if (act != REFUSED_ROW_NONE)
+	if (action != REFUSED_ROW_NONE)
 		c->feed->ops->tell(c->feed, c->settings->data_centre,
-		    act == REFUSED_ROW_WRITE ? &told : NULL, on_told, c);
+		    action == REFUSED_ROW_WRITE ? &refusal : NULL,
+		    on_row_written, c);
 }
 
 uint64_t
 control_refused_next_ms(const struct control *c)
 {
-	if (!can_tell(c))
+	if (!can_write_row(c))
 		return DEADLINE_NEVER;
 	return refused_row_due_ms(&c->refused_row, &c->refused,
 	    spread_first_reader(c->spread, control_now(c)) != 0);
--- a/packages/node/src/control_rollout.c
+++ b/packages/node/src/control_rollout.c
@@ -44,10 +44,11 @@
 	    rollout_news_new(c->settings->host, cr->orders, c->outbox, now_ms);
 	cr->watch = rollout_watch_new(
 	    c->settings->host, clock_wall_ms(), cr->orders, c->outbox);
-	cr->given = g_array_new(FALSE, FALSE, sizeof(struct feed_order));
+	cr->pending_orders =
+	    g_array_new(FALSE, FALSE, sizeof(struct feed_order));
 	cr->revisions =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	cr->refused =
+	cr->refused_orders =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	c->rollout = cr;
 }
@@ -62,21 +63,21 @@
 	rollout_watch_free(cr->watch);
 	rollout_news_free(cr->news);
 	rollout_orders_free(cr->orders);
-	g_array_unref(cr->given);
+	g_array_unref(cr->pending_orders);
 	g_hash_table_unref(cr->revisions);
-	g_hash_table_unref(cr->refused);
+	g_hash_table_unref(cr->refused_orders);
 	g_free(cr);
 }
 
 void
-control_rollout_use(struct control *c, struct rollout_store *store)
+control_rollout_set_store(struct control *c, struct rollout_store *store)
 {
 	c->rollout->store = store;
 }
 
 /* What this node believes of an order has changed. */
 static void
-changed(struct control *c, const struct rollout *r)
+on_order_changed(struct control *c, const struct rollout *r)
 {
 	log_info("service=%s from=%s to=%s order=%" G_GUINT64_FORMAT
 		 " phase=%s left_ms=%" G_GUINT64_FORMAT
@@ -90,10 +91,10 @@
 }
 
 void
-control_rollout_take(struct control *c, const struct rollout *r)
+control_rollout_add(struct control *c, const struct rollout *r)
 {
 	if (rollout_news_add(c->rollout->news, r, control_now(c)))
-		changed(c, r);
+		on_order_changed(c, r);
 }
 
 /* Versions */
@@ -111,7 +112,7 @@
 }
 
 const char *
-control_rollout_current(struct control *c, const char *service)
+control_rollout_current_version(struct control *c, const char *service)
 {
 	struct endpoint_list *list = endpoint_set_list(c->endpoints, service);
 	const char **versions;
@@ -154,7 +155,7 @@
 }
 
 void
-control_rollout_versions(struct control *c, struct snapshot *s)
+control_rollout_set_versions(struct control *c, struct snapshot *s)
 {
 	struct snapshot_service *service;
 	struct service_versions *v;
@@ -165,7 +166,8 @@
 	for (i = 0; i < s->n_services; i++) {
 		service = &s->services[i];
 		v = &service->versions;
-		current = control_rollout_current(c, service->config->name);
+		current =
+		    control_rollout_current_version(c, service->config->name);
 		if (current == NULL)
 			continue;
 		v->chosen = true;
@@ -186,21 +188,21 @@
 /* An endpoint that is neither current nor on trial takes nothing, whoever asks
  * it: an entry that has not heard yet is refused by its guard. */
 void
-control_rollout_own(struct control *c, const struct member_endpoint *e,
-    struct guard_endpoint *info)
+control_rollout_set_own_state(struct control *c,
+    const struct member_endpoint *e, struct guard_endpoint *info)
 {
 	const struct rollout *r =
 	    rollout_orders_find(c->rollout->orders, e->service);
-	const char *current = control_rollout_current(c, e->service);
+	const char *current = control_rollout_current_version(c, e->service);
 	bool is_current = current == NULL || strcmp(e->version, current) == 0;
-	bool tried = r != NULL && !rollout_is_over(r) &&
+	bool is_candidate = r != NULL && !rollout_is_over(r) &&
 	    strcmp(e->version, rollout_candidate(r)) == 0;
 
 	if (r != NULL && !rollout_is_over(r))
 		info->order = r->order;
-	if (tried && strcmp(r->excluded, c->settings->host) == 0)
-		tried = false;
-	if (!is_current && !tried && info->state == SERVING_READY)
+	if (is_candidate && strcmp(r->excluded, c->settings->host) == 0)
+		is_candidate = false;
+	if (!is_current && !is_candidate && info->state == SERVING_READY)
 		info->state = SERVING_DRAINING;
 }
 
@@ -226,12 +228,12 @@
 }
 
 static void
-carry_out(struct control *c, const struct rollout_action *a)
+execute(struct control *c, const struct rollout_action *a)
 {
 	switch (a->kind) {
 	case ROLLOUT_ACT_PHASE:
 		rollout_news_push(c->rollout->news, control_now(c));
-		changed(c, &a->rollout);
+		on_order_changed(c, &a->rollout);
 		return;
 	case ROLLOUT_ACT_WRITE:
 		control_rollout_write(c, &a->rollout);
@@ -240,7 +242,7 @@
 }
 
 static void
-pass_on(struct control *c, uint64_t now_ms)
+gossip_orders(struct control *c, uint64_t now_ms)
 {
 	struct net_addr peers[ROLLOUT_NEWS_FANOUT];
 	const struct member *m;
@@ -271,8 +273,8 @@
 		rollout_watch_tick(cr->watch, now_ms);
 	}
 	while (rollout_watch_pop(cr->watch, &a))
-		carry_out(c, &a);
-	pass_on(c, now_ms);
+		execute(c, &a);
+	gossip_orders(c, now_ms);
 }
 
 uint64_t
@@ -282,7 +284,7 @@
 	    rollout_watch_next_ms(c->rollout->watch));
 
 	if (control_rollout_read_is_due(c))
-		next_ms = MIN(next_ms, MAX(c->rollout->read_ms, 1));
+		next_ms = MIN(next_ms, MAX(c->rollout->read_retry_ms, 1));
 	return next_ms;
 }
 
@@ -302,7 +304,7 @@
 		return false;
 	rollout_news_receive(cr->news, control_now(c), from, type, body, len);
 	while (rollout_news_pop(cr->news, &r))
-		changed(c, &r);
+		on_order_changed(c, &r);
 	return true;
 }
 
--- a/packages/node/src/control_rollout_orders.c
+++ b/packages/node/src/control_rollout_orders.c
@@ -10,21 +10,21 @@
 #include "control_rollout_priv.h"
 
 /* Pause after a read of the rows that failed. */
-#define READ_RETRY_MS 250
+#define READ_RETRY_DELAY_MS 250
 
 /* Tries at a row that others change at the same time. */
-#define WRITE_TRIES 3
+#define WRITE_ATTEMPTS_MAX 3
 
 /**
  * struct order_write - a write of an order that is under way
  * @control: the control
  * @rollout: the order as it is to stand there
- * @tries: tries so far
+ * @attempts: tries so far
  */
 struct order_write {
 	struct control *control;
 	struct rollout rollout;
-	uint32_t tries;
+	uint32_t attempts;
 };
 
 static void
@@ -57,11 +57,11 @@
 
 /* Whether what stands there is as far as what was to be written. */
 static bool
-is_as_far(const struct rollout *there, const struct rollout *r)
+is_at_least(const struct rollout *stored, const struct rollout *r)
 {
-	if (there->order != r->order)
-		return there->order > r->order;
-	return there->phase >= r->phase || rollout_is_over(there);
+	if (stored->order != r->order)
+		return stored->order > r->order;
+	return stored->phase >= r->phase || rollout_is_over(stored);
 }
 
 static void
@@ -70,13 +70,13 @@
 {
 	struct order_write *w = arg;
 	struct control *c = w->control;
-	const struct rollout_row *there = n > 0 ? &rows[0] : NULL;
+	const struct rollout_row *stored = n > 0 ? &rows[0] : NULL;
 
-	if (there != NULL)
-		set_number(
-		    c->rollout->revisions, w->rollout.service, there->revision);
+	if (stored != NULL)
+		set_number(c->rollout->revisions, w->rollout.service,
+		    stored->revision);
 	if (st == STATUS_OK) {
-		control_rollout_take(c, &w->rollout);
+		control_rollout_add(c, &w->rollout);
 		end_write(w, true);
 		return;
 	}
@@ -86,12 +86,13 @@
 	    " phase=%s",
 	    w->rollout.service, w->rollout.order,
 	    rollout_phase_name(w->rollout.phase), status_name(st),
-	    there != NULL ? there->rollout.order : 0,
-	    there != NULL ? rollout_phase_name(there->rollout.phase) : "none");
-	if (there != NULL && is_as_far(&there->rollout, &w->rollout)) {
-		control_rollout_take(c, &there->rollout);
+	    stored != NULL ? stored->rollout.order : 0,
+	    stored != NULL ? rollout_phase_name(stored->rollout.phase)
+			   : "none");
+	if (stored != NULL && is_at_least(&stored->rollout, &w->rollout)) {
+		control_rollout_add(c, &stored->rollout);
 		end_write(w, true);
-	} else if (st == STATUS_CONFLICT && w->tries < WRITE_TRIES) {
+	} else if (st == STATUS_CONFLICT && w->attempts < WRITE_ATTEMPTS_MAX) {
 		try_write(w);
 	} else {
 		end_write(w, false);
@@ -103,7 +104,7 @@
 {
 	struct rollout_store *s = w->control->rollout->store;
 
-	w->tries++;
+	w->attempts++;
 	s->ops->write(s, &w->rollout,
 	    get_number(w->control->rollout->revisions, w->rollout.service),
 	    on_written, w);
@@ -132,18 +133,18 @@
 }
 
 static bool
-is_known(const struct control *c, const struct feed_order *o)
+is_known_order(const struct control *c, const struct feed_order *o)
 {
 	const struct rollout *r =
 	    rollout_orders_find(c->rollout->orders, o->service);
 
 	return (r != NULL && r->order >= o->number) ||
-	    get_number(c->rollout->refused, o->service) >= o->number;
+	    get_number(c->rollout->refused_orders, o->service) >= o->number;
 }
 
 /* Begins with nothing tried; a refusal is written as an order rolled back. */
 static void
-begin(struct control *c, const struct feed_order *o, const char *from,
+start_order(struct control *c, const struct feed_order *o, const char *from,
     enum rollout_phase phase, const char *reason)
 {
 	struct rollout r = {.order = o->number,
@@ -155,55 +156,57 @@
 	(void)g_strlcpy(r.from, from, sizeof(r.from));
 	(void)g_strlcpy(r.to, o->to, sizeof(r.to));
 	(void)g_strlcpy(r.reason, reason, sizeof(r.reason));
-	control_rollout_take(c, &r);
+	control_rollout_add(c, &r);
 	if (is_first_reader(c) || rollout_is_over(&r))
 		control_rollout_write(c, &r);
 }
 
 static void
-refuse(struct control *c, const struct feed_order *o, const char *why)
+refuse_order(struct control *c, const struct feed_order *o, const char *reason)
 {
-	const char *from = control_rollout_current(c, o->service);
+	const char *from = control_rollout_current_version(c, o->service);
 
-	set_number(c->rollout->refused, o->service, o->number);
+	set_number(c->rollout->refused_orders, o->service, o->number);
 	log_warning("order=%" G_GUINT64_FORMAT
 		    " to move %s to \"%s\" is refused: %s; correct it",
-	    o->number, o->service, o->to, why);
+	    o->number, o->service, o->to, reason);
 	if (catalog_find(c->catalog, o->service) != NULL && from != NULL)
-		begin(c, o, from, ROLLOUT_ROLLED_BACK, why);
+		start_order(c, o, from, ROLLOUT_ROLLED_BACK, reason);
 }
 
 static void
-follow(struct control *c, const struct feed_order *o)
+handle_order(struct control *c, const struct feed_order *o)
 {
-	const char *from = control_rollout_current(c, o->service);
+	const char *from = control_rollout_current_version(c, o->service);
 
 	if (o->problem != NULL)
-		refuse(c, o, o->problem);
+		refuse_order(c, o, o->problem);
 	else if (catalog_find(c->catalog, o->service) == NULL)
-		refuse(c, o, "the configuration in force has no such service");
+		refuse_order(
+		    c, o, "the configuration in force has no such service");
 	else if (from == NULL)
-		refuse(c, o, "the service has no endpoint of any version");
+		refuse_order(
+		    c, o, "the service has no endpoint of any version");
 	else if (strcmp(from, o->to) == 0)
-		begin(c, o, from, ROLLOUT_COMPLETED,
+		start_order(c, o, from, ROLLOUT_COMPLETED,
 		    "it is the current version already");
 	else
-		begin(c, o, from, ROLLOUT_RUNNING, "ordered");
+		start_order(c, o, from, ROLLOUT_RUNNING, "ordered");
 }
 
 static void
-follow_all(struct control *c)
+handle_pending_orders(struct control *c)
 {
 	struct control_rollout *cr = c->rollout;
 	const struct feed_order *o;
 	guint i;
 
-	for (i = 0; i < cr->given->len; i++) {
-		o = &g_array_index(cr->given, struct feed_order, i);
-		if (!is_known(c, o))
-			follow(c, o);
+	for (i = 0; i < cr->pending_orders->len; i++) {
+		o = &g_array_index(cr->pending_orders, struct feed_order, i);
+		if (!is_known_order(c, o))
+			handle_order(c, o);
 	}
-	g_array_set_size(cr->given, 0);
+	g_array_set_size(cr->pending_orders, 0);
 }
 
 static void
@@ -213,33 +216,34 @@
 	struct control_rollout *cr = c->rollout;
 	uint32_t i;
 
-	cr->reading = false;
+	cr->read_pending = false;
 	if (st != STATUS_OK) {
 		log_warning("orders can't be read at the platform (%s)",
 		    status_name(st));
-		cr->read_ms = control_now(c) + READ_RETRY_MS;
+		cr->read_retry_ms = control_now(c) + READ_RETRY_DELAY_MS;
 		control_pump(c);
 		return;
 	}
-	cr->read = true;
+	cr->rows_read = true;
 	for (i = 0; i < n; i++) {
 		set_number(
 		    cr->revisions, rows[i].rollout.service, rows[i].revision);
-		control_rollout_take(c, &rows[i].rollout);
+		control_rollout_add(c, &rows[i].rollout);
 	}
-	follow_all(c);
+	handle_pending_orders(c);
 	control_pump(c);
 }
 
 void
-control_rollout_orders(
+control_rollout_add_orders(
     struct control *c, const struct feed_order *orders, uint32_t n)
 {
 	uint32_t i;
 
 	for (i = 0; i < n; i++)
-		if (!is_known(c, &orders[i]))
-			g_array_append_val(c->rollout->given, orders[i]);
+		if (!is_known_order(c, &orders[i]))
+			g_array_append_val(
+			    c->rollout->pending_orders, orders[i]);
 	control_rollout_tick(c);
 }
 
@@ -249,11 +253,11 @@
 {
 	const struct control_rollout *cr = c->rollout;
 
-	if (cr->store == NULL || cr->reading)
+	if (cr->store == NULL || cr->read_pending)
 		return false;
-	if (cr->given->len > 0)
+	if (cr->pending_orders->len > 0)
 		return catalog_version(c->catalog) != 0;
-	return !cr->read && is_first_reader(c);
+	return !cr->rows_read && is_first_reader(c);
 }
 
 void
@@ -261,8 +265,9 @@
 {
 	struct control_rollout *cr = c->rollout;
 
-	if (!control_rollout_read_is_due(c) || control_now(c) < cr->read_ms)
+	if (!control_rollout_read_is_due(c) ||
+	    control_now(c) < cr->read_retry_ms)
 		return;
-	cr->reading = true;
+	cr->read_pending = true;
 	cr->store->ops->read(cr->store, on_rows, c);
 }
--- a/packages/node/src/control_rollout_priv.h
+++ b/packages/node/src/control_rollout_priv.h
@@ -12,34 +12,35 @@
  * @news: brings them to the other nodes
  * @watch: judges and moves on
  * @store: where they outlive all nodes, NULL for nowhere
- * @given: struct feed_order that wait until the rows were read
- * @reading: a read of the rows is under way
- * @read: the rows were read once
- * @read_ms: when a read that failed may be tried again
+ * @pending_orders: struct feed_order that wait until the rows were read
+ * @read_pending: a read of the rows is under way
+ * @rows_read: the rows were read once
+ * @read_retry_ms: when a read that failed may be tried again
  * @revisions: service to the revision of its row, as last seen
- * @refused: service to the number of the last order that was refused
+ * @refused_orders: service to the number of the last order that was refused
  */
 struct control_rollout {
 	struct rollout_orders *orders;
 	struct rollout_news *news;
 	struct rollout_watch *watch;
 	struct rollout_store *store;
-	GArray *given;
-	bool reading;
-	bool read;
-	uint64_t read_ms;
+	GArray *pending_orders;
+	bool read_pending;
+	bool rows_read;
+	uint64_t read_retry_ms;
 	GHashTable *revisions;
-	GHashTable *refused;
+	GHashTable *refused_orders;
 };
 
 /* control_rollout.c */
 
-/** control_rollout_take() - an order or a phase became known here */
-void control_rollout_take(struct control *c, const struct rollout *r);
+/** control_rollout_add() - an order or a phase became known here */
+void control_rollout_add(struct control *c, const struct rollout *r);
 
-/** control_rollout_current() - the version of a service that gets requests;
- * NULL when it has no endpoint */
-const char *control_rollout_current(struct control *c, const char *service);
+/** control_rollout_current_version() - the version of a service that gets
+ * requests; NULL when it has no endpoint */
+const char *
+control_rollout_current_version(struct control *c, const char *service);
 
 /* control_rollout_orders.c */
 
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -13,7 +13,8 @@
  * heartbeat is more likely somebody else's.
  */
 static int
-may_be_new(const struct control *c, const struct upstream_heartbeat *b)
+may_be_in_newer_version(
+    const struct control *c, const struct upstream_heartbeat *b)
 {
 	const struct member *own = membership_self(c->membership);
 	uint32_t i;
@@ -22,14 +23,14 @@
 		if (own->endpoints[i].state != ENDPOINT_LEFT &&
 		    strcmp(own->endpoints[i].service, b->service) != 0)
 			return 0;
-	return c->known > catalog_version(c->catalog);
+	return c->known_version > catalog_version(c->catalog);
 }
 
 /* Whether the run that counts here sent it, of the service and at the port that
  * it was taken with: it is heard to its end, or its leaving would never be
  * acknowledged once a newer version has its service no longer. */
 static int
-is_known(const struct control *c, const char *instance,
+is_latest_run(const struct control *c, const char *instance,
     const struct upstream_heartbeat *b)
 {
 	return instances_is_latest(&c->instances, instance, b->started_ms) &&
@@ -40,7 +41,7 @@
 /* A heartbeat that names no upstream of this host may be somebody else's; it
  * must not take the place of the one that is here. */
 static enum status
-check(const struct control *c, const char *instance,
+check_heartbeat(const struct control *c, const char *instance,
     const struct upstream_heartbeat *b)
 {
 	if (b->address.ip != c->settings->address)
@@ -48,8 +49,8 @@
 		    "A heartbeat names an address of another host; send it to "
 		    "the node of that host.");
 	if (catalog_version(c->catalog) != 0 &&
-	    catalog_find(c->catalog, b->service) == NULL && !may_be_new(c, b) &&
-	    !is_known(c, instance, b))
+	    catalog_find(c->catalog, b->service) == NULL &&
+	    !may_be_in_newer_version(c, b) && !is_latest_run(c, instance, b))
 		return status_set(STATUS_INVALID,
 		    "A heartbeat names service \"%s\", which the "
 		    "configuration in force doesn't have; correct the "
@@ -62,9 +63,10 @@
 control_heartbeat(
     struct control *c, const char *instance, const struct upstream_heartbeat *b)
 {
-	int fresh = strcmp(instances_current(&c->instances), instance) != 0;
+	int is_new_run =
+	    strcmp(instances_current(&c->instances), instance) != 0;
 	uint64_t started_ms = instances_current_born_ms(&c->instances);
-	enum status st = check(c, instance, b);
+	enum status st = check_heartbeat(c, instance, b);
 
 	if (st != STATUS_OK)
 		return st;
@@ -76,8 +78,8 @@
 		    b->seq, instance, b->started_ms);
 		return STATUS_OK;
 	}
-	fresh |= instances_current_born_ms(&c->instances) != started_ms;
-	if (fresh) {
+	is_new_run |= instances_current_born_ms(&c->instances) != started_ms;
+	if (is_new_run) {
 		log_info("%s of %s, started %" G_GUINT64_FORMAT
 			 ", at port %u is the upstream here, %u slots",
 		    instance, b->service, b->started_ms, b->address.port,
--- a/packages/node/src/control_version.c
+++ b/packages/node/src/control_version.c
@@ -44,29 +44,30 @@
     "Time that compiling the snapshot of a version took.", METRIC_HISTOGRAM,
     NULL, 0, {0}};
 
-static struct metric *const all[] = {&version_gauge, &applied_gauge, &age_gauge,
-    &share_gauge, &age_seconds, &wait_seconds, &keep_seconds, &compile_seconds};
+static struct metric *const metrics[] = {&version_gauge, &applied_gauge,
+    &age_gauge, &share_gauge, &age_seconds, &wait_seconds, &keep_seconds,
+    &compile_seconds};
 
 void
 control_version_register(void)
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(all); i++)
-		metric_register(all[i]);
+	for (i = 0; i < G_N_ELEMENTS(metrics); i++)
+		metric_register(metrics[i]);
 }
 
 void
-control_version_taken(struct control *c, const struct spread_action *a)
+control_version_set_steps(struct control *c, const struct spread_action *a)
 {
-	c->steps = a->steps;
+	c->version_steps = a->steps;
 }
 
 /* The first version of a node is as old as it happens to be. */
 static void
-observe(struct control *c, uint64_t version, uint64_t compile_us)
+record_steps(struct control *c, uint64_t version, uint64_t compile_us)
 {
-	const struct spread_steps *s = &c->steps;
+	const struct spread_steps *s = &c->version_steps;
 	uint32_t within_ms = c->settings->in_force_within_ms;
 	uint64_t percent;
 
@@ -86,39 +87,39 @@
 }
 
 static void
-log_change(const struct control *c, uint64_t version, uint64_t before,
+log_change(const struct control *c, uint64_t version, uint64_t previous,
     uint64_t compile_us)
 {
 	const struct spread_stats *st = spread_stats(c->spread);
-	const struct spread_steps *s = &c->steps;
+	const struct spread_steps *s = &c->version_steps;
 
 	log_info("Version %" PRIu64 " is in force, was %" PRIu64
 		 "; age_ms=%" PRIu64 " wait_ms=%" PRIu64 " keep_ms=%" PRIu64
 		 " compile_ms=%" PRIu64 " notices=%" PRIu64 " pulls=%" PRIu64
 		 " pulls_late=%" PRIu64 " floors_late=%" PRIu64 ".",
-	    version, before, s->age_ms, s->wait_ms, s->keep_ms,
+	    version, previous, s->age_ms, s->wait_ms, s->keep_ms,
 	    compile_us / US_PER_MS, st->notices_heard, st->pulls_sent,
 	    st->pulls_timed_out, st->floor_unacknowledged);
 }
 
 void
-control_version_in_force(
+control_version_set_in_force(
     struct control *c, uint64_t version, uint64_t compile_us)
 {
-	uint64_t before = control_version(c);
+	uint64_t previous = control_version(c);
 
-	if (version == before)
+	if (version == previous)
 		return;
 	if (version == 0)
 		log_warning("No version is in force any more, was %" PRIu64 ".",
-		    before);
+		    previous);
 	else
-		log_change(c, version, before, compile_us);
-	if (version != 0 && before != 0)
-		observe(c, version, compile_us);
+		log_change(c, version, previous, compile_us);
+	if (version != 0 && previous != 0)
+		record_steps(c, version, compile_us);
 	atomic_store(&c->version, version);
 	metric_set(&version_gauge, (int64_t)version);
 	if (version != 0)
 		metric_set(&applied_gauge, (int64_t)clock_wall_ms());
-	control_refused_in_force(c, version);
+	control_refused_version_in_force(c, version);
 }
--- a/packages/node/src/main.c
+++ b/packages/node/src/main.c
@@ -20,7 +20,7 @@
 #include "proto/settings.h"
 
 enum exit_code {
-	EXIT_FINE = 0,
+	EXIT_OK = 0,
 	EXIT_FAILED = 1,
 	EXIT_USAGE = 2,
 	EXIT_SETTINGS = 3,
@@ -65,7 +65,7 @@
 		code = EXIT_USAGE;
 	} else if (show_version) {
 		(void)printf("bramleydrift %s\n", BRAMLEY_VERSION);
-		code = EXIT_FINE;
+		code = EXIT_OK;
 	} else if (*argc > 1) {
 		(void)fprintf(stderr,
 		    "bramleydrift: \"%s\" is no option; try --help.\n",
@@ -158,7 +158,7 @@
 
 /* Return: the signal that ends the process. */
 static int
-wait_for_end(const struct settings *s, const sigset_t *set)
+wait_for_stop_signal(const struct settings *s, const sigset_t *set)
 {
 	int sig = 0;
 
@@ -183,12 +183,12 @@
 		log_stop();
 		return EXIT_FAILED;
 	}
-	sig = wait_for_end(s, set);
+	sig = wait_for_stop_signal(s, set);
 	log_info("Signal %d came; stopping gracefully.", sig);
 	node_stop(n);
 	log_info("Stopped.");
 	log_stop();
-	return EXIT_FINE;
+	return EXIT_OK;
 }
 
 /*
@@ -196,14 +196,14 @@
  * size they are mapped and given back to the system at once; the C library
  * would raise the limit to the largest that was freed, and keep them all.
  */
-#define MAPPED_FROM_BYTES 65536
+#define MMAP_THRESHOLD_BYTES 65536
 
 /* One heap for all threads: what one frees another may use. */
 static void
-bound_heap(void)
+limit_heap(void)
 {
-	(void)mallopt(M_MMAP_THRESHOLD, MAPPED_FROM_BYTES);
-	(void)mallopt(M_TRIM_THRESHOLD, MAPPED_FROM_BYTES);
+	(void)mallopt(M_MMAP_THRESHOLD, MMAP_THRESHOLD_BYTES);
+	(void)mallopt(M_TRIM_THRESHOLD, MMAP_THRESHOLD_BYTES);
 	(void)mallopt(M_ARENA_MAX, 1);
 }
 
@@ -217,7 +217,7 @@
 	/* First of all: a signal that comes while the node starts ends it in
 	 * order once it has started. */
 	block_signals(&set);
-	bound_heap();
+	limit_heap();
 	/* Numbers stay as C writes them; only the help is in the locale. */
 	(void)setlocale(LC_CTYPE, "");
 	code = parse_options(&argc, &argv);
@@ -228,6 +228,6 @@
 	if (print_settings)
 		show_settings(&s);
 	if (print_settings || check_settings)
-		return EXIT_FINE;
+		return EXIT_OK;
 	return run(&s, &set);
 }
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -23,7 +23,7 @@
 struct node {
 	const struct settings *settings;
 	const struct node_adapter *adapter;
-	void *adapted;
+	void *adapter_data;
 	struct traffic_thread *traffic;
 	struct entry *entry;
 	struct guard *guard;
@@ -37,8 +37,8 @@
 {
 	admin_stop(n->admin);
 	callers_free(n->callers);
-	if (n->adapter != NULL && n->adapted != NULL)
-		n->adapter->free(n->adapted);
+	if (n->adapter != NULL && n->adapter_data != NULL)
+		n->adapter->free(n->adapter_data);
 	control_free(n->control);
 	entry_free(n->entry);
 	guard_free(n->guard);
@@ -53,7 +53,7 @@
 }
 
 static enum status
-node_make(struct node *n, uint64_t incarnation, uint64_t seed)
+node_create_parts(struct node *n, uint64_t incarnation, uint64_t seed)
 {
 	const struct call_dialect *d = node_dialect(n);
 	const struct settings *s = n->settings;
@@ -70,7 +70,7 @@
 	n->callers = callers_new(s, d, n->entry, loop);
 	st = control_new(s, n->entry, n->guard, incarnation, seed, &n->control);
 	if (st == STATUS_OK && n->adapter != NULL)
-		st = n->adapter->start(s, n->control, seed, &n->adapted);
+		st = n->adapter->start(s, n->control, seed, &n->adapter_data);
 	return st;
 }
 
@@ -112,7 +112,7 @@
 
 	n->settings = s;
 	n->adapter = adapter;
-	st = node_make(n, incarnation, seed);
+	st = node_create_parts(n, incarnation, seed);
 	if (st != STATUS_OK) {
 		node_free(n);
 		return st;
@@ -129,7 +129,7 @@
 }
 
 static int
-node_idle(const struct node *n)
+node_is_idle(const struct node *n)
 {
 	return callers_in_flight(n->callers) == 0 &&
 	    entry_in_flight(n->entry) == 0 && guard_in_flight(n->guard) == 0;
@@ -137,7 +137,7 @@
 
 /* The upstream works on for peers while callers are led elsewhere. */
 static void
-node_serve_on(const struct node *n, uint64_t until_ms)
+node_serve_peers(const struct node *n, uint64_t until_ms)
 {
 	while (clock_now_ms() < until_ms && guard_is_serving(n->guard))
 		g_usleep(STOP_POLL_MS * G_TIME_SPAN_MILLISECOND);
@@ -149,20 +149,20 @@
 	uint64_t now_ms = clock_now_ms();
 	const struct settings *s = n->settings;
 	uint64_t deadline_ms = now_ms + drain_work_ms(s->drain_ms, s->grace_ms);
-	uint64_t least_ms =
+	uint64_t serve_until_ms =
 	    drain_serves_until_ms(s->drain_notice_ms, deadline_ms, now_ms);
 
-	control_turn_away(n->control);
+	control_stop_accepting(n->control);
 	guard_announce_stop(n->guard, deadline_ms);
 	callers_drain(n->callers, deadline_ms);
-	node_serve_on(n, least_ms);
+	node_serve_peers(n, serve_until_ms);
 	control_leave(n->control);
 	guard_drain(n->guard, deadline_ms);
-	while (clock_now_ms() < least_ms ||
+	while (clock_now_ms() < serve_until_ms ||
 	    (clock_now_ms() < deadline_ms &&
-		!(node_idle(n) && control_has_left(n->control))))
+		!(node_is_idle(n) && control_has_left(n->control))))
 		g_usleep(STOP_POLL_MS * G_TIME_SPAN_MILLISECOND);
-	if (!node_idle(n))
+	if (!node_is_idle(n))
 		log_warning("The drain's deadline passed; %u calls and %u "
 			    "guarded requests are given up.",
 		    entry_in_flight(n->entry), guard_in_flight(n->guard));
--- a/packages/node/src/operation.c
+++ b/packages/node/src/operation.c
@@ -122,7 +122,7 @@
 
 /* Keeps what is written, for the end of the operation. */
 static void
-remember_write(struct operation *op, const struct signoff_action *a)
+record_write(struct operation *op, const struct signoff_action *a)
 {
 	op->end.head = a->head;
 	op->end.version = a->version;
@@ -155,7 +155,7 @@
 	    .version = a->has_version ? &v : NULL,
 	};
 
-	remember_write(op, a);
+	record_write(op, a);
 	store_transact(
 	    op->store, &w, a->deadline_ms, on_transact, step_new(op, a->token));
 }
@@ -190,7 +190,7 @@
 }
 
 static void
-operation_carry_out(struct operation *op, const struct signoff_action *a)
+operation_execute(struct operation *op, const struct signoff_action *a)
 {
 	switch (a->kind) {
 	case SIGNOFF_READ_HEAD:
@@ -224,7 +224,7 @@
 	struct signoff_action a;
 
 	while (!op->finished && signoff_action(op->signoff, &a)) {
-		operation_carry_out(op, &a);
+		operation_execute(op, &a);
 		signoff_action_clear(&a);
 	}
 	if (!op->finished)
--- a/packages/node/src/peers.c
+++ b/packages/node/src/peers.c
@@ -15,8 +15,8 @@
 #include "net/udp.h"
 #include "node/peers.h"
 
-#define PEERS_DIAL_MS 2000
-#define PEERS_IDLE_MS 30000
+#define PEERS_DIAL_TIMEOUT_MS 2000
+#define PEERS_IDLE_TIMEOUT_MS 30000
 #define PEERS_CONNS_MAX 1024
 
 struct peers {
@@ -44,7 +44,7 @@
 peers_conn_options(void)
 {
 	struct conn_options options = {
-	    .idle_ms = PEERS_IDLE_MS,
+	    .idle_ms = PEERS_IDLE_TIMEOUT_MS,
 	    .sent_bytes = &sent_bytes,
 	    .received_bytes = &received_bytes,
 	};
@@ -54,7 +54,7 @@
 
 /* Forgets a connection; returns whether it had been dialled from here. */
 static int
-peers_forget(struct peers *p, struct conn *c)
+peers_remove(struct peers *p, struct conn *c)
 {
 	struct net_addr peer = conn_peer(c);
 	uint64_t id = conn_id(c);
@@ -68,7 +68,7 @@
 }
 
 static void
-peers_remember(struct peers *p, struct conn *c)
+peers_add(struct peers *p, struct conn *c)
 {
 	uint64_t id = conn_id(c);
 
@@ -101,7 +101,7 @@
 
 	log_debug("Connection with %s ended: %s, %s", addr_format(&peer, text),
 	    status_name(st), status_message());
-	if (peers_forget(p, c))
+	if (peers_remove(p, c))
 		p->handler->on_closed(peer, p->arg);
 }
 
@@ -114,7 +114,7 @@
 static void
 peers_on_accept(struct conn *c, void *arg)
 {
-	peers_remember(arg, c);
+	peers_add(arg, c);
 }
 
 static void
@@ -202,9 +202,9 @@
 	uint64_t key = addr_key(&to);
 	struct conn *c;
 
-	c = conn_dial(p->loop, to, loop_now_ms(p->loop) + PEERS_DIAL_MS,
+	c = conn_dial(p->loop, to, loop_now_ms(p->loop) + PEERS_DIAL_TIMEOUT_MS,
 	    &options, &peers_conn_handler, p);
-	peers_remember(p, c);
+	peers_add(p, c);
 	g_hash_table_insert(p->by_address, g_memdup2(&key, sizeof(key)), c);
 	return c;
 }
@@ -244,12 +244,12 @@
 
 	if (c == NULL)
 		return;
-	(void)peers_forget(p, c);
+	(void)peers_remove(p, c);
 	conn_close(c);
 }
 
 static void
-peers_carry_out(struct peers *p, const struct outbox_item *item)
+peers_send_item(struct peers *p, const struct outbox_item *item)
 {
 	switch (item->kind) {
 	case OUTBOX_DATAGRAM:
@@ -271,7 +271,7 @@
 	struct outbox_item *item;
 
 	while ((item = outbox_pop(o)) != NULL) {
-		peers_carry_out(p, item);
+		peers_send_item(p, item);
 		outbox_item_free(item);
 	}
 }
--- a/packages/node/src/source.c
+++ b/packages/node/src/source.c
@@ -11,7 +11,7 @@
 #include "base/log.h"
 #include "node/source.h"
 
-#define SOURCE_DEADLINE_MS 2000
+#define SOURCE_TIMEOUT_MS 2000
 
 struct source {
 	struct loop *loop;
@@ -22,7 +22,7 @@
 };
 
 /* One read of an object; remembers what was asked for. */
-struct source_object {
+struct object_read {
 	struct source *src;
 	struct digest digest;
 };
@@ -50,11 +50,11 @@
 static uint64_t
 source_deadline(const struct source *src)
 {
-	return loop_now_ms(src->loop) + SOURCE_DEADLINE_MS;
+	return loop_now_ms(src->loop) + SOURCE_TIMEOUT_MS;
 }
 
 static void
-source_give_head(
+source_finish_head(
     struct source *src, enum status st, const struct rec_head *head)
 {
 	if (st != STATUS_OK && st != STATUS_NOT_FOUND)
@@ -87,7 +87,7 @@
 
 	if (st == STATUS_OK)
 		head = source_head(row);
-	source_give_head(src, st, &head);
+	source_finish_head(src, st, &head);
 }
 
 enum status
@@ -140,7 +140,7 @@
 static void
 on_object(enum status st, const uint8_t *data, size_t len, void *arg)
 {
-	struct source_object *o = arg;
+	struct object_read *o = arg;
 	struct source *src = o->src;
 
 	spread_on_object(
@@ -152,7 +152,7 @@
 static void
 source_read_object(struct source *src, const struct spread_action *a)
 {
-	struct source_object *o = g_new0(struct source_object, 1);
+	struct object_read *o = g_new0(struct object_read, 1);
 	char hex[DIGEST_HEX_BYTES];
 	char key[STORE_KEY_BYTES];
 
--- a/packages/node/test/test_command_line.c
+++ b/packages/node/test/test_command_line.c
@@ -10,7 +10,7 @@
 
 /* Exit codes of bramleydrift(8). */
 enum {
-	CODE_FINE = 0,
+	CODE_OK = 0,
 	CODE_USAGE = 2,
 	CODE_SETTINGS = 3,
 };
@@ -21,10 +21,10 @@
 	const char *args[ARGS_MAX];
 	int code;
 } runs[] = {
-    {{"--help"}, CODE_FINE},
-    {{"--version"}, CODE_FINE},
-    {{"--settings", EXAMPLE_SETTINGS, "--check-settings"}, CODE_FINE},
-    {{"--settings", EXAMPLE_SETTINGS, "--print-settings"}, CODE_FINE},
+    {{"--help"}, CODE_OK},
+    {{"--version"}, CODE_OK},
+    {{"--settings", EXAMPLE_SETTINGS, "--check-settings"}, CODE_OK},
+    {{"--settings", EXAMPLE_SETTINGS, "--print-settings"}, CODE_OK},
     {{NULL}, CODE_USAGE},
     {{"--no-such-option"}, CODE_USAGE},
     {{"--settings"}, CODE_USAGE},
