--- a/packages/node/include/node/adapter.h
+++ b/packages/node/include/node/adapter.h
@@ -1,6 +1,6 @@
 /*
- * Adapter: a node that speaks somebody else's protocols to callers, upstreams
- * and the platform.  An adapter translates; it decides nothing.
+ * Adapter: translates between the node and foreign protocols towards callers,
+ * upstreams and the platform.  All decisions stay with the node.
  */
 #ifndef NODE_ADAPTER_H
 #define NODE_ADAPTER_H
@@ -14,11 +14,12 @@
 struct settings;
 
 /**
- * struct node_adapter - an adapter
- * @dialect: names of headers
- * @start: called once before the control thread starts; what it needs lives in
- *	that thread's loop.  @out is given to the functions below.
- * @free: called once, after the control thread has stopped
+ * struct node_adapter - functions of an adapter
+ * @dialect: names of the HTTP headers
+ * @start: called once before the control thread starts; registers its sockets
+ *	and timers with the loop of that thread.  @out receives the adapter's
+ *	data, which is passed to @free.
+ * @free: called once, after the control thread has stopped; frees the data
  */
 struct node_adapter {
 	const struct call_dialect *dialect;
--- a/packages/node/include/node/admin.h
+++ b/packages/node/include/node/admin.h
@@ -1,6 +1,6 @@
 /*
- * Administration API: HTTP and JSON on the administration port
- * (docs/API.md).  CivetWeb workers hand requests to the control thread.
+ * Administration API: HTTP and JSON on the administration port (docs/API.md).
+ * CivetWeb worker threads post requests to the control thread.
  */
 #ifndef NODE_ADMIN_H
 #define NODE_ADMIN_H
@@ -14,8 +14,8 @@
 /**
  * admin_start() - listen on the administration port
  * @s: settings of the node; must outlive the server
- * @c: the control part; must outlive the server
- * @out: where the server goes; end it with admin_stop()
+ * @c: control of the node; must outlive the server
+ * @out: receives the server; stop it with admin_stop()
  *
  * Return: STATUS_OK, or STATUS_IO when the port can't be bound.
  */
--- a/packages/node/include/node/control.h
+++ b/packages/node/include/node/control.h
@@ -1,6 +1,6 @@
 /*
- * Control: the thread that holds membership and configuration, passes both
- * on to peers, reads the platform and runs the operators' operations.
+ * Control: the thread that holds membership and configuration, spreads both to
+ * peers, reads the platform and runs the operations of operators.
  */
 #ifndef NODE_CONTROL_H
 #define NODE_CONTROL_H
@@ -26,13 +26,13 @@
 struct settings;
 
 /**
- * control_new() - make the control part
+ * control_new() - create the control of a node
  * @s: settings of the node; must outlive the control
- * @e: entry that is told of new snapshots
- * @g: guard that is told of this host's endpoints
+ * @e: entry that is notified of new snapshots
+ * @g: guard that receives this host's endpoints
  * @incarnation: incarnation of this process, wall-clock ms
- * @seed: seed of the decisions' random choices
- * @out: where the control goes
+ * @seed: seed of all random choices
+ * @out: receives the control
  *
  * Return: STATUS_OK, or STATUS_IO when the peer port can't be bound.
  */
@@ -40,15 +40,16 @@
     struct guard *g, uint64_t incarnation, uint64_t seed, struct control **out);
 
 /**
- * struct upstream_heartbeat - what an upstream says of itself in a heartbeat
- * @service: service that it is an endpoint of
- * @version: version of its software, empty when it didn't say
- * @address: where it listens, on this host
- * @slots: requests that it runs at once
+ * struct upstream_heartbeat - contents of a heartbeat
+ * @service: service that the upstream is an endpoint of
+ * @version: version of the upstream's software, empty if not given
+ * @address: address on this host at which the upstream listens
+ * @slots: number of requests that the upstream runs concurrently
  * @state: ready or draining
- * @started_ms: when the run started, by its clock; 0 when it doesn't say
- * @seq: rises with each heartbeat of a run
- * @cold_ms: how much longer it is slow after its start
+ * @started_ms: start of the upstream's process by its own clock, milliseconds
+ *	since 1970; 0 if not given
+ * @seq: increases with each heartbeat of a process
+ * @cold_ms: remaining time of slow answers after the start, milliseconds
  */
 struct upstream_heartbeat {
 	char service[SERVICE_NAME_BYTES];
@@ -62,43 +63,44 @@
 };
 
 /**
- * control_set_platform() - take configurations and peers from an adapter's
- * platform
+ * control_set_platform() - use an adapter's platform for configurations, peers
+ * and stored rows
  * @c: the control, before it is started
- * @feed: where configurations come from; must outlive the thread
- * @directory: where nodes find one another; must outlive the thread
- * @keep: what outlives all nodes; must outlive the thread
- * @rollouts: orders of services and their outcome; must outlive the thread
+ * @feed: source of configurations; must outlive the thread
+ * @directory: directory of nodes; must outlive the thread
+ * @keep: store of quarantined requests; must outlive the thread
+ * @rollouts: store of rollout orders and their outcomes; must outlive the
+ *	thread
  */
 void control_set_platform(struct control *c, struct feed *feed,
     struct directory *directory, struct keep *keep,
     struct rollout_store *rollouts);
 
 /**
- * control_heartbeat() - a heartbeat of the upstream on this host
+ * control_heartbeat() - process a heartbeat of the upstream on this host
  * @c: the control
- * @instance: name of the run that sent it
- * @b: what it says
+ * @instance: name of the upstream's process
+ * @b: contents of the heartbeat
  *
- * What it says holds at this host's guard when this returns and the traffic
- * thread has taken its next turn.
+ * The guard of this host applies the heartbeat in the next iteration of the
+ * traffic thread's loop.
  *
- * Return: STATUS_OK, also for one that is late and changes nothing;
- * STATUS_INVALID.
+ * Return: STATUS_OK, also for a late heartbeat, which is ignored;
+ * STATUS_INVALID when it names another host or an unknown service.
  */
 enum status control_heartbeat(struct control *c, const char *instance,
     const struct upstream_heartbeat *b);
 
 /**
- * control_upstream_left() - a run of the upstream said that it leaves
+ * control_upstream_left() - an upstream's process has announced its end
  * @c: the control
- * @instance: name of the run
- * @started_ms: when it started; 0 when it doesn't say
+ * @instance: name of the process
+ * @started_ms: start of the process; 0 if not given
  */
 void control_upstream_left(
     struct control *c, const char *instance, uint64_t started_ms);
 
-/** control_accepts_callers() - whether callers may be led here; any thread */
+/** control_accepts_callers() - whether callers may use this node; any thread */
 int control_accepts_callers(const struct control *c);
 
 /** control_start() - start the thread; Return: STATUS_OK or STATUS_IO */
@@ -107,30 +109,32 @@
 /**
  * control_loop() - the control thread's loop
  *
- * The functions below are for functions posted to it, unless they say that
- * any thread may call them.
+ * The functions below may only be called in that loop, unless they say that any
+ * thread may call them.
  */
 struct loop *control_loop(struct control *c);
 
-/** control_ready() - whether this node serves; any thread may call it */
+/** control_ready() - whether this node serves calls; any thread */
 int control_ready(const struct control *c);
 
-/** control_version() - version in force here; any thread may call it */
+/** control_version() - version in force here, 0 for none; any thread */
 uint64_t control_version(const struct control *c);
 
 /**
- * control_stop_accepting() - callers are to go elsewhere; any thread
+ * control_stop_accepting() - control_accepts_callers() is false from now on;
+ * any thread
  * @c: the control
  */
 void control_stop_accepting(struct control *c);
 
 /**
- * control_leave() - tell peers that this node stops; any thread
+ * control_leave() - announce to peers that this node stops; any thread
  * @c: the control
  */
 void control_leave(struct control *c);
 
-/** control_has_left() - whether peers have been told; any thread */
+/** control_has_left() - whether peers have been notified of the stop; any
+ * thread */
 int control_has_left(const struct control *c);
 
 /** control_stop() - stop the thread */
@@ -140,26 +144,26 @@
 void control_free(struct control *c);
 
 /**
- * control_announce() - an upstream of this host told its state
+ * control_announce() - set the state of an upstream of this host
  * @c: the control
- * @service: service that it is an endpoint of
- * @port: its port
- * @slots: requests that it runs at once
- * @state: its state
- * @lease_ms: how long this holds unless told again, from now
- * @cold_ms: how much longer it is slow after its start, or
+ * @service: service that the upstream is an endpoint of
+ * @port: port at which the upstream listens
+ * @slots: number of requests that the upstream runs concurrently
+ * @state: state of the upstream
+ * @lease_ms: the announcement expires after this time, from now, unless renewed
+ * @cold_ms: remaining time of slow answers after the start, milliseconds, or
  *	MEMBER_COLD_UNKNOWN
- * @version: version of its software; NULL when it didn't say
+ * @version: version of the upstream's software; NULL if not given
  */
 enum status control_announce(struct control *c, const char *service,
     uint16_t port, uint16_t slots, enum endpoint_state state, uint32_t lease_ms,
     uint16_t cold_ms, const char *version);
 
 /**
- * control_withdraw() - the upstreams of a service on this host have left
+ * control_withdraw() - remove an upstream of this host
  * @c: the control
  * @service: the service
- * @port: port of the upstream; 0 for all of the service
+ * @port: port of the upstream; 0 for the first one of the service
  */
 enum status
 control_withdraw(struct control *c, const char *service, uint16_t port);
@@ -167,32 +171,33 @@
 /**
  * control_run_operation() - run an operation on the platform's rows
  *
- * Parameters and result as operation_start(); what it writes is also put on
- * its way to the peers at once.
+ * Parameters and result are those of operation_start().  What the operation
+ * wrote is also sent to the peers at once.
  */
 enum status
 control_run_operation(struct control *c, const struct signoff_request *req,
     struct bundle *bundle, operation_fn *fn, void *arg);
 
-/** control_store() - the platform */
+/** control_store() - store of the platform */
 struct store *control_store(struct control *c);
 
-/** control_status_json() - this node's state; the caller owns the object */
+/** control_status_json() - state of this node; the caller owns the object */
 json_t *control_status_json(struct control *c);
 
 /** control_members_json() - all members; the caller owns the array */
 json_t *control_members_json(struct control *c);
 
-/** control_quarantine_json() - requests that are no longer run; the caller owns
- * the array */
+/** control_quarantine_json() - quarantined requests; the caller owns the
+ * array */
 json_t *control_quarantine_json(struct control *c);
 
 /**
- * control_quarantine_release() - let a request be run again, at all nodes
+ * control_quarantine_release() - end the quarantine of a request on all nodes
  * @c: the control
- * @f: the request, as the list has it
+ * @f: fingerprint of the request
  *
- * Return: STATUS_OK, or STATUS_NOT_FOUND when it is not quarantined here.
+ * Return: STATUS_OK, or STATUS_NOT_FOUND when the request is not quarantined
+ * here.
  */
 enum status
 control_quarantine_release(struct control *c, const struct fingerprint *f);
@@ -201,11 +206,11 @@
  * the array */
 json_t *control_rollouts_json(struct control *c);
 
-/** control_request_progress() - ask the data centres how far the roll is */
+/** control_request_progress() - request progress reports of the data centres */
 void control_request_progress(struct control *c);
 
 /**
- * control_progress_json() - how far a version has come
+ * control_progress_json() - number of nodes that hold a version, by data centre
  * @c: the control
  * @version: the version
  *
--- a/packages/node/include/node/node.h
+++ b/packages/node/include/node/node.h
@@ -1,5 +1,5 @@
 /*
- * Node: puts the parts of the process together and takes them apart again.
+ * Node: creates, starts, stops and frees the parts of the process.
  */
 #ifndef NODE_NODE_H
 #define NODE_NODE_H
@@ -14,13 +14,14 @@
 
 /**
  * node_start() - start all threads of a node
- * @s: its settings; must outlive the node
- * @adapter: whose protocols it speaks, NULL for its own; must outlive it
+ * @s: settings of the node; must outlive the node
+ * @adapter: adapter to foreign protocols, NULL for the node's own; must outlive
+ *	the node
  * @incarnation: incarnation of this process, wall-clock ms
  * @seed: seed of all random choices
- * @out: where the node goes
+ * @out: receives the node
  *
- * Return: STATUS_OK, or STATUS_IO with a message that names the remedy.
+ * Return: STATUS_OK, or STATUS_IO with a message that contains the remedy.
  */
 enum status
 node_start(const struct settings *s, const struct node_adapter *adapter,
@@ -30,8 +31,8 @@
  * node_stop() - stop gracefully and free a node
  * @n: the node
  *
- * Peers are told first, then new calls are answered not_run and those in
- * flight end; what is left after drain_ms is given up.
+ * Announces the stop to peers, then answers new calls with not_run while calls
+ * in flight finish.  Calls that are still running after drain_ms are aborted.
  */
 void node_stop(struct node *n);
 
--- a/packages/node/include/node/operation.h
+++ b/packages/node/include/node/operation.h
@@ -1,6 +1,6 @@
 /*
- * Operations on the platform's rows (sign-off, halt, supersede, find): feeds
- * one signoff decision with the answers of the store.
+ * Operations on the platform's rows (sign-off, halt, supersede, find): carries
+ * out the actions of one struct signoff on the store.
  */
 #ifndef NODE_OPERATION_H
 #define NODE_OPERATION_H
@@ -10,14 +10,14 @@
 #include "store/store.h"
 
 /**
- * struct operation_end - how an operation ended
- * @outcome: outcome of the decision
- * @head: head row as written; only when @wrote
- * @version: version row as written; only when @wrote_version
- * @changes: keeps the changes of @version; may be NULL
- * @bundle: bundle that was signed off, for its contents; NULL when none
- * @wrote: whether this run wrote the head row
- * @wrote_version: whether it wrote a version row with it
+ * struct operation_end - result of an operation
+ * @outcome: outcome of the signoff
+ * @head: head row as written; valid if @wrote
+ * @version: version row as written; valid if @wrote_version
+ * @changes: owns the changes of @version; may be NULL
+ * @bundle: bundle that was signed off; NULL for none
+ * @wrote: whether this operation wrote the head row
+ * @wrote_version: whether a version row was written with the head row
  */
 struct operation_end {
 	const struct signoff_outcome *outcome;
@@ -29,21 +29,23 @@
 	int wrote_version;
 };
 
-/** operation_fn - an operation has ended; @end is valid during the call */
+/** operation_fn - called when an operation has ended; @end is valid during the
+ * call */
 typedef void operation_fn(const struct operation_end *end, void *arg);
 
 /**
- * operation_start() - run an operation to its outcome
+ * operation_start() - start an operation
  * @loop: the control thread's loop
- * @store: the platform; must outlive the operation
- * @req: what is asked for; copied but for the bundle
- * @bundle: the request's bundle, taken over; NULL when there is none
- * @fn: called once with the outcome, never before this returns
- * @arg: given to @fn
+ * @store: store of the platform; must outlive the operation
+ * @req: the request; copied except for the bundle
+ * @bundle: bundle of the request, owned by the operation from now on, also on
+ *	failure; NULL for none
+ * @fn: called once with the result, after this function has returned
+ * @arg: passed to @fn
  *
  * The operation frees itself.
  *
- * Return: STATUS_OK, or STATUS_INVALID (then @fn isn't called).
+ * Return: STATUS_OK, or STATUS_INVALID, in which case @fn isn't called.
  */
 enum status operation_start(struct loop *loop, struct store *store,
     const struct signoff_request *req, struct bundle *bundle, operation_fn *fn,
--- a/packages/node/include/node/peers.h
+++ b/packages/node/include/node/peers.h
@@ -1,6 +1,6 @@
 /*
- * Control connections to peers: framed TCP in both directions, and the
- * datagram socket, all in the control thread.
+ * Control connections to peers, TCP with frames, incoming and outgoing, and the
+ * datagram socket.  All of them belong to the control thread.
  */
 #ifndef NODE_PEERS_H
 #define NODE_PEERS_H
@@ -16,11 +16,11 @@
 struct peers;
 
 /**
- * struct peers_handler - what the owner is told
- * @on_datagram: a datagram came in
- * @on_frame: a frame came in over connection @conn
- * @on_part: bytes of a frame of @peer came that isn't complete yet
- * @on_closed: a connection that was dialled to @peer ended or failed
+ * struct peers_handler - callbacks of the owner
+ * @on_datagram: a datagram was received
+ * @on_frame: a frame was received on connection @conn
+ * @on_part: part of a frame was received from @peer
+ * @on_closed: an outgoing connection to @peer was closed or failed
  */
 struct peers_handler {
 	void (*on_datagram)(struct net_addr from, uint8_t type,
@@ -32,12 +32,12 @@
 };
 
 /**
- * peers_new() - listen for peers
+ * peers_new() - bind the sockets and listen for peers
  * @loop: the control thread's loop
  * @at: own control address, TCP and UDP
- * @handler: what the owner is told; must outlive the peers
- * @arg: given to the handler's functions
- * @out: where the peers go
+ * @handler: callbacks of the owner; must outlive the peers
+ * @arg: passed to the callbacks
+ * @out: receives the peers
  *
  * Return: STATUS_OK, or STATUS_IO when the address can't be bound.
  */
@@ -48,7 +48,7 @@
 void peers_free(struct peers *p);
 
 /**
- * peers_flush() - carry out everything that an outbox holds
+ * peers_flush() - carry out and remove all items of an outbox
  * @p: the peers
  * @o: the outbox
  */
--- a/packages/node/include/node/snapshot_ref.h
+++ b/packages/node/include/node/snapshot_ref.h
@@ -2,8 +2,8 @@
  * The snapshot in force, published by the control thread and read by the
  * traffic threads.
  *
- * The pointer is swapped under RCU; a reader's critical section is only long
- * enough to take a reference, which the call then holds for its life.
+ * The pointer is protected by RCU.  A reader's critical section lasts only
+ * until it has taken a reference, which a call then holds until its end.
  */
 #ifndef NODE_SNAPSHOT_REF_H
 #define NODE_SNAPSHOT_REF_H
@@ -15,17 +15,17 @@
  *
  * Any thread may call it; it never blocks.
  *
- * Return: a reference to give back with snapshot_unref(), or NULL while
- * nothing is in force.
+ * Return: a reference, to be released with snapshot_unref(), or NULL while no
+ * snapshot is in force.
  */
 struct snapshot *snapshot_ref_get(void);
 
 /**
  * snapshot_ref_publish() - put a snapshot in force
- * @s: the snapshot; the caller's reference is taken over; NULL for none
+ * @s: the snapshot; takes ownership of the caller's reference; NULL for none
  *
- * Only the control thread calls it.  The earlier snapshot is given back once
- * no reader can still be looking at the pointer.
+ * Only the control thread may call it.  The reference to the previous snapshot
+ * is released after a grace period, when no reader can hold the old pointer.
  */
 void snapshot_ref_publish(struct snapshot *s);
 
--- a/packages/node/include/node/source.h
+++ b/packages/node/include/node/source.h
@@ -1,5 +1,6 @@
 /*
- * Reads the platform for the spread decisions and hands it the answers.
+ * Source: reads the platform's store for the spread and passes the answers to
+ * it.
  */
 #ifndef NODE_SOURCE_H
 #define NODE_SOURCE_H
@@ -11,40 +12,41 @@
 
 struct source;
 
-/** source_fn - an answer was handed to the spread; pump its actions */
+/** source_fn - an answer was passed to the spread; carry out its new actions */
 typedef void source_fn(void *arg);
 
 /**
- * source_new() - make a reader
+ * source_new() - create a source
  * @loop: the control thread's loop
- * @store: the platform; must outlive the reader
- * @spread: who gets the answers; must outlive the reader
+ * @store: store of the platform; must outlive the source
+ * @spread: receives the answers; must outlive the source
  * @fn: called after each answer
- * @arg: given to @fn
+ * @arg: passed to @fn
  */
 struct source *source_new(struct loop *loop, struct store *store,
     struct spread *spread, source_fn *fn, void *arg);
 
-/** source_free() - free a reader after its store; NULL is allowed */
+/** source_free() - free a source, after its store; NULL is allowed */
 void source_free(struct source *src);
 
 /**
  * source_read() - carry out a SPREAD_READ_* action
- * @src: the reader
+ * @src: the source
  * @a: the action
  */
 void source_read(struct source *src, const struct spread_action *a);
 
-/** source_head() - convert a head row for the spread */
+/** source_head() - convert a head row to a record of the spread */
 struct rec_head source_head(const struct store_head *row);
 
 /**
- * source_row() - convert a version row for the spread
- * @in: row as the store gives it
- * @changes: holds what @out borrows; clear with msg_version_changes_clear()
- * @out: where the row goes
+ * source_row() - convert a version row to that of the spread
+ * @in: row of the store
+ * @changes: owns what @out borrows; clear with msg_version_changes_clear()
+ * @out: receives the row
  *
- * Return: STATUS_OK, or STATUS_INVALID when its changes can't be read.
+ * Return: STATUS_OK, or STATUS_INVALID when the changes of the row can't be
+ * decoded.
  */
 enum status source_row(const struct store_version *in,
     struct msg_version_changes *changes, struct spread_version_row *out);
--- a/packages/node/include/node/traffic_thread.h
+++ b/packages/node/include/node/traffic_thread.h
@@ -1,6 +1,6 @@
 /*
- * The traffic thread: one event loop for callers, entry and guard, so that a
- * call to an upstream of the own host crosses no thread.
+ * Traffic thread: one event loop for callers, entry and guard, so that a call
+ * to an upstream of the own host stays in one thread.
  */
 #ifndef NODE_TRAFFIC_THREAD_H
 #define NODE_TRAFFIC_THREAD_H
@@ -11,22 +11,24 @@
 struct traffic_thread;
 
 /**
- * traffic_thread_new() - make the loop; nothing runs yet
+ * traffic_thread_new() - create the loop, without starting the thread
  *
- * Return: the thread, or NULL when the system refuses a descriptor.
+ * Return: the thread, or NULL when the system has no file descriptor left.
  */
 struct traffic_thread *traffic_thread_new(void);
 
-/** traffic_thread_loop() - its loop */
+/** traffic_thread_loop() - loop of the thread */
 struct loop *traffic_thread_loop(const struct traffic_thread *t);
 
-/** traffic_thread_start() - run; Return: STATUS_OK or STATUS_IO */
+/** traffic_thread_start() - start the thread; Return: STATUS_OK or STATUS_IO */
 enum status traffic_thread_start(struct traffic_thread *t);
 
-/** traffic_thread_stop() - what was posted before still runs */
+/** traffic_thread_stop() - stop the thread; functions posted before still
+ * run */
 void traffic_thread_stop(struct traffic_thread *t);
 
-/** traffic_thread_free() - after all that lives in the loop; NULL is fine */
+/** traffic_thread_free() - free the loop, after all users of it; NULL is
+ * allowed */
 void traffic_thread_free(struct traffic_thread *t);
 
 #endif
--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -1,8 +1,8 @@
 /*
  * Administration API: the HTTP server and its dispatch.
  *
- * A CivetWeb worker reads the request, posts it to the control thread and
- * waits for the answer.  Only /metrics and /v1/health are answered by the
+ * A CivetWeb worker thread reads the request, posts it to the control thread
+ * and waits for the answer.  Only /metrics and /v1/health are answered by the
  * worker itself, so that they work while the control thread is busy.
  */
 #define LOG_PART "admin"
@@ -24,7 +24,7 @@
 
 struct admin_route {
 	const char *method; /* NULL for any */
-	const char *path;   /* what the path below the prefix starts with */
+	const char *path;   /* prefix of the path below API_PREFIX */
 	void (*handle)(struct admin_call *call);
 };
 
@@ -184,7 +184,7 @@
 		    "See docs/API.md for the resources below /v1/.", 0);
 }
 
-/* Runs in the control thread, which gives its reference back here. */
+/* Runs in the control thread; releases the reference that was posted. */
 static void
 admin_dispatch(void *arg)
 {
@@ -229,7 +229,7 @@
 	    admin_error_json(st, message, remedy, 0));
 }
 
-/* Reads the whole body; returns 0 when it is too large. */
+/* Reads the full body; returns 0 when it is too large. */
 static int
 admin_read_body(struct mg_connection *conn, GString *body)
 {
@@ -244,7 +244,7 @@
 	return 1;
 }
 
-/* Waits for the control thread's answer; answers itself when none comes. */
+/* Waits for the control thread's answer, until a deadline. */
 static void
 admin_wait(struct admin_call *call)
 {
@@ -258,7 +258,8 @@
 	g_mutex_unlock(&call->lock);
 }
 
-/* Whoever asked may wait less long than an operation may take. */
+/* Deadline of the operation; the client may allow less time than
+ * ADMIN_OPERATION_MS. */
 static uint64_t
 admin_deadline(const struct mg_connection *conn)
 {
@@ -288,7 +289,7 @@
 	return call;
 }
 
-/* Sends the answer that is there, or says that none came. */
+/* Sends the answer, or an error when none came in time. */
 static void
 admin_reply(struct mg_connection *conn, struct admin_call *call)
 {
--- a/packages/node/src/admin_priv.h
+++ b/packages/node/src/admin_priv.h
@@ -1,5 +1,5 @@
 /*
- * Inside of the administration API, shared by admin*.c.
+ * Internals of the administration API, shared by admin*.c.
  */
 #ifndef NODE_ADMIN_PRIV_H
 #define NODE_ADMIN_PRIV_H
@@ -13,20 +13,20 @@
 #include "node/admin.h"
 #include "node/control.h"
 
-/* Longest time that a request waits for its operation. */
+/* Maximum time that a request waits for its operation. */
 #define ADMIN_OPERATION_MS 10000
-/* Air for the control thread beyond an operation's own deadline. */
+/* Additional time for the control thread after an operation's own deadline. */
 #define ADMIN_GRACE_MS 5000
-/* How long a request waits for the data centres to tell their progress. */
+/* How long a request waits for the progress reports of the data centres. */
 #define ADMIN_PROGRESS_MS 150
-/* Text of a remote address. */
+/* Size of the text of a remote address. */
 #define ADMIN_REMOTE_BYTES 48
 
 /**
  * struct admin - the server
  * @settings: settings of the node
- * @control: the control part
- * @web: CivetWeb
+ * @control: control of the node
+ * @web: the CivetWeb server
  */
 struct admin {
 	const struct settings *settings;
@@ -37,20 +37,20 @@
 /**
  * struct admin_call - a request that the control thread answers
  * @admin: the server
- * @method: its method
- * @path: what follows "/v1/"
- * @query: its query, or ""
- * @remote: IP address that it came from
- * @deadline_ms: monotonic time by which its operation must have ended
- * @body: its body
+ * @method: HTTP method
+ * @path: path after "/v1/"
+ * @query: query string, or ""
+ * @remote: IP address of the client
+ * @deadline_ms: monotonic time by which the operation must have ended
+ * @body: body of the request
  * @bundle: the bundle in @body, parsed by the worker; NULL for none
- * @warnings: warnings of that bundle, which go along with the answer; NULL
- *	for none
- * @lock: guards what follows
- * @done: signalled with @answered
- * @answered: whether the answer is there
+ * @warnings: warnings of that bundle, which are added to the answer; NULL for
+ *	none
+ * @lock: protects the fields below
+ * @done: signalled when @answered is set
+ * @answered: whether the answer has been given
  * @code: HTTP status of the answer
- * @reply: answer, owned
+ * @reply: body of the answer, owned
  */
 struct admin_call {
 	struct admin *admin;
@@ -70,42 +70,44 @@
 };
 
 /**
- * admin_call_ref() - keep a request for an answer given later
+ * admin_call_ref() - take a reference to a request, to answer it later
  *
- * Return: @call, to be given back with admin_call_unref().
+ * Return: @call, to be released with admin_call_unref().
  */
 struct admin_call *admin_call_ref(struct admin_call *call);
 
-/** admin_call_unref() - give a request back */
+/** admin_call_unref() - release a reference to a request */
 void admin_call_unref(struct admin_call *call);
 
-/** admin_call_answer() - give the answer, once; @reply is taken over */
+/** admin_call_answer() - answer a request; takes ownership of @reply, which
+ * is dropped if the request has been answered already */
 void admin_call_answer(struct admin_call *call, int code, json_t *reply);
 
 /**
  * admin_call_fail() - answer with an error
  * @call: the request
  * @st: kind of the error
- * @message: what went wrong
- * @remedy: what to do
- * @retry_after_ms: when to ask again; 0 when that is of no use
+ * @message: description of the error
+ * @remedy: what the client can do
+ * @retry_after_ms: delay before the client should retry; 0 when a retry is of
+ *	no use
  */
 void admin_call_fail(struct admin_call *call, enum status st,
     const char *message, const char *remedy, uint32_t retry_after_ms);
 
 /**
- * admin_call_query() - a parameter of the query
+ * admin_call_query() - read a parameter of the query
  * @call: the request
  * @name: name of the parameter
- * @buf: where its value goes; empty when it isn't there
+ * @buf: receives the value; empty when the parameter is missing
  * @len: size of @buf
  *
- * Return: whether it is there.
+ * Return: whether the query has the parameter.
  */
 int admin_call_query(
     const struct admin_call *call, const char *name, char *buf, size_t len);
 
-/** admin_error_json() - an error as JSON, for the answer */
+/** admin_error_json() - an error as JSON, the body of an answer */
 json_t *admin_error_json(enum status st, const char *message,
     const char *remedy, uint32_t retry_after_ms);
 
@@ -114,14 +116,15 @@
 
 /**
  * admin_parse_bundle() - parse the bundle in a request's body, in the worker
- * @call: the request; answered with all problems when its bundle is bad
+ * thread
+ * @call: the request; answered with all problems when its bundle is invalid
  */
 void admin_parse_bundle(struct admin_call *call);
 
-/** admin_status() - GET /v1/status; likewise */
+/** admin_status() - GET /v1/status; in the control thread */
 void admin_status(struct admin_call *call);
 
-/** admin_versions() - requests below /v1/versions; in the control thread */
+/** admin_versions() - requests below /v1/versions; likewise */
 void admin_versions(struct admin_call *call);
 
 /** admin_operations() - requests below /v1/operations; likewise */
@@ -133,7 +136,7 @@
 /** admin_upstreams() - requests below /v1/upstreams; likewise */
 void admin_upstreams(struct admin_call *call);
 
-/** admin_quarantine() - requests that are no longer run */
+/** admin_quarantine() - requests below /v1/quarantine; likewise */
 void admin_quarantine(struct admin_call *call);
 
 #endif
--- a/packages/node/src/admin_quarantine.c
+++ b/packages/node/src/admin_quarantine.c
@@ -1,5 +1,5 @@
 /*
- * Administration API: requests that are no longer run.
+ * Administration API: quarantined requests.
  */
 #include <string.h>
 
--- a/packages/node/src/admin_status.c
+++ b/packages/node/src/admin_status.c
@@ -1,13 +1,13 @@
 /*
- * Administration API: this node's state, and that of the fleet.
+ * Administration API: state of this node and of the fleet.
  */
 #include "admin_priv.h"
 #include "net/loop.h"
 
-/* Room for the parameter's value. */
+/* Size of the parameter's value. */
 #define FLAG_BYTES 8
 
-/* A request that waits for the data centres to tell their sums. */
+/* A request that waits for the progress reports of the data centres. */
 struct status_call {
 	struct admin_call *call;
 	struct loop_timer timer;
--- a/packages/node/src/admin_upstreams.c
+++ b/packages/node/src/admin_upstreams.c
@@ -1,5 +1,5 @@
 /*
- * Administration API: upstreams of this host announce themselves.
+ * Administration API: announcements of the upstreams on this host.
  */
 #include <string.h>
 
@@ -13,7 +13,7 @@
 #define LEASE_MIN_MS 100
 #define LOOPBACK "127.0.0.1"
 
-/* What an announcement says. */
+/* Contents of an announcement. */
 struct announcement {
 	uint16_t port;
 	uint16_t slots;
@@ -45,7 +45,7 @@
 	return 0;
 }
 
-/* Reads an announcement; sets the last message when it is wrong. */
+/* Parses an announcement; sets status_message() when it is invalid. */
 static enum status
 announcement_parse(const struct admin_call *call, struct announcement *out)
 {
--- a/packages/node/src/admin_versions.c
+++ b/packages/node/src/admin_versions.c
@@ -14,7 +14,8 @@
 #define NUMBER_BYTES 24
 #define SEED_MULTIPLIER UINT64_C(0x9e3779b97f4a7c15)
 
-/* A request for one version: its row, and a pause for the progress. */
+/* A request for one version, which waits for the version's row and for the
+ * progress reports of the data centres. */
 struct version_call {
 	struct admin_call *call;
 	struct loop_timer timer;
@@ -51,7 +52,7 @@
 	    SIGNOFF_BACKOFF_CAP_MS);
 }
 
-/* History: the head row, then the rows of the newest versions. */
+/* History: reads the head row, then the rows of the newest versions. */
 
 static void
 history_on_rows(enum status st, const struct store_version *rows, uint32_t n,
@@ -114,7 +115,7 @@
 	    admin_call_ref(call));
 }
 
-/* One version with its progress. */
+/* One version with its progress */
 
 static void
 version_finish(struct version_call *vc)
@@ -178,7 +179,7 @@
 	    admin_now(call) + SIGNOFF_STEP_MS, version_on_row, vc);
 }
 
-/* Sign-off, halt, supersede and find. */
+/* Sign-off, halt, supersede and find */
 
 static json_t *
 outcome_json(const struct signoff_outcome *o, const char *op)
@@ -248,7 +249,7 @@
 	admin_call_answer(call, admin_error_code(st), reply);
 }
 
-/* A request that waits for its operation. */
+/* A request that waits for the end of its operation. */
 struct operation_call {
 	struct admin_call *call;
 	char op[STORE_OP_BYTES];
@@ -270,7 +271,7 @@
 	g_free(oc);
 }
 
-/* Fills in what all operations have in common. */
+/* Sets the fields that all operations have in common. */
 static void
 request_init(struct admin_call *call, struct signoff_request *req,
     enum signoff_kind kind)
--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -1,9 +1,10 @@
 /*
- * The control thread: one loop around the decisions membership and spread.
+ * The control thread: one event loop that drives the modules membership,
+ * spread, quarantine and rollout.
  *
- * After each event control_pump() empties their outboxes and action queues,
- * recompiles the snapshot when something in it changed, and sets the timer to
- * the earliest deadline.
+ * After each event control_pump() carries out their queued actions, sends the
+ * messages in their outboxes, recompiles the snapshot if it is outdated, and
+ * sets the timer to the earliest deadline.
  */
 #define LOG_PART "control"
 
@@ -39,7 +40,7 @@
 	return loop_now_ms(c->loop);
 }
 
-/* Tells the guard which endpoints this host has, with their limits. */
+/* Passes this host's endpoints with their limits to the guard. */
 static void
 control_update_guard(struct control *c)
 {
@@ -80,7 +81,7 @@
 	    phase != MEMBERSHIP_JOINING;
 }
 
-/* Compiles and publishes what is in force now. */
+/* Compiles and publishes the snapshot of the version in force. */
 static void
 control_publish(struct control *c)
 {
@@ -108,7 +109,7 @@
 	control_update_guard(c);
 }
 
-/* Copies a member's endpoints into the set that snapshots are made from. */
+/* Copies a member's endpoints into the set that snapshots are compiled from. */
 static void
 control_update_endpoints(struct control *c, const char *host)
 {
@@ -262,7 +263,7 @@
 	}
 }
 
-/* Lets probes carry the newest head that this node knows. */
+/* Sets the newest known head, which membership probes carry to peers. */
 static void
 control_gossip_head(struct control *c)
 {
@@ -363,7 +364,7 @@
 	control_pump(c);
 }
 
-/* Only puts a deadline off, so nothing has to be carried out. */
+/* Only moves a deadline, so there are no actions to carry out. */
 static void
 control_on_part(struct net_addr peer, void *arg)
 {
--- a/packages/node/src/control_api.c
+++ b/packages/node/src/control_api.c
@@ -1,5 +1,5 @@
 /*
- * What the administration API asks of the control thread.
+ * Requests of the administration API to the control thread.
  */
 #define LOG_PART "control"
 
@@ -23,7 +23,7 @@
 	return st;
 }
 
-/* Port of one of this host's upstreams of a service; 0 when there is none. */
+/* Port of the first upstream of a service on this host; 0 for none. */
 static uint16_t
 control_upstream_port(const struct control *c, const char *service)
 {
@@ -63,14 +63,15 @@
 	control_pump(c);
 }
 
-/* An operation that this node runs, and who waits for it. */
+/* An operation of this node, with the callback that receives its result. */
 struct control_operation {
 	struct control *control;
 	operation_fn *fn;
 	void *arg;
 };
 
-/* Hands the spread the contents of a bundle, which it need not fetch then. */
+/* Passes the contents of a bundle to the spread, which then need not fetch
+ * them. */
 static void
 control_add_contents(struct control *c, const struct bundle *b)
 {
@@ -87,7 +88,7 @@
 	g_free(contents);
 }
 
-/* Puts what was just written on its way to the peers. */
+/* Passes the rows just written to the spread, which sends them to peers. */
 static void
 control_distribute_write(struct control *c, const struct operation_end *end)
 {
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -1,5 +1,5 @@
 /*
- * Reads the feed for the spread decisions.
+ * Reads the feed for the spread.
  */
 #define LOG_PART "feed"
 
@@ -8,16 +8,17 @@
 #include "control_priv.h"
 
 /*
- * How long the platform may wait for a change before it answers.  The readers
- * of a data centre are answered in turn, so the others find within 0.9 s and
- * some slack that none of two is; a shorter time costs more calls.
+ * Maximum time that the platform waits for a change before it answers a long
+ * poll.  The two readers of a data centre are answered alternately, one every
+ * 0.9 s, so the other hosts detect within little more than that time that
+ * neither is answered.  A shorter time costs more calls.
  */
 #define FEED_WAIT_MS 1800
 
-/* Room in a line for the first warnings of a version: some five of them. */
+/* Size of the warnings in a log line; holds about five. */
 #define WARNINGS_LINE_BYTES 512
 
-/* One line each time that the platform is lost or back. */
+/* Logs one line each time the platform fails or recovers. */
 static void
 log_status(struct control *c, enum status st)
 {
@@ -38,7 +39,7 @@
 		    status_message());
 }
 
-/* The sections of a bundle, for the spread. */
+/* Passes the sections of a bundle to the spread. */
 static void
 pass_bundle(
     struct control *c, const struct feed_answer *a, const struct bundle *b)
@@ -80,7 +81,8 @@
 	return largest;
 }
 
-/* What is run of a version otherwise than it is written. */
+/* Logs which parts of a version are applied differently from what is
+ * written. */
 static void
 log_warnings(const struct feed_answer *a, const struct bundle *b)
 {
@@ -97,7 +99,7 @@
 	g_free(text);
 }
 
-/* Return: whether the answer holds a bundle that can be used. */
+/* Return: whether the answer contains a usable bundle. */
 static int
 handle_answer(struct control *c, const struct feed_answer *a)
 {
@@ -128,7 +130,7 @@
 	return ok;
 }
 
-/* A configuration that is too large to be read is refused unread. */
+/* Refuses a configuration that is too large to be read. */
 static void
 check_status(struct control *c, enum status st)
 {
@@ -171,7 +173,8 @@
 	control_pump(c);
 }
 
-/* A version that is large takes a while on a slow link. */
+/* Extends the deadline of the read: a large version takes time on a slow
+ * link. */
 static void
 on_answer_begun(void *arg)
 {
@@ -181,7 +184,8 @@
 	control_pump(c);
 }
 
-/* One that is refused says nothing of the feed: the read that waits will. */
+/* A failed probe is not logged as a failure of the feed: the long poll shows
+ * whether the feed is available. */
 static void
 on_probe(enum status st, const struct feed_answer *a, void *arg)
 {
@@ -194,7 +198,8 @@
 	control_pump(c);
 }
 
-/* Content that peers don't give: the platform holds the newest version only. */
+/* Contents that no peer delivers.  The platform holds only the newest
+ * version. */
 static void
 on_versions(enum status st, const struct feed_answer *a, void *arg)
 {
@@ -204,14 +209,16 @@
 	check_status(c, st);
 	if (st == STATUS_OK && !handle_answer(c, a))
 		st = STATUS_UNAVAILABLE;
-	/* What was given may be older than what peers told of: the read is
-	 * over in any case, so that peers are asked again. */
+	/* The version delivered may be older than the head gossiped by peers.
+	 * The read ends in any case, so that the contents are requested from
+	 * peers again. */
 	spread_on_versions(c->spread, control_now(c),
 	    st == STATUS_OK ? STATUS_UNAVAILABLE : st, NULL, 0);
 	control_pump(c);
 }
 
-/* A read of the feed is under way and gives what there is by itself. */
+/* Ends a read of versions at once: the read of the feed that is already in
+ * flight will deliver the newest version. */
 static void
 on_read_pending(void *arg)
 {
--- a/packages/node/src/control_find.c
+++ b/packages/node/src/control_find.c
@@ -1,5 +1,5 @@
 /*
- * Finds peers by the platform's directory.
+ * Finds peers through the platform's directory.
  */
 #define LOG_PART "find"
 
@@ -36,7 +36,8 @@
 	control_pump(c);
 }
 
-/* Takes what was found; the next look goes on behind it, or at the start. */
+/* Adds the entries found as seeds.  The next lookup begins after the last
+ * entry, or at the first place when few entries were found. */
 static void
 handle_entries(
     struct control *c, const struct directory_entry *entries, uint32_t n)
--- a/packages/node/src/control_json.c
+++ b/packages/node/src/control_json.c
@@ -1,5 +1,5 @@
 /*
- * The control thread's state as JSON, for the administration API.
+ * State of the control thread as JSON, for the administration API.
  */
 #include <string.h>
 
@@ -112,7 +112,7 @@
 	return list;
 }
 
-/* Nodes of a data centre that are known to hold a version or a later one. */
+/* Number of nodes of a data centre known to hold a version or a later one. */
 static uint32_t
 progress_holding(const struct spread_progress *p, uint64_t version)
 {
@@ -157,7 +157,7 @@
 	return o;
 }
 
-/* Refusals of all data centres that are live. */
+/* Sum of the refusals of all data centres with live hosts. */
 static json_t *
 refusals_json(const struct control *c, const GArray *live)
 {
--- a/packages/node/src/control_keep.c
+++ b/packages/node/src/control_keep.c
@@ -1,6 +1,6 @@
 /*
- * quarantined requests, as rows at the platform: they are read after a
- * start, since all nodes may have lost power at once.
+ * Quarantined requests as rows at the platform.  They are read after a start,
+ * since all nodes may have lost power at once.
  */
 #define LOG_PART "quarantine"
 
@@ -40,7 +40,8 @@
 	return text;
 }
 
-/* What was asked, and who, is not needed to hold it off, and may be missing. */
+/* Reads the texts, which may be missing: only the fingerprint is needed to
+ * reject a request. */
 static void
 read_texts(const json_t *o, struct quarantine_item *item)
 {
@@ -71,7 +72,7 @@
 		return false;
 	memset(item, 0, sizeof(*item));
 	item->kind = QUARANTINE_HELD;
-	/* The same at each node that reads it. */
+	/* Every node that reads the row derives the same id. */
 	item->id = hash64(row->key, strlen(row->key), ID_SEED);
 	since_ms =
 	    (uint64_t)json_integer_value(json_object_get(o, "since_wall_ms"));
@@ -86,7 +87,7 @@
 	return item->id != 0;
 }
 
-/* Whether what @cleared tells ends what @held told. */
+/* Whether the item @cleared ends the quarantine of the item @held. */
 static bool
 clears(
     const struct quarantine_item *cleared, const struct quarantine_item *held)
@@ -179,7 +180,8 @@
 	finish(c, st, "read");
 }
 
-/* After the start the first hosts of each data centre read for it. */
+/* After a start the first hosts of each data centre read the rows for all of
+ * its hosts. */
 static bool
 is_first_reader(const struct control *c)
 {
--- a/packages/node/src/control_metrics.c
+++ b/packages/node/src/control_metrics.c
@@ -1,5 +1,5 @@
 /*
- * Totals that the decisions keep, shown as metrics.
+ * Counters of spread and membership as metrics.
  */
 #include <stddef.h>
 
@@ -8,7 +8,7 @@
 #include "base/metrics.h"
 #include "control_priv.h"
 
-/* A metric, and where its value stands in the decision's totals. */
+/* A metric and the offset of its value in the module's struct of counters. */
 struct total {
 	struct metric metric;
 	size_t offset;
--- a/packages/node/src/control_news.c
+++ b/packages/node/src/control_news.c
@@ -1,7 +1,8 @@
 /*
- * The newest version that this node knows of, by whatever way: from a head
- * that peers hold, from what peers say the platform has accepted, or from what
- * this node's own feed read last.  It may be on its way, or no node can use it.
+ * The newest version that this node knows of: from the heads of peers, from the
+ * newest version at the platform that peers gossip, or from the last read of
+ * this node's own feed.  The version may still be spreading, or may be unusable
+ * on all nodes.
  */
 #include "base/metrics.h"
 #include "control_priv.h"
@@ -24,7 +25,8 @@
 		membership_set_known(c->membership, version);
 }
 
-/* One that can't be used here doesn't come, however long it is awaited. */
+/* A version that can't be used here is not awaited, as it never comes in
+ * force. */
 static void
 update_awaited(struct control *c, uint64_t version)
 {
@@ -36,7 +38,8 @@
 	entry_version_awaited(c->entry, version);
 }
 
-/* A halted version won't come in force. */
+/* Uses the head's version in force, since a halted version won't come in
+ * force. */
 void
 control_news_publish(struct control *c)
 {
--- a/packages/node/src/control_priv.h
+++ b/packages/node/src/control_priv.h
@@ -1,5 +1,5 @@
 /*
- * Inside of the control part, shared by control*.c.
+ * Internals of control, shared by control*.c.
  */
 #ifndef NODE_CONTROL_PRIV_H
 #define NODE_CONTROL_PRIV_H
@@ -30,9 +30,9 @@
 #include "store/keep.h"
 
 /**
- * struct control_peers - live hosts of the membership, by chance
+ * struct control_peers - random live hosts of the membership
  * @peers: the vtable
- * @membership: where they come from
+ * @membership: table that the hosts are chosen from
  */
 struct control_peers {
 	struct quarantine_peers peers;
@@ -41,35 +41,36 @@
 
 /**
  * struct control - state of the control thread
- * @dirty: the snapshot in force is to be compiled anew
- * @ready: whether this node serves; read by other threads
- * @feed: where configurations come from, NULL for the product's own store
- * @feed_head: head that the feed gave last, seq 0 for none
+ * @dirty: the snapshot in force is outdated and must be recompiled
+ * @ready: whether this node serves calls; read by other threads
+ * @feed: source of configurations, NULL for the product's own store
+ * @feed_head: head that the feed last delivered, seq 0 for none
  * @refused: the newest version that can't be used here
- * @refused_row: what operators are told of it at the platform
- * @version_steps: what the version taken last needed on its way here
- * @known_version: newest version known of, in force or not, usable or not
- * @awaited_version: newest version that some node could read; 0 while one is
- * refused
- * @quarantine: crashes and quarantined requests, between nodes
- * @quarantine_peers: whom it talks to
- * @quarantine_rows: what of it is to be read or written at the platform
- * @keep: where that outlives all nodes, NULL for nowhere
- * @rollout: orders to move services to other versions
- * @feed_status: how the last read of the feed ended
+ * @refused_row: pending write of the refusal at the platform
+ * @version_steps: durations of the steps of the version applied last
+ * @known_version: newest version known, in force or not, usable or not
+ * @awaited_version: newest version that some node could read; 0 while a version
+ *	is refused here
+ * @quarantine: crashes and quarantined requests, exchanged with peers
+ * @quarantine_peers: peers that @quarantine sends to
+ * @quarantine_rows: pending reads and writes of quarantined requests at the
+ *	platform
+ * @keep: store of quarantined requests, NULL for none
+ * @rollout: orders to move services to other software versions
+ * @feed_status: status of the last read of the feed
  * @feed_answered_ms: when a read of the feed was last answered, 0 for never
- * @feed_poll_pending: a read of the feed waits for a change
- * @feed_fetch_pending: a read of the feed gives the whole, which may take a
- * minute
- * @directory: where nodes find one another, NULL for seeds of the settings
- * @finder: when the directory is written and read
- * @lookup_from: where in the directory the next look begins, empty for its
- * start
- * @instances: runs of the upstream that sends heartbeats
- * @instance_port: port of the one that counts
- * @instance_service: its service
+ * @feed_poll_pending: a long poll of the feed is in flight
+ * @feed_fetch_pending: a read of the full configuration is in flight, which may
+ *	take a minute
+ * @directory: directory of nodes, NULL to use the seeds of the settings
+ * @finder: schedule of registrations and lookups in the directory
+ * @lookup_from: place in the directory at which the next lookup begins, empty
+ *	for the first place
+ * @instances: processes of the upstream that sends heartbeats
+ * @instance_port: port of the current process
+ * @instance_service: service of the current process
  * @leaving: this node stops
- * @leave_sent: whether peers were told that this node stops
+ * @leave_sent: whether peers have been notified that this node stops
  * @version: version in force here
  */
 struct control {
@@ -119,15 +120,17 @@
 	_Atomic uint64_t version;
 };
 
-/** control_now() - monotonic time of this turn of the loop, milliseconds */
+/** control_now() - monotonic time of this iteration of the loop,
+ * milliseconds */
 uint64_t control_now(const struct control *c);
 
-/** control_pump() - carry out what the decisions want after an event */
+/** control_pump() - carry out the actions that the modules queued during an
+ * event */
 void control_pump(struct control *c);
 
 /* control_feed.c */
 
-/** control_feed_set() - take configurations from a feed; borrowed */
+/** control_feed_set() - set the feed to read configurations from; borrowed */
 void control_feed_set(struct control *c, struct feed *feed);
 
 /** control_feed_read() - carry out a SPREAD_READ_* action or SPREAD_PROBE_*
@@ -136,44 +139,47 @@
 
 /* control_version.c */
 
-/** control_version_register() - add the version in force and what its steps
- * took to the metrics */
+/** control_version_register() - register the metrics of the version in force
+ * and of the durations of its steps */
 void control_version_register(void);
 
-/** control_version_set_steps() - the catalog moved, as a SPREAD_APPLY tells */
+/** control_version_set_steps() - store the durations of the steps of a
+ * SPREAD_APPLY */
 void
 control_version_set_steps(struct control *c, const struct spread_action *a);
 
 /**
- * control_version_set_in_force() - note the version that calls are served by
+ * control_version_set_in_force() - set the version that calls are served with
  * @c: the control
  * @version: the version, 0 for none
- * @compile_us: time that its snapshot took
+ * @compile_us: time that compiling its snapshot took, microseconds
  */
 void control_version_set_in_force(
     struct control *c, uint64_t version, uint64_t compile_us);
 
 /* control_refused.c */
 
-/** control_refused_register() - add what tells of refusals to the metrics */
+/** control_refused_register() - register the metrics of refusals */
 void control_refused_register(void);
 
-/** control_refused_record() - a version can't be used; its number or 0, why */
+/** control_refused_record() - record that @version can't be used because of
+ * @reason; 0 if its number is unknown */
 void
 control_refused_record(struct control *c, uint64_t version, const char *reason);
 
-/** control_refused_version_readable() - the platform's newest version can be
- * read */
+/** control_refused_version_readable() - the platform's newest version could be
+ * read, with @n_warnings warnings */
 void control_refused_version_readable(
     struct control *c, uint64_t version, uint32_t n_warnings);
 
-/** control_refused_version_in_force() - a version came in force */
+/** control_refused_version_in_force() - @version has come in force here */
 void control_refused_version_in_force(struct control *c, uint64_t version);
 
-/** control_refused_tick() - tell operators at the platform if that is due */
+/** control_refused_tick() - write or remove the refusal at the platform if
+ * due */
 void control_refused_tick(struct control *c);
 
-/** control_refused_next_ms() - when control_refused_tick() is wanted next */
+/** control_refused_next_ms() - when control_refused_tick() is due next */
 uint64_t control_refused_next_ms(const struct control *c);
 
 /** control_refused_json() - the refusal as JSON, null for none */
@@ -181,103 +187,110 @@
 
 /* control_news.c */
 
-/** control_news_add_seen() - the platform gave @version, usable or not */
+/** control_news_add_seen() - the platform delivered @version, usable or not */
 void control_news_add_seen(struct control *c, uint64_t version);
 
-/** control_news_publish() - tell the entry when the newest known one changed */
+/** control_news_publish() - notify the entry when the newest known or awaited
+ * version has changed */
 void control_news_publish(struct control *c);
 
-/** control_news_register() - add the newest known version to the metrics */
+/** control_news_register() - register the metric of the newest known version */
 void control_news_register(void);
 
 /* control_quarantine.c */
 
-/** control_quarantine_init() - once membership and guard are there */
+/** control_quarantine_init() - initialize, after membership and guard */
 void control_quarantine_init(struct control *c, uint64_t now_ms);
 
-/** control_quarantine_pump() - give the guard what peers told */
+/** control_quarantine_pump() - pass items received from peers to the guard */
 void control_quarantine_pump(struct control *c);
 
 /* control_keep.c */
 
-/** control_keep_record() - something that this node tells all is to outlive
- * them, or what did so no longer is */
+/** control_keep_record() - store a request that this node quarantined at the
+ * platform, or remove the rows that @item clears */
 void control_keep_record(struct control *c, const struct quarantine_item *item);
 
-/** control_keep_tick() - read or write at the platform if that is due */
+/** control_keep_tick() - read or write rows at the platform if due */
 void control_keep_tick(struct control *c);
 
-/** control_keep_next_ms() - when control_keep_tick() is wanted next */
+/** control_keep_next_ms() - when control_keep_tick() is due next */
 uint64_t control_keep_next_ms(const struct control *c);
 
 /* control_rollout.c */
 
-/** control_rollout_new() - once membership and outbox are there */
+/** control_rollout_new() - create the rollouts, after membership and outbox */
 void control_rollout_new(struct control *c, uint64_t now_ms);
 
-/** control_rollout_free() - free it */
+/** control_rollout_free() - free the rollouts */
 void control_rollout_free(struct control *c);
 
-/** control_rollout_set_store() - where orders outlive all nodes; borrowed */
+/** control_rollout_set_store() - set the store of orders; borrowed */
 void control_rollout_set_store(struct control *c, struct rollout_store *store);
 
-/** control_rollout_add_orders() - the feed gave orders of operators */
+/** control_rollout_add_orders() - process operators' orders that the feed
+ * delivered */
 void control_rollout_add_orders(
     struct control *c, const struct feed_order *orders, uint32_t n);
 
-/** control_rollout_set_versions() - fill in which endpoints get requests */
+/** control_rollout_set_versions() - set the software versions that get
+ * requests, for each service of a snapshot */
 void control_rollout_set_versions(struct control *c, struct snapshot *s);
 
 /**
- * control_rollout_set_own_state() - what the own guard is to do with an
- * endpoint
+ * control_rollout_set_own_state() - apply the rollout to an endpoint of this
+ * host
  * @c: the control
- * @e: the own endpoint
- * @info: where state and order go
+ * @e: the endpoint
+ * @info: receives the order; its state becomes draining when the endpoint must
+ *	not take requests
  */
 void control_rollout_set_own_state(struct control *c,
     const struct member_endpoint *e, struct guard_endpoint *info);
 
-/** control_rollout_receive() - a datagram of a peer; false when it is for
- * others */
+/** control_rollout_receive() - process a datagram of a peer; false when its
+ * type belongs to another module */
 bool control_rollout_receive(struct control *c, const struct net_addr *from,
     uint8_t type, const uint8_t *body, size_t len);
 
-/** control_rollout_tick() - let time pass */
+/** control_rollout_tick() - carry out everything that is due */
 void control_rollout_tick(struct control *c);
 
-/** control_rollout_next_ms() - when control_rollout_tick() is wanted next */
+/** control_rollout_next_ms() - when control_rollout_tick() is due next */
 uint64_t control_rollout_next_ms(const struct control *c);
 
-/** control_rollout_register() - add what tells of rollouts to the metrics */
+/** control_rollout_register() - register the metrics of rollouts */
 void control_rollout_register(void);
 
 /* control_find.c */
 
-/** control_find_tick() - write or read the directory if that is due */
+/** control_find_tick() - register or look up in the directory if due */
 void control_find_tick(struct control *c);
 
-/** control_find_next_ms() - when control_find_tick() is wanted next */
+/** control_find_next_ms() - when control_find_tick() is due next */
 uint64_t control_find_next_ms(const struct control *c);
 
-/** control_totals_register() - add the decisions' totals to the metrics */
+/** control_totals_register() - register the counters of spread and membership
+ * as metrics */
 void control_totals_register(void);
 
-/** control_totals_copy() - bring the metrics up to the decisions' totals */
+/** control_totals_copy() - copy the counters of spread and membership to the
+ * metrics */
 void control_totals_copy(const struct control *c);
 
 /**
- * control_membership_settings() - what membership is told
+ * control_membership_settings() - derive the settings of membership
  * @s: settings of the node
- * @ms: where they go; the caller frees its seeds
+ * @ms: receives them; the caller frees its seeds
  */
 void control_membership_settings(
     const struct settings *s, struct membership_settings *ms);
 
 /**
- * control_spread_config() - what the spread is told, without its seed
+ * control_spread_config() - derive the configuration of the spread, without its
+ * seed
  * @s: settings of the node; names are borrowed
- * @sc: where it goes
+ * @sc: receives it
  */
 void control_spread_config(const struct settings *s, struct spread_config *sc);
 
--- a/packages/node/src/control_quarantine.c
+++ b/packages/node/src/control_quarantine.c
@@ -1,6 +1,6 @@
 /*
- * Carries crashes and quarantined requests between the guard's decision
- * and the other nodes, and to operators.
+ * Exchanges crashes and quarantined requests between the guard, the other nodes
+ * and operators.
  */
 #define LOG_PART "quarantine"
 
@@ -29,7 +29,7 @@
 	return true;
 }
 
-/* A record on its way to the control thread. */
+/* An item that is posted to the control thread. */
 struct publish_task {
 	struct control *control;
 	struct quarantine_item item;
@@ -88,7 +88,7 @@
 
 /* For operators */
 
-/* What a peer told of a request, or NULL. */
+/* The newest item that quarantined a request, or NULL. */
 static const struct quarantine_item *
 find_item(const struct control *c, const struct fingerprint *f)
 {
--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -1,6 +1,6 @@
 /*
- * Tells of a version that can't be used: lines, metrics, status and the
- * node's progress reports.
+ * Reports a version that can't be used: by log lines, metrics, the status,
+ * progress reports to peers and a row at the platform.
  */
 #define LOG_PART "feed"
 
@@ -53,7 +53,7 @@
 		    r->version, r->in_force, r->reason, r->n_unlogged);
 }
 
-/* What the node's progress reports tell. */
+/* Sets the refusal that the node's progress reports contain. */
 static void
 report_progress(struct control *c)
 {
--- a/packages/node/src/control_rollout.c
+++ b/packages/node/src/control_rollout.c
@@ -1,6 +1,6 @@
 /*
- * Carries rollouts of a service's software between the decisions of package
- * rollout, the platform, the peers, the guard and operators.
+ * Connects package rollout, which decides on rollouts of a service's software,
+ * with the platform, the peers, the guard and operators.
  */
 #define LOG_PART "rollout"
 
@@ -75,7 +75,8 @@
 	c->rollout->store = store;
 }
 
-/* What this node believes of an order has changed. */
+/* Logs and counts the new state of an order, and marks the snapshot
+ * outdated. */
 static void
 on_order_changed(struct control *c, const struct rollout *r)
 {
@@ -127,7 +128,7 @@
 	return current;
 }
 
-/* Tells the watch who takes part. */
+/* Passes the endpoints of a service to the watch. */
 static void
 update_watch(struct control *c, const struct endpoint_list *list)
 {
@@ -185,8 +186,8 @@
 	}
 }
 
-/* An endpoint that is neither current nor on trial takes nothing, whoever asks
- * it: an entry that has not heard yet is refused by its guard. */
+/* An endpoint whose version is neither current nor the candidate takes no
+ * requests: its guard rejects those of entries without the order. */
 void
 control_rollout_set_own_state(struct control *c,
     const struct member_endpoint *e, struct guard_endpoint *info)
--- a/packages/node/src/control_rollout_orders.c
+++ b/packages/node/src/control_rollout_orders.c
@@ -1,5 +1,5 @@
 /*
- * Orders of operators, and what outlives all nodes of them at the platform.
+ * Orders of operators, and their rows at the platform.
  */
 #define LOG_PART "rollout"
 
@@ -9,17 +9,17 @@
 
 #include "control_rollout_priv.h"
 
-/* Pause after a read of the rows that failed. */
+/* Delay after a failed read of the rows. */
 #define READ_RETRY_DELAY_MS 250
 
-/* Tries at a row that others change at the same time. */
+/* Attempts to write a row that other nodes change concurrently. */
 #define WRITE_ATTEMPTS_MAX 3
 
 /**
- * struct order_write - a write of an order that is under way
+ * struct order_write - a write of an order in progress
  * @control: the control
- * @rollout: the order as it is to stand there
- * @attempts: tries so far
+ * @rollout: the order to be stored
+ * @attempts: attempts so far
  */
 struct order_write {
 	struct control *control;
@@ -55,7 +55,8 @@
 	control_pump(c);
 }
 
-/* Whether what stands there is as far as what was to be written. */
+/* Whether the stored order is newer than the one to be written, or is the same
+ * in at least the same phase. */
 static bool
 is_at_least(const struct rollout *stored, const struct rollout *r)
 {
@@ -142,7 +143,8 @@
 	    get_number(c->rollout->refused_orders, o->service) >= o->number;
 }
 
-/* Begins with nothing tried; a refusal is written as an order rolled back. */
+/* Starts an order with no share of requests.  A refusal is written as an order
+ * that was rolled back. */
 static void
 start_order(struct control *c, const struct feed_order *o, const char *from,
     enum rollout_phase phase, const char *reason)
@@ -247,7 +249,7 @@
 	control_rollout_tick(c);
 }
 
-/* Rows are read before an order is followed: it may be over long since. */
+/* Rows are read before an order is handled, since it may have ended already. */
 bool
 control_rollout_read_is_due(const struct control *c)
 {
--- a/packages/node/src/control_rollout_priv.h
+++ b/packages/node/src/control_rollout_priv.h
@@ -1,5 +1,5 @@
 /*
- * Inside of the rollouts at a node, shared by control_rollout*.c.
+ * Internals of the rollouts, shared by control_rollout*.c.
  */
 #ifndef NODE_CONTROL_ROLLOUT_PRIV_H
 #define NODE_CONTROL_ROLLOUT_PRIV_H
@@ -7,17 +7,18 @@
 #include "control_priv.h"
 
 /**
- * struct control_rollout - rollouts at this node
+ * struct control_rollout - rollouts on this node
  * @orders: orders and phases
- * @news: brings them to the other nodes
- * @watch: judges and moves on
- * @store: where they outlive all nodes, NULL for nowhere
- * @pending_orders: struct feed_order that wait until the rows were read
- * @read_pending: a read of the rows is under way
- * @rows_read: the rows were read once
- * @read_retry_ms: when a read that failed may be tried again
- * @revisions: service to the revision of its row, as last seen
- * @refused_orders: service to the number of the last order that was refused
+ * @news: gossips orders and phases to the other nodes
+ * @watch: evaluates the candidate's answers and sets the phases
+ * @store: store of orders at the platform, NULL for none
+ * @pending_orders: array of struct feed_order that wait until the rows have
+ *	been read
+ * @read_pending: a read of the rows is in progress
+ * @rows_read: the rows have been read once
+ * @read_retry_ms: earliest time of the next read after a failed one
+ * @revisions: maps a service to the last known revision of its row
+ * @refused_orders: maps a service to the number of the order refused last
  */
 struct control_rollout {
 	struct rollout_orders *orders;
@@ -34,23 +35,23 @@
 
 /* control_rollout.c */
 
-/** control_rollout_add() - an order or a phase became known here */
+/** control_rollout_add() - add an order or its new phase, unless known */
 void control_rollout_add(struct control *c, const struct rollout *r);
 
-/** control_rollout_current_version() - the version of a service that gets
- * requests; NULL when it has no endpoint */
+/** control_rollout_current_version() - current software version of a service;
+ * NULL when the service has no endpoint */
 const char *
 control_rollout_current_version(struct control *c, const char *service);
 
 /* control_rollout_orders.c */
 
-/** control_rollout_write() - write an order with its phase at the platform */
+/** control_rollout_write() - write an order and its phase to the platform */
 void control_rollout_write(struct control *c, const struct rollout *r);
 
-/** control_rollout_read_is_due() - whether rows are to be read */
+/** control_rollout_read_is_due() - whether the rows should be read */
 bool control_rollout_read_is_due(const struct control *c);
 
-/** control_rollout_read() - read the rows if that is due */
+/** control_rollout_read() - read the rows if due */
 void control_rollout_read(struct control *c);
 
 #endif
--- a/packages/node/src/control_settings.c
+++ b/packages/node/src/control_settings.c
@@ -1,5 +1,5 @@
 /*
- * What the settings mean for the decisions of the control thread.
+ * Settings of the node, converted to those of membership and spread.
  */
 #include <string.h>
 
@@ -9,13 +9,15 @@
 #include "proto/settings.h"
 #include "spread/profile.h"
 
-/* Other data centres hear of changes this many probe intervals apart. */
+/* Changes are relayed to other data centres once in this many probe
+ * intervals. */
 #define RELAY_INTERVALS 2
 
 /*
- * With a directory nodes that start together know one another at once, so a
- * table that nobody holds is begun soon: callers wait for it after all power
- * was lost.  Parts that began separately find each other by the directory.
+ * With a directory, nodes that start together find one another at once.  If no
+ * node holds the table of hosts, a new one is therefore begun early, since
+ * callers wait for it after a power loss of all hosts.  Partitions that began
+ * separate tables find each other through the directory.
  */
 #define AWAIT_SEEDS_MS 3000
 #define BOOTSTRAP_MS 600
@@ -45,7 +47,7 @@
 	ms->bootstrap_ms = BOOTSTRAP_MS;
 }
 
-/* A setting of 0 leaves what the profile says. */
+/* A setting of 0 keeps the value of the profile. */
 static void
 override(uint32_t *value, uint32_t setting)
 {
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -1,5 +1,5 @@
 /*
- * The upstream on this host, as its heartbeats tell.
+ * The upstream on this host, known from its heartbeats.
  */
 #define LOG_PART "upstream"
 
@@ -8,9 +8,9 @@
 #include "proto/settings.h"
 
 /*
- * Whether a service that the version in force doesn't have may be one of a
- * newer version that is known.  Where this host has an upstream already, the
- * heartbeat is more likely somebody else's.
+ * Whether a service that is missing in the version in force may be contained in
+ * a newer known version.  If this host already has an upstream of another
+ * service, the heartbeat more likely comes from a foreign process.
  */
 static int
 may_be_in_newer_version(
@@ -26,9 +26,9 @@
 	return c->known_version > catalog_version(c->catalog);
 }
 
-/* Whether the run that counts here sent it, of the service and at the port that
- * it was taken with: it is heard to its end, or its leaving would never be
- * acknowledged once a newer version has its service no longer. */
+/* Whether the current process sent the heartbeat, with unchanged service and
+ * port.  Its heartbeats are accepted until it ends: otherwise its end would
+ * never be acknowledged once a newer version no longer contains its service. */
 static int
 is_latest_run(const struct control *c, const char *instance,
     const struct upstream_heartbeat *b)
@@ -38,8 +38,8 @@
 	    strcmp(b->service, c->instance_service) == 0;
 }
 
-/* A heartbeat that names no upstream of this host may be somebody else's; it
- * must not take the place of the one that is here. */
+/* Rejects a heartbeat that doesn't name an upstream of this host: it may come
+ * from a foreign process, which must not replace the current one. */
 static enum status
 check_heartbeat(const struct control *c, const char *instance,
     const struct upstream_heartbeat *b)
--- a/packages/node/src/control_version.c
+++ b/packages/node/src/control_version.c
@@ -1,5 +1,5 @@
 /*
- * The version in force at this node, and what each step on its way here took.
+ * The version in force on this node, and the durations of the steps until then.
  */
 #define LOG_PART "control"
 
@@ -13,8 +13,8 @@
 
 #define US_PER_MS UINT64_C(1000)
 
-/* A version that needs more than this share of its time is warned of while all
- * nodes still have it in time. */
+/* Warning threshold as a percentage of the time limit, low enough to warn while
+ * versions still come in force in time. */
 #define WARN_PERCENT 75
 
 static struct metric version_gauge = {"bramley_version",
@@ -63,7 +63,7 @@
 	c->version_steps = a->steps;
 }
 
-/* The first version of a node is as old as it happens to be. */
+/* Not called for the first version after the start, whose age is arbitrary. */
 static void
 record_steps(struct control *c, uint64_t version, uint64_t compile_us)
 {
--- a/packages/node/src/main.c
+++ b/packages/node/src/main.c
@@ -1,5 +1,5 @@
 /*
- * bramleydrift: the one small process on each upstream host.
+ * bramleydrift: the node process that runs on each upstream host.
  */
 #define LOG_PART "main"
 
@@ -48,7 +48,7 @@
     "SIGTERM and SIGINT stop gracefully: no request in flight is cut.\n"
     "SIGHUP has the settings read again.\n";
 
-/* Parses the command line; returns an exit code or -1 to go on. */
+/* Parses the command line; returns an exit code, or -1 to continue. */
 static int
 parse_options(int *argc, char ***argv)
 {
@@ -80,7 +80,7 @@
 	return code;
 }
 
-/* Loads the settings; tells all errors at once. */
+/* Loads the settings; prints all errors. */
 static int
 load_settings(struct settings *s)
 {
@@ -105,7 +105,7 @@
 	g_string_free(out, TRUE);
 }
 
-/* Signals are taken by sigwait() in this thread only. */
+/* Blocks the signals, which only the main thread receives, by sigwait(). */
 static void
 block_signals(sigset_t *set)
 {
@@ -138,7 +138,7 @@
 	return NULL;
 }
 
-/* Only the level of the log can change while the node runs. */
+/* Rereads the settings.  Only the log level can change while the node runs. */
 static void
 reload(const struct settings *s)
 {
@@ -156,7 +156,7 @@
 		: "a change of address or adapter needs a restart");
 }
 
-/* Return: the signal that ends the process. */
+/* Waits for a signal to stop and returns it; reloads the settings on SIGHUP. */
 static int
 wait_for_stop_signal(const struct settings *s, const sigset_t *set)
 {
@@ -192,13 +192,15 @@
 }
 
 /*
- * Bodies, answers and configurations come and go by hundreds of KB.  Above this
- * size they are mapped and given back to the system at once; the C library
- * would raise the limit to the largest that was freed, and keep them all.
+ * Bodies, answers and configurations of hundreds of KB are allocated and freed
+ * frequently.  Blocks from this size on are mapped and returned to the system
+ * when freed.  Without a fixed threshold the C library would raise it to the
+ * largest block freed, and keep all that memory.
  */
 #define MMAP_THRESHOLD_BYTES 65536
 
-/* One heap for all threads: what one frees another may use. */
+/* Uses one arena for all threads, so that memory freed by one can be reused by
+ * another. */
 static void
 limit_heap(void)
 {
@@ -214,11 +216,12 @@
 	sigset_t set;
 	int code;
 
-	/* First of all: a signal that comes while the node starts ends it in
-	 * order once it has started. */
+	/* Blocked before anything else, so that a signal during the start stops
+	 * the node gracefully once it has started. */
 	block_signals(&set);
 	limit_heap();
-	/* Numbers stay as C writes them; only the help is in the locale. */
+	/* Only the help text follows the locale; numbers are formatted as in
+	 * the C locale. */
 	(void)setlocale(LC_CTYPE, "");
 	code = parse_options(&argc, &argv);
 	if (code >= 0)
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -1,5 +1,5 @@
 /*
- * Node: order of start and stop of the parts of the process.
+ * Node: starts and stops the parts of the process in order.
  */
 #define LOG_PART "node"
 
@@ -135,7 +135,7 @@
 	    entry_in_flight(n->entry) == 0 && guard_in_flight(n->guard) == 0;
 }
 
-/* The upstream works on for peers while callers are led elsewhere. */
+/* Keeps serving calls of peers while callers switch to other nodes. */
 static void
 node_serve_peers(const struct node *n, uint64_t until_ms)
 {
--- a/packages/node/src/operation.c
+++ b/packages/node/src/operation.c
@@ -1,5 +1,6 @@
 /*
- * Operations on the platform's rows: the shell around one signoff decision.
+ * Operations on the platform's rows: carries out the store requests of one
+ * struct signoff, and passes the answers to it.
  */
 #include <glib.h>
 
@@ -14,11 +15,11 @@
 	struct operation_end end;
 	operation_fn *fn;
 	void *arg;
-	uint32_t pending; /* answers of the store still to come */
+	uint32_t pending; /* requests to the store in flight */
 	int finished;
 };
 
-/* One request to the store; carries the token of its action. */
+/* One request to the store, with the token of its action. */
 struct operation_step {
 	struct operation *op;
 	uint32_t token;
@@ -54,7 +55,7 @@
 	g_free(op);
 }
 
-/* Ends a step; frees the operation with its last one after its end. */
+/* Ends a step; frees a finished operation after its last step. */
 static void
 step_end(struct operation_step *step)
 {
@@ -120,7 +121,7 @@
 	step_end(step);
 }
 
-/* Keeps what is written, for the end of the operation. */
+/* Stores the rows being written, for the result of the operation. */
 static void
 record_write(struct operation *op, const struct signoff_action *a)
 {
@@ -217,7 +218,8 @@
 	}
 }
 
-/* Carries out all actions; frees the operation when nothing is left. */
+/* Carries out all queued actions; frees the operation when it has finished and
+ * no request is in flight. */
 static void
 operation_pump(struct operation *op)
 {
--- a/packages/node/src/peers.c
+++ b/packages/node/src/peers.c
@@ -1,9 +1,9 @@
 /*
  * Control connections to peers.
  *
- * Dialled connections are found by the peer's control address, all of them
- * by their number.  Connections that say nothing for a while are closed, so
- * that a node keeps only those that it uses.
+ * Outgoing connections are looked up by the peer's control address, all
+ * connections by their id.  Idle connections are closed, so that a node keeps
+ * only those in use.
  */
 #define LOG_PART "peers"
 
@@ -24,7 +24,7 @@
 	struct udp *udp;
 	struct listener *listener;
 	GHashTable *by_id;	/* conn id -> struct conn */
-	GHashTable *by_address; /* address key -> struct conn, dialled */
+	GHashTable *by_address; /* address key -> struct conn, outgoing */
 	const struct peers_handler *handler;
 	void *arg;
 };
@@ -52,7 +52,7 @@
 	return options;
 }
 
-/* Forgets a connection; returns whether it had been dialled from here. */
+/* Removes a connection from the tables; returns whether it was outgoing. */
 static int
 peers_remove(struct peers *p, struct conn *c)
 {
@@ -209,7 +209,7 @@
 	return c;
 }
 
-/* The connection that an item is meant for; NULL when it is gone. */
+/* The connection that an item is addressed to; NULL when there is none. */
 static struct conn *
 peers_lookup(struct peers *p, const struct outbox_item *item)
 {
--- a/packages/node/src/snapshot_ref.c
+++ b/packages/node/src/snapshot_ref.c
@@ -10,8 +10,8 @@
 #include "node/snapshot_ref.h"
 
 /*
- * The thread sanitizer does not see that a grace period comes after the
- * readers that it waits for; these two say so.
+ * The thread sanitizer does not know that a grace period ends after the readers
+ * that it waits for.  These two annotations declare that order.
  */
 #ifdef __SANITIZE_THREAD__
 #include <sanitizer/tsan_interface.h>
@@ -22,14 +22,14 @@
 #define happens_after(addr) (void)(addr)
 #endif
 
-/* What the RCU pointer points at; freed after a grace period. */
+/* Target of the RCU-protected pointer; freed after a grace period. */
 struct snapshot_holder {
 	struct rcu_head rcu;
 	struct snapshot *snapshot;
 };
 
 static struct snapshot_holder *current;
-static char grace_period; /* stands for what the sanitizer is told */
+static char grace_period; /* address used by the annotations only */
 
 static void
 holder_free(struct rcu_head *head)
--- a/packages/node/src/source.c
+++ b/packages/node/src/source.c
@@ -1,5 +1,5 @@
 /*
- * Reads the platform for the spread decisions.
+ * Reads the platform's store for the spread.
  */
 #define LOG_PART "source"
 
@@ -21,7 +21,7 @@
 	void *arg;
 };
 
-/* One read of an object; remembers what was asked for. */
+/* One read of an object, with the digest that was requested. */
 struct object_read {
 	struct source *src;
 	struct digest digest;
--- a/packages/node/test/test_command_line.c
+++ b/packages/node/test/test_command_line.c
@@ -1,5 +1,5 @@
 /*
- * The command line of bramleydrift: exit codes that scripts rely on.
+ * Exit codes of bramleydrift's command line, which scripts rely on.
  */
 #include <check.h>
 #include <spawn.h>
