--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -176,7 +176,7 @@
 	}
 	if (known)
 		admin_call_fail(call, STATUS_INVALID,
-		    "The resource does not take this method.",
+		    "The resource does not support this method.",
 		    "See docs/API.md for its methods.", 0);
 	else
 		admin_call_fail(call, STATUS_NOT_FOUND,
@@ -300,7 +300,7 @@
 	} else {
 		admin_send_error(conn, STATUS_UNKNOWN,
 		    "The control thread did not answer in time.",
-		    "Ask GET /v1/operations/OP what became of it.");
+		    "Look up its result with GET /v1/operations/OP.");
 	}
 	call->answered = 1;
 	g_mutex_unlock(&call->lock);
--- a/packages/node/src/admin_quarantine.c
+++ b/packages/node/src/admin_quarantine.c
@@ -24,14 +24,14 @@
 
 	if (!fingerprint_parse(name, &f)) {
 		admin_call_fail(call, STATUS_INVALID,
-		    "That is no name of a request.",
-		    "Take it from the list of GET /v1/quarantine.", 0);
+		    "The path contains no valid fingerprint of a request.",
+		    "Use one from the list of GET /v1/quarantine.", 0);
 		return;
 	}
 	st = control_quarantine_release(call->admin->control, &f);
 	if (st != STATUS_OK)
 		admin_call_fail(call, st, status_message(),
-		    "Take it from the list of GET /v1/quarantine.", 0);
+		    "Use one from the list of GET /v1/quarantine.", 0);
 	else
 		admin_call_answer(
 		    call, 200, json_pack("{s:s}", "released", name));
@@ -48,6 +48,6 @@
 		release_request(call, rest + 1);
 	else
 		admin_call_fail(call, STATUS_INVALID,
-		    "The list takes GET, a request in it DELETE.",
+		    "The list supports GET, a request in it DELETE.",
 		    "See docs/API.md.", 0);
 }
--- a/packages/node/src/admin_upstreams.c
+++ b/packages/node/src/admin_upstreams.c
@@ -72,8 +72,8 @@
 	}
 	json_decref(o);
 	if (bad)
-		return status_set(
-		    STATUS_INVALID, "The announcement is wrong: %s.", err.text);
+		return status_set(STATUS_INVALID,
+		    "The announcement is invalid: %s.", err.text);
 	if (port < 1 || port > PORT_MAX || slots < 1 ||
 	    slots > SERVICE_SLOTS_MAX || lease < LEASE_MIN_MS)
 		return status_set(STATUS_INVALID,
@@ -144,5 +144,5 @@
 		upstream_withdraw(call, service);
 	else
 		admin_call_fail(call, STATUS_INVALID,
-		    "Upstreams take PUT and DELETE.", "See docs/API.md.", 0);
+		    "Upstreams support PUT and DELETE.", "See docs/API.md.", 0);
 }
--- a/packages/node/src/admin_versions.c
+++ b/packages/node/src/admin_versions.c
@@ -48,7 +48,8 @@
 fail_platform(struct admin_call *call, enum status st)
 {
 	admin_call_fail(call, st, status_message(),
-	    "Ask again; the nodes go on with what they hold.",
+	    "Retry later; the nodes continue with the version that they "
+	    "hold.",
 	    SIGNOFF_BACKOFF_CAP_MS);
 }
 
@@ -221,9 +222,10 @@
 	case SIGNOFF_NOT_FOUND:
 		return "Look it up with GET /v1/versions.";
 	case SIGNOFF_UNAVAILABLE:
-		return "Nothing was done; ask again later.";
+		return "Nothing was done; retry later.";
 	case SIGNOFF_UNKNOWN:
-		return "Ask GET /v1/operations/OP, or repeat the request "
+		return "Look it up with GET /v1/operations/OP, or repeat the "
+		       "request "
 		       "with the same op.";
 	default:
 		return "Correct the request.";
--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -186,9 +186,9 @@
 control_log_held(struct control *c, const struct spread_action *a)
 {
 	if (!control_may_serve(c))
-		log_info(
-		    "Version %" G_GUINT64_FORMAT
-		    " is held; it comes in force when this node may serve.",
+		log_info("Version %" G_GUINT64_FORMAT
+			 " is complete; it comes in force once this node may "
+			 "serve.",
 		    a->to);
 	c->dirty = 1;
 }
@@ -199,9 +199,9 @@
 	static const char *const reasons[] = {
 	    [READER_GROUP_STANDS_BY] = "",
 	    [READER_GROUP_PLACE] = "by its rank",
-	    [READER_GROUP_FAILED] = "since others can't",
+	    [READER_GROUP_FAILED] = "since reads of others failed",
 	    [READER_GROUP_SILENT] = "since no reader was answered in time",
-	    [READER_GROUP_NOBODY] = "since nobody else is answered",
+	    [READER_GROUP_NOBODY] = "since no other reader is answered",
 	    [READER_GROUP_FEW] = "since too few readers were answered in time",
 	};
 
@@ -240,13 +240,15 @@
 		c->dirty = 1;
 		break;
 	case SPREAD_BLAME:
-		log_warning("Peer %s sent a wrong piece of configuration; "
-			    "check that it runs this release.",
+		log_warning(
+		    "Peer %s sent an invalid part of the configuration; "
+		    "check that it runs this release.",
 		    addr_format(&a->peer, text));
 		break;
 	case SPREAD_LATE:
-		log_info("Peer %s gave no part of version %" G_GUINT64_FORMAT
-			 " in time; another one is asked.",
+		log_info(
+		    "Peer %s delivered no part of version %" G_GUINT64_FORMAT
+		    " in time; another peer is tried.",
 		    addr_format(&a->peer, text), a->to);
 		break;
 	case SPREAD_READER:
@@ -257,7 +259,7 @@
 		break;
 	case SPREAD_HALTED:
 		log_info("Version %" G_GUINT64_FORMAT
-			 " was halted before it came here.",
+			 " was halted before this node applied it.",
 		    a->to);
 		break;
 	}
@@ -488,8 +490,8 @@
 	loop_timer_set(&c->timer, 0);
 	if (pthread_create(&c->thread, NULL, control_run, c) != 0)
 		return status_set(STATUS_IO,
-		    "No control thread could be started; raise the limit of "
-		    "threads.");
+		    "The control thread could not be started; raise the limit "
+		    "on threads.");
 	c->running = 1;
 	return STATUS_OK;
 }
--- a/packages/node/src/control_api.c
+++ b/packages/node/src/control_api.c
@@ -114,7 +114,7 @@
 {
 	struct control_operation *op = arg;
 
-	log_info("Operation ended as %s: %s",
+	log_info("Operation ended with result %s: %s",
 	    signoff_result_name(end->outcome->result), end->outcome->message);
 	if (end->wrote)
 		control_distribute_write(op->control, end);
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -93,7 +93,7 @@
 	refused_copy_text(line, sizeof(line), all);
 	if (line[0] != '\0')
 		log_warning("version %" G_GUINT64_FORMAT
-			    " is run with warnings, %u of the bundle: %s",
+			    " is applied with warnings, %u of the bundle: %s",
 		    a->version, b->n_warnings, line);
 	g_free(all);
 	g_free(text);
@@ -118,7 +118,7 @@
 		    c, a->version, b->n_warnings + (a->notes != NULL ? 1 : 0));
 		log_warnings(a, b);
 		log_info("version %" G_GUINT64_FORMAT
-			 " came from the platform, %u sections, %zu bytes,"
+			 " was read from the platform, %u sections, %zu bytes,"
 			 " largest section %zu bytes",
 		    a->version, b->sections->len, a->row_bytes,
 		    largest_section(b));
--- a/packages/node/src/control_find.c
+++ b/packages/node/src/control_find.c
@@ -25,10 +25,10 @@
 	struct control *c = arg;
 
 	if (st == STATUS_OK) {
-		log_info("entered in the directory");
+		log_info("registered in the directory");
 		finder_entered(&c->finder, control_now(c));
 	} else {
-		log_warning("not entered in the directory (%s): %s",
+		log_warning("could not register in the directory (%s): %s",
 		    status_name(st), status_message());
 		finder_failed(&c->finder, control_now(c));
 	}
@@ -59,12 +59,14 @@
 		    entries[n - 1].place);
 	else
 		c->lookup_from[0] = '\0';
-	log_info("%u nodes found in the directory, this one is %sentered",
+	log_info("%u other nodes found in the directory, this one is "
+		 "%sregistered",
 	    n_others, registered ? "" : "not ");
 	membership_add_seeds(c->membership, control_now(c), others, n_others);
 	if (registered && places_reads_first(c->settings->host)) {
 		log_info(
-		    "%s is a first place: the platform is read now", place);
+		    "%s is one of the first places: reading the platform now",
+		    place);
 		spread_read_now(c->spread, control_now(c));
 	}
 	finder_found(&c->finder, n_others, registered, control_now(c));
@@ -79,7 +81,7 @@
 	if (st == STATUS_OK) {
 		handle_entries(c, entries, n);
 	} else {
-		log_warning("no nodes found in the directory (%s): %s",
+		log_warning("could not look up nodes in the directory (%s): %s",
 		    status_name(st), status_message());
 		finder_failed(&c->finder, control_now(c));
 	}
--- a/packages/node/src/control_keep.c
+++ b/packages/node/src/control_keep.c
@@ -175,7 +175,7 @@
 		n_valid++;
 	}
 	if (st == STATUS_OK)
-		log_info("%u requests are quarantined by the platform's rows",
+		log_info("%u quarantined requests were read from the platform",
 		    n_valid);
 	finish(c, st, "read");
 }
--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -43,8 +43,9 @@
 log_refused(const struct refused *r)
 {
 	if (r->version == 0)
-		log_error("what the platform holds can't be used, version "
-			  "%" G_GUINT64_FORMAT " stays in force: %s",
+		log_error(
+		    "the configuration at the platform can't be used, version "
+		    "%" G_GUINT64_FORMAT " stays in force: %s",
 		    r->in_force, r->reason);
 	else
 		log_error("version %" G_GUINT64_FORMAT
@@ -80,8 +81,10 @@
 	metric_set(&refused_count, (int64_t)r->n_versions);
 	report_progress(c);
 	if (change == REFUSED_ENDED)
-		log_info("the refusal of versions has ended, the last was "
-			 "%" G_GUINT64_FORMAT " since %" G_GUINT64_FORMAT ".",
+		log_info("versions are no longer refused; the last one was "
+			 "%" G_GUINT64_FORMAT
+			 ", the first refusal was at wall-clock time "
+			 "%" G_GUINT64_FORMAT " ms.",
 		    r->version, r->since_wall_ms);
 	else if (change != REFUSED_UNCHANGED)
 		log_refused(r);
@@ -120,7 +123,7 @@
 	struct control *c = arg;
 
 	if (st != STATUS_OK)
-		log_warning("operators can't be told at the platform (%s)",
+		log_warning("the refusal can't be written to the platform (%s)",
 		    status_name(st));
 	refused_row_done(&c->refused_row, st == STATUS_OK, control_now(c));
 	control_pump(c);
--- a/packages/node/src/control_rollout_orders.c
+++ b/packages/node/src/control_rollout_orders.c
@@ -81,10 +81,9 @@
 		end_write(w, true);
 		return;
 	}
-	log_info(
-	    "service=%s order=%" G_GUINT64_FORMAT
-	    " phase=%s is not written: %s, there is order=%" G_GUINT64_FORMAT
-	    " phase=%s",
+	log_info("service=%s order=%" G_GUINT64_FORMAT
+		 " phase=%s was not written: %s, the stored row has "
+		 "order=%" G_GUINT64_FORMAT " phase=%s",
 	    w->rollout.service, w->rollout.order,
 	    rollout_phase_name(w->rollout.phase), status_name(st),
 	    stored != NULL ? stored->rollout.order : 0,
@@ -220,7 +219,7 @@
 
 	cr->read_pending = false;
 	if (st != STATUS_OK) {
-		log_warning("orders can't be read at the platform (%s)",
+		log_warning("orders can't be read from the platform (%s)",
 		    status_name(st));
 		cr->read_retry_ms = control_now(c) + READ_RETRY_DELAY_MS;
 		control_pump(c);
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -53,8 +53,8 @@
 	    !may_be_in_newer_version(c, b) && !is_latest_run(c, instance, b))
 		return status_set(STATUS_INVALID,
 		    "A heartbeat names service \"%s\", which the "
-		    "configuration in force doesn't have; correct the "
-		    "upstream's or add the service.",
+		    "configuration in force doesn't have; correct the name "
+		    "at the upstream or add the service.",
 		    b->service);
 	return STATUS_OK;
 }
@@ -74,14 +74,15 @@
 	    INSTANCE_CURRENT) {
 		log_info("heartbeat %" G_GUINT64_FORMAT
 			 " of %s, started %" G_GUINT64_FORMAT
-			 ", is late, nothing changes",
+			 ", is late and ignored",
 		    b->seq, instance, b->started_ms);
 		return STATUS_OK;
 	}
 	is_new_run |= instances_current_born_ms(&c->instances) != started_ms;
 	if (is_new_run) {
 		log_info("%s of %s, started %" G_GUINT64_FORMAT
-			 ", at port %u is the upstream here, %u slots",
+			 ", at port %u is now the upstream of this host, %u "
+			 "slots",
 		    instance, b->service, b->started_ms, b->address.port,
 		    b->slots);
 		c->dirty = 1;
@@ -105,7 +106,7 @@
 
 	if (!instances_left(&c->instances, instance, started_ms)) {
 		log_info("end of %s, started %" G_GUINT64_FORMAT
-			 ", is late, nothing changes",
+			 ", is late and ignored",
 		    instance, started_ms);
 		return;
 	}
@@ -114,7 +115,7 @@
 		    own->endpoints[i].state != ENDPOINT_LEFT)
 			(void)g_strlcpy(service, own->endpoints[i].service,
 			    sizeof(service));
-	log_info("%s of %s leaves", instance, service);
+	log_info("%s of %s has announced its end", instance, service);
 	if (service[0] != '\0')
 		(void)control_withdraw(c, service, c->instance_port);
 }
--- a/packages/node/src/control_version.c
+++ b/packages/node/src/control_version.c
@@ -81,8 +81,8 @@
 	percent = s->age_ms * 100 / within_ms;
 	metric_set(&share_gauge, (int64_t)percent);
 	if (percent >= WARN_PERCENT)
-		log_warning("Version %" PRIu64 " needed %" PRIu64 " of %" PRIu32
-			    " ms; see which step of its line took long.",
+		log_warning("Version %" PRIu64 " took %" PRIu64 " of %" PRIu32
+			    " ms to come in force; see the steps in its line.",
 		    version, s->age_ms, within_ms);
 }
 
--- a/packages/node/src/main.c
+++ b/packages/node/src/main.c
@@ -68,7 +68,7 @@
 		code = EXIT_OK;
 	} else if (*argc > 1) {
 		(void)fprintf(stderr,
-		    "bramleydrift: \"%s\" is no option; try --help.\n",
+		    "bramleydrift: \"%s\" is not an option; try --help.\n",
 		    (*argv)[1]);
 		code = EXIT_USAGE;
 	} else if (settings_path == NULL) {
@@ -146,13 +146,13 @@
 
 	if (!load_settings(&next)) {
 		log_warning(
-		    "The settings were not taken: %s", status_message());
+		    "The settings could not be reloaded: %s", status_message());
 		return;
 	}
 	log_set_level(next.log_level);
-	log_info("Settings read again; %s.",
+	log_info("Settings reloaded; %s.",
 	    next.adapter == s->adapter && next.address == s->address
-		? "only the log's level is taken from them"
+		? "only the log level was applied"
 		: "a change of address or adapter needs a restart");
 }
 
@@ -184,7 +184,7 @@
 		return EXIT_FAILED;
 	}
 	sig = wait_for_stop_signal(s, set);
-	log_info("Signal %d came; stopping gracefully.", sig);
+	log_info("Signal %d received; stopping gracefully.", sig);
 	node_stop(n);
 	log_info("Stopped.");
 	log_stop();
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -164,7 +164,7 @@
 		g_usleep(STOP_POLL_MS * G_TIME_SPAN_MILLISECOND);
 	if (!node_is_idle(n))
 		log_warning("The drain's deadline passed; %u calls and %u "
-			    "guarded requests are given up.",
+			    "guarded requests are aborted.",
 		    entry_in_flight(n->entry), guard_in_flight(n->guard));
 	entry_drain(n->entry, 0);
 	node_stop_parts(n);
--- a/packages/node/src/source.c
+++ b/packages/node/src/source.c
@@ -127,7 +127,7 @@
 			n_out++;
 		else
 			log_warning(
-			    "A version row was left out: %s", status_message());
+			    "A version row was skipped: %s", status_message());
 	}
 	spread_on_versions(src->spread, loop_now_ms(src->loop), st, out, n_out);
 	for (i = 0; i < n_out; i++)
--- a/packages/node/src/traffic_thread.c
+++ b/packages/node/src/traffic_thread.c
@@ -47,8 +47,8 @@
 {
 	if (pthread_create(&t->thread, NULL, thread_main, t) != 0)
 		return status_set(STATUS_IO,
-		    "No traffic thread could be started; raise the limit of "
-		    "threads.");
+		    "The traffic thread could not be started; raise the limit "
+		    "on threads.");
 	t->running = true;
 	return STATUS_OK;
 }
