--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -56,7 +56,7 @@
 
 /* Sets the refusal that the node's progress reports contain. */
 static void
-report_progress(struct control *c)
+update_spread_refusal(struct control *c)
 {
 	const struct refused *r = &c->refused;
 	struct spread_refusal refusal = {0};
@@ -79,7 +79,7 @@
 	metric_set(&version_gauge, metric_version(r));
 	metric_set(&since_gauge, r->active ? (int64_t)r->since_wall_ms : 0);
 	metric_set(&refused_count, (int64_t)r->n_versions);
-	report_progress(c);
+	update_spread_refusal(c);
 	if (change == REFUSED_ENDED)
 		log_info("versions are no longer refused; the last one was "
 			 "%" G_GUINT64_FORMAT
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -30,7 +30,7 @@
  * port.  Its heartbeats are accepted until it ends: otherwise its end would
  * never be acknowledged once a newer version no longer contains its service. */
 static int
-is_latest_run(const struct control *c, const char *instance,
+is_current_upstream(const struct control *c, const char *instance,
     const struct upstream_heartbeat *b)
 {
 	return instances_is_latest(&c->instances, instance, b->started_ms) &&
@@ -50,7 +50,8 @@
 		    "the node of that host.");
 	if (catalog_version(c->catalog) != 0 &&
 	    catalog_find(c->catalog, b->service) == NULL &&
-	    !may_be_in_newer_version(c, b) && !is_latest_run(c, instance, b))
+	    !may_be_in_newer_version(c, b) &&
+	    !is_current_upstream(c, instance, b))
 		return status_set(STATUS_INVALID,
 		    "A heartbeat names service \"%s\", which the "
 		    "configuration in force doesn't have; correct the name "
@@ -63,9 +64,9 @@
 control_heartbeat(
     struct control *c, const char *instance, const struct upstream_heartbeat *b)
 {
-	int is_new_run =
+	int is_new_process =
 	    strcmp(instances_current(&c->instances), instance) != 0;
-	uint64_t started_ms = instances_current_born_ms(&c->instances);
+	uint64_t previous_started_ms = instances_current_born_ms(&c->instances);
 	enum status st = check_heartbeat(c, instance, b);
 
 	if (st != STATUS_OK)
@@ -78,8 +79,9 @@
 		    b->seq, instance, b->started_ms);
 		return STATUS_OK;
 	}
-	is_new_run |= instances_current_born_ms(&c->instances) != started_ms;
-	if (is_new_run) {
+	is_new_process |=
+	    instances_current_born_ms(&c->instances) != previous_started_ms;
+	if (is_new_process) {
 		log_info("%s of %s, started %" G_GUINT64_FORMAT
 			 ", at port %u is now the upstream of this host, %u "
 			 "slots",
