--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -182,6 +182,7 @@
 	}
 }
 
+/* Logs when a version is complete before this node may serve calls. */
 static void
 control_log_held(struct control *c, const struct spread_action *a)
 {
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -198,8 +198,8 @@
 	control_pump(c);
 }
 
-/* Contents that no peer delivers.  The platform holds only the newest
- * version. */
+/* Ends a read of contents that no peer delivered.  The platform holds only the
+ * newest version. */
 static void
 on_versions(enum status st, const struct feed_answer *a, void *arg)
 {
--- a/packages/node/src/control_find.c
+++ b/packages/node/src/control_find.c
@@ -37,7 +37,7 @@
 }
 
 /* Adds the entries found as seeds.  The next lookup begins after the last
- * entry, or at the first place when few entries were found. */
+ * entry, or at the start of the directory when few entries were found. */
 static void
 handle_entries(
     struct control *c, const struct directory_entry *entries, uint32_t n)
--- a/packages/node/src/control_priv.h
+++ b/packages/node/src/control_priv.h
@@ -65,7 +65,7 @@
  * @directory: directory of nodes, NULL to use the seeds of the settings
  * @finder: schedule of registrations and lookups in the directory
  * @lookup_from: place in the directory at which the next lookup begins, empty
- *	for the first place
+ *	for the start of the directory
  * @instances: processes of the upstream that sends heartbeats
  * @instance_port: port of the current process
  * @instance_service: service of the current process
@@ -207,8 +207,8 @@
 
 /* control_keep.c */
 
-/** control_keep_record() - store a request that this node quarantined at the
- * platform, or remove the rows that @item clears */
+/** control_keep_record() - write a request that this node quarantined to the
+ * platform, or remove the rows of the requests that @item clears */
 void control_keep_record(struct control *c, const struct quarantine_item *item);
 
 /** control_keep_tick() - read or write rows at the platform if due */
--- a/packages/node/src/control_quarantine.c
+++ b/packages/node/src/control_quarantine.c
@@ -35,6 +35,7 @@
 	struct quarantine_item item;
 };
 
+/* Writes an item of this node to the platform and sends it to peers. */
 static void
 distribute(struct control *c, const struct quarantine_item *item)
 {
--- a/packages/node/src/control_rollout.c
+++ b/packages/node/src/control_rollout.c
@@ -242,6 +242,7 @@
 	}
 }
 
+/* Sends new orders and phases to random peers. */
 static void
 gossip_orders(struct control *c, uint64_t now_ms)
 {
