--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -1,8 +1,8 @@
 /*
  * Administration API: the HTTP server and its dispatch.
  *
- * A CivetWeb worker reads the request, posts it to the control thread and
- * waits for the answer.  Only /metrics and /v1/health are answered by the
+ * A CivetWeb worker thread reads the request, posts it to the control thread
+ * and waits for the answer.  Only /metrics and /v1/health are answered by the
  * worker itself, so that they work while the control thread is busy.
  */
 #define LOG_PART "admin"
@@ -24,7 +24,7 @@
 
 struct admin_route {
 	const char *method; /* NULL for any */
-	const char *path;   /* what the path below the prefix starts with */
+	const char *path;   /* prefix of the path below API_PREFIX */
 	void (*handle)(struct admin_call *call);
 };
 
@@ -109,13 +109,13 @@
 }
 
 struct admin_call *
-admin_call_hold(struct admin_call *call)
+admin_call_ref(struct admin_call *call)
 {
 	return g_atomic_rc_box_acquire(call);
 }
 
 void
-admin_call_release(struct admin_call *call)
+admin_call_unref(struct admin_call *call)
 {
 	g_atomic_rc_box_release_full(call, admin_call_free);
 }
@@ -176,7 +176,7 @@
 	}
 	if (known)
 		admin_call_fail(call, STATUS_INVALID,
-		    "The resource does not take this method.",
+		    "The resource does not support this method.",
 		    "See docs/API.md for its methods.", 0);
 	else
 		admin_call_fail(call, STATUS_NOT_FOUND,
@@ -184,12 +184,12 @@
 		    "See docs/API.md for the resources below /v1/.", 0);
 }
 
-/* Runs in the control thread, which gives its reference back here. */
+/* Runs in the control thread; releases the reference that was posted. */
 static void
 admin_dispatch(void *arg)
 {
 	admin_route(arg);
-	admin_call_release(arg);
+	admin_call_unref(arg);
 }
 
 static void
@@ -229,7 +229,7 @@
 	    admin_error_json(st, message, remedy, 0));
 }
 
-/* Reads the whole body; returns 0 when it is too large. */
+/* Reads the full body; returns 0 when it is too large. */
 static int
 admin_read_body(struct mg_connection *conn, GString *body)
 {
@@ -244,21 +244,22 @@
 	return 1;
 }
 
-/* Waits for the control thread's answer; answers itself when none comes. */
+/* Waits for the control thread's answer, until a deadline. */
 static void
 admin_wait(struct admin_call *call)
 {
-	gint64 until = g_get_monotonic_time() +
+	gint64 deadline_us = g_get_monotonic_time() +
 	    (ADMIN_OPERATION_MS + ADMIN_GRACE_MS) * G_TIME_SPAN_MILLISECOND;
 
 	g_mutex_lock(&call->lock);
 	while (!call->answered &&
-	    g_cond_wait_until(&call->done, &call->lock, until))
+	    g_cond_wait_until(&call->done, &call->lock, deadline_us))
 		continue;
 	g_mutex_unlock(&call->lock);
 }
 
-/* Whoever asked may wait less long than an operation may take. */
+/* Deadline of the operation; the client may allow less time than
+ * ADMIN_OPERATION_MS. */
 static uint64_t
 admin_deadline(const struct mg_connection *conn)
 {
@@ -288,7 +289,7 @@
 	return call;
 }
 
-/* Sends the answer that is there, or says that none came. */
+/* Sends the answer, or an error when none came in time. */
 static void
 admin_reply(struct mg_connection *conn, struct admin_call *call)
 {
@@ -299,7 +300,7 @@
 	} else {
 		admin_send_error(conn, STATUS_UNKNOWN,
 		    "The control thread did not answer in time.",
-		    "Ask GET /v1/operations/OP what became of it.");
+		    "Look up its result with GET /v1/operations/OP.");
 	}
 	call->answered = 1;
 	g_mutex_unlock(&call->lock);
@@ -314,17 +315,17 @@
 		admin_send_error(conn, STATUS_TOO_LARGE,
 		    "The body is larger than 8 MiB.",
 		    "Split the bundle or shorten it.");
-		admin_call_release(call);
+		admin_call_unref(call);
 		return;
 	}
-	admin_prepare(call);
+	admin_parse_bundle(call);
 	if (!call->answered) {
 		loop_post(control_loop(a->control), admin_dispatch,
-		    admin_call_hold(call));
+		    admin_call_ref(call));
 		admin_wait(call);
 	}
 	admin_reply(conn, call);
-	admin_call_release(call);
+	admin_call_unref(call);
 }
 
 static void
--- a/packages/node/src/admin_quarantine.c
+++ b/packages/node/src/admin_quarantine.c
@@ -1,5 +1,5 @@
 /*
- * Administration API: requests that are no longer run.
+ * Administration API: quarantined requests.
  */
 #include <string.h>
 
@@ -9,7 +9,7 @@
 #define QUARANTINE_PATH "quarantine"
 
 static void
-list(struct admin_call *call)
+list_requests(struct admin_call *call)
 {
 	json_t *requests = control_quarantine_json(call->admin->control);
 
@@ -17,21 +17,21 @@
 }
 
 static void
-release(struct admin_call *call, const char *name)
+release_request(struct admin_call *call, const char *name)
 {
 	struct fingerprint f;
 	enum status st;
 
 	if (!fingerprint_parse(name, &f)) {
 		admin_call_fail(call, STATUS_INVALID,
-		    "That is no name of a request.",
-		    "Take it from the list of GET /v1/quarantine.", 0);
+		    "The path contains no valid fingerprint of a request.",
+		    "Use one from the list of GET /v1/quarantine.", 0);
 		return;
 	}
 	st = control_quarantine_release(call->admin->control, &f);
 	if (st != STATUS_OK)
 		admin_call_fail(call, st, status_message(),
-		    "Take it from the list of GET /v1/quarantine.", 0);
+		    "Use one from the list of GET /v1/quarantine.", 0);
 	else
 		admin_call_answer(
 		    call, 200, json_pack("{s:s}", "released", name));
@@ -43,11 +43,11 @@
 	const char *rest = call->path + strlen(QUARANTINE_PATH);
 
 	if (*rest == '\0' && strcmp(call->method, "GET") == 0)
-		list(call);
+		list_requests(call);
 	else if (*rest == '/' && strcmp(call->method, "DELETE") == 0)
-		release(call, rest + 1);
+		release_request(call, rest + 1);
 	else
 		admin_call_fail(call, STATUS_INVALID,
-		    "The list takes GET, a request in it DELETE.",
+		    "The list supports GET, a request in it DELETE.",
 		    "See docs/API.md.", 0);
 }
--- a/packages/node/src/admin_status.c
+++ b/packages/node/src/admin_status.c
@@ -1,20 +1,20 @@
 /*
- * Administration API: this node's state, and that of the fleet.
+ * Administration API: state of this node and of the fleet.
  */
 #include "admin_priv.h"
 #include "net/loop.h"
 
-/* Room for the parameter's value. */
+/* Size of the parameter's value. */
 #define FLAG_BYTES 8
 
-/* A request that waits for the data centres to tell their sums. */
+/* A request that waits for the progress reports of the data centres. */
 struct status_call {
 	struct admin_call *call;
 	struct loop_timer timer;
 };
 
 static void
-status_on_time(void *arg)
+status_on_timer(void *arg)
 {
 	struct status_call *sc = arg;
 	struct control *c = sc->call->admin->control;
@@ -23,7 +23,7 @@
 	json_object_set_new(
 	    reply, "fleet", control_progress_json(c, control_version(c)));
 	admin_call_answer(sc->call, 200, reply);
-	admin_call_release(sc->call);
+	admin_call_unref(sc->call);
 	g_free(sc);
 }
 
@@ -34,10 +34,10 @@
 	struct control *c = call->admin->control;
 	struct loop *loop = control_loop(c);
 
-	sc->call = admin_call_hold(call);
-	loop_timer_init(&sc->timer, loop, status_on_time, sc);
+	sc->call = admin_call_ref(call);
+	loop_timer_init(&sc->timer, loop, status_on_timer, sc);
 	loop_timer_set(&sc->timer, loop_now_ms(loop) + ADMIN_PROGRESS_MS);
-	control_ask_progress(c);
+	control_request_progress(c);
 }
 
 void
--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -1,9 +1,10 @@
 /*
- * The control thread: one loop around the decisions membership and spread.
+ * The control thread: one event loop that drives the modules membership,
+ * spread, quarantine and rollout.
  *
- * After each event control_pump() empties their outboxes and action queues,
- * recompiles the snapshot when something in it changed, and sets the timer to
- * the earliest deadline.
+ * After each event control_pump() carries out their queued actions, sends the
+ * messages in their outboxes, recompiles the snapshot if it is outdated, and
+ * sets the timer to the earliest deadline.
  */
 #define LOG_PART "control"
 
@@ -39,9 +40,9 @@
 	return loop_now_ms(c->loop);
 }
 
-/* Tells the guard which endpoints this host has, with their limits. */
+/* Passes this host's endpoints with their limits to the guard. */
 static void
-control_tell_guard(struct control *c)
+control_update_guard(struct control *c)
 {
 	const struct member *self = membership_self(c->membership);
 	struct guard_endpoint list[MEMBER_ENDPOINTS_MAX];
@@ -65,7 +66,7 @@
 			    instances_current(&c->instances),
 			    sizeof(list[n].instance));
 		list[n].limits = service->limits;
-		control_rollout_own(c, e, &list[n]);
+		control_rollout_set_own_state(c, e, &list[n]);
 		n++;
 	}
 	guard_set_endpoints(c->guard, list, n);
@@ -80,7 +81,7 @@
 	    phase != MEMBERSHIP_JOINING;
 }
 
-/* Compiles and publishes what is in force now. */
+/* Compiles and publishes the snapshot of the version in force. */
 static void
 control_publish(struct control *c)
 {
@@ -93,7 +94,7 @@
 		next = snapshot_compile(c->catalog, c->endpoints);
 	if (next != NULL) {
 		next->n_nodes = membership_live(c->membership);
-		control_rollout_versions(c, next);
+		control_rollout_set_versions(c, next);
 		(void)snapshot_ref(next);
 	}
 	snapshot_unref(c->snapshot);
@@ -102,15 +103,15 @@
 	metric_add(&publish_count, 1);
 	metric_set(&ready_gauge, ready);
 	atomic_store(&c->ready, ready);
-	control_version_in_force(
+	control_version_set_in_force(
 	    c, next != NULL ? next->version : 0, clock_now_us() - begun_us);
 	entry_snapshot_changed(c->entry);
-	control_tell_guard(c);
+	control_update_guard(c);
 }
 
-/* Copies a member's endpoints into the set that snapshots are made from. */
+/* Copies a member's endpoints into the set that snapshots are compiled from. */
 static void
-control_take_member(struct control *c, const char *host)
+control_update_endpoints(struct control *c, const char *host)
 {
 	const struct member *m = membership_find(c->membership, host);
 	struct endpoint list[MEMBER_ENDPOINTS_MAX];
@@ -146,7 +147,7 @@
 }
 
 static void
-control_heard(struct control *c, const struct membership_action *a)
+control_on_gossip_head(struct control *c, const struct membership_action *a)
 {
 	struct rec_head head = {
 	    .seq = a->head.seq,
@@ -165,15 +166,15 @@
 {
 	switch (a->kind) {
 	case MEMBERSHIP_CHANGED:
-		control_take_member(c, a->host);
+		control_update_endpoints(c, a->host);
 		metric_set(&members_gauge, membership_live(c->membership));
 		break;
 	case MEMBERSHIP_PEER_HEAD:
-		control_heard(c, a);
+		control_on_gossip_head(c, a);
 		break;
 	case MEMBERSHIP_PHASE:
 		log_info("Membership is %s.", membership_phase_name(a->phase));
-		atomic_store(&c->left, a->phase == MEMBERSHIP_LEFT);
+		atomic_store(&c->leave_sent, a->phase == MEMBERSHIP_LEFT);
 		c->dirty = 1;
 		break;
 	case MEMBERSHIP_WARNING:
@@ -182,13 +183,14 @@
 	}
 }
 
+/* Logs when a version is complete before this node may serve calls. */
 static void
-control_applied(struct control *c, const struct spread_action *a)
+control_log_held(struct control *c, const struct spread_action *a)
 {
 	if (!control_may_serve(c))
-		log_info(
-		    "Version %" G_GUINT64_FORMAT
-		    " is held; it comes in force when this node may serve.",
+		log_info("Version %" G_GUINT64_FORMAT
+			 " is complete; it comes in force once this node may "
+			 "serve.",
 		    a->to);
 	c->dirty = 1;
 }
@@ -196,12 +198,12 @@
 static void
 control_reader_changed(const struct spread_action *a)
 {
-	static const char *const why[] = {
+	static const char *const reasons[] = {
 	    [READER_GROUP_NOT_READING] = "",
 	    [READER_GROUP_BY_RANK] = "by its rank",
-	    [READER_GROUP_FAILED] = "since others can't",
+	    [READER_GROUP_FAILED] = "since reads of others failed",
 	    [READER_GROUP_SILENT] = "since no reader was answered in time",
-	    [READER_GROUP_NONE_ANSWERED] = "since nobody else is answered",
+	    [READER_GROUP_NONE_ANSWERED] = "since no other reader is answered",
 	    [READER_GROUP_TOO_FEW] =
 		"since too few readers were answered in time",
 	};
@@ -211,7 +213,7 @@
 	if (a->to != 0)
 		log_info("This node reads the platform for its data centre, as "
 			 "number %" G_GUINT64_FORMAT " of its group, %s.",
-		    a->to, why[a->reader_reason]);
+		    a->to, reasons[a->reader_reason]);
 	else
 		log_info("This node no longer reads the platform for its data "
 			 "centre.");
@@ -233,40 +235,42 @@
 			source_read(c->source, a);
 		break;
 	case SPREAD_APPLY:
-		control_version_taken(c, a);
-		control_applied(c, a);
+		control_version_set_steps(c, a);
+		control_log_held(c, a);
 		break;
 	case SPREAD_READY:
 		log_info("This node may serve.");
 		c->dirty = 1;
 		break;
 	case SPREAD_PEER_BANNED:
-		log_warning("Peer %s sent a wrong piece of configuration; "
-			    "check that it runs this release.",
+		log_warning(
+		    "Peer %s sent an invalid part of the configuration; "
+		    "check that it runs this release.",
 		    addr_format(&a->peer, text));
 		break;
 	case SPREAD_PEER_TIMED_OUT:
-		log_info("Peer %s gave no part of version %" G_GUINT64_FORMAT
-			 " in time; another one is asked.",
+		log_info(
+		    "Peer %s delivered no part of version %" G_GUINT64_FORMAT
+		    " in time; another peer is tried.",
 		    addr_format(&a->peer, text), a->to);
 		break;
 	case SPREAD_READER:
 		control_reader_changed(a);
 		break;
 	case SPREAD_REFUSED:
-		control_refused_note(c, a->to, a->reason);
+		control_refused_record(c, a->to, a->reason);
 		break;
 	case SPREAD_HALTED:
 		log_info("Version %" G_GUINT64_FORMAT
-			 " was halted before it came here.",
+			 " was halted before this node applied it.",
 		    a->to);
 		break;
 	}
 }
 
-/* Lets probes carry the newest head that this node knows. */
+/* Sets the newest known head, which membership probes carry to peers. */
 static void
-control_share_head(struct control *c)
+control_gossip_head(struct control *c)
 {
 	const struct rec_head *head = spread_head(c->spread);
 	struct rec_gossip_head gossip = {
@@ -290,8 +294,8 @@
 		control_membership_action(c, &ma);
 	while (spread_pop(c->spread, &sa))
 		control_spread_action(c, &sa);
-	control_share_head(c);
-	control_news_share(c);
+	control_gossip_head(c);
+	control_news_publish(c);
 	control_quarantine_pump(c);
 	peers_flush(c->peers, c->outbox);
 	peers_flush(c->peers, spread_outbox(c->spread));
@@ -325,7 +329,7 @@
 }
 
 static void
-control_on_answer(void *arg)
+control_on_source_read(void *arg)
 {
 	control_pump(arg);
 }
@@ -365,7 +369,7 @@
 	control_pump(c);
 }
 
-/* Only puts a deadline off, so nothing has to be carried out. */
+/* Only moves a deadline, so there are no actions to carry out. */
 static void
 control_on_part(struct net_addr peer, void *arg)
 {
@@ -407,7 +411,7 @@
 }
 
 static void
-control_make_decisions(struct control *c, uint64_t incarnation, uint64_t seed)
+control_create_modules(struct control *c, uint64_t incarnation, uint64_t seed)
 {
 	struct membership_settings ms;
 	struct spread_config sc;
@@ -427,15 +431,16 @@
 	c->endpoints = endpoint_set_new();
 	instances_init(&c->instances);
 	finder_init(&c->finder, seed + 2, now_ms);
-	places_lower_bound(c->settings->data_centre, c->find_from);
+	places_lower_bound(c->settings->data_centre, c->lookup_from);
 }
 
 void
-control_use(struct control *c, struct feed *feed, struct directory *directory,
-    struct keep *keep, struct rollout_store *rollouts)
+control_set_platform(struct control *c, struct feed *feed,
+    struct directory *directory, struct keep *keep,
+    struct rollout_store *rollouts)
 {
-	control_rollout_use(c, rollouts);
-	control_feed_use(c, feed);
+	control_rollout_set_store(c, rollouts);
+	control_feed_set(c, feed);
 	c->directory = directory;
 	c->keep = keep;
 }
@@ -462,12 +467,12 @@
 		return st;
 	}
 	control_register_metrics();
-	control_make_decisions(c, incarnation, seed);
+	control_create_modules(c, incarnation, seed);
 	c->http = http_client_new(c->loop, NULL);
 	c->store =
 	    http_store_new(c->http, c->loop, s->table_url, s->object_url);
 	c->source =
-	    source_new(c->loop, c->store, c->spread, control_on_answer, c);
+	    source_new(c->loop, c->store, c->spread, control_on_source_read, c);
 	loop_timer_init(&c->timer, c->loop, control_on_timer, c);
 	*out = c;
 	return STATUS_OK;
@@ -488,8 +493,8 @@
 	loop_timer_set(&c->timer, 0);
 	if (pthread_create(&c->thread, NULL, control_run, c) != 0)
 		return status_set(STATUS_IO,
-		    "No control thread could be started; raise the limit of "
-		    "threads.");
+		    "The control thread could not be started; raise the limit "
+		    "on threads.");
 	c->running = 1;
 	return STATUS_OK;
 }
@@ -522,7 +527,7 @@
 }
 
 void
-control_turn_away(struct control *c)
+control_stop_accepting(struct control *c)
 {
 	atomic_store(&c->leaving, 1);
 }
@@ -530,12 +535,12 @@
 void
 control_leave(struct control *c)
 {
-	control_turn_away(c);
+	control_stop_accepting(c);
 	loop_post(c->loop, control_leave_posted, c);
 }
 
 int
-control_takes_callers(const struct control *c)
+control_accepts_callers(const struct control *c)
 {
 	return control_ready(c) && !atomic_load(&c->leaving);
 }
@@ -543,7 +548,7 @@
 int
 control_has_left(const struct control *c)
 {
-	return atomic_load(&c->left);
+	return atomic_load(&c->leave_sent);
 }
 
 void
--- a/packages/node/src/control_api.c
+++ b/packages/node/src/control_api.c
@@ -1,5 +1,5 @@
 /*
- * What the administration API asks of the control thread.
+ * Requests of the administration API to the control thread.
  */
 #define LOG_PART "control"
 
@@ -23,7 +23,7 @@
 	return st;
 }
 
-/* Port of one of this host's upstreams of a service; 0 when there is none. */
+/* Port of the first upstream of a service on this host; 0 for none. */
 static uint16_t
 control_upstream_port(const struct control *c, const char *service)
 {
@@ -57,22 +57,23 @@
 }
 
 void
-control_ask_progress(struct control *c)
+control_request_progress(struct control *c)
 {
 	spread_progress_ask(c->spread, control_now(c));
 	control_pump(c);
 }
 
-/* An operation that this node runs, and who waits for it. */
+/* An operation of this node, with the callback that receives its result. */
 struct control_operation {
 	struct control *control;
 	operation_fn *fn;
 	void *arg;
 };
 
-/* Hands the spread the contents of a bundle, which it need not fetch then. */
+/* Passes the contents of a bundle to the spread, which then need not fetch
+ * them. */
 static void
-control_stock(struct control *c, const struct bundle *b)
+control_add_contents(struct control *c, const struct bundle *b)
 {
 	const struct section *section;
 	GBytes **contents;
@@ -87,9 +88,9 @@
 	g_free(contents);
 }
 
-/* Puts what was just written on its way to the peers. */
+/* Passes the rows just written to the spread, which sends them to peers. */
 static void
-control_signed(struct control *c, const struct operation_end *end)
+control_distribute_write(struct control *c, const struct operation_end *end)
 {
 	struct rec_head head = source_head(&end->head);
 	struct msg_version_changes changes = {0};
@@ -101,7 +102,7 @@
 		    source_row(&end->version, &changes, &row) == STATUS_OK &&
 		    !row.whole;
 	if (end->bundle != NULL)
-		control_stock(c, end->bundle);
+		control_add_contents(c, end->bundle);
 	spread_on_signed(
 	    c->spread, control_now(c), &head, has_row ? &row : NULL);
 	msg_version_changes_clear(&changes);
@@ -113,16 +114,16 @@
 {
 	struct control_operation *op = arg;
 
-	log_info("Operation ended as %s: %s",
+	log_info("Operation ended with result %s: %s",
 	    signoff_result_name(end->outcome->result), end->outcome->message);
 	if (end->wrote)
-		control_signed(op->control, end);
+		control_distribute_write(op->control, end);
 	op->fn(end, op->arg);
 	g_free(op);
 }
 
 enum status
-control_operate(struct control *c, const struct signoff_request *req,
+control_run_operation(struct control *c, const struct signoff_request *req,
     struct bundle *bundle, operation_fn *fn, void *arg)
 {
 	struct control_operation *op = g_new0(struct control_operation, 1);
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -1,5 +1,5 @@
 /*
- * Reads the feed for the spread decisions.
+ * Reads the feed for the spread.
  */
 #define LOG_PART "feed"
 
@@ -8,39 +8,41 @@
 #include "control_priv.h"
 
 /*
- * How long the platform may wait for a change before it answers.  The readers
- * of a data centre are answered in turn, so the others find within 0.9 s and
- * some slack that none of two is; a shorter time costs more calls.
+ * Maximum time that the platform waits for a change before it answers a long
+ * poll.  The two readers of a data centre are answered alternately, one every
+ * 0.9 s, so the other hosts detect within little more than that time that
+ * neither is answered.  A shorter time costs more calls.
  */
 #define FEED_WAIT_MS 1800
 
-/* Room in a line for the first warnings of a version: some five of them. */
-#define WARNINGS_BYTES 512
+/* Size of the warnings in a log line; holds about five. */
+#define WARNINGS_LINE_BYTES 512
 
-/* One line each time that the platform is lost or back. */
+/* Logs one line each time the platform fails or recovers. */
 static void
-note_status(struct control *c, enum status st)
+log_status(struct control *c, enum status st)
 {
 	if (st == STATUS_OK)
-		c->answered_ms = control_now(c);
+		c->feed_answered_ms = control_now(c);
 	if ((st == STATUS_OK) == (c->feed_status == STATUS_OK))
 		return;
 	c->feed_status = st;
 	if (st == STATUS_OK)
 		log_info("The platform's feed is back.");
-	else if (c->answered_ms == 0)
+	else if (c->feed_answered_ms == 0)
 		log_warning("The platform's feed can't be read (%s): %s",
 		    status_name(st), status_message());
 	else
 		log_warning("The platform's feed is lost (%s), last answered "
 			    "%" G_GUINT64_FORMAT " ms ago: %s",
-		    status_name(st), control_now(c) - c->answered_ms,
+		    status_name(st), control_now(c) - c->feed_answered_ms,
 		    status_message());
 }
 
-/* The sections of a bundle, for the spread. */
+/* Passes the sections of a bundle to the spread. */
 static void
-give(struct control *c, const struct feed_answer *a, const struct bundle *b)
+pass_bundle(
+    struct control *c, const struct feed_answer *a, const struct bundle *b)
 {
 	struct rec_head head = {.seq = a->version,
 	    .version = a->version,
@@ -58,7 +60,7 @@
 		section = g_ptr_array_index(b->sections, i);
 		contents[i] = section->content;
 	}
-	c->given = head;
+	c->feed_head = head;
 	spread_on_full_version(
 	    c->spread, control_now(c), &head, list, contents, b->sections->len);
 	g_free(contents);
@@ -69,75 +71,76 @@
 largest_section(const struct bundle *b)
 {
 	const struct section *section;
-	size_t most = 0;
+	size_t largest = 0;
 	guint i;
 
 	for (i = 0; i < b->sections->len; i++) {
 		section = g_ptr_array_index(b->sections, i);
-		most = MAX(most, g_bytes_get_size(section->content));
+		largest = MAX(largest, g_bytes_get_size(section->content));
 	}
-	return most;
+	return largest;
 }
 
-/* What is run of a version otherwise than it is written. */
+/* Logs which parts of a version are applied differently from what is
+ * written. */
 static void
 log_warnings(const struct feed_answer *a, const struct bundle *b)
 {
-	char line[WARNINGS_BYTES], *text = bundle_warnings(b);
+	char line[WARNINGS_LINE_BYTES], *text = bundle_warnings(b);
 	char *all = g_strjoin(" ", a->notes != NULL ? a->notes : text,
 	    a->notes != NULL ? text : NULL, NULL);
 
 	refused_copy_text(line, sizeof(line), all);
 	if (line[0] != '\0')
 		log_warning("version %" G_GUINT64_FORMAT
-			    " is run with warnings, %u of the bundle: %s",
+			    " is applied with warnings, %u of the bundle: %s",
 		    a->version, b->n_warnings, line);
 	g_free(all);
 	g_free(text);
 }
 
-/* Return: whether the answer holds a bundle that can be used. */
+/* Return: whether the answer contains a usable bundle. */
 static int
-take(struct control *c, const struct feed_answer *a)
+handle_answer(struct control *c, const struct feed_answer *a)
 {
 	struct bundle *b = NULL;
 	int ok;
 
-	control_news_seen(c, a->version);
-	control_rollout_orders(c, a->orders, a->n_orders);
+	control_news_add_seen(c, a->version);
+	control_rollout_add_orders(c, a->orders, a->n_orders);
 	if (a->problem != NULL)
-		control_refused_note(c, a->version, a->problem);
+		control_refused_record(c, a->version, a->problem);
 	if (a->build == NULL)
 		return 0;
 	ok = bundle_build_end(a->build, &b) == STATUS_OK;
 	if (ok) {
-		control_refused_given(
+		control_refused_version_readable(
 		    c, a->version, b->n_warnings + (a->notes != NULL ? 1 : 0));
 		log_warnings(a, b);
 		log_info("version %" G_GUINT64_FORMAT
-			 " came from the platform, %u sections, %zu bytes,"
+			 " was read from the platform, %u sections, %zu bytes,"
 			 " largest section %zu bytes",
 		    a->version, b->sections->len, a->row_bytes,
 		    largest_section(b));
-		give(c, a, b);
+		pass_bundle(c, a, b);
 	} else {
-		control_refused_note(c, a->version, status_message());
+		control_refused_record(c, a->version, status_message());
 	}
 	bundle_free(b);
 	return ok;
 }
 
-/* A configuration that is too large to be read is refused unread. */
+/* Refuses a configuration that is too large to be read. */
 static void
-note_read(struct control *c, enum status st)
+check_status(struct control *c, enum status st)
 {
-	note_status(c, st);
+	log_status(c, st);
 	if (st == STATUS_TOO_LARGE)
-		control_refused_note(c, 0, status_message());
+		control_refused_record(c, 0, status_message());
 }
 
 static struct spread_read_end
-end_of(const struct feed_answer *a)
+read_end_from(const struct feed_answer *a)
 {
 	struct spread_read_end end = {0};
 
@@ -154,24 +157,26 @@
 on_head(enum status st, const struct feed_answer *a, void *arg)
 {
 	struct control *c = arg;
-	const struct rec_head *head = c->given.seq != 0 ? &c->given : NULL;
-	struct spread_read_end end = end_of(a);
+	const struct rec_head *head =
+	    c->feed_head.seq != 0 ? &c->feed_head : NULL;
+	struct spread_read_end end = read_end_from(a);
 
-	c->following = 0;
-	note_read(c, st);
+	c->feed_poll_pending = 0;
+	check_status(c, st);
 	if (st == STATUS_OK)
 		spread_on_head_read_ended(c->spread, control_now(c), &end);
 	if (st != STATUS_OK)
 		spread_on_head(c->spread, control_now(c), st, NULL);
-	else if (!take(c, a))
+	else if (!handle_answer(c, a))
 		spread_on_head(c->spread, control_now(c),
 		    head != NULL ? STATUS_OK : STATUS_NOT_FOUND, head);
 	control_pump(c);
 }
 
-/* A version that is large takes a while on a slow link. */
+/* Extends the deadline of the read: a large version takes time on a slow
+ * link. */
 static void
-on_begun(void *arg)
+on_answer_begun(void *arg)
 {
 	struct control *c = arg;
 
@@ -179,39 +184,43 @@
 	control_pump(c);
 }
 
-/* One that is refused says nothing of the feed: the read that waits will. */
+/* A failed probe is not logged as a failure of the feed: the long poll shows
+ * whether the feed is available. */
 static void
 on_probe(enum status st, const struct feed_answer *a, void *arg)
 {
 	struct control *c = arg;
-	struct spread_read_end end = end_of(a);
+	struct spread_read_end end = read_end_from(a);
 
 	if (st == STATUS_OK)
-		(void)take(c, a);
+		(void)handle_answer(c, a);
 	spread_on_probe_ended(c->spread, control_now(c), &end);
 	control_pump(c);
 }
 
-/* Content that peers don't give: the platform holds the newest version only. */
+/* Ends a read of contents that no peer delivered.  The platform holds only the
+ * newest version. */
 static void
 on_versions(enum status st, const struct feed_answer *a, void *arg)
 {
 	struct control *c = arg;
 
-	c->fetching = 0;
-	note_read(c, st);
-	if (st == STATUS_OK && !take(c, a))
+	c->feed_fetch_pending = 0;
+	check_status(c, st);
+	if (st == STATUS_OK && !handle_answer(c, a))
 		st = STATUS_UNAVAILABLE;
-	/* What was given may be older than what peers told of: the read is
-	 * over in any case, so that peers are asked again. */
+	/* The version delivered may be older than the head gossiped by peers.
+	 * The read ends in any case, so that the contents are requested from
+	 * peers again. */
 	spread_on_versions(c->spread, control_now(c),
 	    st == STATUS_OK ? STATUS_UNAVAILABLE : st, NULL, 0);
 	control_pump(c);
 }
 
-/* A read of the feed is under way and gives what there is by itself. */
+/* Ends a read of versions at once: the read of the feed that is already in
+ * flight will deliver the newest version. */
 static void
-on_followed(void *arg)
+on_read_pending(void *arg)
 {
 	struct control *c = arg;
 
@@ -221,10 +230,10 @@
 }
 
 void
-control_feed_use(struct control *c, struct feed *feed)
+control_feed_set(struct control *c, struct feed *feed)
 {
 	c->feed = feed;
-	feed_watch(feed, on_begun, c);
+	feed_watch(feed, on_answer_begun, c);
 	spread_set_long_poll(c->spread, FEED_WAIT_MS);
 }
 
@@ -232,16 +241,16 @@
 control_feed_read(struct control *c, const struct spread_action *a)
 {
 	if (a->kind == SPREAD_READ_HEAD) {
-		c->following = 1;
+		c->feed_poll_pending = 1;
 		feed_read(
 		    c->feed, a->from, control_now(c) + a->wait_ms, on_head, c);
 	} else if (a->kind == SPREAD_PROBE_HEAD) {
 		feed_probe(c->feed, a->skip_next != 0, on_probe, c);
 	} else if (a->kind == SPREAD_READ_VERSIONS &&
-	    (c->following || c->fetching)) {
-		loop_post(c->loop, on_followed, c);
+	    (c->feed_poll_pending || c->feed_fetch_pending)) {
+		loop_post(c->loop, on_read_pending, c);
 	} else if (a->kind == SPREAD_READ_VERSIONS) {
-		c->fetching = 1;
+		c->feed_fetch_pending = 1;
 		feed_read(c->feed, 0, 0, on_versions, c);
 	}
 }
--- a/packages/node/src/control_find.c
+++ b/packages/node/src/control_find.c
@@ -1,5 +1,5 @@
 /*
- * Finds peers by the platform's directory.
+ * Finds peers through the platform's directory.
  */
 #define LOG_PART "find"
 
@@ -20,15 +20,15 @@
 }
 
 static void
-on_entered(enum status st, void *arg)
+on_registered(enum status st, void *arg)
 {
 	struct control *c = arg;
 
 	if (st == STATUS_OK) {
-		log_info("entered in the directory");
+		log_info("registered in the directory");
 		finder_registered(&c->finder, control_now(c));
 	} else {
-		log_warning("not entered in the directory (%s): %s",
+		log_warning("could not register in the directory (%s): %s",
 		    status_name(st), status_message());
 		finder_failed(&c->finder, control_now(c));
 	}
@@ -36,48 +36,52 @@
 	control_pump(c);
 }
 
-/* Takes what was found; the next look goes on behind it, or at the start. */
+/* Adds the entries found as seeds.  The next lookup begins after the last
+ * entry, or at the start of the directory when few entries were found. */
 static void
-take(struct control *c, const struct directory_entry *entries, uint32_t n)
+handle_entries(
+    struct control *c, const struct directory_entry *entries, uint32_t n)
 {
 	struct net_addr others[DIRECTORY_SAMPLE_MAX], own = self(c);
 	char place[PLACE_BYTES];
 	uint32_t n_others = 0, i;
-	int entered = 0;
+	int registered = 0;
 
 	places_of(c->settings->data_centre, c->settings->host, place);
 	for (i = 0; i < n; i++) {
 		if (!addr_equal(&entries[i].node, &own))
 			others[n_others++] = entries[i].node;
 		else if (strcmp(entries[i].place, place) == 0)
-			entered = 1;
+			registered = 1;
 	}
 	if (n >= FINDER_MIN_OTHERS)
-		(void)g_snprintf(c->find_from, sizeof(c->find_from), "%s/",
+		(void)g_snprintf(c->lookup_from, sizeof(c->lookup_from), "%s/",
 		    entries[n - 1].place);
 	else
-		c->find_from[0] = '\0';
-	log_info("%u nodes found in the directory, this one is %sentered",
-	    n_others, entered ? "" : "not ");
+		c->lookup_from[0] = '\0';
+	log_info("%u other nodes found in the directory, this one is "
+		 "%sregistered",
+	    n_others, registered ? "" : "not ");
 	membership_add_seeds(c->membership, control_now(c), others, n_others);
-	if (entered && places_reads_at_start(c->settings->host)) {
+	if (registered && places_reads_at_start(c->settings->host)) {
 		log_info(
-		    "%s is a first place: the platform is read now", place);
+		    "%s is one of the first places: reading the platform now",
+		    place);
 		spread_read_now(c->spread, control_now(c));
 	}
-	finder_looked_up(&c->finder, n_others, entered, control_now(c));
+	finder_looked_up(&c->finder, n_others, registered, control_now(c));
 }
 
 static void
-on_sample(enum status st, const struct directory_entry *entries, uint32_t n,
+on_looked_up(enum status st, const struct directory_entry *entries, uint32_t n,
     void *arg)
 {
 	struct control *c = arg;
 
 	if (st == STATUS_OK) {
-		take(c, entries, n);
+		handle_entries(c, entries, n);
 	} else {
-		log_warning("no nodes found in the directory (%s): %s",
+		log_warning("could not look up nodes in the directory (%s): %s",
 		    status_name(st), status_message());
 		finder_failed(&c->finder, control_now(c));
 	}
@@ -86,18 +90,20 @@
 }
 
 static void
-enter(struct control *c)
+register_self(struct control *c)
 {
 	char place[PLACE_BYTES];
 
 	places_of(c->settings->data_centre, c->settings->host, place);
-	c->directory->ops->enter(c->directory, place, self(c), on_entered, c);
+	c->directory->ops->enter(
+	    c->directory, place, self(c), on_registered, c);
 }
 
 static void
-look(struct control *c)
+look_up(struct control *c)
 {
-	c->directory->ops->sample(c->directory, c->find_from, on_sample, c);
+	c->directory->ops->sample(
+	    c->directory, c->lookup_from, on_looked_up, c);
 }
 
 void
@@ -114,10 +120,10 @@
 	view.holds_place = places_held(c->membership);
 	switch (finder_next(&c->finder, &view, now_ms)) {
 	case FINDER_REGISTER:
-		enter(c);
+		register_self(c);
 		break;
 	case FINDER_LOOK_UP:
-		look(c);
+		look_up(c);
 		break;
 	case FINDER_NONE:
 		break;
--- a/packages/node/src/control_news.c
+++ b/packages/node/src/control_news.c
@@ -1,7 +1,8 @@
 /*
- * The newest version that this node knows of, by whatever way: from a head
- * that peers hold, from what peers say the platform has accepted, or from what
- * this node's own feed read last.  It may be on its way, or no node can use it.
+ * The newest version that this node knows of: from the heads of peers, from the
+ * newest version at the platform that peers gossip, or from the last read of
+ * this node's own feed.  The version may still be spreading, or may be unusable
+ * on all nodes.
  */
 #include "base/metrics.h"
 #include "control_priv.h"
@@ -18,36 +19,38 @@
 }
 
 void
-control_news_seen(struct control *c, uint64_t version)
+control_news_add_seen(struct control *c, uint64_t version)
 {
 	if (version != 0)
 		membership_set_known(c->membership, version);
 }
 
-/* One that can't be used here doesn't come, however long it is awaited. */
+/* A version that can't be used here is not awaited, as it never comes in
+ * force. */
 static void
-share_awaited(struct control *c, uint64_t version)
+update_awaited(struct control *c, uint64_t version)
 {
 	if (c->refused.active)
 		version = 0;
-	if (version == c->awaited)
+	if (version == c->awaited_version)
 		return;
-	c->awaited = version;
+	c->awaited_version = version;
 	entry_version_awaited(c->entry, version);
 }
 
-/* A halted version won't come in force. */
+/* Uses the head's version in force, since a halted version won't come in
+ * force. */
 void
-control_news_share(struct control *c)
+control_news_publish(struct control *c)
 {
 	const struct rec_head *head = spread_head(c->spread);
 	uint64_t known = membership_known(c->membership, control_now(c));
 
-	share_awaited(c, head->in_force);
+	update_awaited(c, head->in_force);
 	known = MAX(known, head->in_force);
-	if (known == c->known)
+	if (known == c->known_version)
 		return;
-	c->known = known;
+	c->known_version = known;
 	metric_set(&known_gauge, (int64_t)known);
 	entry_version_known(c->entry, known);
 }
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -1,5 +1,5 @@
 /*
- * The upstream on this host, as its heartbeats tell.
+ * The upstream on this host, known from its heartbeats.
  */
 #define LOG_PART "upstream"
 
@@ -8,12 +8,13 @@
 #include "proto/settings.h"
 
 /*
- * Whether a service that the version in force doesn't have may be one of a
- * newer version that is known.  Where this host has an upstream already, the
- * heartbeat is more likely somebody else's.
+ * Whether a service that is missing in the version in force may be contained in
+ * a newer known version.  If this host already has an upstream of another
+ * service, the heartbeat more likely comes from a foreign process.
  */
 static int
-may_be_new(const struct control *c, const struct upstream_beat *b)
+may_be_in_newer_version(
+    const struct control *c, const struct upstream_heartbeat *b)
 {
 	const struct member *own = membership_self(c->membership);
 	uint32_t i;
@@ -22,65 +23,70 @@
 		if (own->endpoints[i].state != ENDPOINT_LEFT &&
 		    strcmp(own->endpoints[i].service, b->service) != 0)
 			return 0;
-	return c->known > catalog_version(c->catalog);
+	return c->known_version > catalog_version(c->catalog);
 }
 
-/* Whether the run that counts here sent it, of the service and at the port that
- * it was taken with: it is heard to its end, or its leaving would never be
- * acknowledged once a newer version has its service no longer. */
+/* Whether the current process sent the heartbeat, with unchanged service and
+ * port.  Its heartbeats are accepted until it ends: otherwise its end would
+ * never be acknowledged once a newer version no longer contains its service. */
 static int
-is_known(const struct control *c, const char *instance,
-    const struct upstream_beat *b)
+is_current_upstream(const struct control *c, const char *instance,
+    const struct upstream_heartbeat *b)
 {
-	return instances_is_latest(&c->instances, instance, b->born_ms) &&
+	return instances_is_latest(&c->instances, instance, b->started_ms) &&
 	    b->address.port == c->instance_port &&
 	    strcmp(b->service, c->instance_service) == 0;
 }
 
-/* A heartbeat that names no upstream of this host may be somebody else's; it
- * must not take the place of the one that is here. */
+/* Rejects a heartbeat that doesn't name an upstream of this host: it may come
+ * from a foreign process, which must not replace the current one. */
 static enum status
-check(const struct control *c, const char *instance,
-    const struct upstream_beat *b)
+check_heartbeat(const struct control *c, const char *instance,
+    const struct upstream_heartbeat *b)
 {
 	if (b->address.ip != c->settings->address)
 		return status_set(STATUS_INVALID,
 		    "A heartbeat names an address of another host; send it to "
 		    "the node of that host.");
 	if (catalog_version(c->catalog) != 0 &&
-	    catalog_find(c->catalog, b->service) == NULL && !may_be_new(c, b) &&
-	    !is_known(c, instance, b))
+	    catalog_find(c->catalog, b->service) == NULL &&
+	    !may_be_in_newer_version(c, b) &&
+	    !is_current_upstream(c, instance, b))
 		return status_set(STATUS_INVALID,
 		    "A heartbeat names service \"%s\", which the "
-		    "configuration in force doesn't have; correct the "
-		    "upstream's or add the service.",
+		    "configuration in force doesn't have; correct the name "
+		    "at the upstream or add the service.",
 		    b->service);
 	return STATUS_OK;
 }
 
 enum status
-control_beat(
-    struct control *c, const char *instance, const struct upstream_beat *b)
+control_heartbeat(
+    struct control *c, const char *instance, const struct upstream_heartbeat *b)
 {
-	int fresh = strcmp(instances_current(&c->instances), instance) != 0;
-	uint64_t born_ms = instances_current_started_ms(&c->instances);
-	enum status st = check(c, instance, b);
+	int is_new_process =
+	    strcmp(instances_current(&c->instances), instance) != 0;
+	uint64_t previous_started_ms =
+	    instances_current_started_ms(&c->instances);
+	enum status st = check_heartbeat(c, instance, b);
 
 	if (st != STATUS_OK)
 		return st;
-	if (instances_heartbeat(&c->instances, instance, b->born_ms, b->seq) !=
-	    INSTANCE_CURRENT) {
+	if (instances_heartbeat(&c->instances, instance, b->started_ms,
+		b->seq) != INSTANCE_CURRENT) {
 		log_info("heartbeat %" G_GUINT64_FORMAT
 			 " of %s, started %" G_GUINT64_FORMAT
-			 ", is late, nothing changes",
-		    b->seq, instance, b->born_ms);
+			 ", is late and ignored",
+		    b->seq, instance, b->started_ms);
 		return STATUS_OK;
 	}
-	fresh |= instances_current_started_ms(&c->instances) != born_ms;
-	if (fresh) {
+	is_new_process |=
+	    instances_current_started_ms(&c->instances) != previous_started_ms;
+	if (is_new_process) {
 		log_info("%s of %s, started %" G_GUINT64_FORMAT
-			 ", at port %u is the upstream here, %u slots",
-		    instance, b->service, b->born_ms, b->address.port,
+			 ", at port %u is now the upstream of this host, %u "
+			 "slots",
+		    instance, b->service, b->started_ms, b->address.port,
 		    b->slots);
 		c->dirty = 1;
 	}
@@ -94,16 +100,17 @@
 }
 
 void
-control_upstream_left(struct control *c, const char *instance, uint64_t born_ms)
+control_upstream_left(
+    struct control *c, const char *instance, uint64_t started_ms)
 {
 	const struct member *own = membership_self(c->membership);
 	char service[MEMBER_NAME_BYTES] = "";
 	uint32_t i;
 
-	if (!instances_left(&c->instances, instance, born_ms)) {
+	if (!instances_left(&c->instances, instance, started_ms)) {
 		log_info("end of %s, started %" G_GUINT64_FORMAT
-			 ", is late, nothing changes",
-		    instance, born_ms);
+			 ", is late and ignored",
+		    instance, started_ms);
 		return;
 	}
 	for (i = 0; i < own->n_endpoints; i++)
@@ -111,7 +118,7 @@
 		    own->endpoints[i].state != ENDPOINT_LEFT)
 			(void)g_strlcpy(service, own->endpoints[i].service,
 			    sizeof(service));
-	log_info("%s of %s leaves", instance, service);
+	log_info("%s of %s has announced its end", instance, service);
 	if (service[0] != '\0')
 		(void)control_withdraw(c, service, c->instance_port);
 }
--- a/packages/node/src/operation.c
+++ b/packages/node/src/operation.c
@@ -1,5 +1,6 @@
 /*
- * Operations on the platform's rows: the shell around one signoff decision.
+ * Operations on the platform's rows: carries out the store requests of one
+ * struct signoff, and passes the answers to it.
  */
 #include <glib.h>
 
@@ -14,11 +15,11 @@
 	struct operation_end end;
 	operation_fn *fn;
 	void *arg;
-	uint32_t pending; /* answers of the store still to come */
+	uint32_t pending; /* requests to the store in flight */
 	int finished;
 };
 
-/* One request to the store; carries the token of its action. */
+/* One request to the store, with the token of its action. */
 struct operation_step {
 	struct operation *op;
 	uint32_t token;
@@ -54,7 +55,7 @@
 	g_free(op);
 }
 
-/* Ends a step; frees the operation with its last one after its end. */
+/* Ends a step; frees a finished operation after its last step. */
 static void
 step_end(struct operation_step *step)
 {
@@ -120,9 +121,9 @@
 	step_end(step);
 }
 
-/* Keeps what is written, for the end of the operation. */
+/* Stores the rows being written, for the result of the operation. */
 static void
-remember_write(struct operation *op, const struct signoff_action *a)
+record_write(struct operation *op, const struct signoff_action *a)
 {
 	op->end.head = a->head;
 	op->end.version = a->version;
@@ -155,7 +156,7 @@
 	    .version = a->has_version ? &v : NULL,
 	};
 
-	remember_write(op, a);
+	record_write(op, a);
 	store_transact(
 	    op->store, &w, a->deadline_ms, on_transact, step_new(op, a->token));
 }
@@ -190,7 +191,7 @@
 }
 
 static void
-operation_carry_out(struct operation *op, const struct signoff_action *a)
+operation_execute(struct operation *op, const struct signoff_action *a)
 {
 	switch (a->kind) {
 	case SIGNOFF_READ_HEAD:
@@ -217,14 +218,15 @@
 	}
 }
 
-/* Carries out all actions; frees the operation when nothing is left. */
+/* Carries out all queued actions; frees the operation when it has finished and
+ * no request is in flight. */
 static void
 operation_pump(struct operation *op)
 {
 	struct signoff_action a;
 
 	while (!op->finished && signoff_action(op->signoff, &a)) {
-		operation_carry_out(op, &a);
+		operation_execute(op, &a);
 		signoff_action_clear(&a);
 	}
 	if (!op->finished)
