--- a/packages/config/bench/bench_config.c
+++ b/packages/config/bench/bench_config.c
@@ -92,7 +92,7 @@
 	GArray *from, *to;
 	uint32_t i;
 
-	bundle_to_sections(b, &to, &delta.root);
+	bundle_section_list(b, &to, &delta.root);
 	if (catalog_list(c, 0, NULL, &from) != STATUS_OK)
 		from = g_array_new(FALSE, TRUE, sizeof(struct rec_section_ref));
 	delta.from_version = catalog_version(c);
--- a/packages/config/bench/bench_growth.c
+++ b/packages/config/bench/bench_growth.c
@@ -154,7 +154,7 @@
 	enum status st;
 	GArray *list;
 
-	bundle_to_sections(b, &list, &root);
+	bundle_section_list(b, &list, &root);
 	st = catalog_stage_begin_full(c, version, &root, list, &stage);
 	if (st == STATUS_OK)
 		st = add_all(stage, b);
@@ -189,7 +189,7 @@
 	}
 	sent->patches++;
 	sent->bytes += patch.data_len + (uint64_t)patch.n_hunks * HUNK_BYTES;
-	content = catalog_patched(to, &patch);
+	content = catalog_patch_apply(to, &patch);
 	(void)catalog_stage_add(
 	    stage, g_bytes_get_data(content, NULL), g_bytes_get_size(content));
 	g_bytes_unref(content);
--- a/packages/config/include/config/bundle.h
+++ b/packages/config/include/config/bundle.h
@@ -76,14 +76,14 @@
 void bundle_free(struct bundle *bundle);
 
 /**
- * bundle_to_sections() - the sections of a good bundle
+ * bundle_section_list() - the sections of a good bundle
  * @bundle: the bundle
  * @list: where a new array of struct rec_section_ref goes, sorted by name
  * @root: where the root goes
  *
  * The contents are in @bundle->sections, in the same order.
  */
-void bundle_to_sections(
+void bundle_section_list(
     const struct bundle *bundle, GArray **list, struct digest *root);
 
 #endif
--- a/packages/config/include/config/bundle_build.h
+++ b/packages/config/include/config/bundle_build.h
@@ -8,8 +8,8 @@
 
 #include "config/bundle.h"
 
-/** BUNDLE_LEFT_OUT - a number that is not told */
-#define BUNDLE_LEFT_OUT INT64_MIN
+/** BUNDLE_NUMBER_OMITTED - a number that is not told */
+#define BUNDLE_NUMBER_OMITTED INT64_MIN
 
 /** enum bundle_route_number - numbers of a route, in the order of their rules
  */
@@ -30,7 +30,7 @@
  * @methods: set of METHOD_BIT()
  * @idempotent: whether running a request twice does no harm
  * @below: only paths below the prefix match
- * @numbers: its numbers, by enum bundle_route_number; BUNDLE_LEFT_OUT
+ * @numbers: its numbers, by enum bundle_route_number; BUNDLE_NUMBER_OMITTED
  */
 struct bundle_route {
 	const char *prefix;
--- a/packages/config/include/config/catalog.h
+++ b/packages/config/include/config/catalog.h
@@ -162,13 +162,13 @@
 void catalog_patch_clear(struct rec_section_patch *patch);
 
 /**
- * catalog_patched() - the section that a difference leads to
+ * catalog_patch_apply() - the section that a difference leads to
  * @c: catalog
  * @patch: the difference
  *
  * Return: the content, or NULL when its base is not held here or too short.
  */
-GBytes *
-catalog_patched(const struct catalog *c, const struct rec_section_patch *patch);
+GBytes *catalog_patch_apply(
+    const struct catalog *c, const struct rec_section_patch *patch);
 
 #endif
--- a/packages/config/include/config/service.h
+++ b/packages/config/include/config/service.h
@@ -35,7 +35,7 @@
 #define SERVICE_QUEUE_WAIT_MAX_MS 60000
 #define SERVICE_REQUEST_MAX_BYTES (UINT64_C(1) << 40)
 /* A configuration with this leaves it to each node's setting. */
-#define SERVICE_REQUEST_BY_SETTING SERVICE_REQUEST_MAX_BYTES
+#define SERVICE_REQUEST_NODE_SETTING SERVICE_REQUEST_MAX_BYTES
 #define SERVICE_CALLER_CALLS_MAX 1000000
 #define SERVICE_ATTEMPTS_MAX 10
 #define SERVICE_BUDGET_MAX_PERCENT 100
@@ -98,7 +98,7 @@
  * @queue_per_endpoint: requests that may wait for a slot
  * @queue_wait_ms: longest wait for a slot
  * @caller_calls_per_s: calls a second of one caller, 0 for no limit
- * @request_max_bytes: largest request body, or SERVICE_REQUEST_BY_SETTING
+ * @request_max_bytes: largest request body, or SERVICE_REQUEST_NODE_SETTING
  * @head_max_bytes: largest head of a request, 0 for the node's setting
  * @head_ms: longest time for sending it, 0 for the node's setting
  * @idle_ms: how long a caller's idle connection is kept, 0 for the setting
--- a/packages/config/src/bundle.c
+++ b/packages/config/src/bundle.c
@@ -141,7 +141,7 @@
 	b->warnings = g_ptr_array_ref(p->warnings);
 	b->n_warnings = p->n_warned;
 	if (st == STATUS_OK) {
-		bundle_to_sections(b, &list, &b->root);
+		bundle_section_list(b, &list, &b->root);
 		g_array_unref(list);
 	}
 	*bundle = b;
@@ -182,7 +182,7 @@
 }
 
 void
-bundle_to_sections(
+bundle_section_list(
     const struct bundle *bundle, GArray **list, struct digest *root)
 {
 	const struct section *section;
--- a/packages/config/src/bundle_read.c
+++ b/packages/config/src/bundle_read.c
@@ -96,12 +96,13 @@
 	json_t *value = json_object_get(object, key);
 
 	if (value == NULL)
-		return BUNDLE_LEFT_OUT;
+		return BUNDLE_NUMBER_OMITTED;
 	if (json_is_integer(value))
-		return MAX(json_integer_value(value), BUNDLE_LEFT_OUT + 1);
+		return MAX(
+		    json_integer_value(value), BUNDLE_NUMBER_OMITTED + 1);
 	problems_add(r->p, &number_at, "give a whole number; " LOOK,
 	    "this is not a whole number");
-	return BUNDLE_LEFT_OUT;
+	return BUNDLE_NUMBER_OMITTED;
 }
 
 static void
@@ -112,8 +113,8 @@
 	int64_t n = bundle_number(r, rule->key, object, at);
 
 	number_store(rule, m,
-	    n == BUNDLE_LEFT_OUT ? rule->initial
-				 : number_fit(rule, n, &number_at, r->p));
+	    n == BUNDLE_NUMBER_OMITTED ? rule->initial
+				       : number_fit(rule, n, &number_at, r->p));
 }
 
 /* Keys of a group of numbers that are not known. */
--- a/packages/config/src/bundle_read.h
+++ b/packages/config/src/bundle_read.h
@@ -50,7 +50,7 @@
  * @object: where it is read from
  * @at: place of @object
  *
- * Return: the number, or BUNDLE_LEFT_OUT.
+ * Return: the number, or BUNDLE_NUMBER_OMITTED.
  */
 int64_t bundle_number(struct bundle_reader *r, const char *key, json_t *object,
     const struct place *at);
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -180,7 +180,7 @@
 	for (i = 0; i < BUNDLE_ROUTE_NUMBERS; i++, rule++) {
 		number_at.key = rule->key;
 		number_store(rule, out,
-		    numbers[i] == BUNDLE_LEFT_OUT
+		    numbers[i] == BUNDLE_NUMBER_OMITTED
 			? rule->initial
 			: number_fit(rule, numbers[i], &number_at, r->p));
 	}
--- a/packages/config/src/ring.c
+++ b/packages/config/src/ring.c
@@ -328,7 +328,8 @@
 }
 
 GBytes *
-catalog_patched(const struct catalog *c, const struct rec_section_patch *patch)
+catalog_patch_apply(
+    const struct catalog *c, const struct rec_section_patch *patch)
 {
 	GBytes *base = contents_get(c->contents, &patch->base);
 
--- a/packages/config/test/fixture.h
+++ b/packages/config/test/fixture.h
@@ -12,7 +12,7 @@
 #include "proto/messages.h"
 
 /* A good bundle, by fix_json() */
-static const char fix_good[] =
+static const char fix_valid_bundle[] =
     "{'format':1,'name':'registry','services':["
     "{'name':'public-search','timeout_ms':1500,"
     " 'limits':{'slots_per_endpoint':12,'queue_per_endpoint':24,"
@@ -75,7 +75,7 @@
 	GArray *from, *to;
 	enum status st;
 
-	bundle_to_sections(b, &to, &delta.root);
+	bundle_section_list(b, &to, &delta.root);
 	if (catalog_list(c, 0, NULL, &from) != STATUS_OK)
 		from = g_array_new(FALSE, TRUE, sizeof(struct rec_section_ref));
 	delta.from_version = catalog_version(c);
@@ -94,13 +94,13 @@
 
 /* Take a whole version in at once, as a reader of the platform does. */
 static inline void
-fix_give(struct catalog *c, uint64_t version, const struct bundle *b)
+fix_commit_full(struct catalog *c, uint64_t version, const struct bundle *b)
 {
 	struct catalog_stage *stage;
 	struct digest root;
 	GArray *list;
 
-	bundle_to_sections(b, &list, &root);
+	bundle_section_list(b, &list, &root);
 	ck_assert_msg(catalog_stage_begin_full(
 			  c, version, &root, list, &stage) == STATUS_OK,
 	    "%s", status_message());
--- a/packages/config/test/test_bundle.c
+++ b/packages/config/test/test_bundle.c
@@ -306,7 +306,7 @@
 		v = json_object_get(o, keys[i]);
 		known += json_is_integer(v) ? 1 : 0;
 		route->numbers[i] =
-		    v != NULL ? json_integer_value(v) : BUNDLE_LEFT_OUT;
+		    v != NULL ? json_integer_value(v) : BUNDLE_NUMBER_OMITTED;
 	}
 	return json_object_size(o) == known && route->prefix != NULL &&
 	    route->service != NULL && route->methods != 0;
@@ -393,7 +393,7 @@
 {
 	size_t i, n_faults = 0;
 
-	ck_assert(check_built(fix_good));
+	ck_assert(check_built(fix_valid_bundle));
 	for (i = 0; i < G_N_ELEMENTS(doubts); i++)
 		ck_assert(check_built(doubts[i].json));
 	for (i = 0; i < G_N_ELEMENTS(run_as); i++)
@@ -537,7 +537,7 @@
 
 START_TEST(test_meaning)
 {
-	struct bundle *b = fix_bundle(fix_good), *c;
+	struct bundle *b = fix_bundle(fix_valid_bundle), *c;
 	const struct service_config *booking, *search;
 
 	ck_assert_uint_eq(b->sections->len, 2);
--- a/packages/config/test/test_catalog.c
+++ b/packages/config/test/test_catalog.c
@@ -51,7 +51,7 @@
 	v[0].list = g_array_new(FALSE, TRUE, sizeof(struct rec_section_ref));
 	for (i = 1; i <= RANDOM_VERSIONS; i++) {
 		v[i].bundle = random_bundle(rand, timeouts);
-		bundle_to_sections(v[i].bundle, &v[i].list, &v[i].root);
+		bundle_section_list(v[i].bundle, &v[i].list, &v[i].root);
 	}
 	return v;
 }
@@ -332,8 +332,8 @@
 	enum status st;
 
 	ck_assert_int_eq(fix_commit(c, 5, before), STATUS_OK);
-	bundle_to_sections(before, &from, &delta.root);
-	bundle_to_sections(after, &to, &delta.root);
+	bundle_section_list(before, &from, &delta.root);
+	bundle_section_list(after, &to, &delta.root);
 	delta.changes = section_changes(from, to);
 	ck_assert_uint_eq(delta.changes->len, 1);
 	if (_i < BAD_COUNT)
@@ -383,7 +383,7 @@
 
 	ck_assert_int_eq(fix_commit(c, 1, b[0]), STATUS_OK);
 	for (i = 0; i < 2; i++) {
-		bundle_to_sections(b[i + 1], &list, &root);
+		bundle_section_list(b[i + 1], &list, &root);
 		ck_assert_int_eq(
 		    catalog_stage_begin_full(c, i + 2, &root, list, &stages[i]),
 		    STATUS_OK);
@@ -422,8 +422,8 @@
 	int i;
 
 	ck_assert_int_eq(fix_commit(c, 1, b[0]), STATUS_OK);
-	bundle_to_sections(b[0], &from, &delta.root);
-	bundle_to_sections(b[2], &to, &delta.root);
+	bundle_section_list(b[0], &from, &delta.root);
+	bundle_section_list(b[2], &to, &delta.root);
 	delta.changes = section_changes(from, to);
 	ck_assert_int_eq(catalog_stage_begin(c, &delta, &stage), STATUS_OK);
 	ck_assert_int_eq(fix_add_all(stage, b[2]), STATUS_OK);
--- a/packages/config/test/test_growth.c
+++ b/packages/config/test/test_growth.c
@@ -273,7 +273,7 @@
 		add_content(stage, catalog_content(from, &change->digest));
 		return;
 	}
-	content = catalog_patched(to, &patch);
+	content = catalog_patch_apply(to, &patch);
 	add_content(stage, content);
 	g_bytes_unref(content);
 	catalog_patch_clear(&patch);
@@ -323,7 +323,7 @@
 			    stage, catalog_content(from, &want->digest));
 			continue;
 		}
-		content = catalog_patched(to, &patch);
+		content = catalog_patch_apply(to, &patch);
 		add_content(stage, content);
 		g_bytes_unref(content);
 		catalog_patch_clear(&patch);
@@ -460,7 +460,7 @@
 	index_lines(m);
 	b = write_bundle(m);
 	m->version += 1 + below(m, 3);
-	fix_give(m->reader, m->version, b);
+	fix_commit_full(m->reader, m->version, b);
 	bundle_free(b);
 	follow(m->reader, m->node);
 	check_same(m, m->node);
--- a/packages/config/test/test_parts.c
+++ b/packages/config/test/test_parts.c
@@ -75,8 +75,8 @@
 	GArray *a, *b, *changes;
 	struct digest root;
 
-	bundle_to_sections(from, &a, &root);
-	bundle_to_sections(to, &b, &root);
+	bundle_section_list(from, &a, &root);
+	bundle_section_list(to, &b, &root);
 	changes = section_changes(a, b);
 	g_array_unref(a);
 	g_array_unref(b);
@@ -165,7 +165,7 @@
 	ck_assert_uint_eq(before->sections->len, 3);
 	ck_assert_int_eq(fix_commit(c, 1, before), STATUS_OK);
 	after = bundle_of(0, 3000, 1);
-	bundle_to_sections(after, &list, &root);
+	bundle_section_list(after, &list, &root);
 	ck_assert_int_eq(
 	    catalog_stage_begin_full(c, 2, &root, list, &stage), STATUS_OK);
 	wants = catalog_stage_wants(stage, 100);
--- a/packages/config/test/test_patch.c
+++ b/packages/config/test/test_patch.c
@@ -193,7 +193,7 @@
 		    &g_array_index(delta.changes, struct rec_section_change, i);
 		ck_assert(
 		    catalog_patch(from, catalog_version(to), change, &patch));
-		content = catalog_patched(to, &patch);
+		content = catalog_patch_apply(to, &patch);
 		ck_assert_ptr_nonnull(content);
 		ck_assert_int_eq(
 		    catalog_stage_add(stage, g_bytes_get_data(content, NULL),
@@ -217,13 +217,13 @@
 	struct catalog *third = catalog_new(0);
 	int i;
 
-	fix_give(reader, 4, b[0]);
-	fix_give(node, 4, b[0]);
-	fix_give(third, 4, b[0]);
-	fix_give(reader, 8, b[1]);
+	fix_commit_full(reader, 4, b[0]);
+	fix_commit_full(node, 4, b[0]);
+	fix_commit_full(third, 4, b[0]);
+	fix_commit_full(reader, 8, b[1]);
 	ck_assert_uint_lt(pull_patches(reader, node), 64);
 	ck_assert_uint_lt(pull_patches(node, third), 64);
-	fix_give(reader, 12, b[2]);
+	fix_commit_full(reader, 12, b[2]);
 	ck_assert_uint_lt(pull_patches(reader, node), 64);
 	ck_assert(hash_digest_equal(catalog_root(node), catalog_root(reader)));
 	for (i = 0; i < 3; i++)
@@ -243,9 +243,9 @@
 	struct catalog_delta delta;
 	int i;
 
-	fix_give(reader, 4, b[0]);
-	fix_give(node, 4, b[0]);
-	fix_give(reader, 8, b[2]);
+	fix_commit_full(reader, 4, b[0]);
+	fix_commit_full(node, 4, b[0]);
+	fix_commit_full(reader, 8, b[2]);
 	ck_assert_int_eq(catalog_delta(reader, 6, 0, &delta), STATUS_NOT_FOUND);
 	ck_assert_int_eq(catalog_delta(reader, 4, 0, &delta), STATUS_OK);
 	ck_assert(delta.skips);
@@ -274,10 +274,10 @@
 	GBytes *content;
 	int i;
 
-	fix_give(reader, 4, b[0]);
-	fix_give(reader, 6, b[1]);
-	fix_give(node, 6, b[1]);
-	fix_give(reader, 8, b[2]);
+	fix_commit_full(reader, 4, b[0]);
+	fix_commit_full(reader, 6, b[1]);
+	fix_commit_full(node, 6, b[1]);
+	fix_commit_full(reader, 8, b[2]);
 	ck_assert_int_eq(catalog_list(reader, 8, &root, &list), STATUS_OK);
 	ck_assert_int_eq(
 	    catalog_stage_begin_full(node, 8, &root, list, &stage), STATUS_OK);
@@ -286,7 +286,7 @@
 	want = g_array_index(wants, struct rec_section_want, 0);
 	ck_assert(catalog_patch_from(reader, &want.base, &want.digest, &patch));
 	ck_assert_uint_lt(patch.data_len, 64);
-	content = catalog_patched(node, &patch);
+	content = catalog_patch_apply(node, &patch);
 	ck_assert_int_eq(
 	    catalog_stage_add(stage, g_bytes_get_data(content, NULL),
 		g_bytes_get_size(content)),
--- a/packages/config/test/test_sections.c
+++ b/packages/config/test/test_sections.c
@@ -88,7 +88,7 @@
 START_TEST(test_section_canonical)
 {
 	static const uint8_t uint16_2000[] = {0xcd, 0x07, 0xd0};
-	struct bundle *b = fix_bundle(fix_good);
+	struct bundle *b = fix_bundle(fix_valid_bundle);
 	const struct section *s = g_ptr_array_index(b->sections, 0);
 	GByteArray *out = g_byte_array_new();
 	struct service_config *sc;
@@ -131,7 +131,7 @@
 /* Whatever is accepted encodes to itself and is accepted again. */
 START_TEST(test_fuzz_section)
 {
-	struct bundle *b = fix_bundle(fix_good);
+	struct bundle *b = fix_bundle(fix_valid_bundle);
 	struct service_config *sc;
 	const uint8_t *data;
 	struct digest digest;
@@ -161,7 +161,7 @@
 /* Whatever bundle is accepted gets into a catalog. */
 START_TEST(test_fuzz_bundle)
 {
-	char *json = fix_json(fix_good);
+	char *json = fix_json(fix_valid_bundle);
 	struct catalog *c;
 	GByteArray *bytes;
 	struct bundle *b;
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -53,7 +53,7 @@
 	GArray *list;
 	guint i;
 
-	bundle_to_sections(b, &list, &root);
+	bundle_section_list(b, &list, &root);
 	for (i = 0; i < b->sections->len; i++) {
 		section = g_ptr_array_index(b->sections, i);
 		contents[i] = section->content;
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -344,7 +344,7 @@
 static uint64_t
 body_max(const struct entry *e, const struct service_limits *l)
 {
-	if (l->request_max_bytes == SERVICE_REQUEST_BY_SETTING)
+	if (l->request_max_bytes == SERVICE_REQUEST_NODE_SETTING)
 		return e->settings->request_max_bytes;
 	return l->request_max_bytes;
 }
--- a/packages/node/test/fixture_node.c
+++ b/packages/node/test/fixture_node.c
@@ -149,7 +149,7 @@
 	size_t len;
 	uint32_t i;
 
-	bundle_to_sections(b, &list, &root);
+	bundle_section_list(b, &list, &root);
 	must(catalog_stage_begin_full(c, 1, &root, list, &stage) == STATUS_OK);
 	for (i = 0; i < b->sections->len; i++) {
 		section = g_ptr_array_index(b->sections, i);
--- a/packages/signoff/src/version.c
+++ b/packages/signoff/src/version.c
@@ -39,7 +39,7 @@
 		signoff_enter(r, PHASE_SOURCE_ROW, now_ms);
 		return;
 	}
-	bundle_to_sections(r->req.bundle, &r->list, &r->root);
+	bundle_section_list(r->req.bundle, &r->list, &r->root);
 	add_puts(r);
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
--- a/packages/spread/src/intake_peer.c
+++ b/packages/spread/src/intake_peer.c
@@ -277,7 +277,7 @@
 	gsize len;
 
 	for (i = 0; i < n_patches; i++) {
-		content = catalog_patched(in->env->catalog, &patches[i]);
+		content = catalog_patch_apply(in->env->catalog, &patches[i]);
 		if (content == NULL)
 			continue;
 		data = g_bytes_get_data(content, &len);
--- a/packages/spread/test/test_reader_group.c
+++ b/packages/spread/test/test_reader_group.c
@@ -55,10 +55,10 @@
 static struct catalog *
 catalog_of(uint64_t version)
 {
-	struct bundle *bundle = fix_bundle(fix_good);
+	struct bundle *bundle = fix_bundle(fix_valid_bundle);
 	struct catalog *c = catalog_new(0);
 
-	fix_give(c, version, bundle);
+	fix_commit_full(c, version, bundle);
 	bundle_free(bundle);
 	return c;
 }
--- a/packages/spread/test/test_spread.c
+++ b/packages/spread/test/test_spread.c
@@ -215,7 +215,7 @@
 	GArray *list;
 
 	ck_assert_int_eq(bundle_parse(small, strlen(small), &b), STATUS_OK);
-	bundle_to_sections(b, &list, &head.root);
+	bundle_section_list(b, &list, &head.root);
 	section = g_ptr_array_index(b->sections, 0);
 	intake_given(in, now_ms, &head, list, &section->content, 1);
 	ck_assert_uint_eq(intake_staged(in), version);
@@ -307,7 +307,7 @@
 	gsize len;
 
 	ck_assert_int_eq(bundle_parse(small, strlen(small), &b), STATUS_OK);
-	bundle_to_sections(b, &list, &head.root);
+	bundle_section_list(b, &list, &head.root);
 	section = g_ptr_array_index(b->sections, 0);
 	data.data = (uint8_t *)g_bytes_get_data(section->content, &len);
 	data.data_len = (uint32_t)len;
--- a/test/capacity/swarm_config.c
+++ b/test/capacity/swarm_config.c
@@ -54,7 +54,7 @@
 	struct digest root;
 	uint32_t i;
 
-	bundle_to_sections(b, &s->list, &root);
+	bundle_section_list(b, &s->list, &root);
 	must(catalog_stage_begin_full(s->catalog, 1, &root, s->list, &stage));
 	for (i = 0; i < b->sections->len; i++) {
 		section = g_ptr_array_index(b->sections, i);
