--- a/packages/config/bench/bench_config.c
+++ b/packages/config/bench/bench_config.c
@@ -39,9 +39,9 @@
 	return mallinfo2().uordblks;
 }
 
-/* A bundle whose service number @odd has another timeout. */
+/* A bundle whose service number @changed has another timeout. */
 static GString *
-write_bundle(const struct size *size, uint32_t odd, uint32_t timeout_ms)
+write_bundle(const struct size *size, uint32_t changed, uint32_t timeout_ms)
 {
 	GString *out = g_string_new("{\"format\":1,\"name\":\"bench\",");
 	uint32_t i, j;
@@ -50,7 +50,7 @@
 	for (i = 0; i < size->services; i++)
 		g_string_append_printf(out,
 		    "%s{\"name\":\"service-%u\",\"timeout_ms\":%u}",
-		    i > 0 ? "," : "", i, i == odd ? timeout_ms : 2000);
+		    i > 0 ? "," : "", i, i == changed ? timeout_ms : 2000);
 	g_string_append(out, "],\"routes\":[");
 	for (i = 0; i < size->services; i++) {
 		for (j = 0; j < size->routes; j++)
@@ -75,7 +75,7 @@
 }
 
 static void
-must(enum status st)
+exit_on_error(enum status st)
 {
 	if (st == STATUS_OK)
 		return;
@@ -97,14 +97,14 @@
 		from = g_array_new(FALSE, TRUE, sizeof(struct rec_section_ref));
 	delta.from_version = catalog_version(c);
 	delta.changes = section_changes(from, to);
-	must(catalog_stage_begin(c, &delta, &stage));
+	exit_on_error(catalog_stage_begin(c, &delta, &stage));
 	for (i = 0; i < b->sections->len; i++) {
 		s = g_ptr_array_index(b->sections, i);
 		(void)catalog_stage_add(stage,
 		    g_bytes_get_data(s->content, NULL),
 		    g_bytes_get_size(s->content));
 	}
-	must(catalog_commit(c, stage));
+	exit_on_error(catalog_commit(c, stage));
 	catalog_stage_free(stage);
 	catalog_delta_clear(&delta);
 	g_array_unref(from);
@@ -150,13 +150,14 @@
 		b = parse(json);
 		commit(c, catalog_version(c) + 1, b);
 		s = find_section(b, "service-" CHANGED_TEXT);
-		must(catalog_delta(c, catalog_version(follower), 0, &delta));
+		exit_on_error(
+		    catalog_delta(c, catalog_version(follower), 0, &delta));
 		start_us = clock_now_us();
-		must(catalog_stage_begin(follower, &delta, &stage));
-		must(
+		exit_on_error(catalog_stage_begin(follower, &delta, &stage));
+		exit_on_error(
 		    catalog_stage_add(stage, g_bytes_get_data(s->content, NULL),
 			g_bytes_get_size(s->content)));
-		must(catalog_commit(follower, stage));
+		exit_on_error(catalog_commit(follower, stage));
 		spent_us += clock_now_us() - start_us;
 		catalog_stage_free(stage);
 		catalog_delta_clear(&delta);
@@ -166,7 +167,7 @@
 	printf("commit of one changed section: %.1f us (mean of %d), "
 	       "catalog %.0f KiB with %d versions\n",
 	    (double)spent_us / ROUNDS, ROUNDS,
-	    (double)catalog_bytes(follower) / KIB, CATALOG_RING);
+	    (double)catalog_bytes(follower) / KIB, CATALOG_RING_ENTRIES);
 	catalog_free(follower);
 }
 
@@ -309,7 +310,7 @@
 }
 
 static void
-bench_sign_off(const struct size *size, struct catalog *c)
+bench_parse_and_commit(const struct size *size, struct catalog *c)
 {
 	GString *json = write_bundle(size, CHANGED, 2000);
 	uint64_t start_us, parse_us, heap;
@@ -332,21 +333,22 @@
 }
 
 static uint32_t
-number(int argc, char **argv, int i, uint32_t initial)
+arg_or_default(int argc, char **argv, int i, uint32_t default_value)
 {
-	return argc > i ? (uint32_t)strtoul(argv[i], NULL, 10) : initial;
+	return argc > i ? (uint32_t)strtoul(argv[i], NULL, 10) : default_value;
 }
 
 int
 main(int argc, char **argv)
 {
-	struct size size = {number(argc, argv, 1, SERVICES),
-	    number(argc, argv, 2, ENDPOINTS), number(argc, argv, 3, ROUTES)};
+	struct size size = {arg_or_default(argc, argv, 1, SERVICES),
+	    arg_or_default(argc, argv, 2, ENDPOINTS),
+	    arg_or_default(argc, argv, 3, ROUTES)};
 	struct catalog *c = catalog_new(0);
 
 	printf("%u services, %u endpoints, %u routes a service\n",
 	    size.services, size.endpoints, size.routes);
-	bench_sign_off(&size, c);
+	bench_parse_and_commit(&size, c);
 	bench_compile(&size, c);
 	bench_match(&size, c);
 	bench_small_commits(&size, c);
--- a/packages/config/bench/bench_growth.c
+++ b/packages/config/bench/bench_growth.c
@@ -18,8 +18,8 @@
 
 #include "../src/route_table.h"
 
-#define MORE 1400
-#define SPREAD 100
+#define ROUTES_ADDED 1400
+#define SERVICES_SPREAD 100
 #define MATCHES 1000000
 #define PATHS 4096
 #define PATH_BYTES 64
@@ -27,7 +27,7 @@
 #define US_PER_MS 1000.0
 
 /* Of a refusal that is shown. */
-#define WHY_BYTES 90
+#define REASON_BYTES 90
 
 /* Size of a change in a message, without content; see schema/config.json. */
 #define CHANGE_BYTES 64
@@ -39,14 +39,14 @@
  * @patches: those that go as differences
  * @whole: those that go whole
  * @bytes: of all, before they are packed
- * @made_us: time for making the differences, at the side that sends
+ * @patch_us: time for making the differences, at the side that sends
  */
-struct sent {
+struct sent_stats {
 	uint32_t changes;
 	uint32_t patches;
 	uint32_t whole;
 	uint64_t bytes;
-	uint64_t made_us;
+	uint64_t patch_us;
 };
 
 static const uint32_t sizes[] = {1600, 5000, 20000, 57000};
@@ -58,9 +58,9 @@
 }
 
 static void
-refused(const char *what)
+print_rejected(const char *what)
 {
-	printf("  %s: refused: %.*s\n", what, WHY_BYTES, status_message());
+	printf("  %s: refused: %.*s\n", what, REASON_BYTES, status_message());
 }
 
 /* Numbers are spread, so that routes that come later fall between others. */
@@ -101,7 +101,7 @@
 parse(uint32_t routes, uint32_t services)
 {
 	GString *json = write_bundle(routes, services);
-	uint64_t start_us = clock_now_us(), bytes = 0, most = 0, len;
+	uint64_t start_us = clock_now_us(), bytes = 0, largest = 0, len;
 	struct bundle *b;
 	enum status st = bundle_parse(json->str, json->len, &b);
 	double ms = ms_since(start_us);
@@ -112,16 +112,16 @@
 		    ((struct section *)g_ptr_array_index(b->sections, i))
 			->content);
 		bytes += len;
-		most = MAX(most, len);
+		largest = MAX(largest, len);
 	}
 	printf("  bundle of %.0f KiB parsed and cut: %.1f ms, %u sections of "
 	       "%.0f KiB, largest %.1f\n",
 	    (double)json->len / KIB, ms, b->sections->len, (double)bytes / KIB,
-	    (double)most / KIB);
+	    (double)largest / KIB);
 	g_string_free(json, TRUE);
 	if (st == STATUS_OK)
 		return b;
-	refused("bundle");
+	print_rejected("bundle");
 	bundle_free(b);
 	return NULL;
 }
@@ -146,7 +146,8 @@
 
 /* A whole version, as a reader of the platform takes it. */
 static bool
-give(struct catalog *c, uint64_t version, const struct bundle *b, double *ms)
+commit_full(
+    struct catalog *c, uint64_t version, const struct bundle *b, double *ms)
 {
 	uint64_t start_us = clock_now_us();
 	struct catalog_stage *stage;
@@ -164,31 +165,32 @@
 	catalog_stage_free(stage);
 	g_array_unref(list);
 	if (st != STATUS_OK)
-		refused("commit");
+		print_rejected("commit");
 	return st == STATUS_OK;
 }
 
 static void
 add_change(const struct catalog *from, const struct catalog *to,
     const struct rec_section_change *c, struct catalog_stage *stage,
-    struct sent *sent)
+    struct sent_stats *sent_stats)
 {
 	uint64_t start_us = clock_now_us();
 	struct rec_section_patch patch;
 	GBytes *content;
-	bool made = catalog_patch(from, catalog_version(to), c, &patch);
+	bool is_patch = catalog_patch(from, catalog_version(to), c, &patch);
 
-	sent->made_us += clock_now_us() - start_us;
-	if (!made) {
+	sent_stats->patch_us += clock_now_us() - start_us;
+	if (!is_patch) {
 		content = catalog_content(from, &c->digest);
-		sent->whole++;
-		sent->bytes += g_bytes_get_size(content);
+		sent_stats->whole++;
+		sent_stats->bytes += g_bytes_get_size(content);
 		(void)catalog_stage_add(stage, g_bytes_get_data(content, NULL),
 		    g_bytes_get_size(content));
 		return;
 	}
-	sent->patches++;
-	sent->bytes += patch.data_len + (uint64_t)patch.n_hunks * HUNK_BYTES;
+	sent_stats->patches++;
+	sent_stats->bytes +=
+	    patch.data_len + (uint64_t)patch.n_hunks * HUNK_BYTES;
 	content = catalog_patch_apply(to, &patch);
 	(void)catalog_stage_add(
 	    stage, g_bytes_get_data(content, NULL), g_bytes_get_size(content));
@@ -198,42 +200,44 @@
 
 /* One version further, by changes and differences. */
 static void
-bench_follow(const char *who, const struct catalog *from, struct catalog *to)
+bench_follow(const char *label, const struct catalog *from, struct catalog *to)
 {
 	const struct rec_section_change *c;
 	struct catalog_stage *stage = NULL;
 	struct catalog_delta delta;
-	struct sent sent = {0};
+	struct sent_stats sent_stats = {0};
 	uint64_t start_us;
 	double add_ms = 0;
 	uint32_t i;
 
 	if (catalog_delta(from, catalog_version(to), 0, &delta) != STATUS_OK) {
-		refused("changes");
+		print_rejected("changes");
 		return;
 	}
 	start_us = clock_now_us();
 	if (catalog_stage_begin(to, &delta, &stage) != STATUS_OK) {
-		refused("stage");
+		print_rejected("stage");
 		catalog_delta_clear(&delta);
 		return;
 	}
 	for (i = 0; i < delta.changes->len; i++) {
 		c = &g_array_index(delta.changes, struct rec_section_change, i);
-		sent.bytes += CHANGE_BYTES;
-		sent.changes++;
+		sent_stats.bytes += CHANGE_BYTES;
+		sent_stats.changes++;
 		if (!c->removed)
-			add_change(from, to, c, stage, &sent);
+			add_change(from, to, c, stage, &sent_stats);
 	}
 	add_ms = ms_since(start_us);
 	start_us = clock_now_us();
 	if (catalog_commit(to, stage) != STATUS_OK)
-		refused("commit at a node");
+		print_rejected("commit at a node");
 	printf("  %s: %u changes, %u as differences, %u whole, %.1f KiB; made "
 	       "in %.1f ms, added in %.1f, committed in %.1f\n",
-	    who, sent.changes, sent.patches, sent.whole,
-	    (double)sent.bytes / KIB, (double)sent.made_us / US_PER_MS,
-	    add_ms - (double)sent.made_us / US_PER_MS, ms_since(start_us));
+	    label, sent_stats.changes, sent_stats.patches, sent_stats.whole,
+	    (double)sent_stats.bytes / KIB,
+	    (double)sent_stats.patch_us / US_PER_MS,
+	    add_ms - (double)sent_stats.patch_us / US_PER_MS,
+	    ms_since(start_us));
 	catalog_stage_free(stage);
 	catalog_delta_clear(&delta);
 }
@@ -250,7 +254,7 @@
 		g_ptr_array_add(services, catalog_section(c, i));
 	start_us = clock_now_us();
 	if (route_table_new(services, &t) != STATUS_OK)
-		refused("table");
+		print_rejected("table");
 	else
 		printf("  table of routes: %.1f ms, %.0f KiB\n",
 		    ms_since(start_us), (double)route_table_bytes(t) / KIB);
@@ -298,15 +302,16 @@
 	uint64_t heap = mallinfo2().uordblks;
 	double ms, node_ms;
 
-	if (give(reader, 1, first, &ms) && give(node, 1, first, &node_ms) &&
-	    give(next, 1, first, &node_ms)) {
+	if (commit_full(reader, 1, first, &ms) &&
+	    commit_full(node, 1, first, &node_ms) &&
+	    commit_full(next, 1, first, &node_ms)) {
 		printf("  first version committed: %.1f ms; catalog %.0f KiB, "
 		       "heap %.0f KiB\n",
 		    ms, (double)catalog_bytes(node) / KIB,
 		    (double)(mallinfo2().uordblks - heap) / 3 / KIB);
 		bench_table(node);
 		bench_match(node, routes);
-		if (second != NULL && give(reader, 2, second, &ms)) {
+		if (second != NULL && commit_full(reader, 2, second, &ms)) {
 			printf("  second version at a reader: %.1f ms\n", ms);
 			bench_follow("first asker", reader, node);
 			bench_follow("next asker", reader, next);
@@ -320,15 +325,15 @@
 }
 
 static void
-bench_size(uint32_t routes, uint32_t services, uint32_t more)
+bench_size(uint32_t routes, uint32_t services, uint32_t added)
 {
 	struct bundle *first, *second = NULL;
 
 	printf("%u routes, %u services, then %u routes more\n", routes,
-	    services, more);
+	    services, added);
 	first = parse(routes, services);
 	if (first != NULL)
-		second = parse(routes + more, services);
+		second = parse(routes + added, services);
 	if (first != NULL)
 		bench_versions(first, second, routes);
 	bundle_free(first);
@@ -339,7 +344,7 @@
 int
 main(int argc, char **argv)
 {
-	uint32_t n[3] = {0, 1, MORE};
+	uint32_t n[3] = {0, 1, ROUTES_ADDED};
 	uint32_t i;
 
 	for (i = 0; i < 3 && (int)i + 1 < argc; i++)
@@ -349,8 +354,8 @@
 		return 0;
 	}
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		bench_size(sizes[i], 1, MORE);
-		bench_size(sizes[i], SPREAD, MORE);
+		bench_size(sizes[i], 1, ROUTES_ADDED);
+		bench_size(sizes[i], SERVICES_SPREAD, ROUTES_ADDED);
 	}
 	return 0;
 }
--- a/packages/config/include/config/catalog.h
+++ b/packages/config/include/config/catalog.h
@@ -14,7 +14,7 @@
 #include "config/section.h"
 
 /* Versions whose changes are kept. */
-#define CATALOG_RING 64
+#define CATALOG_RING_ENTRIES 64
 
 /* Memory that a version may take when the caller names no other limit: 57,000
  * routes of usual length take 11 MiB, the longest that CONFIG_MAX_BYTES lets in
@@ -23,7 +23,7 @@
 
 /* Memory up to which old versions are kept beside it: differences from them
  * are worth more than this only at versions that are larger themselves. */
-#define CATALOG_KEPT_BYTES (UINT64_C(24) << 20)
+#define CATALOG_SOFT_MAX_BYTES (UINT64_C(24) << 20)
 
 struct catalog;
 struct rec_section_change;
@@ -49,8 +49,8 @@
 /**
  * catalog_new() - an empty catalog, at version 0
  * @max_bytes: memory that it may take (0 for CATALOG_DEFAULT_BYTES); old
- * versions go first, also beyond CATALOG_KEPT_BYTES, a version that does not
- * fit is refused
+ * versions go first, also beyond CATALOG_SOFT_MAX_BYTES, a version that does
+ * not fit is refused
  */
 struct catalog *catalog_new(uint64_t max_bytes);
 
--- a/packages/config/include/config/service.h
+++ b/packages/config/include/config/service.h
@@ -78,7 +78,8 @@
 	    METHOD_BIT(METHOD_OPTIONS))
 
 /* Methods that count as idempotent only on a route of their own. */
-#define METHOD_UNSAFE (METHOD_BIT(METHOD_POST) | METHOD_BIT(METHOD_PATCH))
+#define METHOD_NON_IDEMPOTENT \
+	(METHOD_BIT(METHOD_POST) | METHOD_BIT(METHOD_PATCH))
 
 /**
  * method_parse() - a method from its name
--- a/packages/config/src/bundle.c
+++ b/packages/config/src/bundle.c
@@ -11,7 +11,7 @@
 
 /* Parse the text; a doubled key is noted and the rest is still read. */
 static json_t *
-load(const char *json, size_t len, struct problems *p)
+load_json(const char *json, size_t len, struct problems *p)
 {
 	json_error_t error;
 	json_t *root;
@@ -27,7 +27,7 @@
 }
 
 static int
-section_order(const void *a, const void *b)
+section_compare(const void *a, const void *b)
 {
 	const struct section *const *x = a, *const *y = b;
 
@@ -36,7 +36,7 @@
 
 /* What a node will check when the section arrives there. */
 static void
-section_verify(const struct section *section, struct problems *p)
+verify_section(const struct section *section, struct problems *p)
 {
 	struct service_config *sc;
 	const uint8_t *data;
@@ -51,7 +51,7 @@
 }
 
 static void
-total_check(const struct bundle *b, struct problems *p)
+check_total_bytes(const struct bundle *b, struct problems *p)
 {
 	const struct section *section;
 	uint64_t total = 0;
@@ -79,15 +79,15 @@
 		d = g_ptr_array_index(r->drafts, i);
 		d->m.routes = (struct rec_section_route *)d->routes->data;
 		d->m.n_routes = d->routes->len;
-		parts_cut(&d->m, b->sections);
+		parts_split(&d->m, b->sections);
 		/* The largest part of what is held, and needed no more. */
 		g_array_unref(d->routes);
 		d->routes = NULL;
 	}
-	g_ptr_array_sort(b->sections, section_order);
+	g_ptr_array_sort(b->sections, section_compare);
 	for (i = 0; i < b->sections->len; i++)
-		section_verify(g_ptr_array_index(b->sections, i), r->p);
-	total_check(b, r->p);
+		verify_section(g_ptr_array_index(b->sections, i), r->p);
+	check_total_bytes(b, r->p);
 }
 
 static enum status
@@ -99,7 +99,7 @@
 	st = bundle_scan(json, len, r->p);
 	if (st != STATUS_OK)
 		return st;
-	root = load(json, len, r->p);
+	root = load_json(json, len, r->p);
 	if (root == NULL)
 		return STATUS_INVALID;
 	bundle_read(r, root);
@@ -108,7 +108,7 @@
 }
 
 static enum status
-verdict(struct bundle *b, enum status st)
+report_problems(struct bundle *b, enum status st)
 {
 	char *summary;
 
@@ -123,7 +123,8 @@
 }
 
 enum status
-bundle_end(struct bundle_reader *r, enum status st, struct bundle **bundle)
+bundle_reader_end(
+    struct bundle_reader *r, enum status st, struct bundle **bundle)
 {
 	struct problems *p = r->p;
 	struct bundle *b;
@@ -145,7 +146,7 @@
 		g_array_unref(list);
 	}
 	*bundle = b;
-	return verdict(b, st);
+	return report_problems(b, st);
 }
 
 enum status
@@ -158,7 +159,7 @@
 	problems_init(&p);
 	bundle_reader_init(&r, &p);
 	st = read_json(&r, json, len);
-	st = bundle_end(&r, st, bundle);
+	st = bundle_reader_end(&r, st, bundle);
 	bundle_reader_clear(&r);
 	problems_clear(&p);
 	return st;
--- a/packages/config/src/bundle_build.c
+++ b/packages/config/src/bundle_build.c
@@ -43,8 +43,8 @@
 void
 bundle_build_service(struct bundle_build *b, struct json_t *service)
 {
-	struct place services_at = {NULL, "services", PLACE_NO_INDEX};
-	struct place at = {&services_at, NULL, b->n_services++};
+	struct doc_path services_at = {NULL, "services", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&services_at, NULL, b->n_services++};
 
 	/* All are counted, and the first too many ends the reading. */
 	if (b->n_services <= CONFIG_MAX_SERVICES)
@@ -54,17 +54,17 @@
 void
 bundle_build_route(struct bundle_build *b, const struct bundle_route *route)
 {
-	struct place routes_at = {NULL, "routes", PLACE_NO_INDEX};
-	struct place at = {&routes_at, NULL, b->n_routes++};
+	struct doc_path routes_at = {NULL, "routes", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&routes_at, NULL, b->n_routes++};
 
-	bundle_take_route(&b->r, route, &at);
+	bundle_add_route(&b->r, route, &at);
 }
 
 enum status
 bundle_build_end(struct bundle_build *b, struct bundle **bundle)
 {
-	struct place services_at = {NULL, "services", PLACE_NO_INDEX};
+	struct doc_path services_at = {NULL, "services", DOC_PATH_NO_INDEX};
 
 	(void)bundle_count_services(&b->r, b->n_services, &services_at);
-	return bundle_end(&b->r, STATUS_OK, bundle);
+	return bundle_reader_end(&b->r, STATUS_OK, bundle);
 }
--- a/packages/config/src/bundle_read.c
+++ b/packages/config/src/bundle_read.c
@@ -6,7 +6,7 @@
 #include "bundle_read.h"
 #include "rules.h"
 
-#define LOOK "see docs/BUNDLES.md"
+#define SEE_BUNDLE_DOCS "see docs/BUNDLES.md"
 
 static void
 draft_free(void *data)
@@ -38,10 +38,10 @@
 }
 
 void
-json_keys_check(json_t *object, const char *const *known,
-    const struct place *at, struct problems *p)
+json_check_keys(json_t *object, const char *const *known,
+    const struct doc_path *at, struct problems *p)
 {
-	struct place key_at = {at, NULL, PLACE_NO_INDEX};
+	struct doc_path key_at = {at, NULL, DOC_PATH_NO_INDEX};
 	const char *const *k;
 	const char *key;
 	json_t *value;
@@ -55,44 +55,45 @@
 		key_at.key = key;
 		if (*k == NULL)
 			problems_add(p, &key_at,
-			    "take it out or correct its spelling; " LOOK,
+			    "take it out or correct its "
+			    "spelling; " SEE_BUNDLE_DOCS,
 			    "no such key is known");
 	}
 }
 
 const char *
-json_text(
-    json_t *object, const char *key, const struct place *at, struct problems *p)
+json_require_string(json_t *object, const char *key, const struct doc_path *at,
+    struct problems *p)
 {
-	struct place text_at = {at, key, PLACE_NO_INDEX};
+	struct doc_path text_at = {at, key, DOC_PATH_NO_INDEX};
 	json_t *value = json_object_get(object, key);
 
 	if (json_is_string(value))
 		return json_string_value(value);
-	problems_add(p, &text_at, "give it as text; " LOOK, "%s",
+	problems_add(p, &text_at, "give it as text; " SEE_BUNDLE_DOCS, "%s",
 	    value == NULL ? "this key is missing" : "this is not text");
 	return NULL;
 }
 
 json_t *
-json_list(
-    json_t *object, const char *key, const struct place *at, struct problems *p)
+json_require_array(json_t *object, const char *key, const struct doc_path *at,
+    struct problems *p)
 {
-	struct place list_at = {at, key, PLACE_NO_INDEX};
+	struct doc_path list_at = {at, key, DOC_PATH_NO_INDEX};
 	json_t *value = json_object_get(object, key);
 
 	if (json_is_array(value))
 		return value;
-	problems_add(p, &list_at, "give it as a list; " LOOK, "%s",
+	problems_add(p, &list_at, "give it as a list; " SEE_BUNDLE_DOCS, "%s",
 	    value == NULL ? "this key is missing" : "this is not a list");
 	return NULL;
 }
 
 int64_t
-bundle_number(struct bundle_reader *r, const char *key, json_t *object,
-    const struct place *at)
+bundle_read_number(struct bundle_reader *r, const char *key, json_t *object,
+    const struct doc_path *at)
 {
-	struct place number_at = {at, key, PLACE_NO_INDEX};
+	struct doc_path number_at = {at, key, DOC_PATH_NO_INDEX};
 	json_t *value = json_object_get(object, key);
 
 	if (value == NULL)
@@ -100,29 +101,30 @@
 	if (json_is_integer(value))
 		return MAX(
 		    json_integer_value(value), BUNDLE_NUMBER_OMITTED + 1);
-	problems_add(r->p, &number_at, "give a whole number; " LOOK,
+	problems_add(r->p, &number_at, "give a whole number; " SEE_BUNDLE_DOCS,
 	    "this is not a whole number");
 	return BUNDLE_NUMBER_OMITTED;
 }
 
 static void
-read_number(struct bundle_reader *r, const struct number_rule *rule,
-    json_t *object, const struct place *at, void *m)
+read_service_number(struct bundle_reader *r, const struct number_rule *rule,
+    json_t *object, const struct doc_path *at, void *m)
 {
-	struct place number_at = {at, rule->key, PLACE_NO_INDEX};
-	int64_t n = bundle_number(r, rule->key, object, at);
+	struct doc_path number_at = {at, rule->key, DOC_PATH_NO_INDEX};
+	int64_t n = bundle_read_number(r, rule->key, object, at);
 
 	number_store(rule, m,
-	    n == BUNDLE_NUMBER_OMITTED ? rule->initial
-				       : number_fit(rule, n, &number_at, r->p));
+	    n == BUNDLE_NUMBER_OMITTED
+		? rule->default_value
+		: number_clamp(rule, n, &number_at, r->p));
 }
 
 /* Keys of a group of numbers that are not known. */
 static void
-number_keys_check(struct bundle_reader *r, const char *group, json_t *object,
-    const struct place *at)
+check_number_keys(struct bundle_reader *r, const char *group, json_t *object,
+    const struct doc_path *at)
 {
-	struct place key_at = {at, NULL, PLACE_NO_INDEX};
+	struct doc_path key_at = {at, NULL, DOC_PATH_NO_INDEX};
 	const char *key;
 	json_t *value;
 
@@ -131,7 +133,8 @@
 		key_at.key = key;
 		if (number_rule_find(group, key) == NULL)
 			problems_add(r->p, &key_at,
-			    "take it out or correct its spelling; " LOOK,
+			    "take it out or correct its "
+			    "spelling; " SEE_BUNDLE_DOCS,
 			    "no such key is known");
 	}
 }
@@ -139,36 +142,37 @@
 /* Read the numbers of one group; NULL is the service itself. */
 static void
 read_group(struct bundle_reader *r, const char *group, json_t *service,
-    const struct place *at, struct msg_section *m)
+    const struct doc_path *at, struct msg_section *m)
 {
-	struct place group_at = {at, group, PLACE_NO_INDEX};
+	struct doc_path group_at = {at, group, DOC_PATH_NO_INDEX};
 	const struct number_rule *rule;
 	json_t *object = service;
 
 	if (group != NULL)
 		object = json_object_get(service, group);
 	if (object != NULL && !json_is_object(object)) {
-		problems_add(r->p, &group_at, "give it as an object; " LOOK,
+		problems_add(r->p, &group_at,
+		    "give it as an object; " SEE_BUNDLE_DOCS,
 		    "this is not an object");
 		object = NULL;
 	}
 	if (group != NULL && object != NULL)
-		number_keys_check(r, group, object, &group_at);
+		check_number_keys(r, group, object, &group_at);
 	for (rule = number_rules; rule->key != NULL; rule++) {
 		if (g_strcmp0(rule->group, group) == 0)
-			read_number(
+			read_service_number(
 			    r, rule, object, group != NULL ? &group_at : at, m);
 	}
 }
 
 static void
 read_service_name(struct bundle_reader *r, json_t *service,
-    const struct place *at, struct draft *d)
+    const struct doc_path *at, struct draft *d)
 {
-	struct place name_at = {at, "name", PLACE_NO_INDEX};
+	struct doc_path name_at = {at, "name", DOC_PATH_NO_INDEX};
 	const char *name;
 
-	name = json_text(service, "name", at, r->p);
+	name = json_require_string(service, "name", at, r->p);
 	if (name == NULL)
 		return;
 	service_name_check(name, strlen(name), &name_at, r->p);
@@ -182,21 +186,22 @@
 
 void
 bundle_read_service(
-    struct bundle_reader *r, json_t *service, const struct place *at)
+    struct bundle_reader *r, json_t *service, const struct doc_path *at)
 {
 	static const char *const known[] = {
 	    "name", "timeout_ms", "limits", "retry", "callers", NULL};
 	struct draft *d;
 
 	if (!json_is_object(service)) {
-		problems_add(r->p, at, "give each service as an object; " LOOK,
+		problems_add(r->p, at,
+		    "give each service as an object; " SEE_BUNDLE_DOCS,
 		    "this is not an object");
 		return;
 	}
 	d = g_new0(struct draft, 1);
 	d->routes = g_array_new(FALSE, TRUE, sizeof(struct rec_section_route));
 	g_ptr_array_add(r->drafts, d);
-	json_keys_check(service, known, at, r->p);
+	json_check_keys(service, known, at, r->p);
 	read_service_name(r, service, at, d);
 	read_group(r, NULL, service, at, &d->m);
 	read_group(r, "limits", service, at, &d->m);
@@ -205,7 +210,8 @@
 }
 
 bool
-bundle_count_services(struct bundle_reader *r, size_t n, const struct place *at)
+bundle_count_services(
+    struct bundle_reader *r, size_t n, const struct doc_path *at)
 {
 	if (n == 0)
 		problems_add(r->p, at,
@@ -220,9 +226,10 @@
 }
 
 static void
-read_services(struct bundle_reader *r, json_t *services, const struct place *at)
+read_services(
+    struct bundle_reader *r, json_t *services, const struct doc_path *at)
 {
-	struct place item_at = {at, NULL, 0};
+	struct doc_path item_at = {at, NULL, 0};
 	json_t *service;
 	size_t i;
 
@@ -238,7 +245,7 @@
 static void
 read_format(struct bundle_reader *r, json_t *root)
 {
-	struct place at = {NULL, "format", PLACE_NO_INDEX};
+	struct doc_path at = {NULL, "format", DOC_PATH_NO_INDEX};
 	json_t *value = json_object_get(root, "format");
 
 	if (!json_is_integer(value) ||
@@ -250,13 +257,13 @@
 void
 bundle_read_name(struct bundle_reader *r, const char *name)
 {
-	struct place at = {NULL, "name", PLACE_NO_INDEX};
+	struct doc_path at = {NULL, "name", DOC_PATH_NO_INDEX};
 
 	if (!service_name_valid(name, strlen(name)))
 		problems_add(r->p, &at,
 		    "use 1 to 31 of a-z, 0-9 and '-', a letter first",
 		    "this is no name of a bundle");
-	else if (!service_name_usual(name, strlen(name)))
+	else if (!service_name_conventional(name, strlen(name)))
 		problems_warn(r->p, &at, "use a-z, 0-9 and '-', a letter first",
 		    "this name of a bundle is unusual");
 	g_strlcpy(r->name, name, sizeof(r->name));
@@ -267,24 +274,25 @@
 {
 	static const char *const known[] = {
 	    "format", "name", "services", "routes", NULL};
-	struct place services_at = {NULL, "services", PLACE_NO_INDEX};
-	struct place routes_at = {NULL, "routes", PLACE_NO_INDEX};
+	struct doc_path services_at = {NULL, "services", DOC_PATH_NO_INDEX};
+	struct doc_path routes_at = {NULL, "routes", DOC_PATH_NO_INDEX};
 	const char *name;
 	json_t *list;
 
 	if (!json_is_object(root)) {
-		problems_add(r->p, NULL, LOOK, "a bundle is an object");
+		problems_add(
+		    r->p, NULL, SEE_BUNDLE_DOCS, "a bundle is an object");
 		return;
 	}
-	json_keys_check(root, known, NULL, r->p);
+	json_check_keys(root, known, NULL, r->p);
 	read_format(r, root);
-	name = json_text(root, "name", NULL, r->p);
+	name = json_require_string(root, "name", NULL, r->p);
 	if (name != NULL)
 		bundle_read_name(r, name);
-	list = json_list(root, "services", NULL, r->p);
+	list = json_require_array(root, "services", NULL, r->p);
 	if (list != NULL)
 		read_services(r, list, &services_at);
-	list = json_list(root, "routes", NULL, r->p);
+	list = json_require_array(root, "routes", NULL, r->p);
 	if (list != NULL)
 		bundle_read_routes(r, list, &routes_at);
 }
--- a/packages/config/src/bundle_read.h
+++ b/packages/config/src/bundle_read.h
@@ -44,7 +44,7 @@
 void bundle_reader_clear(struct bundle_reader *r);
 
 /**
- * bundle_number() - a number as it is told
+ * bundle_read_number() - a number as it is told
  * @r: the reader
  * @key: its key
  * @object: where it is read from
@@ -52,8 +52,8 @@
  *
  * Return: the number, or BUNDLE_NUMBER_OMITTED.
  */
-int64_t bundle_number(struct bundle_reader *r, const char *key, json_t *object,
-    const struct place *at);
+int64_t bundle_read_number(struct bundle_reader *r, const char *key,
+    json_t *object, const struct doc_path *at);
 
 /** bundle_read() - read a whole bundle, noting all problems */
 void bundle_read(struct bundle_reader *r, json_t *root);
@@ -64,42 +64,44 @@
 /** bundle_count_services() - note too few or too many services; whether there
  * aren't too many to be read */
 bool bundle_count_services(
-    struct bundle_reader *r, size_t n, const struct place *at);
+    struct bundle_reader *r, size_t n, const struct doc_path *at);
 
 /** bundle_read_service() - read one service */
 void bundle_read_service(
-    struct bundle_reader *r, json_t *service, const struct place *at);
+    struct bundle_reader *r, json_t *service, const struct doc_path *at);
 
-/** bundle_take_route() - take one route, once the services are known; what is
+/** bundle_add_route() - take one route, once the services are known; what is
  * NULL of it was missing and is noted already */
-void bundle_take_route(struct bundle_reader *r,
-    const struct bundle_route *route, const struct place *at);
+void bundle_add_route(struct bundle_reader *r, const struct bundle_route *route,
+    const struct doc_path *at);
 
 /**
- * bundle_end() - the bundle that was read, or what is wrong with it
+ * bundle_reader_end() - the bundle that was read, or what is wrong with it
  * @r: the reader, and its problems; left empty, to be cleared still
  * @st: how the reading ended
  * @bundle: as for bundle_parse()
  *
  * Return: as bundle_parse().
  */
-enum status
-bundle_end(struct bundle_reader *r, enum status st, struct bundle **bundle);
+enum status bundle_reader_end(
+    struct bundle_reader *r, enum status st, struct bundle **bundle);
 
 /** bundle_read_routes() - read the routes, once the services are known */
 void bundle_read_routes(
-    struct bundle_reader *r, json_t *routes, const struct place *at);
+    struct bundle_reader *r, json_t *routes, const struct doc_path *at);
 
-/** json_keys_check() - note keys that are not in a list ended by NULL */
-void json_keys_check(json_t *object, const char *const *known,
-    const struct place *at, struct problems *p);
+/** json_check_keys() - note keys that are not in a list ended by NULL */
+void json_check_keys(json_t *object, const char *const *known,
+    const struct doc_path *at, struct problems *p);
 
-/** json_text() - a member that must be text, or NULL with a problem noted */
-const char *json_text(json_t *object, const char *key, const struct place *at,
-    struct problems *p);
+/** json_require_string() - a member that must be text, or NULL with a problem
+ * noted */
+const char *json_require_string(json_t *object, const char *key,
+    const struct doc_path *at, struct problems *p);
 
-/** json_list() - a member that must be a list, or NULL with a problem noted */
-json_t *json_list(json_t *object, const char *key, const struct place *at,
-    struct problems *p);
+/** json_require_array() - a member that must be a list, or NULL with a problem
+ * noted */
+json_t *json_require_array(json_t *object, const char *key,
+    const struct doc_path *at, struct problems *p);
 
 #endif
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -8,7 +8,7 @@
 #include "rules.h"
 
 /* Marks the key of a prefix that takes only what is below it. */
-#define KEY_BELOW "\n"
+#define CLAIM_BELOW_SUFFIX "\n"
 
 /*
  * Which route of the bundle claims each method of a prefix, 0 for none;
@@ -21,7 +21,7 @@
 };
 
 static uint32_t
-read_method(struct bundle_reader *r, json_t *value, const struct place *at)
+read_method(struct bundle_reader *r, json_t *value, const struct doc_path *at)
 {
 	enum http_method m = METHOD_COUNT;
 
@@ -39,15 +39,15 @@
 }
 
 static uint32_t
-read_methods(struct bundle_reader *r, json_t *route, const struct place *at)
+read_methods(struct bundle_reader *r, json_t *route, const struct doc_path *at)
 {
-	struct place list_at = {at, "methods", PLACE_NO_INDEX};
-	struct place item_at = {&list_at, NULL, 0};
+	struct doc_path list_at = {at, "methods", DOC_PATH_NO_INDEX};
+	struct doc_path item_at = {&list_at, NULL, 0};
 	uint32_t bit, methods = 0;
 	json_t *list, *value;
 	size_t i;
 
-	list = json_list(route, "methods", at, r->p);
+	list = json_require_array(route, "methods", at, r->p);
 	if (list == NULL)
 		return 0;
 	json_array_foreach(list, i, value)
@@ -67,13 +67,13 @@
 
 static bool
 read_flag(struct bundle_reader *r, json_t *route, const char *key,
-    const struct place *at, bool initial)
+    const struct doc_path *at, bool default_value)
 {
-	struct place value_at = {at, key, PLACE_NO_INDEX};
+	struct doc_path value_at = {at, key, DOC_PATH_NO_INDEX};
 	json_t *value = json_object_get(route, key);
 
 	if (value == NULL)
-		return initial;
+		return default_value;
 	if (!json_is_boolean(value))
 		problems_add(r->p, &value_at, "write true or false",
 		    "this is neither true nor false");
@@ -81,10 +81,10 @@
 }
 
 static struct claim *
-claim_of(struct bundle_reader *r, const struct rec_section_route *route)
+get_claim(struct bundle_reader *r, const struct rec_section_route *route)
 {
 	char *key = g_strdup_printf("%s%s%s", route->host, route->prefix,
-	    route->below ? KEY_BELOW : "");
+	    route->below ? CLAIM_BELOW_SUFFIX : "");
 	struct claim *claim = g_hash_table_lookup(r->claims, key);
 
 	if (claim != NULL) {
@@ -103,9 +103,9 @@
  */
 static void
 claim_methods(struct bundle_reader *r, const struct rec_section_route *route,
-    const struct place *at)
+    const struct doc_path *at)
 {
-	struct claim *claim = claim_of(r, route);
+	struct claim *claim = get_claim(r, route);
 	uint32_t methods = route->methods;
 	const char *prefix = route->prefix;
 	unsigned int m;
@@ -133,7 +133,7 @@
  * are below "/".
  */
 static void
-settle_end(struct rec_section_route *route)
+normalize_prefix(struct rec_section_route *route)
 {
 	size_t len = strlen(route->prefix);
 
@@ -147,22 +147,22 @@
 }
 
 static void
-take_prefix(struct bundle_reader *r, const char *prefix, const struct place *at,
-    struct rec_section_route *out)
+set_prefix(struct bundle_reader *r, const char *prefix,
+    const struct doc_path *at, struct rec_section_route *out)
 {
-	struct place prefix_at = {at, "prefix", PLACE_NO_INDEX};
+	struct doc_path prefix_at = {at, "prefix", DOC_PATH_NO_INDEX};
 
 	prefix_check(prefix, strlen(prefix), &prefix_at, r->p);
 	(void)g_strlcpy(out->prefix, prefix, sizeof(out->prefix));
-	settle_end(out);
+	normalize_prefix(out);
 }
 
 static void
-take_host(struct bundle_reader *r, const char *text, const struct place *at,
+set_host(struct bundle_reader *r, const char *text, const struct doc_path *at,
     struct rec_section_route *out)
 {
-	struct place host_at = {at, "host", PLACE_NO_INDEX};
-	char *host = host_fold(text, &host_at, r->p);
+	struct doc_path host_at = {at, "host", DOC_PATH_NO_INDEX};
+	char *host = host_normalize(text, &host_at, r->p);
 
 	host_check(host, &host_at, r->p);
 	(void)g_strlcpy(out->host, host, sizeof(out->host));
@@ -170,10 +170,10 @@
 }
 
 static void
-take_numbers(struct bundle_reader *r, const int64_t *numbers,
-    const struct place *at, struct rec_section_route *out)
+set_numbers(struct bundle_reader *r, const int64_t *numbers,
+    const struct doc_path *at, struct rec_section_route *out)
 {
-	struct place number_at = {at, NULL, PLACE_NO_INDEX};
+	struct doc_path number_at = {at, NULL, DOC_PATH_NO_INDEX};
 	const struct number_rule *rule = route_rules;
 	uint32_t i;
 
@@ -181,15 +181,16 @@
 		number_at.key = rule->key;
 		number_store(rule, out,
 		    numbers[i] == BUNDLE_NUMBER_OMITTED
-			? rule->initial
-			: number_fit(rule, numbers[i], &number_at, r->p));
+			? rule->default_value
+			: number_clamp(rule, numbers[i], &number_at, r->p));
 	}
 }
 
 static struct draft *
-target_of(struct bundle_reader *r, const char *service, const struct place *at)
+find_draft(
+    struct bundle_reader *r, const char *service, const struct doc_path *at)
 {
-	struct place service_at = {at, "service", PLACE_NO_INDEX};
+	struct doc_path service_at = {at, "service", DOC_PATH_NO_INDEX};
 	struct draft *d = g_hash_table_lookup(r->by_name, service);
 
 	if (d == NULL)
@@ -200,8 +201,8 @@
 }
 
 void
-bundle_take_route(struct bundle_reader *r, const struct bundle_route *route,
-    const struct place *at)
+bundle_add_route(struct bundle_reader *r, const struct bundle_route *route,
+    const struct doc_path *at)
 {
 	struct rec_section_route out;
 	struct draft *d = NULL;
@@ -211,33 +212,33 @@
 	out.idempotent = route->idempotent;
 	out.below = route->below;
 	if (route->prefix != NULL)
-		take_prefix(r, route->prefix, at, &out);
+		set_prefix(r, route->prefix, at, &out);
 	if (route->host != NULL)
-		take_host(r, route->host, at, &out);
-	take_numbers(r, route->numbers, at, &out);
+		set_host(r, route->host, at, &out);
+	set_numbers(r, route->numbers, at, &out);
 	if (out.methods != 0)
 		methods_check(out.methods, out.idempotent, at, r->p);
 	if (route->prefix != NULL)
 		claim_methods(r, &out, at);
 	if (route->service != NULL)
-		d = target_of(r, route->service, at);
+		d = find_draft(r, route->service, at);
 	if (d != NULL)
 		g_array_append_val(d->routes, out);
 }
 
 static void
-read_numbers(struct bundle_reader *r, json_t *route, const struct place *at,
+read_numbers(struct bundle_reader *r, json_t *route, const struct doc_path *at,
     int64_t *numbers)
 {
 	const struct number_rule *rule = route_rules;
 	uint32_t i;
 
 	for (i = 0; i < BUNDLE_ROUTE_NUMBERS; i++, rule++)
-		numbers[i] = bundle_number(r, rule->key, route, at);
+		numbers[i] = bundle_read_number(r, rule->key, route, at);
 }
 
 static void
-read_route(struct bundle_reader *r, json_t *route, const struct place *at)
+read_route(struct bundle_reader *r, json_t *route, const struct doc_path *at)
 {
 	static const char *const known[] = {"prefix", "methods", "service",
 	    "idempotent", "host", "below", "weight", "timeout_ms", "target_ms",
@@ -250,25 +251,25 @@
 		    "this is not an object");
 		return;
 	}
-	json_keys_check(route, known, at, r->p);
-	out.prefix = json_text(route, "prefix", at, r->p);
+	json_check_keys(route, known, at, r->p);
+	out.prefix = json_require_string(route, "prefix", at, r->p);
 	out.methods = read_methods(r, route, at);
 	/* Left out, it is true where the methods alone make it so. */
 	out.idempotent = read_flag(r, route, "idempotent", at,
 	    out.methods != 0 && (out.methods & ~METHOD_SAFE) == 0);
 	out.below = read_flag(r, route, "below", at, false);
 	if (json_object_get(route, "host") != NULL)
-		out.host = json_text(route, "host", at, r->p);
+		out.host = json_require_string(route, "host", at, r->p);
 	read_numbers(r, route, at, out.numbers);
-	out.service = json_text(route, "service", at, r->p);
-	bundle_take_route(r, &out, at);
+	out.service = json_require_string(route, "service", at, r->p);
+	bundle_add_route(r, &out, at);
 }
 
 void
 bundle_read_routes(
-    struct bundle_reader *r, json_t *routes, const struct place *at)
+    struct bundle_reader *r, json_t *routes, const struct doc_path *at)
 {
-	struct place item_at = {at, NULL, 0};
+	struct doc_path item_at = {at, NULL, 0};
 	json_t *route;
 	size_t i;
 
--- a/packages/config/src/bundle_scan.c
+++ b/packages/config/src/bundle_scan.c
@@ -7,7 +7,7 @@
 /* How far the scan has come. */
 struct scan {
 	size_t depth;
-	size_t deepest;
+	size_t max_depth;
 	size_t n_values;
 	bool in_string;
 	bool escaped;
@@ -36,8 +36,8 @@
 	case '[':
 		s->depth++;
 		s->n_values++;
-		if (s->depth > s->deepest)
-			s->deepest = s->depth;
+		if (s->depth > s->max_depth)
+			s->max_depth = s->depth;
 		break;
 	case '}':
 	case ']':
@@ -54,12 +54,12 @@
 }
 
 static enum status
-scan_verdict(const struct scan *s, struct problems *p)
+scan_check_limits(const struct scan *s, struct problems *p)
 {
-	if (s->deepest > BUNDLE_MAX_DEPTH) {
+	if (s->max_depth > BUNDLE_MAX_DEPTH) {
 		problems_add(p, NULL, "write it as docs/BUNDLES.md shows",
 		    "the bundle nests %zu deep, at most %d are taken",
-		    s->deepest, BUNDLE_MAX_DEPTH);
+		    s->max_depth, BUNDLE_MAX_DEPTH);
 		return STATUS_INVALID;
 	}
 	if (s->n_values > BUNDLE_MAX_VALUES) {
@@ -90,5 +90,5 @@
 		else
 			scan_outside(&s, json[i]);
 	}
-	return scan_verdict(&s, p);
+	return scan_check_limits(&s, p);
 }
--- a/packages/config/src/catalog.c
+++ b/packages/config/src/catalog.c
@@ -22,20 +22,20 @@
 	c->sections = g_ptr_array_new_with_free_func(service_unref);
 	c->contents = contents_new();
 	c->ring = g_ptr_array_new_with_free_func(ring_entry_free);
-	c->memos = g_new0(struct patch_memo, PATCH_MEMOS);
+	c->patch_cache = g_new0(struct patch_cache_entry, PATCH_CACHE_ENTRIES);
 	/* The table of no services has no crossing routes. */
 	(void)route_table_new(c->sections, &c->routes);
 	return c;
 }
 
 static void
-memos_free(struct patch_memo *memos)
+patch_cache_free(struct patch_cache_entry *patch_cache)
 {
 	uint32_t i;
 
-	for (i = 0; i < PATCH_MEMOS; i++)
-		patch_free(memos[i].patch);
-	g_free(memos);
+	for (i = 0; i < PATCH_CACHE_ENTRIES; i++)
+		patch_free(patch_cache[i].patch);
+	g_free(patch_cache);
 }
 
 void
@@ -43,7 +43,7 @@
 {
 	if (c == NULL)
 		return;
-	memos_free(c->memos);
+	patch_cache_free(c->patch_cache);
 	g_ptr_array_unref(c->ring);
 	contents_free(c->contents);
 	route_table_unref(c->routes);
@@ -83,7 +83,7 @@
 
 /* The first section that is not before a name, or NULL. */
 static struct service_config *
-section_from(const struct catalog *c, const char *name)
+section_lower_bound(const struct catalog *c, const char *name)
 {
 	uint32_t low = 0, high = c->sections->len, mid;
 	const struct service_config *sc;
@@ -104,7 +104,7 @@
 struct service_config *
 catalog_find(const struct catalog *c, const char *name)
 {
-	struct service_config *sc = section_from(c, name);
+	struct service_config *sc = section_lower_bound(c, name);
 
 	return sc != NULL && strcmp(sc->name, name) == 0 ? sc : NULL;
 }
@@ -112,7 +112,7 @@
 struct service_config *
 catalog_find_section(const struct catalog *c, const char *section)
 {
-	struct service_config *sc = section_from(c, section);
+	struct service_config *sc = section_lower_bound(c, section);
 
 	return sc != NULL && strcmp(sc->section, section) == 0 ? sc : NULL;
 }
@@ -127,8 +127,8 @@
 	bytes = c->config_bytes + contents_bytes(c->contents);
 	for (i = 0; i < c->ring->len; i++) {
 		entry = g_ptr_array_index(c->ring, i);
-		bytes += sizeof(*entry) + SLOT_BYTES +
-		    entry->steps->len * sizeof(struct ring_step);
+		bytes += sizeof(*entry) + ALLOC_OVERHEAD_BYTES +
+		    entry->changes->len * sizeof(struct ring_change);
 	}
 	return bytes;
 }
--- a/packages/config/src/catalog_defs.h
+++ b/packages/config/src/catalog_defs.h
@@ -10,16 +10,16 @@
 #include "route_table.h"
 
 /* Memory of an array's slot and of an allocation's header. */
-#define SLOT_BYTES 32
+#define ALLOC_OVERHEAD_BYTES 32
 
 /**
- * struct ring_step - what became of one section in a commit, both ways
+ * struct ring_change - what became of one section in a commit, both ways
  * @forward: change from the earlier to the later version
- * @back: change from the later to the earlier version
+ * @reverse: change from the later to the earlier version
  */
-struct ring_step {
+struct ring_change {
 	struct rec_section_change forward;
-	struct rec_section_change back;
+	struct rec_section_change reverse;
 };
 
 /**
@@ -30,7 +30,7 @@
  * @to_root: root after
  * @complete: whether the steps name all that changed at any version between,
  * so that they can be served to nodes that hold one of those
- * @steps: struct ring_step, sorted by section
+ * @changes: struct ring_change, sorted by section
  */
 struct ring_entry {
 	uint64_t from_version;
@@ -38,21 +38,21 @@
 	struct digest from_root;
 	struct digest to_root;
 	bool complete;
-	GArray *steps;
+	GArray *changes;
 };
 
 /* Differences that are kept: those of the last version's changes, as many as
  * 20,000 routes that are spread over one service have sections. */
-#define PATCH_MEMOS 256
+#define PATCH_CACHE_ENTRIES 256
 
 /**
- * struct patch_memo - a difference that was made
+ * struct patch_cache_entry - a difference that was made
  * @filled: whether the rest is
  * @base: section that it changes
  * @target: section that it leads to
  * @patch: the difference, or NULL when there is little in common
  */
-struct patch_memo {
+struct patch_cache_entry {
 	bool filled;
 	struct digest base;
 	struct digest target;
@@ -70,7 +70,7 @@
  * @routes: routes of all services; a reference is held
  * @contents: contents of the version held and of the ring
  * @ring: struct ring_entry, oldest first
- * @memos: differences made last
+ * @patch_cache: differences made last
  */
 struct catalog {
 	uint64_t version;
@@ -82,7 +82,7 @@
 	struct route_table *routes;
 	struct contents *contents;
 	GPtrArray *ring;
-	struct patch_memo *memos;
+	struct patch_cache_entry *patch_cache;
 };
 
 /** catalog_refs() - list of the version held, struct rec_section_ref */
@@ -95,7 +95,8 @@
 /** ring_entry_free() - free an entry; its contents must be released before */
 void ring_entry_free(void *data);
 
-/** ring_push() - add a commit; drops the oldest one beyond CATALOG_RING */
+/** ring_push() - add a commit; drops the oldest one beyond CATALOG_RING_ENTRIES
+ */
 void ring_push(struct catalog *c, struct ring_entry *entry);
 
 /** ring_trim() - drop oldest commits while the catalog is over its limit */
--- a/packages/config/src/commit.c
+++ b/packages/config/src/commit.c
@@ -7,7 +7,7 @@
 #include "stage_defs.h"
 
 /**
- * struct stage_next - the target version, built beside the version held
+ * struct staged_version - the target version, built beside the version held
  * @base_version: version held when it was built
  * @list: its list, struct rec_section_ref
  * @sections: struct service_config, in the list's order
@@ -16,7 +16,7 @@
  * @content_bytes: sum of its contents
  * @config_bytes: memory of @sections and @routes
  */
-struct stage_next {
+struct staged_version {
 	uint64_t base_version;
 	GArray *list;
 	GPtrArray *sections;
@@ -33,7 +33,7 @@
 }
 
 void
-stage_next_free(struct stage_next *n)
+staged_version_free(struct staged_version *n)
 {
 	if (n == NULL)
 		return;
@@ -83,7 +83,7 @@
 
 static enum status
 add_section(const struct catalog_stage *stage,
-    const struct rec_section_ref *ref, struct stage_next *n)
+    const struct rec_section_ref *ref, struct staged_version *n)
 {
 	struct service_config *sc;
 	GBytes *content;
@@ -132,7 +132,7 @@
  * Sections are sorted, so that one that covers another stands before it.
  */
 static enum status
-parts_agree(struct stage_next *n)
+check_parts(struct staged_version *n)
 {
 	const struct service_config *before = NULL, *sc;
 	uint32_t i;
@@ -162,7 +162,7 @@
 
 /* Whether two routes have the same entry in a table. */
 static bool
-same_place(const struct service_route *a, const struct service_route *b)
+same_table_entry(const struct service_route *a, const struct service_route *b)
 {
 	return a->methods == b->methods && a->below == b->below &&
 	    (a->weight > 0) == (b->weight > 0) &&
@@ -179,7 +179,7 @@
 	if (a->n_routes != b->n_routes || strcmp(a->section, b->section) != 0)
 		return false;
 	for (i = 0; i < a->n_routes; i++) {
-		if (!same_place(&a->routes[i], &b->routes[i]))
+		if (!same_table_entry(&a->routes[i], &b->routes[i]))
 			return false;
 	}
 	return true;
@@ -187,7 +187,7 @@
 
 /* A table holds indexes, so it fits while sections and routes stay. */
 static bool
-table_fits(const GPtrArray *a, const GPtrArray *b)
+table_reusable(const GPtrArray *a, const GPtrArray *b)
 {
 	uint32_t i;
 
@@ -202,16 +202,16 @@
 }
 
 static enum status
-next_routes(const struct catalog *c, struct stage_next *n)
+staged_version_routes(const struct catalog *c, struct staged_version *n)
 {
-	if (!table_fits(c->sections, n->sections))
+	if (!table_reusable(c->sections, n->sections))
 		return route_table_new(n->sections, &n->routes);
 	n->routes = route_table_ref(c->routes);
 	return STATUS_OK;
 }
 
 static void
-sum_config(struct stage_next *n)
+sum_config_bytes(struct staged_version *n)
 {
 	const struct service_config *sc;
 	uint32_t i;
@@ -219,12 +219,12 @@
 	n->config_bytes = route_table_bytes(n->routes);
 	for (i = 0; i < n->sections->len; i++) {
 		sc = g_ptr_array_index(n->sections, i);
-		n->config_bytes += sc->size_bytes + SLOT_BYTES;
+		n->config_bytes += sc->size_bytes + ALLOC_OVERHEAD_BYTES;
 	}
 }
 
 static enum status
-size_check(const struct catalog *c, const struct stage_next *n)
+size_check(const struct catalog *c, const struct staged_version *n)
 {
 	uint64_t bytes = n->content_bytes + n->config_bytes;
 
@@ -238,7 +238,8 @@
 }
 
 static enum status
-next_build(const struct catalog_stage *stage, struct stage_next *n)
+staged_version_build(
+    const struct catalog_stage *stage, struct staged_version *n)
 {
 	enum status st;
 	uint32_t i;
@@ -251,19 +252,19 @@
 		st = add_section(stage,
 		    &g_array_index(n->list, struct rec_section_ref, i), n);
 	if (st == STATUS_OK)
-		st = parts_agree(n);
+		st = check_parts(n);
 	if (st == STATUS_OK)
-		st = next_routes(stage->c, n);
+		st = staged_version_routes(stage->c, n);
 	if (st != STATUS_OK)
 		return st;
-	sum_config(n);
+	sum_config_bytes(n);
 	return size_check(stage->c, n);
 }
 
 /* The commit as a ring entry, made while the version before is in place. */
 static struct ring_entry *
-entry_new(const struct catalog *c, const struct catalog_stage *stage,
-    const struct stage_next *n)
+ring_entry_of_stage(const struct catalog *c, const struct catalog_stage *stage,
+    const struct staged_version *n)
 {
 	struct ring_entry *entry;
 	GArray *changes, *held;
@@ -284,7 +285,7 @@
 }
 
 static void
-hold_contents(
+ref_contents(
     struct catalog *c, const struct catalog_stage *stage, const GArray *list)
 {
 	const struct rec_section_ref *ref;
@@ -292,34 +293,34 @@
 
 	for (i = 0; i < list->len; i++) {
 		ref = &g_array_index(list, struct rec_section_ref, i);
-		contents_hold(c->contents, &ref->digest,
+		contents_ref(c->contents, &ref->digest,
 		    find_content(stage, &ref->digest));
 	}
 }
 
 static void
-release_contents(struct catalog *c, const GPtrArray *sections)
+unref_contents(struct catalog *c, const GPtrArray *sections)
 {
 	const struct service_config *sc;
 	uint32_t i;
 
 	for (i = 0; i < sections->len; i++) {
 		sc = g_ptr_array_index(sections, i);
-		contents_release(c->contents, &sc->digest);
+		contents_unref(c->contents, &sc->digest);
 	}
 }
 
 /* Nothing below can fail. */
 static void
-swap_in(
-    struct catalog *c, const struct catalog_stage *stage, struct stage_next *n)
+install(struct catalog *c, const struct catalog_stage *stage,
+    struct staged_version *n)
 {
 	struct ring_entry *entry;
 
-	entry = entry_new(c, stage, n);
-	hold_contents(c, stage, n->list);
+	entry = ring_entry_of_stage(c, stage, n);
+	ref_contents(c, stage, n->list);
 	ring_push(c, entry);
-	release_contents(c, c->sections);
+	unref_contents(c, c->sections);
 	g_ptr_array_unref(c->sections);
 	c->sections = g_steal_pointer(&n->sections);
 	c->n_services = n->n_services;
@@ -333,19 +334,19 @@
 enum status
 catalog_stage_check(struct catalog_stage *stage)
 {
-	struct stage_next *n = stage->next;
+	struct staged_version *n = stage->built;
 	enum status st;
 
 	if (n != NULL && n->base_version == stage->c->version)
 		return STATUS_OK;
-	g_clear_pointer(&stage->next, stage_next_free);
-	n = g_new0(struct stage_next, 1);
+	g_clear_pointer(&stage->built, staged_version_free);
+	n = g_new0(struct staged_version, 1);
 	n->base_version = stage->c->version;
-	st = next_build(stage, n);
+	st = staged_version_build(stage, n);
 	if (st == STATUS_OK)
-		stage->next = n;
+		stage->built = n;
 	else
-		stage_next_free(n);
+		staged_version_free(n);
 	return st;
 }
 
@@ -356,8 +357,8 @@
 
 	if (st != STATUS_OK)
 		return st;
-	swap_in(c, stage, stage->next);
+	install(c, stage, stage->built);
 	ring_trim(c);
-	g_clear_pointer(&stage->next, stage_next_free);
+	g_clear_pointer(&stage->built, staged_version_free);
 	return STATUS_OK;
 }
--- a/packages/config/src/contents.c
+++ b/packages/config/src/contents.c
@@ -11,7 +11,7 @@
 struct entry {
 	struct digest digest;
 	GBytes *content;
-	uint32_t n_holds;
+	uint32_t refs;
 };
 
 struct contents {
@@ -78,7 +78,7 @@
 }
 
 void
-contents_hold(struct contents *cs, const struct digest *digest, GBytes *content)
+contents_ref(struct contents *cs, const struct digest *digest, GBytes *content)
 {
 	struct entry *e;
 
@@ -90,16 +90,16 @@
 		g_hash_table_insert(cs->entries, &e->digest, e);
 		cs->bytes += entry_bytes(e);
 	}
-	e->n_holds++;
+	e->refs++;
 }
 
 void
-contents_release(struct contents *cs, const struct digest *digest)
+contents_unref(struct contents *cs, const struct digest *digest)
 {
 	struct entry *e;
 
 	e = g_hash_table_lookup(cs->entries, digest);
-	if (--e->n_holds > 0)
+	if (--e->refs > 0)
 		return;
 	cs->bytes -= entry_bytes(e);
 	g_hash_table_remove(cs->entries, digest);
--- a/packages/config/src/contents.h
+++ b/packages/config/src/contents.h
@@ -20,16 +20,16 @@
 GBytes *contents_get(const struct contents *cs, const struct digest *digest);
 
 /**
- * contents_hold() - need a content once more
+ * contents_ref() - need a content once more
  * @cs: store
  * @digest: its digest
  * @content: the content, taken in if it is not there; may be NULL if it is
  */
-void contents_hold(
-    struct contents *cs, const struct digest *digest, GBytes *content);
+void
+contents_ref(struct contents *cs, const struct digest *digest, GBytes *content);
 
-/** contents_release() - need a content once less; the last one drops it */
-void contents_release(struct contents *cs, const struct digest *digest);
+/** contents_unref() - need a content once less; the last one drops it */
+void contents_unref(struct contents *cs, const struct digest *digest);
 
 /** contents_bytes() - memory taken, near enough */
 uint64_t contents_bytes(const struct contents *cs);
--- a/packages/config/src/endpoints.c
+++ b/packages/config/src/endpoints.c
@@ -197,7 +197,7 @@
 
 /* Drop a host's endpoints whose services are not in the new ones. */
 static uint32_t
-drop_others(struct endpoint_set *set, const char *host,
+remove_absent(struct endpoint_set *set, const char *host,
     const struct endpoint *endpoints, uint32_t n)
 {
 	const GPtrArray *names = g_hash_table_lookup(set->hosts, host);
@@ -220,7 +220,7 @@
 	uint32_t i, n_changed;
 	GPtrArray *names;
 
-	n_changed = drop_others(set, host, endpoints, n_endpoints);
+	n_changed = remove_absent(set, host, endpoints, n_endpoints);
 	names = g_ptr_array_new_with_free_func(g_free);
 	for (i = 0; i < n_endpoints; i++) {
 		ep = &endpoints[i];
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -11,7 +11,7 @@
 
 /* Between the name of a service and a part; no name of a service has it, and
  * it sorts before all that names have, so that parts stand together. */
-#define PART_MARK ' '
+#define PART_SEPARATOR ' '
 
 /* Most bytes that a route takes in a section besides its texts: 13 for types
  * and lengths, 5 for each of its six numbers, 2 for its flags. */
@@ -22,7 +22,7 @@
 #define SECTION_FIXED_BYTES 192
 
 /* Any seed does, as long as all nodes have the same. */
-#define PART_SEED 29
+#define PART_HASH_SEED 29
 
 /** struct leaf_route - a route with its place in the trie; borrowed */
 struct leaf_route {
@@ -37,7 +37,7 @@
  * @bytes: sum of the bytes of all routes before each one
  * @sections: where sections go
  */
-struct cutting {
+struct part_split {
 	const struct msg_section *m;
 	GArray *routes;
 	GArray *bytes;
@@ -49,9 +49,9 @@
  * that routes which share a place, or claim it twice, are in one section.
  */
 static uint32_t
-route_bits(const struct rec_section_route *route)
+route_hash_bits(const struct rec_section_route *route)
 {
-	uint64_t h = hash64(route->host, strlen(route->host), PART_SEED);
+	uint64_t h = hash64(route->host, strlen(route->host), PART_HASH_SEED);
 
 	h = hash64(route->prefix, strlen(route->prefix), h);
 	return (uint32_t)(h >> (64 - PART_BITS_MAX));
@@ -65,7 +65,7 @@
 }
 
 static int
-by_bits(const void *a, const void *b)
+leaf_route_compare(const void *a, const void *b)
 {
 	const struct leaf_route *x = a, *y = b;
 
@@ -79,20 +79,20 @@
 }
 
 static struct leaf_route *
-leaf_route_at(const struct cutting *c, uint32_t i)
+leaf_route_at(const struct part_split *c, uint32_t i)
 {
 	return &g_array_index(c->routes, struct leaf_route, i);
 }
 
 static uint64_t
-bytes_between(const struct cutting *c, uint32_t low, uint32_t high)
+bytes_between(const struct part_split *c, uint32_t low, uint32_t high)
 {
 	return g_array_index(c->bytes, uint64_t, high) -
 	    g_array_index(c->bytes, uint64_t, low);
 }
 
 static void
-add_leaf(struct cutting *c, uint32_t low, uint32_t high, const char *part)
+add_leaf(struct part_split *c, uint32_t low, uint32_t high, const char *part)
 {
 	struct msg_section m = *c->m;
 	uint32_t i;
@@ -109,7 +109,8 @@
 
 /* Index of the first route below the branch 1 of a node. */
 static uint32_t
-branch(const struct cutting *c, uint32_t low, uint32_t high, uint32_t depth)
+find_one_branch(
+    const struct part_split *c, uint32_t low, uint32_t high, uint32_t depth)
 {
 	uint32_t mid;
 
@@ -125,7 +126,7 @@
 
 /* A node of the trie: a section, or two nodes below it; @part is its name. */
 static void
-cut(struct cutting *c, uint32_t low, uint32_t high, char *part)
+split_node(struct part_split *c, uint32_t low, uint32_t high, char *part)
 {
 	uint32_t depth = (uint32_t)strlen(part), mid;
 
@@ -137,16 +138,16 @@
 		add_leaf(c, low, high, part);
 		return;
 	}
-	mid = branch(c, low, high, depth);
+	mid = find_one_branch(c, low, high, depth);
 	part[depth] = '0';
-	cut(c, low, mid, part);
+	split_node(c, low, mid, part);
 	part[depth] = '1';
-	cut(c, mid, high, part);
+	split_node(c, mid, high, part);
 	part[depth] = '\0';
 }
 
 static void
-cutting_init(struct cutting *c, const struct msg_section *m)
+part_split_init(struct part_split *c, const struct msg_section *m)
 {
 	struct leaf_route leaf;
 	uint64_t bytes = 0;
@@ -158,10 +159,10 @@
 	    g_array_sized_new(FALSE, FALSE, sizeof(bytes), m->n_routes + 1);
 	for (i = 0; i < m->n_routes; i++) {
 		leaf.route = &m->routes[i];
-		leaf.bits = route_bits(leaf.route);
+		leaf.bits = route_hash_bits(leaf.route);
 		g_array_append_val(c->routes, leaf);
 	}
-	g_array_sort(c->routes, by_bits);
+	g_array_sort(c->routes, leaf_route_compare);
 	g_array_append_val(c->bytes, bytes);
 	for (i = 0; i < m->n_routes; i++) {
 		bytes += route_bytes(leaf_route_at(c, i)->route);
@@ -170,14 +171,14 @@
 }
 
 void
-parts_cut(struct msg_section *m, GPtrArray *sections)
+parts_split(struct msg_section *m, GPtrArray *sections)
 {
 	char part[PART_BITS_MAX + 1] = "";
-	struct cutting c;
+	struct part_split c;
 
-	cutting_init(&c, m);
+	part_split_init(&c, m);
 	c.sections = sections;
-	cut(&c, 0, m->n_routes, part);
+	split_node(&c, 0, m->n_routes, part);
 	g_array_unref(c.bytes);
 	g_array_unref(c.routes);
 }
@@ -205,9 +206,9 @@
 void
 part_check(const struct msg_section *m, struct problems *p)
 {
-	struct place part_at = {NULL, "part", PLACE_NO_INDEX};
-	struct place routes_at = {NULL, "routes", PLACE_NO_INDEX};
-	struct place at = {&routes_at, NULL, 0};
+	struct doc_path part_at = {NULL, "part", DOC_PATH_NO_INDEX};
+	struct doc_path routes_at = {NULL, "routes", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&routes_at, NULL, 0};
 	uint32_t i;
 
 	if (!part_name_valid(m->part)) {
@@ -217,7 +218,7 @@
 	}
 	for (i = 0; i < m->n_routes; i++) {
 		at.index = i;
-		if (!part_covers(m->part, route_bits(&m->routes[i])))
+		if (!part_covers(m->part, route_hash_bits(&m->routes[i])))
 			problems_add(p, &at, "put it in its own part",
 			    "the route belongs in another part");
 	}
@@ -230,31 +231,31 @@
 		(void)g_strlcpy(out, service, SECTION_NAME_BYTES);
 	else
 		(void)g_snprintf(out, SECTION_NAME_BYTES, "%s%c%s", service,
-		    PART_MARK, part);
+		    PART_SEPARATOR, part);
 }
 
 bool
 part_parent(char *section)
 {
-	char *mark = strchr(section, PART_MARK);
+	char *separator = strchr(section, PART_SEPARATOR);
 
-	if (mark == NULL)
+	if (separator == NULL)
 		return false;
 	section[strlen(section) - 1] = '\0';
-	if (mark[1] == '\0')
-		*mark = '\0';
+	if (separator[1] == '\0')
+		*separator = '\0';
 	return true;
 }
 
 bool
 section_name_valid(const char *name)
 {
-	const char *mark = strchr(name, PART_MARK);
+	const char *separator = strchr(name, PART_SEPARATOR);
 
-	if (mark == NULL)
+	if (separator == NULL)
 		return service_name_valid(name, strlen(name));
-	return service_name_valid(name, (size_t)(mark - name)) &&
-	    mark[1] != '\0' && part_name_valid(mark + 1);
+	return service_name_valid(name, (size_t)(separator - name)) &&
+	    separator[1] != '\0' && part_name_valid(separator + 1);
 }
 
 bool
@@ -264,6 +265,6 @@
 
 	if (strncmp(upper, lower, len) != 0)
 		return false;
-	return lower[len] == PART_MARK ||
-	    (lower[len] != '\0' && strchr(upper, PART_MARK) != NULL);
+	return lower[len] == PART_SEPARATOR ||
+	    (lower[len] != '\0' && strchr(upper, PART_SEPARATOR) != NULL);
 }
--- a/packages/config/src/parts.h
+++ b/packages/config/src/parts.h
@@ -21,11 +21,11 @@
 #define PART_BITS_MAX 24
 
 /**
- * parts_cut() - cut a service in sections
+ * parts_split() - cut a service in sections
  * @m: the service with all its routes, which are reordered; no part is named
  * @sections: struct section; new ones are appended, in order of their names
  */
-void parts_cut(struct msg_section *m, GPtrArray *sections);
+void parts_split(struct msg_section *m, GPtrArray *sections);
 
 /**
  * part_check() - note routes that belong in another part, and a bad name
--- a/packages/config/src/patch.c
+++ b/packages/config/src/patch.c
@@ -16,10 +16,10 @@
 /* As many as the message takes. */
 #define HUNKS_MAX 1024
 
-#define BLOCK_SEED 17
+#define BLOCK_HASH_SEED 17
 
-/** struct text - bytes that are compared */
-struct text {
+/** struct byte_span - bytes that are compared */
+struct byte_span {
 	const uint8_t *data;
 	size_t len;
 };
@@ -31,112 +31,113 @@
  * @blocks: hash of a block of the base to its place, plus 1
  * @hunks: struct rec_patch_hunk
  * @data: new bytes of all hunks
- * @done: bytes of @to that the hunks lead to
+ * @n_covered: bytes of @to that the hunks lead to
  */
-struct making {
-	struct text from;
-	struct text to;
+struct patch_builder {
+	struct byte_span from;
+	struct byte_span to;
 	GHashTable *blocks;
 	GArray *hunks;
 	GByteArray *data;
-	size_t done;
+	size_t n_covered;
 };
 
 static gpointer
 block_key(const uint8_t *at)
 {
-	return GSIZE_TO_POINTER((gsize)hash64(at, BLOCK_BYTES, BLOCK_SEED));
+	return GSIZE_TO_POINTER(
+	    (gsize)hash64(at, BLOCK_BYTES, BLOCK_HASH_SEED));
 }
 
 static void
-index_base(struct making *m)
+index_base(struct patch_builder *b)
 {
 	size_t at;
 
-	m->blocks = g_hash_table_new(NULL, NULL);
-	for (at = 0; at + BLOCK_BYTES <= m->from.len; at += BLOCK_BYTES)
-		g_hash_table_insert(m->blocks, block_key(m->from.data + at),
+	b->blocks = g_hash_table_new(NULL, NULL);
+	for (at = 0; at + BLOCK_BYTES <= b->from.len; at += BLOCK_BYTES)
+		g_hash_table_insert(b->blocks, block_key(b->from.data + at),
 		    GSIZE_TO_POINTER(at + 1));
 }
 
 /* New bytes go behind the hunk before, or make one without base bytes. */
 static void
-add_data(struct making *m, size_t until)
+add_data(struct patch_builder *b, size_t until)
 {
 	struct rec_patch_hunk none = {0};
-	size_t len = until - m->done;
+	size_t len = until - b->n_covered;
 
 	if (len == 0)
 		return;
-	if (m->hunks->len == 0)
-		g_array_append_val(m->hunks, none);
-	g_array_index(m->hunks, struct rec_patch_hunk, m->hunks->len - 1)
+	if (b->hunks->len == 0)
+		g_array_append_val(b->hunks, none);
+	g_array_index(b->hunks, struct rec_patch_hunk, b->hunks->len - 1)
 	    .data_bytes += (uint32_t)len;
-	g_byte_array_append(m->data, m->to.data + m->done, (guint)len);
-	m->done = until;
+	g_byte_array_append(b->data, b->to.data + b->n_covered, (guint)len);
+	b->n_covered = until;
 }
 
 /* The bytes at @at of the new section are those at @from of the base. */
 static void
-add_match(struct making *m, size_t at, size_t from)
+add_match(struct patch_builder *b, size_t at, size_t from)
 {
 	struct rec_patch_hunk hunk = {0};
 	size_t len = BLOCK_BYTES;
 
-	while (at > m->done && from > 0 &&
-	    m->to.data[at - 1] == m->from.data[from - 1]) {
+	while (at > b->n_covered && from > 0 &&
+	    b->to.data[at - 1] == b->from.data[from - 1]) {
 		at--;
 		from--;
 		len++;
 	}
-	while (at + len < m->to.len && from + len < m->from.len &&
-	    m->to.data[at + len] == m->from.data[from + len])
+	while (at + len < b->to.len && from + len < b->from.len &&
+	    b->to.data[at + len] == b->from.data[from + len])
 		len++;
-	add_data(m, at);
+	add_data(b, at);
 	hunk.from = (uint32_t)from;
 	hunk.base_bytes = (uint32_t)len;
-	g_array_append_val(m->hunks, hunk);
-	m->done = at + len;
+	g_array_append_val(b->hunks, hunk);
+	b->n_covered = at + len;
 }
 
 static bool
-block_at(const struct making *m, size_t at, size_t *from)
+block_at(const struct patch_builder *b, size_t at, size_t *from)
 {
-	gpointer place;
+	gpointer found;
 
-	place = g_hash_table_lookup(m->blocks, block_key(m->to.data + at));
-	if (place == NULL)
+	found = g_hash_table_lookup(b->blocks, block_key(b->to.data + at));
+	if (found == NULL)
 		return false;
-	*from = GPOINTER_TO_SIZE(place) - 1;
-	return memcmp(m->to.data + at, m->from.data + *from, BLOCK_BYTES) == 0;
+	*from = GPOINTER_TO_SIZE(found) - 1;
+	return memcmp(b->to.data + at, b->from.data + *from, BLOCK_BYTES) == 0;
 }
 
 static void
-find_matches(struct making *m)
+find_matches(struct patch_builder *b)
 {
 	size_t at = 0, from;
 
-	while (at + BLOCK_BYTES <= m->to.len && m->hunks->len < HUNKS_MAX - 1) {
-		if (block_at(m, at, &from)) {
-			add_match(m, at, from);
-			at = m->done;
+	while (at + BLOCK_BYTES <= b->to.len && b->hunks->len < HUNKS_MAX - 1) {
+		if (block_at(b, at, &from)) {
+			add_match(b, at, from);
+			at = b->n_covered;
 		} else {
 			at++;
 		}
 	}
-	add_data(m, m->to.len);
+	add_data(b, b->to.len);
 }
 
 static struct rec_section_patch *
-patch_of(struct making *m)
+builder_finish(struct patch_builder *b)
 {
 	struct rec_section_patch *patch = g_new0(struct rec_section_patch, 1);
 
-	patch->n_hunks = m->hunks->len;
+	patch->n_hunks = b->hunks->len;
 	patch->hunks =
-	    (struct rec_patch_hunk *)(void *)g_array_free(m->hunks, FALSE);
-	patch->data_len = m->data->len;
-	patch->data = g_byte_array_free(m->data, FALSE);
+	    (struct rec_patch_hunk *)(void *)g_array_free(b->hunks, FALSE);
+	patch->data_len = b->data->len;
+	patch->data = g_byte_array_free(b->data, FALSE);
 	return patch;
 }
 
@@ -144,18 +145,18 @@
 patch_make(GBytes *from, GBytes *to)
 {
 	struct rec_section_patch *patch;
-	struct making m = {0};
-
-	m.from.data = g_bytes_get_data(from, &m.from.len);
-	m.to.data = g_bytes_get_data(to, &m.to.len);
-	m.hunks = g_array_new(FALSE, FALSE, sizeof(struct rec_patch_hunk));
-	m.data = g_byte_array_new();
-	index_base(&m);
-	find_matches(&m);
-	g_hash_table_unref(m.blocks);
-	patch = patch_of(&m);
+	struct patch_builder b = {0};
+
+	b.from.data = g_bytes_get_data(from, &b.from.len);
+	b.to.data = g_bytes_get_data(to, &b.to.len);
+	b.hunks = g_array_new(FALSE, FALSE, sizeof(struct rec_patch_hunk));
+	b.data = g_byte_array_new();
+	index_base(&b);
+	find_matches(&b);
+	g_hash_table_unref(b.blocks);
+	patch = builder_finish(&b);
 	if (patch->data_len + patch->n_hunks * sizeof(*patch->hunks) <=
-	    m.to.len / 2)
+	    b.to.len / 2)
 		return patch;
 	patch_free(patch);
 	return NULL;
@@ -173,7 +174,7 @@
 
 /* Appends a hunk; false when it leads out of the base, data or limits. */
 static bool
-append_hunk(GByteArray *made, const struct text *base,
+append_hunk(GByteArray *result, const struct byte_span *base,
     const struct rec_section_patch *patch, const struct rec_patch_hunk *hunk,
     size_t *used)
 {
@@ -181,10 +182,10 @@
 
 	if ((uint64_t)hunk->from + hunk->base_bytes > base->len ||
 	    *used + (uint64_t)hunk->data_bytes > patch->data_len ||
-	    made->len + len > SECTION_MAX_BYTES)
+	    result->len + len > SECTION_MAX_BYTES)
 		return false;
-	g_byte_array_append(made, base->data + hunk->from, hunk->base_bytes);
-	g_byte_array_append(made, patch->data + *used, hunk->data_bytes);
+	g_byte_array_append(result, base->data + hunk->from, hunk->base_bytes);
+	g_byte_array_append(result, patch->data + *used, hunk->data_bytes);
 	*used += hunk->data_bytes;
 	return true;
 }
@@ -192,17 +193,18 @@
 GBytes *
 patch_apply(GBytes *base, const struct rec_section_patch *patch)
 {
-	GByteArray *made = g_byte_array_new();
-	struct text from;
+	GByteArray *result = g_byte_array_new();
+	struct byte_span from;
 	size_t used = 0;
 	uint32_t i;
 
 	from.data = g_bytes_get_data(base, &from.len);
 	for (i = 0; i < patch->n_hunks; i++) {
-		if (!append_hunk(made, &from, patch, &patch->hunks[i], &used)) {
-			g_byte_array_unref(made);
+		if (!append_hunk(
+			result, &from, patch, &patch->hunks[i], &used)) {
+			g_byte_array_unref(result);
 			return NULL;
 		}
 	}
-	return g_byte_array_free_to_bytes(made);
+	return g_byte_array_free_to_bytes(result);
 }
--- a/packages/config/src/problems.c
+++ b/packages/config/src/problems.c
@@ -7,7 +7,7 @@
 #include "problems.h"
 
 /* Problems that a summary tells in full. */
-#define SUMMARY_PROBLEMS 4
+#define SUMMARY_MAX_PROBLEMS 4
 
 static void
 problem_free(void *data)
@@ -39,12 +39,12 @@
 }
 
 static void
-place_append(const struct place *at, GString *out)
+doc_path_append(const struct doc_path *at, GString *out)
 {
 	if (at == NULL)
 		return;
-	place_append(at->up, out);
-	if (at->index != PLACE_NO_INDEX) {
+	doc_path_append(at->parent, out);
+	if (at->index != DOC_PATH_NO_INDEX) {
 		g_string_append_printf(out, "[%u]", at->index);
 		return;
 	}
@@ -56,7 +56,7 @@
 }
 
 static void
-note(GPtrArray *list, const struct place *at, const char *remedy,
+append_problem(GPtrArray *list, const struct doc_path *at, const char *remedy,
     const char *fmt, va_list ap)
 {
 	struct bundle_problem *problem;
@@ -65,7 +65,7 @@
 	if (list->len >= BUNDLE_MAX_PROBLEMS)
 		return;
 	path = g_string_new(NULL);
-	place_append(at, path);
+	doc_path_append(at, path);
 	problem = g_new0(struct bundle_problem, 1);
 	problem->path = g_string_free(path, FALSE);
 	problem->remedy = g_strdup(remedy);
@@ -74,26 +74,26 @@
 }
 
 void
-problems_add(struct problems *p, const struct place *at, const char *remedy,
+problems_add(struct problems *p, const struct doc_path *at, const char *remedy,
     const char *fmt, ...)
 {
 	va_list ap;
 
 	p->n_found++;
 	va_start(ap, fmt);
-	note(p->list, at, remedy, fmt, ap);
+	append_problem(p->list, at, remedy, fmt, ap);
 	va_end(ap);
 }
 
 void
-problems_warn(struct problems *p, const struct place *at, const char *remedy,
+problems_warn(struct problems *p, const struct doc_path *at, const char *remedy,
     const char *fmt, ...)
 {
 	va_list ap;
 
 	p->n_warned++;
 	va_start(ap, fmt);
-	note(p->warnings, at, remedy, fmt, ap);
+	append_problem(p->warnings, at, remedy, fmt, ap);
 	va_end(ap);
 }
 
@@ -105,14 +105,14 @@
 	uint32_t i;
 
 	out = g_string_new(NULL);
-	for (i = 0; i < list->len && i < SUMMARY_PROBLEMS; i++) {
+	for (i = 0; i < list->len && i < SUMMARY_MAX_PROBLEMS; i++) {
 		problem = g_ptr_array_index(list, i);
 		g_string_append_printf(out, "%s%s%s%s; %s.", i > 0 ? " " : "",
 		    problem->path, problem->path[0] != '\0' ? ": " : "",
 		    problem->message, problem->remedy);
 	}
-	if (n_found > SUMMARY_PROBLEMS)
+	if (n_found > SUMMARY_MAX_PROBLEMS)
 		g_string_append_printf(
-		    out, " And %u more.", n_found - SUMMARY_PROBLEMS);
+		    out, " And %u more.", n_found - SUMMARY_MAX_PROBLEMS);
 	return g_string_free(out, FALSE);
 }
--- a/packages/config/src/problems.h
+++ b/packages/config/src/problems.h
@@ -10,16 +10,16 @@
 #include <glib.h>
 
 /* Index of a place that is named by a key. */
-#define PLACE_NO_INDEX UINT32_MAX
+#define DOC_PATH_NO_INDEX UINT32_MAX
 
 /**
- * struct place - a place in a document, as a chain up to its root
- * @up: what it is part of, NULL for the root
+ * struct doc_path - a place in a document, as a chain up to its root
+ * @parent: what it is part of, NULL for the root
  * @key: its key in an object, NULL for an element of a list
- * @index: its index in a list, PLACE_NO_INDEX for a member of an object
+ * @index: its index in a list, DOC_PATH_NO_INDEX for a member of an object
  */
-struct place {
-	const struct place *up;
+struct doc_path {
+	const struct doc_path *parent;
 	const char *key;
 	uint32_t index;
 };
@@ -52,12 +52,12 @@
  * @fmt: printf format: what is wrong
  */
 void
-problems_add(struct problems *p, const struct place *at, const char *remedy,
+problems_add(struct problems *p, const struct doc_path *at, const char *remedy,
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /** problems_warn() - note a warning; as problems_add() */
 void
-problems_warn(struct problems *p, const struct place *at, const char *remedy,
+problems_warn(struct problems *p, const struct doc_path *at, const char *remedy,
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /**
--- a/packages/config/src/ring.c
+++ b/packages/config/src/ring.c
@@ -7,27 +7,28 @@
 #include "parts.h"
 #include "patch.h"
 
-#define STEP(entry, i) (&g_array_index((entry)->steps, struct ring_step, (i)))
+#define RING_CHANGE(entry, i) \
+	(&g_array_index((entry)->changes, struct ring_change, (i)))
 
 void
 ring_entry_free(void *data)
 {
 	struct ring_entry *entry = data;
 
-	g_array_unref(entry->steps);
+	g_array_unref(entry->changes);
 	g_free(entry);
 }
 
 /* The change that undoes a change of a section on the list before. */
 static void
-set_back(struct rec_section_change *back, const GArray *from, uint32_t *next,
-    const char *section)
+set_reverse(struct rec_section_change *reverse, const GArray *from,
+    uint32_t *next, const char *section)
 {
 	const struct rec_section_ref *ref = NULL;
 	int order = -1;
 
-	memset(back, 0, sizeof(*back));
-	(void)g_strlcpy(back->section, section, sizeof(back->section));
+	memset(reverse, 0, sizeof(*reverse));
+	(void)g_strlcpy(reverse->section, section, sizeof(reverse->section));
 	while (*next < from->len && order < 0) {
 		ref = &g_array_index(from, struct rec_section_ref, *next);
 		order = strcmp(ref->section, section);
@@ -35,9 +36,9 @@
 			(*next)++;
 	}
 	if (order == 0)
-		back->digest = ref->digest;
+		reverse->digest = ref->digest;
 	else
-		back->removed = true;
+		reverse->removed = true;
 }
 
 struct ring_entry *
@@ -45,25 +46,25 @@
     uint32_t n_changes)
 {
 	struct ring_entry *entry;
-	struct ring_step step;
+	struct ring_change change;
 	uint32_t i, next = 0;
 
 	entry = g_new0(struct ring_entry, 1);
-	entry->steps =
-	    g_array_sized_new(FALSE, TRUE, sizeof(struct ring_step), n_changes);
+	entry->changes = g_array_sized_new(
+	    FALSE, TRUE, sizeof(struct ring_change), n_changes);
 	for (i = 0; i < n_changes; i++) {
-		step.forward = changes[i];
-		set_back(&step.back, from, &next, changes[i].section);
-		g_array_append_val(entry->steps, step);
+		change.forward = changes[i];
+		set_reverse(&change.reverse, from, &next, changes[i].section);
+		g_array_append_val(entry->changes, change);
 	}
 	return entry;
 }
 
 static void
-release_change(struct catalog *c, const struct rec_section_change *change)
+unref_change(struct catalog *c, const struct rec_section_change *change)
 {
 	if (!change->removed)
-		contents_release(c->contents, &change->digest);
+		contents_unref(c->contents, &change->digest);
 }
 
 static void
@@ -72,18 +73,18 @@
 	struct ring_entry *entry = g_ptr_array_index(c->ring, 0);
 	uint32_t i;
 
-	for (i = 0; i < entry->steps->len; i++) {
-		release_change(c, &STEP(entry, i)->forward);
-		release_change(c, &STEP(entry, i)->back);
+	for (i = 0; i < entry->changes->len; i++) {
+		unref_change(c, &RING_CHANGE(entry, i)->forward);
+		unref_change(c, &RING_CHANGE(entry, i)->reverse);
 	}
 	g_ptr_array_remove_index(c->ring, 0);
 }
 
 static void
-hold_change(struct catalog *c, const struct rec_section_change *change)
+ref_change(struct catalog *c, const struct rec_section_change *change)
 {
 	if (!change->removed)
-		contents_hold(c->contents, &change->digest, NULL);
+		contents_ref(c->contents, &change->digest, NULL);
 }
 
 void
@@ -91,21 +92,22 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < entry->steps->len; i++) {
-		hold_change(c, &STEP(entry, i)->forward);
-		hold_change(c, &STEP(entry, i)->back);
+	for (i = 0; i < entry->changes->len; i++) {
+		ref_change(c, &RING_CHANGE(entry, i)->forward);
+		ref_change(c, &RING_CHANGE(entry, i)->reverse);
 	}
 	g_ptr_array_add(c->ring, entry);
-	if (c->ring->len > CATALOG_RING)
+	if (c->ring->len > CATALOG_RING_ENTRIES)
 		ring_drop_oldest(c);
 }
 
 void
 ring_trim(struct catalog *c)
 {
-	uint64_t kept = MAX(CATALOG_KEPT_BYTES, c->config_bytes * 2);
+	uint64_t soft_max = MAX(CATALOG_SOFT_MAX_BYTES, c->config_bytes * 2);
 
-	while (c->ring->len > 0 && catalog_bytes(c) > MIN(c->max_bytes, kept))
+	while (
+	    c->ring->len > 0 && catalog_bytes(c) > MIN(c->max_bytes, soft_max))
 		ring_drop_oldest(c);
 }
 
@@ -128,7 +130,7 @@
 
 /* Merge an entry's changes into those of earlier ones; the later count. */
 static GArray *
-merge_steps(GArray *earlier, const struct ring_entry *entry)
+merge_ring_entry(GArray *earlier, const struct ring_entry *entry)
 {
 	const struct rec_section_change *a, *b;
 	uint32_t i = 0, j = 0;
@@ -136,17 +138,17 @@
 	int order;
 
 	out = g_array_sized_new(
-	    FALSE, TRUE, sizeof(*a), earlier->len + entry->steps->len);
-	while (i < earlier->len || j < entry->steps->len) {
+	    FALSE, TRUE, sizeof(*a), earlier->len + entry->changes->len);
+	while (i < earlier->len || j < entry->changes->len) {
 		a = &g_array_index(earlier, struct rec_section_change, i);
-		if (j == entry->steps->len)
+		if (j == entry->changes->len)
 			order = -1;
 		else if (i == earlier->len)
 			order = 1;
 		else
-			order =
-			    strcmp(a->section, STEP(entry, j)->forward.section);
-		b = order < 0 ? a : &STEP(entry, j)->forward;
+			order = strcmp(
+			    a->section, RING_CHANGE(entry, j)->forward.section);
+		b = order < 0 ? a : &RING_CHANGE(entry, j)->forward;
 		g_array_append_vals(out, b, 1);
 		i += order <= 0;
 		j += order >= 0;
@@ -156,7 +158,7 @@
 }
 
 static enum status
-not_kept(uint64_t have_version, uint64_t want_version)
+delta_not_kept(uint64_t have_version, uint64_t want_version)
 {
 	return status_set(STATUS_NOT_FOUND,
 	    "The changes from version %" G_GUINT64_FORMAT
@@ -177,11 +179,11 @@
 		if (!entry->complete && entry->from_version != at)
 			break;
 		delta->skips = delta->skips || !entry->complete;
-		delta->changes = merge_steps(delta->changes, entry);
+		delta->changes = merge_ring_entry(delta->changes, entry);
 		at = entry->to_version;
 	}
 	if (at != delta->version)
-		return not_kept(delta->from_version, delta->version);
+		return delta_not_kept(delta->from_version, delta->version);
 	delta->root = entry->to_root;
 	return STATUS_OK;
 }
@@ -209,7 +211,7 @@
 		    want_version, have_version);
 	i = chain_start(c, have_version);
 	if (i == c->ring->len)
-		return not_kept(have_version, want_version);
+		return delta_not_kept(have_version, want_version);
 	delta->from_version = have_version;
 	delta->version = want_version;
 	delta->changes =
@@ -229,17 +231,18 @@
 }
 
 /* What a commit made of a section, or NULL when it left it as it was. */
-static const struct ring_step *
-step_of(const struct ring_entry *entry, const char *section)
+static const struct ring_change *
+find_ring_change(const struct ring_entry *entry, const char *section)
 {
-	uint32_t low = 0, high = entry->steps->len, mid;
+	uint32_t low = 0, high = entry->changes->len, mid;
 	int order;
 
 	while (low < high) {
 		mid = low + (high - low) / 2;
-		order = strcmp(STEP(entry, mid)->forward.section, section);
+		order =
+		    strcmp(RING_CHANGE(entry, mid)->forward.section, section);
 		if (order == 0)
-			return STEP(entry, mid);
+			return RING_CHANGE(entry, mid);
 		if (order < 0)
 			low = mid + 1;
 		else
@@ -250,58 +253,61 @@
 
 /* Digest of a section at a version that is not the newest. */
 static const struct digest *
-section_before(
+section_digest_at(
     const struct catalog *c, uint64_t have_version, const char *section)
 {
-	const struct ring_step *step;
+	const struct ring_change *change;
 	uint32_t i;
 
 	for (i = chain_start(c, have_version); i < c->ring->len; i++) {
-		step = step_of(g_ptr_array_index(c->ring, i), section);
-		if (step != NULL)
-			return step->back.removed ? NULL : &step->back.digest;
+		change =
+		    find_ring_change(g_ptr_array_index(c->ring, i), section);
+		if (change != NULL)
+			return change->reverse.removed
+			    ? NULL
+			    : &change->reverse.digest;
 	}
 	return NULL;
 }
 
 /* Keeps the difference of two sections that are held here. */
 static const struct rec_section_patch *
-made_patch(struct patch_memo *memo, const struct digest *base, GBytes *from,
-    const struct digest *target, GBytes *to)
+cached_patch(struct patch_cache_entry *cached, const struct digest *base,
+    GBytes *from, const struct digest *target, GBytes *to)
 {
-	if (memo->filled && hash_digest_equal(&memo->base, base) &&
-	    hash_digest_equal(&memo->target, target))
-		return memo->patch;
-	patch_free(memo->patch);
-	memo->filled = true;
-	memo->base = *base;
-	memo->target = *target;
-	memo->patch = patch_make(from, to);
-	if (memo->patch != NULL)
-		memo->patch->base = *base;
-	return memo->patch;
+	if (cached->filled && hash_digest_equal(&cached->base, base) &&
+	    hash_digest_equal(&cached->target, target))
+		return cached->patch;
+	patch_free(cached->patch);
+	cached->filled = true;
+	cached->base = *base;
+	cached->target = *target;
+	cached->patch = patch_make(from, to);
+	if (cached->patch != NULL)
+		cached->patch->base = *base;
+	return cached->patch;
 }
 
 bool
 catalog_patch_from(const struct catalog *c, const struct digest *base,
     const struct digest *target, struct rec_section_patch *patch)
 {
-	const struct rec_section_patch *made;
+	const struct rec_section_patch *cached;
 	GBytes *from, *to;
-	uint32_t slot;
+	uint32_t index;
 
 	from = contents_get(c->contents, base);
 	to = contents_get(c->contents, target);
 	if (from == NULL || to == NULL)
 		return false;
-	slot = (uint32_t)digest_hash(target) % PATCH_MEMOS;
-	made = made_patch(&c->memos[slot], base, from, target, to);
-	if (made == NULL)
+	index = (uint32_t)digest_hash(target) % PATCH_CACHE_ENTRIES;
+	cached = cached_patch(&c->patch_cache[index], base, from, target, to);
+	if (cached == NULL)
 		return false;
-	*patch = *made;
+	*patch = *cached;
 	patch->hunks =
-	    g_memdup2(made->hunks, made->n_hunks * sizeof(*made->hunks));
-	patch->data = g_memdup2(made->data, made->data_len);
+	    g_memdup2(cached->hunks, cached->n_hunks * sizeof(*cached->hunks));
+	patch->data = g_memdup2(cached->data, cached->data_len);
 	return true;
 }
 
@@ -314,7 +320,7 @@
 
 	(void)g_strlcpy(section, change->section, sizeof(section));
 	do
-		base = section_before(c, have_version, section);
+		base = section_digest_at(c, have_version, section);
 	while (base == NULL && part_parent(section));
 	return base != NULL &&
 	    catalog_patch_from(c, base, &change->digest, patch);
@@ -340,15 +346,15 @@
 static GArray *
 undo_entry(GArray *list, const struct ring_entry *entry)
 {
-	GArray *back, *out;
+	GArray *reverse, *out;
 	uint32_t i;
 
-	back = g_array_new(FALSE, TRUE, sizeof(struct rec_section_change));
-	for (i = 0; i < entry->steps->len; i++)
-		g_array_append_val(back, STEP(entry, i)->back);
-	out = section_list_apply(
-	    list, (const struct rec_section_change *)back->data, back->len);
-	g_array_unref(back);
+	reverse = g_array_new(FALSE, TRUE, sizeof(struct rec_section_change));
+	for (i = 0; i < entry->changes->len; i++)
+		g_array_append_val(reverse, RING_CHANGE(entry, i)->reverse);
+	out = section_list_apply(list,
+	    (const struct rec_section_change *)reverse->data, reverse->len);
+	g_array_unref(reverse);
 	g_array_unref(list);
 	return out;
 }
--- a/packages/config/src/route_table.c
+++ b/packages/config/src/route_table.c
@@ -6,7 +6,7 @@
 
 #include "route_table.h"
 
-/* What bytes at or below ROUTE_SEGMENT in a path are mapped to. */
+/* What bytes at or below ROUTE_SLASH in a path are mapped to. */
 #define ROUTE_CONTROL '\2'
 
 /* An entry while the table is built, with its text at hand. */
@@ -19,8 +19,8 @@
 map_char(char ch)
 {
 	if (ch == '/')
-		return ROUTE_SEGMENT;
-	return (unsigned char)ch <= ROUTE_SEGMENT ? ROUTE_CONTROL : ch;
+		return ROUTE_SLASH;
+	return (unsigned char)ch <= ROUTE_SLASH ? ROUTE_CONTROL : ch;
 }
 
 /* Order of two mapped texts, the shorter one first if it starts the other. */
@@ -63,7 +63,7 @@
 	for (i = 0; i < len; i++)
 		g_string_append_c(text, map_char(route->prefix[i]));
 	if (route->below && len > 0)
-		g_string_append_c(text, ROUTE_SEGMENT);
+		g_string_append_c(text, ROUTE_SLASH);
 	return (uint32_t)(text->len - begin);
 }
 
@@ -76,15 +76,15 @@
 
 	memset(&d, 0, sizeof(d));
 	for (i = 0; i < sc->n_routes; i++) {
-		d.entry.text = (uint32_t)text->len;
+		d.entry.text_offset = (uint32_t)text->len;
 		d.entry.len = append_prefix(text, &sc->routes[i]);
 		d.entry.parent = ROUTE_NO_PARENT;
 		d.entry.service = service;
 		d.entry.section = section;
 		d.entry.route = i;
 		d.entry.methods = sc->routes[i].methods;
-		d.entry.hosted = sc->routes[i].host_len > 0;
-		d.entry.shared = sc->routes[i].weight > 0;
+		d.entry.has_host = sc->routes[i].host_len > 0;
+		d.entry.weighted = sc->routes[i].weight > 0;
 		g_array_append_val(drafts, d);
 	}
 }
@@ -107,31 +107,31 @@
 	}
 	for (i = 0; i < drafts->len; i++) {
 		d = &g_array_index(drafts, struct draft_entry, i);
-		d->prefix = text->str + d->entry.text;
+		d->prefix = text->str + d->entry.text_offset;
 	}
 	g_array_sort(drafts, draft_compare);
 	return drafts;
 }
 
 static bool
-is_above(const struct route_table *t, const struct route_entry *upper,
+is_ancestor(const struct route_table *t, const struct route_entry *upper,
     const char *text, uint32_t len)
 {
-	const char *prefix = t->text + upper->text;
+	const char *prefix = t->text + upper->text_offset;
 
 	if (upper->len > len || memcmp(prefix, text, upper->len) != 0)
 		return false;
 	return upper->len == 0 || upper->len == len ||
-	    text[upper->len] == ROUTE_SEGMENT ||
-	    prefix[upper->len - 1] == ROUTE_SEGMENT;
+	    text[upper->len] == ROUTE_SLASH ||
+	    prefix[upper->len - 1] == ROUTE_SLASH;
 }
 
 static bool
 same_prefix(const struct route_table *t, const struct route_entry *a,
     const struct route_entry *b)
 {
-	return text_compare(
-		   t->text + a->text, a->len, t->text + b->text, b->len) == 0;
+	return text_compare(t->text + a->text_offset, a->len,
+		   t->text + b->text_offset, b->len) == 0;
 }
 
 /* In sorted order the entries above an entry are its predecessor's chain. */
@@ -139,33 +139,34 @@
 link_parents(struct route_table *t)
 {
 	struct route_entry *entry;
-	uint32_t i, up;
+	uint32_t i, ancestor;
 
 	for (i = 1; i < t->n_entries; i++) {
 		entry = &t->entries[i];
-		up = i - 1;
-		if (same_prefix(t, &t->entries[up], entry)) {
-			entry->parent = t->entries[up].parent;
+		ancestor = i - 1;
+		if (same_prefix(t, &t->entries[ancestor], entry)) {
+			entry->parent = t->entries[ancestor].parent;
 			continue;
 		}
-		while (up != ROUTE_NO_PARENT &&
-		    !is_above(
-			t, &t->entries[up], t->text + entry->text, entry->len))
-			up = t->entries[up].parent;
-		entry->parent = up;
+		while (ancestor != ROUTE_NO_PARENT &&
+		    !is_ancestor(t, &t->entries[ancestor],
+			t->text + entry->text_offset, entry->len))
+			ancestor = t->entries[ancestor].parent;
+		entry->parent = ancestor;
 	}
 	/* Let each parent be the first entry of its prefix. */
 	for (i = 1; i < t->n_entries; i++) {
-		up = t->entries[i].parent;
-		while (up != ROUTE_NO_PARENT && up > 0 &&
-		    same_prefix(t, &t->entries[up - 1], &t->entries[up]))
-			up--;
-		t->entries[i].parent = up;
+		ancestor = t->entries[i].parent;
+		while (ancestor != ROUTE_NO_PARENT && ancestor > 0 &&
+		    same_prefix(
+			t, &t->entries[ancestor - 1], &t->entries[ancestor]))
+			ancestor--;
+		t->entries[i].parent = ancestor;
 	}
 }
 
 static enum status
-crossing_check(const struct route_table *t, const GPtrArray *sections)
+check_overlap(const struct route_table *t, const GPtrArray *sections)
 {
 	const struct route_entry *a, *b;
 	const struct service_config *x, *y;
@@ -175,7 +176,7 @@
 		a = &t->entries[i - 1];
 		b = &t->entries[i];
 		claimed = same_prefix(t, a, b) ? claimed | a->methods : 0;
-		if ((claimed & b->methods) == 0 || (a->shared && b->shared))
+		if ((claimed & b->methods) == 0 || (a->weighted && b->weighted))
 			continue;
 		x = g_ptr_array_index(sections, a->section);
 		y = g_ptr_array_index(sections, b->section);
@@ -209,7 +210,7 @@
 	t->text = g_string_free(text, FALSE);
 	g_array_unref(drafts);
 	link_parents(t);
-	st = crossing_check(t, sections);
+	st = check_overlap(t, sections);
 	if (st != STATUS_OK) {
 		route_table_unref(t);
 		t = NULL;
@@ -246,8 +247,8 @@
 	while (low < high) {
 		mid = low + (high - low) / 2;
 		entry = &t->entries[mid];
-		if (text_compare(
-			t->text + entry->text, entry->len, text, len) <= 0)
+		if (text_compare(t->text + entry->text_offset, entry->len, text,
+			len) <= 0)
 			low = mid + 1;
 		else
 			high = mid;
@@ -257,7 +258,7 @@
 
 /* The entry of a prefix that takes a method; @i is the prefix's first. */
 static const struct route_entry *
-pick_method(const struct route_table *t, uint32_t i, enum http_method method)
+find_method(const struct route_table *t, uint32_t i, enum http_method method)
 {
 	uint32_t first = i;
 
@@ -282,8 +283,8 @@
 
 /* The entry of the longest prefix of a mapped text, of a host or of none. */
 static const struct route_entry *
-find_text(const struct route_table *t, enum http_method method,
-    const char *text, uint32_t len, bool hosted, bool *seen_path)
+find_longest_prefix(const struct route_table *t, enum http_method method,
+    const char *text, uint32_t len, bool has_host, bool *path_matched)
 {
 	const struct route_entry *found;
 	uint32_t i;
@@ -293,11 +294,11 @@
 		return NULL;
 	i = first_of_prefix(t, i - 1);
 	for (; i != ROUTE_NO_PARENT; i = t->entries[i].parent) {
-		if (t->entries[i].hosted != hosted ||
-		    !is_above(t, &t->entries[i], text, len))
+		if (t->entries[i].has_host != has_host ||
+		    !is_ancestor(t, &t->entries[i], text, len))
 			continue;
-		*seen_path = true;
-		found = pick_method(t, i, method);
+		*path_matched = true;
+		found = find_method(t, i, method);
 		if (found != NULL)
 			return found;
 	}
@@ -307,13 +308,13 @@
 const struct route_entry *
 route_table_find(const struct route_table *t, enum http_method method,
     const char *host, size_t host_len, const char *path, size_t path_len,
-    bool *seen_path)
+    bool *path_matched)
 {
 	const struct route_entry *found = NULL;
 	char text[ROUTE_HOST_BYTES + ROUTE_PREFIX_BYTES];
 	uint32_t i, len, at;
 
-	*seen_path = false;
+	*path_matched = false;
 	if (path_len == 0 || path[0] != '/')
 		return NULL;
 	at = host_len < ROUTE_HOST_BYTES ? (uint32_t)host_len : 0;
@@ -324,9 +325,11 @@
 	for (i = 0; i < len; i++)
 		text[at + i] = map_char(path[i]);
 	if (at > 0)
-		found = find_text(t, method, text, at + len, true, seen_path);
+		found = find_longest_prefix(
+		    t, method, text, at + len, true, path_matched);
 	if (found == NULL)
-		found = find_text(t, method, text + at, len, false, seen_path);
+		found = find_longest_prefix(
+		    t, method, text + at, len, false, path_matched);
 	return found;
 }
 
--- a/packages/config/src/route_table.h
+++ b/packages/config/src/route_table.h
@@ -20,26 +20,26 @@
 
 /**
  * struct route_entry - one route
- * @text: where its prefix starts in the table's text
+ * @text_offset: where its prefix starts in the table's text
  * @len: length of the prefix; that of "/" is 0
  * @parent: first entry with the longest prefix above this one
  * @service: index of the service
  * @section: index of the section among all
  * @route: index of the route in the section
  * @methods: set of METHOD_BIT()
- * @hosted: the text begins with a host
- * @shared: several services share the route by weight
+ * @has_host: the text begins with a host
+ * @weighted: several services share the route by weight
  */
 struct route_entry {
-	uint32_t text;
+	uint32_t text_offset;
 	uint32_t len;
 	uint32_t parent;
 	uint32_t service;
 	uint32_t section;
 	uint32_t route;
 	uint32_t methods;
-	bool hosted;
-	bool shared;
+	bool has_host;
+	bool weighted;
 };
 
 /**
@@ -47,7 +47,7 @@
  * @refs: references
  * @n_entries: number of entries
  * @entries: entries, sorted
- * @text: prefixes with '/' mapped to ROUTE_SEGMENT
+ * @text: prefixes with '/' mapped to ROUTE_SLASH
  * @text_bytes: their length
  */
 struct route_table {
@@ -59,7 +59,7 @@
 };
 
 /* What '/' is mapped to, so that it sorts before all that prefixes hold. */
-#define ROUTE_SEGMENT '\1'
+#define ROUTE_SLASH '\1'
 
 /**
  * route_table_new() - compile the routes of some services
@@ -86,13 +86,13 @@
  * @host_len: number of bytes, 0 for none
  * @path: first byte of the path
  * @path_len: number of bytes, without the query
- * @seen_path: set when a prefix matched, whatever its methods
+ * @path_matched: set when a prefix matched, whatever its methods
  *
  * Return: the entry or NULL.
  */
 const struct route_entry *route_table_find(const struct route_table *t,
     enum http_method method, const char *host, size_t host_len,
-    const char *path, size_t path_len, bool *seen_path);
+    const char *path, size_t path_len, bool *path_matched);
 
 /**
  * route_table_shares() - the entries that share a route
--- a/packages/config/src/rules.c
+++ b/packages/config/src/rules.c
@@ -6,11 +6,11 @@
 
 #include "rules.h"
 
-#define NUMBER(group, key, field, min, max, initial)                        \
+#define NUMBER(group, key, field, min, max, default_value)                  \
 	{                                                                   \
 		(group), (key), offsetof(struct msg_section, field),        \
 		    sizeof(((struct msg_section *)0)->field), (min), (max), \
-		    (initial), false                                        \
+		    (default_value), false                                  \
 	}
 
 const struct number_rule number_rules[] = {
@@ -37,11 +37,11 @@
     {NULL, NULL, 0, 0, 0, 0, 0, false},
 };
 
-#define ROUTE_NUMBER(key, field, max, exact)                                   \
+#define ROUTE_NUMBER(key, field, max, no_clamp)                                \
 	{                                                                      \
 		NULL, (key), offsetof(struct rec_section_route, field),        \
 		    sizeof(((struct rec_section_route *)0)->field), 0, max, 0, \
-		    exact                                                      \
+		    no_clamp                                                   \
 	}
 
 const struct number_rule route_rules[] = {
@@ -95,7 +95,7 @@
 
 void
 number_check(const struct number_rule *rule, uint64_t value,
-    const struct place *at, struct problems *p)
+    const struct doc_path *at, struct problems *p)
 {
 	if (value >= rule->min && value <= rule->max)
 		return;
@@ -106,11 +106,11 @@
 }
 
 uint64_t
-number_fit(const struct number_rule *rule, int64_t value,
-    const struct place *at, struct problems *p)
+number_clamp(const struct number_rule *rule, int64_t value,
+    const struct doc_path *at, struct problems *p)
 {
 	/* A negative number is beyond any range once unsigned. */
-	if (value < 0 || (uint64_t)value <= rule->max || rule->exact) {
+	if (value < 0 || (uint64_t)value <= rule->max || rule->no_clamp) {
 		number_check(rule, (uint64_t)value, at, p);
 		return (uint64_t)value;
 	}
@@ -122,7 +122,7 @@
 }
 
 bool
-service_name_usual(const char *name, size_t len)
+service_name_conventional(const char *name, size_t len)
 {
 	size_t i;
 
@@ -136,20 +136,20 @@
 
 void
 service_name_check(
-    const char *name, size_t len, const struct place *at, struct problems *p)
+    const char *name, size_t len, const struct doc_path *at, struct problems *p)
 {
 	if (!service_name_valid(name, len))
 		problems_add(p, at,
 		    "use 1 to 31 of a-z, 0-9 and '-', a letter first",
 		    "this is no name of a service");
-	else if (!service_name_usual(name, len))
+	else if (!service_name_conventional(name, len))
 		problems_warn(p, at, "use a-z, 0-9 and '-', a letter first",
 		    "this name of a service is unusual");
 }
 
 /* Characters that mean the same to every upstream, unescaped. */
 static bool
-prefix_char_usual(char ch)
+prefix_char_portable(char ch)
 {
 	return g_ascii_isalnum(ch) ||
 	    (ch != '\0' && strchr("-._~!$&'()*+,;=:@/", ch) != NULL);
@@ -165,12 +165,12 @@
 
 /* Place from 1 on of the first character that doesn't pass; 0 for none. */
 static size_t
-prefix_find(const char *prefix, size_t len, bool (*passes)(char ch))
+prefix_find_invalid(const char *prefix, size_t len, bool (*is_valid)(char ch))
 {
 	size_t i;
 
 	for (i = 0; i < len; i++) {
-		if (!passes(prefix[i]))
+		if (!is_valid(prefix[i]))
 			return i + 1;
 	}
 	return 0;
@@ -178,21 +178,21 @@
 
 /* Whether a segment is one that upstreams resolve or drop. */
 static bool
-segment_vanishes(const char *segment, size_t len)
+segment_is_dot_or_empty(const char *segment, size_t len)
 {
 	return len == 0 || (len == 1 && segment[0] == '.') ||
 	    (len == 2 && segment[0] == '.' && segment[1] == '.');
 }
 
 static bool
-prefix_segments_usual(const char *prefix, size_t len)
+prefix_segments_portable(const char *prefix, size_t len)
 {
 	size_t i, start = 1;
 
 	for (i = 1; i <= len; i++) {
 		if (i < len && prefix[i] != '/')
 			continue;
-		if (segment_vanishes(prefix + start, i - start))
+		if (segment_is_dot_or_empty(prefix + start, i - start))
 			return false;
 		start = i + 1;
 	}
@@ -201,16 +201,16 @@
 
 /* What upstreams may read otherwise than the route, which compares bytes. */
 static void
-prefix_doubts(
-    const char *prefix, size_t len, const struct place *at, struct problems *p)
+prefix_check_portable(const char *prefix, size_t len, const struct doc_path *at,
+    struct problems *p)
 {
-	size_t n = prefix_find(prefix, len, prefix_char_usual);
+	size_t n = prefix_find_invalid(prefix, len, prefix_char_portable);
 
 	if (n > 0)
 		problems_warn(p, at,
 		    "use letters, digits and -._~!$&'()*+,;=:@/ only",
 		    "character %zu may be read otherwise by upstreams", n);
-	else if (len > 1 && !prefix_segments_usual(prefix, len))
+	else if (len > 1 && !prefix_segments_portable(prefix, len))
 		problems_warn(p, at,
 		    "leave out empty segments, \".\", \"..\" and a '/' at the "
 		    "end",
@@ -218,10 +218,10 @@
 }
 
 void
-prefix_check(
-    const char *prefix, size_t len, const struct place *at, struct problems *p)
+prefix_check(const char *prefix, size_t len, const struct doc_path *at,
+    struct problems *p)
 {
-	size_t n = prefix_find(prefix, len, prefix_char_valid);
+	size_t n = prefix_find_invalid(prefix, len, prefix_char_valid);
 
 	if (len == 0 || len >= ROUTE_PREFIX_BYTES || prefix[0] != '/')
 		problems_add(p, at, "use 1 to 255 characters, '/' first",
@@ -231,15 +231,15 @@
 		    "use letters, digits and -._~!$&'()*+,;=:@/ only",
 		    "character %zu can't be in a prefix", n);
 	else
-		prefix_doubts(prefix, len, at, p);
+		prefix_check_portable(prefix, len, at, p);
 }
 
 void
-methods_check(uint32_t methods, bool idempotent, const struct place *at,
+methods_check(uint32_t methods, bool idempotent, const struct doc_path *at,
     struct problems *p)
 {
-	struct place methods_at = {at, "methods", PLACE_NO_INDEX};
-	struct place idempotent_at = {at, "idempotent", PLACE_NO_INDEX};
+	struct doc_path methods_at = {at, "methods", DOC_PATH_NO_INDEX};
+	struct doc_path idempotent_at = {at, "idempotent", DOC_PATH_NO_INDEX};
 
 	if (methods == 0 ||
 	    ((methods & ~METHOD_ALL) != 0 && methods != METHOD_ANY))
@@ -250,7 +250,8 @@
 		    "a route needs known methods");
 	/* One that takes any method says so of all that it takes. */
 	if (idempotent && methods != METHOD_ANY &&
-	    (methods & METHOD_UNSAFE) != 0 && (methods & ~METHOD_UNSAFE) != 0)
+	    (methods & METHOD_NON_IDEMPOTENT) != 0 &&
+	    (methods & ~METHOD_NON_IDEMPOTENT) != 0)
 		problems_add(p, &idempotent_at,
 		    "give POST and PATCH a route of their own, and call that "
 		    "idempotent if it is",
@@ -259,7 +260,7 @@
 }
 
 void
-host_check(const char *host, const struct place *at, struct problems *p)
+host_check(const char *host, const struct doc_path *at, struct problems *p)
 {
 	const char *c;
 
@@ -287,23 +288,23 @@
 }
 
 char *
-host_fold(const char *host, const struct place *at, struct problems *p)
+host_normalize(const char *host, const struct doc_path *at, struct problems *p)
 {
 	size_t len = host_name_length(host);
-	char *folded = g_ascii_strdown(host, (gssize)len);
+	char *normalized = g_ascii_strdown(host, (gssize)len);
 
 	if (host[len] != '\0')
 		problems_warn(p, at, "leave the port out",
 		    "hosts are compared without their port");
-	else if (strcmp(host, folded) != 0)
+	else if (strcmp(host, normalized) != 0)
 		problems_warn(p, at, "use lower case",
 		    "hosts are compared in lower case");
-	return folded;
+	return normalized;
 }
 
 /* Order of what requests two routes take, their methods aside. */
 static int
-route_place_compare(
+route_match_compare(
     const struct rec_section_route *x, const struct rec_section_route *y)
 {
 	int order;
@@ -320,7 +321,7 @@
 	const struct rec_section_route *x = a, *y = b;
 	int order;
 
-	order = route_place_compare(x, y);
+	order = route_match_compare(x, y);
 	if (order != 0)
 		return order;
 	return (x->methods > y->methods) - (x->methods < y->methods);
@@ -338,20 +339,20 @@
 routes_order_check(const struct msg_section *m, struct problems *p)
 {
 	const struct rec_section_route *before, *route;
-	struct place routes_at = {NULL, "routes", PLACE_NO_INDEX};
-	struct place at = {&routes_at, NULL, 0};
+	struct doc_path routes_at = {NULL, "routes", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&routes_at, NULL, 0};
 	uint32_t i, claimed = 0;
 
 	for (i = 0; i < m->n_routes; i++) {
 		at.index = i;
 		route = &m->routes[i];
 		before = i > 0 ? &m->routes[i - 1] : NULL;
-		if (before == NULL || route_place_compare(before, route) != 0)
+		if (before == NULL || route_match_compare(before, route) != 0)
 			claimed = 0;
 		if (before != NULL && route_compare(before, route) >= 0)
 			problems_add(p, &at, "sort the routes",
 			    "the routes are not in canonical order");
-		else if (routes_cross(claimed, route->methods))
+		else if (routes_overlap(claimed, route->methods))
 			problems_add(p, &at, "take one of the routes out",
 			    "another route has this prefix and method");
 		claimed |= route->methods;
@@ -359,12 +360,12 @@
 }
 
 static void
-route_check(const struct rec_section_route *route, const struct place *at,
+route_check(const struct rec_section_route *route, const struct doc_path *at,
     struct problems *p)
 {
-	struct place prefix_at = {at, "prefix", PLACE_NO_INDEX};
-	struct place host_at = {at, "host", PLACE_NO_INDEX};
-	struct place number_at = {at, NULL, PLACE_NO_INDEX};
+	struct doc_path prefix_at = {at, "prefix", DOC_PATH_NO_INDEX};
+	struct doc_path host_at = {at, "host", DOC_PATH_NO_INDEX};
+	struct doc_path number_at = {at, NULL, DOC_PATH_NO_INDEX};
 	const struct number_rule *rule;
 
 	prefix_check(route->prefix, strlen(route->prefix), &prefix_at, p);
@@ -380,10 +381,10 @@
 section_check(const struct msg_section *m, struct problems *p)
 {
 	const struct number_rule *rule;
-	struct place number_at = {NULL, NULL, PLACE_NO_INDEX};
-	struct place service_at = {NULL, "service", PLACE_NO_INDEX};
-	struct place routes_at = {NULL, "routes", PLACE_NO_INDEX};
-	struct place at = {&routes_at, NULL, 0};
+	struct doc_path number_at = {NULL, NULL, DOC_PATH_NO_INDEX};
+	struct doc_path service_at = {NULL, "service", DOC_PATH_NO_INDEX};
+	struct doc_path routes_at = {NULL, "routes", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&routes_at, NULL, 0};
 	uint32_t i;
 
 	service_name_check(m->service, strlen(m->service), &service_at, p);
--- a/packages/config/src/rules.h
+++ b/packages/config/src/rules.h
@@ -17,8 +17,8 @@
  * @bytes: its size there, 4 or 8
  * @min: least value
  * @max: largest value
- * @initial: value when it is left out
- * @exact: whether a value above @max has no like within the range
+ * @default_value: value when it is left out
+ * @no_clamp: whether a value above @max has no like within the range
  */
 struct number_rule {
 	const char *group;
@@ -27,8 +27,8 @@
 	uint32_t bytes;
 	uint64_t min;
 	uint64_t max;
-	uint64_t initial;
-	bool exact;
+	uint64_t default_value;
+	bool no_clamp;
 };
 
 /** number_rules - all numbers of a service; ends with a NULL key */
@@ -47,7 +47,7 @@
 void number_store(const struct number_rule *rule, void *m, uint64_t value);
 
 /**
- * number_fit() - the number that is run for one that is told
+ * number_clamp() - the number that is run for one that is told
  * @rule: which
  * @value: what is told
  * @at: its place
@@ -60,30 +60,32 @@
  *
  * Return: @value, or the end of the range.
  */
-uint64_t number_fit(const struct number_rule *rule, int64_t value,
-    const struct place *at, struct problems *p);
+uint64_t number_clamp(const struct number_rule *rule, int64_t value,
+    const struct doc_path *at, struct problems *p);
 
 /** number_check() - note a number that is out of range */
 void number_check(const struct number_rule *rule, uint64_t value,
-    const struct place *at, struct problems *p);
+    const struct doc_path *at, struct problems *p);
 
-/** service_name_usual() - whether a valid name has the usual characters only */
-bool service_name_usual(const char *name, size_t len);
+/** service_name_conventional() - whether a valid name has the usual characters
+ * only */
+bool service_name_conventional(const char *name, size_t len);
 
 /** service_name_check() - note a name of a service that is bad or unusual */
-void service_name_check(
-    const char *name, size_t len, const struct place *at, struct problems *p);
+void service_name_check(const char *name, size_t len, const struct doc_path *at,
+    struct problems *p);
 
 /** prefix_check() - note a prefix that is bad, or that upstreams may read
  * otherwise than the route does */
-void prefix_check(
-    const char *prefix, size_t len, const struct place *at, struct problems *p);
+void prefix_check(const char *prefix, size_t len, const struct doc_path *at,
+    struct problems *p);
 
 /** host_check() - note a bad host of a route; an empty one is fine */
-void host_check(const char *host, const struct place *at, struct problems *p);
+void
+host_check(const char *host, const struct doc_path *at, struct problems *p);
 
 /**
- * host_fold() - a host as requests are matched by it
+ * host_normalize() - a host as requests are matched by it
  * @host: what is told
  * @at: its place
  * @p: problems
@@ -93,7 +95,8 @@
  *
  * Return: new text; free with g_free().
  */
-char *host_fold(const char *host, const struct place *at, struct problems *p);
+char *
+host_normalize(const char *host, const struct doc_path *at, struct problems *p);
 
 /**
  * methods_check() - note a bad set of methods, or a bad claim of idempotence
@@ -102,16 +105,16 @@
  * @at: the route
  * @p: problems
  */
-void methods_check(uint32_t methods, bool idempotent, const struct place *at,
+void methods_check(uint32_t methods, bool idempotent, const struct doc_path *at,
     struct problems *p);
 
 /**
- * routes_cross() - whether two routes claim the same requests
+ * routes_overlap() - whether two routes claim the same requests
  *
  * Two routes of one prefix may share no method.
  */
 static inline bool
-routes_cross(uint32_t methods_a, uint32_t methods_b)
+routes_overlap(uint32_t methods_a, uint32_t methods_b)
 {
 	return (methods_a & methods_b) != 0;
 }
--- a/packages/config/src/snapshot.c
+++ b/packages/config/src/snapshot.c
@@ -7,7 +7,7 @@
 #include "config/snapshot.h"
 
 static struct endpoint_list *
-list_of(const struct endpoint_set *endpoints, const char *service)
+ref_endpoint_list(const struct endpoint_set *endpoints, const char *service)
 {
 	struct endpoint_list *list = endpoint_set_list(endpoints, service);
 
@@ -30,7 +30,7 @@
 	service->config = sc;
 	service->sections = &s->sections[i];
 	service->n_sections = 1;
-	service->endpoints = list_of(endpoints, sc->name);
+	service->endpoints = ref_endpoint_list(endpoints, sc->name);
 	if (service->endpoints != NULL)
 		s->n_endpoints += service->endpoints->n_endpoints;
 }
@@ -132,13 +132,13 @@
     struct route_match *match)
 {
 	const struct route_entry *entry;
-	bool seen_path;
+	bool path_matched;
 
 	path_len = path_length(path, path_len);
 	entry = route_table_find(s->routes, method, host, host_length(host),
-	    path, path_len, &seen_path);
+	    path, path_len, &path_matched);
 	if (entry == NULL)
-		return seen_path ? ROUTE_NO_METHOD : ROUTE_NO_PATH;
+		return path_matched ? ROUTE_NO_METHOD : ROUTE_NO_PATH;
 	match->entry = entry;
 	set_match(s, entry, match);
 	return ROUTE_FOUND;
--- a/packages/config/src/snapshot_check.c
+++ b/packages/config/src/snapshot_check.c
@@ -58,10 +58,10 @@
 
 /* Whether the mapped text of an entry is its route's prefix. */
 static bool
-text_fits(const struct route_table *t, const struct route_entry *entry,
+text_matches_route(const struct route_table *t, const struct route_entry *entry,
     const struct service_route *route)
 {
-	const char *text = t->text + entry->text;
+	const char *text = t->text + entry->text_offset;
 	uint32_t len = route->prefix_len == 1 ? 0 : route->prefix_len;
 	bool below = route->below && len > 0;
 	uint32_t i;
@@ -72,11 +72,10 @@
 	text += route->host_len;
 	for (i = 0; i < len; i++) {
 		if (text[i] !=
-		    (route->prefix[i] == '/' ? ROUTE_SEGMENT
-					     : route->prefix[i]))
+		    (route->prefix[i] == '/' ? ROUTE_SLASH : route->prefix[i]))
 			return false;
 	}
-	return !below || text[len] == ROUTE_SEGMENT;
+	return !below || text[len] == ROUTE_SLASH;
 }
 
 static enum status
@@ -94,7 +93,7 @@
 		return violation("route that its service lacks", sc->name);
 	route = &sc->routes[entry->route];
 	if (entry->methods != route->methods ||
-	    !text_fits(s->routes, entry, route))
+	    !text_matches_route(s->routes, entry, route))
 		return violation("route differs from its service's", sc->name);
 	return STATUS_OK;
 }
@@ -117,7 +116,7 @@
 /* Whether a request for a route's own prefix finds it, or one it shares with.
  */
 static bool
-is_found(const struct snapshot *s, const struct service_route *route)
+route_is_found(const struct snapshot *s, const struct service_route *route)
 {
 	enum http_method m =
 	    (enum http_method)g_bit_nth_lsf(route->methods, -1);
@@ -148,7 +147,7 @@
 		sc = s->sections[i];
 		for (j = 0; j < sc->n_routes; j++) {
 			route = &sc->routes[j];
-			if (!is_found(s, route))
+			if (!route_is_found(s, route))
 				return violation(
 				    "route is not found", route->prefix);
 		}
--- a/packages/config/src/stage.c
+++ b/packages/config/src/stage.c
@@ -33,7 +33,7 @@
 		g_array_unref(stage->list);
 	if (stage->needed != NULL)
 		g_array_unref(stage->needed);
-	stage_next_free(stage->next);
+	staged_version_free(stage->built);
 	g_hash_table_unref(stage->names);
 	g_hash_table_unref(stage->added);
 	g_free(stage);
@@ -72,7 +72,7 @@
 }
 
 GArray *
-stage_target(const struct catalog_stage *stage)
+stage_target_list(const struct catalog_stage *stage)
 {
 	GArray *held, *list;
 
@@ -95,7 +95,7 @@
 	st = version_check(stage->c, stage->version);
 	if (st != STATUS_OK)
 		return st;
-	*list = stage_target(stage);
+	*list = stage_target_list(stage);
 	st = root_check(*list, &stage->root);
 	if (st != STATUS_OK)
 		g_clear_pointer(list, g_array_unref);
@@ -104,7 +104,7 @@
 
 /* Changes applied to an empty list leave just what they add. */
 static GArray *
-added_by(const GArray *changes)
+added_refs(const GArray *changes)
 {
 	GArray *empty, *out;
 
@@ -117,13 +117,13 @@
 
 /* Note the sections that the version names, besides those held already. */
 static void
-note_needed(struct catalog_stage *stage)
+collect_needed(struct catalog_stage *stage)
 {
 	struct rec_section_ref *ref;
 	uint32_t i;
 
 	if (stage->changes != NULL)
-		stage->needed = added_by(stage->changes);
+		stage->needed = added_refs(stage->changes);
 	else
 		stage->needed = g_array_ref(stage->list);
 	for (i = 0; i < stage->needed->len; i++) {
@@ -134,7 +134,7 @@
 
 /* Check what can be checked before any content is there. */
 static enum status
-stage_open(struct catalog_stage *stage, struct catalog_stage **out)
+stage_begin(struct catalog_stage *stage, struct catalog_stage **out)
 {
 	enum status st;
 	GArray *list;
@@ -146,7 +146,7 @@
 		return st;
 	}
 	g_array_unref(list);
-	note_needed(stage);
+	collect_needed(stage);
 	*out = stage;
 	return STATUS_OK;
 }
@@ -173,7 +173,7 @@
 	s = stage_new(c, delta->version, &delta->root);
 	s->changes = g_array_copy(delta->changes);
 	s->skips = delta->skips;
-	return stage_open(s, stage);
+	return stage_begin(s, stage);
 }
 
 enum status
@@ -189,7 +189,7 @@
 		return st;
 	s = stage_new(c, version, root);
 	s->list = g_array_copy((GArray *)list);
-	return stage_open(s, stage);
+	return stage_begin(s, stage);
 }
 
 uint64_t
@@ -231,7 +231,7 @@
 
 /* The section that is held under a name, or that it was split from. */
 static const struct service_config *
-held_before(const struct catalog *c, const char *name)
+find_base(const struct catalog *c, const char *name)
 {
 	char section[SECTION_NAME_BYTES];
 	const struct service_config *held;
@@ -255,7 +255,7 @@
 	for (i = 0; i < missing->len; i++) {
 		memset(&want, 0, sizeof(want));
 		want.digest = g_array_index(missing, struct digest, i);
-		held = held_before(
+		held = find_base(
 		    stage->c, g_hash_table_lookup(stage->names, &want.digest));
 		if (held != NULL)
 			want.base = held->digest;
@@ -312,7 +312,7 @@
 
 /* Whether a section that is needed is held under the same name. */
 static bool
-is_in_place(const struct catalog_stage *stage, const struct digest *digest)
+is_current(const struct catalog_stage *stage, const struct digest *digest)
 {
 	const struct service_config *held;
 
@@ -333,7 +333,7 @@
 		    " has no section with this content; drop it.",
 		    stage->version);
 	if (g_hash_table_contains(stage->added, &digest) ||
-	    is_in_place(stage, &digest))
+	    is_current(stage, &digest))
 		return STATUS_OK;
 	return add_section(stage, data, len);
 }
--- a/packages/config/src/stage_defs.h
+++ b/packages/config/src/stage_defs.h
@@ -7,7 +7,7 @@
 #include "catalog_defs.h"
 #include "config/stage.h"
 
-struct stage_next;
+struct staged_version;
 
 /**
  * struct catalog_stage - see config/stage.h
@@ -21,7 +21,7 @@
  * @added: digest to struct section: contents that came
  * @added_bytes: their sum
  * @skips: see struct catalog_delta
- * @next: the target version as it was checked, or NULL
+ * @built: the target version as it was checked, or NULL
  */
 struct catalog_stage {
 	const struct catalog *c;
@@ -34,14 +34,15 @@
 	GHashTable *added;
 	uint64_t added_bytes;
 	bool skips;
-	struct stage_next *next;
+	struct staged_version *built;
 };
 
-/** stage_next_free() - free a version that was built; NULL is fine */
-void stage_next_free(struct stage_next *n);
+/** staged_version_free() - free a version that was built; NULL is fine */
+void staged_version_free(struct staged_version *n);
 
-/** stage_target() - list of the target version over the version held now */
-GArray *stage_target(const struct catalog_stage *stage);
+/** stage_target_list() - list of the target version over the version held now
+ */
+GArray *stage_target_list(const struct catalog_stage *stage);
 
 /**
  * stage_check() - check version and root against the version held now
--- a/packages/config/test/test_bundle.c
+++ b/packages/config/test/test_bundle.c
@@ -18,8 +18,8 @@
 static const struct {
 	const char *json;
 	const char *path;
-	const char *word;
-} faults[] = {
+	const char *message;
+} problem_cases[] = {
     {"", "", "line 1"},
     {"[]", "", "is an object"},
     {"{'format':1", "", "line 1"},
@@ -107,14 +107,15 @@
 {
 	const struct bundle_problem *problem;
 	struct bundle *b;
-	char *json = fix_json(faults[_i].json);
+	char *json = fix_json(problem_cases[_i].json);
 
 	ck_assert_int_ne(bundle_parse(json, strlen(json), &b), STATUS_OK);
 	ck_assert_uint_eq(b->sections->len, 0);
 	ck_assert_uint_eq(b->n_problems, 1);
 	problem = g_ptr_array_index(b->problems, 0);
-	ck_assert_str_eq(problem->path, faults[_i].path);
-	ck_assert_msg(strstr(problem->message, faults[_i].word) != NULL, "%s",
+	ck_assert_str_eq(problem->path, problem_cases[_i].path);
+	ck_assert_msg(
+	    strstr(problem->message, problem_cases[_i].message) != NULL, "%s",
 	    problem->message);
 	ck_assert(problem->remedy[0] != '\0');
 	ck_assert(strstr(status_message(), problem->remedy) != NULL);
@@ -127,8 +128,8 @@
 static const struct {
 	const char *json;
 	const char *path;
-	const char *word;
-} doubts[] = {
+	const char *message;
+} warning_cases[] = {
     {"{'format':1,'name':'X','services':[{'name':'a'}],'routes':[]}", "name",
 	"unusual"},
     {SERVICES("{'name':'-a'}"), "services[0].name", "unusual"},
@@ -168,14 +169,15 @@
 START_TEST(test_doubt)
 {
 	const struct bundle_problem *warning;
-	struct bundle *b = fix_bundle(doubts[_i].json);
+	struct bundle *b = fix_bundle(warning_cases[_i].json);
 	struct catalog *c = catalog_new(0);
 
 	ck_assert_uint_eq(b->n_problems, 0);
 	ck_assert_uint_eq(b->n_warnings, 1);
 	warning = g_ptr_array_index(b->warnings, 0);
-	ck_assert_str_eq(warning->path, doubts[_i].path);
-	ck_assert_msg(strstr(warning->message, doubts[_i].word) != NULL, "%s",
+	ck_assert_str_eq(warning->path, warning_cases[_i].path);
+	ck_assert_msg(
+	    strstr(warning->message, warning_cases[_i].message) != NULL, "%s",
 	    warning->message);
 	ck_assert(warning->remedy[0] != '\0');
 	ck_assert_int_eq(fix_commit(c, 1, b), STATUS_OK);
@@ -186,8 +188,8 @@
 
 /* What a doubt is run as, told by the root of what it is equal to. */
 static const struct {
-	const char *said, *run;
-} run_as[] = {
+	const char *written, *normalized;
+} equivalent_cases[] = {
     {SERVICES("{'name':'a','timeout_ms':9999999,'retry':{'attempts':99}}"),
 	SERVICES("{'name':'a','timeout_ms':3600000,'retry':{'attempts':10}}")},
     {ROUTES("{'prefix':'/p','host':'X.Example:80','methods':['GET'],"
@@ -203,18 +205,18 @@
 
 START_TEST(test_run_as)
 {
-	struct bundle *said = fix_bundle(run_as[_i].said);
-	struct bundle *run = fix_bundle(run_as[_i].run);
+	struct bundle *written = fix_bundle(equivalent_cases[_i].written);
+	struct bundle *normalized = fix_bundle(equivalent_cases[_i].normalized);
 
-	ck_assert(hash_digest_equal(&said->root, &run->root));
-	ck_assert_uint_eq(run->n_warnings, 0);
-	bundle_free(said);
-	bundle_free(run);
+	ck_assert(hash_digest_equal(&written->root, &normalized->root));
+	ck_assert_uint_eq(normalized->n_warnings, 0);
+	bundle_free(written);
+	bundle_free(normalized);
 }
 END_TEST
 
 /* A bundle with problems tells its warnings too. */
-START_TEST(test_doubts_beside_problems)
+START_TEST(test_warnings_with_problems)
 {
 	struct bundle *b;
 	char *json = fix_json(SERVICES("{'name':'B'},{'name':'c','x':1}"));
@@ -259,7 +261,7 @@
 END_TEST
 
 static uint32_t
-methods_of(const json_t *list)
+parse_methods(const json_t *list)
 {
 	const char *name;
 	enum http_method m;
@@ -282,40 +284,40 @@
 
 /* A route of a text; false where a part has no type that a route can have. */
 static bool
-route_of(json_t *o, struct bundle_route *route)
+parse_route(json_t *o, struct bundle_route *route)
 {
 	static const char *const keys[] = {
 	    "weight", "timeout_ms", "target_ms", "priority", "attempts"};
 	json_t *v;
-	size_t i, known = 4;
+	size_t i, n_known = 4;
 
 	memset(route, 0, sizeof(*route));
 	route->prefix = json_string_value(json_object_get(o, "prefix"));
 	route->host = json_string_value(json_object_get(o, "host"));
 	route->service = json_string_value(json_object_get(o, "service"));
-	route->methods = methods_of(json_object_get(o, "methods"));
+	route->methods = parse_methods(json_object_get(o, "methods"));
 	route->below = json_is_true(json_object_get(o, "below"));
 	v = json_object_get(o, "idempotent");
 	route->idempotent =
 	    v != NULL ? json_is_true(v) : (route->methods & ~METHOD_SAFE) == 0;
-	known -= route->prefix == NULL ? 1 : 0;
-	known += json_is_boolean(v) ? 1 : 0;
-	known += json_is_boolean(json_object_get(o, "below")) ? 1 : 0;
-	known -= route->host == NULL ? 1 : 0;
+	n_known -= route->prefix == NULL ? 1 : 0;
+	n_known += json_is_boolean(v) ? 1 : 0;
+	n_known += json_is_boolean(json_object_get(o, "below")) ? 1 : 0;
+	n_known -= route->host == NULL ? 1 : 0;
 	for (i = 0; i < G_N_ELEMENTS(keys); i++) {
 		v = json_object_get(o, keys[i]);
-		known += json_is_integer(v) ? 1 : 0;
+		n_known += json_is_integer(v) ? 1 : 0;
 		route->numbers[i] =
 		    v != NULL ? json_integer_value(v) : BUNDLE_NUMBER_OMITTED;
 	}
-	return json_object_size(o) == known && route->prefix != NULL &&
+	return json_object_size(o) == n_known && route->prefix != NULL &&
 	    route->service != NULL && route->methods != 0;
 }
 
 /* The bundle of a text, put together item by item; NULL where the text says
  * more than its name, services and routes. */
 static struct bundle *
-built(const char *json, enum status *st)
+build_incrementally(const char *json, enum status *st)
 {
 	json_t *root = json_loads(json, JSON_REJECT_DUPLICATES, NULL), *item;
 	json_t *services = json_object_get(root, "services");
@@ -335,7 +337,7 @@
 		    bundle_build_service(build, item);
 		json_array_foreach(routes, i, item)
 		{
-			good_types = good_types && route_of(item, &route);
+			good_types = good_types && parse_route(item, &route);
 			if (good_types)
 				bundle_build_route(build, &route);
 		}
@@ -348,7 +350,7 @@
 }
 
 static void
-check_alike(const GPtrArray *x, const GPtrArray *y)
+check_same_problems(const GPtrArray *x, const GPtrArray *y)
 {
 	const struct bundle_problem *p, *q;
 	guint i;
@@ -365,19 +367,19 @@
 
 /* Return: whether the text could be put together. */
 static bool
-check_built(const char *text)
+check_incremental_build(const char *text)
 {
-	enum status parsed_st, built_st;
+	enum status parsed_st, build_st;
 	char *json = fix_json(text);
-	struct bundle *x = built(json, &built_st), *y;
+	struct bundle *x = build_incrementally(json, &build_st), *y;
 
 	if (x != NULL) {
 		parsed_st = bundle_parse(json, strlen(json), &y);
-		ck_assert_int_eq(built_st, parsed_st);
+		ck_assert_int_eq(build_st, parsed_st);
 		ck_assert_uint_eq(x->n_problems, y->n_problems);
 		ck_assert_uint_eq(x->n_warnings, y->n_warnings);
-		check_alike(x->problems, y->problems);
-		check_alike(x->warnings, y->warnings);
+		check_same_problems(x->problems, y->problems);
+		check_same_problems(x->warnings, y->warnings);
 		ck_assert_uint_eq(x->sections->len, y->sections->len);
 		ck_assert(hash_digest_equal(&x->root, &y->root));
 		ck_assert_str_eq(x->name, y->name);
@@ -389,23 +391,24 @@
 }
 
 /* What is put together item by item is what is parsed, faults and all. */
-START_TEST(test_built)
+START_TEST(test_incremental_build)
 {
-	size_t i, n_faults = 0;
-
-	ck_assert(check_built(fix_valid_bundle));
-	for (i = 0; i < G_N_ELEMENTS(doubts); i++)
-		ck_assert(check_built(doubts[i].json));
-	for (i = 0; i < G_N_ELEMENTS(run_as); i++)
-		ck_assert(check_built(run_as[i].said));
-	for (i = 0; i < G_N_ELEMENTS(faults); i++)
-		n_faults += check_built(faults[i].json) ? 1 : 0;
-	ck_assert_uint_gt(n_faults, G_N_ELEMENTS(faults) / 2);
+	size_t i, n_compared = 0;
+
+	ck_assert(check_incremental_build(fix_valid_bundle));
+	for (i = 0; i < G_N_ELEMENTS(warning_cases); i++)
+		ck_assert(check_incremental_build(warning_cases[i].json));
+	for (i = 0; i < G_N_ELEMENTS(equivalent_cases); i++)
+		ck_assert(check_incremental_build(equivalent_cases[i].written));
+	for (i = 0; i < G_N_ELEMENTS(problem_cases); i++)
+		n_compared +=
+		    check_incremental_build(problem_cases[i].json) ? 1 : 0;
+	ck_assert_uint_gt(n_compared, G_N_ELEMENTS(problem_cases) / 2);
 }
 END_TEST
 
 /* Services are counted, and the first too many is not read. */
-START_TEST(test_built_too_many)
+START_TEST(test_incremental_build_too_many)
 {
 	struct bundle_build *build = bundle_build_new("x");
 	struct bundle *b;
@@ -446,7 +449,7 @@
 
 /* Text of a bundle with many services, routes, or values of one kind. */
 static char *
-many(const char *head, const char *fmt, uint32_t n, const char *tail)
+repeat_items(const char *head, const char *fmt, uint32_t n, const char *tail)
 {
 	GString *out = g_string_new(head);
 	uint32_t i;
@@ -472,26 +475,26 @@
 static const struct {
 	const char *head, *fmt, *tail;
 	uint32_t most;
-	const char *word;
-} limits[] = {
+	const char *message;
+} limit_cases[] = {
     {HEAD, "{'name':'s%u'}", "],'routes':[]}", CONFIG_MAX_SERVICES,
 	"4096 are taken"},
 };
 
-START_TEST(test_limit)
+START_TEST(test_services_limit)
 {
 	struct bundle *b;
 	uint32_t more;
 	char *json;
 
 	for (more = 0; more <= 1; more++) {
-		json = many(limits[_i].head, limits[_i].fmt,
-		    limits[_i].most + more, limits[_i].tail);
+		json = repeat_items(limit_cases[_i].head, limit_cases[_i].fmt,
+		    limit_cases[_i].most + more, limit_cases[_i].tail);
 		ck_assert_int_eq(bundle_parse(json, strlen(json), &b),
 		    more == 0 ? STATUS_OK : STATUS_INVALID);
 		if (more > 0)
-			ck_assert(
-			    strstr(status_message(), limits[_i].word) != NULL);
+			ck_assert(strstr(status_message(),
+				      limit_cases[_i].message) != NULL);
 		bundle_free(b);
 		g_free(json);
 	}
@@ -505,7 +508,8 @@
 	struct bundle *b;
 	char *json;
 
-	json = many(HEAD "{'name':'a'}],'routes':[", LONG_ROUTE, n, "]}");
+	json =
+	    repeat_items(HEAD "{'name':'a'}],'routes':[", LONG_ROUTE, n, "]}");
 	ck_assert_int_eq(bundle_parse(json, strlen(json), &b), STATUS_INVALID);
 	ck_assert(strstr(status_message(), "33554432 are taken") != NULL);
 	bundle_free(b);
@@ -535,7 +539,7 @@
 }
 END_TEST
 
-START_TEST(test_meaning)
+START_TEST(test_parsed_values)
 {
 	struct bundle *b = fix_bundle(fix_valid_bundle), *c;
 	const struct service_config *booking, *search;
@@ -575,18 +579,22 @@
 	Suite *suite = suite_create("bundle");
 	TCase *tc = tcase_create("bundle");
 
-	tcase_add_loop_test(tc, test_fault, 0, (int)G_N_ELEMENTS(faults));
-	tcase_add_loop_test(tc, test_doubt, 0, (int)G_N_ELEMENTS(doubts));
-	tcase_add_loop_test(tc, test_run_as, 0, (int)G_N_ELEMENTS(run_as));
-	tcase_add_test(tc, test_doubts_beside_problems);
+	tcase_add_loop_test(
+	    tc, test_fault, 0, (int)G_N_ELEMENTS(problem_cases));
+	tcase_add_loop_test(
+	    tc, test_doubt, 0, (int)G_N_ELEMENTS(warning_cases));
+	tcase_add_loop_test(
+	    tc, test_run_as, 0, (int)G_N_ELEMENTS(equivalent_cases));
+	tcase_add_test(tc, test_warnings_with_problems);
 	tcase_add_test(tc, test_shares);
-	tcase_add_test(tc, test_built);
-	tcase_add_test(tc, test_built_too_many);
+	tcase_add_test(tc, test_incremental_build);
+	tcase_add_test(tc, test_incremental_build_too_many);
 	tcase_add_test(tc, test_all_at_once);
-	tcase_add_loop_test(tc, test_limit, 0, (int)G_N_ELEMENTS(limits));
+	tcase_add_loop_test(
+	    tc, test_services_limit, 0, (int)G_N_ELEMENTS(limit_cases));
 	tcase_add_test(tc, test_routes_too_large);
 	tcase_add_test(tc, test_too_large);
-	tcase_add_test(tc, test_meaning);
+	tcase_add_test(tc, test_parsed_values);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return fix_run(suite);
--- a/packages/config/test/test_catalog.c
+++ b/packages/config/test/test_catalog.c
@@ -159,7 +159,7 @@
  * versions, holds the same as the versions that were signed off,
  * and keeps each older one that it has in its ring.
  */
-START_TEST(test_chain)
+START_TEST(test_relayed_versions)
 {
 	struct catalog *c[3] = {catalog_new(0), catalog_new(0), catalog_new(0)};
 	GRand *rand = g_rand_new_with_seed(SEED + (guint32)_i);
@@ -195,7 +195,7 @@
 	struct catalog *c = catalog_new(0), *d;
 	GRand *rand = g_rand_new_with_seed(SEED);
 	struct version *v = random_versions(rand);
-	const uint64_t oldest = RANDOM_VERSIONS - CATALOG_RING;
+	const uint64_t oldest = RANDOM_VERSIONS - CATALOG_RING_ENTRIES;
 	struct catalog_delta delta;
 	uint64_t from, to;
 	GArray *list;
@@ -253,13 +253,13 @@
 };
 
 /* A crossing route: 'c' claims what 'a' has. */
-static const char crossing[] =
+static const char overlapping[] =
     "{'format':1,'name':'x','services':[{'name':'c'}],'routes':["
     "{'prefix':'/a','methods':['GET'],'service':'c'}]}";
 
 static void
-spoil(enum bad bad, struct catalog_delta *delta, const struct bundle *other,
-    const struct digest *held)
+corrupt_delta(enum bad bad, struct catalog_delta *delta,
+    const struct bundle *other, const struct digest *held)
 {
 	struct rec_section_change *change, more;
 
@@ -307,7 +307,7 @@
 
 /* The root that the spoilt changes lead to, so that later checks count. */
 static void
-fit_root(const struct catalog *c, struct catalog_delta *delta)
+recompute_root(const struct catalog *c, struct catalog_delta *delta)
 {
 	GArray *held, *list;
 
@@ -324,7 +324,7 @@
 {
 	struct bundle *before = fix_bundle(TWO("5", "'GET'"));
 	struct bundle *after = fix_bundle(TWO("6", "'GET'"));
-	struct bundle *other = fix_bundle(crossing);
+	struct bundle *other = fix_bundle(overlapping);
 	struct catalog_delta delta = {5, 7, {{0}}, NULL, false};
 	struct catalog_stage *stage = NULL;
 	struct catalog *c = catalog_new(0);
@@ -337,10 +337,10 @@
 	delta.changes = section_changes(from, to);
 	ck_assert_uint_eq(delta.changes->len, 1);
 	if (_i < BAD_COUNT)
-		spoil(
+		corrupt_delta(
 		    (enum bad)_i, &delta, other, &catalog_find(c, "d")->digest);
 	if (_i >= BAD_ORDER && _i < BAD_COUNT)
-		fit_root(c, &delta);
+		recompute_root(c, &delta);
 	st = catalog_stage_begin(c, &delta, &stage);
 	if (st == STATUS_OK) {
 		st = fix_add_all(stage, after);
@@ -371,7 +371,7 @@
 END_TEST
 
 /* A check changes nothing; what it built isn't used over another version. */
-START_TEST(test_checked_then_overtaken)
+START_TEST(test_commit_between_check_and_commit)
 {
 	struct bundle *b[3] = {fix_bundle(TWO("5", "'GET'")),
 	    fix_bundle(TWO("6", "'GET'")), fix_bundle(TWO("7", "'GET'"))};
@@ -456,7 +456,8 @@
 		ck_assert_uint_le(catalog_bytes(c), limit);
 		check_holds(c, i, &v[i]);
 	}
-	ck_assert_uint_gt(catalog_oldest(c), RANDOM_VERSIONS - CATALOG_RING);
+	ck_assert_uint_gt(
+	    catalog_oldest(c), RANDOM_VERSIONS - CATALOG_RING_ENTRIES);
 	ck_assert_uint_lt(catalog_oldest(c), RANDOM_VERSIONS);
 	ck_assert_int_eq(
 	    fix_commit(tiny, 1, v[RANDOM_VERSIONS].bundle), STATUS_TOO_LARGE);
@@ -474,10 +475,10 @@
 	Suite *suite = suite_create("catalog");
 	TCase *tc = tcase_create("catalog");
 
-	tcase_add_loop_test(tc, test_chain, 0, 20);
+	tcase_add_loop_test(tc, test_relayed_versions, 0, 20);
 	tcase_add_test(tc, test_ring);
 	tcase_add_loop_test(tc, test_bad, 0, BAD_COUNT + 1);
-	tcase_add_test(tc, test_checked_then_overtaken);
+	tcase_add_test(tc, test_commit_between_check_and_commit);
 	tcase_add_test(tc, test_overtaken);
 	tcase_add_test(tc, test_memory);
 	tcase_set_timeout(tc, 60);
--- a/packages/config/test/test_growth.c
+++ b/packages/config/test/test_growth.c
@@ -22,17 +22,17 @@
 #define PAD_BYTES 230
 
 /* Largest change in one step, and time of a route that nothing says. */
-#define GROW_MOST 4000
+#define CHANGE_MAX 4000
 #define TIMEOUT_MS 1000
 
 /* Routes of a model that fits any release, and of a large deployment. */
-#define FEW 400
-#define MANY 20000
-#define STEPS 20
-#define STEPS_FEW 60
+#define ROUTES_SMALL 400
+#define ROUTES_LARGE 20000
+#define STEPS_LARGE 20
+#define STEPS_SMALL 60
 
 /** struct part - a service's part of a route */
-struct part {
+struct route_target {
 	uint32_t service;
 	uint32_t weight;
 };
@@ -42,37 +42,37 @@
  * @host: index of its host, HOSTS for any
  * @prefix: number of its prefix
  * @timeout_ms: its time
- * @parts: where it leads; more than one share it by weight
- * @n_parts: their number
+ * @targets: where it leads; more than one share it by weight
+ * @n_targets: their number
  */
-struct line {
+struct model_route {
 	uint32_t host;
 	uint32_t prefix;
 	uint32_t timeout_ms;
-	struct part parts[SHARES];
-	uint32_t n_parts;
+	struct route_target targets[SHARES];
+	uint32_t n_targets;
 };
 
 /**
  * struct model - the table, and what was made of it
  * @rnd: source of the steps
- * @lines: struct line
+ * @routes: struct line
  * @keys: host and prefix to the struct line
  * @next_prefix: number of the next new prefix
  * @version: version that was made last
  * @reader: holds each version, as it was written
  * @node: follows the reader by changes and differences, version by version
- * @late: follows the node, and leaves versions out
+ * @lagging: follows the node, and leaves versions out
  */
 struct model {
 	GRand *rnd;
-	GArray *lines;
+	GArray *routes;
 	GHashTable *keys;
 	uint32_t next_prefix;
 	uint64_t version;
 	struct catalog *reader;
 	struct catalog *node;
-	struct catalog *late;
+	struct catalog *lagging;
 };
 
 /* Names that begin one another, and the longest that there can be. */
@@ -83,7 +83,7 @@
     "one.example", "two.example", "one.example.org", "x", ""};
 
 static uint32_t
-below(struct model *m, uint32_t n)
+random_below(struct model *m, uint32_t n)
 {
 	return (uint32_t)g_rand_int_range(m->rnd, 0, (gint32)n);
 }
@@ -105,114 +105,121 @@
 }
 
 static char *
-key_of(uint32_t host, const char *prefix)
+make_key(uint32_t host, const char *prefix)
 {
 	return g_strdup_printf("%u %s", host, prefix);
 }
 
 static char *
-line_key(const struct line *l)
+route_key(const struct model_route *route)
 {
 	char prefix[KEY_BYTES];
 
-	write_prefix(prefix, l->prefix);
-	return key_of(l->host, prefix);
+	write_prefix(prefix, route->prefix);
+	return make_key(route->host, prefix);
 }
 
 /* The table anew, after its lines were moved about in memory. */
 static void
-index_lines(struct model *m)
+index_routes(struct model *m)
 {
 	uint32_t i;
 
 	g_hash_table_remove_all(m->keys);
-	for (i = 0; i < m->lines->len; i++)
+	for (i = 0; i < m->routes->len; i++)
 		g_hash_table_insert(m->keys,
-		    line_key(&g_array_index(m->lines, struct line, i)),
-		    &g_array_index(m->lines, struct line, i));
+		    route_key(&g_array_index(m->routes, struct model_route, i)),
+		    &g_array_index(m->routes, struct model_route, i));
 }
 
 static bool
-leads_to(const struct line *l, uint32_t service)
+has_target(const struct model_route *route, uint32_t service)
 {
 	uint32_t i;
 
-	for (i = 0; i < l->n_parts; i++)
-		if (l->parts[i].service == service)
+	for (i = 0; i < route->n_targets; i++)
+		if (route->targets[i].service == service)
 			return true;
 	return false;
 }
 
 /* One service has most routes; one in ten is shared by weight. */
 static void
-draw_parts(struct model *m, struct line *l)
+random_targets(struct model *m, struct model_route *route)
 {
-	uint32_t n = below(m, 10) == 0 ? 2 + below(m, SHARES - 1) : 1;
+	uint32_t n =
+	    random_below(m, 10) == 0 ? 2 + random_below(m, SHARES - 1) : 1;
 	uint32_t service;
 
-	l->n_parts = 0;
-	while (l->n_parts < n) {
-		service = below(m, 4) > 0 ? 0 : below(m, SERVICES);
-		if (leads_to(l, service))
+	route->n_targets = 0;
+	while (route->n_targets < n) {
+		service =
+		    random_below(m, 4) > 0 ? 0 : random_below(m, SERVICES);
+		if (has_target(route, service))
 			service = (service + 1) % SERVICES;
-		if (leads_to(l, service))
+		if (has_target(route, service))
 			continue;
-		l->parts[l->n_parts].service = service;
-		l->parts[l->n_parts++].weight = 1 + below(m, 99);
+		route->targets[route->n_targets].service = service;
+		route->targets[route->n_targets++].weight =
+		    1 + random_below(m, 99);
 	}
 }
 
 static void
 grow(struct model *m, uint32_t n)
 {
-	struct line l = {.timeout_ms = TIMEOUT_MS};
+	struct model_route route = {.timeout_ms = TIMEOUT_MS};
 
 	while (n-- > 0) {
-		l.host = below(m, HOSTS + 1);
-		l.prefix = m->next_prefix++;
-		draw_parts(m, &l);
-		g_array_append_val(m->lines, l);
+		route.host = random_below(m, HOSTS + 1);
+		route.prefix = m->next_prefix++;
+		random_targets(m, &route);
+		g_array_append_val(m->routes, route);
 	}
 }
 
 static void
 shrink(struct model *m, uint32_t n)
 {
-	while (n-- > 0 && m->lines->len > 1)
-		g_array_remove_index_fast(m->lines, below(m, m->lines->len));
+	while (n-- > 0 && m->routes->len > 1)
+		g_array_remove_index_fast(
+		    m->routes, random_below(m, m->routes->len));
 }
 
 /* Some get other services, weights or times. */
 static void
 change(struct model *m, uint32_t n)
 {
-	struct line *l;
+	struct model_route *route;
 
 	while (n-- > 0) {
-		l = &g_array_index(
-		    m->lines, struct line, below(m, m->lines->len));
-		if (below(m, 2) == 0)
-			draw_parts(m, l);
+		route = &g_array_index(m->routes, struct model_route,
+		    random_below(m, m->routes->len));
+		if (random_below(m, 2) == 0)
+			random_targets(m, route);
 		else
-			l->timeout_ms = TIMEOUT_MS + below(m, 100);
+			route->timeout_ms = TIMEOUT_MS + random_below(m, 100);
 	}
 }
 
 static void
-add_route(GString *s, const struct line *l, const struct part *part)
+add_route(GString *s, const struct model_route *route,
+    const struct route_target *route_target)
 {
 	char prefix[KEY_BYTES];
 
-	write_prefix(prefix, l->prefix);
+	write_prefix(prefix, route->prefix);
 	g_string_append_printf(s,
 	    "%s{\"prefix\":\"%s\",\"below\":true,\"methods\":[\"*\"],"
 	    "\"timeout_ms\":%u,\"service\":\"%s\"",
-	    s->str[s->len - 1] == '[' ? "" : ",", prefix, l->timeout_ms,
-	    services[part->service]);
-	if (l->host < HOSTS)
-		g_string_append_printf(s, ",\"host\":\"%s\"", hosts[l->host]);
-	if (l->n_parts > 1)
-		g_string_append_printf(s, ",\"weight\":%u", part->weight);
+	    s->str[s->len - 1] == '[' ? "" : ",", prefix, route->timeout_ms,
+	    services[route_target->service]);
+	if (route->host < HOSTS)
+		g_string_append_printf(
+		    s, ",\"host\":\"%s\"", hosts[route->host]);
+	if (route->n_targets > 1)
+		g_string_append_printf(
+		    s, ",\"weight\":%u", route_target->weight);
 	g_string_append_c(s, '}');
 }
 
@@ -221,7 +228,7 @@
 {
 	GString *s =
 	    g_string_new("{\"format\":1,\"name\":\"g\",\"services\":[");
-	const struct line *l;
+	const struct model_route *route;
 	struct bundle *b;
 	uint32_t i, j;
 
@@ -229,14 +236,14 @@
 		g_string_append_printf(
 		    s, "%s{\"name\":\"%s\"}", i > 0 ? "," : "", services[i]);
 	g_string_append(s, "],\"routes\":[");
-	for (i = 0; i < m->lines->len; i++) {
-		l = &g_array_index(m->lines, struct line, i);
-		for (j = 0; j < l->n_parts; j++)
-			add_route(s, l, &l->parts[j]);
+	for (i = 0; i < m->routes->len; i++) {
+		route = &g_array_index(m->routes, struct model_route, i);
+		for (j = 0; j < route->n_targets; j++)
+			add_route(s, route, &route->targets[j]);
 	}
 	g_string_append(s, "]}");
 	ck_assert_msg(bundle_parse(s->str, s->len, &b) == STATUS_OK,
-	    "%u routes: %s", m->lines->len, status_message());
+	    "%u routes: %s", m->routes->len, status_message());
 	g_string_free(s, TRUE);
 	return b;
 }
@@ -351,15 +358,15 @@
 }
 
 /* The line of the longest prefix of a host that a path lies below. */
-static const struct line *
-look_host(const struct model *m, uint32_t host, const char *path)
+static const struct model_route *
+lookup_on_host(const struct model *m, uint32_t host, const char *path)
 {
 	char *text = g_strdup(path), *end, *key;
-	const struct line *found = NULL;
+	const struct model_route *found = NULL;
 
 	while (found == NULL && (end = strrchr(text, '/')) != text) {
 		*end = '\0';
-		key = key_of(host, text);
+		key = make_key(host, text);
 		found = g_hash_table_lookup(m->keys, key);
 		g_free(key);
 	}
@@ -367,28 +374,28 @@
 	return found;
 }
 
-static const struct line *
-look(const struct model *m, uint32_t host, const char *path)
+static const struct model_route *
+lookup(const struct model *m, uint32_t host, const char *path)
 {
-	const struct line *found = look_host(m, host, path);
+	const struct model_route *found = lookup_on_host(m, host, path);
 
-	return found != NULL ? found : look_host(m, HOSTS, path);
+	return found != NULL ? found : lookup_on_host(m, HOSTS, path);
 }
 
 static void
-check_share(const struct line *l, const struct route_match *match)
+check_share(const struct model_route *route, const struct route_match *match)
 {
 	uint32_t i;
 
-	ck_assert_uint_eq(match->route->timeout_ms, l->timeout_ms);
-	for (i = 0; i < l->n_parts; i++)
-		if (strcmp(services[l->parts[i].service],
+	ck_assert_uint_eq(match->route->timeout_ms, route->timeout_ms);
+	for (i = 0; i < route->n_targets; i++)
+		if (strcmp(services[route->targets[i].service],
 			match->service->config->name) == 0)
 			break;
-	ck_assert_msg(i < l->n_parts, "a route leads to %s",
+	ck_assert_msg(i < route->n_targets, "a route leads to %s",
 	    match->service->config->name);
-	ck_assert_uint_eq(
-	    match->route->weight, l->n_parts > 1 ? l->parts[i].weight : 0);
+	ck_assert_uint_eq(match->route->weight,
+	    route->n_targets > 1 ? route->targets[i].weight : 0);
 }
 
 static void
@@ -396,25 +403,25 @@
     const char *path)
 {
 	struct route_match match, shares[SNAPSHOT_SHARES_MAX];
-	const struct line *l = look(m, host, path);
+	const struct model_route *route = lookup(m, host, path);
 	enum route_result r;
 	uint32_t i, n;
 
 	r = snapshot_match(
 	    s, METHOD_GET, hosts[host], path, strlen(path), &match);
-	ck_assert_msg((r == ROUTE_FOUND) == (l != NULL),
+	ck_assert_msg((r == ROUTE_FOUND) == (route != NULL),
 	    "version %" G_GUINT64_FORMAT ", %u routes: %s%s is %s", m->version,
-	    m->lines->len, hosts[host], path,
-	    l != NULL ? "not found" : "found");
-	if (l == NULL)
+	    m->routes->len, hosts[host], path,
+	    route != NULL ? "not found" : "found");
+	if (route == NULL)
 		return;
-	check_share(l, &match);
-	if (l->n_parts == 1)
+	check_share(route, &match);
+	if (route->n_targets == 1)
 		return;
 	n = snapshot_shares(s, &match, shares);
-	ck_assert_uint_eq(n, l->n_parts);
+	ck_assert_uint_eq(n, route->n_targets);
 	for (i = 0; i < n; i++)
-		check_share(l, &shares[i]);
+		check_share(route, &shares[i]);
 }
 
 /* All prefixes that there were, below each and at each, by some host. */
@@ -424,27 +431,27 @@
 	struct endpoint_set *none = endpoint_set_new();
 	struct snapshot *s = snapshot_compile(c, none);
 	char prefix[KEY_BYTES], path[KEY_BYTES * 2];
-	const struct line *l;
+	const struct model_route *route;
 	uint32_t i;
 
-	for (i = 0; i < m->lines->len; i++) {
-		l = &g_array_index(m->lines, struct line, i);
-		write_prefix(prefix, l->prefix);
+	for (i = 0; i < m->routes->len; i++) {
+		route = &g_array_index(m->routes, struct model_route, i);
+		write_prefix(prefix, route->prefix);
 		(void)g_snprintf(path, sizeof(path), "%s/x", prefix);
-		check_path(m, s, l->host, path);
-		check_path(m, s, below(m, HOSTS + 1), prefix);
+		check_path(m, s, route->host, path);
+		check_path(m, s, random_below(m, HOSTS + 1), prefix);
 	}
 	for (i = 0; i < m->next_prefix; i++) {
 		write_prefix(prefix, i);
 		(void)g_snprintf(path, sizeof(path), "%s/x/y", prefix);
-		check_path(m, s, below(m, HOSTS + 1), path);
+		check_path(m, s, random_below(m, HOSTS + 1), path);
 	}
 	snapshot_unref(s);
 	endpoint_set_free(none);
 }
 
 static void
-check_same(const struct model *m, const struct catalog *c)
+check_version(const struct model *m, const struct catalog *c)
 {
 	ck_assert_uint_eq(catalog_version(c), m->version);
 	ck_assert(hash_digest_equal(catalog_root(c), catalog_root(m->reader)));
@@ -457,44 +464,45 @@
 	struct bundle *b;
 	struct catalog *joined = catalog_new(0);
 
-	index_lines(m);
+	index_routes(m);
 	b = write_bundle(m);
-	m->version += 1 + below(m, 3);
+	m->version += 1 + random_below(m, 3);
 	fix_commit_full(m->reader, m->version, b);
 	bundle_free(b);
 	follow(m->reader, m->node);
-	check_same(m, m->node);
+	check_version(m, m->node);
 	check_catalog(m, m->node);
-	if (below(m, 3) > 0) {
+	if (random_below(m, 3) > 0) {
 		catalog_free(joined);
 		return;
 	}
-	follow(m->node, m->late);
-	check_same(m, m->late);
-	check_catalog(m, m->late);
-	follow(m->late, joined);
-	check_same(m, joined);
+	follow(m->node, m->lagging);
+	check_version(m, m->lagging);
+	check_catalog(m, m->lagging);
+	follow(m->lagging, joined);
+	check_version(m, joined);
 	catalog_free(joined);
 }
 
 static void
-step(struct model *m, uint32_t most)
+step(struct model *m, uint32_t max_routes)
 {
-	uint32_t room = most > m->lines->len ? most - m->lines->len : 0;
-	uint32_t much = MIN(GROW_MOST, most / 4);
+	uint32_t n_free =
+	    max_routes > m->routes->len ? max_routes - m->routes->len : 0;
+	uint32_t max_growth = MIN(CHANGE_MAX, max_routes / 4);
 
-	switch (below(m, 5)) {
+	switch (random_below(m, 5)) {
 	case 0:
-		shrink(m, below(m, m->lines->len));
+		shrink(m, random_below(m, m->routes->len));
 		break;
 	case 1:
-		change(m, 1 + below(m, 1 + m->lines->len / 4));
+		change(m, 1 + random_below(m, 1 + m->routes->len / 4));
 		break;
 	case 2:
-		change(m, 1 + below(m, 3));
+		change(m, 1 + random_below(m, 3));
 		break;
 	default:
-		grow(m, MIN(room, 1 + below(m, much)));
+		grow(m, MIN(n_free, 1 + random_below(m, max_growth)));
 		break;
 	}
 	publish(m);
@@ -507,11 +515,11 @@
 	(void)fflush(stdout);
 	memset(m, 0, sizeof(*m));
 	m->rnd = g_rand_new_with_seed(seed);
-	m->lines = g_array_new(FALSE, FALSE, sizeof(struct line));
+	m->routes = g_array_new(FALSE, FALSE, sizeof(struct model_route));
 	m->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	m->reader = catalog_new(0);
 	m->node = catalog_new(0);
-	m->late = catalog_new(0);
+	m->lagging = catalog_new(0);
 	grow(m, 10);
 	publish(m);
 }
@@ -521,14 +529,14 @@
 {
 	catalog_free(m->reader);
 	catalog_free(m->node);
-	catalog_free(m->late);
+	catalog_free(m->lagging);
 	g_hash_table_unref(m->keys);
-	g_array_unref(m->lines);
+	g_array_unref(m->routes);
 	g_rand_free(m->rnd);
 }
 
 static uint32_t
-seed_of(int i)
+seed_for(int i)
 {
 	const char *text = getenv("BRAMLEY_SEED");
 
@@ -537,40 +545,40 @@
 }
 
 static void
-play(uint32_t seed, uint32_t steps, uint32_t most)
+run_model(uint32_t seed, uint32_t steps, uint32_t max_routes)
 {
 	struct model m;
 	uint32_t i;
 
 	model_init(&m, seed);
 	for (i = 0; i < steps; i++)
-		step(&m, most);
+		step(&m, max_routes);
 	model_clear(&m);
 }
 
-START_TEST(few_routes_are_as_the_table_says)
+START_TEST(small_model_matches_the_table)
 {
-	play(seed_of(_i), STEPS_FEW, FEW);
+	run_model(seed_for(_i), STEPS_SMALL, ROUTES_SMALL);
 }
 END_TEST
 
-START_TEST(many_routes_are_as_the_table_says)
+START_TEST(large_model_matches_the_table)
 {
-	play(seed_of(_i), STEPS, MANY);
+	run_model(seed_for(_i), STEPS_LARGE, ROUTES_LARGE);
 }
 END_TEST
 
 /* By as many at once as operators do, up to the most, and all away again. */
-START_TEST(large_changes_come_in_force_one_after_the_other)
+START_TEST(consecutive_large_changes_are_committed)
 {
 	struct model m;
 
-	model_init(&m, seed_of(0));
-	while (m.lines->len < MANY) {
+	model_init(&m, seed_for(0));
+	while (m.routes->len < ROUTES_LARGE) {
 		grow(&m, 1400);
 		publish(&m);
 	}
-	shrink(&m, m.lines->len - 10);
+	shrink(&m, m.routes->len - 10);
 	publish(&m);
 	model_clear(&m);
 }
@@ -583,9 +591,9 @@
 	TCase *tc = tcase_create("growth");
 
 	tcase_set_timeout(tc, 240);
-	tcase_add_loop_test(tc, few_routes_are_as_the_table_says, 0, 4);
-	tcase_add_loop_test(tc, many_routes_are_as_the_table_says, 0, 2);
-	tcase_add_test(tc, large_changes_come_in_force_one_after_the_other);
+	tcase_add_loop_test(tc, small_model_matches_the_table, 0, 4);
+	tcase_add_loop_test(tc, large_model_matches_the_table, 0, 2);
+	tcase_add_test(tc, consecutive_large_changes_are_committed);
 	suite_add_tcase(s, tc);
 	return fix_run(s);
 }
--- a/packages/config/test/test_parts.c
+++ b/packages/config/test/test_parts.c
@@ -11,12 +11,12 @@
 
 #include "fixture.h"
 
-#define MANY 10000
-#define MORE 1400
+#define ROUTES_BEFORE 10000
+#define ROUTES_ADDED 1400
 
 /* Bundle of the service "s" with routes /rN/ for N from @first on. */
 static struct bundle *
-bundle_of(uint32_t first, uint32_t n, int32_t step)
+make_bundle(uint32_t first, uint32_t n, int32_t step)
 {
 	GString *text = g_string_new("{'format':1,'name':'x','services':[{'"
 				     "name':'s'},{'name':'s!'},{'name':'s-t'}],"
@@ -44,7 +44,7 @@
 
 START_TEST(sections_stay_small_and_hold_each_route_once)
 {
-	struct bundle *b = bundle_of(0, MANY, 1);
+	struct bundle *b = make_bundle(0, ROUTES_BEFORE, 1);
 	uint32_t i, n = 0;
 
 	ck_assert_uint_gt(b->sections->len, 10);
@@ -53,15 +53,15 @@
 		    SECTION_MAX_BYTES);
 		n += section_at(b, i)->config->n_routes;
 	}
-	ck_assert_uint_eq(n, MANY);
+	ck_assert_uint_eq(n, ROUTES_BEFORE);
 	bundle_free(b);
 }
 END_TEST
 
-START_TEST(the_order_of_routes_does_not_matter)
+START_TEST(sections_do_not_depend_on_route_order)
 {
-	struct bundle *up = bundle_of(0, MANY, 1);
-	struct bundle *down = bundle_of(MANY - 1, MANY, -1);
+	struct bundle *up = make_bundle(0, ROUTES_BEFORE, 1);
+	struct bundle *down = make_bundle(ROUTES_BEFORE - 1, ROUTES_BEFORE, -1);
 
 	ck_assert(hash_digest_equal(&up->root, &down->root));
 	bundle_free(up);
@@ -84,14 +84,14 @@
 }
 
 /* One section, or one that is replaced by the two that it is split in. */
-START_TEST(a_route_more_changes_one_section_or_splits_it)
+START_TEST(one_added_route_changes_or_splits_one_section)
 {
-	struct bundle *b = bundle_of(0, MANY, 1), *more;
+	struct bundle *b = make_bundle(0, ROUTES_BEFORE, 1), *more;
 	GArray *changes;
 	uint32_t n;
 
-	for (n = MANY + 1; n < MANY + 20; n++) {
-		more = bundle_of(0, n, 1);
+	for (n = ROUTES_BEFORE + 1; n < ROUTES_BEFORE + 20; n++) {
+		more = make_bundle(0, n, 1);
 		changes = changes_between(b, more);
 		ck_assert(changes->len == 1 || changes->len == 3);
 		g_array_unref(changes);
@@ -127,16 +127,16 @@
 }
 
 /* What is sent grows with the new routes, not with those that there are. */
-START_TEST(many_routes_more_are_sent_as_their_difference)
+START_TEST(added_routes_are_sent_as_patches)
 {
-	struct bundle *before = bundle_of(0, MANY, 1), *new;
-	struct bundle *after = bundle_of(0, MANY + MORE, 1);
+	struct bundle *before = make_bundle(0, ROUTES_BEFORE, 1), *new;
+	struct bundle *after = make_bundle(0, ROUTES_BEFORE + ROUTES_ADDED, 1);
 	struct catalog *c = catalog_new(0);
 	uint64_t new_bytes = 0;
 	GArray *changes;
 	uint32_t i;
 
-	new = bundle_of(MANY, MORE, 1);
+	new = make_bundle(ROUTES_BEFORE, ROUTES_ADDED, 1);
 	for (i = 0; i < new->sections->len; i++)
 		new_bytes += g_bytes_get_size(section_at(new, i)->content);
 	ck_assert_int_eq(fix_commit(c, 1, before), STATUS_OK);
@@ -152,9 +152,9 @@
 END_TEST
 
 /* A peer gets what it lacks as differences from what it holds. */
-START_TEST(a_part_that_was_split_off_is_asked_for_by_its_origin)
+START_TEST(split_parts_are_requested_with_the_parent_as_base)
 {
-	struct bundle *before = bundle_of(0, 150, 1), *after;
+	struct bundle *before = make_bundle(0, 150, 1), *after;
 	struct catalog *c = catalog_new(0);
 	struct catalog_stage *stage;
 	struct rec_section_want *want;
@@ -164,7 +164,7 @@
 
 	ck_assert_uint_eq(before->sections->len, 3);
 	ck_assert_int_eq(fix_commit(c, 1, before), STATUS_OK);
-	after = bundle_of(0, 3000, 1);
+	after = make_bundle(0, 3000, 1);
 	bundle_section_list(after, &list, &root);
 	ck_assert_int_eq(
 	    catalog_stage_begin_full(c, 2, &root, list, &stage), STATUS_OK);
@@ -184,9 +184,9 @@
 }
 END_TEST
 
-START_TEST(calls_of_a_split_service_find_their_routes)
+START_TEST(routes_of_a_split_service_match)
 {
-	struct bundle *b = bundle_of(0, MANY, 1);
+	struct bundle *b = make_bundle(0, ROUTES_BEFORE, 1);
 	struct endpoint_set *none = endpoint_set_new();
 	struct catalog *c = catalog_new(0);
 	struct route_match match;
@@ -216,15 +216,15 @@
 END_TEST
 
 /* What a peer could send that no bundle is cut in. */
-enum contradiction {
-	WHOLE_AND_PART = 0,
-	PART_AND_PART_OF_IT,
-	OTHER_NUMBERS,
-	CONTRADICTIONS,
+enum conflict {
+	CONFLICT_WHOLE_AND_PART = 0,
+	CONFLICT_NESTED_PARTS,
+	CONFLICT_NUMBERS,
+	CONFLICT_COUNT,
 };
 
 static GBytes *
-content_of(const char *part, uint32_t timeout_ms)
+make_content(const char *part, uint32_t timeout_ms)
 {
 	struct msg_section m = {.service = "s",
 	    .timeout_ms = timeout_ms,
@@ -254,8 +254,8 @@
 	int i;
 
 	for (i = 0; i < 2; i++) {
-		contents[i] = content_of(
-		    parts[_i][i], _i == OTHER_NUMBERS && i == 1 ? 2000 : 1000);
+		contents[i] = make_content(parts[_i][i],
+		    _i == CONFLICT_NUMBERS && i == 1 ? 2000 : 1000);
 		data = g_bytes_get_data(contents[i], &len);
 		(void)g_strlcpy(ref.section, names[_i][i], sizeof(ref.section));
 		hash_digest(data, len, &ref.digest);
@@ -290,21 +290,22 @@
 	    .n_routes = 1};
 	struct service_config *sc;
 	GByteArray *out;
-	int i, taken = 0;
+	int i, n_accepted = 0;
 
 	for (i = 0; i < 2; i++) {
 		(void)g_strlcpy(m.part, i == 0 ? "0" : "1", sizeof(m.part));
 		out = g_byte_array_new();
 		msg_section_encode(&m, out);
-		taken += section_decode(out->data, out->len, &sc) == STATUS_OK;
+		n_accepted +=
+		    section_decode(out->data, out->len, &sc) == STATUS_OK;
 		service_config_unref(sc);
 		g_byte_array_unref(out);
 	}
-	ck_assert_int_eq(taken, 1);
+	ck_assert_int_eq(n_accepted, 1);
 }
 END_TEST
 
-START_TEST(names_of_sections)
+START_TEST(section_names_are_validated)
 {
 	static const struct {
 		const char *name;
@@ -333,16 +334,15 @@
 	TCase *tc = tcase_create("parts");
 
 	tcase_add_test(tc, sections_stay_small_and_hold_each_route_once);
-	tcase_add_test(tc, the_order_of_routes_does_not_matter);
-	tcase_add_test(tc, a_route_more_changes_one_section_or_splits_it);
-	tcase_add_test(tc, many_routes_more_are_sent_as_their_difference);
-	tcase_add_test(
-	    tc, a_part_that_was_split_off_is_asked_for_by_its_origin);
-	tcase_add_test(tc, calls_of_a_split_service_find_their_routes);
+	tcase_add_test(tc, sections_do_not_depend_on_route_order);
+	tcase_add_test(tc, one_added_route_changes_or_splits_one_section);
+	tcase_add_test(tc, added_routes_are_sent_as_patches);
+	tcase_add_test(tc, split_parts_are_requested_with_the_parent_as_base);
+	tcase_add_test(tc, routes_of_a_split_service_match);
 	tcase_add_loop_test(tc, parts_that_contradict_each_other_are_refused, 0,
-	    CONTRADICTIONS);
+	    CONFLICT_COUNT);
 	tcase_add_test(tc, a_route_in_another_part_is_refused);
-	tcase_add_test(tc, names_of_sections);
+	tcase_add_test(tc, section_names_are_validated);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return fix_run(suite);
--- a/packages/config/test/test_patch.c
+++ b/packages/config/test/test_patch.c
@@ -16,13 +16,13 @@
 #define ROUTES 480
 
 static GBytes *
-bytes(const char *text)
+text_bytes(const char *text)
 {
 	return g_bytes_new(text, strlen(text));
 }
 
 static GString *
-noise(uint32_t seed, size_t len)
+random_text(uint32_t seed, size_t len)
 {
 	GRand *r = g_rand_new_with_seed(seed);
 	GString *s = g_string_new(NULL);
@@ -35,9 +35,9 @@
 
 /* Takes @from to @to; returns the new bytes. */
 static uint32_t
-patched(const char *from, const char *to)
+check_patch(const char *from, const char *to)
 {
-	GBytes *a = bytes(from), *b = bytes(to), *made;
+	GBytes *a = text_bytes(from), *b = text_bytes(to), *made;
 	struct rec_section_patch *patch = patch_make(a, b);
 	uint32_t n;
 
@@ -53,53 +53,55 @@
 	return n;
 }
 
-START_TEST(a_difference_leads_from_one_to_the_other)
+START_TEST(patch_reproduces_the_target)
 {
-	GString *from = noise(1, 10000), *to = g_string_new(from->str);
+	GString *from = random_text(1, 10000), *to = g_string_new(from->str);
 
-	ck_assert_uint_eq(patched(from->str, to->str), 0);
+	ck_assert_uint_eq(check_patch(from->str, to->str), 0);
 	g_string_insert(to, 5000, "something new");
-	ck_assert_uint_le(patched(from->str, to->str), 16);
-	ck_assert_uint_le(patched(to->str, from->str), 64);
+	ck_assert_uint_le(check_patch(from->str, to->str), 16);
+	ck_assert_uint_le(check_patch(to->str, from->str), 64);
 	g_string_prepend(to, "ahead");
 	g_string_append(to, "behind");
 	g_string_erase(to, 7000, 100);
-	ck_assert_uint_le(patched(from->str, to->str), 32);
+	ck_assert_uint_le(check_patch(from->str, to->str), 32);
 	g_string_free(from, TRUE);
 	g_string_free(to, TRUE);
 }
 END_TEST
 
 /* Counts at the start and routes further on change together. */
-START_TEST(changes_at_many_places_stay_small)
+START_TEST(patch_of_scattered_changes_is_small)
 {
-	GString *from = noise(2, 16000), *to = g_string_new(from->str);
+	GString *from = random_text(2, 16000), *to = g_string_new(from->str);
 	int i;
 
 	for (i = 0; i < 20; i++)
 		to->str[i * 800] = '0';
-	ck_assert_uint_le(patched(from->str, to->str), 20 * 32);
+	ck_assert_uint_le(check_patch(from->str, to->str), 20 * 32);
 	g_string_free(from, TRUE);
 	g_string_free(to, TRUE);
 }
 END_TEST
 
 /* What is moved about is found again. */
-START_TEST(pieces_may_change_places)
+START_TEST(patch_finds_moved_blocks)
 {
-	GString *from = noise(3, 10000), *to = g_string_new(from->str + 5000);
+	GString *from = random_text(3, 10000),
+		*to = g_string_new(from->str + 5000);
 
 	g_string_append_len(to, from->str, 5000);
-	ck_assert_uint_le(patched(from->str, to->str), 64);
+	ck_assert_uint_le(check_patch(from->str, to->str), 64);
 	g_string_free(from, TRUE);
 	g_string_free(to, TRUE);
 }
 END_TEST
 
-START_TEST(sections_with_little_in_common_are_sent_whole)
+START_TEST(no_patch_for_unrelated_sections)
 {
-	GString *from = noise(4, 10000), *to = noise(5, 10000);
-	GBytes *a = bytes(from->str), *b = bytes(to->str), *none = bytes("");
+	GString *from = random_text(4, 10000), *to = random_text(5, 10000);
+	GBytes *a = text_bytes(from->str), *b = text_bytes(to->str),
+	       *none = text_bytes("");
 
 	ck_assert_ptr_null(patch_make(a, b));
 	ck_assert_ptr_null(patch_make(none, b));
@@ -111,7 +113,7 @@
 }
 END_TEST
 
-START_TEST(a_difference_that_does_not_fit_is_refused)
+START_TEST(patch_out_of_bounds_is_rejected)
 {
 	static const struct rec_patch_hunk bad[] = {
 	    {5, 4, 0},
@@ -123,7 +125,7 @@
 	struct rec_section_patch patch = {
 	    .n_hunks = 1, .data = (const uint8_t *)"xy", .data_len = 2};
 	struct rec_patch_hunk hunk;
-	GBytes *a = bytes("abcdefgh");
+	GBytes *a = text_bytes("abcdefgh");
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(bad); i++) {
@@ -136,13 +138,13 @@
 END_TEST
 
 /* Small pieces of a base must not add up to more than a section may have. */
-START_TEST(a_difference_can_not_grow_without_bound)
+START_TEST(patch_larger_than_a_section_is_rejected)
 {
 	struct rec_patch_hunk hunks[600];
 	struct rec_section_patch patch = {
 	    .hunks = hunks, .n_hunks = G_N_ELEMENTS(hunks)};
-	GString *from = noise(6, 1000);
-	GBytes *a = bytes(from->str);
+	GString *from = random_text(6, 1000);
+	GBytes *a = text_bytes(from->str);
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(hunks); i++)
@@ -209,7 +211,7 @@
 	return total;
 }
 
-START_TEST(one_route_of_many_travels_as_some_bytes)
+START_TEST(one_changed_route_is_sent_as_a_small_patch)
 {
 	struct bundle *b[3] = {
 	    big_bundle(2000), big_bundle(3000), big_bundle(4000)};
@@ -235,7 +237,7 @@
 END_TEST
 
 /* A node between the two versions may hold what neither of them names. */
-START_TEST(what_was_skipped_is_given_to_nobody_in_between)
+START_TEST(delta_that_skips_versions_is_not_served_to_versions_between)
 {
 	struct bundle *b[3] = {
 	    big_bundle(2000), big_bundle(3000), big_bundle(2000)};
@@ -261,7 +263,7 @@
 END_TEST
 
 /* Who is in between asks by the sections that it holds. */
-START_TEST(a_node_in_between_still_gets_differences)
+START_TEST(node_at_a_skipped_version_gets_patches)
 {
 	struct bundle *b[3] = {
 	    big_bundle(2000), big_bundle(3000), big_bundle(4000)};
@@ -310,15 +312,16 @@
 	Suite *s = suite_create("patch");
 	TCase *tc = tcase_create("patch");
 
-	tcase_add_test(tc, a_difference_leads_from_one_to_the_other);
-	tcase_add_test(tc, changes_at_many_places_stay_small);
-	tcase_add_test(tc, pieces_may_change_places);
-	tcase_add_test(tc, sections_with_little_in_common_are_sent_whole);
-	tcase_add_test(tc, a_difference_that_does_not_fit_is_refused);
-	tcase_add_test(tc, a_difference_can_not_grow_without_bound);
-	tcase_add_test(tc, one_route_of_many_travels_as_some_bytes);
-	tcase_add_test(tc, what_was_skipped_is_given_to_nobody_in_between);
-	tcase_add_test(tc, a_node_in_between_still_gets_differences);
+	tcase_add_test(tc, patch_reproduces_the_target);
+	tcase_add_test(tc, patch_of_scattered_changes_is_small);
+	tcase_add_test(tc, patch_finds_moved_blocks);
+	tcase_add_test(tc, no_patch_for_unrelated_sections);
+	tcase_add_test(tc, patch_out_of_bounds_is_rejected);
+	tcase_add_test(tc, patch_larger_than_a_section_is_rejected);
+	tcase_add_test(tc, one_changed_route_is_sent_as_a_small_patch);
+	tcase_add_test(
+	    tc, delta_that_skips_versions_is_not_served_to_versions_between);
+	tcase_add_test(tc, node_at_a_skipped_version_gets_patches);
 	suite_add_tcase(s, tc);
 	return fix_run(s);
 }
--- a/packages/config/test/test_sections.c
+++ b/packages/config/test/test_sections.c
@@ -9,9 +9,9 @@
 
 /* A section that only the wire could bring: the rules hold there too. */
 static void
-break_section(struct msg_section *m, int which)
+corrupt_section(struct msg_section *m, int which)
 {
-	static struct rec_section_route twin[2];
+	static struct rec_section_route routes[2];
 	struct rec_section_route *route = &m->routes[0];
 
 	switch (which) {
@@ -41,18 +41,18 @@
 		route->idempotent = true;
 		break;
 	default:
-		twin[0] = twin[1] = *route;
-		twin[1].methods |= METHOD_BIT(METHOD_PUT);
+		routes[0] = routes[1] = *route;
+		routes[1].methods |= METHOD_BIT(METHOD_PUT);
 		/* crossing methods, then wrong order */
 		if (which == 9)
-			g_strlcpy(twin[1].prefix, "/A", ROUTE_PREFIX_BYTES);
-		m->routes = twin;
+			g_strlcpy(routes[1].prefix, "/A", ROUTE_PREFIX_BYTES);
+		m->routes = routes;
 		m->n_routes = 2;
 		break;
 	}
 }
 
-#define BROKEN_SECTIONS 10
+#define CORRUPTIONS 10
 
 START_TEST(test_section_broken)
 {
@@ -68,11 +68,11 @@
 	GByteArray *out = g_byte_array_new();
 	struct service_config *sc;
 
-	if (_i < BROKEN_SECTIONS)
-		break_section(&m, _i);
+	if (_i < CORRUPTIONS)
+		corrupt_section(&m, _i);
 	msg_section_encode(&m, out);
 	ck_assert_int_eq(section_decode(out->data, out->len, &sc),
-	    _i < BROKEN_SECTIONS ? STATUS_INVALID : STATUS_OK);
+	    _i < CORRUPTIONS ? STATUS_INVALID : STATUS_OK);
 	service_config_unref(sc);
 	/* The same content in another encoding, or longer, is refused. */
 	g_byte_array_append(out, (const guint8 *)"\0", 1);
@@ -195,7 +195,7 @@
 	Suite *suite = suite_create("sections");
 	TCase *tc = tcase_create("sections");
 
-	tcase_add_loop_test(tc, test_section_broken, 0, BROKEN_SECTIONS + 1);
+	tcase_add_loop_test(tc, test_section_broken, 0, CORRUPTIONS + 1);
 	tcase_add_test(tc, test_section_canonical);
 	tcase_add_test(tc, test_fuzz_section);
 	tcase_add_test(tc, test_fuzz_bundle);
--- a/packages/config/test/test_snapshot.c
+++ b/packages/config/test/test_snapshot.c
@@ -274,60 +274,60 @@
 }
 END_TEST
 
-enum plant {
-	PLANT_SERVICE = 0,
-	PLANT_ROUTE,
-	PLANT_METHODS,
-	PLANT_TEXT,
-	PLANT_DOUBLE,
-	PLANT_LOST_ROUTE,
-	PLANT_ORDER,
-	PLANT_LIST,
-	PLANT_ENDPOINT,
-	PLANT_HOSTS,
-	PLANT_TOTAL,
-	PLANT_COUNT,
+enum corrupt {
+	CORRUPT_SERVICE = 0,
+	CORRUPT_ROUTE,
+	CORRUPT_METHODS,
+	CORRUPT_TEXT,
+	CORRUPT_DUPLICATE,
+	CORRUPT_LOST_ROUTE,
+	CORRUPT_ORDER,
+	CORRUPT_LIST,
+	CORRUPT_ENDPOINT,
+	CORRUPT_HOSTS,
+	CORRUPT_TOTAL,
+	CORRUPT_COUNT,
 };
 
 static void
-plant(struct snapshot *s, enum plant what)
+corrupt(struct snapshot *s, enum corrupt what)
 {
 	struct route_entry *entry = &s->routes->entries[2];
 	struct snapshot_service *search = &s->services[3], swap;
 	struct endpoint_list *list = search->endpoints;
 
 	switch (what) {
-	case PLANT_SERVICE:
+	case CORRUPT_SERVICE:
 		entry->service = s->n_services;
 		break;
-	case PLANT_ROUTE:
+	case CORRUPT_ROUTE:
 		entry->route = 9;
 		break;
-	case PLANT_METHODS:
+	case CORRUPT_METHODS:
 		entry->methods = METHOD_ALL;
 		break;
-	case PLANT_TEXT:
-		s->routes->text[entry->text + 1] = 'x';
+	case CORRUPT_TEXT:
+		s->routes->text[entry->text_offset + 1] = 'x';
 		break;
-	case PLANT_DOUBLE:
+	case CORRUPT_DUPLICATE:
 		/* one route stands twice, another is lost */
 		s->routes->entries[1] = *entry;
 		break;
-	case PLANT_LOST_ROUTE:
+	case CORRUPT_LOST_ROUTE:
 		s->routes->n_entries--;
 		break;
-	case PLANT_ORDER:
+	case CORRUPT_ORDER:
 		swap = s->services[0];
 		s->services[0] = s->services[1];
 		s->services[1] = swap;
 		break;
-	case PLANT_LIST:
+	case CORRUPT_LIST:
 		g_strlcpy(list->service, "all", sizeof(list->service));
 		break;
-	case PLANT_ENDPOINT:
+	case CORRUPT_ENDPOINT:
 		list->endpoints[0] = endpoint("all", 1);
 		break;
-	case PLANT_HOSTS:
+	case CORRUPT_HOSTS:
 		list->endpoints[0] = list->endpoints[1];
 		break;
 	default:
@@ -347,7 +347,7 @@
 	s = compile(routes, set);
 	ck_assert_str_eq(s->services[3].config->name, "search");
 	ck_assert_int_eq(snapshot_check(s), STATUS_OK);
-	plant(s, (enum plant)_i);
+	corrupt(s, (enum corrupt)_i);
 	ck_assert_int_eq(snapshot_check(s), STATUS_INTERNAL);
 	snapshot_unref(s);
 	endpoint_set_free(set);
@@ -365,7 +365,7 @@
 	tcase_add_test(tc, test_endpoints);
 	tcase_add_test(tc, test_sharing);
 	tcase_add_test(tc, test_routes_change);
-	tcase_add_loop_test(tc, test_planted, 0, PLANT_COUNT);
+	tcase_add_loop_test(tc, test_planted, 0, CORRUPT_COUNT);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return fix_run(suite);
