--- a/packages/config/include/config/bundle.h
+++ b/packages/config/include/config/bundle.h
@@ -1,6 +1,6 @@
 /*
- * Bundles: what operators write.  Parses and checks the JSON, finds all that
- * is wrong with it at once, and cuts it in sections.
+ * Bundles: the JSON configuration that operators write.  Parses and validates
+ * a bundle, reports all of its problems at once, and splits it into sections.
  */
 #ifndef CONFIG_BUNDLE_H
 #define CONFIG_BUNDLE_H
@@ -9,21 +9,21 @@
 
 #include "config/section.h"
 
-/* Largest bundle, and how deep it may nest. */
+/* Largest bundle and its deepest nesting. */
 #define BUNDLE_MAX_BYTES (UINT64_C(64) << 20)
 #define BUNDLE_MAX_DEPTH 8
 
-/* Problems that are reported; the others are only counted. */
+/* Problems that are reported with a text; further ones are only counted. */
 #define BUNDLE_MAX_PROBLEMS 100
 
 #define BUNDLE_FORMAT 1
 #define BUNDLE_NAME_BYTES 64
 
 /**
- * struct bundle_problem - one thing that is wrong with a bundle, or doubtful
- * @path: where, for instance "services[3].limits.queue_wait_ms"
- * @message: what is wrong
- * @remedy: what to do
+ * struct bundle_problem - an error or a warning about a bundle
+ * @path: JSON path, for instance "services[3].limits.queue_wait_ms"
+ * @message: description of the problem
+ * @remedy: how to correct the bundle
  */
 struct bundle_problem {
 	char *path;
@@ -32,14 +32,14 @@
 };
 
 /**
- * struct bundle - a checked bundle
+ * struct bundle - a parsed and validated bundle
  * @name: name of the bundle
  * @sections: struct section, sorted by name
- * @problems: struct bundle_problem; empty when the bundle is good
- * @n_problems: number of problems found, those not reported included
- * @warnings: struct bundle_problem: what is run all the same, for instance a
- *	number beyond its range as the range's end
- * @n_warnings: number of warnings, those not reported included
+ * @problems: struct bundle_problem; empty when the bundle is valid
+ * @n_problems: number of problems found, including those not reported
+ * @warnings: struct bundle_problem; they don't make the bundle invalid, for
+ *	instance a number above its range, which is replaced by the maximum
+ * @n_warnings: number of warnings, including those not reported
  * @root: digest of the list of sections
  */
 struct bundle {
@@ -53,33 +53,33 @@
 };
 
 /**
- * bundle_parse() - read and check a bundle
- * @json: first byte
- * @len: number of bytes
- * @bundle: where the bundle goes, also when it is bad (then it has problems
- * and no sections); the caller frees it with bundle_free()
+ * bundle_parse() - parse and validate a bundle
+ * @json: first byte of the text
+ * @len: length of the text in bytes
+ * @bundle: receives the bundle; an invalid bundle has problems and no
+ * sections; the caller frees it with bundle_free() in either case
  *
- * Return: STATUS_OK, STATUS_INVALID or STATUS_TOO_LARGE; the last message
- * lists the first problems.
+ * Return: STATUS_OK, STATUS_INVALID or STATUS_TOO_LARGE; on failure
+ * status_message() lists the first problems.
  */
 enum status bundle_parse(const char *json, size_t len, struct bundle **bundle);
 
 /**
- * bundle_warnings() - the first warnings as one text
+ * bundle_warnings() - format the first warnings as one text
  * @bundle: the bundle
  *
- * Return: new text, empty without a warning; free with g_free().
+ * Return: new text, empty if there are no warnings; free with g_free().
  */
 char *bundle_warnings(const struct bundle *bundle);
 
-/** bundle_free() - free a bundle with its sections; NULL is fine */
+/** bundle_free() - free a bundle and its sections; accepts NULL */
 void bundle_free(struct bundle *bundle);
 
 /**
- * bundle_section_list() - the sections of a good bundle
+ * bundle_section_list() - list the sections of a valid bundle
  * @bundle: the bundle
- * @list: where a new array of struct rec_section_ref goes, sorted by name
- * @root: where the root goes
+ * @list: receives a new array of struct rec_section_ref, sorted by name
+ * @root: receives the digest of the list
  *
  * The contents are in @bundle->sections, in the same order.
  */
--- a/packages/config/include/config/endpoints.h
+++ b/packages/config/include/config/endpoints.h
@@ -1,10 +1,10 @@
 /*
- * Endpoints that membership knows, grouped by service, as input to the
+ * Endpoints announced through membership, grouped by service, as input to the
  * compilation of snapshots.
  *
- * The shell sets a host's endpoints whenever they change; the list of a
- * service is an immutable array that snapshots share by reference count.
- * One thread owns the set.
+ * The caller sets the endpoints of a host whenever they change.  The list of a
+ * service is an immutable, reference-counted array that snapshots share.  The
+ * set is owned by one thread.
  */
 #ifndef CONFIG_ENDPOINTS_H
 #define CONFIG_ENDPOINTS_H
@@ -15,20 +15,20 @@
 #include "config/service.h"
 #include "proto/addr.h"
 
-/* Longest name of a host or data centre, zero included. */
+/* Longest name of a host or data centre, including the terminating NUL. */
 #define HOST_NAME_BYTES 32
 
-/* Longest version of an upstream's software, zero included. */
+/* Longest version of an upstream's software, including the NUL. */
 #define ENDPOINT_VERSION_BYTES 32
 
-/** enum serving_state - what an upstream said of itself */
+/** enum serving_state - state that an upstream reports of itself */
 enum serving_state {
 	SERVING_STARTING = 0,
 	SERVING_READY,
 	SERVING_DRAINING,
 };
 
-/** ENDPOINT_COLD_UNKNOWN - an upstream didn't say how long it is still slow */
+/** ENDPOINT_COLD_UNKNOWN - the upstream reported no warm-up time */
 #define ENDPOINT_COLD_UNKNOWN UINT32_MAX
 
 /**
@@ -36,13 +36,13 @@
  * @service: name of the service
  * @host: name of the host
  * @data_centre: data centre of the host
- * @address: where the host's guard takes calls
+ * @address: address at which the host's guard accepts calls
  * @incarnation: incarnation of the host's node
  * @slots: slots that the upstream announced
- * @cold_ms: how long it was still slow after its start when it was announced,
- *	or ENDPOINT_COLD_UNKNOWN
- * @state: what it said of itself
- * @version: version of its software, empty when not told
+ * @cold_ms: remaining warm-up time at the time of the announcement, or
+ *	ENDPOINT_COLD_UNKNOWN
+ * @state: state that the upstream reported
+ * @version: version of its software, empty if not reported
  */
 struct endpoint {
 	char service[SERVICE_NAME_BYTES];
@@ -73,26 +73,26 @@
 /** endpoint_list_ref() - take a reference; any thread; Return: @list */
 struct endpoint_list *endpoint_list_ref(struct endpoint_list *list);
 
-/** endpoint_list_unref() - give a reference back; any thread; NULL is fine */
+/** endpoint_list_unref() - drop a reference; any thread; accepts NULL */
 void endpoint_list_unref(struct endpoint_list *list);
 
 struct endpoint_set;
 
-/** endpoint_set_new() - an empty set */
+/** endpoint_set_new() - create an empty set */
 struct endpoint_set *endpoint_set_new(void);
 
-/** endpoint_set_free() - free a set; NULL is fine */
+/** endpoint_set_free() - free a set; accepts NULL */
 void endpoint_set_free(struct endpoint_set *set);
 
 /**
- * endpoint_set_host() - set all endpoints of a host
+ * endpoint_set_host() - replace all endpoints of a host
  * @set: set
  * @host: name of the host
- * @endpoints: its endpoints; host names in them are not looked at
+ * @endpoints: new endpoints; the host names in them are ignored
  * @n_endpoints: number of endpoints, 0 when the host left
  *
- * Of two endpoints with the same service the last counts.  Names that are
- * not valid are left out.
+ * Of several endpoints of one service the last one is used.  Endpoints with an
+ * invalid service name are skipped.
  *
  * Return: number of services whose endpoints changed.
  */
@@ -104,7 +104,7 @@
  * @set: set
  * @service: name of the service
  *
- * Return: the list, owned by the set, or NULL when there are none.
+ * Return: the list, owned by the set, or NULL if there are none.
  */
 struct endpoint_list *
 endpoint_set_list(const struct endpoint_set *set, const char *service);
--- a/packages/config/include/config/service.h
+++ b/packages/config/include/config/service.h
@@ -1,7 +1,7 @@
 /*
- * A service and its routes as a section holds them: immutable and shared by
- * reference count between catalog and snapshots.  A service with many routes
- * has several sections, which differ in their routes only.
+ * A service and its routes as decoded from a section: immutable, reference
+ * counted, and shared by the catalog and snapshots.  A service with many routes
+ * has several sections, which differ only in their routes.
  */
 #ifndef CONFIG_SERVICE_H
 #define CONFIG_SERVICE_H
@@ -15,26 +15,27 @@
 #include "base/service_name.h"
 #include "base/status.h"
 
-/* Longest prefix, zero included. */
+/* Longest prefix, including the terminating NUL. */
 #define ROUTE_PREFIX_BYTES 256
 
-/* Longest name of a host that callers name, zero included. */
+/* Longest host of a route, including the terminating NUL. */
 #define ROUTE_HOST_BYTES 128
 
-/* Longest name of a section, zero included: a service's, and a part's of 24. */
+/* Longest name of a section, including the NUL: the name of a service and of a
+ * part, which has up to 24 characters. */
 #define SECTION_NAME_BYTES 64
 
-/* What a bundle may hold at most; CONFIG_MAX_BYTES bounds its routes. */
+/* Most services of a bundle; its routes are bounded by CONFIG_MAX_BYTES. */
 #define CONFIG_MAX_SERVICES 4096
 
-/* Ranges of a service's numbers. */
+/* Ranges of the numbers of services and routes. */
 #define SERVICE_TIMEOUT_MIN_MS 1
 #define SERVICE_TIMEOUT_MAX_MS 3600000
 #define SERVICE_SLOTS_MAX 65535
 #define SERVICE_QUEUE_MAX 65535
 #define SERVICE_QUEUE_WAIT_MAX_MS 60000
 #define SERVICE_REQUEST_MAX_BYTES (UINT64_C(1) << 40)
-/* A configuration with this leaves it to each node's setting. */
+/* Stands for the limit in the settings of each node. */
 #define SERVICE_REQUEST_NODE_SETTING SERVICE_REQUEST_MAX_BYTES
 #define SERVICE_CALLER_CALLS_MAX 1000000
 #define SERVICE_ATTEMPTS_MAX 10
@@ -44,7 +45,7 @@
 #define ROUTE_WEIGHT_MAX 1000000
 #define ROUTE_PRIORITY_MAX 1000
 
-/* What holds when a bundle leaves a number out. */
+/* Defaults of numbers that a bundle omits. */
 #define SERVICE_TIMEOUT_DEFAULT_MS 2000
 #define SERVICE_SLOTS_DEFAULT 12
 #define SERVICE_QUEUE_DEFAULT 24
@@ -66,43 +67,45 @@
 	METHOD_COUNT,
 };
 
-/* A method as a bit of a route's set of methods. */
+/* A method as a bit in the method set of a route. */
 #define METHOD_BIT(m) (UINT32_C(1) << (m))
 #define METHOD_ALL (METHOD_BIT(METHOD_COUNT) - 1)
-/* Any method, also one that has no name here; a route has it alone. */
+/* Any method, including those not in enum http_method; a route can't combine it
+ * with others. */
 #define METHOD_ANY (METHOD_ALL | METHOD_BIT(METHOD_COUNT))
 
-/* Methods that are idempotent whatever the upstream does. */
+/* Methods that are idempotent by definition. */
 #define METHOD_SAFE                                         \
 	(METHOD_BIT(METHOD_GET) | METHOD_BIT(METHOD_HEAD) | \
 	    METHOD_BIT(METHOD_OPTIONS))
 
-/* Methods that count as idempotent only on a route of their own. */
+/* Methods that a route may declare idempotent only if it has no others. */
 #define METHOD_NON_IDEMPOTENT \
 	(METHOD_BIT(METHOD_POST) | METHOD_BIT(METHOD_PATCH))
 
 /**
- * method_parse() - a method from its name
- * @name: first byte; "GET", "POST"...; case counts
+ * method_parse() - parse the name of a method
+ * @name: first byte; "GET", "POST"...; case-sensitive
  * @len: number of bytes
  *
- * Return: the method, or METHOD_COUNT when the name is not known.
+ * Return: the method, or METHOD_COUNT if the name is unknown.
  */
 enum http_method method_parse(const char *name, size_t len);
 
-/** method_name() - a method's name, a static string */
+/** method_name() - name of a method, a static string */
 const char *method_name(enum http_method m);
 
 /**
- * struct service_limits - limits that the guard of each endpoint keeps
- * @slots_per_endpoint: requests that an endpoint may run at once
+ * struct service_limits - limits enforced by the guard of each endpoint
+ * @slots_per_endpoint: concurrent requests of an endpoint
  * @queue_per_endpoint: requests that may wait for a slot
  * @queue_wait_ms: longest wait for a slot
- * @caller_calls_per_s: calls a second of one caller, 0 for no limit
+ * @caller_calls_per_s: calls per second of one caller, 0 for no limit
  * @request_max_bytes: largest request body, or SERVICE_REQUEST_NODE_SETTING
- * @head_max_bytes: largest head of a request, 0 for the node's setting
- * @head_ms: longest time for sending it, 0 for the node's setting
- * @idle_ms: how long a caller's idle connection is kept, 0 for the setting
+ * @head_max_bytes: largest request head, 0 for the node's setting
+ * @head_ms: longest time to receive the head, 0 for the node's setting
+ * @idle_ms: longest idle time of a caller's connection, 0 for the node's
+ *	setting
  */
 struct service_limits {
 	uint32_t slots_per_endpoint;
@@ -117,8 +120,8 @@
 
 /**
  * struct service_retry - retry policy
- * @attempts: attempts of a request, the first included
- * @budget_percent: retries allowed as a share of successes
+ * @attempts: attempts per request, including the first
+ * @budget_percent: retry budget in percent of successes
  */
 struct service_retry {
 	uint32_t attempts;
@@ -127,18 +130,19 @@
 
 /**
  * struct service_route - a route to a service
- * @prefix: path prefix, zero-terminated; matched at segment boundaries
- * @prefix_len: its length in bytes
+ * @prefix: path prefix, NUL-terminated; matched at segment boundaries
+ * @prefix_len: length of @prefix in bytes
  * @methods: set of METHOD_BIT()
- * @idempotent: whether running a request twice does no harm
- * @below: only paths below the prefix match, not the prefix itself
- * @host: host that callers name, in lower case; empty for any
- * @host_len: its length in bytes
- * @weight: share of this service where several share the route, else 0
- * @timeout_ms: longest time that a request may take, 0 for the service's
- * @target_ms: time within which an answer is worth most, 0 when not told
- * @priority: rank, 0 is the highest
- * @attempts: attempts of a request, 0 for the service's
+ * @idempotent: whether requests may safely be sent more than once
+ * @below: match only paths below the prefix, not the prefix itself
+ * @host: host of the request in lower case; empty for any
+ * @host_len: length of @host in bytes
+ * @weight: weight of this service if several share the route, else 0
+ * @timeout_ms: longest time of a request, 0 for the service's
+ * @target_ms: target response time, within which a response has its full
+ *	value; 0 if not set
+ * @priority: 0 is the highest
+ * @attempts: attempts per request, 0 for the service's
  */
 struct service_route {
 	const char *prefix;
@@ -159,14 +163,14 @@
  * struct service_config - a service with all or a part of its routes; immutable
  * @refs: references; use service_config_ref() and service_config_unref()
  * @name: name of the service
- * @section: name of the section that says this
+ * @section: name of the section from which it was decoded
  * @digest: digest of that section
- * @timeout_ms: time for a request when the caller names no deadline
- * @limits: limits kept by the guards
+ * @timeout_ms: longest time of a request without a deadline from the caller
+ * @limits: limits enforced by the guards
  * @retry: retry policy
- * @routes: routes, sorted by prefix, then methods
+ * @routes: routes, sorted by host, prefix, @below, then methods
  * @n_routes: number of routes
- * @size_bytes: memory that this takes
+ * @size_bytes: size of the allocation, including routes and texts
  */
 struct service_config {
 	_Atomic uint32_t refs;
@@ -184,7 +188,7 @@
 /** service_config_ref() - take a reference; any thread; Return: @sc */
 struct service_config *service_config_ref(struct service_config *sc);
 
-/** service_config_unref() - give a reference back; any thread; NULL is fine */
+/** service_config_unref() - drop a reference; any thread; accepts NULL */
 void service_config_unref(struct service_config *sc);
 
 #endif
--- a/packages/config/include/config/snapshot.h
+++ b/packages/config/include/config/snapshot.h
@@ -2,10 +2,10 @@
  * Snapshots: configuration and endpoints compiled into one immutable
  * structure, which the traffic threads read without locks.
  *
- * A snapshot holds its own services and routes, so that a route can only
- * lead to a service of the same snapshot, and endpoints only of services
- * that it has.  Parts that did not change are shared between snapshots.  The
- * pointer to the current one is published by package node.
+ * A snapshot contains its own services and routes, so a route always refers to
+ * a service of the same snapshot, and there are endpoints only for services of
+ * the snapshot.  Unchanged parts are shared between snapshots.  Package node
+ * publishes the pointer to the current snapshot.
  */
 #ifndef CONFIG_SNAPSHOT_H
 #define CONFIG_SNAPSHOT_H
@@ -16,13 +16,14 @@
 #include "config/endpoints.h"
 
 /**
- * struct service_versions - which endpoints of a service get requests
- * @chosen: whether they are chosen by version; else all get requests
- * @current: the version that gets them
- * @candidate: the version that is tried with a small share, or empty
- * @excluded: host whose endpoint of that version gets nothing, or empty
- * @share_milli: its share in 1,000, 0 for the usual one
- * @order: number of the order by which it is tried, 0 for none
+ * struct service_versions - selection of a service's endpoints by version
+ * @chosen: whether endpoints are selected by version; if not, all receive
+ *	requests
+ * @current: version whose endpoints receive requests
+ * @candidate: version that is rolled out with a small share, or empty
+ * @excluded: host whose endpoint of @candidate receives no requests, or empty
+ * @share_milli: share of @candidate in thousandths, 0 for the default
+ * @order: number of the rollout order for @candidate, 0 for none
  */
 struct service_versions {
 	bool chosen;
@@ -35,12 +36,12 @@
 
 /**
  * struct snapshot_service - a service with its endpoints
- * @config: limits and retry policy, the same in all of its sections, and the
- * routes of the first of them
- * @sections: the first of its sections in those of the snapshot
- * @n_sections: number of its sections
- * @endpoints: its endpoints; a reference is held; NULL when it has none
- * @versions: which of them get requests; set before the snapshot is published
+ * @config: the first section; limits and retry policy are the same in all
+ *	sections of the service
+ * @sections: sections of the service, within those of the snapshot
+ * @n_sections: number of sections
+ * @endpoints: endpoints; a reference is held; NULL if there are none
+ * @versions: selection of endpoints; set before the snapshot is published
  */
 struct snapshot_service {
 	const struct service_config *config;
@@ -54,17 +55,18 @@
 struct route_table;
 
 /**
- * struct snapshot - configuration and endpoints at one moment; immutable
+ * struct snapshot - configuration and endpoints at one time; immutable
  * @refs: references; use snapshot_ref() and snapshot_unref()
  * @version: version of the configuration, 0 for none
- * @root: its root
+ * @root: root of @version
  * @services: services, sorted by name
  * @n_services: number of services
- * @sections: what their sections say, in order; references are held
+ * @sections: decoded sections of all services, sorted by name; references are
+ *	held
  * @n_sections: number of sections
  * @n_endpoints: number of endpoints of all services
- * @n_nodes: live nodes of the whole system, 0 when not known
- * @routes: routes of all services, as indexes into @services
+ * @n_nodes: live nodes of the whole system, 0 if unknown
+ * @routes: routes of all services, as indexes into @services and @sections
  */
 struct snapshot {
 	_Atomic uint32_t refs;
@@ -83,14 +85,14 @@
 enum route_result {
 	ROUTE_FOUND = 0,
 	ROUTE_NO_PATH,	 /* no route has a prefix of the path */
-	ROUTE_NO_METHOD, /* some have, but none takes the method */
+	ROUTE_NO_METHOD, /* some have, but none accepts the method */
 };
 
 /**
- * struct route_match - where a request goes
- * @service: the service; lives as long as the snapshot
- * @route: the route; lives as long as the snapshot
- * @entry: its place in the snapshot's table
+ * struct route_match - the route that matches a request
+ * @service: the service; valid as long as the snapshot
+ * @route: the route; valid as long as the snapshot
+ * @entry: entry of @route in the snapshot's table
  */
 struct route_match {
 	const struct snapshot_service *service;
@@ -98,17 +100,17 @@
 	const struct route_entry *entry;
 };
 
-/* Most services that share a route by weight; a bundle with more is refused.
- * Many times what one route was seen to split over. */
+/* Most services that share a route by weight; a bundle with more is rejected.
+ * Operators split a route over far fewer services. */
 #define SNAPSHOT_SHARES_MAX 256
 
 /**
  * snapshot_compile() - compile a snapshot
  * @c: the configuration
- * @endpoints: the endpoints; those of services that @c lacks are left out
+ * @endpoints: the endpoints; those of services that @c lacks are skipped
  *
  * The snapshot shares services, routes and lists of endpoints with @c and
- * @endpoints, so that it costs little after a change of few of them.
+ * @endpoints, so compiling it after a small change is cheap.
  *
  * Return: a new snapshot with one reference, which the caller owns.
  */
@@ -118,30 +120,30 @@
 /** snapshot_ref() - take a reference; any thread; Return: @s */
 struct snapshot *snapshot_ref(struct snapshot *s);
 
-/** snapshot_unref() - give a reference back; any thread; NULL is fine */
+/** snapshot_unref() - drop a reference; any thread; accepts NULL */
 void snapshot_unref(struct snapshot *s);
 
 /**
- * snapshot_service() - a service by name
+ * snapshot_service() - find a service by name
  * @s: snapshot
  * @name: name of the service
  *
- * Return: the service, or NULL; lives as long as the snapshot.
+ * Return: the service, or NULL; valid as long as the snapshot.
  */
 const struct snapshot_service *
 snapshot_service(const struct snapshot *s, const char *name);
 
 /**
- * snapshot_match() - the route of a request
+ * snapshot_match() - find the route of a request
  * @s: snapshot
  * @method: the request's method
- * @host: host that the caller named, with or without a port; may be NULL
- * @path: first byte of the path; a query is not looked at
+ * @host: host of the request, with or without a port; may be NULL
+ * @path: first byte of the path; a query is ignored
  * @path_len: number of bytes
- * @match: where the match goes; untouched unless one is found
+ * @match: receives the match; unchanged if none is found
  *
- * Routes of the host go before those of any host.  The longest prefix wins
- * among the routes that take the method.  A prefix
+ * Routes with the request's host take precedence over routes of any host.
+ * Among the routes that accept the method the longest prefix wins.  A prefix
  * matches whole segments only: "/search" matches "/search", "/search/x" and
  * "/search?x", not "/searching".
  *
@@ -152,23 +154,24 @@
     size_t path_len, struct route_match *match);
 
 /**
- * snapshot_shares() - the services that share a route by weight
+ * snapshot_shares() - list the services that share a route by weight
  * @s: snapshot
- * @match: what was found in it, a route with a weight
- * @shares: room for SNAPSHOT_SHARES_MAX
+ * @match: match from this snapshot whose route has a weight
+ * @shares: receives up to SNAPSHOT_SHARES_MAX matches
  *
- * Return: their number, @match included.
+ * Return: number of @shares, including @match.
  */
 uint32_t snapshot_shares(const struct snapshot *s,
     const struct route_match *match, struct route_match *shares);
 
 /**
- * snapshot_check() - verify that a snapshot is sound
+ * snapshot_check() - verify the invariants of a snapshot
  * @s: snapshot
  *
- * Each route leads to a service of this snapshot that owns it, each route of
- * each service is there, endpoints are of their service only, and names are
- * sorted and unique.  For tests and drivers: it walks everything.
+ * Each route refers to the service of this snapshot that owns it, the table
+ * contains each route of each service, the endpoints of a service belong to
+ * it, and names are sorted and unique.  Visits every route and endpoint;
+ * meant for tests and drivers.
  *
  * Return: STATUS_OK, or STATUS_INTERNAL with the first violation.
  */
--- a/packages/config/src/bundle.c
+++ b/packages/config/src/bundle.c
@@ -1,5 +1,5 @@
 /*
- * Bundles: parsing, the verdict, and sections.
+ * Bundles: parsing, reporting of problems, and conversion to sections.
  */
 #include <string.h>
 
@@ -9,7 +9,8 @@
 #include "rules.h"
 #include "section_build.h"
 
-/* Parse the text; a doubled key is noted and the rest is still read. */
+/* Parse the text.  After a duplicate key, which is recorded as a problem, the
+ * text is parsed again without that check to find further problems. */
 static json_t *
 load_json(const char *json, size_t len, struct problems *p)
 {
@@ -34,7 +35,7 @@
 	return strcmp((*x)->config->section, (*y)->config->section);
 }
 
-/* What a node will check when the section arrives there. */
+/* Run the checks that a node makes when it receives the section. */
 static void
 verify_section(const struct section *section, struct problems *p)
 {
@@ -68,7 +69,7 @@
 		    total, CONFIG_MAX_BYTES);
 }
 
-/* Cut a bundle without problems in sections. */
+/* Split a bundle without problems into sections. */
 static void
 build_sections(struct bundle *b, const struct bundle_reader *r)
 {
@@ -80,7 +81,7 @@
 		d->m.routes = (struct rec_section_route *)d->routes->data;
 		d->m.n_routes = d->routes->len;
 		parts_split(&d->m, b->sections);
-		/* The largest part of what is held, and needed no more. */
+		/* Frees most of the reader's memory early. */
 		g_array_unref(d->routes);
 		d->routes = NULL;
 	}
--- a/packages/config/src/bundle_build.c
+++ b/packages/config/src/bundle_build.c
@@ -1,16 +1,16 @@
 /*
- * Bundles that are put together item by item.
+ * Incremental construction of bundles.
  */
 #include "config/bundle_build.h"
 
 #include "bundle_read.h"
 
 /**
- * struct bundle_build - a bundle until it is cut
- * @p: problems so far
- * @r: what was read of it
- * @n_services: services so far, refused ones included
- * @n_routes: the same of routes
+ * struct bundle_build - a bundle under construction
+ * @p: problems found so far
+ * @r: reader with the services and routes added so far
+ * @n_services: services added so far, including rejected ones
+ * @n_routes: routes added so far, including rejected ones
  */
 struct bundle_build {
 	struct problems p;
@@ -46,7 +46,8 @@
 	struct doc_path services_at = {NULL, "services", DOC_PATH_NO_INDEX};
 	struct doc_path at = {&services_at, NULL, b->n_services++};
 
-	/* All are counted, and the first too many ends the reading. */
+	/* Services above the limit are counted for the message, but not
+	 * read. */
 	if (b->n_services <= CONFIG_MAX_SERVICES)
 		bundle_read_service(&b->r, service, &at);
 }
--- a/packages/config/src/bundle_read.c
+++ b/packages/config/src/bundle_read.c
@@ -1,5 +1,5 @@
 /*
- * Reading a bundle's JSON: the bundle itself and its services.
+ * Reads the JSON of a bundle: top-level members and services.
  */
 #include <string.h>
 
@@ -119,7 +119,7 @@
 		: number_clamp(rule, n, &number_at, r->p));
 }
 
-/* Keys of a group of numbers that are not known. */
+/* Record unknown keys in a group of numbers. */
 static void
 check_number_keys(struct bundle_reader *r, const char *group, json_t *object,
     const struct doc_path *at)
@@ -139,7 +139,7 @@
 	}
 }
 
-/* Read the numbers of one group; NULL is the service itself. */
+/* Read the numbers of one group; NULL stands for the service itself. */
 static void
 read_group(struct bundle_reader *r, const char *group, json_t *service,
     const struct doc_path *at, struct msg_section *m)
--- a/packages/config/src/bundle_read.h
+++ b/packages/config/src/bundle_read.h
@@ -1,5 +1,5 @@
 /*
- * Reading a bundle's JSON into drafts of sections.
+ * Reads the JSON of a bundle into drafts of sections.
  */
 #ifndef CONFIG_BUNDLE_READ_H
 #define CONFIG_BUNDLE_READ_H
@@ -12,8 +12,8 @@
 #include "rules.h"
 
 /**
- * struct draft - a service being read
- * @m: its numbers and name; the routes are in @routes until the end
+ * struct draft - a service while the bundle is read
+ * @m: name and numbers; the routes are in @routes until the bundle is complete
  * @routes: struct rec_section_route
  */
 struct draft {
@@ -22,12 +22,13 @@
 };
 
 /**
- * struct bundle_reader - state of reading
- * @p: problems so far
+ * struct bundle_reader - state while a bundle is read
+ * @p: problems found so far
  * @name: name of the bundle
- * @drafts: struct draft, in order of the bundle
- * @by_name: name of a service to its draft; borrowed
- * @claims: prefix to struct claim: which route claims which method
+ * @drafts: struct draft, in the order of the bundle
+ * @by_name: maps the name of a service to its draft; borrowed
+ * @claims: maps host and prefix to struct claim: which route claims which
+ *	method
  */
 struct bundle_reader {
 	struct problems *p;
@@ -37,32 +38,32 @@
 	GHashTable *claims;
 };
 
-/** bundle_reader_init() - start reading; @p must outlive the reader */
+/** bundle_reader_init() - initialize a reader; @p must outlive it */
 void bundle_reader_init(struct bundle_reader *r, struct problems *p);
 
-/** bundle_reader_clear() - free what the reader holds */
+/** bundle_reader_clear() - free the contents of a reader */
 void bundle_reader_clear(struct bundle_reader *r);
 
 /**
- * bundle_read_number() - a number as it is told
+ * bundle_read_number() - read an integer member without a range check
  * @r: the reader
- * @key: its key
- * @object: where it is read from
- * @at: place of @object
+ * @key: key of the member
+ * @object: object that contains it
+ * @at: path of @object
  *
  * Return: the number, or BUNDLE_NUMBER_OMITTED.
  */
 int64_t bundle_read_number(struct bundle_reader *r, const char *key,
     json_t *object, const struct doc_path *at);
 
-/** bundle_read() - read a whole bundle, noting all problems */
+/** bundle_read() - read a complete bundle and record all problems */
 void bundle_read(struct bundle_reader *r, json_t *root);
 
 /** bundle_read_name() - read the name of the bundle */
 void bundle_read_name(struct bundle_reader *r, const char *name);
 
-/** bundle_count_services() - note too few or too many services; whether there
- * aren't too many to be read */
+/** bundle_count_services() - record a problem if there are no services or too
+ * many; Return: false if there are too many to read */
 bool bundle_count_services(
     struct bundle_reader *r, size_t n, const struct doc_path *at);
 
@@ -70,15 +71,15 @@
 void bundle_read_service(
     struct bundle_reader *r, json_t *service, const struct doc_path *at);
 
-/** bundle_add_route() - take one route, once the services are known; what is
- * NULL of it was missing and is noted already */
+/** bundle_add_route() - add one route after the services were read; a prefix or
+ * service that is NULL was missing and is recorded as a problem already */
 void bundle_add_route(struct bundle_reader *r, const struct bundle_route *route,
     const struct doc_path *at);
 
 /**
- * bundle_reader_end() - the bundle that was read, or what is wrong with it
- * @r: the reader, and its problems; left empty, to be cleared still
- * @st: how the reading ended
+ * bundle_reader_end() - build the bundle or report its problems
+ * @r: the reader; the caller still clears it
+ * @st: status of reading
  * @bundle: as for bundle_parse()
  *
  * Return: as bundle_parse().
@@ -86,21 +87,20 @@
 enum status bundle_reader_end(
     struct bundle_reader *r, enum status st, struct bundle **bundle);
 
-/** bundle_read_routes() - read the routes, once the services are known */
+/** bundle_read_routes() - read the routes after the services were read */
 void bundle_read_routes(
     struct bundle_reader *r, json_t *routes, const struct doc_path *at);
 
-/** json_check_keys() - note keys that are not in a list ended by NULL */
+/** json_check_keys() - record keys that are not in a NULL-terminated list */
 void json_check_keys(json_t *object, const char *const *known,
     const struct doc_path *at, struct problems *p);
 
-/** json_require_string() - a member that must be text, or NULL with a problem
- * noted */
+/** json_require_string() - value of a string member, or NULL with a problem
+ * recorded */
 const char *json_require_string(json_t *object, const char *key,
     const struct doc_path *at, struct problems *p);
 
-/** json_require_array() - a member that must be a list, or NULL with a problem
- * noted */
+/** json_require_array() - an array member, or NULL with a problem recorded */
 json_t *json_require_array(json_t *object, const char *key,
     const struct doc_path *at, struct problems *p);
 
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -1,5 +1,5 @@
 /*
- * Reading a bundle's JSON: its routes.
+ * Reads the JSON of a bundle: routes.
  */
 #include <string.h>
 
@@ -7,12 +7,14 @@
 #include "config/snapshot.h"
 #include "rules.h"
 
-/* Marks the key of a prefix that takes only what is below it. */
+/* Suffix of the claim key of a route that matches only below its prefix; a
+ * valid prefix can't contain it. */
 #define CLAIM_BELOW_SUFFIX "\n"
 
 /*
- * Which route of the bundle claims each method of a prefix, 0 for none;
- * whether all of them so far have a weight; how many there are.
+ * The routes that claim the same host and prefix: for each method the index of
+ * the route that claims it plus 1, 0 for none; whether all of them so far have
+ * a weight; and their number.
  */
 struct claim {
 	uint32_t route[METHOD_COUNT + 1];
@@ -98,8 +100,8 @@
 }
 
 /*
- * Note methods of a prefix that an earlier route has claimed.  Routes that
- * all have a weight share it.
+ * Record methods of the prefix that an earlier route claims already.  Routes
+ * that all have a weight share the prefix, which is no conflict.
  */
 static void
 claim_methods(struct bundle_reader *r, const struct rec_section_route *route,
@@ -128,9 +130,9 @@
 }
 
 /*
- * A prefix with a '/' at its end takes what begins with it.  That is what is
- * below the prefix without the '/', unless that ends with one too.  All paths
- * are below "/".
+ * A prefix that ends with '/' matches the paths that begin with it.  These are
+ * the paths below the prefix without the '/', unless that ends with '/' as
+ * well. For "/" the flag is cleared, since all paths are below it.
  */
 static void
 normalize_prefix(struct rec_section_route *route)
@@ -254,7 +256,7 @@
 	json_check_keys(route, known, at, r->p);
 	out.prefix = json_require_string(route, "prefix", at, r->p);
 	out.methods = read_methods(r, route, at);
-	/* Left out, it is true where the methods alone make it so. */
+	/* If omitted, true only if all methods are idempotent by definition. */
 	out.idempotent = read_flag(r, route, "idempotent", at,
 	    out.methods != 0 && (out.methods & ~METHOD_SAFE) == 0);
 	out.below = read_flag(r, route, "below", at, false);
--- a/packages/config/src/bundle_scan.c
+++ b/packages/config/src/bundle_scan.c
@@ -1,10 +1,10 @@
 /*
- * A look at JSON text before a library parses it.
+ * Scan of JSON text before the library parses it.
  */
 #include "bundle_scan.h"
 #include "config/bundle.h"
 
-/* How far the scan has come. */
+/* State of the scan. */
 struct scan {
 	size_t depth;
 	size_t max_depth;
@@ -24,7 +24,8 @@
 		s->in_string = false;
 }
 
-/* Brackets, commas and colons each stand for at most one value. */
+/* Each opening bracket, comma or colon introduces at most one value, so
+ * counting them gives an upper bound of the number of values. */
 static void
 scan_outside(struct scan *s, char ch)
 {
--- a/packages/config/src/catalog.c
+++ b/packages/config/src/catalog.c
@@ -1,5 +1,5 @@
 /*
- * What a node holds of the configuration.
+ * A node's store of the configuration: creation and look-ups.
  */
 #include <string.h>
 
@@ -23,7 +23,7 @@
 	c->contents = contents_new();
 	c->ring = g_ptr_array_new_with_free_func(ring_entry_free);
 	c->patch_cache = g_new0(struct patch_cache_entry, PATCH_CACHE_ENTRIES);
-	/* The table of no services has no crossing routes. */
+	/* Can't fail: a table without services has no overlapping routes. */
 	(void)route_table_new(c->sections, &c->routes);
 	return c;
 }
@@ -81,7 +81,7 @@
 	return g_ptr_array_index(c->sections, i);
 }
 
-/* The first section that is not before a name, or NULL. */
+/* Find the first section whose name is not less than a name, or NULL. */
 static struct service_config *
 section_lower_bound(const struct catalog *c, const char *name)
 {
@@ -100,7 +100,8 @@
 				      : NULL;
 }
 
-/* A service's parts come right after where its one section would. */
+/* The parts of a service sort directly after the service's own name, so the
+ * lower bound is its only section or its first part. */
 struct service_config *
 catalog_find(const struct catalog *c, const char *name)
 {
--- a/packages/config/src/catalog_defs.h
+++ b/packages/config/src/catalog_defs.h
@@ -1,5 +1,5 @@
 /*
- * Inside of the catalog, shared by catalog.c, ring.c and stage.c.
+ * Internal definitions of the catalog, shared by its source files.
  */
 #ifndef CONFIG_CATALOG_DEFS_H
 #define CONFIG_CATALOG_DEFS_H
@@ -9,11 +9,11 @@
 #include "proto/messages.h"
 #include "route_table.h"
 
-/* Memory of an array's slot and of an allocation's header. */
+/* Memory of an array element and the header of an allocation. */
 #define ALLOC_OVERHEAD_BYTES 32
 
 /**
- * struct ring_change - what became of one section in a commit, both ways
+ * struct ring_change - change of one section in a commit, in both directions
  * @forward: change from the earlier to the later version
  * @reverse: change from the later to the earlier version
  */
@@ -23,13 +23,13 @@
 };
 
 /**
- * struct ring_entry - one commit
+ * struct ring_entry - one commit in the ring of the last commits
  * @from_version: version before
  * @to_version: version after
  * @from_root: root before
  * @to_root: root after
- * @complete: whether the steps name all that changed at any version between,
- * so that they can be served to nodes that hold one of those
+ * @complete: whether @changes name every section that changed at any version
+ * between the two, so they can be served to nodes at one of those versions
  * @changes: struct ring_change, sorted by section
  */
 struct ring_entry {
@@ -41,16 +41,16 @@
 	GArray *changes;
 };
 
-/* Differences that are kept: those of the last version's changes, as many as
- * 20,000 routes that are spread over one service have sections. */
+/* Cached patches: enough for the changes of the last version if these are all
+ * sections of one service with 20,000 routes. */
 #define PATCH_CACHE_ENTRIES 256
 
 /**
- * struct patch_cache_entry - a difference that was made
- * @filled: whether the rest is
- * @base: section that it changes
- * @target: section that it leads to
- * @patch: the difference, or NULL when there is little in common
+ * struct patch_cache_entry - a cached patch
+ * @filled: whether the entry is in use
+ * @base: digest of the base section
+ * @target: digest of the resulting section
+ * @patch: the patch, or NULL if the sections have little in common
  */
 struct patch_cache_entry {
 	bool filled;
@@ -61,16 +61,16 @@
 
 /**
  * struct catalog - see config/catalog.h
- * @version: version held
- * @max_bytes: memory that contents and services may take
+ * @version: current version
+ * @max_bytes: memory limit
  * @config_bytes: memory of @sections and @routes
- * @root: its root
+ * @root: root of @version
  * @sections: struct service_config, sorted by section; references are held
- * @n_services: number of services that they are of
+ * @n_services: number of services in @sections
  * @routes: routes of all services; a reference is held
- * @contents: contents of the version held and of the ring
- * @ring: struct ring_entry, oldest first
- * @patch_cache: differences made last
+ * @contents: contents of the current version and of the changes in @ring
+ * @ring: struct ring_entry of the last commits, oldest first
+ * @patch_cache: PATCH_CACHE_ENTRIES entries, indexed by the target's hash
  */
 struct catalog {
 	uint64_t version;
@@ -85,27 +85,30 @@
 	struct patch_cache_entry *patch_cache;
 };
 
-/** catalog_refs() - list of the version held, struct rec_section_ref */
+/** catalog_refs() - section list of the current version, struct
+ * rec_section_ref */
 GArray *catalog_refs(const struct catalog *c);
 
-/** catalog_find_section() - a section of the version held, or NULL */
+/** catalog_find_section() - a section of the current version by name, or
+ * NULL */
 struct service_config *
 catalog_find_section(const struct catalog *c, const char *section);
 
-/** ring_entry_free() - free an entry; its contents must be released before */
+/** ring_entry_free() - free an entry whose references to contents were
+ * dropped */
 void ring_entry_free(void *data);
 
-/** ring_push() - add a commit; drops the oldest one beyond CATALOG_RING_ENTRIES
- */
+/** ring_push() - add a commit; drops the oldest above CATALOG_RING_ENTRIES */
 void ring_push(struct catalog *c, struct ring_entry *entry);
 
-/** ring_trim() - drop oldest commits while the catalog is over its limit */
+/** ring_trim() - drop the oldest commits while the catalog exceeds its
+ * limits */
 void ring_trim(struct catalog *c);
 
 /**
- * ring_entry_new() - steps between two lists
+ * ring_entry_new() - record the changes of a commit in both directions
  * @from: list before, struct rec_section_ref
- * @changes: changes that lead to the list after
+ * @changes: changes from @from to the list after
  * @n_changes: number of changes
  */
 struct ring_entry *ring_entry_new(const GArray *from,
--- a/packages/config/src/commit.c
+++ b/packages/config/src/commit.c
@@ -1,19 +1,19 @@
 /*
- * Commit of a stage: everything is built and checked beside the version held,
- * then swapped in at once.
+ * Commit of a stage: the target version is built and checked beside the current
+ * version, then replaces it in one step.
  */
 #include <string.h>
 
 #include "stage_defs.h"
 
 /**
- * struct staged_version - the target version, built beside the version held
- * @base_version: version held when it was built
- * @list: its list, struct rec_section_ref
- * @sections: struct service_config, in the list's order
- * @n_services: number of services that they are of
- * @routes: its routes
- * @content_bytes: sum of its contents
+ * struct staged_version - the target version, built beside the current one
+ * @base_version: current version when this one was built
+ * @list: section list, struct rec_section_ref
+ * @sections: struct service_config, in the order of @list
+ * @n_services: number of services in @sections
+ * @routes: routes of all services
+ * @content_bytes: total size of the contents
  * @config_bytes: memory of @sections and @routes
  */
 struct staged_version {
@@ -56,7 +56,8 @@
 	return contents_get(stage->c->contents, digest);
 }
 
-/* What a section says: held, or added, or decoded once more. */
+/* Get a decoded section: from the current version, from the added contents, or
+ * by decoding @content. */
 static enum status
 find_config(const struct catalog_stage *stage,
     const struct rec_section_ref *ref, GBytes *content,
@@ -128,8 +129,9 @@
 }
 
 /*
- * Parts of one service have the same numbers and none has another's routes.
- * Sections are sorted, so that one that covers another stands before it.
+ * Check that parts of one service have the same numbers and that none covers
+ * another.  Sections are sorted, so a section that covers others directly
+ * precedes the first of them.
  */
 static enum status
 check_parts(struct staged_version *n)
@@ -160,7 +162,7 @@
 	    n->n_services, CONFIG_MAX_SERVICES);
 }
 
-/* Whether two routes have the same entry in a table. */
+/* Whether two routes have equal entries in a route table. */
 static bool
 same_table_entry(const struct service_route *a, const struct service_route *b)
 {
@@ -185,7 +187,8 @@
 	return true;
 }
 
-/* A table holds indexes, so it fits while sections and routes stay. */
+/* A route table contains only indexes and texts, so it can be reused while the
+ * order of sections and the matching of their routes are unchanged. */
 static bool
 table_reusable(const GPtrArray *a, const GPtrArray *b)
 {
@@ -261,7 +264,8 @@
 	return size_check(stage->c, n);
 }
 
-/* The commit as a ring entry, made while the version before is in place. */
+/* Create the ring entry of a commit; the catalog must still have the version
+ * before. */
 static struct ring_entry *
 ring_entry_of_stage(const struct catalog *c, const struct catalog_stage *stage,
     const struct staged_version *n)
@@ -310,7 +314,8 @@
 	}
 }
 
-/* Nothing below can fail. */
+/* Replace the current version; must not fail, so that a commit is complete or
+ * has no effect. */
 static void
 install(struct catalog *c, const struct catalog_stage *stage,
     struct staged_version *n)
--- a/packages/config/src/contents.c
+++ b/packages/config/src/contents.c
@@ -1,11 +1,11 @@
 /*
- * Contents of sections by digest, with a count of who needs each.
+ * Reference-counted store of section contents, by digest.
  */
 #include <string.h>
 
 #include "contents.h"
 
-/* Memory of an entry besides its content: allocations and table slot. */
+/* Memory of an entry without its content: allocations and hash table slot. */
 #define ENTRY_BYTES 160
 
 struct entry {
@@ -25,7 +25,7 @@
 	const struct digest *d = key;
 	guint h;
 
-	/* A digest is as good as random already. */
+	/* The bytes of a digest are uniformly distributed. */
 	memcpy(&h, d->bytes, sizeof(h));
 	return h;
 }
--- a/packages/config/src/contents.h
+++ b/packages/config/src/contents.h
@@ -1,5 +1,5 @@
 /*
- * Contents of sections by digest, with a count of who needs each.
+ * Reference-counted store of section contents, by digest.
  */
 #ifndef CONFIG_CONTENTS_H
 #define CONFIG_CONTENTS_H
@@ -10,28 +10,28 @@
 
 struct contents;
 
-/** contents_new() - an empty store */
+/** contents_new() - create an empty store */
 struct contents *contents_new(void);
 
 /** contents_free() - free a store */
 void contents_free(struct contents *cs);
 
-/** contents_get() - a content by digest, owned by the store, or NULL */
+/** contents_get() - find a content by digest; owned by the store, or NULL */
 GBytes *contents_get(const struct contents *cs, const struct digest *digest);
 
 /**
- * contents_ref() - need a content once more
+ * contents_ref() - add a reference to a content
  * @cs: store
- * @digest: its digest
- * @content: the content, taken in if it is not there; may be NULL if it is
+ * @digest: digest of the content
+ * @content: the content, added if the store lacks it; else may be NULL
  */
 void
 contents_ref(struct contents *cs, const struct digest *digest, GBytes *content);
 
-/** contents_unref() - need a content once less; the last one drops it */
+/** contents_unref() - drop a reference; the last one removes the content */
 void contents_unref(struct contents *cs, const struct digest *digest);
 
-/** contents_bytes() - memory taken, near enough */
+/** contents_bytes() - estimated memory use in bytes */
 uint64_t contents_bytes(const struct contents *cs);
 
 /** digest_hash() - GHashFunc of a struct digest */
--- a/packages/config/src/endpoints.c
+++ b/packages/config/src/endpoints.c
@@ -1,5 +1,5 @@
 /*
- * Endpoints that membership knows, grouped by service.
+ * Endpoints announced through membership, grouped by service.
  */
 #include <string.h>
 
@@ -9,8 +9,8 @@
 
 /**
  * struct endpoint_set - see config/endpoints.h
- * @lists: name of a service to its struct endpoint_list
- * @hosts: name of a host to the GPtrArray of names of its services
+ * @lists: maps the name of a service to its struct endpoint_list
+ * @hosts: maps the name of a host to a GPtrArray of the names of its services
  * @n_endpoints: number of endpoints
  */
 struct endpoint_set {
@@ -95,7 +95,7 @@
 	return list;
 }
 
-/* Index of a host in a list, or of where it would be. */
+/* Index of a host in a list, or the index at which to insert it. */
 static uint32_t
 find_host(const struct endpoint_list *list, const char *host, bool *found)
 {
@@ -127,7 +127,7 @@
 	    a->state == b->state && strcmp(a->version, b->version) == 0;
 }
 
-/* A copy of a list with @skip entries at @at replaced by @insert. */
+/* Copy a list with @skip entries at @at replaced by @insert. */
 static struct endpoint_list *
 splice(const struct endpoint_list *old, const char *service, uint32_t at,
     uint32_t skip, const struct endpoint *insert)
@@ -160,7 +160,8 @@
 	g_hash_table_remove(set->lists, service);
 }
 
-/* Set or drop (@ep is NULL) a host's endpoint; whether that changed it. */
+/* Set or remove (@ep is NULL) the endpoint of a host; Return: whether the list
+ * changed. */
 static bool
 set_endpoint(struct endpoint_set *set, const char *host, const char *service,
     const struct endpoint *ep)
@@ -195,7 +196,7 @@
 	return NULL;
 }
 
-/* Drop a host's endpoints whose services are not in the new ones. */
+/* Remove the endpoints of a host whose services are not in @endpoints. */
 static uint32_t
 remove_absent(struct endpoint_set *set, const char *host,
     const struct endpoint *endpoints, uint32_t n)
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -1,5 +1,5 @@
 /*
- * Parts of a service whose routes don't fit one section.
+ * Parts of a service whose routes don't fit into one section.
  */
 #include "parts.h"
 
@@ -9,33 +9,35 @@
 #include "rules.h"
 #include "section_build.h"
 
-/* Between the name of a service and a part; no name of a service has it, and
- * it sorts before all that names have, so that parts stand together. */
+/* Separates the name of a service and of a part.  Names of services can't
+ * contain it, and it sorts before their characters, so the parts of a service
+ * are adjacent in a sorted list. */
 #define PART_SEPARATOR ' '
 
-/* Most bytes that a route takes in a section besides its texts: 13 for types
- * and lengths, 5 for each of its six numbers, 2 for its flags. */
+/* Largest encoding of a route in a section without its texts: 13 bytes for
+ * types and lengths, 5 for each of the six numbers, 2 for the flags. */
 #define ROUTE_FIXED_BYTES 45
 
-/* Most bytes of a section besides its routes: 12 numbers of up to 9 bytes, a
- * service's name of 31, a part's of 24, types and lengths. */
+/* Largest encoding of a section without its routes: 12 numbers of up to 9
+ * bytes, the name of the service of 31, the name of the part of 24, types and
+ * lengths. */
 #define SECTION_FIXED_BYTES 192
 
-/* Any seed does, as long as all nodes have the same. */
+/* All nodes must use the same seed; its value is arbitrary. */
 #define PART_HASH_SEED 29
 
-/** struct leaf_route - a route with its place in the trie; borrowed */
+/** struct leaf_route - a borrowed route and its path in the trie */
 struct leaf_route {
 	uint32_t bits;
 	const struct rec_section_route *route;
 };
 
 /**
- * struct cutting - a service that is being cut
- * @m: its numbers
+ * struct part_split - a service while it is split
+ * @m: the service
  * @routes: struct leaf_route, sorted by bits
- * @bytes: sum of the bytes of all routes before each one
- * @sections: where sections go
+ * @bytes: prefix sums of the routes' sizes, uint64_t
+ * @sections: receives the sections
  */
 struct part_split {
 	const struct msg_section *m;
@@ -45,8 +47,9 @@
 };
 
 /*
- * First bits of the hash of what a route matches.  Methods are left out, so
- * that routes which share a place, or claim it twice, are in one section.
+ * First bits of the hash of a route's host and prefix.  Methods are not hashed,
+ * so routes that share a prefix by weight, or that conflict, are in one
+ * section.
  */
 static uint32_t
 route_hash_bits(const struct rec_section_route *route)
@@ -107,7 +110,7 @@
 	g_free(m.routes);
 }
 
-/* Index of the first route below the branch 1 of a node. */
+/* Index of the first route in the 1 branch of a node. */
 static uint32_t
 find_one_branch(
     const struct part_split *c, uint32_t low, uint32_t high, uint32_t depth)
@@ -124,7 +127,8 @@
 	return low;
 }
 
-/* A node of the trie: a section, or two nodes below it; @part is its name. */
+/* Add the node named @part with the routes from @low to @high: as a section, or
+ * split into two child nodes. */
 static void
 split_node(struct part_split *c, uint32_t low, uint32_t high, char *part)
 {
--- a/packages/config/src/patch.c
+++ b/packages/config/src/patch.c
@@ -1,8 +1,9 @@
 /*
- * A section as its difference from another one.
+ * Binary patches between sections.
  *
- * Blocks of the base are found again in the new section by their hash at any
- * place, and matches grow in both directions as far as the bytes agree.
+ * Blocks of the base are indexed by hash and looked up at every offset of the
+ * new section.  A match is extended in both directions as far as the bytes are
+ * equal.
  */
 #include <string.h>
 
@@ -10,28 +11,29 @@
 #include "config/section.h"
 #include "patch.h"
 
-/* A route has 60 to 130 bytes: one that changes spoils two blocks or three. */
+/* A route has 60 to 130 bytes: a changed one invalidates two or three
+ * blocks. */
 #define BLOCK_BYTES 32
 
-/* As many as the message takes. */
+/* Most hunks of the message. */
 #define HUNKS_MAX 1024
 
 #define BLOCK_HASH_SEED 17
 
-/** struct byte_span - bytes that are compared */
+/** struct byte_span - borrowed bytes */
 struct byte_span {
 	const uint8_t *data;
 	size_t len;
 };
 
 /**
- * struct making - a difference on its way
+ * struct patch_builder - a patch under construction
  * @from: the base
  * @to: the new section
- * @blocks: hash of a block of the base to its place, plus 1
+ * @blocks: maps the hash of a block of the base to its offset plus 1
  * @hunks: struct rec_patch_hunk
  * @data: new bytes of all hunks
- * @n_covered: bytes of @to that the hunks lead to
+ * @n_covered: bytes of @to that the hunks produce
  */
 struct patch_builder {
 	struct byte_span from;
@@ -60,7 +62,7 @@
 		    GSIZE_TO_POINTER(at + 1));
 }
 
-/* New bytes go behind the hunk before, or make one without base bytes. */
+/* Append new bytes to the last hunk, or to a first hunk without base bytes. */
 static void
 add_data(struct patch_builder *b, size_t until)
 {
@@ -77,7 +79,8 @@
 	b->n_covered = until;
 }
 
-/* The bytes at @at of the new section are those at @from of the base. */
+/* Add a hunk for a block at @at of the new section that is at @from of the
+ * base. */
 static void
 add_match(struct patch_builder *b, size_t at, size_t from)
 {
@@ -172,7 +175,8 @@
 	g_free(patch);
 }
 
-/* Appends a hunk; false when it leads out of the base, data or limits. */
+/* Append the bytes of a hunk; false if it exceeds the base, the data or the
+ * largest section. */
 static bool
 append_hunk(GByteArray *result, const struct byte_span *base,
     const struct rec_section_patch *patch, const struct rec_patch_hunk *hunk,
--- a/packages/config/src/patch.h
+++ b/packages/config/src/patch.h
@@ -1,5 +1,5 @@
 /*
- * A section as its difference from another one: pieces of the other, and new
+ * Binary patches between sections: ranges copied from a base section, with new
  * bytes between them.
  */
 #ifndef CONFIG_PATCH_H
@@ -10,26 +10,26 @@
 #include "proto/messages.h"
 
 /**
- * patch_make() - find the difference
- * @from: the section that the other side holds
- * @to: the section that it shall hold
+ * patch_make() - compute a patch
+ * @from: the base, which the receiver has
+ * @to: the section that results from the patch
  *
- * Costs 0.1 to 0.6 ms of processor time for sections of 62 KB.
+ * Takes 0.1 to 0.6 ms of processor time for sections of 62 KB.
  *
- * Return: the difference but for its base, to be freed with patch_free(); NULL
- * when it would have more than half of the bytes of @to.
+ * Return: the patch without the digest of its base; free with patch_free().
+ * NULL if it would be larger than half of @to.
  */
 struct rec_section_patch *patch_make(GBytes *from, GBytes *to);
 
-/** patch_free() - free what patch_make() made; NULL is fine */
+/** patch_free() - free a patch from patch_make(); accepts NULL */
 void patch_free(struct rec_section_patch *patch);
 
 /**
- * patch_apply() - make the section that a difference leads to
- * @base: the section that it changes
- * @patch: the difference, from a peer
+ * patch_apply() - apply a patch
+ * @base: the base section
+ * @patch: the patch, as received from a peer
  *
- * Return: the section, or NULL when the difference does not fit the base.
+ * Return: the resulting section, or NULL if the patch does not fit the base.
  */
 GBytes *patch_apply(GBytes *base, const struct rec_section_patch *patch);
 
--- a/packages/config/src/problems.c
+++ b/packages/config/src/problems.c
@@ -1,12 +1,12 @@
 /*
- * Problems found in a bundle or a section, and where.
+ * Problems of a bundle or a section, with their paths.
  */
 #include <stdarg.h>
 
 #include "config/bundle.h"
 #include "problems.h"
 
-/* Problems that a summary tells in full. */
+/* Problems that a summary lists; further ones are counted. */
 #define SUMMARY_MAX_PROBLEMS 4
 
 static void
--- a/packages/config/src/problems.h
+++ b/packages/config/src/problems.h
@@ -1,6 +1,7 @@
 /*
- * Problems found in a bundle or a section, and where.  A problem is what a
- * node could not run as it is meant; a warning is what it runs all the same.
+ * Collects the problems of a bundle or a section with their JSON paths.  A
+ * problem makes the bundle invalid, since a node could not run it as intended;
+ * a warning does not.
  */
 #ifndef CONFIG_PROBLEMS_H
 #define CONFIG_PROBLEMS_H
@@ -9,14 +10,14 @@
 
 #include <glib.h>
 
-/* Index of a place that is named by a key. */
+/* Index of a path element that has a key. */
 #define DOC_PATH_NO_INDEX UINT32_MAX
 
 /**
- * struct doc_path - a place in a document, as a chain up to its root
- * @parent: what it is part of, NULL for the root
- * @key: its key in an object, NULL for an element of a list
- * @index: its index in a list, DOC_PATH_NO_INDEX for a member of an object
+ * struct doc_path - path of a value in a document, linked up to the root
+ * @parent: path of the enclosing object or array, NULL for the root
+ * @key: key in an object, NULL for an array element
+ * @index: index in an array, DOC_PATH_NO_INDEX for a member of an object
  */
 struct doc_path {
 	const struct doc_path *parent;
@@ -25,11 +26,11 @@
 };
 
 /**
- * struct problems - problems found so far
- * @list: struct bundle_problem, the first BUNDLE_MAX_PROBLEMS
- * @warnings: the same of warnings
- * @n_found: number of all problems
- * @n_warned: number of all warnings
+ * struct problems - problems and warnings found so far
+ * @list: the first BUNDLE_MAX_PROBLEMS problems, struct bundle_problem
+ * @warnings: the first BUNDLE_MAX_PROBLEMS warnings, struct bundle_problem
+ * @n_found: total number of problems
+ * @n_warned: total number of warnings
  */
 struct problems {
 	GPtrArray *list;
@@ -38,32 +39,32 @@
 	uint32_t n_warned;
 };
 
-/** problems_init() - none so far */
+/** problems_init() - initialize without problems */
 void problems_init(struct problems *p);
 
 /** problems_clear() - free the lists */
 void problems_clear(struct problems *p);
 
 /**
- * problems_add() - note a problem
+ * problems_add() - record a problem
  * @p: problems
- * @at: where
- * @remedy: what to do
- * @fmt: printf format: what is wrong
+ * @at: path of the value
+ * @remedy: how to correct it
+ * @fmt: printf format of the description
  */
 void
 problems_add(struct problems *p, const struct doc_path *at, const char *remedy,
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
-/** problems_warn() - note a warning; as problems_add() */
+/** problems_warn() - record a warning; parameters as for problems_add() */
 void
 problems_warn(struct problems *p, const struct doc_path *at, const char *remedy,
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /**
- * problems_summary() - the first problems or warnings as one text
+ * problems_summary() - format the first problems or warnings as one text
  * @list: struct bundle_problem
- * @n_found: number of all, those not listed included
+ * @n_found: total number, including those not in @list
  *
  * Return: new text; free with g_free().
  */
--- a/packages/config/src/ring.c
+++ b/packages/config/src/ring.c
@@ -1,5 +1,6 @@
 /*
- * The ring of the last commits: deltas forward, full lists back.
+ * The ring of the last commits: deltas to newer versions, full lists of older
+ * versions, and patches.
  */
 #include <string.h>
 
@@ -19,7 +20,8 @@
 	g_free(entry);
 }
 
-/* The change that undoes a change of a section on the list before. */
+/* Set the change that reverts a change of a section, from the list before the
+ * commit. */
 static void
 set_reverse(struct rec_section_change *reverse, const GArray *from,
     uint32_t *next, const char *section)
@@ -111,7 +113,8 @@
 		ring_drop_oldest(c);
 }
 
-/* Index of the first entry of a chain from one version on, or the length. */
+/* Index of the first entry for changes from a version, or the ring's length if
+ * they are not kept. */
 static uint32_t
 chain_start(const struct catalog *c, uint64_t have_version)
 {
@@ -128,7 +131,8 @@
 	return i;
 }
 
-/* Merge an entry's changes into those of earlier ones; the later count. */
+/* Merge the changes of an entry into earlier changes; the later change of a
+ * section replaces the earlier one. */
 static GArray *
 merge_ring_entry(GArray *earlier, const struct ring_entry *entry)
 {
@@ -167,7 +171,8 @@
 	    have_version, want_version);
 }
 
-/* Merge entries from @i on until a version is reached. */
+/* Merge entries from @i on up to the delta's version.  An incomplete entry may
+ * be merged only at its own from_version. */
 static enum status
 merge_chain(const struct catalog *c, uint32_t i, struct catalog_delta *delta)
 {
@@ -230,7 +235,7 @@
 	memset(delta, 0, sizeof(*delta));
 }
 
-/* What a commit made of a section, or NULL when it left it as it was. */
+/* Find the change of a section in a commit, or NULL if it is unchanged. */
 static const struct ring_change *
 find_ring_change(const struct ring_entry *entry, const char *section)
 {
@@ -251,7 +256,8 @@
 	return NULL;
 }
 
-/* Digest of a section at a version that is not the newest. */
+/* Digest of a section at an older version, or NULL if the section did not exist
+ * or has not changed since. */
 static const struct digest *
 section_digest_at(
     const struct catalog *c, uint64_t have_version, const char *section)
@@ -270,7 +276,8 @@
 	return NULL;
 }
 
-/* Keeps the difference of two sections that are held here. */
+/* Return the patch between two stored sections; replaces the cache entry if
+ * that has another patch. */
 static const struct rec_section_patch *
 cached_patch(struct patch_cache_entry *cached, const struct digest *base,
     GBytes *from, const struct digest *target, GBytes *to)
@@ -342,7 +349,7 @@
 	return base != NULL ? patch_apply(base, patch) : NULL;
 }
 
-/* A list with an entry's steps taken back. */
+/* Revert the changes of an entry in a list. */
 static GArray *
 undo_entry(GArray *list, const struct ring_entry *entry)
 {
--- a/packages/config/src/route_table.c
+++ b/packages/config/src/route_table.c
@@ -1,15 +1,15 @@
 /*
- * Routes of all services, for the longest-prefix match.
+ * Longest-prefix match over the routes of all services.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "route_table.h"
 
-/* What bytes at or below ROUTE_SLASH in a path are mapped to. */
+/* Replaces bytes at or below ROUTE_SLASH in a path. */
 #define ROUTE_CONTROL '\2'
 
-/* An entry while the table is built, with its text at hand. */
+/* An entry and its text while the table is built. */
 struct draft_entry {
 	struct route_entry entry;
 	const char *prefix;
@@ -23,7 +23,7 @@
 	return (unsigned char)ch <= ROUTE_SLASH ? ROUTE_CONTROL : ch;
 }
 
-/* Order of two mapped texts, the shorter one first if it starts the other. */
+/* Order of two mapped texts; a text sorts before its extensions. */
 static int
 text_compare(const char *a, uint32_t a_len, const char *b, uint32_t b_len)
 {
@@ -49,8 +49,9 @@
 }
 
 /*
- * Append host and mapped prefix to the text; the prefix "/" is empty, and one
- * that takes only what is below it ends with a segment.
+ * Append host and mapped prefix to the text.  The prefix "/" is mapped to an
+ * empty text; a prefix that matches only paths below it gets a trailing
+ * ROUTE_SLASH.
  */
 static uint32_t
 append_prefix(GString *text, const struct service_route *route)
@@ -89,7 +90,7 @@
 	}
 }
 
-/* Drafts of all routes, sorted; their prefixes point into the text. */
+/* Create the sorted entries of all routes; their prefixes point into @text. */
 static GArray *
 drafts_new(const GPtrArray *sections, GString *text)
 {
@@ -134,7 +135,8 @@
 		   t->text + b->text_offset, b->len) == 0;
 }
 
-/* In sorted order the entries above an entry are its predecessor's chain. */
+/* Set the parents.  In sorted order the ancestors of an entry are its
+ * predecessor and the ancestors of that, or some of them. */
 static void
 link_parents(struct route_table *t)
 {
@@ -154,7 +156,7 @@
 			ancestor = t->entries[ancestor].parent;
 		entry->parent = ancestor;
 	}
-	/* Let each parent be the first entry of its prefix. */
+	/* Move each parent index to the first entry of the parent's prefix. */
 	for (i = 1; i < t->n_entries; i++) {
 		ancestor = t->entries[i].parent;
 		while (ancestor != ROUTE_NO_PARENT && ancestor > 0 &&
@@ -237,7 +239,7 @@
 	g_free(t);
 }
 
-/* Number of entries that are not after a text. */
+/* Number of entries that are less than or equal to a text. */
 static uint32_t
 upper_bound(const struct route_table *t, const char *text, uint32_t len)
 {
@@ -256,7 +258,8 @@
 	return low;
 }
 
-/* The entry of a prefix that takes a method; @i is the prefix's first. */
+/* Find the entry of a prefix that accepts a method; @i is the first entry of
+ * the prefix. */
 static const struct route_entry *
 find_method(const struct route_table *t, uint32_t i, enum http_method method)
 {
@@ -272,7 +275,7 @@
 	return NULL;
 }
 
-/* First entry of the prefix that an entry has. */
+/* Index of the first entry with the same prefix as an entry. */
 static uint32_t
 first_of_prefix(const struct route_table *t, uint32_t i)
 {
@@ -281,7 +284,8 @@
 	return i;
 }
 
-/* The entry of the longest prefix of a mapped text, of a host or of none. */
+/* Find the entry with the longest prefix of a mapped text, among the entries
+ * with a host or those without. */
 static const struct route_entry *
 find_longest_prefix(const struct route_table *t, enum http_method method,
     const char *text, uint32_t len, bool has_host, bool *path_matched)
@@ -320,7 +324,9 @@
 	at = host_len < ROUTE_HOST_BYTES ? (uint32_t)host_len : 0;
 	for (i = 0; i < at; i++)
 		text[i] = g_ascii_tolower(host[i]);
-	/* No prefix is longer, and its end is seen in the byte after it. */
+	/* A prefix has fewer than ROUTE_PREFIX_BYTES bytes, so the text
+	 * includes the byte after it, which shows whether a segment ends there.
+	 */
 	len = (uint32_t)MIN(path_len, ROUTE_PREFIX_BYTES);
 	for (i = 0; i < len; i++)
 		text[at + i] = map_char(path[i]);
--- a/packages/config/src/route_table.h
+++ b/packages/config/src/route_table.h
@@ -1,10 +1,10 @@
 /*
- * Routes of all services, for the longest-prefix match.
+ * Longest-prefix match over the routes of all services.
  *
- * Entries are sorted by prefix with '/' before every other character, so
- * that all extensions of a prefix by whole segments follow it at once.  Each
- * entry knows the longest prefix above its own; a match is a binary search
- * and a walk up from there.
+ * Entries are sorted by prefix with '/' before every other character, so all
+ * extensions of a prefix by whole segments directly follow it.  Each entry
+ * stores the index of the longest shorter prefix that contains it; a match is a
+ * binary search followed by a walk along these parents.
  */
 #ifndef CONFIG_ROUTE_TABLE_H
 #define CONFIG_ROUTE_TABLE_H
@@ -15,20 +15,20 @@
 
 #include "config/service.h"
 
-/* Parent of an entry that has none. */
+/* Parent index of an entry without a parent. */
 #define ROUTE_NO_PARENT UINT32_MAX
 
 /**
  * struct route_entry - one route
- * @text_offset: where its prefix starts in the table's text
- * @len: length of the prefix; that of "/" is 0
- * @parent: first entry with the longest prefix above this one
+ * @text_offset: offset of host and prefix in the table's text
+ * @len: length of host and prefix in bytes; the prefix "/" has length 0
+ * @parent: first entry of the longest prefix that contains this one
  * @service: index of the service
- * @section: index of the section among all
+ * @section: index of the section among all sections
  * @route: index of the route in the section
  * @methods: set of METHOD_BIT()
  * @has_host: the text begins with a host
- * @weighted: several services share the route by weight
+ * @weighted: services share the route by weight
  */
 struct route_entry {
 	uint32_t text_offset;
@@ -47,8 +47,8 @@
  * @refs: references
  * @n_entries: number of entries
  * @entries: entries, sorted
- * @text: prefixes with '/' mapped to ROUTE_SLASH
- * @text_bytes: their length
+ * @text: hosts and prefixes, with '/' mapped to ROUTE_SLASH
+ * @text_bytes: length of @text
  */
 struct route_table {
 	_Atomic uint32_t refs;
@@ -58,16 +58,15 @@
 	size_t text_bytes;
 };
 
-/* What '/' is mapped to, so that it sorts before all that prefixes hold. */
+/* Replaces '/', to sort before all other characters of prefixes. */
 #define ROUTE_SLASH '\1'
 
 /**
- * route_table_new() - compile the routes of some services
+ * route_table_new() - compile the routes of all sections
  * @sections: struct service_config, sorted by section
- * @table: where the table goes; the caller owns a reference
+ * @table: receives the table; the caller owns a reference
  *
- * Return: STATUS_OK, or STATUS_INVALID when two routes claim the same
- * requests.
+ * Return: STATUS_OK, or STATUS_INVALID if two routes claim the same requests.
  */
 enum status
 route_table_new(const GPtrArray *sections, struct route_table **table);
@@ -75,18 +74,18 @@
 /** route_table_ref() - take a reference; any thread; Return: @t */
 struct route_table *route_table_ref(struct route_table *t);
 
-/** route_table_unref() - give a reference back; any thread; NULL is fine */
+/** route_table_unref() - drop a reference; any thread; accepts NULL */
 void route_table_unref(struct route_table *t);
 
 /**
- * route_table_find() - the entry that a request matches
+ * route_table_find() - find the entry of a request
  * @t: table
  * @method: method
- * @host: host that the caller named, without its port; case is folded
+ * @host: host of the request without its port; matched case-insensitively
  * @host_len: number of bytes, 0 for none
  * @path: first byte of the path
  * @path_len: number of bytes, without the query
- * @path_matched: set when a prefix matched, whatever its methods
+ * @path_matched: set to whether a prefix matched, regardless of the method
  *
  * Return: the entry or NULL.
  */
@@ -95,19 +94,19 @@
     const char *path, size_t path_len, bool *path_matched);
 
 /**
- * route_table_shares() - the entries that share a route
+ * route_table_shares() - list the entries that share a route by weight
  * @t: table
- * @entry: one of them
- * @shares: room for @max
- * @max: most that are wanted
+ * @entry: one of the entries
+ * @shares: receives up to @max entries
+ * @max: size of @shares
  *
- * Return: their number, @entry included.
+ * Return: number of entries, including @entry.
  */
 uint32_t
 route_table_shares(const struct route_table *t, const struct route_entry *entry,
     const struct route_entry **shares, uint32_t max);
 
-/** route_table_bytes() - memory taken, near enough */
+/** route_table_bytes() - estimated memory use in bytes */
 uint64_t route_table_bytes(const struct route_table *t);
 
 #endif
--- a/packages/config/src/rules.c
+++ b/packages/config/src/rules.c
@@ -1,5 +1,5 @@
 /*
- * Rules that a service and its routes keep.
+ * Validation rules for services and routes.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -109,7 +109,7 @@
 number_clamp(const struct number_rule *rule, int64_t value,
     const struct doc_path *at, struct problems *p)
 {
-	/* A negative number is beyond any range once unsigned. */
+	/* A negative number becomes larger than any maximum as unsigned. */
 	if (value < 0 || (uint64_t)value <= rule->max || rule->no_clamp) {
 		number_check(rule, (uint64_t)value, at, p);
 		return (uint64_t)value;
@@ -147,7 +147,7 @@
 		    "this name of a service is unusual");
 }
 
-/* Characters that mean the same to every upstream, unescaped. */
+/* Characters that need no escaping and have one interpretation. */
 static bool
 prefix_char_portable(char ch)
 {
@@ -155,7 +155,7 @@
 	    (ch != '\0' && strchr("-._~!$&'()*+,;=:@/", ch) != NULL);
 }
 
-/* Whether the path of a request can hold a character. */
+/* Whether the path of a request may contain a character. */
 static bool
 prefix_char_valid(char ch)
 {
@@ -163,7 +163,7 @@
 	    ch != '#';
 }
 
-/* Place from 1 on of the first character that doesn't pass; 0 for none. */
+/* Position, from 1, of the first character that is not valid; 0 if all are. */
 static size_t
 prefix_find_invalid(const char *prefix, size_t len, bool (*is_valid)(char ch))
 {
@@ -176,7 +176,8 @@
 	return 0;
 }
 
-/* Whether a segment is one that upstreams resolve or drop. */
+/* Whether a segment is empty, "." or "..", which upstreams may remove or
+ * resolve. */
 static bool
 segment_is_dot_or_empty(const char *segment, size_t len)
 {
@@ -199,7 +200,8 @@
 	return true;
 }
 
-/* What upstreams may read otherwise than the route, which compares bytes. */
+/* Warn about prefixes that upstreams may interpret differently: routes are
+ * matched byte by byte, without decoding or path resolution. */
 static void
 prefix_check_portable(const char *prefix, size_t len, const struct doc_path *at,
     struct problems *p)
@@ -248,7 +250,7 @@
 		    "OPTIONS, "
 		    "or \"*\" alone",
 		    "a route needs known methods");
-	/* One that takes any method says so of all that it takes. */
+	/* A route of any method declares all of its methods idempotent. */
 	if (idempotent && methods != METHOD_ANY &&
 	    (methods & METHOD_NON_IDEMPOTENT) != 0 &&
 	    (methods & ~METHOD_NON_IDEMPOTENT) != 0)
@@ -273,7 +275,7 @@
 		    "this is no host that callers name");
 }
 
-/* Length of a host without the port behind it. */
+/* Length of a host without its port. */
 static size_t
 host_name_length(const char *host)
 {
@@ -302,7 +304,7 @@
 	return normalized;
 }
 
-/* Order of what requests two routes take, their methods aside. */
+/* Order of two routes by what they match, without their methods. */
 static int
 route_match_compare(
     const struct rec_section_route *x, const struct rec_section_route *y)
@@ -334,7 +336,8 @@
 		qsort(routes, n_routes, sizeof(*routes), route_compare);
 }
 
-/* Routes in canonical order, of one prefix no shared method. */
+/* Record routes that are not in canonical order, and routes of one prefix that
+ * have a method in common. */
 static void
 routes_order_check(const struct msg_section *m, struct problems *p)
 {
--- a/packages/config/src/rules.h
+++ b/packages/config/src/rules.h
@@ -1,6 +1,6 @@
 /*
- * Rules that a service and its routes keep, whether they come from an
- * operator's bundle or from a section on the wire.
+ * Validation rules for services and routes, both of an operator's bundle and of
+ * a section received from a peer.
  */
 #ifndef CONFIG_RULES_H
 #define CONFIG_RULES_H
@@ -10,15 +10,15 @@
 #include "proto/messages.h"
 
 /**
- * struct number_rule - a number of a service
- * @group: key of the object that it is in, NULL for the service itself
- * @key: its key
- * @offset: where it is in struct msg_section, or rec_section_route
- * @bytes: its size there, 4 or 8
- * @min: least value
- * @max: largest value
- * @default_value: value when it is left out
- * @no_clamp: whether a value above @max has no like within the range
+ * struct number_rule - range and default of a number of a service or route
+ * @group: key of the enclosing object, NULL for the service or route itself
+ * @key: key of the number
+ * @offset: offset in struct msg_section or rec_section_route
+ * @bytes: size of the field, 4 or 8
+ * @min: minimum
+ * @max: maximum
+ * @default_value: value if the bundle omits the number
+ * @no_clamp: reject a value above @max instead of using @max
  */
 struct number_rule {
 	const char *group;
@@ -37,61 +37,62 @@
 /** route_rules - all numbers of a route; ends with a NULL key */
 extern const struct number_rule route_rules[];
 
-/** number_rule_find() - the rule of a key in a group, or NULL */
+/** number_rule_find() - find the rule for a key in a group, or NULL */
 const struct number_rule *number_rule_find(const char *group, const char *key);
 
-/** number_load() - value of the number that a rule is about */
+/** number_load() - get the value of the field of a rule */
 uint64_t number_load(const struct number_rule *rule, const void *m);
 
-/** number_store() - set the number that a rule is about */
+/** number_store() - set the value of the field of a rule */
 void number_store(const struct number_rule *rule, void *m, uint64_t value);
 
 /**
- * number_clamp() - the number that is run for one that is told
- * @rule: which
- * @value: what is told
- * @at: its place
+ * number_clamp() - check a number of a bundle and clamp it to its maximum
+ * @rule: the rule
+ * @value: the number in the bundle
+ * @at: path of the number
  * @p: problems
  *
- * Above the range its end is run and a warning noted.  Below the range is a
- * problem, since 0 attempts or slots, or less than nothing, can't be run as
- * any other number; so is a share of weight above it, since the range's end
- * would change what the other shares get.
+ * A value above the range is replaced by the maximum, with a warning.  A value
+ * below the range is a problem, since no other number has the effect of 0
+ * attempts or slots or of a negative value.  A weight above the range is a
+ * problem, since the maximum would change the proportions of the other shares.
  *
- * Return: @value, or the end of the range.
+ * Return: @value, or the maximum.
  */
 uint64_t number_clamp(const struct number_rule *rule, int64_t value,
     const struct doc_path *at, struct problems *p);
 
-/** number_check() - note a number that is out of range */
+/** number_check() - record a problem if a number is out of range */
 void number_check(const struct number_rule *rule, uint64_t value,
     const struct doc_path *at, struct problems *p);
 
-/** service_name_conventional() - whether a valid name has the usual characters
- * only */
+/** service_name_conventional() - whether a valid name has only the recommended
+ * characters */
 bool service_name_conventional(const char *name, size_t len);
 
-/** service_name_check() - note a name of a service that is bad or unusual */
+/** service_name_check() - record an invalid name of a service as a problem, an
+ * unconventional one as a warning */
 void service_name_check(const char *name, size_t len, const struct doc_path *at,
     struct problems *p);
 
-/** prefix_check() - note a prefix that is bad, or that upstreams may read
- * otherwise than the route does */
+/** prefix_check() - record an invalid prefix as a problem, one that upstreams
+ * may interpret differently from the route as a warning */
 void prefix_check(const char *prefix, size_t len, const struct doc_path *at,
     struct problems *p);
 
-/** host_check() - note a bad host of a route; an empty one is fine */
+/** host_check() - record an invalid host of a route; an empty host is valid */
 void
 host_check(const char *host, const struct doc_path *at, struct problems *p);
 
 /**
- * host_normalize() - a host as requests are matched by it
- * @host: what is told
- * @at: its place
+ * host_normalize() - convert a host to the form used for matching
+ * @host: host in the bundle
+ * @at: path of the host
  * @p: problems
  *
- * Hosts are compared without regard to case and port, so it is in lower case
- * and without a port; a warning is noted where that changes it.
+ * Hosts are compared without regard to case and port, so the result is in lower
+ * case and without a port.  A warning is recorded if it differs from @host.
  *
  * Return: new text; free with g_free().
  */
@@ -99,19 +100,20 @@
 host_normalize(const char *host, const struct doc_path *at, struct problems *p);
 
 /**
- * methods_check() - note a bad set of methods, or a bad claim of idempotence
+ * methods_check() - record an invalid set of methods, or one that can't be
+ * declared idempotent
  * @methods: set of METHOD_BIT()
- * @idempotent: what the route says
- * @at: the route
+ * @idempotent: whether the route is declared idempotent
+ * @at: path of the route
  * @p: problems
  */
 void methods_check(uint32_t methods, bool idempotent, const struct doc_path *at,
     struct problems *p);
 
 /**
- * routes_overlap() - whether two routes claim the same requests
+ * routes_overlap() - whether two routes of one prefix claim the same requests
  *
- * Two routes of one prefix may share no method.
+ * Routes of one prefix must not have a method in common.
  */
 static inline bool
 routes_overlap(uint32_t methods_a, uint32_t methods_b)
@@ -119,10 +121,10 @@
 	return (methods_a & methods_b) != 0;
 }
 
-/** routes_sort() - bring routes in canonical order */
+/** routes_sort() - sort routes into canonical order */
 void routes_sort(struct rec_section_route *routes, uint32_t n_routes);
 
-/** section_check() - note all that is wrong with a section by itself */
+/** section_check() - record all problems within a section */
 void section_check(const struct msg_section *m, struct problems *p);
 
 #endif
--- a/packages/config/src/section.c
+++ b/packages/config/src/section.c
@@ -1,5 +1,5 @@
 /*
- * Sections: canonical content, and the service that it describes.
+ * Sections: canonical encoding, and decoding into a service.
  */
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "rules.h"
 #include "section_build.h"
 
-/* Memory of a service with its routes and their prefixes. */
+/* Size of a service with its routes and their texts. */
 static size_t
 config_size(const struct msg_section *m)
 {
@@ -39,7 +39,7 @@
 	sc->retry.budget_percent = m->budget_percent;
 }
 
-/* Copies a text behind the routes; Return: where the next one goes. */
+/* Copy a text into the space after the routes; Return: end of the copy. */
 static char *
 config_set_text(char *at, const char *text, const char **out, uint32_t *out_len)
 {
@@ -82,7 +82,7 @@
 		text = config_set_route(&sc->routes[i], &m->routes[i], text);
 }
 
-/* One allocation for all, so that the last reference is one g_free(). */
+/* A single allocation, so that dropping the last reference is one g_free(). */
 static struct service_config *
 config_new(const struct msg_section *m, const struct digest *digest)
 {
@@ -157,7 +157,8 @@
 	return st;
 }
 
-/* Decode checked content; a content that encodes otherwise is refused. */
+/* Check a decoded message and build its service; rejects a content that differs
+ * from the canonical encoding of the message. */
 static enum status
 check_and_build(const struct msg_section *m, const uint8_t *data, size_t len,
     struct service_config **config)
--- a/packages/config/src/section_build.h
+++ b/packages/config/src/section_build.h
@@ -1,5 +1,5 @@
 /*
- * Making sections from checked messages.
+ * Builds sections from validated messages.
  */
 #ifndef CONFIG_SECTION_BUILD_H
 #define CONFIG_SECTION_BUILD_H
@@ -8,14 +8,14 @@
 #include "proto/messages.h"
 
 /**
- * section_new() - a section from a checked message
- * @m: the message; passed section_check()
+ * section_new() - encode a section from a validated message
+ * @m: the message; must have passed section_check()
  *
  * Return: the section; free with section_free().
  */
 struct section *section_new(const struct msg_section *m);
 
-/** section_free() - free a section; fits GDestroyNotify */
+/** section_free() - free a section; usable as GDestroyNotify */
 void section_free(void *data);
 
 #endif
--- a/packages/config/src/section_list.c
+++ b/packages/config/src/section_list.c
@@ -29,7 +29,8 @@
 	g_array_append_val(out, change);
 }
 
-/* Order of the next elements of two lists; an ended list (NULL) comes last. */
+/* Order of the next elements of two lists; the end of a list (NULL) sorts
+ * last. */
 static int
 merge_order(const char *a, const char *b)
 {
@@ -38,7 +39,7 @@
 	return strcmp(a, b);
 }
 
-/* Name of an element, or NULL past the end. */
+/* Name of an element, or NULL after the end of the list. */
 static const char *
 name_at(const GArray *list, uint32_t i)
 {
--- a/packages/config/src/service.c
+++ b/packages/config/src/service.c
@@ -1,5 +1,5 @@
 /*
- * Services: names of methods, references.
+ * Services: names of methods and reference counting.
  */
 #include <string.h>
 
@@ -49,6 +49,6 @@
 	if (sc == NULL ||
 	    atomic_fetch_sub_explicit(&sc->refs, 1, memory_order_acq_rel) != 1)
 		return;
-	/* Routes and prefixes are part of the same allocation. */
+	/* Routes and their texts are part of the same allocation. */
 	g_free(sc);
 }
--- a/packages/config/src/snapshot.c
+++ b/packages/config/src/snapshot.c
@@ -14,7 +14,8 @@
 	return list != NULL ? endpoint_list_ref(list) : NULL;
 }
 
-/* A section of the service before it, or the first of a further one. */
+/* Add section @i to the last service, or to a new service if it has another
+ * name. */
 static void
 add_section(
     struct snapshot *s, uint32_t i, const struct endpoint_set *endpoints)
@@ -119,7 +120,7 @@
 	match->route = &s->sections[entry->section]->routes[entry->route];
 }
 
-/* A host without its port. */
+/* Length of a host without its port. */
 static size_t
 host_length(const char *host)
 {
--- a/packages/config/src/snapshot_check.c
+++ b/packages/config/src/snapshot_check.c
@@ -1,5 +1,5 @@
 /*
- * Verification of a snapshot, for tests and drivers.
+ * Verification of the invariants of a snapshot, for tests and drivers.
  */
 #include <string.h>
 
@@ -56,7 +56,7 @@
 	return st;
 }
 
-/* Whether the mapped text of an entry is its route's prefix. */
+/* Whether the mapped text of an entry is the host and prefix of its route. */
 static bool
 text_matches_route(const struct route_table *t, const struct route_entry *entry,
     const struct service_route *route)
@@ -113,8 +113,8 @@
 	return st;
 }
 
-/* Whether a request for a route's own prefix finds it, or one it shares with.
- */
+/* Whether a request for a route's own prefix matches it, or a route that shares
+ * the prefix by weight. */
 static bool
 route_is_found(const struct snapshot *s, const struct service_route *route)
 {
@@ -135,7 +135,7 @@
 	return found && match.route == route;
 }
 
-/* Each route is found by a request for its own prefix. */
+/* Check that each route matches a request for its own prefix. */
 static enum status
 check_matches(const struct snapshot *s)
 {
--- a/packages/config/src/stage.c
+++ b/packages/config/src/stage.c
@@ -1,5 +1,5 @@
 /*
- * A version on its way into a catalog: what it needs and what has come.
+ * Staging of a new version: needed and added contents.
  */
 #include <string.h>
 
@@ -102,7 +102,8 @@
 	return st;
 }
 
-/* Changes applied to an empty list leave just what they add. */
+/* List the sections that changes add or replace, by applying the changes to an
+ * empty list. */
 static GArray *
 added_refs(const GArray *changes)
 {
@@ -115,7 +116,7 @@
 	return out;
 }
 
-/* Note the sections that the version names, besides those held already. */
+/* Collect the sections that the changes or the list name. */
 static void
 collect_needed(struct catalog_stage *stage)
 {
@@ -132,7 +133,8 @@
 	}
 }
 
-/* Check what can be checked before any content is there. */
+/* Check version and root, which needs no contents, and collect the needed
+ * sections. */
 static enum status
 stage_begin(struct catalog_stage *stage, struct catalog_stage **out)
 {
@@ -229,7 +231,8 @@
 	return out;
 }
 
-/* The section that is held under a name, or that it was split from. */
+/* Find the current section of a name, or the section from which it was
+ * split. */
 static const struct service_config *
 find_base(const struct catalog *c, const char *name)
 {
@@ -310,7 +313,7 @@
 	return STATUS_OK;
 }
 
-/* Whether a section that is needed is held under the same name. */
+/* Whether a needed section is in the current version under the same name. */
 static bool
 is_current(const struct catalog_stage *stage, const struct digest *digest)
 {
--- a/packages/config/src/stage_defs.h
+++ b/packages/config/src/stage_defs.h
@@ -1,5 +1,5 @@
 /*
- * Inside of a stage, shared by stage.c and commit.c.
+ * Internal definitions of a stage, shared by stage.c and commit.c.
  */
 #ifndef CONFIG_STAGE_DEFS_H
 #define CONFIG_STAGE_DEFS_H
@@ -13,15 +13,15 @@
  * struct catalog_stage - see config/stage.h
  * @c: the catalog
  * @version: target version
- * @root: its root
- * @changes: changes to apply, or NULL
- * @list: full list, or NULL
+ * @root: root of @version
+ * @changes: changes to apply, or NULL if @list is set
+ * @list: full list, or NULL if @changes is set
  * @needed: struct rec_section_ref that @changes add or @list names
- * @names: digest in @needed to name of its section; both borrowed
- * @added: digest to struct section: contents that came
- * @added_bytes: their sum
+ * @names: maps a digest in @needed to the name of its section; both borrowed
+ * @added: maps a digest to a struct section: contents added so far
+ * @added_bytes: total size of the contents in @added
  * @skips: see struct catalog_delta
- * @built: the target version as it was checked, or NULL
+ * @built: target version as built by the last successful check, or NULL
  */
 struct catalog_stage {
 	const struct catalog *c;
@@ -37,17 +37,17 @@
 	struct staged_version *built;
 };
 
-/** staged_version_free() - free a version that was built; NULL is fine */
+/** staged_version_free() - free a built version; accepts NULL */
 void staged_version_free(struct staged_version *n);
 
-/** stage_target_list() - list of the target version over the version held now
- */
+/** stage_target_list() - section list of the target version, from the current
+ * version and the changes */
 GArray *stage_target_list(const struct catalog_stage *stage);
 
 /**
- * stage_check() - check version and root against the version held now
+ * stage_check() - check version and root against the current version
  * @stage: stage
- * @list: where the target's list goes
+ * @list: receives the section list of the target version
  *
  * Return: STATUS_OK, STATUS_CONFLICT, STATUS_INVALID or STATUS_TOO_LARGE.
  */
