--- a/packages/config/bench/bench_config.c
+++ b/packages/config/bench/bench_config.c
@@ -1,6 +1,7 @@
 /*
- * Costs of configuration at the size to design for: parsing and committing a
- * bundle, small changes, compiling snapshots, matching.
+ * Costs of a configuration of the design size: parsing and committing a bundle,
+ * small changes, compiling snapshots, matching.
+ *
  *
  * bench_config [services [endpoints [routes]]]
  */
@@ -23,7 +24,7 @@
 #define LINEAR_MATCHES 1000
 #define KIB 1024.0
 
-/* Number of the service that changes. */
+/* Number of the service that is changed. */
 #define CHANGED 0
 #define CHANGED_TEXT "0"
 
@@ -39,7 +40,7 @@
 	return mallinfo2().uordblks;
 }
 
-/* A bundle whose service number @changed has another timeout. */
+/* Format a bundle whose service number @changed has another timeout. */
 static GString *
 write_bundle(const struct size *size, uint32_t changed, uint32_t timeout_ms)
 {
@@ -126,7 +127,8 @@
 	exit(1);
 }
 
-/* Apply one change of one service, as a node does with a notice's delta. */
+/* Commit a change of one service as a delta, as a node does when it is
+ * notified. */
 static void
 bench_small_commits(const struct size *size, struct catalog *c)
 {
@@ -239,7 +241,7 @@
 	endpoint_set_free(set);
 }
 
-/* The longest prefix by looking at each route, for comparison. */
+/* Find the longest prefix by a linear search, for comparison. */
 static const struct service_route *
 linear_match(const struct snapshot *s, const char *path)
 {
--- a/packages/config/bench/bench_growth.c
+++ b/packages/config/bench/bench_growth.c
@@ -1,7 +1,8 @@
 /*
- * Costs of a large configuration and of a large change of it: 1,400 routes
- * more in a configuration of several sizes, all of one service or spread over
- * a hundred.  What can't be taken is told as refused.
+ * Costs of a large configuration and of a large change: 1,400 routes added to
+ * configurations of several sizes, all of one service or distributed over a
+ * hundred.  Rejected bundles, commits and deltas are printed as such.
+ *
  *
  * bench_growth [routes [services [more]]]
  */
@@ -26,20 +27,20 @@
 #define KIB 1024.0
 #define US_PER_MS 1000.0
 
-/* Of a refusal that is shown. */
+/* Longest reason of a rejection that is printed. */
 #define REASON_BYTES 90
 
-/* Size of a change in a message, without content; see schema/config.json. */
+/* Size of a change and of a hunk in a message; see schema/config.json. */
 #define CHANGE_BYTES 64
 #define HUNK_BYTES 14
 
 /**
- * struct sent - what a change sends to a node that holds the version before
- * @changes: sections that are named
- * @patches: those that go as differences
- * @whole: those that go whole
- * @bytes: of all, before they are packed
- * @patch_us: time for making the differences, at the side that sends
+ * struct sent_stats - data sent to a node with the version before a change
+ * @changes: changed sections
+ * @patches: sections sent as patches
+ * @whole: sections sent in full
+ * @bytes: total size before compression
+ * @patch_us: time to compute the patches, at the sender
  */
 struct sent_stats {
 	uint32_t changes;
@@ -63,7 +64,7 @@
 	printf("  %s: refused: %.*s\n", what, REASON_BYTES, status_message());
 }
 
-/* Numbers are spread, so that routes that come later fall between others. */
+/* Numbers are hashed, so that added routes sort between existing ones. */
 static void
 write_path(char *out, uint32_t i)
 {
@@ -96,7 +97,7 @@
 	return g_string_append(out, "]}");
 }
 
-/* Return: the bundle, or NULL when it is refused. */
+/* Return: the bundle, or NULL if it is rejected. */
 static struct bundle *
 parse(uint32_t routes, uint32_t services)
 {
@@ -144,7 +145,7 @@
 	return STATUS_OK;
 }
 
-/* A whole version, as a reader of the platform takes it. */
+/* Commit a full list, as a node that reads from the platform does. */
 static bool
 commit_full(
     struct catalog *c, uint64_t version, const struct bundle *b, double *ms)
@@ -198,7 +199,7 @@
 	catalog_patch_clear(&patch);
 }
 
-/* One version further, by changes and differences. */
+/* Update @to by one version with a delta and patches. */
 static void
 bench_follow(const char *label, const struct catalog *from, struct catalog *to)
 {
@@ -292,7 +293,8 @@
 	endpoint_set_free(none);
 }
 
-/* Two versions at a reader, the second one with more routes, and at a node. */
+/* Commit two versions at a reader, the second one with more routes, and update
+ * nodes from it. */
 static void
 bench_versions(
     const struct bundle *first, const struct bundle *second, uint32_t routes)
--- a/packages/config/test/fixture.h
+++ b/packages/config/test/fixture.h
@@ -1,5 +1,5 @@
 /*
- * What the tests of package config share.
+ * Fixtures shared by the tests of package config.
  */
 #ifndef CONFIG_TEST_FIXTURE_H
 #define CONFIG_TEST_FIXTURE_H
@@ -11,7 +11,7 @@
 #include "config/stage.h"
 #include "proto/messages.h"
 
-/* A good bundle, by fix_json() */
+/* A valid bundle in the notation of fix_json() */
 static const char fix_valid_bundle[] =
     "{'format':1,'name':'registry','services':["
     "{'name':'public-search','timeout_ms':1500,"
@@ -46,7 +46,8 @@
 	return b;
 }
 
-/* Add the contents that a stage misses from a bundle; the first refusal. */
+/* Add the contents that a stage lacks from a bundle; Return: the first
+ * failure. */
 static inline enum status
 fix_add_all(struct catalog_stage *stage, const struct bundle *b)
 {
@@ -66,7 +67,7 @@
 	return first;
 }
 
-/* Commit a bundle as changes to what the catalog holds. */
+/* Commit a bundle as changes to the current version. */
 static inline enum status
 fix_commit(struct catalog *c, uint64_t version, const struct bundle *b)
 {
@@ -92,7 +93,8 @@
 	return st;
 }
 
-/* Take a whole version in at once, as a reader of the platform does. */
+/* Commit a bundle as a full list, as a node that reads from the platform
+ * does. */
 static inline void
 fix_commit_full(struct catalog *c, uint64_t version, const struct bundle *b)
 {
--- a/packages/config/test/test_bundle.c
+++ b/packages/config/test/test_bundle.c
@@ -1,6 +1,6 @@
 /*
- * Bundles: what is refused, what is run with a warning, and that all is told at
- * once.
+ * Bundles: problems that make a bundle invalid, warnings that don't, and that
+ * all of them are reported at once.
  */
 #include <jansson.h>
 
@@ -14,7 +14,7 @@
 	"'routes':[" r "]}"
 #define ROUTE(p, m) "{'prefix':'" p "','methods':[" m "],'service':'a'}"
 
-/* One fault each: the place and a word of the message that must come. */
+/* Bundles with one problem each: its path and a part of its message. */
 static const struct {
 	const char *json;
 	const char *path;
@@ -43,7 +43,7 @@
     {SERVICES("7"), "services[0]", "not an object"},
     {SERVICES("{'name':'a'},{'name':'a'}"), "services[1].name", "twice"},
     {SERVICES("{'name':''}"), "services[0].name", "no name"},
-    /* 32 characters, which no upstream could announce. */
+    /* 32 characters: longer than the name an upstream can announce. */
     {SERVICES("{'name':'abcdefghijklmnopqrstuvwxyz-01234'}"),
 	"services[0].name", "no name"},
     {SERVICES("{'name':'a b'}"), "services[0].name", "no name"},
@@ -87,7 +87,7 @@
 	"routes[0].host", "no host"},
     {ROUTES("{'prefix':'/p','host':'x:y','methods':['GET'],'service':'a'}"),
 	"routes[0].host", "no host"},
-    /* The weight of one share changes what the others get. */
+    /* Not clamped, since one weight changes the proportions of all shares. */
     {ROUTES("{'prefix':'/p','weight':1000001,'methods':['GET'],"
 	    "'service':'a'}"),
 	"routes[0].weight", "range"},
@@ -124,7 +124,8 @@
 }
 END_TEST
 
-/* What is taken all the same: the place, a word, and what is run instead. */
+/* Valid bundles with one warning each: its path and a part of its message, with
+ * the value that is used instead. */
 static const struct {
 	const char *json;
 	const char *path;
@@ -165,7 +166,8 @@
     {ROUTES(ROUTE("/p\xc3\xa9", "'GET'")), "routes[0].prefix", "character 3"},
 };
 
-/* One warning each, and the bundle is run: its sections pass on the wire. */
+/* The bundle is valid with one warning, and its sections can be committed, so
+ * they pass the checks for received sections. */
 START_TEST(test_doubt)
 {
 	const struct bundle_problem *warning;
@@ -186,7 +188,7 @@
 }
 END_TEST
 
-/* What a doubt is run as, told by the root of what it is equal to. */
+/* Bundles that give the same root: as written, and in normalized form. */
 static const struct {
 	const char *written, *normalized;
 } equivalent_cases[] = {
@@ -215,7 +217,7 @@
 }
 END_TEST
 
-/* A bundle with problems tells its warnings too. */
+/* Warnings are also reported for a bundle with problems. */
 START_TEST(test_warnings_with_problems)
 {
 	struct bundle *b;
@@ -229,7 +231,7 @@
 }
 END_TEST
 
-/* As many services as are called may share a route, and not one more. */
+/* SNAPSHOT_SHARES_MAX services may share a route, one more is rejected. */
 START_TEST(test_shares)
 {
 	GString *text;
@@ -282,7 +284,7 @@
 	return methods;
 }
 
-/* A route of a text; false where a part has no type that a route can have. */
+/* Convert a JSON route; false if struct bundle_route can't represent it. */
 static bool
 parse_route(json_t *o, struct bundle_route *route)
 {
@@ -314,8 +316,8 @@
 	    route->service != NULL && route->methods != 0;
 }
 
-/* The bundle of a text, put together item by item; NULL where the text says
- * more than its name, services and routes. */
+/* Build a bundle from JSON by incremental construction; NULL if the text has
+ * more than a name, services and routes, or one of a wrong type. */
 static struct bundle *
 build_incrementally(const char *json, enum status *st)
 {
@@ -365,7 +367,7 @@
 	}
 }
 
-/* Return: whether the text could be put together. */
+/* Return: whether the bundle could be built incrementally. */
 static bool
 check_incremental_build(const char *text)
 {
@@ -390,7 +392,8 @@
 	return x != NULL;
 }
 
-/* What is put together item by item is what is parsed, faults and all. */
+/* Incremental construction and parsing give the same bundle, problems and
+ * warnings. */
 START_TEST(test_incremental_build)
 {
 	size_t i, n_compared = 0;
@@ -407,7 +410,7 @@
 }
 END_TEST
 
-/* Services are counted, and the first too many is not read. */
+/* All services are counted; those above the limit are not read. */
 START_TEST(test_incremental_build_too_many)
 {
 	struct bundle_build *build = bundle_build_new("x");
@@ -438,7 +441,8 @@
 	    "'routes':[{'prefix':'q','methods':['GOT'],'service':'c'}]}");
 
 	ck_assert_int_eq(bundle_parse(json, strlen(json), &b), STATUS_INVALID);
-	/* doubled key, format, extra, timeout, name, prefix, method, service */
+	/* duplicate key, format, extra, timeout, name, prefix, method,
+	 * service */
 	ck_assert_uint_eq(b->n_problems, 8);
 	ck_assert(strstr(status_message(), "8 problems") != NULL);
 	ck_assert(strstr(status_message(), "And 4 more") != NULL);
@@ -447,7 +451,7 @@
 }
 END_TEST
 
-/* Text of a bundle with many services, routes, or values of one kind. */
+/* Format a bundle with @n items of one kind. */
 static char *
 repeat_items(const char *head, const char *fmt, uint32_t n, const char *tail)
 {
@@ -464,14 +468,14 @@
 
 #define HEAD "{'format':1,'name':'x','services':["
 
-/* A route whose section has 200 bytes of it, so that the whole is too large
- * before the text of the bundle is. */
+/* A route that takes 200 bytes of its section, so the sections exceed their
+ * limit before the text of the bundle does. */
 #define LONG_PART "/abcdefghijklmnopqrstuvwxyz0123456789"
 #define LONG_ROUTE                                                \
 	"{'prefix':'/r%u" LONG_PART LONG_PART LONG_PART LONG_PART \
 	"','methods':['GET'],'service':'a'}"
 
-/* Each limit: the most that fits, and one more. */
+/* Limits: the largest valid number of items; one more is rejected. */
 static const struct {
 	const char *head, *fmt, *tail;
 	uint32_t most;
@@ -501,7 +505,7 @@
 }
 END_TEST
 
-/* The routes of a service are bounded by the whole only. */
+/* The routes of a service are bounded only by the size of the configuration. */
 START_TEST(test_routes_too_large)
 {
 	uint32_t n = (uint32_t)(CONFIG_MAX_BYTES / strlen(LONG_PART) / 4);
@@ -555,7 +559,7 @@
 	ck_assert_uint_eq(search->timeout_ms, 1500);
 	ck_assert_uint_eq(search->limits.request_max_bytes, 1048576);
 	ck_assert(search->routes[0].idempotent);
-	/* Another order and spelled-out defaults give the same root. */
+	/* Another order and explicit defaults give the same root. */
 	c = fix_bundle(
 	    "{'routes':["
 	    "{'prefix':'/bookings','methods':['GET'],"
--- a/packages/config/test/test_catalog.c
+++ b/packages/config/test/test_catalog.c
@@ -1,6 +1,7 @@
 /*
- * Catalog and stage: a version gets in whole or not at all, never backwards;
- * merged changes lead where single ones do; memory is bounded.
+ * Catalog and stage: a version is committed as a whole or not at all, and
+ * versions only increase; merged changes give the same result as single ones;
+ * memory is bounded.
  */
 #include "fixture.h"
 
@@ -8,14 +9,14 @@
 #define RANDOM_VERSIONS 150
 #define RANDOM_SERVICES 12
 
-/* A version of a random configuration. */
+/* A version of a random configuration and its list. */
 struct version {
 	struct bundle *bundle;
 	GArray *list;
 	struct digest root;
 };
 
-/* Each service is there or not, with one of a few timeouts. */
+/* Change a few services at random: absent, or with one of two timeouts. */
 static struct bundle *
 random_bundle(GRand *rand, int *timeouts)
 {
@@ -76,7 +77,7 @@
 	    a->data, b->data, a->len * sizeof(struct rec_section_ref));
 }
 
-/* Every content of a list is there and has its digest. */
+/* Check that every content of a list is stored and has its digest. */
 static void
 check_contents(const struct catalog *c, const GArray *list)
 {
@@ -96,8 +97,9 @@
 }
 
 /*
- * Pull from @from into @to, which is at some older version, as nodes do:
- * the changes if they are kept and not @full, else the full list.
+ * Update @to, which has an older version, from @from as nodes do: by a delta if
+ * the changes are kept and @full is not set, else by the full list.  Return:
+ * whether a delta was used.
  */
 static bool
 pull(const struct catalog *from, struct catalog *to, uint64_t want, bool full)
@@ -155,9 +157,8 @@
 }
 
 /*
- * A chain of nodes, each pulling now and then from one before and so merging
- * versions, holds the same as the versions that were signed off,
- * and keeps each older one that it has in its ring.
+ * Nodes in a chain, each of which updates at random times from a node before it
+ * and so merges versions, have the same contents as the committed versions.
  */
 START_TEST(test_relayed_versions)
 {
@@ -189,7 +190,7 @@
 }
 END_TEST
 
-/* From each version that is kept to each later one, and each list. */
+/* Deltas between kept versions, and the lists of kept versions. */
 START_TEST(test_ring)
 {
 	struct catalog *c = catalog_new(0), *d;
@@ -252,7 +253,7 @@
 	BAD_COUNT,
 };
 
-/* A crossing route: 'c' claims what 'a' has. */
+/* An overlapping route: 'c' claims requests of 'a'. */
 static const char overlapping[] =
     "{'format':1,'name':'x','services':[{'name':'c'}],'routes':["
     "{'prefix':'/a','methods':['GET'],'service':'c'}]}";
@@ -291,7 +292,7 @@
 		g_strlcpy(more.section, "c", sizeof(more.section));
 		break;
 	case BAD_HELD:
-		/* the section of 'd', which is held already, as 'c' */
+		/* the section of 'd', which the catalog has, as 'c' */
 		g_strlcpy(more.section, "c", sizeof(more.section));
 		more.digest = *held;
 		break;
@@ -305,7 +306,8 @@
 	g_array_append_val(delta->changes, more);
 }
 
-/* The root that the spoilt changes lead to, so that later checks count. */
+/* Set the root to that of the corrupted changes, so that only later checks can
+ * fail. */
 static void
 recompute_root(const struct catalog *c, struct catalog_delta *delta)
 {
@@ -370,7 +372,8 @@
 }
 END_TEST
 
-/* A check changes nothing; what it built isn't used over another version. */
+/* A check does not change the catalog, and the version built by it is not
+ * installed after another commit. */
 START_TEST(test_commit_between_check_and_commit)
 {
 	struct bundle *b[3] = {fix_bundle(TWO("5", "'GET'")),
@@ -410,7 +413,8 @@
 }
 END_TEST
 
-/* A stage begun before another commit still ends right, or not at all. */
+/* A stage begun before another commit is either committed correctly or
+ * rejected. */
 START_TEST(test_overtaken)
 {
 	struct bundle *b[3] = {fix_bundle(TWO("5", "'GET'")),
@@ -442,7 +446,8 @@
 }
 END_TEST
 
-/* Old commits go when memory is short; a version that can't fit is refused. */
+/* Old commits are dropped at the memory limit; a version above it is
+ * rejected. */
 START_TEST(test_memory)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
--- a/packages/config/test/test_growth.c
+++ b/packages/config/test/test_growth.c
@@ -1,9 +1,9 @@
 /*
- * A configuration that grows, shrinks and moves its routes about, against a
- * table that only looks paths up: each step goes from the operators' bundle to
- * sections, into one catalog, and from there as changes and differences into
- * others.  Each must come in force there, with the same root, and say the same
- * of each path as the table.
+ * Random changes of a configuration, compared with a model: a table of routes
+ * with a simple path look-up.  Each step converts the model to a bundle,
+ * commits its sections to one catalog, and updates other catalogs from it by
+ * deltas and patches.  Each version must be committed in all of them with the
+ * same root, and give the same match as the model for every path.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,32 +18,33 @@
 #define SHARES 3
 #define KEY_BYTES 256
 
-/* What makes a prefix one of the longest. */
+/* Padding of the longest prefixes. */
 #define PAD_BYTES 230
 
-/* Largest change in one step, and time of a route that nothing says. */
+/* Most routes added in one step, and the initial timeout of a route. */
 #define CHANGE_MAX 4000
 #define TIMEOUT_MS 1000
 
-/* Routes of a model that fits any release, and of a large deployment. */
+/* Routes of a small model, which fits into any release, and of a large
+ * deployment. */
 #define ROUTES_SMALL 400
 #define ROUTES_LARGE 20000
 #define STEPS_LARGE 20
 #define STEPS_SMALL 60
 
-/** struct part - a service's part of a route */
+/** struct route_target - a service of a route and its weight */
 struct route_target {
 	uint32_t service;
 	uint32_t weight;
 };
 
 /**
- * struct line - a route of the table
- * @host: index of its host, HOSTS for any
- * @prefix: number of its prefix
- * @timeout_ms: its time
- * @targets: where it leads; more than one share it by weight
- * @n_targets: their number
+ * struct model_route - a route of the model
+ * @host: index of the host, HOSTS for any
+ * @prefix: number of the prefix, for write_prefix()
+ * @timeout_ms: timeout
+ * @targets: services of the route; several share it by weight
+ * @n_targets: number of targets
  */
 struct model_route {
 	uint32_t host;
@@ -54,15 +55,15 @@
 };
 
 /**
- * struct model - the table, and what was made of it
- * @rnd: source of the steps
- * @routes: struct line
- * @keys: host and prefix to the struct line
- * @next_prefix: number of the next new prefix
- * @version: version that was made last
- * @reader: holds each version, as it was written
- * @node: follows the reader by changes and differences, version by version
- * @lagging: follows the node, and leaves versions out
+ * struct model - the table of routes and the catalogs under test
+ * @rnd: random numbers for the steps
+ * @routes: struct model_route
+ * @keys: maps host and prefix to the struct model_route
+ * @next_prefix: number of the next unused prefix
+ * @version: last published version
+ * @reader: catalog to which every version is committed as a full list
+ * @node: catalog updated from @reader by deltas and patches at every version
+ * @lagging: catalog updated from @node, which skips versions
  */
 struct model {
 	GRand *rnd;
@@ -75,7 +76,7 @@
 	struct catalog *lagging;
 };
 
-/* Names that begin one another, and the longest that there can be. */
+/* Names that are prefixes of one another, and one of the maximum length. */
 static const char *const services[SERVICES] = {
     "s", "s1", "s10", "s-1", "t", "thirty-one-characters-long-name"};
 
@@ -88,7 +89,7 @@
 	return (uint32_t)g_rand_int_range(m->rnd, 0, (gint32)n);
 }
 
-/* Every third prefix lies below another one; one in eight is a long one. */
+/* Every third prefix is below another one; one in eight has padding. */
 static void
 write_prefix(char *out, uint32_t prefix)
 {
@@ -119,7 +120,7 @@
 	return make_key(route->host, prefix);
 }
 
-/* The table anew, after its lines were moved about in memory. */
+/* Rebuild the index, which points into the array of routes. */
 static void
 index_routes(struct model *m)
 {
@@ -143,7 +144,7 @@
 	return false;
 }
 
-/* One service has most routes; one in ten is shared by weight. */
+/* Most routes belong to the first service; one in ten is shared by weight. */
 static void
 random_targets(struct model *m, struct model_route *route)
 {
@@ -186,7 +187,7 @@
 		    m->routes, random_below(m, m->routes->len));
 }
 
-/* Some get other services, weights or times. */
+/* Change the services and weights or the timeouts of random routes. */
 static void
 change(struct model *m, uint32_t n)
 {
@@ -268,7 +269,7 @@
 	catalog_stage_free(stage);
 }
 
-/* Adds what a change names: its difference where there is one, else whole. */
+/* Add the content of a change: by a patch if there is one, else in full. */
 static void
 add_change(const struct catalog *from, const struct catalog *to,
     const struct rec_section_change *change, struct catalog_stage *stage)
@@ -305,7 +306,7 @@
 	commit(to, stage);
 }
 
-/* By the list, with differences from the sections that are held. */
+/* Update by the full list, with patches against the current sections. */
 static void
 follow_list(const struct catalog *from, struct catalog *to)
 {
@@ -340,7 +341,8 @@
 	g_array_unref(list);
 }
 
-/* As a node that pulls: changes, or the list where they are not kept. */
+/* Update as a node does: by a delta, or by the list if the changes are not
+ * kept. */
 static void
 follow(const struct catalog *from, struct catalog *to)
 {
@@ -357,7 +359,7 @@
 	}
 }
 
-/* The line of the longest prefix of a host that a path lies below. */
+/* The route of a host with the longest prefix that the path is below. */
 static const struct model_route *
 lookup_on_host(const struct model *m, uint32_t host, const char *path)
 {
@@ -424,7 +426,8 @@
 		check_share(route, &shares[i]);
 }
 
-/* All prefixes that there were, below each and at each, by some host. */
+/* Compare the matches of paths below and at every prefix used so far, also of
+ * removed routes, with various hosts. */
 static void
 check_catalog(struct model *m, const struct catalog *c)
 {
@@ -457,7 +460,7 @@
 	ck_assert(hash_digest_equal(catalog_root(c), catalog_root(m->reader)));
 }
 
-/* A version of the table as it is, everywhere. */
+/* Publish the model as a new version and update the catalogs. */
 static void
 publish(struct model *m)
 {
@@ -568,7 +571,8 @@
 }
 END_TEST
 
-/* By as many at once as operators do, up to the most, and all away again. */
+/* Adds routes in steps of the size that operators use up to the largest model,
+ * then removes nearly all at once. */
 START_TEST(consecutive_large_changes_are_committed)
 {
 	struct model m;
--- a/packages/config/test/test_parts.c
+++ b/packages/config/test/test_parts.c
@@ -1,11 +1,11 @@
 /*
- * Services with more routes than one section holds.
+ * Services with more routes than one section can contain.
  *
- * Seen: a service that grew by 1,400 routes at a time was refused once it had
- * 4,097, and would have been at 128 KiB.  Cause: one section held a whole
- * service, and sections have to stay small to be passed on.  What is checked
- * here: however many routes there are, sections stay small, are the same
- * whoever cuts them, and little of them changes with a route.
+ * When one section contained a whole service, a service that grew by 1,400
+ * routes at a time was rejected at 4,097 routes, and would have been at 128
+ * KiB, since sections must stay small to be sent to peers.  With any number of
+ * routes, sections must stay small, depend only on the routes, and change
+ * little when a route is added.
  */
 #include "config/snapshot.h"
 
@@ -83,7 +83,8 @@
 	return changes;
 }
 
-/* One section, or one that is replaced by the two that it is split in. */
+/* One changed section, or one that is replaced by the two parts of its
+ * split. */
 START_TEST(one_added_route_changes_or_splits_one_section)
 {
 	struct bundle *b = make_bundle(0, ROUTES_BEFORE, 1), *more;
@@ -102,7 +103,7 @@
 }
 END_TEST
 
-/* Bytes of the contents of all changes, as differences where there are some. */
+/* Bytes to send for all changes, as patches where possible. */
 static uint64_t
 bytes_to_send(const struct catalog *c, const GArray *changes)
 {
@@ -126,7 +127,8 @@
 	return bytes;
 }
 
-/* What is sent grows with the new routes, not with those that there are. */
+/* The bytes to send grow with the number of new routes, not of existing
+ * ones. */
 START_TEST(added_routes_are_sent_as_patches)
 {
 	struct bundle *before = make_bundle(0, ROUTES_BEFORE, 1), *new;
@@ -151,7 +153,7 @@
 }
 END_TEST
 
-/* A peer gets what it lacks as differences from what it holds. */
+/* The base of a request for a new part is the section that was split. */
 START_TEST(split_parts_are_requested_with_the_parent_as_base)
 {
 	struct bundle *before = make_bundle(0, 150, 1), *after;
@@ -215,7 +217,7 @@
 }
 END_TEST
 
-/* What a peer could send that no bundle is cut in. */
+/* Inconsistent parts that a peer could send but no bundle is split into. */
 enum conflict {
 	CONFLICT_WHOLE_AND_PART = 0,
 	CONFLICT_NESTED_PARTS,
--- a/packages/config/test/test_patch.c
+++ b/packages/config/test/test_patch.c
@@ -1,7 +1,7 @@
 /*
- * Tests of sections as differences, and of versions that a node skipped: a
- * change of one route among hundreds travels as some bytes, also from a node
- * that took the whole configuration at once.
+ * Patches of sections, and deltas of nodes that skipped versions: a change of
+ * one route among hundreds is sent as a few bytes, also by a node that received
+ * the whole configuration as a full list.
  */
 #include <string.h>
 
@@ -33,7 +33,7 @@
 	return s;
 }
 
-/* Takes @from to @to; returns the new bytes. */
+/* Check that a patch turns @from into @to; Return: its number of new bytes. */
 static uint32_t
 check_patch(const char *from, const char *to)
 {
@@ -70,7 +70,7 @@
 }
 END_TEST
 
-/* Counts at the start and routes further on change together. */
+/* As when a count at the start of a section and routes further on change. */
 START_TEST(patch_of_scattered_changes_is_small)
 {
 	GString *from = random_text(2, 16000), *to = g_string_new(from->str);
@@ -84,7 +84,7 @@
 }
 END_TEST
 
-/* What is moved about is found again. */
+/* Blocks are found at another offset. */
 START_TEST(patch_finds_moved_blocks)
 {
 	GString *from = random_text(3, 10000),
@@ -137,7 +137,8 @@
 }
 END_TEST
 
-/* Small pieces of a base must not add up to more than a section may have. */
+/* Hunks that copy the same range repeatedly must not exceed the section
+ * size. */
 START_TEST(patch_larger_than_a_section_is_rejected)
 {
 	struct rec_patch_hunk hunks[600];
@@ -155,7 +156,8 @@
 }
 END_TEST
 
-/* A bundle of one service with many routes, of which one has a time. */
+/* A bundle of one service with many routes, one of them with the given
+ * timeout. */
 static struct bundle *
 big_bundle(uint32_t timeout_ms)
 {
@@ -176,7 +178,7 @@
 	return b;
 }
 
-/* Pulls by differences alone; returns the bytes that they have. */
+/* Update @to by patches only; Return: number of new bytes in them. */
 static uint32_t
 pull_patches(const struct catalog *from, struct catalog *to)
 {
@@ -236,7 +238,8 @@
 }
 END_TEST
 
-/* A node between the two versions may hold what neither of them names. */
+/* A node at a version between the two may have sections that a delta over the
+ * gap does not name. */
 START_TEST(delta_that_skips_versions_is_not_served_to_versions_between)
 {
 	struct bundle *b[3] = {
@@ -262,7 +265,8 @@
 }
 END_TEST
 
-/* Who is in between asks by the sections that it holds. */
+/* A node at a skipped version requests patches by the digests of its
+ * sections. */
 START_TEST(node_at_a_skipped_version_gets_patches)
 {
 	struct bundle *b[3] = {
--- a/packages/config/test/test_routes.c
+++ b/packages/config/test/test_routes.c
@@ -1,6 +1,6 @@
 /*
- * Routes by host, routes that take only what is below their prefix, and
- * routes that services share by weight.
+ * Routes with a host, routes that match only below their prefix, and routes
+ * that services share by weight.
  */
 #include "config/snapshot.h"
 
@@ -33,7 +33,7 @@
     {"ONE.example:8080", METHOD_POST, "/s/x?y", "a"},
     {"one.example", METHOD_COUNT, "/s/x", "a"},
     {"one.example", METHOD_GET, "/s/", "a"},
-    /* The prefix itself is not below it: the route of any host takes it. */
+    /* The path equals the prefix, so the route of any host matches. */
     {"one.example", METHOD_GET, "/s", "c"},
     {"one.example", METHOD_POST, "/s", NULL},
     {"one.example", METHOD_GET, "/sx/y", "c"},
@@ -99,7 +99,8 @@
 }
 END_TEST
 
-/* The table is kept while only weights change, and still tells the new. */
+/* The table is reused if only weights change, and matches give the new
+ * weights. */
 START_TEST(test_shares_by_weight)
 {
 	struct route_match m = {0}, shares[SNAPSHOT_SHARES_MAX];
@@ -131,7 +132,7 @@
 }
 END_TEST
 
-/* More services than a route is usually shared by: none is left out. */
+/* All of many services that share a route are listed. */
 START_TEST(test_many_shares)
 {
 	struct route_match m = {0}, shares[SNAPSHOT_SHARES_MAX];
@@ -171,7 +172,8 @@
 #define SHARE(s, rest) \
 	"{'prefix':'/p','methods':['*'],'service':'" s "'" rest "}"
 
-/* A route is shared only if all have a weight; hosts tell routes apart. */
+/* A route is shared only if all services have a weight; routes with different
+ * hosts don't conflict. */
 static const struct {
 	const char *json;
 	int good;
--- a/packages/config/test/test_sections.c
+++ b/packages/config/test/test_sections.c
@@ -1,13 +1,13 @@
 /*
- * Sections: what only the wire could bring is refused there too, and whatever
- * is accepted, of a bundle or a section, is good to its end.
+ * Sections: invalid sections that only a peer could send are rejected, and
+ * every bundle or section that is accepted is valid in all later steps.
  */
 #include "fixture.h"
 
 #define FUZZ_CASES 4000
 #define FUZZ_SEED 20261202
 
-/* A section that only the wire could bring: the rules hold there too. */
+/* Make a section invalid in a way that no bundle can produce. */
 static void
 corrupt_section(struct msg_section *m, int which)
 {
@@ -43,7 +43,7 @@
 	default:
 		routes[0] = routes[1] = *route;
 		routes[1].methods |= METHOD_BIT(METHOD_PUT);
-		/* crossing methods, then wrong order */
+		/* overlapping methods, then wrong order */
 		if (which == 9)
 			g_strlcpy(routes[1].prefix, "/A", ROUTE_PREFIX_BYTES);
 		m->routes = routes;
@@ -74,7 +74,7 @@
 	ck_assert_int_eq(section_decode(out->data, out->len, &sc),
 	    _i < CORRUPTIONS ? STATUS_INVALID : STATUS_OK);
 	service_config_unref(sc);
-	/* The same content in another encoding, or longer, is refused. */
+	/* A trailing byte, or a section above the size limit, is rejected. */
 	g_byte_array_append(out, (const guint8 *)"\0", 1);
 	ck_assert_int_ne(section_decode(out->data, out->len, &sc), STATUS_OK);
 	g_byte_array_set_size(out, SECTION_MAX_BYTES + 1);
@@ -84,7 +84,7 @@
 }
 END_TEST
 
-/* The same numbers in another encoding of the same length are refused. */
+/* The same numbers in another encoding of the same length are rejected. */
 START_TEST(test_section_canonical)
 {
 	static const uint8_t uint16_2000[] = {0xcd, 0x07, 0xd0};
@@ -109,7 +109,7 @@
 }
 END_TEST
 
-/* Damage a few bytes; keep the length, cut it, or splice a piece in. */
+/* Change a few bytes, and at random truncate or extend the data. */
 static GByteArray *
 mutate(GRand *rand, const uint8_t *data, size_t len)
 {
@@ -128,7 +128,8 @@
 	return out;
 }
 
-/* Whatever is accepted encodes to itself and is accepted again. */
+/* The digest of an accepted section is that of its bytes: the encoding is
+ * canonical. */
 START_TEST(test_fuzz_section)
 {
 	struct bundle *b = fix_bundle(fix_valid_bundle);
@@ -158,7 +159,7 @@
 }
 END_TEST
 
-/* Whatever bundle is accepted gets into a catalog. */
+/* Every accepted bundle can be committed to a catalog. */
 START_TEST(test_fuzz_bundle)
 {
 	char *json = fix_json(fix_valid_bundle);
--- a/packages/config/test/test_snapshot.c
+++ b/packages/config/test/test_snapshot.c
@@ -1,6 +1,6 @@
 /*
- * Snapshots: routes by longest prefix, endpoints only of services that are
- * there, parts shared, and a check that catches planted violations.
+ * Snapshots: routes by longest prefix, endpoints only of existing services,
+ * sharing of unchanged parts, and that snapshot_check() detects corruption.
  */
 #include "../src/route_table.h"
 #include "config/snapshot.h"
@@ -83,7 +83,8 @@
 }
 END_TEST
 
-/* A few segments from a small alphabet, so that prefixes nest and touch. */
+/* A few segments from a small alphabet, so that prefixes nest and resemble each
+ * other. */
 static void
 random_path(GRand *rand, GString *out)
 {
@@ -98,7 +99,7 @@
 		g_string_append_c(out, '/');
 }
 
-/* What the longest prefix is by looking at each route. */
+/* Find the longest prefix by a linear search. */
 static const struct service_route *
 naive_match(const struct snapshot *s, enum http_method m, const char *path)
 {
@@ -186,20 +187,20 @@
 	const struct snapshot_service *search;
 	struct snapshot *s, *t;
 
-	/* The last of two with one service counts. */
+	/* Of two endpoints with one service the last is used. */
 	ck_assert_uint_eq(endpoint_set_host(set, "h2", ep, 3), 2);
 	ck_assert_uint_eq(endpoint_set_host(set, "h1", ep, 1), 1);
 	ck_assert_uint_eq(endpoint_set_host(set, "h1", ep, 1), 0);
 	ck_assert_uint_eq(endpoint_set_size(set), 3);
 	s = compile(routes, set);
 	ck_assert_int_eq(snapshot_check(s), STATUS_OK);
-	/* "gone" is not in the version: left out. */
+	/* "gone" is not in the version, so it is skipped. */
 	ck_assert_uint_eq(s->n_endpoints, 2);
 	ck_assert_ptr_null(snapshot_service(s, "gone"));
 	search = snapshot_service(s, "search");
 	ck_assert_str_eq(search->endpoints->endpoints[0].host, "h1");
 	ck_assert_uint_eq(search->endpoints->endpoints[1].slots, 3);
-	/* A host that leaves is gone from the next snapshot only. */
+	/* A host that leaves is missing only from later snapshots. */
 	ck_assert_uint_eq(endpoint_set_host(set, "h2", NULL, 0), 2);
 	ck_assert_uint_eq(endpoint_set_size(set), 1);
 	t = compile(routes, set);
@@ -213,7 +214,7 @@
 }
 END_TEST
 
-/* What did not change is the same memory in two snapshots of a catalog. */
+/* Two snapshots of a catalog share the memory of unchanged parts. */
 START_TEST(test_sharing)
 {
 	struct bundle *b = fix_bundle(routes);
@@ -232,7 +233,7 @@
 	    snapshot_service(t, "search")->endpoints);
 	ck_assert_ptr_null(snapshot_service(s, "upload")->endpoints);
 	ck_assert_uint_eq(t->n_endpoints, 2);
-	/* Each outlives what it was compiled from. */
+	/* Snapshots remain valid after the set and the catalog are freed. */
 	endpoint_set_free(set);
 	catalog_free(c);
 	snapshot_unref(t);
@@ -242,7 +243,7 @@
 }
 END_TEST
 
-/* The same services with other routes, then with other limits only. */
+/* The table is rebuilt if routes change, and reused if only limits do. */
 START_TEST(test_routes_change)
 {
 	static const char *const versions[] = {"'/a'", "'/b'", "'/b'"};
@@ -310,7 +311,7 @@
 		s->routes->text[entry->text_offset + 1] = 'x';
 		break;
 	case CORRUPT_DUPLICATE:
-		/* one route stands twice, another is lost */
+		/* one route is duplicated, another is lost */
 		s->routes->entries[1] = *entry;
 		break;
 	case CORRUPT_LOST_ROUTE:
