--- a/packages/config/bench/bench_config.c
+++ b/packages/config/bench/bench_config.c
@@ -123,7 +123,7 @@
 		if (strcmp(s->config->name, service) == 0)
 			return s;
 	}
-	fprintf(stderr, "there is no %s\n", service);
+	fprintf(stderr, "service %s not found\n", service);
 	exit(1);
 }
 
@@ -275,7 +275,7 @@
 	for (i = 0; i < LINEAR_MATCHES; i++)
 		n_found += linear_match(s, paths[i]) != NULL;
 	spent_us = clock_now_us() - start_us;
-	printf("match by looking at each route: %.0f ns (mean of %d, %d "
+	printf("match by linear search: %.0f ns (mean of %d, %d "
 	       "found)\n",
 	    (double)spent_us * 1000.0 / LINEAR_MATCHES, LINEAR_MATCHES,
 	    (int)n_found);
@@ -321,7 +321,7 @@
 	start_us = clock_now_us();
 	b = parse(json);
 	parse_us = clock_now_us() - start_us;
-	printf("bundle of %.0f KiB parsed and cut: %.1f ms\n",
+	printf("bundle of %.0f KiB parsed and split: %.1f ms\n",
 	    (double)json->len / KIB, (double)parse_us / 1000.0);
 	heap = heap_bytes();
 	start_us = clock_now_us();
@@ -348,7 +348,7 @@
 	    arg_or_default(argc, argv, 3, ROUTES)};
 	struct catalog *c = catalog_new(0);
 
-	printf("%u services, %u endpoints, %u routes a service\n",
+	printf("%u services, %u endpoints, %u routes per service\n",
 	    size.services, size.endpoints, size.routes);
 	bench_parse_and_commit(&size, c);
 	bench_compile(&size, c);
--- a/packages/config/bench/bench_growth.c
+++ b/packages/config/bench/bench_growth.c
@@ -61,7 +61,7 @@
 static void
 print_rejected(const char *what)
 {
-	printf("  %s: refused: %.*s\n", what, REASON_BYTES, status_message());
+	printf("  %s: rejected: %.*s\n", what, REASON_BYTES, status_message());
 }
 
 /* Numbers are hashed, so that added routes sort between existing ones. */
@@ -115,7 +115,7 @@
 		bytes += len;
 		largest = MAX(largest, len);
 	}
-	printf("  bundle of %.0f KiB parsed and cut: %.1f ms, %u sections of "
+	printf("  bundle of %.0f KiB parsed and split: %.1f ms, %u sections of "
 	       "%.0f KiB, largest %.1f\n",
 	    (double)json->len / KIB, ms, b->sections->len, (double)bytes / KIB,
 	    (double)largest / KIB);
@@ -232,8 +232,9 @@
 	start_us = clock_now_us();
 	if (catalog_commit(to, stage) != STATUS_OK)
 		print_rejected("commit at a node");
-	printf("  %s: %u changes, %u as differences, %u whole, %.1f KiB; made "
-	       "in %.1f ms, added in %.1f, committed in %.1f\n",
+	printf(
+	    "  %s: %u changes, %u as patches, %u in full, %.1f KiB; computed "
+	    "in %.1f ms, added in %.1f, committed in %.1f\n",
 	    label, sent_stats.changes, sent_stats.patches, sent_stats.whole,
 	    (double)sent_stats.bytes / KIB,
 	    (double)sent_stats.patch_us / US_PER_MS,
@@ -257,8 +258,8 @@
 	if (route_table_new(services, &t) != STATUS_OK)
 		print_rejected("table");
 	else
-		printf("  table of routes: %.1f ms, %.0f KiB\n",
-		    ms_since(start_us), (double)route_table_bytes(t) / KIB);
+		printf("  route table: %.1f ms, %.0f KiB\n", ms_since(start_us),
+		    (double)route_table_bytes(t) / KIB);
 	route_table_unref(t);
 	g_ptr_array_unref(services);
 }
@@ -315,8 +316,8 @@
 		bench_match(node, routes);
 		if (second != NULL && commit_full(reader, 2, second, &ms)) {
 			printf("  second version at a reader: %.1f ms\n", ms);
-			bench_follow("first asker", reader, node);
-			bench_follow("next asker", reader, next);
+			bench_follow("first node", reader, node);
+			bench_follow("next node", reader, next);
 			printf("  catalog with both: %.0f KiB\n",
 			    (double)catalog_bytes(node) / KIB);
 		}
@@ -331,7 +332,7 @@
 {
 	struct bundle *first, *second = NULL;
 
-	printf("%u routes, %u services, then %u routes more\n", routes,
+	printf("%u routes, %u services, then %u more routes\n", routes,
 	    services, added);
 	first = parse(routes, services);
 	if (first != NULL)
--- a/packages/config/src/bundle.c
+++ b/packages/config/src/bundle.c
@@ -46,8 +46,8 @@
 	data = g_bytes_get_data(section->content, &len);
 	if (section_decode(data, len, &sc) != STATUS_OK)
 		problems_add(p, NULL, "report this as a defect",
-		    "service %s makes no good section: %s",
-		    section->config->section, status_message());
+		    "section %s is invalid: %s", section->config->section,
+		    status_message());
 	service_config_unref(sc);
 }
 
@@ -64,8 +64,8 @@
 	}
 	if (total > CONFIG_MAX_BYTES)
 		problems_add(p, NULL, "split the bundle",
-		    "its sections have %" G_GUINT64_FORMAT
-		    " bytes, at most %" G_GUINT64_FORMAT " are taken",
+		    "the sections have %" G_GUINT64_FORMAT
+		    " bytes, the limit is %" G_GUINT64_FORMAT,
 		    total, CONFIG_MAX_BYTES);
 }
 
--- a/packages/config/src/bundle_read.c
+++ b/packages/config/src/bundle_read.c
@@ -55,7 +55,7 @@
 		key_at.key = key;
 		if (*k == NULL)
 			problems_add(p, &key_at,
-			    "take it out or correct its "
+			    "remove it or correct its "
 			    "spelling; " SEE_BUNDLE_DOCS,
 			    "no such key is known");
 	}
@@ -70,8 +70,8 @@
 
 	if (json_is_string(value))
 		return json_string_value(value);
-	problems_add(p, &text_at, "give it as text; " SEE_BUNDLE_DOCS, "%s",
-	    value == NULL ? "this key is missing" : "this is not text");
+	problems_add(p, &text_at, "use a string; " SEE_BUNDLE_DOCS, "%s",
+	    value == NULL ? "required key is missing" : "not a string");
 	return NULL;
 }
 
@@ -84,8 +84,8 @@
 
 	if (json_is_array(value))
 		return value;
-	problems_add(p, &list_at, "give it as a list; " SEE_BUNDLE_DOCS, "%s",
-	    value == NULL ? "this key is missing" : "this is not a list");
+	problems_add(p, &list_at, "use an array; " SEE_BUNDLE_DOCS, "%s",
+	    value == NULL ? "required key is missing" : "not an array");
 	return NULL;
 }
 
@@ -101,8 +101,8 @@
 	if (json_is_integer(value))
 		return MAX(
 		    json_integer_value(value), BUNDLE_NUMBER_OMITTED + 1);
-	problems_add(r->p, &number_at, "give a whole number; " SEE_BUNDLE_DOCS,
-	    "this is not a whole number");
+	problems_add(r->p, &number_at, "use an integer; " SEE_BUNDLE_DOCS,
+	    "not an integer");
 	return BUNDLE_NUMBER_OMITTED;
 }
 
@@ -133,7 +133,7 @@
 		key_at.key = key;
 		if (number_rule_find(group, key) == NULL)
 			problems_add(r->p, &key_at,
-			    "take it out or correct its "
+			    "remove it or correct its "
 			    "spelling; " SEE_BUNDLE_DOCS,
 			    "no such key is known");
 	}
@@ -151,9 +151,8 @@
 	if (group != NULL)
 		object = json_object_get(service, group);
 	if (object != NULL && !json_is_object(object)) {
-		problems_add(r->p, &group_at,
-		    "give it as an object; " SEE_BUNDLE_DOCS,
-		    "this is not an object");
+		problems_add(r->p, &group_at, "use an object; " SEE_BUNDLE_DOCS,
+		    "not an object");
 		object = NULL;
 	}
 	if (group != NULL && object != NULL)
@@ -178,8 +177,8 @@
 	service_name_check(name, strlen(name), &name_at, r->p);
 	g_strlcpy(d->m.service, name, sizeof(d->m.service));
 	if (g_hash_table_contains(r->by_name, d->m.service))
-		problems_add(r->p, &name_at, "give each service once",
-		    "service %s is there twice", d->m.service);
+		problems_add(r->p, &name_at, "remove the duplicate",
+		    "duplicate service %s", d->m.service);
 	else
 		g_hash_table_insert(r->by_name, d->m.service, d);
 }
@@ -194,8 +193,8 @@
 
 	if (!json_is_object(service)) {
 		problems_add(r->p, at,
-		    "give each service as an object; " SEE_BUNDLE_DOCS,
-		    "this is not an object");
+		    "use an object for each service; " SEE_BUNDLE_DOCS,
+		    "not an object");
 		return;
 	}
 	d = g_new0(struct draft, 1);
@@ -215,13 +214,12 @@
 {
 	if (n == 0)
 		problems_add(r->p, at,
-		    "give at least one; to take all out of use, halt or "
-		    "supersede the version",
-		    "the bundle has no service");
+		    "add at least one; to withdraw a version, halt or "
+		    "supersede it",
+		    "the bundle has no services");
 	if (n > CONFIG_MAX_SERVICES)
 		problems_add(r->p, at, "split the bundle",
-		    "%zu services, at most %d are taken", n,
-		    CONFIG_MAX_SERVICES);
+		    "%zu services, the limit is %d", n, CONFIG_MAX_SERVICES);
 	return n <= CONFIG_MAX_SERVICES;
 }
 
@@ -251,7 +249,7 @@
 	if (!json_is_integer(value) ||
 	    json_integer_value(value) != BUNDLE_FORMAT)
 		problems_add(r->p, &at, "write \"format\": 1",
-		    "only format %d is known", BUNDLE_FORMAT);
+		    "only format %d is supported", BUNDLE_FORMAT);
 }
 
 void
@@ -262,10 +260,10 @@
 	if (!service_name_valid(name, strlen(name)))
 		problems_add(r->p, &at,
 		    "use 1 to 31 of a-z, 0-9 and '-', a letter first",
-		    "this is no name of a bundle");
+		    "invalid bundle name");
 	else if (!service_name_conventional(name, strlen(name)))
 		problems_warn(r->p, &at, "use a-z, 0-9 and '-', a letter first",
-		    "this name of a bundle is unusual");
+		    "unconventional bundle name");
 	g_strlcpy(r->name, name, sizeof(r->name));
 }
 
@@ -280,8 +278,8 @@
 	json_t *list;
 
 	if (!json_is_object(root)) {
-		problems_add(
-		    r->p, NULL, SEE_BUNDLE_DOCS, "a bundle is an object");
+		problems_add(r->p, NULL, SEE_BUNDLE_DOCS,
+		    "a bundle must be a JSON object");
 		return;
 	}
 	json_check_keys(root, known, NULL, r->p);
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -36,7 +36,7 @@
 		return METHOD_BIT(m);
 	problems_add(r->p, at,
 	    "use GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS or \"*\"",
-	    "this is no method");
+	    "unknown method");
 	return 0;
 }
 
@@ -57,13 +57,13 @@
 		item_at.index = (uint32_t)i;
 		bit = read_method(r, value, &item_at);
 		if ((methods & bit) != 0)
-			problems_add(r->p, &item_at, "give each method once",
-			    "the method is there twice");
+			problems_add(r->p, &item_at, "list each method once",
+			    "duplicate method");
 		methods |= bit;
 	}
 	if (json_array_size(list) == 0)
 		problems_add(r->p, &list_at, "list at least one method",
-		    "the route takes no method");
+		    "the route has no methods");
 	return methods;
 }
 
@@ -77,8 +77,8 @@
 	if (value == NULL)
 		return default_value;
 	if (!json_is_boolean(value))
-		problems_add(r->p, &value_at, "write true or false",
-		    "this is neither true nor false");
+		problems_add(
+		    r->p, &value_at, "use true or false", "not a boolean");
 	return json_is_true(value);
 }
 
@@ -117,14 +117,14 @@
 		if ((methods & METHOD_BIT(m)) == 0)
 			continue;
 		if (claim->route[m] != 0 && !claim->weighted)
-			problems_add(r->p, at, "take one of the two out",
+			problems_add(r->p, at, "remove one of the two routes",
 			    "routes[%u] takes %s of %s already",
 			    claim->route[m] - 1, method_name(m), prefix);
 		else
 			claim->route[m] = at->index + 1;
 	}
 	if (++claim->shares > SNAPSHOT_SHARES_MAX && claim->weighted)
-		problems_add(r->p, at, "let fewer services share the route",
+		problems_add(r->p, at, "share the route between fewer services",
 		    "more than %d services share this route",
 		    SNAPSHOT_SHARES_MAX);
 }
@@ -249,8 +249,8 @@
 
 	if (!json_is_object(route)) {
 		problems_add(r->p, at,
-		    "give each route as an object; see docs/BUNDLES.md",
-		    "this is not an object");
+		    "use an object for each route; see docs/BUNDLES.md",
+		    "not an object");
 		return;
 	}
 	json_check_keys(route, known, at, r->p);
--- a/packages/config/src/bundle_scan.c
+++ b/packages/config/src/bundle_scan.c
@@ -58,15 +58,15 @@
 scan_check_limits(const struct scan *s, struct problems *p)
 {
 	if (s->max_depth > BUNDLE_MAX_DEPTH) {
-		problems_add(p, NULL, "write it as docs/BUNDLES.md shows",
-		    "the bundle nests %zu deep, at most %d are taken",
+		problems_add(p, NULL, "see docs/BUNDLES.md for the format",
+		    "the bundle is nested %zu levels deep, the limit is %d",
 		    s->max_depth, BUNDLE_MAX_DEPTH);
 		return STATUS_INVALID;
 	}
 	if (s->n_values > BUNDLE_MAX_VALUES) {
 		problems_add(p, NULL, "split the bundle",
-		    "the bundle holds %zu values, at most %d are taken",
-		    s->n_values, BUNDLE_MAX_VALUES);
+		    "the bundle has %zu values, the limit is %d", s->n_values,
+		    BUNDLE_MAX_VALUES);
 		return STATUS_TOO_LARGE;
 	}
 	return STATUS_OK;
--- a/packages/config/src/commit.c
+++ b/packages/config/src/commit.c
@@ -93,7 +93,7 @@
 	content = find_content(stage, &ref->digest);
 	if (content == NULL)
 		return status_set(STATUS_UNAVAILABLE,
-		    "Section %s has not come yet; fetch it.", ref->section);
+		    "Section %s is missing; fetch it.", ref->section);
 	st = find_config(stage, ref, content, &sc);
 	if (st != STATUS_OK)
 		return st;
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -217,13 +217,13 @@
 
 	if (!part_name_valid(m->part)) {
 		problems_add(p, &part_at, "use at most 24 of 0 and 1",
-		    "this is no name of a part");
+		    "invalid part name");
 		return;
 	}
 	for (i = 0; i < m->n_routes; i++) {
 		at.index = i;
 		if (!part_covers(m->part, route_hash_bits(&m->routes[i])))
-			problems_add(p, &at, "put it in its own part",
+			problems_add(p, &at, "move it to that part",
 			    "the route belongs in another part");
 	}
 }
--- a/packages/config/src/rules.c
+++ b/packages/config/src/rules.c
@@ -99,7 +99,7 @@
 {
 	if (value >= rule->min && value <= rule->max)
 		return;
-	problems_add(p, at, "give a number within the range",
+	problems_add(p, at, "use a number within the range",
 	    "%" G_GUINT64_FORMAT " is out of the range %" G_GUINT64_FORMAT
 	    " to %" G_GUINT64_FORMAT,
 	    value, rule->min, rule->max);
@@ -114,7 +114,7 @@
 		number_check(rule, (uint64_t)value, at, p);
 		return (uint64_t)value;
 	}
-	problems_warn(p, at, "give a number within the range",
+	problems_warn(p, at, "use a number within the range",
 	    "%" G_GINT64_FORMAT " is out of the range %" G_GUINT64_FORMAT
 	    " to %" G_GUINT64_FORMAT "; %" G_GUINT64_FORMAT " is used",
 	    value, rule->min, rule->max, rule->max);
@@ -141,7 +141,7 @@
 	if (!service_name_valid(name, len))
 		problems_add(p, at,
 		    "use 1 to 31 of a-z, 0-9 and '-', a letter first",
-		    "this is no name of a service");
+		    "invalid service name");
 	else if (!service_name_conventional(name, len))
 		problems_warn(p, at, "use a-z, 0-9 and '-', a letter first",
 		    "this name of a service is unusual");
@@ -227,11 +227,11 @@
 
 	if (len == 0 || len >= ROUTE_PREFIX_BYTES || prefix[0] != '/')
 		problems_add(p, at, "use 1 to 255 characters, '/' first",
-		    "this is no path prefix");
+		    "invalid path prefix");
 	else if (n > 0)
 		problems_add(p, at,
 		    "use letters, digits and -._~!$&'()*+,;=:@/ only",
-		    "character %zu can't be in a prefix", n);
+		    "character %zu is not allowed in a prefix", n);
 	else
 		prefix_check_portable(prefix, len, at, p);
 }
@@ -249,13 +249,13 @@
 		    "list some of GET, HEAD, POST, PUT, PATCH, DELETE, "
 		    "OPTIONS, "
 		    "or \"*\" alone",
-		    "a route needs known methods");
+		    "the route has no methods or unknown ones");
 	/* A route of any method declares all of its methods idempotent. */
 	if (idempotent && methods != METHOD_ANY &&
 	    (methods & METHOD_NON_IDEMPOTENT) != 0 &&
 	    (methods & ~METHOD_NON_IDEMPOTENT) != 0)
 		problems_add(p, &idempotent_at,
-		    "give POST and PATCH a route of their own, and call that "
+		    "move POST and PATCH to a separate route, and declare that "
 		    "idempotent if it is",
 		    "POST and PATCH can't be called idempotent along with "
 		    "other methods");
@@ -272,7 +272,7 @@
 			break;
 	if (*c != '\0' || strlen(host) >= ROUTE_HOST_BYTES)
 		problems_add(p, at, "use at most 127 of a-z, 0-9 and \"-._\"",
-		    "this is no host that callers name");
+		    "invalid host");
 }
 
 /* Length of a host without its port. */
@@ -296,7 +296,7 @@
 	char *normalized = g_ascii_strdown(host, (gssize)len);
 
 	if (host[len] != '\0')
-		problems_warn(p, at, "leave the port out",
+		problems_warn(p, at, "remove the port",
 		    "hosts are compared without their port");
 	else if (strcmp(host, normalized) != 0)
 		problems_warn(p, at, "use lower case",
@@ -356,7 +356,7 @@
 			problems_add(p, &at, "sort the routes",
 			    "the routes are not in canonical order");
 		else if (routes_overlap(claimed, route->methods))
-			problems_add(p, &at, "take one of the routes out",
+			problems_add(p, &at, "remove one of the routes",
 			    "another route has this prefix and method");
 		claimed |= route->methods;
 	}
--- a/packages/config/src/snapshot_check.c
+++ b/packages/config/src/snapshot_check.c
@@ -85,12 +85,12 @@
 	const struct service_route *route;
 
 	if (entry->service >= s->n_services || entry->section >= s->n_sections)
-		return violation("route to a service that is not there", "?");
+		return violation("route of an unknown service or section", "?");
 	sc = s->sections[entry->section];
 	if (strcmp(sc->name, s->services[entry->service].config->name) != 0)
 		return violation("route of another service", sc->name);
 	if (entry->route >= sc->n_routes)
-		return violation("route that its service lacks", sc->name);
+		return violation("route index out of range", sc->name);
 	route = &sc->routes[entry->route];
 	if (entry->methods != route->methods ||
 	    !text_matches_route(s->routes, entry, route))
--- a/packages/config/test/test_bundle.c
+++ b/packages/config/test/test_bundle.c
@@ -21,7 +21,7 @@
 	const char *message;
 } problem_cases[] = {
     {"", "", "line 1"},
-    {"[]", "", "is an object"},
+    {"[]", "", "must be a JSON object"},
     {"{'format':1", "", "line 1"},
     {"{'format':1,'name':'x','services':[{'name':'a'}],'routes':[],"
      "'format':1}",
@@ -29,51 +29,54 @@
     {"{'format':2,'name':'x','services':[{'name':'a'}],'routes':[]}", "format",
 	"only format 1"},
     {"{'format':1,'name':'X y','services':[{'name':'a'}],'routes':[]}", "name",
-	"no name"},
+	"invalid bundle name"},
     {"{'format':1,'services':[{'name':'a'}],'routes':[]}", "name", "missing"},
     {"{'format':1,'name':'x','services':[],'routes':[]}", "services",
-	"no service"},
+	"no services"},
     {"{'format':1,'name':'x','services':{},'routes':[]}", "services",
-	"not a list"},
+	"not an array"},
     {"{'format':1,'name':'x','services':[{'name':'a'}]}", "routes", "missing"},
     {"{'format':1,'name':'x','services':[{'name':'a'}],'routes':[],'z':1}", "z",
-	"no such key"},
+	"no such key is known"},
     {"{'format':1,'name':'x','services':[{'name':'a\xff'}],'routes':[]}", "",
 	"decode byte 0xff"},
     {SERVICES("7"), "services[0]", "not an object"},
-    {SERVICES("{'name':'a'},{'name':'a'}"), "services[1].name", "twice"},
-    {SERVICES("{'name':''}"), "services[0].name", "no name"},
+    {SERVICES("{'name':'a'},{'name':'a'}"), "services[1].name",
+	"duplicate service a"},
+    {SERVICES("{'name':''}"), "services[0].name", "invalid service name"},
     /* 32 characters: longer than the name an upstream can announce. */
     {SERVICES("{'name':'abcdefghijklmnopqrstuvwxyz-01234'}"),
-	"services[0].name", "no name"},
-    {SERVICES("{'name':'a b'}"), "services[0].name", "no name"},
-    {SERVICES("{'name':'a\\\\b'}"), "services[0].name", "no name"},
-    {SERVICES("{'name':'a','timeout':5}"), "services[0].timeout", "no such"},
+	"services[0].name", "invalid service name"},
+    {SERVICES("{'name':'a b'}"), "services[0].name", "invalid service name"},
+    {SERVICES("{'name':'a\\\\b'}"), "services[0].name", "invalid service name"},
+    {SERVICES("{'name':'a','timeout':5}"), "services[0].timeout",
+	"no such key is known"},
     {SERVICES("{'name':'a','timeout_ms':0}"), "services[0].timeout_ms",
 	"range"},
     {SERVICES("{'name':'a','timeout_ms':-1}"), "services[0].timeout_ms",
 	"range"},
     {SERVICES("{'name':'a','timeout_ms':1.5}"), "services[0].timeout_ms",
-	"whole number"},
+	"not an integer"},
     {SERVICES("{'name':'a','timeout_ms':'9'}"), "services[0].timeout_ms",
-	"whole number"},
+	"not an integer"},
     {SERVICES("{'name':'a','limits':[]}"), "services[0].limits",
 	"not an object"},
     {SERVICES("{'name':'a','limits':{'slots_per_endpoint':0}}"),
 	"services[0].limits.slots_per_endpoint", "range"},
     {SERVICES("{'name':'a','limits':{'slots':1}}"), "services[0].limits.slots",
-	"no such"},
+	"no such key is known"},
     {ROUTES("7"), "routes[0]", "not an object"},
     {ROUTES("{'prefix':'/p','methods':['GET'],'service':'c'}"),
 	"routes[0].service", "no such service"},
     {ROUTES("{'prefix':'/p','methods':['GET']}"), "routes[0].service",
 	"missing"},
     {ROUTES("{'prefix':'/p','service':'a'}"), "routes[0].methods", "missing"},
-    {ROUTES(ROUTE("/p", "")), "routes[0].methods", "no method"},
-    {ROUTES(ROUTE("/p", "'get'")), "routes[0].methods[0]", "no method"},
-    {ROUTES(ROUTE("/p", "'GET','GET'")), "routes[0].methods[1]", "twice"},
-    {ROUTES(ROUTE("p", "'GET'")), "routes[0].prefix", "no path prefix"},
-    {ROUTES(ROUTE("", "'GET'")), "routes[0].prefix", "no path prefix"},
+    {ROUTES(ROUTE("/p", "")), "routes[0].methods", "has no methods"},
+    {ROUTES(ROUTE("/p", "'get'")), "routes[0].methods[0]", "unknown method"},
+    {ROUTES(ROUTE("/p", "'GET','GET'")), "routes[0].methods[1]",
+	"duplicate method"},
+    {ROUTES(ROUTE("p", "'GET'")), "routes[0].prefix", "invalid path prefix"},
+    {ROUTES(ROUTE("", "'GET'")), "routes[0].prefix", "invalid path prefix"},
     {ROUTES(ROUTE("/p?q", "'GET'")), "routes[0].prefix", "character 3"},
     {ROUTES(ROUTE("/p q", "'GET'")), "routes[0].prefix", "character 3"},
     {ROUTES(ROUTE("/p", "'GET'") "," ROUTE("/p/", "'GET'") "," ROUTE(
@@ -84,9 +87,9 @@
 				"'methods':['GET'],'service':'b'}"),
 	"routes[1]", "routes[0] takes GET of / already"},
     {ROUTES("{'prefix':'/p','host':'*.x','methods':['GET'],'service':'a'}"),
-	"routes[0].host", "no host"},
+	"routes[0].host", "invalid host"},
     {ROUTES("{'prefix':'/p','host':'x:y','methods':['GET'],'service':'a'}"),
-	"routes[0].host", "no host"},
+	"routes[0].host", "invalid host"},
     /* Not clamped, since one weight changes the proportions of all shares. */
     {ROUTES("{'prefix':'/p','weight':1000001,'methods':['GET'],"
 	    "'service':'a'}"),
@@ -100,7 +103,7 @@
 	"routes[0].idempotent", "POST and PATCH"},
     {ROUTES("{'prefix':'/p','methods':['GET'],'service':'a',"
 	    "'idempotent':1}"),
-	"routes[0].idempotent", "neither"},
+	"routes[0].idempotent", "not a boolean"},
 };
 
 START_TEST(test_fault)
@@ -132,9 +135,11 @@
 	const char *message;
 } warning_cases[] = {
     {"{'format':1,'name':'X','services':[{'name':'a'}],'routes':[]}", "name",
-	"unusual"},
-    {SERVICES("{'name':'-a'}"), "services[0].name", "unusual"},
-    {SERVICES("{'name':'Bad_Name.1'}"), "services[0].name", "unusual"},
+	"unconventional bundle name"},
+    {SERVICES("{'name':'-a'}"), "services[0].name",
+	"name of a service is unusual"},
+    {SERVICES("{'name':'Bad_Name.1'}"), "services[0].name",
+	"name of a service is unusual"},
     {SERVICES("{'name':'a','timeout_ms':4294967297}"), "services[0].timeout_ms",
 	"4294967297 is out of the range 1 to 3600000; 3600000 is used"},
     {SERVICES("{'name':'a','retry':{'attempts':11}}"),
@@ -482,7 +487,7 @@
 	const char *message;
 } limit_cases[] = {
     {HEAD, "{'name':'s%u'}", "],'routes':[]}", CONFIG_MAX_SERVICES,
-	"4096 are taken"},
+	"limit is 4096;"},
 };
 
 START_TEST(test_services_limit)
@@ -515,7 +520,7 @@
 	json =
 	    repeat_items(HEAD "{'name':'a'}],'routes':[", LONG_ROUTE, n, "]}");
 	ck_assert_int_eq(bundle_parse(json, strlen(json), &b), STATUS_INVALID);
-	ck_assert(strstr(status_message(), "33554432 are taken") != NULL);
+	ck_assert(strstr(status_message(), "limit is 33554432;") != NULL);
 	bundle_free(b);
 	g_free(json);
 }
@@ -533,7 +538,7 @@
 	memset(json, '[', BUNDLE_MAX_BYTES);
 	ck_assert_int_eq(
 	    bundle_parse(json, BUNDLE_MAX_BYTES, &b), STATUS_INVALID);
-	ck_assert(strstr(status_message(), "nests") != NULL);
+	ck_assert(strstr(status_message(), "levels deep") != NULL);
 	bundle_free(b);
 	memset(json, ',', BUNDLE_MAX_BYTES);
 	ck_assert_int_eq(
--- a/packages/config/test/test_growth.c
+++ b/packages/config/test/test_growth.c
@@ -394,7 +394,7 @@
 		if (strcmp(services[route->targets[i].service],
 			match->service->config->name) == 0)
 			break;
-	ck_assert_msg(i < route->n_targets, "a route leads to %s",
+	ck_assert_msg(i < route->n_targets, "unexpected service %s",
 	    match->service->config->name);
 	ck_assert_uint_eq(match->route->weight,
 	    route->n_targets > 1 ? route->targets[i].weight : 0);
--- a/packages/config/test/test_patch.c
+++ b/packages/config/test/test_patch.c
@@ -257,7 +257,7 @@
 	catalog_delta_clear(&delta);
 	(void)pull_patches(reader, node);
 	ck_assert_msg(catalog_delta(node, 6, 0, &delta) == STATUS_NOT_FOUND,
-	    "what came with a gap was passed on as if it had none");
+	    "a delta over a gap was served as if it had none");
 	for (i = 0; i < 3; i++)
 		bundle_free(b[i]);
 	catalog_free(reader);
