--- a/packages/config/bench/bench_growth.c
+++ b/packages/config/bench/bench_growth.c
@@ -173,25 +173,24 @@
 static void
 add_change(const struct catalog *from, const struct catalog *to,
     const struct rec_section_change *c, struct catalog_stage *stage,
-    struct sent_stats *sent_stats)
+    struct sent_stats *stats)
 {
 	uint64_t start_us = clock_now_us();
 	struct rec_section_patch patch;
 	GBytes *content;
 	bool is_patch = catalog_patch(from, catalog_version(to), c, &patch);
 
-	sent_stats->patch_us += clock_now_us() - start_us;
+	stats->patch_us += clock_now_us() - start_us;
 	if (!is_patch) {
 		content = catalog_content(from, &c->digest);
-		sent_stats->whole++;
-		sent_stats->bytes += g_bytes_get_size(content);
+		stats->whole++;
+		stats->bytes += g_bytes_get_size(content);
 		(void)catalog_stage_add(stage, g_bytes_get_data(content, NULL),
 		    g_bytes_get_size(content));
 		return;
 	}
-	sent_stats->patches++;
-	sent_stats->bytes +=
-	    patch.data_len + (uint64_t)patch.n_hunks * HUNK_BYTES;
+	stats->patches++;
+	stats->bytes += patch.data_len + (uint64_t)patch.n_hunks * HUNK_BYTES;
 	content = catalog_patch_apply(to, &patch);
 	(void)catalog_stage_add(
 	    stage, g_bytes_get_data(content, NULL), g_bytes_get_size(content));
@@ -206,7 +205,7 @@
 	const struct rec_section_change *c;
 	struct catalog_stage *stage = NULL;
 	struct catalog_delta delta;
-	struct sent_stats sent_stats = {0};
+	struct sent_stats stats = {0};
 	uint64_t start_us;
 	double add_ms = 0;
 	uint32_t i;
@@ -223,10 +222,10 @@
 	}
 	for (i = 0; i < delta.changes->len; i++) {
 		c = &g_array_index(delta.changes, struct rec_section_change, i);
-		sent_stats.bytes += CHANGE_BYTES;
-		sent_stats.changes++;
+		stats.bytes += CHANGE_BYTES;
+		stats.changes++;
 		if (!c->removed)
-			add_change(from, to, c, stage, &sent_stats);
+			add_change(from, to, c, stage, &stats);
 	}
 	add_ms = ms_since(start_us);
 	start_us = clock_now_us();
@@ -235,11 +234,9 @@
 	printf(
 	    "  %s: %u changes, %u as patches, %u in full, %.1f KiB; computed "
 	    "in %.1f ms, added in %.1f, committed in %.1f\n",
-	    label, sent_stats.changes, sent_stats.patches, sent_stats.whole,
-	    (double)sent_stats.bytes / KIB,
-	    (double)sent_stats.patch_us / US_PER_MS,
-	    add_ms - (double)sent_stats.patch_us / US_PER_MS,
-	    ms_since(start_us));
+	    label, stats.changes, stats.patches, stats.whole,
+	    (double)stats.bytes / KIB, (double)stats.patch_us / US_PER_MS,
+	    add_ms - (double)stats.patch_us / US_PER_MS, ms_since(start_us));
 	catalog_stage_free(stage);
 	catalog_delta_clear(&delta);
 }
--- a/packages/config/include/config/service.h
+++ b/packages/config/include/config/service.h
@@ -74,7 +74,7 @@
  * with others. */
 #define METHOD_ANY (METHOD_ALL | METHOD_BIT(METHOD_COUNT))
 
-/* Methods that are idempotent by definition. */
+/* Safe methods, which are idempotent whatever the upstream does. */
 #define METHOD_SAFE                                         \
 	(METHOD_BIT(METHOD_GET) | METHOD_BIT(METHOD_HEAD) | \
 	    METHOD_BIT(METHOD_OPTIONS))
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -256,7 +256,7 @@
 	json_check_keys(route, known, at, r->p);
 	out.prefix = json_require_string(route, "prefix", at, r->p);
 	out.methods = read_methods(r, route, at);
-	/* If omitted, true only if all methods are idempotent by definition. */
+	/* If omitted, true only if all methods are safe. */
 	out.idempotent = read_flag(r, route, "idempotent", at,
 	    out.methods != 0 && (out.methods & ~METHOD_SAFE) == 0);
 	out.below = read_flag(r, route, "below", at, false);
--- a/packages/config/src/commit.c
+++ b/packages/config/src/commit.c
@@ -33,16 +33,16 @@
 }
 
 void
-staged_version_free(struct staged_version *n)
+staged_version_free(struct staged_version *sv)
 {
-	if (n == NULL)
+	if (sv == NULL)
 		return;
-	if (n->list != NULL)
-		g_array_unref(n->list);
-	if (n->sections != NULL)
-		g_ptr_array_unref(n->sections);
-	route_table_unref(n->routes);
-	g_free(n);
+	if (sv->list != NULL)
+		g_array_unref(sv->list);
+	if (sv->sections != NULL)
+		g_ptr_array_unref(sv->sections);
+	route_table_unref(sv->routes);
+	g_free(sv);
 }
 
 static GBytes *
@@ -64,13 +64,14 @@
     struct service_config **sc)
 {
 	const struct section *section;
-	struct service_config *held;
+	struct service_config *current;
 	const uint8_t *data;
 	size_t len;
 
-	held = catalog_find_section(stage->c, ref->section);
-	if (held != NULL && hash_digest_equal(&held->digest, &ref->digest)) {
-		*sc = service_config_ref(held);
+	current = catalog_find_section(stage->c, ref->section);
+	if (current != NULL &&
+	    hash_digest_equal(&current->digest, &ref->digest)) {
+		*sc = service_config_ref(current);
 		return STATUS_OK;
 	}
 	section = g_hash_table_lookup(stage->added, &ref->digest);
@@ -84,7 +85,7 @@
 
 static enum status
 add_section(const struct catalog_stage *stage,
-    const struct rec_section_ref *ref, struct staged_version *n)
+    const struct rec_section_ref *ref, struct staged_version *sv)
 {
 	struct service_config *sc;
 	GBytes *content;
@@ -97,8 +98,8 @@
 	st = find_config(stage, ref, content, &sc);
 	if (st != STATUS_OK)
 		return st;
-	g_ptr_array_add(n->sections, sc);
-	n->content_bytes += g_bytes_get_size(content);
+	g_ptr_array_add(sv->sections, sc);
+	sv->content_bytes += g_bytes_get_size(content);
 	if (strcmp(sc->section, ref->section) == 0)
 		return STATUS_OK;
 	return status_set(STATUS_INVALID,
@@ -134,16 +135,16 @@
  * precedes the first of them.
  */
 static enum status
-check_parts(struct staged_version *n)
+check_parts(struct staged_version *sv)
 {
 	const struct service_config *before = NULL, *sc;
 	uint32_t i;
 
-	n->n_services = 0;
-	for (i = 0; i < n->sections->len; i++, before = sc) {
-		sc = g_ptr_array_index(n->sections, i);
+	sv->n_services = 0;
+	for (i = 0; i < sv->sections->len; i++, before = sc) {
+		sc = g_ptr_array_index(sv->sections, i);
 		if (before == NULL || strcmp(before->name, sc->name) != 0) {
-			n->n_services++;
+			sv->n_services++;
 			continue;
 		}
 		if (same_numbers(before, sc) &&
@@ -154,12 +155,12 @@
 		    "take the full list from another node.",
 		    before->section, sc->section);
 	}
-	if (n->n_services <= CONFIG_MAX_SERVICES)
+	if (sv->n_services <= CONFIG_MAX_SERVICES)
 		return STATUS_OK;
 	return status_set(STATUS_TOO_LARGE,
 	    "A version has %u services, at most %d are taken; split the "
 	    "bundle.",
-	    n->n_services, CONFIG_MAX_SERVICES);
+	    sv->n_services, CONFIG_MAX_SERVICES);
 }
 
 /* Whether two routes have equal entries in a route table. */
@@ -205,78 +206,78 @@
 }
 
 static enum status
-staged_version_routes(const struct catalog *c, struct staged_version *n)
+staged_version_routes(const struct catalog *c, struct staged_version *sv)
 {
-	if (!table_reusable(c->sections, n->sections))
-		return route_table_new(n->sections, &n->routes);
-	n->routes = route_table_ref(c->routes);
+	if (!table_reusable(c->sections, sv->sections))
+		return route_table_new(sv->sections, &sv->routes);
+	sv->routes = route_table_ref(c->routes);
 	return STATUS_OK;
 }
 
 static void
-sum_config_bytes(struct staged_version *n)
+sum_config_bytes(struct staged_version *sv)
 {
 	const struct service_config *sc;
 	uint32_t i;
 
-	n->config_bytes = route_table_bytes(n->routes);
-	for (i = 0; i < n->sections->len; i++) {
-		sc = g_ptr_array_index(n->sections, i);
-		n->config_bytes += sc->size_bytes + ALLOC_OVERHEAD_BYTES;
+	sv->config_bytes = route_table_bytes(sv->routes);
+	for (i = 0; i < sv->sections->len; i++) {
+		sc = g_ptr_array_index(sv->sections, i);
+		sv->config_bytes += sc->size_bytes + ALLOC_OVERHEAD_BYTES;
 	}
 }
 
 static enum status
-size_check(const struct catalog *c, const struct staged_version *n)
+size_check(const struct catalog *c, const struct staged_version *sv)
 {
-	uint64_t bytes = n->content_bytes + n->config_bytes;
+	uint64_t bytes = sv->content_bytes + sv->config_bytes;
 
-	if (n->content_bytes <= CONFIG_MAX_BYTES && bytes <= c->max_bytes)
+	if (sv->content_bytes <= CONFIG_MAX_BYTES && bytes <= c->max_bytes)
 		return STATUS_OK;
 	return status_set(STATUS_TOO_LARGE,
 	    "The version takes %" G_GUINT64_FORMAT
 	    " bytes, its sections %" G_GUINT64_FORMAT
 	    "; more than a node may hold. Split the bundle.",
-	    bytes, n->content_bytes);
+	    bytes, sv->content_bytes);
 }
 
 static enum status
 staged_version_build(
-    const struct catalog_stage *stage, struct staged_version *n)
+    const struct catalog_stage *stage, struct staged_version *sv)
 {
 	enum status st;
 	uint32_t i;
 
-	st = stage_check(stage, &n->list);
+	st = stage_check(stage, &sv->list);
 	if (st != STATUS_OK)
 		return st;
-	n->sections = g_ptr_array_new_with_free_func(service_unref);
-	for (i = 0; i < n->list->len && st == STATUS_OK; i++)
+	sv->sections = g_ptr_array_new_with_free_func(service_unref);
+	for (i = 0; i < sv->list->len && st == STATUS_OK; i++)
 		st = add_section(stage,
-		    &g_array_index(n->list, struct rec_section_ref, i), n);
+		    &g_array_index(sv->list, struct rec_section_ref, i), sv);
 	if (st == STATUS_OK)
-		st = check_parts(n);
+		st = check_parts(sv);
 	if (st == STATUS_OK)
-		st = staged_version_routes(stage->c, n);
+		st = staged_version_routes(stage->c, sv);
 	if (st != STATUS_OK)
 		return st;
-	sum_config_bytes(n);
-	return size_check(stage->c, n);
+	sum_config_bytes(sv);
+	return size_check(stage->c, sv);
 }
 
 /* Create the ring entry of a commit; the catalog must still have the version
  * before. */
 static struct ring_entry *
 ring_entry_of_stage(const struct catalog *c, const struct catalog_stage *stage,
-    const struct staged_version *n)
+    const struct staged_version *sv)
 {
 	struct ring_entry *entry;
-	GArray *changes, *held;
+	GArray *changes, *current;
 
-	held = catalog_refs(c);
+	current = catalog_refs(c);
 	changes = stage->changes != NULL ? g_array_ref(stage->changes)
-					 : section_changes(held, n->list);
-	entry = ring_entry_new(held,
+					 : section_changes(current, sv->list);
+	entry = ring_entry_new(current,
 	    (const struct rec_section_change *)changes->data, changes->len);
 	entry->from_version = c->version;
 	entry->to_version = stage->version;
@@ -284,7 +285,7 @@
 	entry->to_root = stage->root;
 	entry->complete = stage->changes != NULL && !stage->skips;
 	g_array_unref(changes);
-	g_array_unref(held);
+	g_array_unref(current);
 	return entry;
 }
 
@@ -318,40 +319,40 @@
  * has no effect. */
 static void
 install(struct catalog *c, const struct catalog_stage *stage,
-    struct staged_version *n)
+    struct staged_version *sv)
 {
 	struct ring_entry *entry;
 
-	entry = ring_entry_of_stage(c, stage, n);
-	ref_contents(c, stage, n->list);
+	entry = ring_entry_of_stage(c, stage, sv);
+	ref_contents(c, stage, sv->list);
 	ring_push(c, entry);
 	unref_contents(c, c->sections);
 	g_ptr_array_unref(c->sections);
-	c->sections = g_steal_pointer(&n->sections);
-	c->n_services = n->n_services;
+	c->sections = g_steal_pointer(&sv->sections);
+	c->n_services = sv->n_services;
 	route_table_unref(c->routes);
-	c->routes = g_steal_pointer(&n->routes);
+	c->routes = g_steal_pointer(&sv->routes);
 	c->version = stage->version;
 	c->root = stage->root;
-	c->config_bytes = n->config_bytes;
+	c->config_bytes = sv->config_bytes;
 }
 
 enum status
 catalog_stage_check(struct catalog_stage *stage)
 {
-	struct staged_version *n = stage->built;
+	struct staged_version *sv = stage->built;
 	enum status st;
 
-	if (n != NULL && n->base_version == stage->c->version)
+	if (sv != NULL && sv->base_version == stage->c->version)
 		return STATUS_OK;
 	g_clear_pointer(&stage->built, staged_version_free);
-	n = g_new0(struct staged_version, 1);
-	n->base_version = stage->c->version;
-	st = staged_version_build(stage, n);
+	sv = g_new0(struct staged_version, 1);
+	sv->base_version = stage->c->version;
+	st = staged_version_build(stage, sv);
 	if (st == STATUS_OK)
-		stage->built = n;
+		stage->built = sv;
 	else
-		staged_version_free(n);
+		staged_version_free(sv);
 	return st;
 }
 
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -82,44 +82,44 @@
 }
 
 static struct leaf_route *
-leaf_route_at(const struct part_split *c, uint32_t i)
+leaf_route_at(const struct part_split *ps, uint32_t i)
 {
-	return &g_array_index(c->routes, struct leaf_route, i);
+	return &g_array_index(ps->routes, struct leaf_route, i);
 }
 
 static uint64_t
-bytes_between(const struct part_split *c, uint32_t low, uint32_t high)
+bytes_between(const struct part_split *ps, uint32_t low, uint32_t high)
 {
-	return g_array_index(c->bytes, uint64_t, high) -
-	    g_array_index(c->bytes, uint64_t, low);
+	return g_array_index(ps->bytes, uint64_t, high) -
+	    g_array_index(ps->bytes, uint64_t, low);
 }
 
 static void
-add_leaf(struct part_split *c, uint32_t low, uint32_t high, const char *part)
+add_leaf(struct part_split *ps, uint32_t low, uint32_t high, const char *part)
 {
-	struct msg_section m = *c->m;
+	struct msg_section m = *ps->m;
 	uint32_t i;
 
 	m.n_routes = high - low;
 	m.routes = g_new0(struct rec_section_route, m.n_routes);
 	(void)g_strlcpy(m.part, part, sizeof(m.part));
 	for (i = 0; i < m.n_routes; i++)
-		m.routes[i] = *leaf_route_at(c, low + i)->route;
+		m.routes[i] = *leaf_route_at(ps, low + i)->route;
 	routes_sort(m.routes, m.n_routes);
-	g_ptr_array_add(c->sections, section_new(&m));
+	g_ptr_array_add(ps->sections, section_new(&m));
 	g_free(m.routes);
 }
 
 /* Index of the first route in the 1 branch of a node. */
 static uint32_t
 find_one_branch(
-    const struct part_split *c, uint32_t low, uint32_t high, uint32_t depth)
+    const struct part_split *ps, uint32_t low, uint32_t high, uint32_t depth)
 {
 	uint32_t mid;
 
 	while (low < high) {
 		mid = low + (high - low) / 2;
-		if (bit_at(leaf_route_at(c, mid)->bits, depth))
+		if (bit_at(leaf_route_at(ps, mid)->bits, depth))
 			high = mid;
 		else
 			low = mid + 1;
@@ -130,47 +130,47 @@
 /* Add the node named @part with the routes from @low to @high: as a section, or
  * split into two child nodes. */
 static void
-split_node(struct part_split *c, uint32_t low, uint32_t high, char *part)
+split_node(struct part_split *ps, uint32_t low, uint32_t high, char *part)
 {
 	uint32_t depth = (uint32_t)strlen(part), mid;
 
 	if (low == high && depth > 0)
 		return;
 	if (depth == PART_BITS_MAX ||
-	    bytes_between(c, low, high) <=
+	    bytes_between(ps, low, high) <=
 		SECTION_MAX_BYTES - SECTION_FIXED_BYTES) {
-		add_leaf(c, low, high, part);
+		add_leaf(ps, low, high, part);
 		return;
 	}
-	mid = find_one_branch(c, low, high, depth);
+	mid = find_one_branch(ps, low, high, depth);
 	part[depth] = '0';
-	split_node(c, low, mid, part);
+	split_node(ps, low, mid, part);
 	part[depth] = '1';
-	split_node(c, mid, high, part);
+	split_node(ps, mid, high, part);
 	part[depth] = '\0';
 }
 
 static void
-part_split_init(struct part_split *c, const struct msg_section *m)
+part_split_init(struct part_split *ps, const struct msg_section *m)
 {
 	struct leaf_route leaf;
 	uint64_t bytes = 0;
 	uint32_t i;
 
-	c->m = m;
-	c->routes = g_array_sized_new(FALSE, FALSE, sizeof(leaf), m->n_routes);
-	c->bytes =
+	ps->m = m;
+	ps->routes = g_array_sized_new(FALSE, FALSE, sizeof(leaf), m->n_routes);
+	ps->bytes =
 	    g_array_sized_new(FALSE, FALSE, sizeof(bytes), m->n_routes + 1);
 	for (i = 0; i < m->n_routes; i++) {
 		leaf.route = &m->routes[i];
 		leaf.bits = route_hash_bits(leaf.route);
-		g_array_append_val(c->routes, leaf);
+		g_array_append_val(ps->routes, leaf);
 	}
-	g_array_sort(c->routes, leaf_route_compare);
-	g_array_append_val(c->bytes, bytes);
+	g_array_sort(ps->routes, leaf_route_compare);
+	g_array_append_val(ps->bytes, bytes);
 	for (i = 0; i < m->n_routes; i++) {
-		bytes += route_bytes(leaf_route_at(c, i)->route);
-		g_array_append_val(c->bytes, bytes);
+		bytes += route_bytes(leaf_route_at(ps, i)->route);
+		g_array_append_val(ps->bytes, bytes);
 	}
 }
 
@@ -178,13 +178,13 @@
 parts_split(struct msg_section *m, GPtrArray *sections)
 {
 	char part[PART_BITS_MAX + 1] = "";
-	struct part_split c;
+	struct part_split ps;
 
-	part_split_init(&c, m);
-	c.sections = sections;
-	split_node(&c, 0, m->n_routes, part);
-	g_array_unref(c.bytes);
-	g_array_unref(c.routes);
+	part_split_init(&ps, m);
+	ps.sections = sections;
+	split_node(&ps, 0, m->n_routes, part);
+	g_array_unref(ps.bytes);
+	g_array_unref(ps.routes);
 }
 
 static bool
--- a/packages/config/src/route_table.h
+++ b/packages/config/src/route_table.h
@@ -3,8 +3,9 @@
  *
  * Entries are sorted by prefix with '/' before every other character, so all
  * extensions of a prefix by whole segments directly follow it.  Each entry
- * stores the index of the longest shorter prefix that contains it; a match is a
- * binary search followed by a walk along these parents.
+ * stores the index of its parent: the longest other prefix in the table that
+ * matches the paths of the entry.  A match is a binary search followed by a
+ * walk along the parents.
  */
 #ifndef CONFIG_ROUTE_TABLE_H
 #define CONFIG_ROUTE_TABLE_H
@@ -22,7 +23,8 @@
  * struct route_entry - one route
  * @text_offset: offset of host and prefix in the table's text
  * @len: length of host and prefix in bytes; the prefix "/" has length 0
- * @parent: first entry of the longest prefix that contains this one
+ * @parent: index of the first entry with the parent's prefix, or
+ *	ROUTE_NO_PARENT
  * @service: index of the service
  * @section: index of the section among all sections
  * @route: index of the route in the section
--- a/packages/config/src/snapshot.c
+++ b/packages/config/src/snapshot.c
@@ -7,7 +7,7 @@
 #include "config/snapshot.h"
 
 static struct endpoint_list *
-ref_endpoint_list(const struct endpoint_set *endpoints, const char *service)
+ref_endpoints(const struct endpoint_set *endpoints, const char *service)
 {
 	struct endpoint_list *list = endpoint_set_list(endpoints, service);
 
@@ -31,7 +31,7 @@
 	service->config = sc;
 	service->sections = &s->sections[i];
 	service->n_sections = 1;
-	service->endpoints = ref_endpoint_list(endpoints, sc->name);
+	service->endpoints = ref_endpoints(endpoints, sc->name);
 	if (service->endpoints != NULL)
 		s->n_endpoints += service->endpoints->n_endpoints;
 }
--- a/packages/config/src/stage.c
+++ b/packages/config/src/stage.c
@@ -74,15 +74,15 @@
 GArray *
 stage_target_list(const struct catalog_stage *stage)
 {
-	GArray *held, *list;
+	GArray *current, *list;
 
 	if (stage->changes == NULL)
 		return g_array_ref(stage->list);
-	held = catalog_refs(stage->c);
-	list = section_list_apply(held,
+	current = catalog_refs(stage->c);
+	list = section_list_apply(current,
 	    (const struct rec_section_change *)stage->changes->data,
 	    stage->changes->len);
-	g_array_unref(held);
+	g_array_unref(current);
 	return list;
 }
 
@@ -237,20 +237,20 @@
 find_base(const struct catalog *c, const char *name)
 {
 	char section[SECTION_NAME_BYTES];
-	const struct service_config *held;
+	const struct service_config *current;
 
 	(void)g_strlcpy(section, name, sizeof(section));
 	do
-		held = catalog_find_section(c, section);
-	while (held == NULL && part_parent(section));
-	return held;
+		current = catalog_find_section(c, section);
+	while (current == NULL && part_parent(section));
+	return current;
 }
 
 GArray *
 catalog_stage_wants(const struct catalog_stage *stage, uint32_t max)
 {
 	GArray *missing = catalog_stage_missing(stage, max), *wants;
-	const struct service_config *held;
+	const struct service_config *current;
 	struct rec_section_want want;
 	uint32_t i;
 
@@ -258,10 +258,10 @@
 	for (i = 0; i < missing->len; i++) {
 		memset(&want, 0, sizeof(want));
 		want.digest = g_array_index(missing, struct digest, i);
-		held = find_base(
+		current = find_base(
 		    stage->c, g_hash_table_lookup(stage->names, &want.digest));
-		if (held != NULL)
-			want.base = held->digest;
+		if (current != NULL)
+			want.base = current->digest;
 		g_array_append_val(wants, want);
 	}
 	g_array_unref(missing);
@@ -317,11 +317,11 @@
 static bool
 is_current(const struct catalog_stage *stage, const struct digest *digest)
 {
-	const struct service_config *held;
+	const struct service_config *current;
 
-	held = catalog_find_section(
+	current = catalog_find_section(
 	    stage->c, g_hash_table_lookup(stage->names, digest));
-	return held != NULL && hash_digest_equal(&held->digest, digest);
+	return current != NULL && hash_digest_equal(&current->digest, digest);
 }
 
 enum status
--- a/packages/config/src/stage_defs.h
+++ b/packages/config/src/stage_defs.h
@@ -38,7 +38,7 @@
 };
 
 /** staged_version_free() - free a built version; accepts NULL */
-void staged_version_free(struct staged_version *n);
+void staged_version_free(struct staged_version *sv);
 
 /** stage_target_list() - section list of the target version, from the current
  * version and the changes */
--- a/packages/config/test/test_growth.c
+++ b/packages/config/test/test_growth.c
@@ -205,7 +205,7 @@
 
 static void
 add_route(GString *s, const struct model_route *route,
-    const struct route_target *route_target)
+    const struct route_target *target)
 {
 	char prefix[KEY_BYTES];
 
@@ -214,13 +214,12 @@
 	    "%s{\"prefix\":\"%s\",\"below\":true,\"methods\":[\"*\"],"
 	    "\"timeout_ms\":%u,\"service\":\"%s\"",
 	    s->str[s->len - 1] == '[' ? "" : ",", prefix, route->timeout_ms,
-	    services[route_target->service]);
+	    services[target->service]);
 	if (route->host < HOSTS)
 		g_string_append_printf(
 		    s, ",\"host\":\"%s\"", hosts[route->host]);
 	if (route->n_targets > 1)
-		g_string_append_printf(
-		    s, ",\"weight\":%u", route_target->weight);
+		g_string_append_printf(s, ",\"weight\":%u", target->weight);
 	g_string_append_c(s, '}');
 }
 
