--- a/packages/config/src/bundle_read.c
+++ b/packages/config/src/bundle_read.c
@@ -57,7 +57,7 @@
 			problems_add(p, &key_at,
 			    "remove it or correct its "
 			    "spelling; " SEE_BUNDLE_DOCS,
-			    "no such key is known");
+			    "unknown key");
 	}
 }
 
@@ -135,7 +135,7 @@
 			problems_add(r->p, &key_at,
 			    "remove it or correct its "
 			    "spelling; " SEE_BUNDLE_DOCS,
-			    "no such key is known");
+			    "unknown key");
 	}
 }
 
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -118,7 +118,7 @@
 			continue;
 		if (claim->route[m] != 0 && !claim->weighted)
 			problems_add(r->p, at, "remove one of the two routes",
-			    "routes[%u] takes %s of %s already",
+			    "routes[%u] claims %s %s already",
 			    claim->route[m] - 1, method_name(m), prefix);
 		else
 			claim->route[m] = at->index + 1;
--- a/packages/config/src/bundle_scan.c
+++ b/packages/config/src/bundle_scan.c
@@ -80,8 +80,7 @@
 
 	if (len > BUNDLE_MAX_BYTES) {
 		problems_add(p, NULL, "split the bundle",
-		    "the bundle has %zu bytes, at most %" G_GUINT64_FORMAT
-		    " are taken",
+		    "the bundle has %zu bytes, the limit is %" G_GUINT64_FORMAT,
 		    len, BUNDLE_MAX_BYTES);
 		return STATUS_TOO_LARGE;
 	}
--- a/packages/config/src/rules.c
+++ b/packages/config/src/rules.c
@@ -144,7 +144,7 @@
 		    "invalid service name");
 	else if (!service_name_conventional(name, len))
 		problems_warn(p, at, "use a-z, 0-9 and '-', a letter first",
-		    "this name of a service is unusual");
+		    "unconventional service name");
 }
 
 /* Characters that need no escaping and have one interpretation. */
@@ -211,12 +211,12 @@
 	if (n > 0)
 		problems_warn(p, at,
 		    "use letters, digits and -._~!$&'()*+,;=:@/ only",
-		    "character %zu may be read otherwise by upstreams", n);
+		    "upstreams may interpret character %zu differently", n);
 	else if (len > 1 && !prefix_segments_portable(prefix, len))
 		problems_warn(p, at,
 		    "leave out empty segments, \".\", \"..\" and a '/' at the "
 		    "end",
-		    "the prefix has a segment that upstreams drop");
+		    "the prefix has a segment that upstreams may remove");
 }
 
 void
@@ -257,7 +257,7 @@
 		problems_add(p, &idempotent_at,
 		    "move POST and PATCH to a separate route, and declare that "
 		    "idempotent if it is",
-		    "POST and PATCH can't be called idempotent along with "
+		    "POST and PATCH can't be declared idempotent along with "
 		    "other methods");
 }
 
