--- a/packages/config/src/route_table.c
+++ b/packages/config/src/route_table.c
@@ -135,8 +135,8 @@
 		   t->text + b->text_offset, b->len) == 0;
 }
 
-/* Set the parents.  In sorted order the ancestors of an entry are its
- * predecessor and the ancestors of that, or some of them. */
+/* Set the parents.  In sorted order every ancestor of an entry is its
+ * predecessor or an ancestor of the predecessor. */
 static void
 link_parents(struct route_table *t)
 {
