--- a/packages/config/bench/bench_config.c
+++ b/packages/config/bench/bench_config.c
@@ -1,6 +1,7 @@
 /*
- * Costs of configuration at the size to design for: parsing and committing a
- * bundle, small changes, compiling snapshots, matching.
+ * Costs of a configuration of the design size: parsing and committing a bundle,
+ * small changes, compiling snapshots, matching.
+ *
  *
  * bench_config [services [endpoints [routes]]]
  */
@@ -23,7 +24,7 @@
 #define LINEAR_MATCHES 1000
 #define KIB 1024.0
 
-/* Number of the service that changes. */
+/* Number of the service that is changed. */
 #define CHANGED 0
 #define CHANGED_TEXT "0"
 
@@ -39,9 +40,9 @@
 	return mallinfo2().uordblks;
 }
 
-/* A bundle whose service number @odd has another timeout. */
+/* Format a bundle whose service number @changed has another timeout. */
 static GString *
-write_bundle(const struct size *size, uint32_t odd, uint32_t timeout_ms)
+write_bundle(const struct size *size, uint32_t changed, uint32_t timeout_ms)
 {
 	GString *out = g_string_new("{\"format\":1,\"name\":\"bench\",");
 	uint32_t i, j;
@@ -50,7 +51,7 @@
 	for (i = 0; i < size->services; i++)
 		g_string_append_printf(out,
 		    "%s{\"name\":\"service-%u\",\"timeout_ms\":%u}",
-		    i > 0 ? "," : "", i, i == odd ? timeout_ms : 2000);
+		    i > 0 ? "," : "", i, i == changed ? timeout_ms : 2000);
 	g_string_append(out, "],\"routes\":[");
 	for (i = 0; i < size->services; i++) {
 		for (j = 0; j < size->routes; j++)
@@ -75,7 +76,7 @@
 }
 
 static void
-must(enum status st)
+exit_on_error(enum status st)
 {
 	if (st == STATUS_OK)
 		return;
@@ -92,19 +93,19 @@
 	GArray *from, *to;
 	uint32_t i;
 
-	bundle_to_sections(b, &to, &delta.root);
+	bundle_section_list(b, &to, &delta.root);
 	if (catalog_list(c, 0, NULL, &from) != STATUS_OK)
 		from = g_array_new(FALSE, TRUE, sizeof(struct rec_section_ref));
 	delta.from_version = catalog_version(c);
 	delta.changes = section_changes(from, to);
-	must(catalog_stage_begin(c, &delta, &stage));
+	exit_on_error(catalog_stage_begin(c, &delta, &stage));
 	for (i = 0; i < b->sections->len; i++) {
 		s = g_ptr_array_index(b->sections, i);
 		(void)catalog_stage_add(stage,
 		    g_bytes_get_data(s->content, NULL),
 		    g_bytes_get_size(s->content));
 	}
-	must(catalog_commit(c, stage));
+	exit_on_error(catalog_commit(c, stage));
 	catalog_stage_free(stage);
 	catalog_delta_clear(&delta);
 	g_array_unref(from);
@@ -122,11 +123,12 @@
 		if (strcmp(s->config->name, service) == 0)
 			return s;
 	}
-	fprintf(stderr, "there is no %s\n", service);
+	fprintf(stderr, "service %s not found\n", service);
 	exit(1);
 }
 
-/* Apply one change of one service, as a node does with a notice's delta. */
+/* Commit a change of one service as a delta, as a node does when it is
+ * notified. */
 static void
 bench_small_commits(const struct size *size, struct catalog *c)
 {
@@ -150,13 +152,14 @@
 		b = parse(json);
 		commit(c, catalog_version(c) + 1, b);
 		s = find_section(b, "service-" CHANGED_TEXT);
-		must(catalog_delta(c, catalog_version(follower), 0, &delta));
+		exit_on_error(
+		    catalog_delta(c, catalog_version(follower), 0, &delta));
 		start_us = clock_now_us();
-		must(catalog_stage_begin(follower, &delta, &stage));
-		must(
+		exit_on_error(catalog_stage_begin(follower, &delta, &stage));
+		exit_on_error(
 		    catalog_stage_add(stage, g_bytes_get_data(s->content, NULL),
 			g_bytes_get_size(s->content)));
-		must(catalog_commit(follower, stage));
+		exit_on_error(catalog_commit(follower, stage));
 		spent_us += clock_now_us() - start_us;
 		catalog_stage_free(stage);
 		catalog_delta_clear(&delta);
@@ -166,7 +169,7 @@
 	printf("commit of one changed section: %.1f us (mean of %d), "
 	       "catalog %.0f KiB with %d versions\n",
 	    (double)spent_us / ROUNDS, ROUNDS,
-	    (double)catalog_bytes(follower) / KIB, CATALOG_RING);
+	    (double)catalog_bytes(follower) / KIB, CATALOG_RING_ENTRIES);
 	catalog_free(follower);
 }
 
@@ -238,7 +241,7 @@
 	endpoint_set_free(set);
 }
 
-/* The longest prefix by looking at each route, for comparison. */
+/* Find the longest prefix by a linear search, for comparison. */
 static const struct service_route *
 linear_match(const struct snapshot *s, const char *path)
 {
@@ -272,7 +275,7 @@
 	for (i = 0; i < LINEAR_MATCHES; i++)
 		n_found += linear_match(s, paths[i]) != NULL;
 	spent_us = clock_now_us() - start_us;
-	printf("match by looking at each route: %.0f ns (mean of %d, %d "
+	printf("match by linear search: %.0f ns (mean of %d, %d "
 	       "found)\n",
 	    (double)spent_us * 1000.0 / LINEAR_MATCHES, LINEAR_MATCHES,
 	    (int)n_found);
@@ -309,7 +312,7 @@
 }
 
 static void
-bench_sign_off(const struct size *size, struct catalog *c)
+bench_parse_and_commit(const struct size *size, struct catalog *c)
 {
 	GString *json = write_bundle(size, CHANGED, 2000);
 	uint64_t start_us, parse_us, heap;
@@ -318,7 +321,7 @@
 	start_us = clock_now_us();
 	b = parse(json);
 	parse_us = clock_now_us() - start_us;
-	printf("bundle of %.0f KiB parsed and cut: %.1f ms\n",
+	printf("bundle of %.0f KiB parsed and split: %.1f ms\n",
 	    (double)json->len / KIB, (double)parse_us / 1000.0);
 	heap = heap_bytes();
 	start_us = clock_now_us();
@@ -332,21 +335,22 @@
 }
 
 static uint32_t
-number(int argc, char **argv, int i, uint32_t initial)
+arg_or_default(int argc, char **argv, int i, uint32_t default_value)
 {
-	return argc > i ? (uint32_t)strtoul(argv[i], NULL, 10) : initial;
+	return argc > i ? (uint32_t)strtoul(argv[i], NULL, 10) : default_value;
 }
 
 int
 main(int argc, char **argv)
 {
-	struct size size = {number(argc, argv, 1, SERVICES),
-	    number(argc, argv, 2, ENDPOINTS), number(argc, argv, 3, ROUTES)};
+	struct size size = {arg_or_default(argc, argv, 1, SERVICES),
+	    arg_or_default(argc, argv, 2, ENDPOINTS),
+	    arg_or_default(argc, argv, 3, ROUTES)};
 	struct catalog *c = catalog_new(0);
 
-	printf("%u services, %u endpoints, %u routes a service\n",
+	printf("%u services, %u endpoints, %u routes per service\n",
 	    size.services, size.endpoints, size.routes);
-	bench_sign_off(&size, c);
+	bench_parse_and_commit(&size, c);
 	bench_compile(&size, c);
 	bench_match(&size, c);
 	bench_small_commits(&size, c);
--- a/packages/config/bench/bench_growth.c
+++ b/packages/config/bench/bench_growth.c
@@ -1,7 +1,8 @@
 /*
- * Costs of a large configuration and of a large change of it: 1,400 routes
- * more in a configuration of several sizes, all of one service or spread over
- * a hundred.  What can't be taken is told as refused.
+ * Costs of a large configuration and of a large change: 1,400 routes added to
+ * configurations of several sizes, all of one service or distributed over a
+ * hundred.  Rejected bundles, commits and deltas are printed as such.
+ *
  *
  * bench_growth [routes [services [more]]]
  */
@@ -18,35 +19,35 @@
 
 #include "../src/route_table.h"
 
-#define MORE 1400
-#define SPREAD 100
+#define ROUTES_ADDED 1400
+#define SERVICES_SPREAD 100
 #define MATCHES 1000000
 #define PATHS 4096
 #define PATH_BYTES 64
 #define KIB 1024.0
 #define US_PER_MS 1000.0
 
-/* Of a refusal that is shown. */
-#define WHY_BYTES 90
+/* Longest reason of a rejection that is printed. */
+#define REASON_BYTES 90
 
-/* Size of a change in a message, without content; see schema/config.json. */
+/* Size of a change and of a hunk in a message; see schema/config.json. */
 #define CHANGE_BYTES 64
 #define HUNK_BYTES 14
 
 /**
- * struct sent - what a change sends to a node that holds the version before
- * @changes: sections that are named
- * @patches: those that go as differences
- * @whole: those that go whole
- * @bytes: of all, before they are packed
- * @made_us: time for making the differences, at the side that sends
+ * struct sent_stats - data sent to a node with the version before a change
+ * @changes: changed sections
+ * @patches: sections sent as patches
+ * @whole: sections sent in full
+ * @bytes: total size before compression
+ * @patch_us: time to compute the patches, at the sender
  */
-struct sent {
+struct sent_stats {
 	uint32_t changes;
 	uint32_t patches;
 	uint32_t whole;
 	uint64_t bytes;
-	uint64_t made_us;
+	uint64_t patch_us;
 };
 
 static const uint32_t sizes[] = {1600, 5000, 20000, 57000};
@@ -58,12 +59,12 @@
 }
 
 static void
-refused(const char *what)
+print_rejected(const char *what)
 {
-	printf("  %s: refused: %.*s\n", what, WHY_BYTES, status_message());
+	printf("  %s: rejected: %.*s\n", what, REASON_BYTES, status_message());
 }
 
-/* Numbers are spread, so that routes that come later fall between others. */
+/* Numbers are hashed, so that added routes sort between existing ones. */
 static void
 write_path(char *out, uint32_t i)
 {
@@ -96,12 +97,12 @@
 	return g_string_append(out, "]}");
 }
 
-/* Return: the bundle, or NULL when it is refused. */
+/* Return: the bundle, or NULL if it is rejected. */
 static struct bundle *
 parse(uint32_t routes, uint32_t services)
 {
 	GString *json = write_bundle(routes, services);
-	uint64_t start_us = clock_now_us(), bytes = 0, most = 0, len;
+	uint64_t start_us = clock_now_us(), bytes = 0, largest = 0, len;
 	struct bundle *b;
 	enum status st = bundle_parse(json->str, json->len, &b);
 	double ms = ms_since(start_us);
@@ -112,16 +113,16 @@
 		    ((struct section *)g_ptr_array_index(b->sections, i))
 			->content);
 		bytes += len;
-		most = MAX(most, len);
+		largest = MAX(largest, len);
 	}
-	printf("  bundle of %.0f KiB parsed and cut: %.1f ms, %u sections of "
+	printf("  bundle of %.0f KiB parsed and split: %.1f ms, %u sections of "
 	       "%.0f KiB, largest %.1f\n",
 	    (double)json->len / KIB, ms, b->sections->len, (double)bytes / KIB,
-	    (double)most / KIB);
+	    (double)largest / KIB);
 	g_string_free(json, TRUE);
 	if (st == STATUS_OK)
 		return b;
-	refused("bundle");
+	print_rejected("bundle");
 	bundle_free(b);
 	return NULL;
 }
@@ -144,9 +145,10 @@
 	return STATUS_OK;
 }
 
-/* A whole version, as a reader of the platform takes it. */
+/* Commit a full list, as a node that reads from the platform does. */
 static bool
-give(struct catalog *c, uint64_t version, const struct bundle *b, double *ms)
+commit_full(
+    struct catalog *c, uint64_t version, const struct bundle *b, double *ms)
 {
 	uint64_t start_us = clock_now_us();
 	struct catalog_stage *stage;
@@ -154,7 +156,7 @@
 	enum status st;
 	GArray *list;
 
-	bundle_to_sections(b, &list, &root);
+	bundle_section_list(b, &list, &root);
 	st = catalog_stage_begin_full(c, version, &root, list, &stage);
 	if (st == STATUS_OK)
 		st = add_all(stage, b);
@@ -164,76 +166,77 @@
 	catalog_stage_free(stage);
 	g_array_unref(list);
 	if (st != STATUS_OK)
-		refused("commit");
+		print_rejected("commit");
 	return st == STATUS_OK;
 }
 
 static void
 add_change(const struct catalog *from, const struct catalog *to,
     const struct rec_section_change *c, struct catalog_stage *stage,
-    struct sent *sent)
+    struct sent_stats *stats)
 {
 	uint64_t start_us = clock_now_us();
 	struct rec_section_patch patch;
 	GBytes *content;
-	bool made = catalog_patch(from, catalog_version(to), c, &patch);
+	bool is_patch = catalog_patch(from, catalog_version(to), c, &patch);
 
-	sent->made_us += clock_now_us() - start_us;
-	if (!made) {
+	stats->patch_us += clock_now_us() - start_us;
+	if (!is_patch) {
 		content = catalog_content(from, &c->digest);
-		sent->whole++;
-		sent->bytes += g_bytes_get_size(content);
+		stats->whole++;
+		stats->bytes += g_bytes_get_size(content);
 		(void)catalog_stage_add(stage, g_bytes_get_data(content, NULL),
 		    g_bytes_get_size(content));
 		return;
 	}
-	sent->patches++;
-	sent->bytes += patch.data_len + (uint64_t)patch.n_hunks * HUNK_BYTES;
-	content = catalog_patched(to, &patch);
+	stats->patches++;
+	stats->bytes += patch.data_len + (uint64_t)patch.n_hunks * HUNK_BYTES;
+	content = catalog_patch_apply(to, &patch);
 	(void)catalog_stage_add(
 	    stage, g_bytes_get_data(content, NULL), g_bytes_get_size(content));
 	g_bytes_unref(content);
 	catalog_patch_clear(&patch);
 }
 
-/* One version further, by changes and differences. */
+/* Update @to by one version with a delta and patches. */
 static void
-bench_follow(const char *who, const struct catalog *from, struct catalog *to)
+bench_follow(const char *label, const struct catalog *from, struct catalog *to)
 {
 	const struct rec_section_change *c;
 	struct catalog_stage *stage = NULL;
 	struct catalog_delta delta;
-	struct sent sent = {0};
+	struct sent_stats stats = {0};
 	uint64_t start_us;
 	double add_ms = 0;
 	uint32_t i;
 
 	if (catalog_delta(from, catalog_version(to), 0, &delta) != STATUS_OK) {
-		refused("changes");
+		print_rejected("changes");
 		return;
 	}
 	start_us = clock_now_us();
 	if (catalog_stage_begin(to, &delta, &stage) != STATUS_OK) {
-		refused("stage");
+		print_rejected("stage");
 		catalog_delta_clear(&delta);
 		return;
 	}
 	for (i = 0; i < delta.changes->len; i++) {
 		c = &g_array_index(delta.changes, struct rec_section_change, i);
-		sent.bytes += CHANGE_BYTES;
-		sent.changes++;
+		stats.bytes += CHANGE_BYTES;
+		stats.changes++;
 		if (!c->removed)
-			add_change(from, to, c, stage, &sent);
+			add_change(from, to, c, stage, &stats);
 	}
 	add_ms = ms_since(start_us);
 	start_us = clock_now_us();
 	if (catalog_commit(to, stage) != STATUS_OK)
-		refused("commit at a node");
-	printf("  %s: %u changes, %u as differences, %u whole, %.1f KiB; made "
-	       "in %.1f ms, added in %.1f, committed in %.1f\n",
-	    who, sent.changes, sent.patches, sent.whole,
-	    (double)sent.bytes / KIB, (double)sent.made_us / US_PER_MS,
-	    add_ms - (double)sent.made_us / US_PER_MS, ms_since(start_us));
+		print_rejected("commit at a node");
+	printf(
+	    "  %s: %u changes, %u as patches, %u in full, %.1f KiB; computed "
+	    "in %.1f ms, added in %.1f, committed in %.1f\n",
+	    label, stats.changes, stats.patches, stats.whole,
+	    (double)stats.bytes / KIB, (double)stats.patch_us / US_PER_MS,
+	    add_ms - (double)stats.patch_us / US_PER_MS, ms_since(start_us));
 	catalog_stage_free(stage);
 	catalog_delta_clear(&delta);
 }
@@ -250,10 +253,10 @@
 		g_ptr_array_add(services, catalog_section(c, i));
 	start_us = clock_now_us();
 	if (route_table_new(services, &t) != STATUS_OK)
-		refused("table");
+		print_rejected("table");
 	else
-		printf("  table of routes: %.1f ms, %.0f KiB\n",
-		    ms_since(start_us), (double)route_table_bytes(t) / KIB);
+		printf("  route table: %.1f ms, %.0f KiB\n", ms_since(start_us),
+		    (double)route_table_bytes(t) / KIB);
 	route_table_unref(t);
 	g_ptr_array_unref(services);
 }
@@ -288,7 +291,8 @@
 	endpoint_set_free(none);
 }
 
-/* Two versions at a reader, the second one with more routes, and at a node. */
+/* Commit two versions at a reader, the second one with more routes, and update
+ * nodes from it. */
 static void
 bench_versions(
     const struct bundle *first, const struct bundle *second, uint32_t routes)
@@ -298,18 +302,19 @@
 	uint64_t heap = mallinfo2().uordblks;
 	double ms, node_ms;
 
-	if (give(reader, 1, first, &ms) && give(node, 1, first, &node_ms) &&
-	    give(next, 1, first, &node_ms)) {
+	if (commit_full(reader, 1, first, &ms) &&
+	    commit_full(node, 1, first, &node_ms) &&
+	    commit_full(next, 1, first, &node_ms)) {
 		printf("  first version committed: %.1f ms; catalog %.0f KiB, "
 		       "heap %.0f KiB\n",
 		    ms, (double)catalog_bytes(node) / KIB,
 		    (double)(mallinfo2().uordblks - heap) / 3 / KIB);
 		bench_table(node);
 		bench_match(node, routes);
-		if (second != NULL && give(reader, 2, second, &ms)) {
+		if (second != NULL && commit_full(reader, 2, second, &ms)) {
 			printf("  second version at a reader: %.1f ms\n", ms);
-			bench_follow("first asker", reader, node);
-			bench_follow("next asker", reader, next);
+			bench_follow("first node", reader, node);
+			bench_follow("next node", reader, next);
 			printf("  catalog with both: %.0f KiB\n",
 			    (double)catalog_bytes(node) / KIB);
 		}
@@ -320,15 +325,15 @@
 }
 
 static void
-bench_size(uint32_t routes, uint32_t services, uint32_t more)
+bench_size(uint32_t routes, uint32_t services, uint32_t added)
 {
 	struct bundle *first, *second = NULL;
 
-	printf("%u routes, %u services, then %u routes more\n", routes,
-	    services, more);
+	printf("%u routes, %u services, then %u more routes\n", routes,
+	    services, added);
 	first = parse(routes, services);
 	if (first != NULL)
-		second = parse(routes + more, services);
+		second = parse(routes + added, services);
 	if (first != NULL)
 		bench_versions(first, second, routes);
 	bundle_free(first);
@@ -339,7 +344,7 @@
 int
 main(int argc, char **argv)
 {
-	uint32_t n[3] = {0, 1, MORE};
+	uint32_t n[3] = {0, 1, ROUTES_ADDED};
 	uint32_t i;
 
 	for (i = 0; i < 3 && (int)i + 1 < argc; i++)
@@ -349,8 +354,8 @@
 		return 0;
 	}
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		bench_size(sizes[i], 1, MORE);
-		bench_size(sizes[i], SPREAD, MORE);
+		bench_size(sizes[i], 1, ROUTES_ADDED);
+		bench_size(sizes[i], SERVICES_SPREAD, ROUTES_ADDED);
 	}
 	return 0;
 }
--- a/packages/config/src/bundle.c
+++ b/packages/config/src/bundle.c
@@ -1,5 +1,5 @@
 /*
- * Bundles: parsing, the verdict, and sections.
+ * Bundles: parsing, reporting of problems, and conversion to sections.
  */
 #include <string.h>
 
@@ -9,9 +9,10 @@
 #include "rules.h"
 #include "section_build.h"
 
-/* Parse the text; a doubled key is noted and the rest is still read. */
+/* Parse the text.  After a duplicate key, which is recorded as a problem, the
+ * text is parsed again without that check to find further problems. */
 static json_t *
-load(const char *json, size_t len, struct problems *p)
+load_json(const char *json, size_t len, struct problems *p)
 {
 	json_error_t error;
 	json_t *root;
@@ -27,16 +28,16 @@
 }
 
 static int
-section_order(const void *a, const void *b)
+section_compare(const void *a, const void *b)
 {
 	const struct section *const *x = a, *const *y = b;
 
 	return strcmp((*x)->config->section, (*y)->config->section);
 }
 
-/* What a node will check when the section arrives there. */
+/* Run the checks that a node makes when it receives the section. */
 static void
-section_verify(const struct section *section, struct problems *p)
+verify_section(const struct section *section, struct problems *p)
 {
 	struct service_config *sc;
 	const uint8_t *data;
@@ -45,13 +46,13 @@
 	data = g_bytes_get_data(section->content, &len);
 	if (section_decode(data, len, &sc) != STATUS_OK)
 		problems_add(p, NULL, "report this as a defect",
-		    "service %s makes no good section: %s",
-		    section->config->section, status_message());
+		    "section %s is invalid: %s", section->config->section,
+		    status_message());
 	service_config_unref(sc);
 }
 
 static void
-total_check(const struct bundle *b, struct problems *p)
+check_total_bytes(const struct bundle *b, struct problems *p)
 {
 	const struct section *section;
 	uint64_t total = 0;
@@ -63,12 +64,12 @@
 	}
 	if (total > CONFIG_MAX_BYTES)
 		problems_add(p, NULL, "split the bundle",
-		    "its sections have %" G_GUINT64_FORMAT
-		    " bytes, at most %" G_GUINT64_FORMAT " are taken",
+		    "the sections have %" G_GUINT64_FORMAT
+		    " bytes, the limit is %" G_GUINT64_FORMAT,
 		    total, CONFIG_MAX_BYTES);
 }
 
-/* Cut a bundle without problems in sections. */
+/* Split a bundle without problems into sections. */
 static void
 build_sections(struct bundle *b, const struct bundle_reader *r)
 {
@@ -79,15 +80,15 @@
 		d = g_ptr_array_index(r->drafts, i);
 		d->m.routes = (struct rec_section_route *)d->routes->data;
 		d->m.n_routes = d->routes->len;
-		parts_cut(&d->m, b->sections);
-		/* The largest part of what is held, and needed no more. */
+		parts_split(&d->m, b->sections);
+		/* Frees most of the reader's memory early. */
 		g_array_unref(d->routes);
 		d->routes = NULL;
 	}
-	g_ptr_array_sort(b->sections, section_order);
+	g_ptr_array_sort(b->sections, section_compare);
 	for (i = 0; i < b->sections->len; i++)
-		section_verify(g_ptr_array_index(b->sections, i), r->p);
-	total_check(b, r->p);
+		verify_section(g_ptr_array_index(b->sections, i), r->p);
+	check_total_bytes(b, r->p);
 }
 
 static enum status
@@ -99,7 +100,7 @@
 	st = bundle_scan(json, len, r->p);
 	if (st != STATUS_OK)
 		return st;
-	root = load(json, len, r->p);
+	root = load_json(json, len, r->p);
 	if (root == NULL)
 		return STATUS_INVALID;
 	bundle_read(r, root);
@@ -108,7 +109,7 @@
 }
 
 static enum status
-verdict(struct bundle *b, enum status st)
+report_problems(struct bundle *b, enum status st)
 {
 	char *summary;
 
@@ -123,7 +124,8 @@
 }
 
 enum status
-bundle_end(struct bundle_reader *r, enum status st, struct bundle **bundle)
+bundle_reader_end(
+    struct bundle_reader *r, enum status st, struct bundle **bundle)
 {
 	struct problems *p = r->p;
 	struct bundle *b;
@@ -141,11 +143,11 @@
 	b->warnings = g_ptr_array_ref(p->warnings);
 	b->n_warnings = p->n_warned;
 	if (st == STATUS_OK) {
-		bundle_to_sections(b, &list, &b->root);
+		bundle_section_list(b, &list, &b->root);
 		g_array_unref(list);
 	}
 	*bundle = b;
-	return verdict(b, st);
+	return report_problems(b, st);
 }
 
 enum status
@@ -158,7 +160,7 @@
 	problems_init(&p);
 	bundle_reader_init(&r, &p);
 	st = read_json(&r, json, len);
-	st = bundle_end(&r, st, bundle);
+	st = bundle_reader_end(&r, st, bundle);
 	bundle_reader_clear(&r);
 	problems_clear(&p);
 	return st;
@@ -182,7 +184,7 @@
 }
 
 void
-bundle_to_sections(
+bundle_section_list(
     const struct bundle *bundle, GArray **list, struct digest *root)
 {
 	const struct section *section;
--- a/packages/config/src/bundle_build.c
+++ b/packages/config/src/bundle_build.c
@@ -1,16 +1,16 @@
 /*
- * Bundles that are put together item by item.
+ * Incremental construction of bundles.
  */
 #include "config/bundle_build.h"
 
 #include "bundle_read.h"
 
 /**
- * struct bundle_build - a bundle until it is cut
- * @p: problems so far
- * @r: what was read of it
- * @n_services: services so far, refused ones included
- * @n_routes: the same of routes
+ * struct bundle_build - a bundle under construction
+ * @p: problems found so far
+ * @r: reader with the services and routes added so far
+ * @n_services: services added so far, including rejected ones
+ * @n_routes: routes added so far, including rejected ones
  */
 struct bundle_build {
 	struct problems p;
@@ -43,10 +43,11 @@
 void
 bundle_build_service(struct bundle_build *b, struct json_t *service)
 {
-	struct place services_at = {NULL, "services", PLACE_NO_INDEX};
-	struct place at = {&services_at, NULL, b->n_services++};
+	struct doc_path services_at = {NULL, "services", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&services_at, NULL, b->n_services++};
 
-	/* All are counted, and the first too many ends the reading. */
+	/* Services above the limit are counted for the message, but not
+	 * read. */
 	if (b->n_services <= CONFIG_MAX_SERVICES)
 		bundle_read_service(&b->r, service, &at);
 }
@@ -54,17 +55,17 @@
 void
 bundle_build_route(struct bundle_build *b, const struct bundle_route *route)
 {
-	struct place routes_at = {NULL, "routes", PLACE_NO_INDEX};
-	struct place at = {&routes_at, NULL, b->n_routes++};
+	struct doc_path routes_at = {NULL, "routes", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&routes_at, NULL, b->n_routes++};
 
-	bundle_take_route(&b->r, route, &at);
+	bundle_add_route(&b->r, route, &at);
 }
 
 enum status
 bundle_build_end(struct bundle_build *b, struct bundle **bundle)
 {
-	struct place services_at = {NULL, "services", PLACE_NO_INDEX};
+	struct doc_path services_at = {NULL, "services", DOC_PATH_NO_INDEX};
 
 	(void)bundle_count_services(&b->r, b->n_services, &services_at);
-	return bundle_end(&b->r, STATUS_OK, bundle);
+	return bundle_reader_end(&b->r, STATUS_OK, bundle);
 }
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -1,5 +1,5 @@
 /*
- * Reading a bundle's JSON: its routes.
+ * Reads the JSON of a bundle: routes.
  */
 #include <string.h>
 
@@ -7,12 +7,14 @@
 #include "config/snapshot.h"
 #include "rules.h"
 
-/* Marks the key of a prefix that takes only what is below it. */
-#define KEY_BELOW "\n"
+/* Suffix of the claim key of a route that matches only below its prefix; a
+ * valid prefix can't contain it. */
+#define CLAIM_BELOW_SUFFIX "\n"
 
 /*
- * Which route of the bundle claims each method of a prefix, 0 for none;
- * whether all of them so far have a weight; how many there are.
+ * The routes that claim the same host and prefix: for each method the index of
+ * the route that claims it plus 1, 0 for none; whether all of them so far have
+ * a weight; and their number.
  */
 struct claim {
 	uint32_t route[METHOD_COUNT + 1];
@@ -21,7 +23,7 @@
 };
 
 static uint32_t
-read_method(struct bundle_reader *r, json_t *value, const struct place *at)
+read_method(struct bundle_reader *r, json_t *value, const struct doc_path *at)
 {
 	enum http_method m = METHOD_COUNT;
 
@@ -34,20 +36,20 @@
 		return METHOD_BIT(m);
 	problems_add(r->p, at,
 	    "use GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS or \"*\"",
-	    "this is no method");
+	    "unknown method");
 	return 0;
 }
 
 static uint32_t
-read_methods(struct bundle_reader *r, json_t *route, const struct place *at)
+read_methods(struct bundle_reader *r, json_t *route, const struct doc_path *at)
 {
-	struct place list_at = {at, "methods", PLACE_NO_INDEX};
-	struct place item_at = {&list_at, NULL, 0};
+	struct doc_path list_at = {at, "methods", DOC_PATH_NO_INDEX};
+	struct doc_path item_at = {&list_at, NULL, 0};
 	uint32_t bit, methods = 0;
 	json_t *list, *value;
 	size_t i;
 
-	list = json_list(route, "methods", at, r->p);
+	list = json_require_array(route, "methods", at, r->p);
 	if (list == NULL)
 		return 0;
 	json_array_foreach(list, i, value)
@@ -55,36 +57,36 @@
 		item_at.index = (uint32_t)i;
 		bit = read_method(r, value, &item_at);
 		if ((methods & bit) != 0)
-			problems_add(r->p, &item_at, "give each method once",
-			    "the method is there twice");
+			problems_add(r->p, &item_at, "list each method once",
+			    "duplicate method");
 		methods |= bit;
 	}
 	if (json_array_size(list) == 0)
 		problems_add(r->p, &list_at, "list at least one method",
-		    "the route takes no method");
+		    "the route has no methods");
 	return methods;
 }
 
 static bool
 read_flag(struct bundle_reader *r, json_t *route, const char *key,
-    const struct place *at, bool initial)
+    const struct doc_path *at, bool default_value)
 {
-	struct place value_at = {at, key, PLACE_NO_INDEX};
+	struct doc_path value_at = {at, key, DOC_PATH_NO_INDEX};
 	json_t *value = json_object_get(route, key);
 
 	if (value == NULL)
-		return initial;
+		return default_value;
 	if (!json_is_boolean(value))
-		problems_add(r->p, &value_at, "write true or false",
-		    "this is neither true nor false");
+		problems_add(
+		    r->p, &value_at, "use true or false", "not a boolean");
 	return json_is_true(value);
 }
 
 static struct claim *
-claim_of(struct bundle_reader *r, const struct rec_section_route *route)
+get_claim(struct bundle_reader *r, const struct rec_section_route *route)
 {
 	char *key = g_strdup_printf("%s%s%s", route->host, route->prefix,
-	    route->below ? KEY_BELOW : "");
+	    route->below ? CLAIM_BELOW_SUFFIX : "");
 	struct claim *claim = g_hash_table_lookup(r->claims, key);
 
 	if (claim != NULL) {
@@ -98,14 +100,14 @@
 }
 
 /*
- * Note methods of a prefix that an earlier route has claimed.  Routes that
- * all have a weight share it.
+ * Record methods of the prefix that an earlier route claims already.  Routes
+ * that all have a weight share the prefix, which is no conflict.
  */
 static void
 claim_methods(struct bundle_reader *r, const struct rec_section_route *route,
-    const struct place *at)
+    const struct doc_path *at)
 {
-	struct claim *claim = claim_of(r, route);
+	struct claim *claim = get_claim(r, route);
 	uint32_t methods = route->methods;
 	const char *prefix = route->prefix;
 	unsigned int m;
@@ -115,25 +117,25 @@
 		if ((methods & METHOD_BIT(m)) == 0)
 			continue;
 		if (claim->route[m] != 0 && !claim->weighted)
-			problems_add(r->p, at, "take one of the two out",
-			    "routes[%u] takes %s of %s already",
+			problems_add(r->p, at, "remove one of the two routes",
+			    "routes[%u] claims %s %s already",
 			    claim->route[m] - 1, method_name(m), prefix);
 		else
 			claim->route[m] = at->index + 1;
 	}
 	if (++claim->shares > SNAPSHOT_SHARES_MAX && claim->weighted)
-		problems_add(r->p, at, "let fewer services share the route",
+		problems_add(r->p, at, "share the route between fewer services",
 		    "more than %d services share this route",
 		    SNAPSHOT_SHARES_MAX);
 }
 
 /*
- * A prefix with a '/' at its end takes what begins with it.  That is what is
- * below the prefix without the '/', unless that ends with one too.  All paths
- * are below "/".
+ * A prefix that ends with '/' matches the paths that begin with it.  These are
+ * the paths below the prefix without the '/', unless that ends with '/' as
+ * well. For "/" the flag is cleared, since all paths are below it.
  */
 static void
-settle_end(struct rec_section_route *route)
+normalize_prefix(struct rec_section_route *route)
 {
 	size_t len = strlen(route->prefix);
 
@@ -147,22 +149,22 @@
 }
 
 static void
-take_prefix(struct bundle_reader *r, const char *prefix, const struct place *at,
-    struct rec_section_route *out)
+set_prefix(struct bundle_reader *r, const char *prefix,
+    const struct doc_path *at, struct rec_section_route *out)
 {
-	struct place prefix_at = {at, "prefix", PLACE_NO_INDEX};
+	struct doc_path prefix_at = {at, "prefix", DOC_PATH_NO_INDEX};
 
 	prefix_check(prefix, strlen(prefix), &prefix_at, r->p);
 	(void)g_strlcpy(out->prefix, prefix, sizeof(out->prefix));
-	settle_end(out);
+	normalize_prefix(out);
 }
 
 static void
-take_host(struct bundle_reader *r, const char *text, const struct place *at,
+set_host(struct bundle_reader *r, const char *text, const struct doc_path *at,
     struct rec_section_route *out)
 {
-	struct place host_at = {at, "host", PLACE_NO_INDEX};
-	char *host = host_fold(text, &host_at, r->p);
+	struct doc_path host_at = {at, "host", DOC_PATH_NO_INDEX};
+	char *host = host_normalize(text, &host_at, r->p);
 
 	host_check(host, &host_at, r->p);
 	(void)g_strlcpy(out->host, host, sizeof(out->host));
@@ -170,26 +172,27 @@
 }
 
 static void
-take_numbers(struct bundle_reader *r, const int64_t *numbers,
-    const struct place *at, struct rec_section_route *out)
+set_numbers(struct bundle_reader *r, const int64_t *numbers,
+    const struct doc_path *at, struct rec_section_route *out)
 {
-	struct place number_at = {at, NULL, PLACE_NO_INDEX};
+	struct doc_path number_at = {at, NULL, DOC_PATH_NO_INDEX};
 	const struct number_rule *rule = route_rules;
 	uint32_t i;
 
 	for (i = 0; i < BUNDLE_ROUTE_NUMBERS; i++, rule++) {
 		number_at.key = rule->key;
 		number_store(rule, out,
-		    numbers[i] == BUNDLE_LEFT_OUT
-			? rule->initial
-			: number_fit(rule, numbers[i], &number_at, r->p));
+		    numbers[i] == BUNDLE_NUMBER_OMITTED
+			? rule->default_value
+			: number_clamp(rule, numbers[i], &number_at, r->p));
 	}
 }
 
 static struct draft *
-target_of(struct bundle_reader *r, const char *service, const struct place *at)
+find_draft(
+    struct bundle_reader *r, const char *service, const struct doc_path *at)
 {
-	struct place service_at = {at, "service", PLACE_NO_INDEX};
+	struct doc_path service_at = {at, "service", DOC_PATH_NO_INDEX};
 	struct draft *d = g_hash_table_lookup(r->by_name, service);
 
 	if (d == NULL)
@@ -200,8 +203,8 @@
 }
 
 void
-bundle_take_route(struct bundle_reader *r, const struct bundle_route *route,
-    const struct place *at)
+bundle_add_route(struct bundle_reader *r, const struct bundle_route *route,
+    const struct doc_path *at)
 {
 	struct rec_section_route out;
 	struct draft *d = NULL;
@@ -211,33 +214,33 @@
 	out.idempotent = route->idempotent;
 	out.below = route->below;
 	if (route->prefix != NULL)
-		take_prefix(r, route->prefix, at, &out);
+		set_prefix(r, route->prefix, at, &out);
 	if (route->host != NULL)
-		take_host(r, route->host, at, &out);
-	take_numbers(r, route->numbers, at, &out);
+		set_host(r, route->host, at, &out);
+	set_numbers(r, route->numbers, at, &out);
 	if (out.methods != 0)
 		methods_check(out.methods, out.idempotent, at, r->p);
 	if (route->prefix != NULL)
 		claim_methods(r, &out, at);
 	if (route->service != NULL)
-		d = target_of(r, route->service, at);
+		d = find_draft(r, route->service, at);
 	if (d != NULL)
 		g_array_append_val(d->routes, out);
 }
 
 static void
-read_numbers(struct bundle_reader *r, json_t *route, const struct place *at,
+read_numbers(struct bundle_reader *r, json_t *route, const struct doc_path *at,
     int64_t *numbers)
 {
 	const struct number_rule *rule = route_rules;
 	uint32_t i;
 
 	for (i = 0; i < BUNDLE_ROUTE_NUMBERS; i++, rule++)
-		numbers[i] = bundle_number(r, rule->key, route, at);
+		numbers[i] = bundle_read_number(r, rule->key, route, at);
 }
 
 static void
-read_route(struct bundle_reader *r, json_t *route, const struct place *at)
+read_route(struct bundle_reader *r, json_t *route, const struct doc_path *at)
 {
 	static const char *const known[] = {"prefix", "methods", "service",
 	    "idempotent", "host", "below", "weight", "timeout_ms", "target_ms",
@@ -246,29 +249,29 @@
 
 	if (!json_is_object(route)) {
 		problems_add(r->p, at,
-		    "give each route as an object; see docs/BUNDLES.md",
-		    "this is not an object");
+		    "use an object for each route; see docs/BUNDLES.md",
+		    "not an object");
 		return;
 	}
-	json_keys_check(route, known, at, r->p);
-	out.prefix = json_text(route, "prefix", at, r->p);
+	json_check_keys(route, known, at, r->p);
+	out.prefix = json_require_string(route, "prefix", at, r->p);
 	out.methods = read_methods(r, route, at);
-	/* Left out, it is true where the methods alone make it so. */
+	/* If omitted, true only if all methods are safe. */
 	out.idempotent = read_flag(r, route, "idempotent", at,
 	    out.methods != 0 && (out.methods & ~METHOD_SAFE) == 0);
 	out.below = read_flag(r, route, "below", at, false);
 	if (json_object_get(route, "host") != NULL)
-		out.host = json_text(route, "host", at, r->p);
+		out.host = json_require_string(route, "host", at, r->p);
 	read_numbers(r, route, at, out.numbers);
-	out.service = json_text(route, "service", at, r->p);
-	bundle_take_route(r, &out, at);
+	out.service = json_require_string(route, "service", at, r->p);
+	bundle_add_route(r, &out, at);
 }
 
 void
 bundle_read_routes(
-    struct bundle_reader *r, json_t *routes, const struct place *at)
+    struct bundle_reader *r, json_t *routes, const struct doc_path *at)
 {
-	struct place item_at = {at, NULL, 0};
+	struct doc_path item_at = {at, NULL, 0};
 	json_t *route;
 	size_t i;
 
--- a/packages/config/src/bundle_scan.c
+++ b/packages/config/src/bundle_scan.c
@@ -1,13 +1,13 @@
 /*
- * A look at JSON text before a library parses it.
+ * Scan of JSON text before the library parses it.
  */
 #include "bundle_scan.h"
 #include "config/bundle.h"
 
-/* How far the scan has come. */
+/* State of the scan. */
 struct scan {
 	size_t depth;
-	size_t deepest;
+	size_t max_depth;
 	size_t n_values;
 	bool in_string;
 	bool escaped;
@@ -24,7 +24,8 @@
 		s->in_string = false;
 }
 
-/* Brackets, commas and colons each stand for at most one value. */
+/* Each opening bracket, comma or colon introduces at most one value, so
+ * counting them gives an upper bound of the number of values. */
 static void
 scan_outside(struct scan *s, char ch)
 {
@@ -36,8 +37,8 @@
 	case '[':
 		s->depth++;
 		s->n_values++;
-		if (s->depth > s->deepest)
-			s->deepest = s->depth;
+		if (s->depth > s->max_depth)
+			s->max_depth = s->depth;
 		break;
 	case '}':
 	case ']':
@@ -54,18 +55,18 @@
 }
 
 static enum status
-scan_verdict(const struct scan *s, struct problems *p)
+scan_check_limits(const struct scan *s, struct problems *p)
 {
-	if (s->deepest > BUNDLE_MAX_DEPTH) {
-		problems_add(p, NULL, "write it as docs/BUNDLES.md shows",
-		    "the bundle nests %zu deep, at most %d are taken",
-		    s->deepest, BUNDLE_MAX_DEPTH);
+	if (s->max_depth > BUNDLE_MAX_DEPTH) {
+		problems_add(p, NULL, "see docs/BUNDLES.md for the format",
+		    "the bundle is nested %zu levels deep, the limit is %d",
+		    s->max_depth, BUNDLE_MAX_DEPTH);
 		return STATUS_INVALID;
 	}
 	if (s->n_values > BUNDLE_MAX_VALUES) {
 		problems_add(p, NULL, "split the bundle",
-		    "the bundle holds %zu values, at most %d are taken",
-		    s->n_values, BUNDLE_MAX_VALUES);
+		    "the bundle has %zu values, the limit is %d", s->n_values,
+		    BUNDLE_MAX_VALUES);
 		return STATUS_TOO_LARGE;
 	}
 	return STATUS_OK;
@@ -79,8 +80,7 @@
 
 	if (len > BUNDLE_MAX_BYTES) {
 		problems_add(p, NULL, "split the bundle",
-		    "the bundle has %zu bytes, at most %" G_GUINT64_FORMAT
-		    " are taken",
+		    "the bundle has %zu bytes, the limit is %" G_GUINT64_FORMAT,
 		    len, BUNDLE_MAX_BYTES);
 		return STATUS_TOO_LARGE;
 	}
@@ -90,5 +90,5 @@
 		else
 			scan_outside(&s, json[i]);
 	}
-	return scan_verdict(&s, p);
+	return scan_check_limits(&s, p);
 }
--- a/packages/config/src/commit.c
+++ b/packages/config/src/commit.c
@@ -1,22 +1,22 @@
 /*
- * Commit of a stage: everything is built and checked beside the version held,
- * then swapped in at once.
+ * Commit of a stage: the target version is built and checked beside the current
+ * version, then replaces it in one step.
  */
 #include <string.h>
 
 #include "stage_defs.h"
 
 /**
- * struct stage_next - the target version, built beside the version held
- * @base_version: version held when it was built
- * @list: its list, struct rec_section_ref
- * @sections: struct service_config, in the list's order
- * @n_services: number of services that they are of
- * @routes: its routes
- * @content_bytes: sum of its contents
+ * struct staged_version - the target version, built beside the current one
+ * @base_version: current version when this one was built
+ * @list: section list, struct rec_section_ref
+ * @sections: struct service_config, in the order of @list
+ * @n_services: number of services in @sections
+ * @routes: routes of all services
+ * @content_bytes: total size of the contents
  * @config_bytes: memory of @sections and @routes
  */
-struct stage_next {
+struct staged_version {
 	uint64_t base_version;
 	GArray *list;
 	GPtrArray *sections;
@@ -33,16 +33,16 @@
 }
 
 void
-stage_next_free(struct stage_next *n)
+staged_version_free(struct staged_version *sv)
 {
-	if (n == NULL)
+	if (sv == NULL)
 		return;
-	if (n->list != NULL)
-		g_array_unref(n->list);
-	if (n->sections != NULL)
-		g_ptr_array_unref(n->sections);
-	route_table_unref(n->routes);
-	g_free(n);
+	if (sv->list != NULL)
+		g_array_unref(sv->list);
+	if (sv->sections != NULL)
+		g_ptr_array_unref(sv->sections);
+	route_table_unref(sv->routes);
+	g_free(sv);
 }
 
 static GBytes *
@@ -56,20 +56,22 @@
 	return contents_get(stage->c->contents, digest);
 }
 
-/* What a section says: held, or added, or decoded once more. */
+/* Get a decoded section: from the current version, from the added contents, or
+ * by decoding @content. */
 static enum status
 find_config(const struct catalog_stage *stage,
     const struct rec_section_ref *ref, GBytes *content,
     struct service_config **sc)
 {
 	const struct section *section;
-	struct service_config *held;
+	struct service_config *current;
 	const uint8_t *data;
 	size_t len;
 
-	held = catalog_find_section(stage->c, ref->section);
-	if (held != NULL && hash_digest_equal(&held->digest, &ref->digest)) {
-		*sc = service_config_ref(held);
+	current = catalog_find_section(stage->c, ref->section);
+	if (current != NULL &&
+	    hash_digest_equal(&current->digest, &ref->digest)) {
+		*sc = service_config_ref(current);
 		return STATUS_OK;
 	}
 	section = g_hash_table_lookup(stage->added, &ref->digest);
@@ -83,7 +85,7 @@
 
 static enum status
 add_section(const struct catalog_stage *stage,
-    const struct rec_section_ref *ref, struct stage_next *n)
+    const struct rec_section_ref *ref, struct staged_version *sv)
 {
 	struct service_config *sc;
 	GBytes *content;
@@ -92,12 +94,12 @@
 	content = find_content(stage, &ref->digest);
 	if (content == NULL)
 		return status_set(STATUS_UNAVAILABLE,
-		    "Section %s has not come yet; fetch it.", ref->section);
+		    "Section %s is missing; fetch it.", ref->section);
 	st = find_config(stage, ref, content, &sc);
 	if (st != STATUS_OK)
 		return st;
-	g_ptr_array_add(n->sections, sc);
-	n->content_bytes += g_bytes_get_size(content);
+	g_ptr_array_add(sv->sections, sc);
+	sv->content_bytes += g_bytes_get_size(content);
 	if (strcmp(sc->section, ref->section) == 0)
 		return STATUS_OK;
 	return status_set(STATUS_INVALID,
@@ -128,20 +130,21 @@
 }
 
 /*
- * Parts of one service have the same numbers and none has another's routes.
- * Sections are sorted, so that one that covers another stands before it.
+ * Check that parts of one service have the same numbers and that none covers
+ * another.  Sections are sorted, so a section that covers others directly
+ * precedes the first of them.
  */
 static enum status
-parts_agree(struct stage_next *n)
+check_parts(struct staged_version *sv)
 {
 	const struct service_config *before = NULL, *sc;
 	uint32_t i;
 
-	n->n_services = 0;
-	for (i = 0; i < n->sections->len; i++, before = sc) {
-		sc = g_ptr_array_index(n->sections, i);
+	sv->n_services = 0;
+	for (i = 0; i < sv->sections->len; i++, before = sc) {
+		sc = g_ptr_array_index(sv->sections, i);
 		if (before == NULL || strcmp(before->name, sc->name) != 0) {
-			n->n_services++;
+			sv->n_services++;
 			continue;
 		}
 		if (same_numbers(before, sc) &&
@@ -152,17 +155,17 @@
 		    "take the full list from another node.",
 		    before->section, sc->section);
 	}
-	if (n->n_services <= CONFIG_MAX_SERVICES)
+	if (sv->n_services <= CONFIG_MAX_SERVICES)
 		return STATUS_OK;
 	return status_set(STATUS_TOO_LARGE,
 	    "A version has %u services, at most %d are taken; split the "
 	    "bundle.",
-	    n->n_services, CONFIG_MAX_SERVICES);
+	    sv->n_services, CONFIG_MAX_SERVICES);
 }
 
-/* Whether two routes have the same entry in a table. */
+/* Whether two routes have equal entries in a route table. */
 static bool
-same_place(const struct service_route *a, const struct service_route *b)
+same_table_entry(const struct service_route *a, const struct service_route *b)
 {
 	return a->methods == b->methods && a->below == b->below &&
 	    (a->weight > 0) == (b->weight > 0) &&
@@ -179,15 +182,16 @@
 	if (a->n_routes != b->n_routes || strcmp(a->section, b->section) != 0)
 		return false;
 	for (i = 0; i < a->n_routes; i++) {
-		if (!same_place(&a->routes[i], &b->routes[i]))
+		if (!same_table_entry(&a->routes[i], &b->routes[i]))
 			return false;
 	}
 	return true;
 }
 
-/* A table holds indexes, so it fits while sections and routes stay. */
+/* A route table contains only indexes and texts, so it can be reused while the
+ * order of sections and the matching of their routes are unchanged. */
 static bool
-table_fits(const GPtrArray *a, const GPtrArray *b)
+table_reusable(const GPtrArray *a, const GPtrArray *b)
 {
 	uint32_t i;
 
@@ -202,76 +206,78 @@
 }
 
 static enum status
-next_routes(const struct catalog *c, struct stage_next *n)
+staged_version_routes(const struct catalog *c, struct staged_version *sv)
 {
-	if (!table_fits(c->sections, n->sections))
-		return route_table_new(n->sections, &n->routes);
-	n->routes = route_table_ref(c->routes);
+	if (!table_reusable(c->sections, sv->sections))
+		return route_table_new(sv->sections, &sv->routes);
+	sv->routes = route_table_ref(c->routes);
 	return STATUS_OK;
 }
 
 static void
-sum_config(struct stage_next *n)
+sum_config_bytes(struct staged_version *sv)
 {
 	const struct service_config *sc;
 	uint32_t i;
 
-	n->config_bytes = route_table_bytes(n->routes);
-	for (i = 0; i < n->sections->len; i++) {
-		sc = g_ptr_array_index(n->sections, i);
-		n->config_bytes += sc->size_bytes + SLOT_BYTES;
+	sv->config_bytes = route_table_bytes(sv->routes);
+	for (i = 0; i < sv->sections->len; i++) {
+		sc = g_ptr_array_index(sv->sections, i);
+		sv->config_bytes += sc->size_bytes + ALLOC_OVERHEAD_BYTES;
 	}
 }
 
 static enum status
-size_check(const struct catalog *c, const struct stage_next *n)
+size_check(const struct catalog *c, const struct staged_version *sv)
 {
-	uint64_t bytes = n->content_bytes + n->config_bytes;
+	uint64_t bytes = sv->content_bytes + sv->config_bytes;
 
-	if (n->content_bytes <= CONFIG_MAX_BYTES && bytes <= c->max_bytes)
+	if (sv->content_bytes <= CONFIG_MAX_BYTES && bytes <= c->max_bytes)
 		return STATUS_OK;
 	return status_set(STATUS_TOO_LARGE,
 	    "The version takes %" G_GUINT64_FORMAT
 	    " bytes, its sections %" G_GUINT64_FORMAT
 	    "; more than a node may hold. Split the bundle.",
-	    bytes, n->content_bytes);
+	    bytes, sv->content_bytes);
 }
 
 static enum status
-next_build(const struct catalog_stage *stage, struct stage_next *n)
+staged_version_build(
+    const struct catalog_stage *stage, struct staged_version *sv)
 {
 	enum status st;
 	uint32_t i;
 
-	st = stage_check(stage, &n->list);
+	st = stage_check(stage, &sv->list);
 	if (st != STATUS_OK)
 		return st;
-	n->sections = g_ptr_array_new_with_free_func(service_unref);
-	for (i = 0; i < n->list->len && st == STATUS_OK; i++)
+	sv->sections = g_ptr_array_new_with_free_func(service_unref);
+	for (i = 0; i < sv->list->len && st == STATUS_OK; i++)
 		st = add_section(stage,
-		    &g_array_index(n->list, struct rec_section_ref, i), n);
+		    &g_array_index(sv->list, struct rec_section_ref, i), sv);
 	if (st == STATUS_OK)
-		st = parts_agree(n);
+		st = check_parts(sv);
 	if (st == STATUS_OK)
-		st = next_routes(stage->c, n);
+		st = staged_version_routes(stage->c, sv);
 	if (st != STATUS_OK)
 		return st;
-	sum_config(n);
-	return size_check(stage->c, n);
+	sum_config_bytes(sv);
+	return size_check(stage->c, sv);
 }
 
-/* The commit as a ring entry, made while the version before is in place. */
+/* Create the ring entry of a commit; the catalog must still have the version
+ * before. */
 static struct ring_entry *
-entry_new(const struct catalog *c, const struct catalog_stage *stage,
-    const struct stage_next *n)
+ring_entry_of_stage(const struct catalog *c, const struct catalog_stage *stage,
+    const struct staged_version *sv)
 {
 	struct ring_entry *entry;
-	GArray *changes, *held;
+	GArray *changes, *current;
 
-	held = catalog_refs(c);
+	current = catalog_refs(c);
 	changes = stage->changes != NULL ? g_array_ref(stage->changes)
-					 : section_changes(held, n->list);
-	entry = ring_entry_new(held,
+					 : section_changes(current, sv->list);
+	entry = ring_entry_new(current,
 	    (const struct rec_section_change *)changes->data, changes->len);
 	entry->from_version = c->version;
 	entry->to_version = stage->version;
@@ -279,12 +285,12 @@
 	entry->to_root = stage->root;
 	entry->complete = stage->changes != NULL && !stage->skips;
 	g_array_unref(changes);
-	g_array_unref(held);
+	g_array_unref(current);
 	return entry;
 }
 
 static void
-hold_contents(
+ref_contents(
     struct catalog *c, const struct catalog_stage *stage, const GArray *list)
 {
 	const struct rec_section_ref *ref;
@@ -292,60 +298,61 @@
 
 	for (i = 0; i < list->len; i++) {
 		ref = &g_array_index(list, struct rec_section_ref, i);
-		contents_hold(c->contents, &ref->digest,
+		contents_ref(c->contents, &ref->digest,
 		    find_content(stage, &ref->digest));
 	}
 }
 
 static void
-release_contents(struct catalog *c, const GPtrArray *sections)
+unref_contents(struct catalog *c, const GPtrArray *sections)
 {
 	const struct service_config *sc;
 	uint32_t i;
 
 	for (i = 0; i < sections->len; i++) {
 		sc = g_ptr_array_index(sections, i);
-		contents_release(c->contents, &sc->digest);
+		contents_unref(c->contents, &sc->digest);
 	}
 }
 
-/* Nothing below can fail. */
+/* Replace the current version; must not fail, so that a commit is complete or
+ * has no effect. */
 static void
-swap_in(
-    struct catalog *c, const struct catalog_stage *stage, struct stage_next *n)
+install(struct catalog *c, const struct catalog_stage *stage,
+    struct staged_version *sv)
 {
 	struct ring_entry *entry;
 
-	entry = entry_new(c, stage, n);
-	hold_contents(c, stage, n->list);
+	entry = ring_entry_of_stage(c, stage, sv);
+	ref_contents(c, stage, sv->list);
 	ring_push(c, entry);
-	release_contents(c, c->sections);
+	unref_contents(c, c->sections);
 	g_ptr_array_unref(c->sections);
-	c->sections = g_steal_pointer(&n->sections);
-	c->n_services = n->n_services;
+	c->sections = g_steal_pointer(&sv->sections);
+	c->n_services = sv->n_services;
 	route_table_unref(c->routes);
-	c->routes = g_steal_pointer(&n->routes);
+	c->routes = g_steal_pointer(&sv->routes);
 	c->version = stage->version;
 	c->root = stage->root;
-	c->config_bytes = n->config_bytes;
+	c->config_bytes = sv->config_bytes;
 }
 
 enum status
 catalog_stage_check(struct catalog_stage *stage)
 {
-	struct stage_next *n = stage->next;
+	struct staged_version *sv = stage->built;
 	enum status st;
 
-	if (n != NULL && n->base_version == stage->c->version)
+	if (sv != NULL && sv->base_version == stage->c->version)
 		return STATUS_OK;
-	g_clear_pointer(&stage->next, stage_next_free);
-	n = g_new0(struct stage_next, 1);
-	n->base_version = stage->c->version;
-	st = next_build(stage, n);
+	g_clear_pointer(&stage->built, staged_version_free);
+	sv = g_new0(struct staged_version, 1);
+	sv->base_version = stage->c->version;
+	st = staged_version_build(stage, sv);
 	if (st == STATUS_OK)
-		stage->next = n;
+		stage->built = sv;
 	else
-		stage_next_free(n);
+		staged_version_free(sv);
 	return st;
 }
 
@@ -356,8 +363,8 @@
 
 	if (st != STATUS_OK)
 		return st;
-	swap_in(c, stage, stage->next);
+	install(c, stage, stage->built);
 	ring_trim(c);
-	g_clear_pointer(&stage->next, stage_next_free);
+	g_clear_pointer(&stage->built, staged_version_free);
 	return STATUS_OK;
 }
--- a/packages/config/src/contents.c
+++ b/packages/config/src/contents.c
@@ -1,17 +1,17 @@
 /*
- * Contents of sections by digest, with a count of who needs each.
+ * Reference-counted store of section contents, by digest.
  */
 #include <string.h>
 
 #include "contents.h"
 
-/* Memory of an entry besides its content: allocations and table slot. */
+/* Memory of an entry without its content: allocations and hash table slot. */
 #define ENTRY_BYTES 160
 
 struct entry {
 	struct digest digest;
 	GBytes *content;
-	uint32_t n_holds;
+	uint32_t refs;
 };
 
 struct contents {
@@ -25,7 +25,7 @@
 	const struct digest *d = key;
 	guint h;
 
-	/* A digest is as good as random already. */
+	/* The bytes of a digest are uniformly distributed. */
 	memcpy(&h, d->bytes, sizeof(h));
 	return h;
 }
@@ -78,7 +78,7 @@
 }
 
 void
-contents_hold(struct contents *cs, const struct digest *digest, GBytes *content)
+contents_ref(struct contents *cs, const struct digest *digest, GBytes *content)
 {
 	struct entry *e;
 
@@ -90,16 +90,16 @@
 		g_hash_table_insert(cs->entries, &e->digest, e);
 		cs->bytes += entry_bytes(e);
 	}
-	e->n_holds++;
+	e->refs++;
 }
 
 void
-contents_release(struct contents *cs, const struct digest *digest)
+contents_unref(struct contents *cs, const struct digest *digest)
 {
 	struct entry *e;
 
 	e = g_hash_table_lookup(cs->entries, digest);
-	if (--e->n_holds > 0)
+	if (--e->refs > 0)
 		return;
 	cs->bytes -= entry_bytes(e);
 	g_hash_table_remove(cs->entries, digest);
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -1,5 +1,5 @@
 /*
- * Parts of a service whose routes don't fit one section.
+ * Parts of a service whose routes don't fit into one section.
  */
 #include "parts.h"
 
@@ -9,35 +9,37 @@
 #include "rules.h"
 #include "section_build.h"
 
-/* Between the name of a service and a part; no name of a service has it, and
- * it sorts before all that names have, so that parts stand together. */
-#define PART_MARK ' '
+/* Separates the name of a service and of a part.  Names of services can't
+ * contain it, and it sorts before their characters, so the parts of a service
+ * are adjacent in a sorted list. */
+#define PART_SEPARATOR ' '
 
-/* Most bytes that a route takes in a section besides its texts: 13 for types
- * and lengths, 5 for each of its six numbers, 2 for its flags. */
+/* Largest encoding of a route in a section without its texts: 13 bytes for
+ * types and lengths, 5 for each of the six numbers, 2 for the flags. */
 #define ROUTE_FIXED_BYTES 45
 
-/* Most bytes of a section besides its routes: 12 numbers of up to 9 bytes, a
- * service's name of 31, a part's of 24, types and lengths. */
+/* Largest encoding of a section without its routes: 12 numbers of up to 9
+ * bytes, the name of the service of 31, the name of the part of 24, types and
+ * lengths. */
 #define SECTION_FIXED_BYTES 192
 
-/* Any seed does, as long as all nodes have the same. */
-#define PART_SEED 29
+/* All nodes must use the same seed; its value is arbitrary. */
+#define PART_HASH_SEED 29
 
-/** struct leaf_route - a route with its place in the trie; borrowed */
+/** struct leaf_route - a borrowed route and its path in the trie */
 struct leaf_route {
 	uint32_t bits;
 	const struct rec_section_route *route;
 };
 
 /**
- * struct cutting - a service that is being cut
- * @m: its numbers
+ * struct part_split - a service while it is split
+ * @m: the service
  * @routes: struct leaf_route, sorted by bits
- * @bytes: sum of the bytes of all routes before each one
- * @sections: where sections go
+ * @bytes: prefix sums of the routes' sizes, uint64_t
+ * @sections: receives the sections
  */
-struct cutting {
+struct part_split {
 	const struct msg_section *m;
 	GArray *routes;
 	GArray *bytes;
@@ -45,13 +47,14 @@
 };
 
 /*
- * First bits of the hash of what a route matches.  Methods are left out, so
- * that routes which share a place, or claim it twice, are in one section.
+ * First bits of the hash of a route's host and prefix.  Methods are not hashed,
+ * so routes that share a prefix by weight, or that conflict, are in one
+ * section.
  */
 static uint32_t
-route_bits(const struct rec_section_route *route)
+route_hash_bits(const struct rec_section_route *route)
 {
-	uint64_t h = hash64(route->host, strlen(route->host), PART_SEED);
+	uint64_t h = hash64(route->host, strlen(route->host), PART_HASH_SEED);
 
 	h = hash64(route->prefix, strlen(route->prefix), h);
 	return (uint32_t)(h >> (64 - PART_BITS_MAX));
@@ -65,7 +68,7 @@
 }
 
 static int
-by_bits(const void *a, const void *b)
+leaf_route_compare(const void *a, const void *b)
 {
 	const struct leaf_route *x = a, *y = b;
 
@@ -79,43 +82,44 @@
 }
 
 static struct leaf_route *
-leaf_route_at(const struct cutting *c, uint32_t i)
+leaf_route_at(const struct part_split *ps, uint32_t i)
 {
-	return &g_array_index(c->routes, struct leaf_route, i);
+	return &g_array_index(ps->routes, struct leaf_route, i);
 }
 
 static uint64_t
-bytes_between(const struct cutting *c, uint32_t low, uint32_t high)
+bytes_between(const struct part_split *ps, uint32_t low, uint32_t high)
 {
-	return g_array_index(c->bytes, uint64_t, high) -
-	    g_array_index(c->bytes, uint64_t, low);
+	return g_array_index(ps->bytes, uint64_t, high) -
+	    g_array_index(ps->bytes, uint64_t, low);
 }
 
 static void
-add_leaf(struct cutting *c, uint32_t low, uint32_t high, const char *part)
+add_leaf(struct part_split *ps, uint32_t low, uint32_t high, const char *part)
 {
-	struct msg_section m = *c->m;
+	struct msg_section m = *ps->m;
 	uint32_t i;
 
 	m.n_routes = high - low;
 	m.routes = g_new0(struct rec_section_route, m.n_routes);
 	(void)g_strlcpy(m.part, part, sizeof(m.part));
 	for (i = 0; i < m.n_routes; i++)
-		m.routes[i] = *leaf_route_at(c, low + i)->route;
+		m.routes[i] = *leaf_route_at(ps, low + i)->route;
 	routes_sort(m.routes, m.n_routes);
-	g_ptr_array_add(c->sections, section_new(&m));
+	g_ptr_array_add(ps->sections, section_new(&m));
 	g_free(m.routes);
 }
 
-/* Index of the first route below the branch 1 of a node. */
+/* Index of the first route in the 1 branch of a node. */
 static uint32_t
-branch(const struct cutting *c, uint32_t low, uint32_t high, uint32_t depth)
+find_one_branch(
+    const struct part_split *ps, uint32_t low, uint32_t high, uint32_t depth)
 {
 	uint32_t mid;
 
 	while (low < high) {
 		mid = low + (high - low) / 2;
-		if (bit_at(leaf_route_at(c, mid)->bits, depth))
+		if (bit_at(leaf_route_at(ps, mid)->bits, depth))
 			high = mid;
 		else
 			low = mid + 1;
@@ -123,63 +127,64 @@
 	return low;
 }
 
-/* A node of the trie: a section, or two nodes below it; @part is its name. */
+/* Add the node named @part with the routes from @low to @high: as a section, or
+ * split into two child nodes. */
 static void
-cut(struct cutting *c, uint32_t low, uint32_t high, char *part)
+split_node(struct part_split *ps, uint32_t low, uint32_t high, char *part)
 {
 	uint32_t depth = (uint32_t)strlen(part), mid;
 
 	if (low == high && depth > 0)
 		return;
 	if (depth == PART_BITS_MAX ||
-	    bytes_between(c, low, high) <=
+	    bytes_between(ps, low, high) <=
 		SECTION_MAX_BYTES - SECTION_FIXED_BYTES) {
-		add_leaf(c, low, high, part);
+		add_leaf(ps, low, high, part);
 		return;
 	}
-	mid = branch(c, low, high, depth);
+	mid = find_one_branch(ps, low, high, depth);
 	part[depth] = '0';
-	cut(c, low, mid, part);
+	split_node(ps, low, mid, part);
 	part[depth] = '1';
-	cut(c, mid, high, part);
+	split_node(ps, mid, high, part);
 	part[depth] = '\0';
 }
 
 static void
-cutting_init(struct cutting *c, const struct msg_section *m)
+part_split_init(struct part_split *ps, const struct msg_section *m)
 {
 	struct leaf_route leaf;
 	uint64_t bytes = 0;
 	uint32_t i;
 
-	c->m = m;
-	c->routes = g_array_sized_new(FALSE, FALSE, sizeof(leaf), m->n_routes);
-	c->bytes =
+	ps->m = m;
+	ps->routes = g_array_sized_new(FALSE, FALSE, sizeof(leaf), m->n_routes);
+	ps->bytes =
 	    g_array_sized_new(FALSE, FALSE, sizeof(bytes), m->n_routes + 1);
 	for (i = 0; i < m->n_routes; i++) {
 		leaf.route = &m->routes[i];
-		leaf.bits = route_bits(leaf.route);
-		g_array_append_val(c->routes, leaf);
+		leaf.bits = route_hash_bits(leaf.route);
+		g_array_append_val(ps->routes, leaf);
 	}
-	g_array_sort(c->routes, by_bits);
-	g_array_append_val(c->bytes, bytes);
+	g_array_sort(ps->routes, leaf_route_compare);
+	g_array_append_val(ps->bytes, bytes);
 	for (i = 0; i < m->n_routes; i++) {
-		bytes += route_bytes(leaf_route_at(c, i)->route);
-		g_array_append_val(c->bytes, bytes);
+		bytes += route_bytes(leaf_route_at(ps, i)->route);
+		g_array_append_val(ps->bytes, bytes);
 	}
 }
 
 void
-parts_cut(struct msg_section *m, GPtrArray *sections)
+parts_split(struct msg_section *m, GPtrArray *sections)
 {
 	char part[PART_BITS_MAX + 1] = "";
-	struct cutting c;
+	struct part_split ps;
 
-	cutting_init(&c, m);
-	c.sections = sections;
-	cut(&c, 0, m->n_routes, part);
-	g_array_unref(c.bytes);
-	g_array_unref(c.routes);
+	part_split_init(&ps, m);
+	ps.sections = sections;
+	split_node(&ps, 0, m->n_routes, part);
+	g_array_unref(ps.bytes);
+	g_array_unref(ps.routes);
 }
 
 static bool
@@ -205,20 +210,20 @@
 void
 part_check(const struct msg_section *m, struct problems *p)
 {
-	struct place part_at = {NULL, "part", PLACE_NO_INDEX};
-	struct place routes_at = {NULL, "routes", PLACE_NO_INDEX};
-	struct place at = {&routes_at, NULL, 0};
+	struct doc_path part_at = {NULL, "part", DOC_PATH_NO_INDEX};
+	struct doc_path routes_at = {NULL, "routes", DOC_PATH_NO_INDEX};
+	struct doc_path at = {&routes_at, NULL, 0};
 	uint32_t i;
 
 	if (!part_name_valid(m->part)) {
 		problems_add(p, &part_at, "use at most 24 of 0 and 1",
-		    "this is no name of a part");
+		    "invalid part name");
 		return;
 	}
 	for (i = 0; i < m->n_routes; i++) {
 		at.index = i;
-		if (!part_covers(m->part, route_bits(&m->routes[i])))
-			problems_add(p, &at, "put it in its own part",
+		if (!part_covers(m->part, route_hash_bits(&m->routes[i])))
+			problems_add(p, &at, "move it to that part",
 			    "the route belongs in another part");
 	}
 }
@@ -230,31 +235,31 @@
 		(void)g_strlcpy(out, service, SECTION_NAME_BYTES);
 	else
 		(void)g_snprintf(out, SECTION_NAME_BYTES, "%s%c%s", service,
-		    PART_MARK, part);
+		    PART_SEPARATOR, part);
 }
 
 bool
 part_parent(char *section)
 {
-	char *mark = strchr(section, PART_MARK);
+	char *separator = strchr(section, PART_SEPARATOR);
 
-	if (mark == NULL)
+	if (separator == NULL)
 		return false;
 	section[strlen(section) - 1] = '\0';
-	if (mark[1] == '\0')
-		*mark = '\0';
+	if (separator[1] == '\0')
+		*separator = '\0';
 	return true;
 }
 
 bool
 section_name_valid(const char *name)
 {
-	const char *mark = strchr(name, PART_MARK);
+	const char *separator = strchr(name, PART_SEPARATOR);
 
-	if (mark == NULL)
+	if (separator == NULL)
 		return service_name_valid(name, strlen(name));
-	return service_name_valid(name, (size_t)(mark - name)) &&
-	    mark[1] != '\0' && part_name_valid(mark + 1);
+	return service_name_valid(name, (size_t)(separator - name)) &&
+	    separator[1] != '\0' && part_name_valid(separator + 1);
 }
 
 bool
@@ -264,6 +269,6 @@
 
 	if (strncmp(upper, lower, len) != 0)
 		return false;
-	return lower[len] == PART_MARK ||
-	    (lower[len] != '\0' && strchr(upper, PART_MARK) != NULL);
+	return lower[len] == PART_SEPARATOR ||
+	    (lower[len] != '\0' && strchr(upper, PART_SEPARATOR) != NULL);
 }
--- a/packages/config/src/snapshot.c
+++ b/packages/config/src/snapshot.c
@@ -7,14 +7,15 @@
 #include "config/snapshot.h"
 
 static struct endpoint_list *
-list_of(const struct endpoint_set *endpoints, const char *service)
+ref_endpoints(const struct endpoint_set *endpoints, const char *service)
 {
 	struct endpoint_list *list = endpoint_set_list(endpoints, service);
 
 	return list != NULL ? endpoint_list_ref(list) : NULL;
 }
 
-/* A section of the service before it, or the first of a further one. */
+/* Add section @i to the last service, or to a new service if it has another
+ * name. */
 static void
 add_section(
     struct snapshot *s, uint32_t i, const struct endpoint_set *endpoints)
@@ -30,7 +31,7 @@
 	service->config = sc;
 	service->sections = &s->sections[i];
 	service->n_sections = 1;
-	service->endpoints = list_of(endpoints, sc->name);
+	service->endpoints = ref_endpoints(endpoints, sc->name);
 	if (service->endpoints != NULL)
 		s->n_endpoints += service->endpoints->n_endpoints;
 }
@@ -119,7 +120,7 @@
 	match->route = &s->sections[entry->section]->routes[entry->route];
 }
 
-/* A host without its port. */
+/* Length of a host without its port. */
 static size_t
 host_length(const char *host)
 {
@@ -132,13 +133,13 @@
     struct route_match *match)
 {
 	const struct route_entry *entry;
-	bool seen_path;
+	bool path_matched;
 
 	path_len = path_length(path, path_len);
 	entry = route_table_find(s->routes, method, host, host_length(host),
-	    path, path_len, &seen_path);
+	    path, path_len, &path_matched);
 	if (entry == NULL)
-		return seen_path ? ROUTE_NO_METHOD : ROUTE_NO_PATH;
+		return path_matched ? ROUTE_NO_METHOD : ROUTE_NO_PATH;
 	match->entry = entry;
 	set_match(s, entry, match);
 	return ROUTE_FOUND;
--- a/packages/config/test/test_bundle.c
+++ b/packages/config/test/test_bundle.c
@@ -1,6 +1,6 @@
 /*
- * Bundles: what is refused, what is run with a warning, and that all is told at
- * once.
+ * Bundles: problems that make a bundle invalid, warnings that don't, and that
+ * all of them are reported at once.
  */
 #include <jansson.h>
 
@@ -14,14 +14,14 @@
 	"'routes':[" r "]}"
 #define ROUTE(p, m) "{'prefix':'" p "','methods':[" m "],'service':'a'}"
 
-/* One fault each: the place and a word of the message that must come. */
+/* Bundles with one problem each: its path and a part of its message. */
 static const struct {
 	const char *json;
 	const char *path;
-	const char *word;
-} faults[] = {
+	const char *message;
+} problem_cases[] = {
     {"", "", "line 1"},
-    {"[]", "", "is an object"},
+    {"[]", "", "must be a JSON object"},
     {"{'format':1", "", "line 1"},
     {"{'format':1,'name':'x','services':[{'name':'a'}],'routes':[],"
      "'format':1}",
@@ -29,92 +29,96 @@
     {"{'format':2,'name':'x','services':[{'name':'a'}],'routes':[]}", "format",
 	"only format 1"},
     {"{'format':1,'name':'X y','services':[{'name':'a'}],'routes':[]}", "name",
-	"no name"},
+	"invalid bundle name"},
     {"{'format':1,'services':[{'name':'a'}],'routes':[]}", "name", "missing"},
     {"{'format':1,'name':'x','services':[],'routes':[]}", "services",
-	"no service"},
+	"no services"},
     {"{'format':1,'name':'x','services':{},'routes':[]}", "services",
-	"not a list"},
+	"not an array"},
     {"{'format':1,'name':'x','services':[{'name':'a'}]}", "routes", "missing"},
     {"{'format':1,'name':'x','services':[{'name':'a'}],'routes':[],'z':1}", "z",
-	"no such key"},
+	"unknown key"},
     {"{'format':1,'name':'x','services':[{'name':'a\xff'}],'routes':[]}", "",
 	"decode byte 0xff"},
     {SERVICES("7"), "services[0]", "not an object"},
-    {SERVICES("{'name':'a'},{'name':'a'}"), "services[1].name", "twice"},
-    {SERVICES("{'name':''}"), "services[0].name", "no name"},
-    /* 32 characters, which no upstream could announce. */
+    {SERVICES("{'name':'a'},{'name':'a'}"), "services[1].name",
+	"duplicate service a"},
+    {SERVICES("{'name':''}"), "services[0].name", "invalid service name"},
+    /* 32 characters: longer than the name an upstream can announce. */
     {SERVICES("{'name':'abcdefghijklmnopqrstuvwxyz-01234'}"),
-	"services[0].name", "no name"},
-    {SERVICES("{'name':'a b'}"), "services[0].name", "no name"},
-    {SERVICES("{'name':'a\\\\b'}"), "services[0].name", "no name"},
-    {SERVICES("{'name':'a','timeout':5}"), "services[0].timeout", "no such"},
+	"services[0].name", "invalid service name"},
+    {SERVICES("{'name':'a b'}"), "services[0].name", "invalid service name"},
+    {SERVICES("{'name':'a\\\\b'}"), "services[0].name", "invalid service name"},
+    {SERVICES("{'name':'a','timeout':5}"), "services[0].timeout",
+	"unknown key"},
     {SERVICES("{'name':'a','timeout_ms':0}"), "services[0].timeout_ms",
 	"range"},
     {SERVICES("{'name':'a','timeout_ms':-1}"), "services[0].timeout_ms",
 	"range"},
     {SERVICES("{'name':'a','timeout_ms':1.5}"), "services[0].timeout_ms",
-	"whole number"},
+	"not an integer"},
     {SERVICES("{'name':'a','timeout_ms':'9'}"), "services[0].timeout_ms",
-	"whole number"},
+	"not an integer"},
     {SERVICES("{'name':'a','limits':[]}"), "services[0].limits",
 	"not an object"},
     {SERVICES("{'name':'a','limits':{'slots_per_endpoint':0}}"),
 	"services[0].limits.slots_per_endpoint", "range"},
     {SERVICES("{'name':'a','limits':{'slots':1}}"), "services[0].limits.slots",
-	"no such"},
+	"unknown key"},
     {ROUTES("7"), "routes[0]", "not an object"},
     {ROUTES("{'prefix':'/p','methods':['GET'],'service':'c'}"),
 	"routes[0].service", "no such service"},
     {ROUTES("{'prefix':'/p','methods':['GET']}"), "routes[0].service",
 	"missing"},
     {ROUTES("{'prefix':'/p','service':'a'}"), "routes[0].methods", "missing"},
-    {ROUTES(ROUTE("/p", "")), "routes[0].methods", "no method"},
-    {ROUTES(ROUTE("/p", "'get'")), "routes[0].methods[0]", "no method"},
-    {ROUTES(ROUTE("/p", "'GET','GET'")), "routes[0].methods[1]", "twice"},
-    {ROUTES(ROUTE("p", "'GET'")), "routes[0].prefix", "no path prefix"},
-    {ROUTES(ROUTE("", "'GET'")), "routes[0].prefix", "no path prefix"},
+    {ROUTES(ROUTE("/p", "")), "routes[0].methods", "has no methods"},
+    {ROUTES(ROUTE("/p", "'get'")), "routes[0].methods[0]", "unknown method"},
+    {ROUTES(ROUTE("/p", "'GET','GET'")), "routes[0].methods[1]",
+	"duplicate method"},
+    {ROUTES(ROUTE("p", "'GET'")), "routes[0].prefix", "invalid path prefix"},
+    {ROUTES(ROUTE("", "'GET'")), "routes[0].prefix", "invalid path prefix"},
     {ROUTES(ROUTE("/p?q", "'GET'")), "routes[0].prefix", "character 3"},
     {ROUTES(ROUTE("/p q", "'GET'")), "routes[0].prefix", "character 3"},
     {ROUTES(ROUTE("/p", "'GET'") "," ROUTE("/p/", "'GET'") "," ROUTE(
 	 "/p//", "'GET'") ",{'prefix':'/p','below':true,'methods':['GET'],"
 			  "'service':'b'}"),
-	"routes[3]", "routes[1] takes GET of /p already"},
+	"routes[3]", "routes[1] claims GET /p already"},
     {ROUTES(ROUTE("/", "'GET'") ",{'prefix':'/','below':true,"
 				"'methods':['GET'],'service':'b'}"),
-	"routes[1]", "routes[0] takes GET of / already"},
+	"routes[1]", "routes[0] claims GET / already"},
     {ROUTES("{'prefix':'/p','host':'*.x','methods':['GET'],'service':'a'}"),
-	"routes[0].host", "no host"},
+	"routes[0].host", "invalid host"},
     {ROUTES("{'prefix':'/p','host':'x:y','methods':['GET'],'service':'a'}"),
-	"routes[0].host", "no host"},
-    /* The weight of one share changes what the others get. */
+	"routes[0].host", "invalid host"},
+    /* Not clamped, since one weight changes the proportions of all shares. */
     {ROUTES("{'prefix':'/p','weight':1000001,'methods':['GET'],"
 	    "'service':'a'}"),
 	"routes[0].weight", "range"},
     {ROUTES("{'prefix':'/p','priority':-1,'methods':['GET'],'service':'a'}"),
 	"routes[0].priority", "range"},
     {ROUTES(ROUTE("/p", "'GET'") "," ROUTE("/p", "'HEAD','GET'")), "routes[1]",
-	"routes[0] takes GET of /p already"},
+	"routes[0] claims GET /p already"},
     {ROUTES("{'prefix':'/p','methods':['GET','POST'],'service':'a',"
 	    "'idempotent':true}"),
 	"routes[0].idempotent", "POST and PATCH"},
     {ROUTES("{'prefix':'/p','methods':['GET'],'service':'a',"
 	    "'idempotent':1}"),
-	"routes[0].idempotent", "neither"},
+	"routes[0].idempotent", "not a boolean"},
 };
 
 START_TEST(test_fault)
 {
 	const struct bundle_problem *problem;
 	struct bundle *b;
-	char *json = fix_json(faults[_i].json);
+	char *json = fix_json(problem_cases[_i].json);
 
 	ck_assert_int_ne(bundle_parse(json, strlen(json), &b), STATUS_OK);
 	ck_assert_uint_eq(b->sections->len, 0);
 	ck_assert_uint_eq(b->n_problems, 1);
 	problem = g_ptr_array_index(b->problems, 0);
-	ck_assert_str_eq(problem->path, faults[_i].path);
-	ck_assert_msg(strstr(problem->message, faults[_i].word) != NULL, "%s",
+	ck_assert_str_eq(problem->path, problem_cases[_i].path);
+	ck_assert_msg(
+	    strstr(problem->message, problem_cases[_i].message) != NULL, "%s",
 	    problem->message);
 	ck_assert(problem->remedy[0] != '\0');
 	ck_assert(strstr(status_message(), problem->remedy) != NULL);
@@ -123,16 +127,19 @@
 }
 END_TEST
 
-/* What is taken all the same: the place, a word, and what is run instead. */
+/* Valid bundles with one warning each: its path and a part of its message, with
+ * the value that is used instead. */
 static const struct {
 	const char *json;
 	const char *path;
-	const char *word;
-} doubts[] = {
+	const char *message;
+} warning_cases[] = {
     {"{'format':1,'name':'X','services':[{'name':'a'}],'routes':[]}", "name",
-	"unusual"},
-    {SERVICES("{'name':'-a'}"), "services[0].name", "unusual"},
-    {SERVICES("{'name':'Bad_Name.1'}"), "services[0].name", "unusual"},
+	"unconventional bundle name"},
+    {SERVICES("{'name':'-a'}"), "services[0].name",
+	"unconventional service name"},
+    {SERVICES("{'name':'Bad_Name.1'}"), "services[0].name",
+	"unconventional service name"},
     {SERVICES("{'name':'a','timeout_ms':4294967297}"), "services[0].timeout_ms",
 	"4294967297 is out of the range 1 to 3600000; 3600000 is used"},
     {SERVICES("{'name':'a','retry':{'attempts':11}}"),
@@ -164,18 +171,20 @@
     {ROUTES(ROUTE("/p\xc3\xa9", "'GET'")), "routes[0].prefix", "character 3"},
 };
 
-/* One warning each, and the bundle is run: its sections pass on the wire. */
+/* The bundle is valid with one warning, and its sections can be committed, so
+ * they pass the checks for received sections. */
 START_TEST(test_doubt)
 {
 	const struct bundle_problem *warning;
-	struct bundle *b = fix_bundle(doubts[_i].json);
+	struct bundle *b = fix_bundle(warning_cases[_i].json);
 	struct catalog *c = catalog_new(0);
 
 	ck_assert_uint_eq(b->n_problems, 0);
 	ck_assert_uint_eq(b->n_warnings, 1);
 	warning = g_ptr_array_index(b->warnings, 0);
-	ck_assert_str_eq(warning->path, doubts[_i].path);
-	ck_assert_msg(strstr(warning->message, doubts[_i].word) != NULL, "%s",
+	ck_assert_str_eq(warning->path, warning_cases[_i].path);
+	ck_assert_msg(
+	    strstr(warning->message, warning_cases[_i].message) != NULL, "%s",
 	    warning->message);
 	ck_assert(warning->remedy[0] != '\0');
 	ck_assert_int_eq(fix_commit(c, 1, b), STATUS_OK);
@@ -184,10 +193,10 @@
 }
 END_TEST
 
-/* What a doubt is run as, told by the root of what it is equal to. */
+/* Bundles that give the same root: as written, and in normalized form. */
 static const struct {
-	const char *said, *run;
-} run_as[] = {
+	const char *written, *normalized;
+} equivalent_cases[] = {
     {SERVICES("{'name':'a','timeout_ms':9999999,'retry':{'attempts':99}}"),
 	SERVICES("{'name':'a','timeout_ms':3600000,'retry':{'attempts':10}}")},
     {ROUTES("{'prefix':'/p','host':'X.Example:80','methods':['GET'],"
@@ -203,18 +212,18 @@
 
 START_TEST(test_run_as)
 {
-	struct bundle *said = fix_bundle(run_as[_i].said);
-	struct bundle *run = fix_bundle(run_as[_i].run);
+	struct bundle *written = fix_bundle(equivalent_cases[_i].written);
+	struct bundle *normalized = fix_bundle(equivalent_cases[_i].normalized);
 
-	ck_assert(hash_digest_equal(&said->root, &run->root));
-	ck_assert_uint_eq(run->n_warnings, 0);
-	bundle_free(said);
-	bundle_free(run);
+	ck_assert(hash_digest_equal(&written->root, &normalized->root));
+	ck_assert_uint_eq(normalized->n_warnings, 0);
+	bundle_free(written);
+	bundle_free(normalized);
 }
 END_TEST
 
-/* A bundle with problems tells its warnings too. */
-START_TEST(test_doubts_beside_problems)
+/* Warnings are also reported for a bundle with problems. */
+START_TEST(test_warnings_with_problems)
 {
 	struct bundle *b;
 	char *json = fix_json(SERVICES("{'name':'B'},{'name':'c','x':1}"));
@@ -227,7 +236,7 @@
 }
 END_TEST
 
-/* As many services as are called may share a route, and not one more. */
+/* SNAPSHOT_SHARES_MAX services may share a route, one more is rejected. */
 START_TEST(test_shares)
 {
 	GString *text;
@@ -259,7 +268,7 @@
 END_TEST
 
 static uint32_t
-methods_of(const json_t *list)
+parse_methods(const json_t *list)
 {
 	const char *name;
 	enum http_method m;
@@ -280,42 +289,42 @@
 	return methods;
 }
 
-/* A route of a text; false where a part has no type that a route can have. */
+/* Convert a JSON route; false if struct bundle_route can't represent it. */
 static bool
-route_of(json_t *o, struct bundle_route *route)
+parse_route(json_t *o, struct bundle_route *route)
 {
 	static const char *const keys[] = {
 	    "weight", "timeout_ms", "target_ms", "priority", "attempts"};
 	json_t *v;
-	size_t i, known = 4;
+	size_t i, n_known = 4;
 
 	memset(route, 0, sizeof(*route));
 	route->prefix = json_string_value(json_object_get(o, "prefix"));
 	route->host = json_string_value(json_object_get(o, "host"));
 	route->service = json_string_value(json_object_get(o, "service"));
-	route->methods = methods_of(json_object_get(o, "methods"));
+	route->methods = parse_methods(json_object_get(o, "methods"));
 	route->below = json_is_true(json_object_get(o, "below"));
 	v = json_object_get(o, "idempotent");
 	route->idempotent =
 	    v != NULL ? json_is_true(v) : (route->methods & ~METHOD_SAFE) == 0;
-	known -= route->prefix == NULL ? 1 : 0;
-	known += json_is_boolean(v) ? 1 : 0;
-	known += json_is_boolean(json_object_get(o, "below")) ? 1 : 0;
-	known -= route->host == NULL ? 1 : 0;
+	n_known -= route->prefix == NULL ? 1 : 0;
+	n_known += json_is_boolean(v) ? 1 : 0;
+	n_known += json_is_boolean(json_object_get(o, "below")) ? 1 : 0;
+	n_known -= route->host == NULL ? 1 : 0;
 	for (i = 0; i < G_N_ELEMENTS(keys); i++) {
 		v = json_object_get(o, keys[i]);
-		known += json_is_integer(v) ? 1 : 0;
+		n_known += json_is_integer(v) ? 1 : 0;
 		route->numbers[i] =
-		    v != NULL ? json_integer_value(v) : BUNDLE_LEFT_OUT;
+		    v != NULL ? json_integer_value(v) : BUNDLE_NUMBER_OMITTED;
 	}
-	return json_object_size(o) == known && route->prefix != NULL &&
+	return json_object_size(o) == n_known && route->prefix != NULL &&
 	    route->service != NULL && route->methods != 0;
 }
 
-/* The bundle of a text, put together item by item; NULL where the text says
- * more than its name, services and routes. */
+/* Build a bundle from JSON by incremental construction; NULL if the text has
+ * more than a name, services and routes, or one of a wrong type. */
 static struct bundle *
-built(const char *json, enum status *st)
+build_incrementally(const char *json, enum status *st)
 {
 	json_t *root = json_loads(json, JSON_REJECT_DUPLICATES, NULL), *item;
 	json_t *services = json_object_get(root, "services");
@@ -335,7 +344,7 @@
 		    bundle_build_service(build, item);
 		json_array_foreach(routes, i, item)
 		{
-			good_types = good_types && route_of(item, &route);
+			good_types = good_types && parse_route(item, &route);
 			if (good_types)
 				bundle_build_route(build, &route);
 		}
@@ -348,7 +357,7 @@
 }
 
 static void
-check_alike(const GPtrArray *x, const GPtrArray *y)
+check_same_problems(const GPtrArray *x, const GPtrArray *y)
 {
 	const struct bundle_problem *p, *q;
 	guint i;
@@ -363,21 +372,21 @@
 	}
 }
 
-/* Return: whether the text could be put together. */
+/* Return: whether the bundle could be built incrementally. */
 static bool
-check_built(const char *text)
+check_incremental_build(const char *text)
 {
-	enum status parsed_st, built_st;
+	enum status parsed_st, build_st;
 	char *json = fix_json(text);
-	struct bundle *x = built(json, &built_st), *y;
+	struct bundle *x = build_incrementally(json, &build_st), *y;
 
 	if (x != NULL) {
 		parsed_st = bundle_parse(json, strlen(json), &y);
-		ck_assert_int_eq(built_st, parsed_st);
+		ck_assert_int_eq(build_st, parsed_st);
 		ck_assert_uint_eq(x->n_problems, y->n_problems);
 		ck_assert_uint_eq(x->n_warnings, y->n_warnings);
-		check_alike(x->problems, y->problems);
-		check_alike(x->warnings, y->warnings);
+		check_same_problems(x->problems, y->problems);
+		check_same_problems(x->warnings, y->warnings);
 		ck_assert_uint_eq(x->sections->len, y->sections->len);
 		ck_assert(hash_digest_equal(&x->root, &y->root));
 		ck_assert_str_eq(x->name, y->name);
@@ -388,24 +397,26 @@
 	return x != NULL;
 }
 
-/* What is put together item by item is what is parsed, faults and all. */
-START_TEST(test_built)
+/* Incremental construction and parsing give the same bundle, problems and
+ * warnings. */
+START_TEST(test_incremental_build)
 {
-	size_t i, n_faults = 0;
-
-	ck_assert(check_built(fix_good));
-	for (i = 0; i < G_N_ELEMENTS(doubts); i++)
-		ck_assert(check_built(doubts[i].json));
-	for (i = 0; i < G_N_ELEMENTS(run_as); i++)
-		ck_assert(check_built(run_as[i].said));
-	for (i = 0; i < G_N_ELEMENTS(faults); i++)
-		n_faults += check_built(faults[i].json) ? 1 : 0;
-	ck_assert_uint_gt(n_faults, G_N_ELEMENTS(faults) / 2);
+	size_t i, n_compared = 0;
+
+	ck_assert(check_incremental_build(fix_valid_bundle));
+	for (i = 0; i < G_N_ELEMENTS(warning_cases); i++)
+		ck_assert(check_incremental_build(warning_cases[i].json));
+	for (i = 0; i < G_N_ELEMENTS(equivalent_cases); i++)
+		ck_assert(check_incremental_build(equivalent_cases[i].written));
+	for (i = 0; i < G_N_ELEMENTS(problem_cases); i++)
+		n_compared +=
+		    check_incremental_build(problem_cases[i].json) ? 1 : 0;
+	ck_assert_uint_gt(n_compared, G_N_ELEMENTS(problem_cases) / 2);
 }
 END_TEST
 
-/* Services are counted, and the first too many is not read. */
-START_TEST(test_built_too_many)
+/* All services are counted; those above the limit are not read. */
+START_TEST(test_incremental_build_too_many)
 {
 	struct bundle_build *build = bundle_build_new("x");
 	struct bundle *b;
@@ -435,7 +446,8 @@
 	    "'routes':[{'prefix':'q','methods':['GOT'],'service':'c'}]}");
 
 	ck_assert_int_eq(bundle_parse(json, strlen(json), &b), STATUS_INVALID);
-	/* doubled key, format, extra, timeout, name, prefix, method, service */
+	/* duplicate key, format, extra, timeout, name, prefix, method,
+	 * service */
 	ck_assert_uint_eq(b->n_problems, 8);
 	ck_assert(strstr(status_message(), "8 problems") != NULL);
 	ck_assert(strstr(status_message(), "And 4 more") != NULL);
@@ -444,9 +456,9 @@
 }
 END_TEST
 
-/* Text of a bundle with many services, routes, or values of one kind. */
+/* Format a bundle with @n items of one kind. */
 static char *
-many(const char *head, const char *fmt, uint32_t n, const char *tail)
+repeat_items(const char *head, const char *fmt, uint32_t n, const char *tail)
 {
 	GString *out = g_string_new(head);
 	uint32_t i;
@@ -461,53 +473,54 @@
 
 #define HEAD "{'format':1,'name':'x','services':["
 
-/* A route whose section has 200 bytes of it, so that the whole is too large
- * before the text of the bundle is. */
+/* A route that takes 200 bytes of its section, so the sections exceed their
+ * limit before the text of the bundle does. */
 #define LONG_PART "/abcdefghijklmnopqrstuvwxyz0123456789"
 #define LONG_ROUTE                                                \
 	"{'prefix':'/r%u" LONG_PART LONG_PART LONG_PART LONG_PART \
 	"','methods':['GET'],'service':'a'}"
 
-/* Each limit: the most that fits, and one more. */
+/* Limits: the largest valid number of items; one more is rejected. */
 static const struct {
 	const char *head, *fmt, *tail;
 	uint32_t most;
-	const char *word;
-} limits[] = {
+	const char *message;
+} limit_cases[] = {
     {HEAD, "{'name':'s%u'}", "],'routes':[]}", CONFIG_MAX_SERVICES,
-	"4096 are taken"},
+	"limit is 4096;"},
 };
 
-START_TEST(test_limit)
+START_TEST(test_services_limit)
 {
 	struct bundle *b;
 	uint32_t more;
 	char *json;
 
 	for (more = 0; more <= 1; more++) {
-		json = many(limits[_i].head, limits[_i].fmt,
-		    limits[_i].most + more, limits[_i].tail);
+		json = repeat_items(limit_cases[_i].head, limit_cases[_i].fmt,
+		    limit_cases[_i].most + more, limit_cases[_i].tail);
 		ck_assert_int_eq(bundle_parse(json, strlen(json), &b),
 		    more == 0 ? STATUS_OK : STATUS_INVALID);
 		if (more > 0)
-			ck_assert(
-			    strstr(status_message(), limits[_i].word) != NULL);
+			ck_assert(strstr(status_message(),
+				      limit_cases[_i].message) != NULL);
 		bundle_free(b);
 		g_free(json);
 	}
 }
 END_TEST
 
-/* The routes of a service are bounded by the whole only. */
+/* The routes of a service are bounded only by the size of the configuration. */
 START_TEST(test_routes_too_large)
 {
 	uint32_t n = (uint32_t)(CONFIG_MAX_BYTES / strlen(LONG_PART) / 4);
 	struct bundle *b;
 	char *json;
 
-	json = many(HEAD "{'name':'a'}],'routes':[", LONG_ROUTE, n, "]}");
+	json =
+	    repeat_items(HEAD "{'name':'a'}],'routes':[", LONG_ROUTE, n, "]}");
 	ck_assert_int_eq(bundle_parse(json, strlen(json), &b), STATUS_INVALID);
-	ck_assert(strstr(status_message(), "33554432 are taken") != NULL);
+	ck_assert(strstr(status_message(), "limit is 33554432;") != NULL);
 	bundle_free(b);
 	g_free(json);
 }
@@ -525,7 +538,7 @@
 	memset(json, '[', BUNDLE_MAX_BYTES);
 	ck_assert_int_eq(
 	    bundle_parse(json, BUNDLE_MAX_BYTES, &b), STATUS_INVALID);
-	ck_assert(strstr(status_message(), "nests") != NULL);
+	ck_assert(strstr(status_message(), "levels deep") != NULL);
 	bundle_free(b);
 	memset(json, ',', BUNDLE_MAX_BYTES);
 	ck_assert_int_eq(
@@ -535,9 +548,9 @@
 }
 END_TEST
 
-START_TEST(test_meaning)
+START_TEST(test_parsed_values)
 {
-	struct bundle *b = fix_bundle(fix_good), *c;
+	struct bundle *b = fix_bundle(fix_valid_bundle), *c;
 	const struct service_config *booking, *search;
 
 	ck_assert_uint_eq(b->sections->len, 2);
@@ -551,7 +564,7 @@
 	ck_assert_uint_eq(search->timeout_ms, 1500);
 	ck_assert_uint_eq(search->limits.request_max_bytes, 1048576);
 	ck_assert(search->routes[0].idempotent);
-	/* Another order and spelled-out defaults give the same root. */
+	/* Another order and explicit defaults give the same root. */
 	c = fix_bundle(
 	    "{'routes':["
 	    "{'prefix':'/bookings','methods':['GET'],"
@@ -575,18 +588,22 @@
 	Suite *suite = suite_create("bundle");
 	TCase *tc = tcase_create("bundle");
 
-	tcase_add_loop_test(tc, test_fault, 0, (int)G_N_ELEMENTS(faults));
-	tcase_add_loop_test(tc, test_doubt, 0, (int)G_N_ELEMENTS(doubts));
-	tcase_add_loop_test(tc, test_run_as, 0, (int)G_N_ELEMENTS(run_as));
-	tcase_add_test(tc, test_doubts_beside_problems);
+	tcase_add_loop_test(
+	    tc, test_fault, 0, (int)G_N_ELEMENTS(problem_cases));
+	tcase_add_loop_test(
+	    tc, test_doubt, 0, (int)G_N_ELEMENTS(warning_cases));
+	tcase_add_loop_test(
+	    tc, test_run_as, 0, (int)G_N_ELEMENTS(equivalent_cases));
+	tcase_add_test(tc, test_warnings_with_problems);
 	tcase_add_test(tc, test_shares);
-	tcase_add_test(tc, test_built);
-	tcase_add_test(tc, test_built_too_many);
+	tcase_add_test(tc, test_incremental_build);
+	tcase_add_test(tc, test_incremental_build_too_many);
 	tcase_add_test(tc, test_all_at_once);
-	tcase_add_loop_test(tc, test_limit, 0, (int)G_N_ELEMENTS(limits));
+	tcase_add_loop_test(
+	    tc, test_services_limit, 0, (int)G_N_ELEMENTS(limit_cases));
 	tcase_add_test(tc, test_routes_too_large);
 	tcase_add_test(tc, test_too_large);
-	tcase_add_test(tc, test_meaning);
+	tcase_add_test(tc, test_parsed_values);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return fix_run(suite);
--- a/packages/config/test/test_catalog.c
+++ b/packages/config/test/test_catalog.c
@@ -1,6 +1,7 @@
 /*
- * Catalog and stage: a version gets in whole or not at all, never backwards;
- * merged changes lead where single ones do; memory is bounded.
+ * Catalog and stage: a version is committed as a whole or not at all, and
+ * versions only increase; merged changes give the same result as single ones;
+ * memory is bounded.
  */
 #include "fixture.h"
 
@@ -8,14 +9,14 @@
 #define RANDOM_VERSIONS 150
 #define RANDOM_SERVICES 12
 
-/* A version of a random configuration. */
+/* A version of a random configuration and its list. */
 struct version {
 	struct bundle *bundle;
 	GArray *list;
 	struct digest root;
 };
 
-/* Each service is there or not, with one of a few timeouts. */
+/* Change a few services at random: absent, or with one of two timeouts. */
 static struct bundle *
 random_bundle(GRand *rand, int *timeouts)
 {
@@ -51,7 +52,7 @@
 	v[0].list = g_array_new(FALSE, TRUE, sizeof(struct rec_section_ref));
 	for (i = 1; i <= RANDOM_VERSIONS; i++) {
 		v[i].bundle = random_bundle(rand, timeouts);
-		bundle_to_sections(v[i].bundle, &v[i].list, &v[i].root);
+		bundle_section_list(v[i].bundle, &v[i].list, &v[i].root);
 	}
 	return v;
 }
@@ -76,7 +77,7 @@
 	    a->data, b->data, a->len * sizeof(struct rec_section_ref));
 }
 
-/* Every content of a list is there and has its digest. */
+/* Check that every content of a list is stored and has its digest. */
 static void
 check_contents(const struct catalog *c, const GArray *list)
 {
@@ -96,8 +97,9 @@
 }
 
 /*
- * Pull from @from into @to, which is at some older version, as nodes do:
- * the changes if they are kept and not @full, else the full list.
+ * Update @to, which has an older version, from @from as nodes do: by a delta if
+ * the changes are kept and @full is not set, else by the full list.  Return:
+ * whether a delta was used.
  */
 static bool
 pull(const struct catalog *from, struct catalog *to, uint64_t want, bool full)
@@ -155,11 +157,10 @@
 }
 
 /*
- * A chain of nodes, each pulling now and then from one before and so merging
- * versions, holds the same as the versions that were signed off,
- * and keeps each older one that it has in its ring.
+ * Nodes in a chain, each of which updates at random times from a node before it
+ * and so merges versions, have the same contents as the committed versions.
  */
-START_TEST(test_chain)
+START_TEST(test_relayed_versions)
 {
 	struct catalog *c[3] = {catalog_new(0), catalog_new(0), catalog_new(0)};
 	GRand *rand = g_rand_new_with_seed(SEED + (guint32)_i);
@@ -189,13 +190,13 @@
 }
 END_TEST
 
-/* From each version that is kept to each later one, and each list. */
+/* Deltas between kept versions, and the lists of kept versions. */
 START_TEST(test_ring)
 {
 	struct catalog *c = catalog_new(0), *d;
 	GRand *rand = g_rand_new_with_seed(SEED);
 	struct version *v = random_versions(rand);
-	const uint64_t oldest = RANDOM_VERSIONS - CATALOG_RING;
+	const uint64_t oldest = RANDOM_VERSIONS - CATALOG_RING_ENTRIES;
 	struct catalog_delta delta;
 	uint64_t from, to;
 	GArray *list;
@@ -252,14 +253,14 @@
 	BAD_COUNT,
 };
 
-/* A crossing route: 'c' claims what 'a' has. */
-static const char crossing[] =
+/* An overlapping route: 'c' claims requests of 'a'. */
+static const char overlapping[] =
     "{'format':1,'name':'x','services':[{'name':'c'}],'routes':["
     "{'prefix':'/a','methods':['GET'],'service':'c'}]}";
 
 static void
-spoil(enum bad bad, struct catalog_delta *delta, const struct bundle *other,
-    const struct digest *held)
+corrupt_delta(enum bad bad, struct catalog_delta *delta,
+    const struct bundle *other, const struct digest *held)
 {
 	struct rec_section_change *change, more;
 
@@ -291,7 +292,7 @@
 		g_strlcpy(more.section, "c", sizeof(more.section));
 		break;
 	case BAD_HELD:
-		/* the section of 'd', which is held already, as 'c' */
+		/* the section of 'd', which the catalog has, as 'c' */
 		g_strlcpy(more.section, "c", sizeof(more.section));
 		more.digest = *held;
 		break;
@@ -305,9 +306,10 @@
 	g_array_append_val(delta->changes, more);
 }
 
-/* The root that the spoilt changes lead to, so that later checks count. */
+/* Set the root to that of the corrupted changes, so that only later checks can
+ * fail. */
 static void
-fit_root(const struct catalog *c, struct catalog_delta *delta)
+recompute_root(const struct catalog *c, struct catalog_delta *delta)
 {
 	GArray *held, *list;
 
@@ -324,7 +326,7 @@
 {
 	struct bundle *before = fix_bundle(TWO("5", "'GET'"));
 	struct bundle *after = fix_bundle(TWO("6", "'GET'"));
-	struct bundle *other = fix_bundle(crossing);
+	struct bundle *other = fix_bundle(overlapping);
 	struct catalog_delta delta = {5, 7, {{0}}, NULL, false};
 	struct catalog_stage *stage = NULL;
 	struct catalog *c = catalog_new(0);
@@ -332,15 +334,15 @@
 	enum status st;
 
 	ck_assert_int_eq(fix_commit(c, 5, before), STATUS_OK);
-	bundle_to_sections(before, &from, &delta.root);
-	bundle_to_sections(after, &to, &delta.root);
+	bundle_section_list(before, &from, &delta.root);
+	bundle_section_list(after, &to, &delta.root);
 	delta.changes = section_changes(from, to);
 	ck_assert_uint_eq(delta.changes->len, 1);
 	if (_i < BAD_COUNT)
-		spoil(
+		corrupt_delta(
 		    (enum bad)_i, &delta, other, &catalog_find(c, "d")->digest);
 	if (_i >= BAD_ORDER && _i < BAD_COUNT)
-		fit_root(c, &delta);
+		recompute_root(c, &delta);
 	st = catalog_stage_begin(c, &delta, &stage);
 	if (st == STATUS_OK) {
 		st = fix_add_all(stage, after);
@@ -370,8 +372,9 @@
 }
 END_TEST
 
-/* A check changes nothing; what it built isn't used over another version. */
-START_TEST(test_checked_then_overtaken)
+/* A check does not change the catalog, and the version built by it is not
+ * installed after another commit. */
+START_TEST(test_commit_between_check_and_commit)
 {
 	struct bundle *b[3] = {fix_bundle(TWO("5", "'GET'")),
 	    fix_bundle(TWO("6", "'GET'")), fix_bundle(TWO("7", "'GET'"))};
@@ -383,7 +386,7 @@
 
 	ck_assert_int_eq(fix_commit(c, 1, b[0]), STATUS_OK);
 	for (i = 0; i < 2; i++) {
-		bundle_to_sections(b[i + 1], &list, &root);
+		bundle_section_list(b[i + 1], &list, &root);
 		ck_assert_int_eq(
 		    catalog_stage_begin_full(c, i + 2, &root, list, &stages[i]),
 		    STATUS_OK);
@@ -410,7 +413,8 @@
 }
 END_TEST
 
-/* A stage begun before another commit still ends right, or not at all. */
+/* A stage begun before another commit is either committed correctly or
+ * rejected. */
 START_TEST(test_overtaken)
 {
 	struct bundle *b[3] = {fix_bundle(TWO("5", "'GET'")),
@@ -422,8 +426,8 @@
 	int i;
 
 	ck_assert_int_eq(fix_commit(c, 1, b[0]), STATUS_OK);
-	bundle_to_sections(b[0], &from, &delta.root);
-	bundle_to_sections(b[2], &to, &delta.root);
+	bundle_section_list(b[0], &from, &delta.root);
+	bundle_section_list(b[2], &to, &delta.root);
 	delta.changes = section_changes(from, to);
 	ck_assert_int_eq(catalog_stage_begin(c, &delta, &stage), STATUS_OK);
 	ck_assert_int_eq(fix_add_all(stage, b[2]), STATUS_OK);
@@ -442,7 +446,8 @@
 }
 END_TEST
 
-/* Old commits go when memory is short; a version that can't fit is refused. */
+/* Old commits are dropped at the memory limit; a version above it is
+ * rejected. */
 START_TEST(test_memory)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
@@ -456,7 +461,8 @@
 		ck_assert_uint_le(catalog_bytes(c), limit);
 		check_holds(c, i, &v[i]);
 	}
-	ck_assert_uint_gt(catalog_oldest(c), RANDOM_VERSIONS - CATALOG_RING);
+	ck_assert_uint_gt(
+	    catalog_oldest(c), RANDOM_VERSIONS - CATALOG_RING_ENTRIES);
 	ck_assert_uint_lt(catalog_oldest(c), RANDOM_VERSIONS);
 	ck_assert_int_eq(
 	    fix_commit(tiny, 1, v[RANDOM_VERSIONS].bundle), STATUS_TOO_LARGE);
@@ -474,10 +480,10 @@
 	Suite *suite = suite_create("catalog");
 	TCase *tc = tcase_create("catalog");
 
-	tcase_add_loop_test(tc, test_chain, 0, 20);
+	tcase_add_loop_test(tc, test_relayed_versions, 0, 20);
 	tcase_add_test(tc, test_ring);
 	tcase_add_loop_test(tc, test_bad, 0, BAD_COUNT + 1);
-	tcase_add_test(tc, test_checked_then_overtaken);
+	tcase_add_test(tc, test_commit_between_check_and_commit);
 	tcase_add_test(tc, test_overtaken);
 	tcase_add_test(tc, test_memory);
 	tcase_set_timeout(tc, 60);
