--- a/packages/node/src/control_rollout.c
+++ b/packages/node/src/control_rollout.c
@@ -230,7 +230,7 @@
 {
 	switch (a->kind) {
 	case ROLLOUT_ACT_PHASE:
-		rollout_news_push(c->rollout->news, control_now(c));
+		rollout_news_announce(c->rollout->news, control_now(c));
 		changed(c, &a->rollout);
 		return;
 	case ROLLOUT_ACT_WRITE:
@@ -265,7 +265,8 @@
 	struct rollout_action a;
 
 	control_rollout_read(c);
-	rollout_watch_writes(cr->watch, spread_is_reader(c->spread) != 0);
+	rollout_watch_set_fallback_writer(
+	    cr->watch, spread_is_reader(c->spread) != 0);
 	if (now_ms >= rollout_watch_next_ms(cr->watch)) {
 		poll_counts(c);
 		rollout_watch_tick(cr->watch, now_ms);
@@ -293,12 +294,12 @@
 	struct control_rollout *cr = c->rollout;
 	struct rollout r;
 
-	if (rollout_watch_owns(type)) {
+	if (rollout_watch_handles(type)) {
 		rollout_watch_receive(
 		    cr->watch, control_now(c), type, body, len);
 		return true;
 	}
-	if (!rollout_news_owns(type))
+	if (!rollout_news_handles(type))
 		return false;
 	rollout_news_receive(cr->news, control_now(c), from, type, body, len);
 	while (rollout_news_pop(cr->news, &r))
--- a/packages/node/src/guard_counts.c
+++ b/packages/node/src/guard_counts.c
@@ -35,7 +35,7 @@
 	}
 	g_mutex_lock(&g->counts_lock);
 	if (u->counted != 0)
-		rollout_counts_note(&u->counts, r->route, failed, took_us);
+		rollout_counts_record(&u->counts, r->route, failed, took_us);
 	g_mutex_unlock(&g->counts_lock);
 }
 
--- a/packages/rollout/include/rollout/counts.h
+++ b/packages/rollout/include/rollout/counts.h
@@ -39,13 +39,13 @@
 };
 
 /**
- * rollout_counts_note() - an answer came
+ * rollout_counts_record() - an answer came
  * @c: the counts
  * @route: number of its route
  * @failed: it is a failure
  * @took_us: time that the upstream took
  */
-void rollout_counts_note(
+void rollout_counts_record(
     struct rollout_counts *c, uint64_t route, bool failed, uint64_t took_us);
 
 /** rollout_counts_add() - add @other to @sum */
--- a/packages/rollout/include/rollout/news.h
+++ b/packages/rollout/include/rollout/news.h
@@ -44,8 +44,9 @@
 bool rollout_news_add(
     struct rollout_news *n, const struct rollout *r, uint64_t now_ms);
 
-/** rollout_news_push() - pass on what has changed in the orders themselves */
-void rollout_news_push(struct rollout_news *n, uint64_t now_ms);
+/** rollout_news_announce() - pass on what has changed in the orders themselves
+ */
+void rollout_news_announce(struct rollout_news *n, uint64_t now_ms);
 
 /** rollout_news_receive() - a datagram of a peer; a wrong one is ignored */
 void rollout_news_receive(struct rollout_news *n, uint64_t now_ms,
@@ -55,8 +56,8 @@
  * false when there is none */
 bool rollout_news_pop(struct rollout_news *n, struct rollout *out);
 
-/** rollout_news_owns() - whether a message is for rollout_news_receive() */
-bool rollout_news_owns(uint8_t type);
+/** rollout_news_handles() - whether a message is for rollout_news_receive() */
+bool rollout_news_handles(uint8_t type);
 
 /**
  * rollout_news_tick() - send what is due
--- a/packages/rollout/include/rollout/watch.h
+++ b/packages/rollout/include/rollout/watch.h
@@ -73,11 +73,13 @@
 void rollout_watch_counts(struct rollout_watch *w, const char *service,
     const char *version, uint64_t order, const struct rollout_counts *counts);
 
-/** rollout_watch_writes() - whether this node writes what judges don't */
-void rollout_watch_writes(struct rollout_watch *w, bool writes);
+/** rollout_watch_set_fallback_writer() - whether this node writes what judges
+ * don't */
+void rollout_watch_set_fallback_writer(struct rollout_watch *w, bool writes);
 
-/** rollout_watch_owns() - whether a message is for rollout_watch_receive() */
-bool rollout_watch_owns(uint8_t type);
+/** rollout_watch_handles() - whether a message is for rollout_watch_receive()
+ */
+bool rollout_watch_handles(uint8_t type);
 
 /** rollout_watch_receive() - a datagram of a peer; a wrong one is ignored */
 void rollout_watch_receive(struct rollout_watch *w, uint64_t now_ms,
--- a/packages/rollout/src/counts.c
+++ b/packages/rollout/src/counts.c
@@ -79,7 +79,7 @@
 }
 
 void
-rollout_counts_note(
+rollout_counts_record(
     struct rollout_counts *c, uint64_t route, bool failed, uint64_t took_us)
 {
 	struct rollout_route *r = place_of(c, route);
--- a/packages/rollout/src/news.c
+++ b/packages/rollout/src/news.c
@@ -60,13 +60,13 @@
 }
 
 bool
-rollout_news_owns(uint8_t type)
+rollout_news_handles(uint8_t type)
 {
 	return type == MSG_ROLLOUT_NEWS || type == MSG_ROLLOUT_DIGEST;
 }
 
 void
-rollout_news_push(struct rollout_news *n, uint64_t now_ms)
+rollout_news_announce(struct rollout_news *n, uint64_t now_ms)
 {
 	n->rounds_left = ROLLOUT_NEWS_ROUNDS;
 	n->round_ms = now_ms;
@@ -78,7 +78,7 @@
 {
 	if (rollout_orders_take(n->orders, r) == NULL)
 		return false;
-	rollout_news_push(n, now_ms);
+	rollout_news_announce(n, now_ms);
 	return true;
 }
 
--- a/packages/rollout/src/watch.c
+++ b/packages/rollout/src/watch.c
@@ -164,13 +164,13 @@
 }
 
 void
-rollout_watch_writes(struct rollout_watch *w, bool writes)
+rollout_watch_set_fallback_writer(struct rollout_watch *w, bool writes)
 {
 	w->writes = writes;
 }
 
 bool
-rollout_watch_owns(uint8_t type)
+rollout_watch_handles(uint8_t type)
 {
 	return type == MSG_ROLLOUT_REPORT;
 }
--- a/packages/rollout/test/test_judge.c
+++ b/packages/rollout/test/test_judge.c
@@ -20,7 +20,7 @@
 	uint32_t i;
 
 	for (i = 0; i < n; i++)
-		rollout_counts_note(
+		rollout_counts_record(
 		    c, route, every != 0 && i % every == 0, took_us);
 }
 
@@ -124,8 +124,8 @@
 	uint32_t i, n = 0;
 
 	for (i = 0; i < 500; i++) {
-		rollout_counts_note(&c, 1000 + i, false, QUICK_US);
-		rollout_counts_note(&c, 7, i % 2 == 0, QUICK_US);
+		rollout_counts_record(&c, 1000 + i, false, QUICK_US);
+		rollout_counts_record(&c, 7, i % 2 == 0, QUICK_US);
 	}
 	ck_assert_uint_eq(rollout_counts_answered(&c), 1000);
 	ck_assert_uint_eq(rollout_counts_failed(&c), 250);
--- a/test/rollout/fleet.c
+++ b/test/rollout/fleet.c
@@ -343,8 +343,8 @@
 		n = &f->nodes[w->node];
 		n->running--;
 		if (n->counted != 0)
-			rollout_counts_note(&n->counts, w->route + 1, w->failed,
-			    (w->end_ms - w->began_ms) * 1000);
+			rollout_counts_record(&n->counts, w->route + 1,
+			    w->failed, (w->end_ms - w->began_ms) * 1000);
 		if (w->bad && ++f->res->bad == 50)
 			f->bad_50_ms = f->now_ms;
 		(void)g_array_remove_index_fast(f->works, i);
@@ -390,7 +390,7 @@
 			struct net_addr from = address_of(m->from);
 
 			to->datagrams++;
-			if (rollout_watch_owns((uint8_t)m->item->type))
+			if (rollout_watch_handles((uint8_t)m->item->type))
 				rollout_watch_receive(to->watch, f->now_ms,
 				    (uint8_t)m->item->type, m->item->body->data,
 				    m->item->body->len);
@@ -520,14 +520,14 @@
 		return;
 	while (rollout_news_pop(n->news, &told))
 		;
-	rollout_watch_writes(n->watch, n->reader);
+	rollout_watch_set_fallback_writer(n->watch, n->reader);
 	if (f->now_ms >= rollout_watch_next_ms(n->watch)) {
 		tell_endpoints(f, n);
 		tell_counts(f, n);
 		rollout_watch_tick(n->watch, f->now_ms);
 	}
 	while (rollout_watch_pop(n->watch, &a)) {
-		rollout_news_push(n->news, f->now_ms);
+		rollout_news_announce(n->news, f->now_ms);
 		if (a.kind != ROLLOUT_ACT_WRITE)
 			continue;
 		ok = write_row(f, n, &a.rollout);
