--- a/packages/rollout/include/rollout/judge.h
+++ b/packages/rollout/include/rollout/judge.h
@@ -24,47 +24,47 @@
  * @defect: what is worse, ROLLOUT_SOUND for nothing
  * @route: number of the route
  * @bad: bad answers of the new version
- * @of: answers of the new version
+ * @total: answers of the new version
  * @old_bad: bad answers of the old version, by the same measure
- * @old_of: answers of the old version
+ * @old_total: answers of the old version
  */
 struct rollout_finding {
 	enum rollout_defect defect;
 	uint64_t route;
 	uint32_t bad;
-	uint32_t of;
+	uint32_t total;
 	uint32_t old_bad;
-	uint32_t old_of;
+	uint32_t old_total;
 };
 
 /**
  * rollout_judge() - compare answers of two versions
- * @fresh: answers of the new version
+ * @candidate: answers of the new version
  * @old: answers of the old one in the same time
- * @chance: how likely the finding may be where both are alike
+ * @alpha: how likely the finding may be where both are alike
  * @finding: the first route that is worse
  *
  * Return: what is worse.
  */
-enum rollout_defect rollout_judge(const struct rollout_counts *fresh,
-    const struct rollout_counts *old, double chance,
+enum rollout_defect rollout_judge(const struct rollout_counts *candidate,
+    const struct rollout_counts *old, double alpha,
     struct rollout_finding *finding);
 
 /**
- * rollout_clears() - whether so many answers of the new version came and so few
- * of them failed or were slow that it is hardly a bad one
+ * rollout_judge_passes() - whether so many answers of the new version came and
+ * so few of them failed or were slow that it is hardly a bad one
  */
-bool rollout_clears(
-    const struct rollout_counts *fresh, const struct rollout_counts *old);
+bool rollout_judge_passes(
+    const struct rollout_counts *candidate, const struct rollout_counts *old);
 
 /**
- * rollout_clears_routes() - whether that holds for each route with many answers
- * by itself
- * @fresh: answers of the new version
+ * rollout_judge_routes_pass() - whether that holds for each route with many
+ * answers by itself
+ * @candidate: answers of the new version
  * @old: answers of the old one
  * @strictly: each of the main routes must have many
  */
-bool rollout_clears_routes(const struct rollout_counts *fresh,
+bool rollout_judge_routes_pass(const struct rollout_counts *candidate,
     const struct rollout_counts *old, bool strictly);
 
 #endif
--- a/packages/rollout/include/rollout/news.h
+++ b/packages/rollout/include/rollout/news.h
@@ -17,12 +17,12 @@
 /* A change is passed on so often to so many hosts, with this pause. */
 #define ROLLOUT_NEWS_ROUNDS 4
 #define ROLLOUT_NEWS_FANOUT 3
-#define ROLLOUT_NEWS_ROUND_MS 40
+#define ROLLOUT_NEWS_ROUND_INTERVAL_MS 40
 
 /* Time between two comparisons, and how long a new node asks for orders. */
-#define ROLLOUT_NEWS_COMPARE_MS 1000
-#define ROLLOUT_NEWS_ASK_MS 100
-#define ROLLOUT_NEWS_JOIN_MS 8000
+#define ROLLOUT_NEWS_COMPARE_INTERVAL_MS 1000
+#define ROLLOUT_NEWS_JOIN_INTERVAL_MS 100
+#define ROLLOUT_NEWS_JOIN_TIMEOUT_MS 8000
 
 struct rollout_news;
 
--- a/packages/rollout/include/rollout/orders.h
+++ b/packages/rollout/include/rollout/orders.h
@@ -63,11 +63,11 @@
 const char *rollout_candidate(const struct rollout *r);
 
 /**
- * rollout_version_order() - compare versions: numbers in them as numbers
+ * rollout_version_compare() - compare versions: numbers in them as numbers
  *
  * Return: less than, equal to or greater than 0 as strcmp() does.
  */
-int rollout_version_order(const char *a, const char *b);
+int rollout_version_compare(const char *a, const char *b);
 
 struct rollout_orders;
 
@@ -78,12 +78,12 @@
 void rollout_orders_free(struct rollout_orders *o);
 
 /**
- * rollout_orders_take() - an order, or a phase of it, became known
+ * rollout_orders_merge() - an order, or a phase of it, became known
  *
  * Return: the order as it is held now, NULL when it was no news.
  */
 struct rollout *
-rollout_orders_take(struct rollout_orders *o, const struct rollout *r);
+rollout_orders_merge(struct rollout_orders *o, const struct rollout *r);
 
 /** rollout_orders_find() - the newest order of a service, or NULL */
 struct rollout *
--- a/packages/rollout/include/rollout/trial.h
+++ b/packages/rollout/include/rollout/trial.h
@@ -56,17 +56,17 @@
 /** rollout_trial_order() - number of the order that is tried */
 uint64_t rollout_trial_order(const struct rollout_trial *t);
 
-/** rollout_trial_set() - the service's endpoints; copied */
-void rollout_trial_set(struct rollout_trial *t,
+/** rollout_trial_set_endpoints() - the service's endpoints; copied */
+void rollout_trial_set_endpoints(struct rollout_trial *t,
     const struct rollout_endpoint *endpoints, uint32_t n);
 
 /**
- * rollout_trial_reports() - whether the guard of @host is to report
+ * rollout_trial_must_report() - whether the guard of @host is to report
  * @t: the trial
  * @host: the host
  * @answered: answers of its endpoint; a new one without any has no news
  */
-bool rollout_trial_reports(
+bool rollout_trial_must_report(
     const struct rollout_trial *t, const char *host, uint64_t answered);
 
 /** rollout_trial_judge_rank() - place of @host among the judges, or
@@ -78,9 +78,10 @@
 uint32_t rollout_trial_judges(
     const struct rollout_trial *t, struct net_addr nodes[ROLLOUT_JUDGES]);
 
-/** rollout_trial_report() - counts of an endpoint came; older ones are ignored
+/** rollout_trial_add_report() - counts of an endpoint came; older ones are
+ * ignored
  */
-void rollout_trial_report(struct rollout_trial *t, const char *host,
+void rollout_trial_add_report(struct rollout_trial *t, const char *host,
     const char *version, uint64_t seq, const struct rollout_counts *counts,
     uint64_t now_ms);
 
--- a/packages/rollout/include/rollout/watch.h
+++ b/packages/rollout/include/rollout/watch.h
@@ -15,19 +15,19 @@
 #include "rollout/trial.h"
 
 /* How often reports are sent and judged. */
-#define ROLLOUT_REPORT_MS 150
+#define ROLLOUT_REPORT_INTERVAL_MS 150
 
 /* All requests go to a good version this part of its time before the deadline,
  * within bounds.  In the first half of that what the old version still runs
  * ends; the outcome is written at its middle, for operators who look a few
  * times a second and for a second try. */
-#define ROLLOUT_SWITCH_PERCENT 16
-#define ROLLOUT_SWITCH_LEAST_MS 800
-#define ROLLOUT_SWITCH_MOST_MS 3000
+#define ROLLOUT_SWITCH_LEAD_PERCENT 16
+#define ROLLOUT_SWITCH_LEAD_MIN_MS 800
+#define ROLLOUT_SWITCH_LEAD_MAX_MS 3000
 
 /* Pause after a write that failed; between the tries of two judges. */
-#define ROLLOUT_RETRY_MS 250
-#define ROLLOUT_TURN_MS 60
+#define ROLLOUT_WRITE_RETRY_MS 250
+#define ROLLOUT_WRITE_STAGGER_MS 60
 
 /** enum rollout_action_kind - what the shell is to do
  * @ROLLOUT_ACT_PHASE: pass the order's new phase on and log it
@@ -75,7 +75,8 @@
 
 /** rollout_watch_set_fallback_writer() - whether this node writes what judges
  * don't */
-void rollout_watch_set_fallback_writer(struct rollout_watch *w, bool writes);
+void rollout_watch_set_fallback_writer(
+    struct rollout_watch *w, bool fallback_writer);
 
 /** rollout_watch_handles() - whether a message is for rollout_watch_receive()
  */
--- a/packages/rollout/src/counts.c
+++ b/packages/rollout/src/counts.c
@@ -9,14 +9,14 @@
 
 /* The first bucket's bound; each next one is larger by the square root of two,
  * 181 / 128. */
-#define FIRST_BOUND_US 4000
+#define FIRST_BUCKET_US 4000
 #define STEP_NUMERATOR 181
 #define STEP_DENOMINATOR 128
 
 static uint32_t
 bucket_of(uint64_t took_us)
 {
-	uint64_t bound_us = FIRST_BOUND_US;
+	uint64_t bound_us = FIRST_BUCKET_US;
 	uint32_t i;
 
 	for (i = 0; i < ROLLOUT_BUCKETS - 1 && took_us > bound_us; i++)
@@ -25,7 +25,7 @@
 }
 
 static void
-add_route(struct rollout_route *to, const struct rollout_route *from)
+merge_route(struct rollout_route *to, const struct rollout_route *from)
 {
 	uint32_t b;
 
@@ -36,7 +36,7 @@
 }
 
 static struct rollout_route *
-new_place(struct rollout_counts *c, uint64_t route)
+append_route(struct rollout_counts *c, uint64_t route)
 {
 	struct rollout_route *r = &c->routes[c->n_routes++];
 
@@ -48,41 +48,41 @@
 /* Frees the place of the route with the fewest answers, which are counted among
  * all others' from now on: routes that matter keep their places. */
 static struct rollout_route *
-take_least(struct rollout_counts *c, uint64_t route)
+evict_smallest(struct rollout_counts *c, uint64_t route)
 {
-	struct rollout_route *least = &c->routes[1];
+	struct rollout_route *smallest = &c->routes[1];
 	uint32_t i;
 
 	for (i = 2; i < c->n_routes; i++)
-		if (c->routes[i].answered < least->answered)
-			least = &c->routes[i];
-	add_route(&c->routes[0], least);
-	memset(least, 0, sizeof(*least));
-	least->route = route;
-	return least;
+		if (c->routes[i].answered < smallest->answered)
+			smallest = &c->routes[i];
+	merge_route(&c->routes[0], smallest);
+	memset(smallest, 0, sizeof(*smallest));
+	smallest->route = route;
+	return smallest;
 }
 
 /* The first place is that of all others. */
 static struct rollout_route *
-place_of(struct rollout_counts *c, uint64_t route)
+get_route(struct rollout_counts *c, uint64_t route)
 {
 	uint32_t i;
 
 	if (c->n_routes == 0)
-		(void)new_place(c, 0);
+		(void)append_route(c, 0);
 	for (i = 0; i < c->n_routes; i++)
 		if (c->routes[i].route == route)
 			return &c->routes[i];
 	if (c->n_routes < ROLLOUT_ROUTES_MAX)
-		return new_place(c, route);
-	return take_least(c, route);
+		return append_route(c, route);
+	return evict_smallest(c, route);
 }
 
 void
 rollout_counts_record(
     struct rollout_counts *c, uint64_t route, bool failed, uint64_t took_us)
 {
-	struct rollout_route *r = place_of(c, route);
+	struct rollout_route *r = get_route(c, route);
 
 	r->answered++;
 	if (failed)
@@ -98,12 +98,12 @@
 	uint32_t i;
 
 	for (i = 0; i < other->n_routes; i++)
-		add_route(
-		    place_of(sum, other->routes[i].route), &other->routes[i]);
+		merge_route(
+		    get_route(sum, other->routes[i].route), &other->routes[i]);
 }
 
 static uint32_t
-less(uint32_t now, uint32_t before)
+subtract_clamped(uint32_t now, uint32_t before)
 {
 	return now - MIN(now, before);
 }
@@ -118,11 +118,12 @@
 
 	for (i = 0; i < earlier->n_routes; i++) {
 		before = &earlier->routes[i];
-		r = place_of(c, before->route);
-		r->answered = less(r->answered, before->answered);
-		r->failed = less(r->failed, before->failed);
+		r = get_route(c, before->route);
+		r->answered = subtract_clamped(r->answered, before->answered);
+		r->failed = subtract_clamped(r->failed, before->failed);
 		for (b = 0; b < ROLLOUT_BUCKETS; b++)
-			r->took[b] = less(r->took[b], before->took[b]);
+			r->took[b] =
+			    subtract_clamped(r->took[b], before->took[b]);
 	}
 }
 
--- a/packages/rollout/src/news.c
+++ b/packages/rollout/src/news.c
@@ -17,7 +17,7 @@
  * @host: own name
  * @orders: what is known; borrowed
  * @out: where datagrams go; borrowed
- * @fresh: struct rollout that peers told and were not popped
+ * @received: struct rollout that peers told and were not popped
  * @rounds_left: how often all orders are still to be passed on
  * @round_ms: when that is next, DEADLINE_NEVER for not at all
  * @compare_ms: when the next comparison is begun
@@ -27,7 +27,7 @@
 	char host[MSG_ROLLOUT_NEWS_HOST_MAX + 1];
 	struct rollout_orders *orders;
 	struct outbox *out;
-	GQueue fresh;
+	GQueue received;
 	uint32_t rounds_left;
 	uint64_t round_ms;
 	uint64_t compare_ms;
@@ -43,10 +43,10 @@
 	(void)g_strlcpy(n->host, host, sizeof(n->host));
 	n->orders = orders;
 	n->out = out;
-	g_queue_init(&n->fresh);
+	g_queue_init(&n->received);
 	n->round_ms = DEADLINE_NEVER;
-	n->compare_ms = now_ms + ROLLOUT_NEWS_ASK_MS;
-	n->join_until_ms = now_ms + ROLLOUT_NEWS_JOIN_MS;
+	n->compare_ms = now_ms + ROLLOUT_NEWS_JOIN_INTERVAL_MS;
+	n->join_until_ms = now_ms + ROLLOUT_NEWS_JOIN_TIMEOUT_MS;
 	return n;
 }
 
@@ -55,7 +55,7 @@
 {
 	if (n == NULL)
 		return;
-	g_queue_clear_full(&n->fresh, g_free);
+	g_queue_clear_full(&n->received, g_free);
 	g_free(n);
 }
 
@@ -76,7 +76,7 @@
 rollout_news_add(
     struct rollout_news *n, const struct rollout *r, uint64_t now_ms)
 {
-	if (rollout_orders_take(n->orders, r) == NULL)
+	if (rollout_orders_merge(n->orders, r) == NULL)
 		return false;
 	rollout_news_announce(n, now_ms);
 	return true;
@@ -150,7 +150,7 @@
 }
 
 static void
-take_all(
+add_orders(
     struct rollout_news *n, const struct msg_rollout_news *m, uint64_t now_ms)
 {
 	struct rollout r;
@@ -159,14 +159,15 @@
 	for (i = 0; i < m->n_orders; i++) {
 		from_record(&m->orders[i], &r, now_ms);
 		if (r.service[0] != '\0' && rollout_news_add(n, &r, now_ms))
-			g_queue_push_tail(&n->fresh, g_memdup2(&r, sizeof(r)));
+			g_queue_push_tail(
+			    &n->received, g_memdup2(&r, sizeof(r)));
 	}
 }
 
 bool
 rollout_news_pop(struct rollout_news *n, struct rollout *out)
 {
-	struct rollout *r = g_queue_pop_head(&n->fresh);
+	struct rollout *r = g_queue_pop_head(&n->received);
 
 	if (r == NULL)
 		return false;
@@ -192,26 +193,28 @@
 	}
 	if (type == MSG_ROLLOUT_NEWS &&
 	    msg_rollout_news_decode(body, len, &m) == STATUS_OK) {
-		take_all(n, &m, now_ms);
+		add_orders(n, &m, now_ms);
 		msg_rollout_news_clear(&m);
 	}
 }
 
 /* A node that knows nothing asks after its start, then no longer. */
 static bool
-asks(const struct rollout_news *n)
+compares(const struct rollout_news *n)
 {
 	return rollout_orders_count(n->orders) > 0 ||
 	    n->compare_ms < n->join_until_ms;
 }
 
 static void
-compare(struct rollout_news *n, const struct net_addr *peer, uint64_t now_ms)
+start_comparison(
+    struct rollout_news *n, const struct net_addr *peer, uint64_t now_ms)
 {
-	bool knows = rollout_orders_count(n->orders) > 0;
+	bool has_orders = rollout_orders_count(n->orders) > 0;
 
-	n->compare_ms =
-	    now_ms + (knows ? ROLLOUT_NEWS_COMPARE_MS : ROLLOUT_NEWS_ASK_MS);
+	n->compare_ms = now_ms +
+	    (has_orders ? ROLLOUT_NEWS_COMPARE_INTERVAL_MS
+			: ROLLOUT_NEWS_JOIN_INTERVAL_MS);
 	if (peer != NULL)
 		send_digest(n, peer);
 }
@@ -228,15 +231,15 @@
 		if (n_peers > 0)
 			n->rounds_left--;
 		n->round_ms = n->rounds_left > 0
-		    ? now_ms + ROLLOUT_NEWS_ROUND_MS
+		    ? now_ms + ROLLOUT_NEWS_ROUND_INTERVAL_MS
 		    : DEADLINE_NEVER;
 	}
-	if (now_ms >= n->compare_ms && asks(n))
-		compare(n, n_peers > 0 ? peers : NULL, now_ms);
+	if (now_ms >= n->compare_ms && compares(n))
+		start_comparison(n, n_peers > 0 ? peers : NULL, now_ms);
 }
 
 uint64_t
 rollout_news_next_ms(const struct rollout_news *n)
 {
-	return MIN(n->round_ms, asks(n) ? n->compare_ms : DEADLINE_NEVER);
+	return MIN(n->round_ms, compares(n) ? n->compare_ms : DEADLINE_NEVER);
 }
--- a/packages/rollout/src/orders.c
+++ b/packages/rollout/src/orders.c
@@ -37,20 +37,20 @@
 }
 
 static int
-order_of(uint64_t a, uint64_t b)
+compare_u64(uint64_t a, uint64_t b)
 {
 	return (a > b) - (a < b);
 }
 
 int
-rollout_version_order(const char *a, const char *b)
+rollout_version_compare(const char *a, const char *b)
 {
 	char *a_end, *b_end;
 	int order;
 
 	while (*a != '\0' && *b != '\0') {
 		if (g_ascii_isdigit(*a) && g_ascii_isdigit(*b)) {
-			order = order_of(g_ascii_strtoull(a, &a_end, 10),
+			order = compare_u64(g_ascii_strtoull(a, &a_end, 10),
 			    g_ascii_strtoull(b, &b_end, 10));
 			if (order != 0)
 				return order;
@@ -122,7 +122,7 @@
 }
 
 static bool
-is_news(const struct rollout *held, const struct rollout *r)
+supersedes(const struct rollout *held, const struct rollout *r)
 {
 	if (held->order != r->order)
 		return r->order > held->order;
@@ -148,11 +148,11 @@
 }
 
 struct rollout *
-rollout_orders_take(struct rollout_orders *o, const struct rollout *r)
+rollout_orders_merge(struct rollout_orders *o, const struct rollout *r)
 {
 	struct rollout *held = rollout_orders_find(o, r->service);
 
-	if (held != NULL && !is_news(held, r))
+	if (held != NULL && !supersedes(held, r))
 		return NULL;
 	if (held == NULL) {
 		held = g_new0(struct rollout, 1);
@@ -183,7 +183,7 @@
 }
 
 static bool
-has(const char *const *versions, uint32_t n, const char *version)
+contains(const char *const *versions, uint32_t n, const char *version)
 {
 	uint32_t i;
 
@@ -202,19 +202,19 @@
 }
 
 static const char *
-lowest(const struct rollout *r, const char *const *versions, uint32_t n)
+lowest_version(const struct rollout *r, const char *const *versions, uint32_t n)
 {
-	const char *least = NULL;
+	const char *lowest = NULL;
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
 		if (is_rolled_back(r, versions[i]))
 			continue;
-		if (least == NULL ||
-		    rollout_version_order(versions[i], least) < 0)
-			least = versions[i];
+		if (lowest == NULL ||
+		    rollout_version_compare(versions[i], lowest) < 0)
+			lowest = versions[i];
 	}
-	return least;
+	return lowest;
 }
 
 const char *
@@ -222,18 +222,18 @@
     const char *const *versions, uint32_t n)
 {
 	const struct rollout *r = rollout_orders_find(o, service);
-	const char *current, *least;
+	const char *current, *lowest;
 
 	if (r != NULL &&
-	    (!rollout_is_over(r) || has(versions, n, rollout_current(r))))
+	    (!rollout_is_over(r) || contains(versions, n, rollout_current(r))))
 		return rollout_current(r);
 	current = g_hash_table_lookup(o->current, service);
-	if (current != NULL && has(versions, n, current) &&
+	if (current != NULL && contains(versions, n, current) &&
 	    !is_rolled_back(r, current))
 		return current;
-	least = lowest(r, versions, n);
-	if (least == NULL)
+	lowest = lowest_version(r, versions, n);
+	if (lowest == NULL)
 		return r != NULL ? rollout_current(r) : current;
-	g_hash_table_replace(o->current, g_strdup(service), g_strdup(least));
+	g_hash_table_replace(o->current, g_strdup(service), g_strdup(lowest));
 	return g_hash_table_lookup(o->current, service);
 }
--- a/packages/rollout/src/trial.c
+++ b/packages/rollout/src/trial.c
@@ -10,26 +10,26 @@
 
 /* Answers that tell a good version from a bad one, and the largest share of the
  * requests that is tried where the usual one would not bring them. */
-#define ENOUGH_ANSWERS 25
-#define SHARE_MOST_MILLI 400
+#define VERDICT_ANSWERS_MIN 25
+#define SHARE_MAX_MILLI 400
 #define MILLI 1000
 
 /* An endpoint's rate is known so long after its first report. */
-#define RATE_AFTER_MS 700
+#define RATE_SPAN_MIN_MS 700
 
 /* New endpoints that report: those that are tried, one after the other when
  * some are faulty, and enough to tell once all get requests. */
-#define REPORTERS 20
+#define CANDIDATE_REPORTERS_MAX 20
 
 /* A version that turns bad later is seen by its last answers: since the mark
  * before the last, one or two of these times. */
-#define MARK_MS 800
+#define SNAPSHOT_INTERVAL_MS 800
 
 /* Reports older than this say nothing of now. */
-#define REPORT_RECENT_MS 1500
+#define REPORT_AGE_MAX_MS 1500
 
 /* The old version is replaced by at least this part of its endpoints. */
-#define TAKE_OVER_PERCENT 50
+#define READY_MIN_PERCENT 50
 #define PERCENT 100
 
 struct rollout_trial *
@@ -40,7 +40,8 @@
 	t->order = r->order;
 	memcpy(t->from, r->from, sizeof(t->from));
 	memcpy(t->to, r->to, sizeof(t->to));
-	t->fresh = g_array_new(FALSE, FALSE, sizeof(struct rollout_endpoint));
+	t->candidates =
+	    g_array_new(FALSE, FALSE, sizeof(struct rollout_endpoint));
 	t->old = g_array_new(FALSE, FALSE, sizeof(struct rollout_endpoint));
 	t->reports =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -52,7 +53,7 @@
 {
 	if (t == NULL)
 		return;
-	g_array_unref(t->fresh);
+	g_array_unref(t->candidates);
 	g_array_unref(t->old);
 	g_hash_table_unref(t->reports);
 	g_free(t);
@@ -71,7 +72,7 @@
 }
 
 static gint
-by_start(gconstpointer a, gconstpointer b)
+by_start_time(gconstpointer a, gconstpointer b)
 {
 	const struct rollout_endpoint *left = a, *right = b;
 
@@ -92,27 +93,27 @@
 }
 
 void
-rollout_trial_set(struct rollout_trial *t,
+rollout_trial_set_endpoints(struct rollout_trial *t,
     const struct rollout_endpoint *endpoints, uint32_t n)
 {
 	uint32_t i;
 
-	g_array_set_size(t->fresh, 0);
+	g_array_set_size(t->candidates, 0);
 	g_array_set_size(t->old, 0);
 	for (i = 0; i < n; i++) {
 		if (!endpoints[i].ready)
 			continue;
 		if (strcmp(endpoints[i].version, t->to) == 0)
-			g_array_append_val(t->fresh, endpoints[i]);
+			g_array_append_val(t->candidates, endpoints[i]);
 		else if (strcmp(endpoints[i].version, t->from) == 0)
 			g_array_append_val(t->old, endpoints[i]);
 	}
-	g_array_sort(t->fresh, by_start);
+	g_array_sort(t->candidates, by_start_time);
 	g_array_sort_with_data(t->old, by_rank, &t->order);
 }
 
 static uint32_t
-place_of(const GArray *list, const char *host)
+index_of(const GArray *list, const char *host)
 {
 	uint32_t i;
 
@@ -123,45 +124,46 @@
 }
 
 bool
-rollout_trial_reports(
+rollout_trial_must_report(
     const struct rollout_trial *t, const char *host, uint64_t answered)
 {
-	if (place_of(t->old, host) < MIN(t->old->len, ROLLOUT_CONTROLS))
+	if (index_of(t->old, host) < MIN(t->old->len, ROLLOUT_CONTROLS))
 		return true;
 	return answered > 0 &&
-	    place_of(t->fresh, host) < MIN(t->fresh->len, REPORTERS);
+	    index_of(t->candidates, host) <
+	    MIN(t->candidates->len, CANDIDATE_REPORTERS_MAX);
 }
 
 uint32_t
 rollout_trial_judge_rank(const struct rollout_trial *t, const char *host)
 {
-	uint32_t place = place_of(t->fresh, host);
+	uint32_t index = index_of(t->candidates, host);
 
-	return place < t->fresh->len ? MIN(place, ROLLOUT_JUDGES)
-				     : ROLLOUT_JUDGES;
+	return index < t->candidates->len ? MIN(index, ROLLOUT_JUDGES)
+					  : ROLLOUT_JUDGES;
 }
 
 uint32_t
 rollout_trial_judges(
     const struct rollout_trial *t, struct net_addr nodes[ROLLOUT_JUDGES])
 {
-	uint32_t i, n = MIN(t->fresh->len, ROLLOUT_JUDGES);
+	uint32_t i, n = MIN(t->candidates->len, ROLLOUT_JUDGES);
 
 	for (i = 0; i < n; i++)
-		nodes[i] = endpoint_at(t->fresh, i)->node;
+		nodes[i] = endpoint_at(t->candidates, i)->node;
 	return n;
 }
 
 /* From the first answer of the new version on the old one is measured. */
 static void
-take_bases(struct rollout_trial *t)
+record_bases(struct rollout_trial *t)
 {
 	struct trial_report *r;
 	GHashTableIter it;
 
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r)) {
-		if (r->fresh || r->has_base)
+		if (r->is_candidate || r->has_base)
 			continue;
 		r->base = r->counts;
 		r->has_base = true;
@@ -169,14 +171,14 @@
 }
 
 static bool
-has_answers(const struct rollout_trial *t)
+candidate_has_answered(const struct rollout_trial *t)
 {
 	const struct trial_report *r;
 	GHashTableIter it;
 
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r))
-		if (r->fresh && rollout_counts_answered(&r->counts) > 0)
+		if (r->is_candidate && rollout_counts_answered(&r->counts) > 0)
 			return true;
 	return false;
 }
@@ -189,48 +191,49 @@
 }
 
 void
-rollout_trial_report(struct rollout_trial *t, const char *host,
+rollout_trial_add_report(struct rollout_trial *t, const char *host,
     const char *version, uint64_t seq, const struct rollout_counts *counts,
     uint64_t now_ms)
 {
 	struct trial_report *r = g_hash_table_lookup(t->reports, host);
-	bool fresh = strcmp(version, t->to) == 0;
-	bool begins = fresh && rollout_counts_answered(counts) > 0;
+	bool is_candidate = strcmp(version, t->to) == 0;
+	bool has_answered = is_candidate && rollout_counts_answered(counts) > 0;
 
-	if (!fresh && strcmp(version, t->from) != 0)
+	if (!is_candidate && strcmp(version, t->from) != 0)
 		return;
 	if (r != NULL && seq <= r->seq)
 		return;
 	/* A node that was restarted counts from zero. */
-	if (r == NULL || r->fresh != fresh || has_restarted(r, counts)) {
+	if (r == NULL || r->is_candidate != is_candidate ||
+	    has_restarted(r, counts)) {
 		r = g_new0(struct trial_report, 1);
 		r->first = *counts;
 		r->first_ms = now_ms;
 		g_hash_table_replace(t->reports, g_strdup(host), r);
 	}
-	if (begins && !has_answers(t))
-		take_bases(t);
-	r->fresh = fresh;
+	if (has_answered && !candidate_has_answered(t))
+		record_bases(t);
+	r->is_candidate = is_candidate;
 	r->seq = seq;
-	r->heard_ms = now_ms;
+	r->received_ms = now_ms;
 	r->counts = *counts;
-	if (now_ms < r->mark_ms + MARK_MS)
+	if (now_ms < r->snapshot_ms + SNAPSHOT_INTERVAL_MS)
 		return;
-	r->marks[0] = r->marks[1];
-	r->marks[1] = *counts;
-	r->mark_ms = now_ms;
+	r->snapshots[0] = r->snapshots[1];
+	r->snapshots[1] = *counts;
+	r->snapshot_ms = now_ms;
 }
 
 void
-trial_since(const struct trial_report *r, const struct rollout_counts *earlier,
-    struct rollout_counts *counts)
+trial_counts_since(const struct trial_report *r,
+    const struct rollout_counts *earlier, struct rollout_counts *counts)
 {
 	*counts = r->counts;
 	rollout_counts_subtract(counts, earlier);
 }
 
 static uint32_t
-recent_controls(const struct rollout_trial *t, uint64_t now_ms)
+count_reporting_controls(const struct rollout_trial *t, uint64_t now_ms)
 {
 	const struct trial_report *r;
 	uint32_t i, n = 0;
@@ -238,7 +241,7 @@
 	for (i = 0; i < MIN(t->old->len, ROLLOUT_CONTROLS); i++) {
 		r = g_hash_table_lookup(
 		    t->reports, endpoint_at(t->old, i)->host);
-		if (r != NULL && r->heard_ms + REPORT_RECENT_MS >= now_ms)
+		if (r != NULL && r->received_ms + REPORT_AGE_MAX_MS >= now_ms)
 			n++;
 	}
 	return n;
@@ -250,19 +253,19 @@
 {
 	uint32_t controls = MIN(t->old->len, ROLLOUT_CONTROLS);
 
-	if (t->fresh->len * PERCENT < t->old->len * TAKE_OVER_PERCENT ||
-	    t->fresh->len == 0) {
+	if (t->candidates->len * PERCENT < t->old->len * READY_MIN_PERCENT ||
+	    t->candidates->len == 0) {
 		(void)g_snprintf(reason, ROLLOUT_REASON_BYTES,
 		    "%u endpoints of the new version are ready for the work "
 		    "of %u",
-		    t->fresh->len, t->old->len);
+		    t->candidates->len, t->old->len);
 		return false;
 	}
-	if (recent_controls(t, now_ms) * 2 < controls) {
+	if (count_reporting_controls(t, now_ms) * 2 < controls) {
 		(void)g_snprintf(reason, ROLLOUT_REASON_BYTES,
 		    "the old version's answers are not known: %u of %u of "
 		    "its endpoints report",
-		    recent_controls(t, now_ms), controls);
+		    count_reporting_controls(t, now_ms), controls);
 		return false;
 	}
 	return true;
@@ -271,7 +274,8 @@
 /* Answers of all endpoints of the old version a second; false while it is not
  * known. */
 static bool
-old_per_s(const struct rollout_trial *t, uint64_t now_ms, uint64_t *per_s)
+estimate_old_rate(
+    const struct rollout_trial *t, uint64_t now_ms, uint64_t *per_s)
 {
 	struct rollout_counts counts;
 	const struct trial_report *r;
@@ -280,9 +284,9 @@
 
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r)) {
-		if (r->fresh || now_ms < r->first_ms + RATE_AFTER_MS)
+		if (r->is_candidate || now_ms < r->first_ms + RATE_SPAN_MIN_MS)
 			continue;
-		trial_since(r, &r->first, &counts);
+		trial_counts_since(r, &r->first, &counts);
 		sum += rollout_counts_answered(&counts) * MILLI /
 		    (now_ms - r->first_ms);
 		n++;
@@ -295,14 +299,14 @@
 rollout_trial_share_milli(
     const struct rollout_trial *t, uint64_t until_ms, uint64_t now_ms)
 {
-	uint64_t usual = rollout_share_milli(t->old->len);
+	uint64_t usual_share = rollout_share_milli(t->old->len);
 	uint64_t per_s, expected;
 
-	if (now_ms >= until_ms || !old_per_s(t, now_ms, &per_s))
+	if (now_ms >= until_ms || !estimate_old_rate(t, now_ms, &per_s))
 		return 0;
 	expected = per_s * (until_ms - now_ms) / MILLI;
-	if (expected * usual >= ENOUGH_ANSWERS * MILLI)
+	if (expected * usual_share >= VERDICT_ANSWERS_MIN * MILLI)
 		return 0;
 	return (uint32_t)MIN(
-	    ENOUGH_ANSWERS * MILLI / MAX(expected, 1), SHARE_MOST_MILLI);
+	    VERDICT_ANSWERS_MIN * MILLI / MAX(expected, 1), SHARE_MAX_MILLI);
 }
--- a/packages/rollout/src/trial_verdict.c
+++ b/packages/rollout/src/trial_verdict.c
@@ -8,18 +8,18 @@
 
 /* A finding on one endpoint, looked for at each report on each route, and one
  * that all endpoints but the worst confirm. */
-#define CHANCE_ENDPOINT 2e-4
-#define CHANCE_REST 2e-3
+#define ENDPOINT_ALPHA 2e-4
+#define REST_ALPHA 2e-3
 
 /* Answers of the old version that give its times and failures. */
-#define OLD_ENOUGH 80
+#define OLD_ANSWERS_MIN 80
 
 /* One of so many endpoints of the old version may be faulty on its own. */
-#define OUTLIER_PART 3
+#define OUTLIER_DIVISOR 3
 
 /* Answers after which an endpoint without a finding counts as sound, and the
  * most that are awaited in all. */
-#define SOUND_ANSWERS 20
+#define SOUND_ANSWERS_MIN 20
 
 static gint
 by_failures(gconstpointer a, gconstpointer b)
@@ -35,16 +35,16 @@
 enum span {
 	SPAN_ALL = 0,
 	SPAN_TRIAL,
-	SPAN_LATE,
+	SPAN_RECENT,
 };
 
 static const struct rollout_counts *
-span_begin(const struct trial_report *r, enum span span)
+span_start(const struct trial_report *r, enum span span)
 {
 	static const struct rollout_counts none;
 
-	if (span == SPAN_LATE)
-		return &r->marks[0];
+	if (span == SPAN_RECENT)
+		return &r->snapshots[0];
 	return span == SPAN_TRIAL ? &r->base : &none;
 }
 
@@ -66,13 +66,13 @@
 	memset(sum, 0, sizeof(*sum));
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r)) {
-		if (r->fresh)
+		if (r->is_candidate)
 			continue;
-		trial_since(r, span_begin(r, span), &counts);
+		trial_counts_since(r, span_start(r, span), &counts);
 		g_array_append_val(list, counts);
 	}
 	g_array_sort(list, by_failures);
-	for (i = 0; i < list->len - list->len / OUTLIER_PART; i++)
+	for (i = 0; i < list->len - list->len / OUTLIER_DIVISOR; i++)
 		rollout_counts_add(
 		    sum, &g_array_index(list, struct rollout_counts, i));
 	g_array_unref(list);
@@ -81,17 +81,19 @@
 /* Since the new version answered first, or of late; all since the order where
  * that is too little to compare with. */
 static void
-sum_old(const struct rollout_trial *t, bool late, struct rollout_counts *sum)
+sum_old_version(
+    const struct rollout_trial *t, bool recent, struct rollout_counts *sum)
 {
-	sum_span(t, late ? SPAN_LATE : SPAN_TRIAL, sum);
-	if (rollout_counts_answered(sum) < OLD_ENOUGH)
+	sum_span(t, recent ? SPAN_RECENT : SPAN_TRIAL, sum);
+	if (rollout_counts_answered(sum) < OLD_ANSWERS_MIN)
 		sum_span(t, SPAN_ALL, sum);
 }
 
-/* Answers of the new version, in all or of late, but for those of @but. */
+/* Answers of the new version, in all or of late, but for those of @left_out. */
 static void
-sum_fresh(const struct rollout_trial *t, const struct trial_report *but,
-    bool late, struct rollout_counts *sum)
+sum_candidate(const struct rollout_trial *t,
+    const struct trial_report *left_out, bool recent,
+    struct rollout_counts *sum)
 {
 	static const struct rollout_counts none;
 	struct rollout_counts counts;
@@ -101,19 +103,20 @@
 	memset(sum, 0, sizeof(*sum));
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r)) {
-		if (!r->fresh || r == but)
+		if (!r->is_candidate || r == left_out)
 			continue;
-		trial_since(r, late ? &r->marks[0] : &none, &counts);
+		trial_counts_since(
+		    r, recent ? &r->snapshots[0] : &none, &counts);
 		rollout_counts_add(sum, &counts);
 	}
 }
 
 /* What the old version answers later would thin the evidence out. */
 static bool
-is_suspect(struct trial_report *r, const struct rollout_counts *old)
+check_suspect(struct trial_report *r, const struct rollout_counts *old)
 {
 	if (!r->suspect)
-		r->suspect = rollout_judge(&r->counts, old, CHANCE_ENDPOINT,
+		r->suspect = rollout_judge(&r->counts, old, ENDPOINT_ALPHA,
 				 &r->finding) != ROLLOUT_SOUND;
 	return r->suspect;
 }
@@ -124,21 +127,21 @@
 	struct trial_report *r = g_hash_table_lookup(t->reports, host);
 	struct rollout_counts old;
 
-	if (r == NULL || !r->fresh)
+	if (r == NULL || !r->is_candidate)
 		return false;
-	sum_old(t, false, &old);
-	return is_suspect(r, &old);
+	sum_old_version(t, false, &old);
+	return check_suspect(r, &old);
 }
 
 static void
-explain(const struct rollout_finding *f, uint32_t suspects, uint32_t answered,
-    char *reason)
+format_reason(const struct rollout_finding *f, uint32_t suspects,
+    uint32_t answered, char *reason)
 {
 	(void)g_snprintf(reason, ROLLOUT_REASON_BYTES,
 	    "%s on route %016" PRIx64 ": %u of %u answers, of the old version "
 	    "%u of %u; %u of %u endpoints that answered",
-	    rollout_defect_name(f->defect), f->route, f->bad, f->of, f->old_bad,
-	    f->old_of, suspects, answered);
+	    rollout_defect_name(f->defect), f->route, f->bad, f->total,
+	    f->old_bad, f->old_total, suspects, answered);
 }
 
 /**
@@ -146,16 +149,16 @@
  * @answered: endpoints that answered
  * @suspects: endpoints whose answers are bad
  * @sound: endpoints that answered enough and are not
- * @most: the one with most failures
- * @most_failed: its failures
+ * @worst: the one with most failures
+ * @worst_failed: its failures
  * @finding: the first bad one's
  */
 struct tally {
 	uint32_t answered;
 	uint32_t suspects;
 	uint32_t sound;
-	const struct trial_report *most;
-	uint64_t most_failed;
+	const struct trial_report *worst;
+	uint64_t worst_failed;
 	struct rollout_finding finding;
 };
 
@@ -168,14 +171,14 @@
 	if (rollout_counts_answered(&r->counts) == 0)
 		return;
 	s->answered++;
-	if (s->most == NULL || failed > s->most_failed) {
-		s->most = r;
-		s->most_failed = failed;
+	if (s->worst == NULL || failed > s->worst_failed) {
+		s->worst = r;
+		s->worst_failed = failed;
 	}
-	if (is_suspect(r, old)) {
+	if (check_suspect(r, old)) {
 		if (s->suspects++ == 0)
 			s->finding = r->finding;
-	} else if (rollout_counts_answered(&r->counts) >= SOUND_ANSWERS) {
+	} else if (rollout_counts_answered(&r->counts) >= SOUND_ANSWERS_MIN) {
 		s->sound++;
 	}
 }
@@ -190,25 +193,25 @@
 	memset(s, 0, sizeof(*s));
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r))
-		if (r->fresh)
+		if (r->is_candidate)
 			tally_one(s, r, old);
 }
 
 /* All together are bad, and so are those without the worst one; recent answers
  * show a version that has turned bad. */
 static bool
-are_bad_together(const struct rollout_trial *t, struct tally *s, bool late)
+is_bad_overall(const struct rollout_trial *t, struct tally *s, bool recent)
 {
 	struct rollout_counts old, all, rest;
 	struct rollout_finding f;
 
 	if (s->answered < 2)
 		return false;
-	sum_old(t, late, &old);
-	sum_fresh(t, NULL, late, &all);
-	sum_fresh(t, s->most, late, &rest);
-	if (rollout_judge(&rest, &old, CHANCE_REST, &f) == ROLLOUT_SOUND ||
-	    rollout_judge(&all, &old, CHANCE_ENDPOINT, &f) == ROLLOUT_SOUND)
+	sum_old_version(t, recent, &old);
+	sum_candidate(t, NULL, recent, &all);
+	sum_candidate(t, s->worst, recent, &rest);
+	if (rollout_judge(&rest, &old, REST_ALPHA, &f) == ROLLOUT_SOUND ||
+	    rollout_judge(&all, &old, ENDPOINT_ALPHA, &f) == ROLLOUT_SOUND)
 		return false;
 	s->finding = f;
 	return true;
@@ -216,19 +219,19 @@
 
 /* Too few recent answers, in a service with few requests, prove nothing. */
 static bool
-is_clear_of_late(const struct rollout_trial *t)
+passes_recent(const struct rollout_trial *t)
 {
-	struct rollout_counts old, late;
+	struct rollout_counts old, recent;
 
-	sum_old(t, true, &old);
-	sum_fresh(t, NULL, true, &late);
-	return rollout_counts_answered(&late) < SOUND_ANSWERS ||
-	    rollout_clears(&late, &old);
+	sum_old_version(t, true, &old);
+	sum_candidate(t, NULL, true, &recent);
+	return rollout_counts_answered(&recent) < SOUND_ANSWERS_MIN ||
+	    rollout_judge_passes(&recent, &old);
 }
 
 /* Answers of the endpoints of the new version that are not suspect. */
 static void
-sum_sound(const struct rollout_trial *t, struct rollout_counts *sum)
+sum_unsuspected(const struct rollout_trial *t, struct rollout_counts *sum)
 {
 	const struct trial_report *r;
 	GHashTableIter it;
@@ -236,7 +239,7 @@
 	memset(sum, 0, sizeof(*sum));
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r))
-		if (r->fresh && !r->suspect)
+		if (r->is_candidate && !r->suspect)
 			rollout_counts_add(sum, &r->counts);
 }
 
@@ -260,28 +263,28 @@
 	struct rollout_counts old, all;
 	struct tally s;
 
-	sum_old(t, false, &old);
+	sum_old_version(t, false, &old);
 	tally(t, &old, &s);
-	if (s.suspects >= 2 || are_bad_together(t, &s, false) ||
-	    are_bad_together(t, &s, true) ||
-	    (s.suspects == 1 && t->fresh->len <= 1)) {
-		explain(&s.finding, s.suspects, s.answered, reason);
+	if (s.suspects >= 2 || is_bad_overall(t, &s, false) ||
+	    is_bad_overall(t, &s, true) ||
+	    (s.suspects == 1 && t->candidates->len <= 1)) {
+		format_reason(&s.finding, s.suspects, s.answered, reason);
 		return ROLLOUT_BAD;
 	}
 	if (s.suspects > 0 && s.sound == 0) {
-		explain(&s.finding, s.suspects, s.answered, reason);
+		format_reason(&s.finding, s.suspects, s.answered, reason);
 		return ROLLOUT_UNDECIDED;
 	}
-	sum_sound(t, &all);
+	sum_unsuspected(t, &all);
 	if (is_idle(t)) {
 		(void)g_strlcpy(reason,
 		    "neither version had anything to answer",
 		    ROLLOUT_REASON_BYTES);
 		return ROLLOUT_GOOD;
 	}
-	if (!rollout_clears(&all, &old) ||
-	    !rollout_clears_routes(&all, &old, s.suspects > 0) ||
-	    !is_clear_of_late(t)) {
+	if (!rollout_judge_passes(&all, &old) ||
+	    !rollout_judge_routes_pass(&all, &old, s.suspects > 0) ||
+	    !passes_recent(t)) {
 		(void)g_snprintf(reason, ROLLOUT_REASON_BYTES,
 		    "not clear from %u answers of the new version, %u of "
 		    "them failures, of %u endpoints",
--- a/packages/rollout/src/watch.c
+++ b/packages/rollout/src/watch.c
@@ -24,8 +24,8 @@
  * @has_counts: whether that is known
  * @reported_ms: when the next report is due
  * @writing: a write is under way
- * @write_ms: when the next write may be tried
- * @since_ms: since when the order is in its phase here
+ * @next_write_ms: when the next write may be tried
+ * @phase_since_ms: since when the order is in its phase here
  * @phase: that phase
  */
 struct watched {
@@ -34,10 +34,10 @@
 	char version[ROLLOUT_VERSION_BYTES];
 	struct rollout_counts counts;
 	bool has_counts;
-	uint64_t report_ms;
+	uint64_t next_report_ms;
 	bool writing;
-	uint64_t write_ms;
-	uint64_t since_ms;
+	uint64_t next_write_ms;
+	uint64_t phase_since_ms;
 	enum rollout_phase phase;
 };
 
@@ -49,7 +49,7 @@
  * @services: service to struct watched
  * @actions: struct rollout_action that were not popped
  * @seq: number of the last report
- * @writes: this node writes what judges don't
+ * @fallback_writer: this node writes what judges don't
  * @tick_ms: when it was last ticked
  */
 struct rollout_watch {
@@ -59,7 +59,7 @@
 	GHashTable *services;
 	GQueue actions;
 	uint64_t seq;
-	bool writes;
+	bool fallback_writer;
 	uint64_t tick_ms;
 };
 
@@ -99,22 +99,22 @@
 }
 
 static uint64_t
-early_ms(const struct rollout *r)
+switch_lead_ms(const struct rollout *r)
 {
-	return CLAMP(r->duration_ms * ROLLOUT_SWITCH_PERCENT / PERCENT,
-	    ROLLOUT_SWITCH_LEAST_MS, ROLLOUT_SWITCH_MOST_MS);
+	return CLAMP(r->duration_ms * ROLLOUT_SWITCH_LEAD_PERCENT / PERCENT,
+	    ROLLOUT_SWITCH_LEAD_MIN_MS, ROLLOUT_SWITCH_LEAD_MAX_MS);
 }
 
 uint64_t
 rollout_switch_ms(const struct rollout *r)
 {
-	return r->deadline_ms - MIN(r->deadline_ms, early_ms(r));
+	return r->deadline_ms - MIN(r->deadline_ms, switch_lead_ms(r));
 }
 
 static uint64_t
-write_from_ms(const struct rollout *r)
+outcome_due_ms(const struct rollout *r)
 {
-	return r->deadline_ms - MIN(r->deadline_ms, early_ms(r) / 2);
+	return r->deadline_ms - MIN(r->deadline_ms, switch_lead_ms(r) / 2);
 }
 
 /* The service's place, with a trial of the newest order; NULL when that is
@@ -135,7 +135,7 @@
 	(void)g_strlcpy(s->service, service, sizeof(s->service));
 	s->trial = rollout_trial_new(r);
 	s->phase = r->phase;
-	s->since_ms = w->tick_ms;
+	s->phase_since_ms = w->tick_ms;
 	g_hash_table_replace(w->services, g_strdup(service), s);
 	return s;
 }
@@ -147,7 +147,7 @@
 	struct watched *s = watched_get(w, service);
 
 	if (s != NULL)
-		rollout_trial_set(s->trial, endpoints, n);
+		rollout_trial_set_endpoints(s->trial, endpoints, n);
 }
 
 void
@@ -164,9 +164,9 @@
 }
 
 void
-rollout_watch_set_fallback_writer(struct rollout_watch *w, bool writes)
+rollout_watch_set_fallback_writer(struct rollout_watch *w, bool fallback_writer)
 {
-	w->writes = writes;
+	w->fallback_writer = fallback_writer;
 }
 
 bool
@@ -178,7 +178,7 @@
 /* Reports */
 
 static void
-read_routes(const struct msg_rollout_report *m, struct rollout_counts *counts)
+decode_routes(const struct msg_rollout_report *m, struct rollout_counts *counts)
 {
 	const struct rec_rollout_route *from;
 	struct rollout_route *to;
@@ -209,8 +209,8 @@
 		return;
 	s = watched_get(w, m.service);
 	if (s != NULL && rollout_trial_order(s->trial) == m.order) {
-		read_routes(&m, &counts);
-		rollout_trial_report(
+		decode_routes(&m, &counts);
+		rollout_trial_add_report(
 		    s->trial, m.host, m.version, m.seq, &counts, now_ms);
 	}
 	msg_rollout_report_clear(&m);
@@ -218,7 +218,7 @@
 
 /* Times are cut off behind the last bucket that is not empty. */
 static void
-write_routes(
+encode_routes(
     const struct rollout_counts *counts, struct rec_rollout_route *routes)
 {
 	const struct rollout_route *from;
@@ -237,7 +237,7 @@
 }
 
 static void
-report(struct rollout_watch *w, struct watched *s, uint64_t now_ms)
+send_report(struct rollout_watch *w, struct watched *s, uint64_t now_ms)
 {
 	struct rec_rollout_route routes[ROLLOUT_ROUTES_MAX];
 	struct net_addr judges[ROLLOUT_JUDGES];
@@ -252,8 +252,8 @@
 	m.order = rollout_trial_order(s->trial);
 	m.seq = ++w->seq;
 	m.n_routes = s->counts.n_routes;
-	write_routes(&s->counts, routes);
-	rollout_trial_report(
+	encode_routes(&s->counts, routes);
+	rollout_trial_add_report(
 	    s->trial, w->host, s->version, m.seq, &s->counts, now_ms);
 	for (i = 0; i < n; i++) {
 		if (i == own)
@@ -267,7 +267,7 @@
 /* Acting */
 
 static struct rollout_action *
-act(struct rollout_watch *w, enum rollout_action_kind kind,
+push_action(struct rollout_watch *w, enum rollout_action_kind kind,
     const struct rollout *r)
 {
 	struct rollout_action *a = g_new0(struct rollout_action, 1);
@@ -291,24 +291,25 @@
 }
 
 static void
-move_on(struct rollout_watch *w, struct watched *s, const struct rollout *r,
+set_phase(struct rollout_watch *w, struct watched *s, const struct rollout *r,
     enum rollout_phase phase, const char *reason)
 {
 	struct rollout next = *r;
 
 	next.phase = phase;
 	(void)g_strlcpy(next.reason, reason, sizeof(next.reason));
-	if (rollout_orders_take(w->orders, &next) == NULL)
+	if (rollout_orders_merge(w->orders, &next) == NULL)
 		return;
 	s->phase = phase;
-	s->since_ms = w->tick_ms;
-	(void)act(w, ROLLOUT_ACT_PHASE, &next);
+	s->phase_since_ms = w->tick_ms;
+	(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
 /* An endpoint whose answers are bad may be faulty on its own: the next in place
  * gets its requests, and tells whether the version is. */
 static void
-exclude_own(struct rollout_watch *w, struct watched *s, const struct rollout *r)
+exclude_own_endpoint(
+    struct rollout_watch *w, struct watched *s, const struct rollout *r)
 {
 	struct rollout next = *r;
 
@@ -318,8 +319,8 @@
 	(void)g_strlcpy(next.excluded, w->host, sizeof(next.excluded));
 	(void)g_strlcpy(
 	    next.reason, "one endpoint answers worse", sizeof(next.reason));
-	if (rollout_orders_take(w->orders, &next) != NULL)
-		(void)act(w, ROLLOUT_ACT_PHASE, &next);
+	if (rollout_orders_merge(w->orders, &next) != NULL)
+		(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
 /* A service with few requests is tried with a larger share of them. */
@@ -333,24 +334,24 @@
 	next.share_milli = rollout_trial_share_milli(
 	    s->trial, rollout_switch_ms(r), w->tick_ms);
 	if (next.share_milli != 0 &&
-	    rollout_orders_take(w->orders, &next) != NULL)
-		(void)act(w, ROLLOUT_ACT_PHASE, &next);
+	    rollout_orders_merge(w->orders, &next) != NULL)
+		(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
 /* Decides whether the new version may take all requests. */
 static void
-decide(struct rollout_watch *w, struct watched *s, const struct rollout *r,
-    enum rollout_verdict v, char *reason)
+decide_switch(struct rollout_watch *w, struct watched *s,
+    const struct rollout *r, enum rollout_verdict v, char *reason)
 {
 	if (v == ROLLOUT_GOOD &&
 	    rollout_trial_can_take_over(s->trial, w->tick_ms, reason))
-		move_on(w, s, r, ROLLOUT_SWITCHING, reason);
-	else if (w->tick_ms >= write_from_ms(r))
-		move_on(w, s, r, ROLLOUT_REVERTING, reason);
+		set_phase(w, s, r, ROLLOUT_SWITCHING, reason);
+	else if (w->tick_ms >= outcome_due_ms(r))
+		set_phase(w, s, r, ROLLOUT_REVERTING, reason);
 }
 
 static void
-judge(struct rollout_watch *w, struct watched *s)
+evaluate(struct rollout_watch *w, struct watched *s)
 {
 	const struct rollout *r = rollout_orders_find(w->orders, s->service);
 	char reason[ROLLOUT_REASON_BYTES];
@@ -358,41 +359,41 @@
 
 	if (r->phase > ROLLOUT_SWITCHING)
 		return;
-	exclude_own(w, s, r);
+	exclude_own_endpoint(w, s, r);
 	raise_share(w, s, r);
 	v = rollout_trial_verdict(s->trial, reason);
 	if (v == ROLLOUT_BAD)
-		move_on(w, s, r, ROLLOUT_REVERTING, reason);
+		set_phase(w, s, r, ROLLOUT_REVERTING, reason);
 	else if (r->phase == ROLLOUT_RUNNING &&
 	    w->tick_ms >= rollout_switch_ms(r))
-		decide(w, s, r, v, reason);
+		decide_switch(w, s, r, v, reason);
 }
 
 /* Nobody moved it on: its judges are gone, or there never was one. */
 static void
-give_up(struct rollout_watch *w, struct watched *s)
+revert_unjudged(struct rollout_watch *w, struct watched *s)
 {
 	const struct rollout *r = rollout_orders_find(w->orders, s->service);
 
 	if (r->phase == ROLLOUT_RUNNING &&
-	    w->tick_ms >= write_from_ms(r) + ROLLOUT_TURN_MS)
-		move_on(w, s, r, ROLLOUT_REVERTING,
+	    w->tick_ms >= outcome_due_ms(r) + ROLLOUT_WRITE_STAGGER_MS)
+		set_phase(w, s, r, ROLLOUT_REVERTING,
 		    "no endpoint of the new version was there to be judged");
 }
 
 /* When this node has the outcome written: judges by their rank, then others. */
 static uint64_t
-turn_ms(const struct rollout_watch *w, const struct watched *s,
+own_write_ms(const struct rollout_watch *w, const struct watched *s,
     const struct rollout *r)
 {
 	uint32_t rank = rollout_trial_judge_rank(s->trial, w->host);
-	uint64_t from_ms = s->since_ms;
+	uint64_t from_ms = s->phase_since_ms;
 
-	if (rank == ROLLOUT_JUDGES && !w->writes)
+	if (rank == ROLLOUT_JUDGES && !w->fallback_writer)
 		return DEADLINE_NEVER;
 	if (r->phase == ROLLOUT_SWITCHING)
-		from_ms = MAX(from_ms, write_from_ms(r));
-	return from_ms + (uint64_t)rank * ROLLOUT_TURN_MS;
+		from_ms = MAX(from_ms, outcome_due_ms(r));
+	return from_ms + (uint64_t)rank * ROLLOUT_WRITE_STAGGER_MS;
 }
 
 static void
@@ -402,10 +403,10 @@
 	struct rollout_action *a;
 
 	if (r->phase == ROLLOUT_RUNNING || s->writing ||
-	    w->tick_ms < MAX(turn_ms(w, s, r), s->write_ms))
+	    w->tick_ms < MAX(own_write_ms(w, s, r), s->next_write_ms))
 		return;
 	s->writing = true;
-	a = act(w, ROLLOUT_ACT_WRITE, r);
+	a = push_action(w, ROLLOUT_ACT_WRITE, r);
 	a->rollout.phase = r->phase == ROLLOUT_SWITCHING ? ROLLOUT_COMPLETED
 							 : ROLLOUT_ROLLED_BACK;
 }
@@ -419,30 +420,30 @@
 	if (s == NULL)
 		return;
 	s->writing = false;
-	s->write_ms = now_ms + (ok ? 0 : ROLLOUT_RETRY_MS);
+	s->next_write_ms = now_ms + (ok ? 0 : ROLLOUT_WRITE_RETRY_MS);
 }
 
 static void
-pass_time(struct rollout_watch *w, struct watched *s)
+tick_service(struct rollout_watch *w, struct watched *s)
 {
 	const struct rollout *r = rollout_orders_find(w->orders, s->service);
 
 	if (s->phase != r->phase) {
 		s->phase = r->phase;
-		s->since_ms = w->tick_ms;
+		s->phase_since_ms = w->tick_ms;
 	}
-	if (w->tick_ms >= s->report_ms) {
-		s->report_ms = w->tick_ms + ROLLOUT_REPORT_MS;
+	if (w->tick_ms >= s->next_report_ms) {
+		s->next_report_ms = w->tick_ms + ROLLOUT_REPORT_INTERVAL_MS;
 		if (s->has_counts &&
-		    rollout_trial_reports(
+		    rollout_trial_must_report(
 			s->trial, w->host, rollout_counts_answered(&s->counts)))
-			report(w, s, w->tick_ms);
+			send_report(w, s, w->tick_ms);
 		if (rollout_trial_judge_rank(s->trial, w->host) <
 		    ROLLOUT_JUDGES)
-			judge(w, s);
+			evaluate(w, s);
 	}
-	if (w->writes)
-		give_up(w, s);
+	if (w->fallback_writer)
+		revert_unjudged(w, s);
 	write_outcome(w, s);
 }
 
@@ -458,7 +459,7 @@
 		r = rollout_orders_at(w->orders, i);
 		s = watched_get(w, r->service);
 		if (s != NULL)
-			pass_time(w, s);
+			tick_service(w, s);
 	}
 }
 
@@ -469,6 +470,6 @@
 
 	for (i = 0; i < rollout_orders_count(w->orders); i++)
 		if (!rollout_is_over(rollout_orders_at(w->orders, i)))
-			return w->tick_ms + ROLLOUT_TURN_MS;
+			return w->tick_ms + ROLLOUT_WRITE_STAGGER_MS;
 	return DEADLINE_NEVER;
 }
--- a/packages/rollout/test/test_judge.c
+++ b/packages/rollout/test/test_judge.c
@@ -8,14 +8,14 @@
 #include "rollout/judge.h"
 #include "test_run.h"
 
-#define CHANCE 2e-4
+#define ALPHA 2e-4
 #define QUICK_US 100000
 #define SLOW_US 500000
 
 /* Answers on a route, one in @every a failure; 0 for none. */
 static void
-answer(struct rollout_counts *c, uint64_t route, uint32_t n, uint32_t every,
-    uint64_t took_us)
+record_answers(struct rollout_counts *c, uint64_t route, uint32_t n,
+    uint32_t every, uint64_t took_us)
 {
 	uint32_t i;
 
@@ -26,94 +26,96 @@
 
 START_TEST(like_the_old_version_is_sound)
 {
-	struct rollout_counts old = {0}, fresh = {0};
+	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
 
-	answer(&old, 1, 400, 20, QUICK_US);
-	answer(&fresh, 1, 40, 20, QUICK_US);
+	record_answers(&old, 1, 400, 20, QUICK_US);
+	record_answers(&candidate, 1, 40, 20, QUICK_US);
 	ck_assert_int_eq(
-	    rollout_judge(&fresh, &old, CHANCE, &f), ROLLOUT_SOUND);
-	ck_assert(rollout_clears(&fresh, &old));
+	    rollout_judge(&candidate, &old, ALPHA, &f), ROLLOUT_SOUND);
+	ck_assert(rollout_judge_passes(&candidate, &old));
 }
 END_TEST
 
 START_TEST(failures_are_found)
 {
-	struct rollout_counts old = {0}, fresh = {0};
+	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
 
-	answer(&old, 1, 400, 20, QUICK_US);
-	answer(&fresh, 1, 20, 2, QUICK_US);
+	record_answers(&old, 1, 400, 20, QUICK_US);
+	record_answers(&candidate, 1, 20, 2, QUICK_US);
 	ck_assert_int_eq(
-	    rollout_judge(&fresh, &old, CHANCE, &f), ROLLOUT_FAILS);
+	    rollout_judge(&candidate, &old, ALPHA, &f), ROLLOUT_FAILS);
 	ck_assert_uint_eq(f.bad, 10);
-	ck_assert_uint_eq(f.of, 20);
-	ck_assert(!rollout_clears(&fresh, &old));
+	ck_assert_uint_eq(f.total, 20);
+	ck_assert(!rollout_judge_passes(&candidate, &old));
 }
 END_TEST
 
 /* In a burst of failures both versions fail. */
 START_TEST(what_both_suffer_is_not_held_against_the_new_one)
 {
-	struct rollout_counts old = {0}, fresh = {0};
+	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
 
-	answer(&old, 1, 200, 3, QUICK_US);
-	answer(&fresh, 1, 40, 3, QUICK_US);
+	record_answers(&old, 1, 200, 3, QUICK_US);
+	record_answers(&candidate, 1, 40, 3, QUICK_US);
 	ck_assert_int_eq(
-	    rollout_judge(&fresh, &old, CHANCE, &f), ROLLOUT_SOUND);
+	    rollout_judge(&candidate, &old, ALPHA, &f), ROLLOUT_SOUND);
 }
 END_TEST
 
 START_TEST(one_bad_route_of_several_is_found)
 {
-	struct rollout_counts old = {0}, fresh = {0};
+	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
 	uint64_t route;
 
 	for (route = 1; route <= 8; route++) {
-		answer(&old, route, 100, 50, QUICK_US);
-		answer(&fresh, route, 20, route == 5 ? 2 : 0, QUICK_US);
+		record_answers(&old, route, 100, 50, QUICK_US);
+		record_answers(
+		    &candidate, route, 20, route == 5 ? 2 : 0, QUICK_US);
 	}
 	ck_assert_int_eq(
-	    rollout_judge(&fresh, &old, CHANCE, &f), ROLLOUT_FAILS);
+	    rollout_judge(&candidate, &old, ALPHA, &f), ROLLOUT_FAILS);
 	ck_assert_uint_eq(f.route, 5);
-	ck_assert(!rollout_clears_routes(&fresh, &old, false));
+	ck_assert(!rollout_judge_routes_pass(&candidate, &old, false));
 }
 END_TEST
 
 START_TEST(slow_answers_are_found)
 {
-	struct rollout_counts old = {0}, fresh = {0};
+	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
 
-	answer(&old, 1, 200, 0, QUICK_US);
-	answer(&fresh, 1, 20, 0, SLOW_US);
-	ck_assert_int_eq(rollout_judge(&fresh, &old, CHANCE, &f), ROLLOUT_SLOW);
+	record_answers(&old, 1, 200, 0, QUICK_US);
+	record_answers(&candidate, 1, 20, 0, SLOW_US);
+	ck_assert_int_eq(
+	    rollout_judge(&candidate, &old, ALPHA, &f), ROLLOUT_SLOW);
 }
 END_TEST
 
 /* Endpoints of one service differ in speed by a factor of two. */
 START_TEST(a_slower_host_is_no_slow_version)
 {
-	struct rollout_counts old = {0}, fresh = {0};
+	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
 
-	answer(&old, 1, 100, 0, QUICK_US);
-	answer(&old, 1, 100, 0, 2 * QUICK_US);
-	answer(&fresh, 1, 40, 0, 2 * QUICK_US);
+	record_answers(&old, 1, 100, 0, QUICK_US);
+	record_answers(&old, 1, 100, 0, 2 * QUICK_US);
+	record_answers(&candidate, 1, 40, 0, 2 * QUICK_US);
 	ck_assert_int_eq(
-	    rollout_judge(&fresh, &old, CHANCE, &f), ROLLOUT_SOUND);
+	    rollout_judge(&candidate, &old, ALPHA, &f), ROLLOUT_SOUND);
 }
 END_TEST
 
 START_TEST(a_few_answers_clear_nothing)
 {
-	struct rollout_counts old = {0}, fresh = {0};
+	struct rollout_counts old = {0}, candidate = {0};
 
-	answer(&old, 1, 400, 20, QUICK_US);
-	answer(&fresh, 1, 5, 0, QUICK_US);
-	ck_assert(!rollout_clears(&fresh, &old));
+	record_answers(&old, 1, 400, 20, QUICK_US);
+	record_answers(&candidate, 1, 5, 0, QUICK_US);
+	ck_assert(!rollout_judge_passes(&candidate, &old));
 }
 END_TEST
 
--- a/packages/rollout/test/test_orders.c
+++ b/packages/rollout/test/test_orders.c
@@ -9,7 +9,7 @@
 #include "test_run.h"
 
 static struct rollout
-make(uint64_t order, enum rollout_phase phase)
+make_rollout(uint64_t order, enum rollout_phase phase)
 {
 	struct rollout r = {.service = "booking",
 	    .from = "v1",
@@ -22,28 +22,28 @@
 
 START_TEST(numbers_in_versions_count_as_numbers)
 {
-	ck_assert_int_lt(rollout_version_order("v9", "v10"), 0);
-	ck_assert_int_lt(rollout_version_order("1.2.3", "1.10.0"), 0);
-	ck_assert_int_eq(rollout_version_order("v1", "v1"), 0);
-	ck_assert_int_lt(rollout_version_order("", "v1"), 0);
-	ck_assert_int_gt(rollout_version_order("v2-rc1", "v2"), 0);
+	ck_assert_int_lt(rollout_version_compare("v9", "v10"), 0);
+	ck_assert_int_lt(rollout_version_compare("1.2.3", "1.10.0"), 0);
+	ck_assert_int_eq(rollout_version_compare("v1", "v1"), 0);
+	ck_assert_int_lt(rollout_version_compare("", "v1"), 0);
+	ck_assert_int_gt(rollout_version_compare("v2-rc1", "v2"), 0);
 }
 END_TEST
 
 START_TEST(a_later_order_and_a_later_phase_win)
 {
 	struct rollout_orders *o = rollout_orders_new();
-	struct rollout r = make(7, ROLLOUT_SWITCHING);
-
-	ck_assert_ptr_nonnull(rollout_orders_take(o, &r));
-	r = make(7, ROLLOUT_RUNNING);
-	ck_assert_ptr_null(rollout_orders_take(o, &r));
-	r = make(7, ROLLOUT_REVERTING);
-	ck_assert_ptr_nonnull(rollout_orders_take(o, &r));
-	r = make(6, ROLLOUT_COMPLETED);
-	ck_assert_ptr_null(rollout_orders_take(o, &r));
-	r = make(8, ROLLOUT_RUNNING);
-	ck_assert_ptr_nonnull(rollout_orders_take(o, &r));
+	struct rollout r = make_rollout(7, ROLLOUT_SWITCHING);
+
+	ck_assert_ptr_nonnull(rollout_orders_merge(o, &r));
+	r = make_rollout(7, ROLLOUT_RUNNING);
+	ck_assert_ptr_null(rollout_orders_merge(o, &r));
+	r = make_rollout(7, ROLLOUT_REVERTING);
+	ck_assert_ptr_nonnull(rollout_orders_merge(o, &r));
+	r = make_rollout(6, ROLLOUT_COMPLETED);
+	ck_assert_ptr_null(rollout_orders_merge(o, &r));
+	r = make_rollout(8, ROLLOUT_RUNNING);
+	ck_assert_ptr_nonnull(rollout_orders_merge(o, &r));
 	ck_assert_int_eq(
 	    rollout_orders_find(o, "booking")->phase, ROLLOUT_RUNNING);
 	rollout_orders_free(o);
@@ -54,15 +54,16 @@
 START_TEST(what_two_judges_add_is_kept)
 {
 	struct rollout_orders *o = rollout_orders_new();
-	struct rollout excluded = make(7, ROLLOUT_RUNNING), share = excluded;
+	struct rollout excluded = make_rollout(7, ROLLOUT_RUNNING),
+		       share = excluded;
 
 	(void)g_strlcpy(excluded.excluded, "host-9", sizeof(excluded.excluded));
 	share.share_milli = 200;
-	ck_assert_ptr_nonnull(rollout_orders_take(o, &excluded));
-	ck_assert_ptr_nonnull(rollout_orders_take(o, &share));
+	ck_assert_ptr_nonnull(rollout_orders_merge(o, &excluded));
+	ck_assert_ptr_nonnull(rollout_orders_merge(o, &share));
 	ck_assert_str_eq(rollout_orders_find(o, "booking")->excluded, "host-9");
 	ck_assert_uint_eq(rollout_orders_find(o, "booking")->share_milli, 200);
-	ck_assert_ptr_null(rollout_orders_take(o, &excluded));
+	ck_assert_ptr_null(rollout_orders_merge(o, &excluded));
 	rollout_orders_free(o);
 }
 END_TEST
@@ -85,19 +86,21 @@
 START_TEST(the_phase_tells_which_version_is_current)
 {
 	static const char *const both[] = {"v2", "v1"};
-	static const char *const fresh[] = {"v2"};
+	static const char *const candidate_only[] = {"v2"};
 	struct rollout_orders *o = rollout_orders_new();
-	struct rollout r = make(7, ROLLOUT_RUNNING);
+	struct rollout r = make_rollout(7, ROLLOUT_RUNNING);
 
-	(void)rollout_orders_take(o, &r);
+	(void)rollout_orders_merge(o, &r);
 	ck_assert_str_eq(rollout_orders_current(o, "booking", both, 2), "v1");
-	ck_assert_str_eq(rollout_orders_current(o, "booking", fresh, 1), "v1");
-	r = make(7, ROLLOUT_ROLLED_BACK);
-	(void)rollout_orders_take(o, &r);
+	ck_assert_str_eq(
+	    rollout_orders_current(o, "booking", candidate_only, 1), "v1");
+	r = make_rollout(7, ROLLOUT_ROLLED_BACK);
+	(void)rollout_orders_merge(o, &r);
 	/* Rather nothing is served than a version that was found bad. */
-	ck_assert_str_eq(rollout_orders_current(o, "booking", fresh, 1), "v1");
-	r = make(8, ROLLOUT_COMPLETED);
-	(void)rollout_orders_take(o, &r);
+	ck_assert_str_eq(
+	    rollout_orders_current(o, "booking", candidate_only, 1), "v1");
+	r = make_rollout(8, ROLLOUT_COMPLETED);
+	(void)rollout_orders_merge(o, &r);
 	ck_assert_str_eq(rollout_orders_current(o, "booking", both, 2), "v2");
 	rollout_orders_free(o);
 }
@@ -108,9 +111,9 @@
 {
 	static const char *const next[] = {"v3", "v3"};
 	struct rollout_orders *o = rollout_orders_new();
-	struct rollout r = make(7, ROLLOUT_COMPLETED);
+	struct rollout r = make_rollout(7, ROLLOUT_COMPLETED);
 
-	(void)rollout_orders_take(o, &r);
+	(void)rollout_orders_merge(o, &r);
 	ck_assert_str_eq(rollout_orders_current(o, "booking", next, 2), "v3");
 	rollout_orders_free(o);
 }
