--- a/packages/rollout/include/rollout/counts.h
+++ b/packages/rollout/include/rollout/counts.h
@@ -1,6 +1,6 @@
 /*
- * Counts of an endpoint's answers by route: how many, how many failures, and
- * how long they took.
+ * Per-route counts of an endpoint's answers: total, failures, and a histogram
+ * of latencies.
  */
 #ifndef ROLLOUT_COUNTS_H
 #define ROLLOUT_COUNTS_H
@@ -8,18 +8,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Routes counted apart; the answers of further ones are added up. */
+/* Routes with an entry of their own; the answers of all others share one entry.
+ */
 #define ROLLOUT_ROUTES_MAX 12
 
-/* Buckets of times: 4 ms and less, then a square root of two each, to 11 s. */
+/* Latency buckets: up to 4 ms, then each bound is larger by the square root of
+ * two, to 11 s. */
 #define ROLLOUT_BUCKETS 24
 
 /**
  * struct rollout_route - answers on one route
- * @route: number of the route; 0 for all that have no place of their own
- * @answered: answers, failures among them
- * @failed: failures
- * @took: answers by the time they took
+ * @route: hash of the route; 0 in the entry shared by all other routes
+ * @answered: answers, failures included
+ * @failed: failed answers
+ * @took: histogram of the latencies of successful answers
  */
 struct rollout_route {
 	uint64_t route;
@@ -29,9 +31,9 @@
 };
 
 /**
- * struct rollout_counts - answers of an endpoint, or of several
+ * struct rollout_counts - answers of one endpoint, or the sum over several
  * @n_routes: number of @routes
- * @routes: routes, the one of all others among them
+ * @routes: entries; the first one is shared by all routes without their own
  */
 struct rollout_counts {
 	uint32_t n_routes;
@@ -39,11 +41,11 @@
 };
 
 /**
- * rollout_counts_record() - an answer came
+ * rollout_counts_record() - count one answer
  * @c: the counts
- * @route: number of its route
- * @failed: it is a failure
- * @took_us: time that the upstream took
+ * @route: hash of its route
+ * @failed: whether the answer is a failure
+ * @took_us: latency of the upstream
  */
 void rollout_counts_record(
     struct rollout_counts *c, uint64_t route, bool failed, uint64_t took_us);
@@ -52,15 +54,15 @@
 void rollout_counts_add(
     struct rollout_counts *sum, const struct rollout_counts *other);
 
-/** rollout_counts_subtract() - what came since @earlier, of the same endpoint
- */
+/** rollout_counts_subtract() - reduce @c to the answers since @earlier, a
+ * previous value of the same endpoint's counts */
 void rollout_counts_subtract(
     struct rollout_counts *c, const struct rollout_counts *earlier);
 
-/** rollout_counts_answered() - answers on all routes */
+/** rollout_counts_answered() - number of answers on all routes */
 uint64_t rollout_counts_answered(const struct rollout_counts *c);
 
-/** rollout_counts_failed() - failures on all routes */
+/** rollout_counts_failed() - number of failures on all routes */
 uint64_t rollout_counts_failed(const struct rollout_counts *c);
 
 #endif
--- a/packages/rollout/include/rollout/rollout_store.h
+++ b/packages/rollout/include/rollout/rollout_store.h
@@ -1,6 +1,6 @@
 /*
- * Where orders and their outcome outlive all nodes: a vtable that an adapter
- * fills.
+ * Storage of orders and their outcomes outside the nodes: a vtable that an
+ * adapter implements.
  */
 #ifndef ROLLOUT_ROLLOUT_STORE_H
 #define ROLLOUT_ROLLOUT_STORE_H
@@ -8,13 +8,13 @@
 #include "base/status.h"
 #include "rollout/orders.h"
 
-/** ROLLOUT_ROWS_MAX - most rows that are read */
+/** ROLLOUT_ROWS_MAX - highest number of rows that are read */
 #define ROLLOUT_ROWS_MAX 256
 
 /**
- * struct rollout_row - an order as it is stored
- * @rollout: the order; its deadline is by the reader's monotonic clock
- * @revision: of the row, for the condition of the next write
+ * struct rollout_row - an order as stored
+ * @rollout: the order; its deadline is in the reader's monotonic time
+ * @revision: revision of the row, the condition of the next write
  */
 struct rollout_row {
 	struct rollout rollout;
@@ -22,11 +22,11 @@
 };
 
 /**
- * rollout_rows_fn - a call has ended
- * @st: STATUS_OK; STATUS_CONFLICT when another one wrote first; or why not
- * @rows: the rows read, the row written, or the row that stands there instead
- * @n: their number, 0 in a conflict when there is none
- * @arg: the caller's
+ * rollout_rows_fn - completion of a call
+ * @st: STATUS_OK; STATUS_CONFLICT if another writer was first; else the error
+ * @rows: the rows read, the row written, or in a conflict the stored row
+ * @n: number of @rows, 0 in a conflict if no row is stored
+ * @arg: argument given by the caller
  */
 typedef void rollout_rows_fn(
     enum status st, const struct rollout_row *rows, uint32_t n, void *arg);
@@ -34,11 +34,11 @@
 struct rollout_store;
 
 /**
- * struct rollout_store_ops - a store of orders
- * @read: read all rows; the callback is called once, never before this returns
- * @write: write an order with its phase, and tell the operators, if its row
- *	still has the revision given, 0 for none; likewise
- * @free: free the store; calls under way are dropped
+ * struct rollout_store_ops - operations of a store of orders
+ * @read: read all rows; the callback is called once, after this has returned
+ * @write: write an order with its phase, and notify the operators, if its row
+ *	still has the given revision, 0 for no row; the callback as with @read
+ * @free: free the store; calls in progress are dropped
  */
 struct rollout_store_ops {
 	void (*read)(struct rollout_store *s, rollout_rows_fn *fn, void *arg);
@@ -47,7 +47,7 @@
 	void (*free)(struct rollout_store *s);
 };
 
-/** struct rollout_store - the common part */
+/** struct rollout_store - common part of all stores */
 struct rollout_store {
 	const struct rollout_store_ops *ops;
 };
--- a/packages/rollout/include/rollout/share.h
+++ b/packages/rollout/include/rollout/share.h
@@ -1,31 +1,32 @@
 /*
- * How much of a service's requests a version on trial gets, and at how many of
- * its endpoints.
+ * Share of a service's requests that go to a version on trial, and number of
+ * its endpoints that receive them.
  *
- * So many that each gets about as much as an endpoint of the old version does:
- * spread over all of them the same share would load none, and what is bad
- * under load only would not show.
+ * Each of these endpoints receives about as many requests as an endpoint of the
+ * old version. Spread over all endpoints, the same share would put little load
+ * on each, and a fault that shows under load only would not be found.
  */
 #ifndef ROLLOUT_SHARE_H
 #define ROLLOUT_SHARE_H
 
 #include <stdint.h>
 
-/* Endpoints of the new version that get requests at a time, at most. */
+/* Highest number of new endpoints that receive requests at a time. */
 #define ROLLOUT_CANARIES_MAX 16
 
-/* Most of a service's requests that go to the new version, in 1,000. */
+/* Highest share of a service's requests for the new version, in 1,000. */
 #define ROLLOUT_SHARE_MILLI 50
 
 /**
- * rollout_canaries() - endpoints of the new version that get requests at a time
+ * rollout_canaries() - number of new endpoints that receive requests at a time
  * @n_old: endpoints of the old version
- * @share_milli: share of the requests in 1,000
+ * @share_milli: their share of the requests in 1,000
  */
 uint32_t rollout_canaries(uint32_t n_old, uint32_t share_milli);
 
 /**
- * rollout_share_milli() - their share of the requests, in 1,000
+ * rollout_share_milli() - default share of requests for the new version, in
+ * 1,000
  * @n_old: endpoints of the old version
  */
 uint32_t rollout_share_milli(uint32_t n_old);
--- a/packages/rollout/include/rollout/trial.h
+++ b/packages/rollout/include/rollout/trial.h
@@ -1,11 +1,12 @@
 /*
- * Trial: who takes part in the rollout of a service, and what was found.
+ * Trial (canary analysis): the endpoints that take part in the rollout of a
+ * service, and the verdict from their reports.
  *
- * A few endpoints of the new version, those that started first, get a small
- * share of the requests, as much each as an endpoint of the old version gets.
- * A few endpoints of the old version, chosen by rank, are counted as the
- * measure.  The guards of both report their counts to the hosts of the first
- * new endpoints, each of which judges by itself.
+ * A few endpoints of the new version, those that started first, receive a small
+ * share of the requests, each about as many as an endpoint of the old version.
+ * A few endpoints of the old version, chosen by rank, serve as the control
+ * group. The guards of both groups report their counts to the hosts of the
+ * first new endpoints, each of which reaches a verdict by itself.
  */
 #ifndef ROLLOUT_TRIAL_H
 #define ROLLOUT_TRIAL_H
@@ -14,20 +15,20 @@
 #include "rollout/judge.h"
 #include "rollout/orders.h"
 
-/* Endpoints of the old version that are the measure. */
+/* Size of the control group, endpoints of the old version. */
 #define ROLLOUT_CONTROLS 12
 
-/* Hosts of new endpoints that judge: one more than canaries, and one that
- * takes the place of one that is gone. */
+/* Hosts of new endpoints that judge: one more than there are canaries, and one
+ * that replaces a host that has failed. */
 #define ROLLOUT_JUDGES 5
 
 /**
  * struct rollout_endpoint - an endpoint of the service
- * @host: its host; valid as long as the trial knows it
+ * @host: its host
  * @node: control address of the host's node
  * @version: version of its software
  * @started_ms: when the host's node started, wall clock
- * @ready: it takes requests
+ * @ready: whether it accepts requests
  */
 struct rollout_endpoint {
 	char host[MSG_ROLLOUT_REPORT_HOST_MAX + 1];
@@ -37,7 +38,7 @@
 	bool ready;
 };
 
-/** enum rollout_verdict - what a judge concludes */
+/** enum rollout_verdict - conclusion of a judge */
 enum rollout_verdict {
 	ROLLOUT_UNDECIDED = 0,
 	ROLLOUT_GOOD,
@@ -46,73 +47,77 @@
 
 struct rollout_trial;
 
-/** rollout_trial_new() - nobody takes part yet; free with rollout_trial_free()
- */
+/** rollout_trial_new() - create a trial without endpoints; free with
+ * rollout_trial_free() */
 struct rollout_trial *rollout_trial_new(const struct rollout *r);
 
-/** rollout_trial_free() - free it; NULL is allowed */
+/** rollout_trial_free() - free a trial; NULL is allowed */
 void rollout_trial_free(struct rollout_trial *t);
 
-/** rollout_trial_order() - number of the order that is tried */
+/** rollout_trial_order() - number of the order on trial */
 uint64_t rollout_trial_order(const struct rollout_trial *t);
 
-/** rollout_trial_set_endpoints() - the service's endpoints; copied */
+/** rollout_trial_set_endpoints() - set the service's endpoints; copied */
 void rollout_trial_set_endpoints(struct rollout_trial *t,
     const struct rollout_endpoint *endpoints, uint32_t n);
 
 /**
- * rollout_trial_must_report() - whether the guard of @host is to report
+ * rollout_trial_must_report() - whether the guard of @host has to report
  * @t: the trial
  * @host: the host
- * @answered: answers of its endpoint; a new one without any has no news
+ * @answered: answers of its endpoint; a new endpoint without any need not
+ *	report
  */
 bool rollout_trial_must_report(
     const struct rollout_trial *t, const char *host, uint64_t answered);
 
-/** rollout_trial_judge_rank() - place of @host among the judges, or
- * ROLLOUT_JUDGES when it is none */
+/** rollout_trial_judge_rank() - rank of @host among the judges, ROLLOUT_JUDGES
+ * if it is not a judge */
 uint32_t
 rollout_trial_judge_rank(const struct rollout_trial *t, const char *host);
 
-/** rollout_trial_judges() - where reports go; Return: their number */
+/** rollout_trial_judges() - addresses that reports are sent to; Return: their
+ * number */
 uint32_t rollout_trial_judges(
     const struct rollout_trial *t, struct net_addr nodes[ROLLOUT_JUDGES]);
 
-/** rollout_trial_add_report() - counts of an endpoint came; older ones are
- * ignored
- */
+/** rollout_trial_add_report() - store the reported counts of an endpoint; a
+ * report older than the last one is ignored */
 void rollout_trial_add_report(struct rollout_trial *t, const char *host,
     const char *version, uint64_t seq, const struct rollout_counts *counts,
     uint64_t now_ms);
 
-/** rollout_trial_is_suspect() - whether the answers of @host alone are bad */
+/** rollout_trial_is_suspect() - whether the answers of @host alone are worse
+ * than the old version's */
 bool rollout_trial_is_suspect(struct rollout_trial *t, const char *host);
 
 /**
- * rollout_trial_verdict() - what all reports say so far
+ * rollout_trial_verdict() - verdict from all reports so far
  * @t: the trial
- * @reason: where the grounds go, for operators
+ * @reason: set to the grounds of the verdict, for operators
  *
- * Return: ROLLOUT_BAD when two endpoints are bad, or all but one of those that
- * answered are together; one alone may be faulty on its own.  ROLLOUT_GOOD when
- * enough was answered well.
+ * Return: ROLLOUT_BAD if two endpoints are bad, or if all that answered are bad
+ * together, with and without the worst one; a single bad endpoint may have a
+ * fault of its own. ROLLOUT_GOOD if enough answers are good.
  */
 enum rollout_verdict rollout_trial_verdict(
     struct rollout_trial *t, char reason[ROLLOUT_REASON_BYTES]);
 
-/** rollout_trial_can_take_over() - whether enough new endpoints are ready to
- * take all requests, and reports of the old version are recent */
+/** rollout_trial_can_take_over() - whether enough new endpoints are ready for
+ * all requests, and reports of the old version are recent; if not, @reason is
+ * set */
 bool rollout_trial_can_take_over(
     const struct rollout_trial *t, uint64_t now_ms, char *reason);
 
 /**
- * rollout_trial_share_milli() - the share that brings enough answers to tell
+ * rollout_trial_share_milli() - share of requests that brings enough answers
+ * for a verdict
  * @t: the trial
- * @until_ms: by when
+ * @until_ms: monotonic time by which the answers are needed
  * @now_ms: monotonic time
  *
- * Return: the share in 1,000; 0 while the rate is not known, and where the
- * usual share is enough.
+ * Return: the share in 1,000; 0 while the rate of requests is not known, and if
+ * the default share is enough.
  */
 uint32_t rollout_trial_share_milli(
     const struct rollout_trial *t, uint64_t until_ms, uint64_t now_ms);
--- a/packages/rollout/src/counts.c
+++ b/packages/rollout/src/counts.c
@@ -1,5 +1,5 @@
 /*
- * Counts of an endpoint's answers by route.
+ * Per-route counts of an endpoint's answers.
  */
 #include "rollout/counts.h"
 
@@ -7,8 +7,8 @@
 
 #include <glib.h>
 
-/* The first bucket's bound; each next one is larger by the square root of two,
- * 181 / 128. */
+/* Upper bound of the first bucket; each next bound is larger by the square root
+ * of two, about 181 / 128. */
 #define FIRST_BUCKET_US 4000
 #define STEP_NUMERATOR 181
 #define STEP_DENOMINATOR 128
@@ -45,8 +45,8 @@
 	return r;
 }
 
-/* Frees the place of the route with the fewest answers, which are counted among
- * all others' from now on: routes that matter keep their places. */
+/* Reuses the entry of the route with the fewest answers, which move to the
+ * shared entry: busy routes keep entries of their own. */
 static struct rollout_route *
 evict_smallest(struct rollout_counts *c, uint64_t route)
 {
@@ -62,7 +62,7 @@
 	return smallest;
 }
 
-/* The first place is that of all others. */
+/* Entry of a route, added if there is none. Entry 0 is the shared one. */
 static struct rollout_route *
 get_route(struct rollout_counts *c, uint64_t route)
 {
--- a/packages/rollout/src/judge.c
+++ b/packages/rollout/src/judge.c
@@ -1,5 +1,5 @@
 /*
- * Compares answers of two versions by the tail of a binomial distribution.
+ * Compares the answers of two versions with one-sided binomial tests.
  */
 #include "rollout/judge.h"
 
@@ -8,51 +8,53 @@
 
 #include <glib.h>
 
-/* Fewer bad answers than this are no pattern, whatever their share. */
+/* Fewer bad answers than this show no pattern, whatever their rate. */
 #define BAD_ANSWERS_MIN 4
 
-/* Answers of the old version on a route from which its share is known; below
- * that the share on all routes stands in. */
+/* Answers of the old version on a route from which its failure rate there is
+ * known; below that its rate over all routes is used. */
 #define OLD_ANSWERS_MIN 10
 
-/* Answers that give the old version's times. */
+/* Answers from which the old version's latencies are known. */
 #define OLD_TIMED_ANSWERS_MIN 20
 
-/* A new version may fail half as often again as the old one, and by 3 in 100
- * more: endpoints differ by so much in what their calls meet. */
+/* Failure rate that a new version may have: half as much again as the old
+ * version's, and 3 in 100 more. Endpoints differ by so much, since the faults
+ * that their calls run into differ. */
 #define FAILURE_RATE_FACTOR 1.5
 #define FAILURE_RATE_MARGIN 0.03
 
-/* Assumed where the old version has answered nothing. */
+/* Failure rate allowed where the old version has no answers. */
 #define FAILURE_RATE_DEFAULT 0.1
 
-/* A bad version fails this much more often than the old one; one is cleared
- * once so few failures of such a version would be this unlikely. */
+/* A bad version is taken to fail by at least this much more often than the old
+ * one. A version passes once its number of failures would be this unlikely for
+ * a bad one. */
 #define BAD_VERSION_RATE_EXCESS 0.3
 #define PASS_ALPHA 0.05
 
-/* A route with so many answers is cleared by itself, with a weaker proof: most
- * versions are alike on all routes. */
+/* A route with at least so many answers has to pass on its own, at a weaker
+ * level: most versions behave alike on all routes. */
 #define PASS_ROUTE_ANSWERS_MIN 14
 #define PASS_ROUTE_ALPHA 0.2
 
-/* A route with this part of the old version's answers is a main one. */
+/* A main route has at least one in so many of the old version's answers. */
 #define MAIN_ROUTE_DIVISOR 6
 
-/* Share of its answers that are slow, by the old version's measure, where a
- * version is several times slower. */
+/* Rate of slow answers, by the old version's threshold, of a version that is
+ * several times slower. */
 #define SLOW_VERSION_RATE 0.5
 
-/* Most of the old version's answers that count as slow. */
+/* Highest rate of the old version's answers above the slow threshold. */
 #define OLD_SLOW_RATE_MAX 0.05
 
-/* Endpoints of one service differ in speed by up to two times, two buckets.
- */
+/* Endpoints of one service differ in speed by up to a factor of two, which is
+ * two buckets. */
 #define HOST_SPEED_BUCKETS 2
 #define SLOW_RATE_MIN 0.05
 #define SLOW_RATE_MAX 0.5
 
-/* No route: all of them. */
+/* Route of a finding over all routes together. */
 #define ROUTE_ALL UINT64_MAX
 
 const char *
@@ -63,7 +65,7 @@
 	return (size_t)d < G_N_ELEMENTS(names) ? names[d] : "?";
 }
 
-/* Probability of @k or more of @n where each has probability @p. */
+/* Probability of @k or more bad answers of @n, each bad with probability @p. */
 static double
 binomial_tail(uint32_t k, uint32_t n, double p)
 {
@@ -83,8 +85,8 @@
 	return sum;
 }
 
-/* Whether @bad or more of @total are unlikely where each is bad with chance @p.
- */
+/* Whether @bad or more of @total are unlikely, each being bad with probability
+ * @p. */
 static bool
 exceeds_rate(uint32_t bad, uint32_t total, double p, double alpha)
 {
@@ -102,7 +104,8 @@
 	return NULL;
 }
 
-/* The old version's failures: on the route, or on all while it has few. */
+/* The old version's failures on a route, or on all routes if it has few answers
+ * there. */
 static void
 count_old_failures(const struct rollout_counts *old, uint64_t route,
     uint32_t *bad, uint32_t *total)
@@ -136,7 +139,7 @@
 	return exceeds_rate(f->bad, f->total, p, alpha);
 }
 
-/* Answers in the buckets from @from on. */
+/* Number of answers in bucket @from and those above. */
 static uint32_t
 count_from_bucket(const struct rollout_route *r, uint32_t from)
 {
@@ -147,8 +150,8 @@
 	return sum;
 }
 
-/* The share of slow answers, those from the bucket @from on, that an endpoint
- * as slow as endpoints may be would give. */
+/* Rate of answers in bucket @from and above that the slowest normal endpoint of
+ * the old version would have. */
 static double
 expected_slow_rate(
     const struct rollout_route *old, uint32_t from, uint32_t timed)
@@ -158,8 +161,8 @@
 	    timed;
 }
 
-/* The first bucket from which on the old version has few answers, and would
- * have no more than a part on such an endpoint. */
+/* First bucket that counts as slow: the old version has few answers from there
+ * on, and its slowest normal endpoint would have at most SLOW_RATE_MAX. */
 static uint32_t
 slow_threshold(const struct rollout_route *old, uint32_t timed)
 {
@@ -173,10 +176,11 @@
 }
 
 /*
- * Answers of a route that are slow for the old version, and the share @p of
- * such that an endpoint as slow as endpoints may be would give.
+ * Counts the answers on a route that are slow by the old version's threshold,
+ * and sets @p to the rate of slow answers that the slowest normal endpoint
+ * would have.
  *
- * Return: false where too little was answered to tell.
+ * Return: false if either version has too few answers for a comparison.
  */
 static bool
 count_slow(const struct rollout_route *r, const struct rollout_counts *old,
@@ -211,7 +215,7 @@
 	    exceeds_rate(f->bad, f->total, p, alpha);
 }
 
-/* The answers of all routes as those of one. */
+/* Adds up all routes into a single one. */
 static void
 sum_routes(const struct rollout_counts *c, struct rollout_counts *sum)
 {
@@ -229,7 +233,7 @@
 	}
 }
 
-/* Slow answers that are spread over routes with few answers each. */
+/* Finds slow answers that are spread over routes with few answers each. */
 static bool
 is_slow_overall(const struct rollout_counts *candidate,
     const struct rollout_counts *old, double alpha, struct rollout_finding *f)
@@ -243,7 +247,7 @@
 	return is_slow(&sum.routes[0], &old_sum, alpha, f);
 }
 
-/* Failures that are spread over routes with few answers each. */
+/* Finds failures that are spread over routes with few answers each. */
 static bool
 fails_overall(const struct rollout_counts *candidate,
     const struct rollout_counts *old, double alpha, struct rollout_finding *f)
@@ -270,9 +274,8 @@
 	return finding->defect;
 }
 
-/* Whether @bad or fewer of @total are unlikely where each is bad with chance
- * @p.
- */
+/* Whether @bad or fewer of @total are unlikely, each being bad with probability
+ * @p. */
 static bool
 is_below_rate(uint32_t bad, uint32_t total, double p, double alpha)
 {
@@ -292,7 +295,8 @@
 	return is_below_rate(r->failed, r->answered, p, alpha);
 }
 
-/* Whether the old version has so much on a route that it must be cleared. */
+/* Whether the old version has so many answers on a route that the new version
+ * has to pass there. */
 static bool
 is_main_route(const struct rollout_counts *old, uint64_t route)
 {
--- a/packages/rollout/src/news.c
+++ b/packages/rollout/src/news.c
@@ -1,5 +1,5 @@
 /*
- * Passes orders on to all nodes.
+ * Gossip of orders between nodes.
  */
 #include "rollout/news.h"
 
@@ -9,19 +9,19 @@
 
 #include "base/clock.h"
 
-/* Orders in a datagram: four of the largest stay below 1,300 bytes. */
+/* Orders per datagram: four of the largest take less than 1,300 bytes. */
 #define ORDERS_PER_DATAGRAM 4
 
 /**
- * struct rollout_news - what is to be sent
- * @host: own name
- * @orders: what is known; borrowed
- * @out: where datagrams go; borrowed
- * @received: struct rollout that peers told and were not popped
- * @rounds_left: how often all orders are still to be passed on
- * @round_ms: when that is next, DEADLINE_NEVER for not at all
- * @compare_ms: when the next comparison is begun
- * @join_until_ms: until when a node that knows nothing asks
+ * struct rollout_news - state of the gossip
+ * @host: own host
+ * @orders: known orders; borrowed
+ * @out: queue for outgoing datagrams; borrowed
+ * @received: struct rollout: new orders of peers that were not popped yet
+ * @rounds_left: rounds in which all orders are still to be sent
+ * @round_ms: when the next round is due, DEADLINE_NEVER for none
+ * @compare_ms: when the next digest is due
+ * @join_until_ms: until when a node without orders sends digests
  */
 struct rollout_news {
 	char host[MSG_ROLLOUT_NEWS_HOST_MAX + 1];
@@ -187,7 +187,7 @@
 	    msg_rollout_digest_decode(body, len, &d) == STATUS_OK &&
 	    d.digest != rollout_orders_digest(n->orders)) {
 		send_orders(n, from, now_ms);
-		/* The peer may know more than this node. */
+		/* The peer may have orders that this node lacks. */
 		if (rollout_orders_count(n->orders) == 0)
 			send_digest(n, from);
 	}
@@ -198,7 +198,8 @@
 	}
 }
 
-/* A node that knows nothing asks after its start, then no longer. */
+/* Whether digests are sent: a node without orders sends them only for some time
+ * after its start. */
 static bool
 compares(const struct rollout_news *n)
 {
--- a/packages/rollout/src/orders.c
+++ b/packages/rollout/src/orders.c
@@ -1,5 +1,5 @@
 /*
- * The newest rollout of each service.
+ * Set of the newest order of each service.
  */
 #include "rollout/orders.h"
 
@@ -9,13 +9,13 @@
 
 #include "base/hash.h"
 
-/* Seed that keeps the digest of orders apart from other hashes. */
+/* Hash seed of the digest, different from those of other hashes. */
 #define DIGEST_SEED 23
 
 /**
- * struct rollout_orders - what is known
- * @orders: struct rollout, by service
- * @current: service to the version that had its requests last
+ * struct rollout_orders - the known orders
+ * @orders: struct rollout, sorted by service
+ * @current: service to the version that served its requests last
  */
 struct rollout_orders {
 	GPtrArray *orders;
@@ -132,7 +132,8 @@
 	    (held->share_milli == 0 && r->share_milli != 0);
 }
 
-/* Of one phase, what only one of the two knows is kept. */
+/* Replaces an order; a host or share that only one of two orders in the same
+ * phase has is kept. */
 static void
 merge(struct rollout *held, const struct rollout *r)
 {
@@ -193,7 +194,8 @@
 	return false;
 }
 
-/* Whether an order says of a version that it gets nothing. */
+/* Whether an order keeps a version from serving: it is on trial, or was rolled
+ * back. */
 static bool
 is_rolled_back(const struct rollout *r, const char *version)
 {
--- a/packages/rollout/src/share.c
+++ b/packages/rollout/src/share.c
@@ -1,5 +1,5 @@
 /*
- * The share of a version on trial.
+ * Share of requests for a version on trial.
  */
 #include "rollout/share.h"
 
--- a/packages/rollout/src/trial.c
+++ b/packages/rollout/src/trial.c
@@ -1,5 +1,5 @@
 /*
- * Who takes part in a rollout, and what they report.
+ * Endpoints that take part in a rollout, and their reports.
  */
 #include <string.h>
 
@@ -8,27 +8,29 @@
 
 #include "trial_defs.h"
 
-/* Answers that tell a good version from a bad one, and the largest share of the
- * requests that is tried where the usual one would not bring them. */
+/* Answers needed to tell a good version from a bad one, and the highest share
+ * of requests that is tried if the default share does not bring them. */
 #define VERDICT_ANSWERS_MIN 25
 #define SHARE_MAX_MILLI 400
 #define MILLI 1000
 
-/* An endpoint's rate is known so long after its first report. */
+/* Time after an endpoint's first report from which its rate is known. */
 #define RATE_SPAN_MIN_MS 700
 
-/* New endpoints that report: those that are tried, one after the other when
- * some are faulty, and enough to tell once all get requests. */
+/* New endpoints that report: the canaries, their replacements when some are
+ * faulty, and enough for a verdict after the switch. */
 #define CANDIDATE_REPORTERS_MAX 20
 
-/* A version that turns bad later is seen by its last answers: since the mark
- * before the last, one or two of these times. */
+/* Interval between snapshots of the counts. Only recent answers show a version
+ * that turns bad later; they are counted from the snapshot before the last, one
+ * or two intervals ago. */
 #define SNAPSHOT_INTERVAL_MS 800
 
-/* Reports older than this say nothing of now. */
+/* Older reports say nothing about the present. */
 #define REPORT_AGE_MAX_MS 1500
 
-/* The old version is replaced by at least this part of its endpoints. */
+/* Ready new endpoints that are needed for the switch, in percent of the old
+ * version's. */
 #define READY_MIN_PERCENT 50
 #define PERCENT 100
 
@@ -154,7 +156,8 @@
 	return n;
 }
 
-/* From the first answer of the new version on the old one is measured. */
+/* From the new version's first answer on, the old version's answers count for
+ * the comparison. */
 static void
 record_bases(struct rollout_trial *t)
 {
@@ -271,8 +274,8 @@
 	return true;
 }
 
-/* Answers of all endpoints of the old version a second; false while it is not
- * known. */
+/* Estimates the answers of all endpoints of the old version per second; false
+ * while that is not known. */
 static bool
 estimate_old_rate(
     const struct rollout_trial *t, uint64_t now_ms, uint64_t *per_s)
--- a/packages/rollout/src/trial_defs.h
+++ b/packages/rollout/src/trial_defs.h
@@ -1,5 +1,5 @@
 /*
- * Inside of a trial, shared by its files.
+ * Internals of a trial, shared by its source files.
  */
 #ifndef ROLLOUT_TRIAL_DEFS_H
 #define ROLLOUT_TRIAL_DEFS_H
@@ -10,17 +10,18 @@
 
 /**
  * struct trial_report - counts of an endpoint
- * @is_candidate: it is of the new version
- * @seq: number of the report
- * @received_ms: when it came
- * @counts: the counts
- * @base: counts of an old endpoint when the new version answered first
- * @first: counts at the first report
- * @first_ms: when that came
- * @snapshots: counts at the last two marks, the earlier one first
- * @snapshot_ms: when the last one was taken
- * @has_base: whether @base was taken
- * @suspect: its answers were bad once; later ones don't make up for that
+ * @is_candidate: whether the endpoint runs the new version
+ * @seq: sequence number of the last report
+ * @received_ms: when the last report was received
+ * @counts: the reported counts
+ * @base: of an endpoint of the old version: counts when the new version
+ *	answered for the first time
+ * @first: counts of the first report
+ * @first_ms: when the first report was received
+ * @snapshots: the last two snapshots of the counts, the earlier one first
+ * @snapshot_ms: when the last snapshot was taken
+ * @has_base: whether @base is set
+ * @suspect: its answers were bad once; later good answers don't reset this
  * @finding: what was found
  */
 struct trial_report {
@@ -43,9 +44,9 @@
  * @order: number of its order
  * @from: the old version
  * @to: the new version
- * @candidates: struct rollout_endpoint of the new version that are ready, those
- *	that started first before others
- * @old: those of the old version that are ready, by rank
+ * @candidates: struct rollout_endpoint: ready endpoints of the new version, by
+ *	the time of their start
+ * @old: struct rollout_endpoint: ready endpoints of the old version, by rank
  * @reports: host to struct trial_report
  */
 struct rollout_trial {
@@ -57,7 +58,7 @@
 	GHashTable *reports;
 };
 
-/** trial_counts_since() - what an endpoint has answered since @earlier */
+/** trial_counts_since() - answers of an endpoint since @earlier */
 void trial_counts_since(const struct trial_report *r,
     const struct rollout_counts *earlier, struct rollout_counts *counts);
 
--- a/packages/rollout/src/trial_verdict.c
+++ b/packages/rollout/src/trial_verdict.c
@@ -1,24 +1,25 @@
 /*
- * What the reports of a trial say of the new version.
+ * Verdict on the new version from the reports of a trial.
  */
 #include <inttypes.h>
 #include <string.h>
 
 #include "trial_defs.h"
 
-/* A finding on one endpoint, looked for at each report on each route, and one
- * that all endpoints but the worst confirm. */
+/* Significance levels: of a finding on one endpoint, which is tested at each
+ * report on each route, and of one that all endpoints but the worst confirm. */
 #define ENDPOINT_ALPHA 2e-4
 #define REST_ALPHA 2e-3
 
-/* Answers of the old version that give its times and failures. */
+/* Answers of the old version from which its latencies and failures are known.
+ */
 #define OLD_ANSWERS_MIN 80
 
-/* One of so many endpoints of the old version may be faulty on its own. */
+/* One in so many endpoints of the old version may have a fault of its own. */
 #define OUTLIER_DIVISOR 3
 
-/* Answers after which an endpoint without a finding counts as sound, and the
- * most that are awaited in all. */
+/* Answers after which an endpoint without a finding counts as sound, and below
+ * which recent answers prove nothing. */
 #define SOUND_ANSWERS_MIN 20
 
 static gint
@@ -31,7 +32,7 @@
 	return (left > right) - (left < right);
 }
 
-/* From which counts on the old version's answers are added up. */
+/* Time from which the old version's answers are added up. */
 enum span {
 	SPAN_ALL = 0,
 	SPAN_TRIAL,
@@ -49,9 +50,9 @@
 }
 
 /*
- * Answers of the old version in a span.  The endpoints that fail most are left
- * out where there are several: they may be faulty on their own, and would hide
- * that the new version is.
+ * Adds up the old version's answers in a span. The endpoints with the highest
+ * failure rates are left out if there are several: they may have faults of
+ * their own, which would hide those of the new version.
  */
 static void
 sum_span(
@@ -78,8 +79,8 @@
 	g_array_unref(list);
 }
 
-/* Since the new version answered first, or of late; all since the order where
- * that is too little to compare with. */
+/* Adds up the old version's answers since the new version's first one, or the
+ * recent ones; if these are too few for a comparison, all since the order. */
 static void
 sum_old_version(
     const struct rollout_trial *t, bool recent, struct rollout_counts *sum)
@@ -89,7 +90,8 @@
 		sum_span(t, SPAN_ALL, sum);
 }
 
-/* Answers of the new version, in all or of late, but for those of @left_out. */
+/* Adds up all or the recent answers of the new version, without those of
+ * @left_out. */
 static void
 sum_candidate(const struct rollout_trial *t,
     const struct trial_report *left_out, bool recent,
@@ -111,7 +113,8 @@
 	}
 }
 
-/* What the old version answers later would thin the evidence out. */
+/* A suspect stays one: later answers of the old version would dilute the
+ * evidence. */
 static bool
 check_suspect(struct trial_report *r, const struct rollout_counts *old)
 {
@@ -145,13 +148,13 @@
 }
 
 /**
- * struct tally - what the reports of the new version say
+ * struct tally - summary of the new version's reports
  * @answered: endpoints that answered
  * @suspects: endpoints whose answers are bad
- * @sound: endpoints that answered enough and are not
- * @worst: the one with most failures
- * @worst_failed: its failures
- * @finding: the first bad one's
+ * @sound: endpoints with enough answers that are no suspects
+ * @worst: endpoint with the most failures
+ * @worst_failed: number of its failures
+ * @finding: finding of the first suspect
  */
 struct tally {
 	uint32_t answered;
@@ -197,8 +200,8 @@
 			tally_one(s, r, old);
 }
 
-/* All together are bad, and so are those without the worst one; recent answers
- * show a version that has turned bad. */
+/* Whether all endpoints together are bad, and also without the worst one.
+ * Recent answers show a version that has turned bad. */
 static bool
 is_bad_overall(const struct rollout_trial *t, struct tally *s, bool recent)
 {
@@ -217,7 +220,7 @@
 	return true;
 }
 
-/* Too few recent answers, in a service with few requests, prove nothing. */
+/* Too few recent answers, as in a service with few requests, prove nothing. */
 static bool
 passes_recent(const struct rollout_trial *t)
 {
@@ -229,7 +232,7 @@
 	    rollout_judge_passes(&recent, &old);
 }
 
-/* Answers of the endpoints of the new version that are not suspect. */
+/* Adds up the answers of the new endpoints that are no suspects. */
 static void
 sum_unsuspected(const struct rollout_trial *t, struct rollout_counts *sum)
 {
--- a/packages/rollout/src/watch.c
+++ b/packages/rollout/src/watch.c
@@ -1,5 +1,5 @@
 /*
- * What a node does for the rollouts that are under way.
+ * A node's part in the rollouts in progress.
  */
 #include "rollout/watch.h"
 
@@ -16,17 +16,17 @@
     "a report takes all counts");
 
 /**
- * struct watched - a service whose order is under way
+ * struct watched - a service with an order in progress
  * @service: the service
- * @trial: who takes part and what was found
+ * @trial: endpoints, reports and verdict
  * @version: version of the own endpoint
- * @counts: what it answered
- * @has_counts: whether that is known
- * @reported_ms: when the next report is due
- * @writing: a write is under way
- * @next_write_ms: when the next write may be tried
- * @phase_since_ms: since when the order is in its phase here
- * @phase: that phase
+ * @counts: counts of the own endpoint
+ * @has_counts: whether @counts are set
+ * @next_report_ms: when the next report is due
+ * @writing: whether a write of the outcome is in progress
+ * @next_write_ms: earliest time of the next write
+ * @phase_since_ms: when this node learned of the current phase
+ * @phase: current phase
  */
 struct watched {
 	char service[ROLLOUT_SERVICE_BYTES];
@@ -42,15 +42,15 @@
 };
 
 /**
- * struct rollout_watch - what is watched
- * @host: own name
- * @orders: orders and phases; borrowed
- * @out: where reports go; borrowed
+ * struct rollout_watch - state of a node's part in rollouts
+ * @host: own host
+ * @orders: known orders; borrowed
+ * @out: queue for outgoing reports; borrowed
  * @services: service to struct watched
- * @actions: struct rollout_action that were not popped
- * @seq: number of the last report
- * @fallback_writer: this node writes what judges don't
- * @tick_ms: when it was last ticked
+ * @actions: struct rollout_action: actions that were not popped yet
+ * @seq: sequence number of the last report
+ * @fallback_writer: whether this node writes outcomes that no judge wrote
+ * @tick_ms: time of the last tick
  */
 struct rollout_watch {
 	char host[MSG_ROLLOUT_REPORT_HOST_MAX + 1];
@@ -117,8 +117,8 @@
 	return r->deadline_ms - MIN(r->deadline_ms, switch_lead_ms(r) / 2);
 }
 
-/* The service's place, with a trial of the newest order; NULL when that is
- * over or there is none. */
+/* Returns the service with a trial of its newest order; NULL if that has ended
+ * or there is none. */
 static struct watched *
 watched_get(struct rollout_watch *w, const char *service)
 {
@@ -216,7 +216,7 @@
 	msg_rollout_report_clear(&m);
 }
 
-/* Times are cut off behind the last bucket that is not empty. */
+/* Buckets after the last one that is not empty are left out. */
 static void
 encode_routes(
     const struct rollout_counts *counts, struct rec_rollout_route *routes)
@@ -264,7 +264,7 @@
 	}
 }
 
-/* Acting */
+/* Actions */
 
 static struct rollout_action *
 push_action(struct rollout_watch *w, enum rollout_action_kind kind,
@@ -305,8 +305,9 @@
 	(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
-/* An endpoint whose answers are bad may be faulty on its own: the next in place
- * gets its requests, and tells whether the version is. */
+/* Excludes the own endpoint if its answers are bad: its fault may be its own.
+ * The next endpoint receives its requests, and its answers show whether the
+ * version is bad. */
 static void
 exclude_own_endpoint(
     struct rollout_watch *w, struct watched *s, const struct rollout *r)
@@ -323,7 +324,7 @@
 		(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
-/* A service with few requests is tried with a larger share of them. */
+/* Raises the share of the new version in a service with few requests. */
 static void
 raise_share(struct rollout_watch *w, struct watched *s, const struct rollout *r)
 {
@@ -338,7 +339,7 @@
 		(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
-/* Decides whether the new version may take all requests. */
+/* Switches to the new version, or reverts once the outcome is due. */
 static void
 decide_switch(struct rollout_watch *w, struct watched *s,
     const struct rollout *r, enum rollout_verdict v, char *reason)
@@ -369,7 +370,8 @@
 		decide_switch(w, s, r, v, reason);
 }
 
-/* Nobody moved it on: its judges are gone, or there never was one. */
+/* Reverts an order that no judge has moved on: the judges have failed, or there
+ * never was one. */
 static void
 revert_unjudged(struct rollout_watch *w, struct watched *s)
 {
@@ -381,7 +383,8 @@
 		    "no endpoint of the new version was there to be judged");
 }
 
-/* When this node has the outcome written: judges by their rank, then others. */
+/* When this node has the outcome written: judges by rank, then fallback
+ * writers. */
 static uint64_t
 own_write_ms(const struct rollout_watch *w, const struct watched *s,
     const struct rollout *r)
--- a/packages/rollout/test/test_judge.c
+++ b/packages/rollout/test/test_judge.c
@@ -12,7 +12,7 @@
 #define QUICK_US 100000
 #define SLOW_US 500000
 
-/* Answers on a route, one in @every a failure; 0 for none. */
+/* Records @n answers on a route, one in @every a failure; 0 for none. */
 static void
 record_answers(struct rollout_counts *c, uint64_t route, uint32_t n,
     uint32_t every, uint64_t took_us)
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-/* In a burst of failures both versions fail. */
+/* Both versions fail during a burst of failures. */
 START_TEST(what_both_suffer_is_not_held_against_the_new_one)
 {
 	struct rollout_counts old = {0}, candidate = {0};
@@ -119,7 +119,7 @@
 }
 END_TEST
 
-/* Routes with single requests don't take the places of those that matter. */
+/* Routes with single requests don't evict the entry of a busy route. */
 START_TEST(many_small_routes_leave_the_large_one_its_place)
 {
 	struct rollout_counts c = {0};
--- a/packages/rollout/test/test_orders.c
+++ b/packages/rollout/test/test_orders.c
@@ -1,5 +1,5 @@
 /*
- * Tests of orders: which of two views wins, and which version is current.
+ * Tests of orders: which of two orders is newer, and which version serves.
  */
 #include <check.h>
 
@@ -50,7 +50,7 @@
 }
 END_TEST
 
-/* Two judges find one thing each: nodes that hear both know both. */
+/* Two judges add one fact each; a node that receives both keeps both. */
 START_TEST(what_two_judges_add_is_kept)
 {
 	struct rollout_orders *o = rollout_orders_new();
@@ -76,7 +76,8 @@
 
 	ck_assert_str_eq(rollout_orders_current(o, "booking", old, 2), "v2");
 	ck_assert_str_eq(rollout_orders_current(o, "booking", both, 3), "v2");
-	/* A node that has just started takes the lowest for the old one. */
+	/* A node that has just started takes the lowest version for the old
+	 * one. */
 	ck_assert_str_eq(rollout_orders_current(o, "other", both, 3), "v1");
 	ck_assert_ptr_null(rollout_orders_current(o, "none", NULL, 0));
 	rollout_orders_free(o);
@@ -96,7 +97,7 @@
 	    rollout_orders_current(o, "booking", candidate_only, 1), "v1");
 	r = make_rollout(7, ROLLOUT_ROLLED_BACK);
 	(void)rollout_orders_merge(o, &r);
-	/* Rather nothing is served than a version that was found bad. */
+	/* Better no version serves than one that was found bad. */
 	ck_assert_str_eq(
 	    rollout_orders_current(o, "booking", candidate_only, 1), "v1");
 	r = make_rollout(8, ROLLOUT_COMPLETED);
@@ -106,7 +107,8 @@
 }
 END_TEST
 
-/* Replaced without an order after one was completed: it serves. */
+/* After a completed order, a version that replaces all endpoints without an
+ * order serves. */
 START_TEST(a_fleet_replaced_without_an_order_serves)
 {
 	static const char *const next[] = {"v3", "v3"};
