--- a/packages/rollout/test/test_judge.c
+++ b/packages/rollout/test/test_judge.c
@@ -24,7 +24,7 @@
 		    c, route, every != 0 && i % every == 0, took_us);
 }
 
-START_TEST(like_the_old_version_is_sound)
+START_TEST(version_like_the_old_one_is_sound)
 {
 	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
@@ -53,7 +53,7 @@
 END_TEST
 
 /* Both versions fail during a burst of failures. */
-START_TEST(what_both_suffer_is_not_held_against_the_new_one)
+START_TEST(fault_of_both_versions_is_no_finding)
 {
 	struct rollout_counts old = {0}, candidate = {0};
 	struct rollout_finding f;
@@ -109,7 +109,7 @@
 }
 END_TEST
 
-START_TEST(a_few_answers_clear_nothing)
+START_TEST(few_answers_do_not_pass)
 {
 	struct rollout_counts old = {0}, candidate = {0};
 
@@ -120,7 +120,7 @@
 END_TEST
 
 /* Routes with single requests don't evict the entry of a busy route. */
-START_TEST(many_small_routes_leave_the_large_one_its_place)
+START_TEST(small_routes_do_not_evict_a_busy_one)
 {
 	struct rollout_counts c = {0};
 	uint32_t i, n = 0;
@@ -144,14 +144,14 @@
 	Suite *s = suite_create("judge");
 	TCase *tc = tcase_create("judge");
 
-	tcase_add_test(tc, like_the_old_version_is_sound);
+	tcase_add_test(tc, version_like_the_old_one_is_sound);
 	tcase_add_test(tc, failures_are_found);
-	tcase_add_test(tc, what_both_suffer_is_not_held_against_the_new_one);
+	tcase_add_test(tc, fault_of_both_versions_is_no_finding);
 	tcase_add_test(tc, one_bad_route_of_several_is_found);
 	tcase_add_test(tc, slow_answers_are_found);
 	tcase_add_test(tc, a_slower_host_is_no_slow_version);
-	tcase_add_test(tc, a_few_answers_clear_nothing);
-	tcase_add_test(tc, many_small_routes_leave_the_large_one_its_place);
+	tcase_add_test(tc, few_answers_do_not_pass);
+	tcase_add_test(tc, small_routes_do_not_evict_a_busy_one);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/rollout/test/test_orders.c
+++ b/packages/rollout/test/test_orders.c
@@ -20,7 +20,7 @@
 	return r;
 }
 
-START_TEST(numbers_in_versions_count_as_numbers)
+START_TEST(numbers_in_versions_compare_as_numbers)
 {
 	ck_assert_int_lt(rollout_version_compare("v9", "v10"), 0);
 	ck_assert_int_lt(rollout_version_compare("1.2.3", "1.10.0"), 0);
@@ -51,7 +51,7 @@
 END_TEST
 
 /* Two judges add one fact each; a node that receives both keeps both. */
-START_TEST(what_two_judges_add_is_kept)
+START_TEST(additions_of_two_judges_are_merged)
 {
 	struct rollout_orders *o = rollout_orders_new();
 	struct rollout excluded = make_rollout(7, ROLLOUT_RUNNING),
@@ -68,7 +68,7 @@
 }
 END_TEST
 
-START_TEST(a_version_without_an_order_gets_nothing)
+START_TEST(a_version_without_an_order_gets_no_requests)
 {
 	static const char *const old[] = {"v2", "v2"};
 	static const char *const both[] = {"v1", "v2", "v3"};
@@ -84,7 +84,7 @@
 }
 END_TEST
 
-START_TEST(the_phase_tells_which_version_is_current)
+START_TEST(the_phase_decides_which_version_is_current)
 {
 	static const char *const both[] = {"v2", "v1"};
 	static const char *const candidate_only[] = {"v2"};
@@ -127,11 +127,11 @@
 	Suite *s = suite_create("orders");
 	TCase *tc = tcase_create("orders");
 
-	tcase_add_test(tc, numbers_in_versions_count_as_numbers);
+	tcase_add_test(tc, numbers_in_versions_compare_as_numbers);
 	tcase_add_test(tc, a_later_order_and_a_later_phase_win);
-	tcase_add_test(tc, what_two_judges_add_is_kept);
-	tcase_add_test(tc, a_version_without_an_order_gets_nothing);
-	tcase_add_test(tc, the_phase_tells_which_version_is_current);
+	tcase_add_test(tc, additions_of_two_judges_are_merged);
+	tcase_add_test(tc, a_version_without_an_order_gets_no_requests);
+	tcase_add_test(tc, the_phase_decides_which_version_is_current);
 	tcase_add_test(tc, a_fleet_replaced_without_an_order_serves);
 	suite_add_tcase(s, tc);
 	return test_run(s);
