--- a/packages/node/src/admin_versions.c
+++ b/packages/node/src/admin_versions.c
@@ -48,7 +48,7 @@
 {
 	admin_call_fail(call, st, status_message(),
 	    "Ask again; the nodes go on with what they hold.",
-	    SIGNOFF_BACKOFF_CAP_MS);
+	    SIGNOFF_BACKOFF_MAX_MS);
 }
 
 /* History: the head row, then the rows of the newest versions. */
@@ -102,15 +102,15 @@
 	}
 	from = head->version > limit ? head->version - limit + 1 : 1;
 	store_read_versions(control_store(call->admin->control), from,
-	    head->version, admin_now(call) + SIGNOFF_STEP_MS, history_on_rows,
-	    call);
+	    head->version, admin_now(call) + SIGNOFF_REQUEST_TIMEOUT_MS,
+	    history_on_rows, call);
 }
 
 static void
 versions_history(struct admin_call *call)
 {
 	store_read_head(control_store(call->admin->control),
-	    admin_now(call) + SIGNOFF_STEP_MS, history_on_head,
+	    admin_now(call) + SIGNOFF_REQUEST_TIMEOUT_MS, history_on_head,
 	    admin_call_hold(call));
 }
 
@@ -175,7 +175,7 @@
 	loop_timer_set(&vc->timer, admin_now(call) + ADMIN_PROGRESS_MS);
 	control_ask_progress(c);
 	store_read_versions(control_store(c), version, version,
-	    admin_now(call) + SIGNOFF_STEP_MS, version_on_row, vc);
+	    admin_now(call) + SIGNOFF_REQUEST_TIMEOUT_MS, version_on_row, vc);
 }
 
 /* Sign-off, halt, supersede and find. */
@@ -195,7 +195,7 @@
 {
 	switch (result) {
 	case SIGNOFF_DONE:
-	case SIGNOFF_ALREADY:
+	case SIGNOFF_ALREADY_HALTED:
 		return STATUS_OK;
 	case SIGNOFF_CONFLICT:
 		return STATUS_CONFLICT;
--- a/packages/signoff/include/signoff/signoff.h
+++ b/packages/signoff/include/signoff/signoff.h
@@ -22,11 +22,11 @@
 #include "store/store.h"
 
 /* Longest time for one request to the platform. */
-#define SIGNOFF_STEP_MS 2000
+#define SIGNOFF_REQUEST_TIMEOUT_MS 2000
 
 /* Back-off: full jitter, up to twice as long each time, up to the cap. */
 #define SIGNOFF_BACKOFF_LEAST_MS 50
-#define SIGNOFF_BACKOFF_CAP_MS 3000
+#define SIGNOFF_BACKOFF_MAX_MS 3000
 
 /* Objects that are written at the same time. */
 #define SIGNOFF_PUT_WINDOW 8
@@ -125,13 +125,13 @@
 
 /** enum signoff_result - how an operation ended */
 enum signoff_result {
-	SIGNOFF_DONE = 0,    /* in force on the platform */
-	SIGNOFF_ALREADY,     /* halt: another operation had halted it */
-	SIGNOFF_CONFLICT,    /* another operation was first; nothing done */
-	SIGNOFF_NOT_FOUND,   /* no such version or operation */
-	SIGNOFF_INVALID,     /* the request is wrong; nothing done */
-	SIGNOFF_UNAVAILABLE, /* the platform is away; nothing done */
-	SIGNOFF_UNKNOWN,     /* may or may not be done; ask again */
+	SIGNOFF_DONE = 0,	/* in force on the platform */
+	SIGNOFF_ALREADY_HALTED, /* halt: another operation had halted it */
+	SIGNOFF_CONFLICT,	/* another operation was first; nothing done */
+	SIGNOFF_NOT_FOUND,	/* no such version or operation */
+	SIGNOFF_INVALID,	/* the request is wrong; nothing done */
+	SIGNOFF_UNAVAILABLE,	/* the platform is away; nothing done */
+	SIGNOFF_UNKNOWN,	/* may or may not be done; ask again */
 };
 
 /**
@@ -143,8 +143,8 @@
  * @version: version made or halted; 0 when nothing was done
  * @in_force: highest version not halted, as last read or written
  * @newest_version: newest version, as last read or written
- * @winner_version: with SIGNOFF_CONFLICT and SIGNOFF_ALREADY: version that
- * the first one made or halted
+ * @winner_version: with SIGNOFF_CONFLICT and SIGNOFF_ALREADY_HALTED: version
+ * that the first one made or halted
  * @winner_halted: whether the first one was a halt
  * @winner_op: its operation id
  * @winner_operator: who asked for it; empty when that could not be read
--- a/packages/signoff/src/outcome.c
+++ b/packages/signoff/src/outcome.c
@@ -8,7 +8,7 @@
 
 static const char *const result_names[] = {
     [SIGNOFF_DONE] = "done",
-    [SIGNOFF_ALREADY] = "already",
+    [SIGNOFF_ALREADY_HALTED] = "already",
     [SIGNOFF_CONFLICT] = "conflict",
     [SIGNOFF_NOT_FOUND] = "not_found",
     [SIGNOFF_INVALID] = "invalid",
@@ -89,7 +89,7 @@
 	const struct signoff_outcome *o = &r->outcome;
 
 	r->outcome.kind = r->req.kind;
-	end(r, SIGNOFF_ALREADY,
+	end(r, SIGNOFF_ALREADY_HALTED,
 	    "Version %" G_GUINT64_FORMAT
 	    " had been halted by operation %s%s%s; there is nothing to do.",
 	    o->winner_version, o->winner_op,
@@ -175,7 +175,7 @@
 
 	o->kind = r->req.kind;
 	o->after_seq = r->req.after_seq;
-	o->retry_after_ms = SIGNOFF_BACKOFF_CAP_MS;
+	o->retry_after_ms = SIGNOFF_BACKOFF_MAX_MS;
 	end(r, SIGNOFF_UNKNOWN,
 	    "Operation %s has not taken effect, but its write may still "
 	    "arrive. Ask again, or start it again with the same id: it is "
--- a/packages/signoff/src/step.c
+++ b/packages/signoff/src/step.c
@@ -17,7 +17,8 @@
 	a = g_new0(struct signoff_action, 1);
 	a->kind = kind;
 	a->token = ++r->next_token;
-	a->deadline_ms = MIN(now_ms + SIGNOFF_STEP_MS, r->req.deadline_ms);
+	a->deadline_ms =
+	    MIN(now_ms + SIGNOFF_REQUEST_TIMEOUT_MS, r->req.deadline_ms);
 	g_queue_push_tail(&r->actions, a);
 	return a;
 }
@@ -126,7 +127,7 @@
 
 	most = (uint64_t)SIGNOFF_BACKOFF_LEAST_MS
 	    << MIN(r->n_failures, BACKOFF_DOUBLINGS);
-	most = MIN(most, SIGNOFF_BACKOFF_CAP_MS);
+	most = MIN(most, SIGNOFF_BACKOFF_MAX_MS);
 	r->n_failures++;
 	return 1 + (uint64_t)g_rand_int_range(r->rand, 0, (gint32)most);
 }
--- a/packages/signoff/test/check_world.c
+++ b/packages/signoff/test/check_world.c
@@ -199,7 +199,8 @@
 static bool
 named_rightly(const struct world *w, const struct signoff_outcome *o)
 {
-	if (o->result == SIGNOFF_ALREADY && o->winner_operator[0] == '\0')
+	if (o->result == SIGNOFF_ALREADY_HALTED &&
+	    o->winner_operator[0] == '\0')
 		return true;
 	return g_strcmp0(operator_of(w, o->winner_op), o->winner_operator) == 0;
 }
@@ -272,7 +273,7 @@
 			    actor->req.op);
 		break;
 	case SIGNOFF_CONFLICT:
-	case SIGNOFF_ALREADY:
+	case SIGNOFF_ALREADY_HALTED:
 		check_winner(w, actor);
 		/* fall through */
 	default:
--- a/packages/signoff/test/test_race.c
+++ b/packages/signoff/test/test_race.c
@@ -151,12 +151,12 @@
 			continue;
 		req = actor->req;
 		req.fresh = false;
-		req.deadline_ms = w->now_ms + 2 * SIGNOFF_STEP_MS;
+		req.deadline_ms = w->now_ms + 2 * SIGNOFF_REQUEST_TIMEOUT_MS;
 		actor = world_start(w, &req, actor->variant, false);
 		world_run(w);
 		ck_assert(actor->outcome.result == SIGNOFF_DONE ||
 		    actor->outcome.result == SIGNOFF_CONFLICT ||
-		    actor->outcome.result == SIGNOFF_ALREADY);
+		    actor->outcome.result == SIGNOFF_ALREADY_HALTED);
 	}
 }
 
@@ -201,7 +201,7 @@
 	 */
 	ck_assert_uint_gt(n_results[SIGNOFF_DONE], SEEDS);
 	ck_assert_uint_gt(n_results[SIGNOFF_CONFLICT], SEEDS);
-	ck_assert_uint_gt(n_results[SIGNOFF_ALREADY], SEEDS / 2);
+	ck_assert_uint_gt(n_results[SIGNOFF_ALREADY_HALTED], SEEDS / 2);
 	ck_assert_uint_gt(n_results[SIGNOFF_UNAVAILABLE], SEEDS / 8);
 	ck_assert_uint_gt(n_results[SIGNOFF_UNKNOWN], SEEDS / 8);
 }
--- a/packages/signoff/test/test_signoff.c
+++ b/packages/signoff/test/test_signoff.c
@@ -118,11 +118,11 @@
 	ck_assert_int_eq(world_do(w, &first, 0)->result, SIGNOFF_DONE);
 	req = on_version(w, SIGNOFF_HALT, "late-2", "carl", 2);
 	o = world_do(w, &req, 0);
-	ck_assert_int_eq(o->result, SIGNOFF_ALREADY);
+	ck_assert_int_eq(o->result, SIGNOFF_ALREADY_HALTED);
 	ck_assert_str_eq(o->winner_operator, "bjorn");
 	sign_many(w, 3);
 	o = world_do(w, &req, 0);
-	ck_assert_int_eq(o->result, SIGNOFF_ALREADY);
+	ck_assert_int_eq(o->result, SIGNOFF_ALREADY_HALTED);
 	ck_assert_str_eq(o->winner_operator, "bjorn");
 	o = world_do(w, &first, 0);
 	ck_assert_int_eq(o->result, SIGNOFF_DONE);
@@ -170,7 +170,7 @@
 	w->fault = written ? FAULT_LOST_ANSWER : FAULT_LOST_REQUEST;
 	req = sign(w, "lost");
 	req.fresh = true;
-	req.deadline_ms = w->now_ms + SIGNOFF_STEP_MS;
+	req.deadline_ms = w->now_ms + SIGNOFF_REQUEST_TIMEOUT_MS;
 	o = world_do(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_UNKNOWN);
 	ck_assert_uint_eq(w->deeds->len, written ? 2 : 1);
@@ -182,7 +182,7 @@
 	ck_assert_int_eq(o->result, written ? SIGNOFF_DONE : SIGNOFF_UNKNOWN);
 	/* Once somebody else has gone on, it is certain either way. */
 	sign_many(w, written ? 3 : 2);
-	find.deadline_ms = w->now_ms + SIGNOFF_STEP_MS;
+	find.deadline_ms = w->now_ms + SIGNOFF_REQUEST_TIMEOUT_MS;
 	o = world_do(w, &find, 0);
 	ck_assert_int_eq(o->result, written ? SIGNOFF_DONE : SIGNOFF_NOT_FOUND);
 	check_truth(w);
