--- a/packages/signoff/include/signoff/signoff.h
+++ b/packages/signoff/include/signoff/signoff.h
@@ -25,17 +25,17 @@
 #define SIGNOFF_REQUEST_TIMEOUT_MS 2000
 
 /* Back-off: full jitter, up to twice as long each time, up to the cap. */
-#define SIGNOFF_BACKOFF_LEAST_MS 50
+#define SIGNOFF_BACKOFF_MIN_MS 50
 #define SIGNOFF_BACKOFF_MAX_MS 3000
 
 /* Objects that are written at the same time. */
-#define SIGNOFF_PUT_WINDOW 8
+#define SIGNOFF_PUTS_IN_FLIGHT_MAX 8
 
 /* Versions that SIGNOFF_FIND looks through, newest first. */
-#define SIGNOFF_SEARCH_VERSIONS 500
+#define SIGNOFF_FIND_VERSIONS_MAX 500
 
 /* Versions that a sign-off without parent looks through for its own id. */
-#define SIGNOFF_REPEAT_VERSIONS 100
+#define SIGNOFF_REPEAT_VERSIONS_MAX 100
 
 #define SIGNOFF_MESSAGE_BYTES 384
 
--- a/packages/signoff/src/find.c
+++ b/packages/signoff/src/find.c
@@ -10,18 +10,18 @@
 }
 
 static struct range
-find_first_look(const struct signoff *r)
+find_first_search(const struct signoff *r)
 {
 	struct range range = {1, r->head.version};
 
-	if (range.high > SIGNOFF_SEARCH_VERSIONS)
-		range.low = range.high - SIGNOFF_SEARCH_VERSIONS + 1;
+	if (range.high > SIGNOFF_FIND_VERSIONS_MAX)
+		range.low = range.high - SIGNOFF_FIND_VERSIONS_MAX + 1;
 	return range;
 }
 
 /* Find never sends a write. */
 static uint64_t
-find_settle_to(const struct signoff *r)
+find_settle_limit(const struct signoff *r)
 {
 	return r->head.version;
 }
@@ -37,7 +37,7 @@
 	}
 	outcome_not_found(r,
 	    "Operation %s is not among the last %d versions%s.", r->req.op,
-	    SIGNOFF_SEARCH_VERSIONS,
+	    SIGNOFF_FIND_VERSIONS_MAX,
 	    r->req.after_seq > 0
 		? ", and its write can no longer arrive; start it again if "
 		  "you still want it"
@@ -47,8 +47,8 @@
 
 const struct signoff_ops find_ops = {
     .begin = find_begin,
-    .first_look = find_first_look,
-    .settle_to = find_settle_to,
+    .first_search = find_first_search,
+    .settle_limit = find_settle_limit,
     .proceed = find_proceed,
-    .lost = find_proceed,
+    .on_lost_race = find_proceed,
 };
--- a/packages/signoff/src/halt.c
+++ b/packages/signoff/src/halt.c
@@ -7,11 +7,11 @@
 #include "signoff_defs.h"
 
 /* Failures to read a winner's note before it is given up. */
-#define NOTE_FAILURES 4
+#define NOTE_FAILURES_MAX 4
 
 /* A halt's note, which says who asked for it; the head row can't. */
 static GBytes *
-note_encode(const struct signoff_request *req)
+encode_note(const struct signoff_request *req)
 {
 	struct msg_halt_note m;
 	GByteArray *out;
@@ -33,19 +33,19 @@
 	char key[STORE_KEY_BYTES];
 
 	g_snprintf(key, sizeof(key), "halt/%s", r->req.op);
-	puts_add(r->puts, key, NULL, note_encode(&r->req));
+	puts_add(r->puts, key, NULL, encode_note(&r->req));
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
 /* The row after the version tells who halted it, or who was first. */
 static uint64_t
-halt_settle_to(const struct signoff *r)
+halt_settle_limit(const struct signoff *r)
 {
 	return r->req.version + 1;
 }
 
 static struct range
-halt_first_look(const struct signoff *r)
+halt_first_search(const struct signoff *r)
 {
 	struct range range = {r->req.version + 1, r->req.version + 1};
 
@@ -54,7 +54,7 @@
 }
 
 static void
-already(struct signoff *r, const char *op, uint64_t now_ms)
+enter_winner_note(struct signoff *r, const char *op, uint64_t now_ms)
 {
 	r->outcome.winner_version = r->req.version;
 	r->outcome.winner_halted = true;
@@ -73,11 +73,11 @@
 		    r->req.version, r->head.version);
 	} else if (r->head.version > r->req.version) {
 		if (r->lowest.replaced.halted)
-			already(r, r->lowest.replaced.op, now_ms);
+			enter_winner_note(r, r->lowest.replaced.op, now_ms);
 		else
 			outcome_conflict(r);
 	} else if (r->head.state == STORE_HALTED) {
-		already(r, r->head.op, now_ms);
+		enter_winner_note(r, r->head.op, now_ms);
 	} else {
 		r->base = r->head;
 		signoff_enter(r, PHASE_TARGET_ROW, now_ms);
@@ -86,10 +86,10 @@
 
 const struct signoff_ops halt_ops = {
     .begin = halt_begin,
-    .first_look = halt_first_look,
-    .settle_to = halt_settle_to,
+    .first_search = halt_first_search,
+    .settle_limit = halt_settle_limit,
     .proceed = halt_proceed,
-    .lost = halt_proceed,
+    .on_lost_race = halt_proceed,
 };
 
 void
@@ -120,30 +120,30 @@
 	(void)upto;
 	if (st != STATUS_OK || n != 1 || rows[0].version != r->req.version ||
 	    !search_decode(&rows[0], &replaced)) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
 	set_head(r, replaced.in_force, NULL);
 	signoff_enter(
-	    r, replaced.in_force > 0 ? PHASE_BACK_ROW : PHASE_PUTS, now_ms);
+	    r, replaced.in_force > 0 ? PHASE_RESTORED_ROW : PHASE_PUTS, now_ms);
 }
 
 void
-halt_issue_back_row(struct signoff *r, uint64_t now_ms)
+halt_issue_restored_row(struct signoff *r, uint64_t now_ms)
 {
 	step_read_versions(
 	    r, r->new_head.in_force, r->new_head.in_force, now_ms);
 }
 
 void
-halt_on_back_row(struct signoff *r, uint64_t now_ms, enum status st,
+halt_on_restored_row(struct signoff *r, uint64_t now_ms, enum status st,
     const struct store_version *rows, uint32_t n, uint64_t upto)
 {
 	(void)upto;
 	if (st != STATUS_OK || n != 1 ||
 	    rows[0].version != r->new_head.in_force) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
@@ -165,12 +165,12 @@
 	struct msg_halt_note m;
 
 	if (st != STATUS_OK && st != STATUS_NOT_FOUND &&
-	    r->n_failures < NOTE_FAILURES) {
-		signoff_failed(r, now_ms);
+	    r->n_failures < NOTE_FAILURES_MAX) {
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	if (st == STATUS_OK && msg_halt_note_decode(data, len, &m) == STATUS_OK)
 		g_strlcpy(r->outcome.winner_operator, m.operator_name,
 		    sizeof(r->outcome.winner_operator));
-	outcome_already(r);
+	outcome_already_halted(r);
 }
--- a/packages/signoff/src/outcome.c
+++ b/packages/signoff/src/outcome.c
@@ -31,8 +31,8 @@
 	    r->outcome.message, sizeof(r->outcome.message), fmt, ap);
 }
 
-static void __attribute__((format(printf, 3, 4)))
-end(struct signoff *r, enum signoff_result result, const char *fmt, ...)
+static void __attribute__((format(printf, 3, 4))) end_operation(
+    struct signoff *r, enum signoff_result result, const char *fmt, ...)
 {
 	struct signoff_outcome *o = &r->outcome;
 	va_list ap;
@@ -50,8 +50,8 @@
 
 /* Whether an id that was found was used for what this operation asks. */
 static bool
-same_purpose(const struct signoff *r, enum signoff_kind kind, uint64_t version,
-    const struct digest *root)
+is_same_request(const struct signoff *r, enum signoff_kind kind,
+    uint64_t version, const struct digest *root)
 {
 	if (r->req.kind == SIGNOFF_FIND)
 		return true;
@@ -67,7 +67,7 @@
 {
 	struct signoff_outcome *o = &r->outcome;
 
-	if (!same_purpose(r, kind, version, root)) {
+	if (!is_same_request(r, kind, version, root)) {
 		outcome_invalid(r,
 		    "Operation id %s has been used for another operation, "
 		    "which %s version %" G_GUINT64_FORMAT "; take a new id.",
@@ -77,19 +77,19 @@
 	}
 	o->kind = kind;
 	o->version = version;
-	o->repeated = !r->sent || version != r->new_head.version;
-	end(r, SIGNOFF_DONE, "Version %" G_GUINT64_FORMAT " is %s%s.", version,
-	    kind == SIGNOFF_HALT ? "halted" : "signed off",
+	o->repeated = !r->write_sent || version != r->new_head.version;
+	end_operation(r, SIGNOFF_DONE, "Version %" G_GUINT64_FORMAT " is %s%s.",
+	    version, kind == SIGNOFF_HALT ? "halted" : "signed off",
 	    o->repeated ? "; another start of this operation did it" : "");
 }
 
 void
-outcome_already(struct signoff *r)
+outcome_already_halted(struct signoff *r)
 {
 	const struct signoff_outcome *o = &r->outcome;
 
 	r->outcome.kind = r->req.kind;
-	end(r, SIGNOFF_ALREADY_HALTED,
+	end_operation(r, SIGNOFF_ALREADY_HALTED,
 	    "Version %" G_GUINT64_FORMAT
 	    " had been halted by operation %s%s%s; there is nothing to do.",
 	    o->winner_version, o->winner_op,
@@ -107,7 +107,7 @@
 	g_strlcpy(o->winner_op, r->lowest.op, sizeof(o->winner_op));
 	g_strlcpy(o->winner_operator, r->lowest.operator_name,
 	    sizeof(o->winner_operator));
-	end(r, SIGNOFF_CONFLICT,
+	end_operation(r, SIGNOFF_CONFLICT,
 	    "%s was first with version %" G_GUINT64_FORMAT
 	    " (operation %s); nothing was done. The newest version is "
 	    "%" G_GUINT64_FORMAT "; look at it, then decide again.",
@@ -117,10 +117,11 @@
 
 /* Ends an operation that did nothing, with a message of the caller's. */
 static void
-fail(struct signoff *r, enum signoff_result result, const char *fmt, va_list ap)
+end_without_effect(
+    struct signoff *r, enum signoff_result result, const char *fmt, va_list ap)
 {
 	r->outcome.kind = r->req.kind;
-	end(r, result, "%s", "");
+	end_operation(r, result, "%s", "");
 	set_message(r, fmt, ap);
 }
 
@@ -130,7 +131,7 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	fail(r, SIGNOFF_NOT_FOUND, fmt, ap);
+	end_without_effect(r, SIGNOFF_NOT_FOUND, fmt, ap);
 	va_end(ap);
 }
 
@@ -140,19 +141,19 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	fail(r, SIGNOFF_INVALID, fmt, ap);
+	end_without_effect(r, SIGNOFF_INVALID, fmt, ap);
 	va_end(ap);
 }
 
 void
-outcome_gave_up(struct signoff *r)
+outcome_timed_out(struct signoff *r)
 {
 	struct signoff_outcome *o = &r->outcome;
 
 	o->kind = r->req.kind;
 	o->retry_after_ms = (uint32_t)step_backoff_ms(r);
 	if (!r->maybe_written) {
-		end(r, SIGNOFF_UNAVAILABLE,
+		end_operation(r, SIGNOFF_UNAVAILABLE,
 		    "The platform did not answer in time; this start did "
 		    "nothing%s. Ask again later.",
 		    r->req.fresh ? ""
@@ -161,7 +162,7 @@
 		return;
 	}
 	o->after_seq = r->base.seq;
-	end(r, SIGNOFF_UNKNOWN,
+	end_operation(r, SIGNOFF_UNKNOWN,
 	    "The write was sent, but the platform can't be read to see "
 	    "whether it took effect. Ask for operation %s, or start it again "
 	    "with the same id: it is done once at most.",
@@ -176,7 +177,7 @@
 	o->kind = r->req.kind;
 	o->after_seq = r->req.after_seq;
 	o->retry_after_ms = SIGNOFF_BACKOFF_MAX_MS;
-	end(r, SIGNOFF_UNKNOWN,
+	end_operation(r, SIGNOFF_UNKNOWN,
 	    "Operation %s has not taken effect, but its write may still "
 	    "arrive. Ask again, or start it again with the same id: it is "
 	    "done once at most.",
--- a/packages/signoff/src/puts.c
+++ b/packages/signoff/src/puts.c
@@ -35,7 +35,7 @@
 }
 
 void
-puts_forget(struct signoff *r)
+puts_cancel_tokens(struct signoff *r)
 {
 	struct put *put;
 	uint32_t i;
@@ -48,7 +48,7 @@
 
 /* Number of writes under way. */
 static uint32_t
-n_under_way(const struct signoff *r)
+count_in_flight(const struct signoff *r)
 {
 	const struct put *put;
 	uint32_t i, n = 0;
@@ -63,10 +63,10 @@
 void
 puts_issue(struct signoff *r, uint64_t now_ms)
 {
-	uint32_t i, n = n_under_way(r);
+	uint32_t i, n = count_in_flight(r);
 	struct put *put;
 
-	for (i = 0; i < r->puts->len && n < SIGNOFF_PUT_WINDOW; i++) {
+	for (i = 0; i < r->puts->len && n < SIGNOFF_PUTS_IN_FLIGHT_MAX; i++) {
 		put = g_ptr_array_index(r->puts, i);
 		if (!put->needed || put->done || put->token != 0)
 			continue;
@@ -79,7 +79,7 @@
 }
 
 static struct put *
-find_token(const struct signoff *r, uint32_t token)
+find_put(const struct signoff *r, uint32_t token)
 {
 	struct put *put;
 	uint32_t i;
@@ -95,7 +95,7 @@
 void
 puts_on_put(struct signoff *r, uint64_t now_ms, uint32_t token, enum status st)
 {
-	struct put *put = find_token(r, token);
+	struct put *put = find_put(r, token);
 
 	if (put == NULL)
 		return;
--- a/packages/signoff/src/search.c
+++ b/packages/signoff/src/search.c
@@ -38,15 +38,15 @@
 
 /* The id is nowhere: what was sent has no effect, or nothing was sent. */
 static void
-search_none(struct signoff *r, uint64_t now_ms)
+search_found_nothing(struct signoff *r, uint64_t now_ms)
 {
-	if (!r->sent) {
+	if (!r->write_sent) {
 		r->ops->proceed(r, now_ms);
 		return;
 	}
-	r->sent = false;
+	r->write_sent = false;
 	r->maybe_written = false;
-	r->ops->lost(r, now_ms);
+	r->ops->on_lost_race(r, now_ms);
 }
 
 /* The id stands in the head row. */
@@ -64,16 +64,16 @@
 static void
 settle(struct signoff *r, uint64_t now_ms)
 {
-	struct range range = {r->base.version + 1, r->ops->settle_to(r)};
+	struct range range = {r->base.version + 1, r->ops->settle_limit(r)};
 
 	if (r->head.seq == r->base.seq) {
 		/* Not yet; the same write again is safe, as seq must match. */
 		r->phase = PHASE_TRANSACT;
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 	} else if (r->head.version > r->base.version) {
 		search_begin(r, range, now_ms);
 	} else {
-		search_none(r, now_ms);
+		search_found_nothing(r, now_ms);
 	}
 }
 
@@ -86,11 +86,11 @@
 		found_in_head(r);
 		return;
 	}
-	if (r->sent) {
+	if (r->write_sent) {
 		settle(r, now_ms);
 		return;
 	}
-	range = r->ops->first_look(r);
+	range = r->ops->first_search(r);
 	if (range.low <= range.high)
 		search_begin(r, range, now_ms);
 	else
@@ -114,7 +114,7 @@
 
 /* Look at one row; whether it ended the operation. */
 static bool
-look_at(struct signoff *r, const struct store_version *row)
+check_row(struct signoff *r, const struct store_version *row)
 {
 	struct rec_replaced_head replaced;
 	bool decoded;
@@ -140,7 +140,7 @@
 
 /* Version rows are dense: an answer that lacks one is of no use. */
 static bool
-rows_usable(const struct signoff *r, const struct store_version *rows,
+is_complete(const struct signoff *r, const struct store_version *rows,
     uint32_t n, uint64_t upto)
 {
 	const struct search *s = &r->search;
@@ -162,13 +162,13 @@
 	struct search *s = &r->search;
 	uint32_t i;
 
-	if (st != STATUS_OK || !rows_usable(r, rows, n, upto)) {
-		signoff_failed(r, now_ms);
+	if (st != STATUS_OK || !is_complete(r, rows, n, upto)) {
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
 	for (i = 0; i < n; i++) {
-		if (look_at(r, &rows[i]))
+		if (check_row(r, &rows[i]))
 			return;
 	}
 	if (upto < s->to) {
@@ -183,5 +183,5 @@
 	if (s->high >= s->low)
 		signoff_enter(r, PHASE_SEARCH, now_ms);
 	else
-		search_none(r, now_ms);
+		search_found_nothing(r, now_ms);
 }
--- a/packages/signoff/src/signoff.c
+++ b/packages/signoff/src/signoff.c
@@ -31,7 +31,8 @@
     [PHASE_BASE_LIST] = {version_issue_base_list, NULL, version_on_base_list},
     [PHASE_PUTS] = {puts_issue, NULL, NULL},
     [PHASE_TARGET_ROW] = {halt_issue_target_row, halt_on_target_row, NULL},
-    [PHASE_BACK_ROW] = {halt_issue_back_row, halt_on_back_row, NULL},
+    [PHASE_RESTORED_ROW] = {halt_issue_restored_row, halt_on_restored_row,
+	NULL},
     [PHASE_TRANSACT] = {step_transact, NULL, NULL},
     [PHASE_WINNER_NOTE] = {halt_issue_winner_note, NULL, halt_on_winner_note},
     [PHASE_END] = {NULL, NULL, NULL},
@@ -45,7 +46,7 @@
 };
 
 static bool
-op_valid(const char *op)
+is_valid_op(const char *op)
 {
 	size_t i, len = strnlen(op, STORE_OP_BYTES);
 
@@ -59,9 +60,9 @@
 }
 
 static enum status
-request_check(const struct signoff_request *req)
+check_request(const struct signoff_request *req)
 {
-	if (!op_valid(req->op))
+	if (!is_valid_op(req->op))
 		return status_set(STATUS_INVALID,
 		    "An operation id has 1 to 63 of letters, digits, '-', '_' "
 		    "and '.'; give another one.");
@@ -92,13 +93,13 @@
 	enum status st;
 
 	*r = NULL;
-	st = request_check(req);
+	st = check_request(req);
 	if (st != STATUS_OK)
 		return st;
 	*r = g_new0(struct signoff, 1);
 	(*r)->ops = kind_ops[req->kind];
 	(*r)->req = *req;
-	(*r)->race_left = req->race_retries;
+	(*r)->race_retries_left = req->race_retries;
 	(*r)->retry_at_ms = DEADLINE_NEVER;
 	(*r)->rand = g_rand_new_with_seed(req->seed);
 	(*r)->puts = puts_new();
@@ -133,7 +134,7 @@
 }
 
 void
-signoff_failed(struct signoff *r, uint64_t now_ms)
+signoff_retry_later(struct signoff *r, uint64_t now_ms)
 {
 	r->token = 0;
 	r->retry_at_ms = now_ms + step_backoff_ms(r);
@@ -143,7 +144,7 @@
 signoff_start(struct signoff *r, uint64_t now_ms)
 {
 	if (now_ms >= r->req.deadline_ms)
-		outcome_gave_up(r);
+		outcome_timed_out(r);
 	else
 		r->ops->begin(r, now_ms);
 }
@@ -177,7 +178,7 @@
 
 /* Whether an answer is the one awaited; it is not awaited any more then. */
 static bool
-take_token(struct signoff *r, uint32_t token)
+accept_token(struct signoff *r, uint32_t token)
 {
 	if (token == 0 || token != r->token)
 		return false;
@@ -187,7 +188,7 @@
 
 /* A head row that can follow the one read before. */
 static bool
-head_sane(const struct signoff *r, const struct store_head *head)
+is_valid_successor(const struct signoff *r, const struct store_head *head)
 {
 	return head->seq >= r->head.seq && head->seq > 0 &&
 	    head->version >= r->head.version && head->in_force <= head->version;
@@ -197,12 +198,12 @@
 signoff_on_head(struct signoff *r, uint64_t now_ms, uint32_t token,
     enum status st, const struct store_head *head)
 {
-	if (!take_token(r, token))
+	if (!accept_token(r, token))
 		return;
-	if (st == STATUS_OK && head_sane(r, head))
+	if (st == STATUS_OK && is_valid_successor(r, head))
 		r->head = *head;
 	else if (st != STATUS_NOT_FOUND || r->head.seq > 0) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
@@ -213,7 +214,7 @@
 signoff_on_versions(struct signoff *r, uint64_t now_ms, uint32_t token,
     enum status st, const struct store_version *rows, uint32_t n, uint64_t upto)
 {
-	if (take_token(r, token))
+	if (accept_token(r, token))
 		phases[r->phase].on_versions(r, now_ms, st, rows, n, upto);
 }
 
@@ -221,7 +222,7 @@
 signoff_on_object(struct signoff *r, uint64_t now_ms, uint32_t token,
     enum status st, const uint8_t *data, size_t len)
 {
-	if (take_token(r, token))
+	if (accept_token(r, token))
 		phases[r->phase].on_object(r, now_ms, st, data, len);
 }
 
@@ -235,7 +236,7 @@
 
 /* The platform calls the write wrong: it can't be done at all. */
 static void
-refused(struct signoff *r, enum status st)
+write_rejected(struct signoff *r, enum status st)
 {
 	outcome_invalid(r,
 	    "The platform refused the write (%s). Make the change smaller, or "
@@ -247,7 +248,7 @@
 signoff_on_transact(
     struct signoff *r, uint64_t now_ms, uint32_t token, enum status st)
 {
-	if (!take_token(r, token))
+	if (!accept_token(r, token))
 		return;
 	switch (st) {
 	case STATUS_OK:
@@ -259,7 +260,7 @@
 		if (r->maybe_written)
 			signoff_enter(r, PHASE_HEAD, now_ms);
 		else
-			refused(r, st);
+			write_rejected(r, st);
 		break;
 	case STATUS_CONFLICT:
 		signoff_enter(r, PHASE_HEAD, now_ms);
@@ -268,7 +269,7 @@
 	case STATUS_OVERLOADED:
 		if (r->maybe_written)
 			r->phase = PHASE_HEAD;
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		break;
 	default:
 		/* Unknown: never write again before reading back. */
@@ -280,18 +281,18 @@
 
 /* An awaited answer did not come in time. */
 static void
-answer_lost(struct signoff *r, uint64_t now_ms)
+answer_timed_out(struct signoff *r, uint64_t now_ms)
 {
 	if (r->phase == PHASE_TRANSACT) {
 		signoff_on_transact(r, now_ms, r->token, STATUS_UNKNOWN);
 		return;
 	}
-	puts_forget(r);
-	signoff_failed(r, now_ms);
+	puts_cancel_tokens(r);
+	signoff_retry_later(r, now_ms);
 }
 
 static bool
-awaits(const struct signoff *r)
+is_awaiting(const struct signoff *r)
 {
 	uint32_t i;
 
@@ -312,11 +313,11 @@
 	if (now_ms >= r->req.deadline_ms) {
 		if (r->phase == PHASE_TRANSACT && r->token != 0)
 			r->maybe_written = true;
-		outcome_gave_up(r);
+		outcome_timed_out(r);
 		return;
 	}
-	if (awaits(r) && now_ms >= r->answer_by_ms)
-		answer_lost(r, now_ms);
+	if (is_awaiting(r) && now_ms >= r->answer_deadline_ms)
+		answer_timed_out(r, now_ms);
 	else if (now_ms >= r->retry_at_ms)
 		signoff_enter(r, r->phase, now_ms);
 }
@@ -328,8 +329,8 @@
 
 	if (r->phase == PHASE_END)
 		return DEADLINE_NEVER;
-	if (awaits(r))
-		next = MIN(next, r->answer_by_ms);
+	if (is_awaiting(r))
+		next = MIN(next, r->answer_deadline_ms);
 	return MIN(next, r->retry_at_ms);
 }
 
--- a/packages/signoff/src/signoff_defs.h
+++ b/packages/signoff/src/signoff_defs.h
@@ -20,7 +20,7 @@
  * @PHASE_BASE_LIST: list of the newest version
  * @PHASE_PUTS: objects being written
  * @PHASE_TARGET_ROW: halt: row of the version to halt
- * @PHASE_BACK_ROW: halt: row of the version that comes back into force
+ * @PHASE_RESTORED_ROW: halt: row of the version that comes back into force
  * @PHASE_TRANSACT: the write
  * @PHASE_WINNER_NOTE: note of the halt that was first
  * @PHASE_END: nothing; the outcome is there
@@ -34,7 +34,7 @@
 	PHASE_BASE_LIST,
 	PHASE_PUTS,
 	PHASE_TARGET_ROW,
-	PHASE_BACK_ROW,
+	PHASE_RESTORED_ROW,
 	PHASE_TRANSACT,
 	PHASE_WINNER_NOTE,
 	PHASE_END,
@@ -57,18 +57,19 @@
  * struct signoff_ops - what a kind of operation does; see the tables in
  * version.c, halt.c and find.c
  * @begin: first thing of all
- * @first_look: versions that may tell of an earlier start, when the head row
+ * @first_search: versions that may tell of an earlier start, when the head row
  * is first read; an empty range for none
- * @settle_to: last version that may tell what became of a write on @base
+ * @settle_limit: last version that may tell what became of a write on @base
  * @proceed: no earlier start has done it; go on from @head
- * @lost: the write has certainly not taken effect, since another was first
+ * @on_lost_race: the write has certainly not taken effect, since another was
+ * first
  */
 struct signoff_ops {
 	void (*begin)(struct signoff *r, uint64_t now_ms);
-	struct range (*first_look)(const struct signoff *r);
-	uint64_t (*settle_to)(const struct signoff *r);
+	struct range (*first_search)(const struct signoff *r);
+	uint64_t (*settle_limit)(const struct signoff *r);
 	void (*proceed)(struct signoff *r, uint64_t now_ms);
-	void (*lost)(struct signoff *r, uint64_t now_ms);
+	void (*on_lost_race)(struct signoff *r, uint64_t now_ms);
 };
 
 /**
@@ -110,15 +111,15 @@
  * @phase: what it waits for
  * @next_token: token of the next action
  * @token: token awaited, 0 for none
- * @answer_by_ms: when an awaited answer counts as lost
+ * @answer_deadline_ms: when an awaited answer counts as lost
  * @retry_at_ms: when the phase is tried again
  * @n_failures: failures in a row, for the back-off
- * @race_left: lost races that may still be tried again
+ * @race_retries_left: lost races that may still be tried again
  * @rand: source of jitter
  * @actions: struct signoff_action to be taken
  * @head: head row as last read; seq 0 when there is none
  * @base: head row that the write replaces
- * @sent: a write on @base was sent
+ * @write_sent: a write on @base was sent
  * @maybe_written: it may have taken effect, or still may
  * @search: see struct search
  * @lowest: row of @search.low, once seen
@@ -138,15 +139,15 @@
 	enum signoff_phase phase;
 	uint32_t next_token;
 	uint32_t token;
-	uint64_t answer_by_ms;
+	uint64_t answer_deadline_ms;
 	uint64_t retry_at_ms;
 	uint32_t n_failures;
-	uint32_t race_left;
+	uint32_t race_retries_left;
 	GRand *rand;
 	GQueue actions;
 	struct store_head head;
 	struct store_head base;
-	bool sent;
+	bool write_sent;
 	bool maybe_written;
 	struct search search;
 	struct {
@@ -172,8 +173,8 @@
 void
 signoff_enter(struct signoff *r, enum signoff_phase phase, uint64_t now_ms);
 
-/** signoff_failed() - the phase got no usable answer; try again later */
-void signoff_failed(struct signoff *r, uint64_t now_ms);
+/** signoff_retry_later() - the phase got no usable answer; try again later */
+void signoff_retry_later(struct signoff *r, uint64_t now_ms);
 
 /* step.c: actions; each sets the token that is awaited */
 
@@ -227,8 +228,8 @@
 void
 puts_on_put(struct signoff *r, uint64_t now_ms, uint32_t token, enum status st);
 
-/** puts_forget() - give up waiting for those under way */
-void puts_forget(struct signoff *r);
+/** puts_cancel_tokens() - give up waiting for those under way */
+void puts_cancel_tokens(struct signoff *r);
 
 /* version.c: sign-off and supersede */
 
@@ -252,8 +253,8 @@
 void halt_issue_target_row(struct signoff *r, uint64_t now_ms);
 void halt_on_target_row(struct signoff *r, uint64_t now_ms, enum status st,
     const struct store_version *rows, uint32_t n, uint64_t upto);
-void halt_issue_back_row(struct signoff *r, uint64_t now_ms);
-void halt_on_back_row(struct signoff *r, uint64_t now_ms, enum status st,
+void halt_issue_restored_row(struct signoff *r, uint64_t now_ms);
+void halt_on_restored_row(struct signoff *r, uint64_t now_ms, enum status st,
     const struct store_version *rows, uint32_t n, uint64_t upto);
 void halt_issue_winner_note(struct signoff *r, uint64_t now_ms);
 void halt_on_winner_note(struct signoff *r, uint64_t now_ms, enum status st,
@@ -269,15 +270,15 @@
 void outcome_done(struct signoff *r, enum signoff_kind kind, uint64_t version,
     const struct digest *root);
 
-void outcome_already(struct signoff *r);
+void outcome_already_halted(struct signoff *r);
 void outcome_conflict(struct signoff *r);
 void outcome_not_found(struct signoff *r, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 void outcome_invalid(struct signoff *r, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
-/** outcome_gave_up() - no time left: unavailable or unknown */
-void outcome_gave_up(struct signoff *r);
+/** outcome_timed_out() - no time left: unavailable or unknown */
+void outcome_timed_out(struct signoff *r);
 
 /** outcome_not_settled() - find: a write may still arrive */
 void outcome_not_settled(struct signoff *r);
--- a/packages/signoff/src/step.c
+++ b/packages/signoff/src/step.c
@@ -7,7 +7,7 @@
 #include "signoff_defs.h"
 
 /* Doublings after which the back-off stands at its cap in any case. */
-#define BACKOFF_DOUBLINGS 16
+#define BACKOFF_DOUBLINGS_MAX 16
 
 static struct signoff_action *
 action_new(struct signoff *r, enum signoff_action_kind kind, uint64_t now_ms)
@@ -25,20 +25,21 @@
 
 /* An action whose answer is awaited alone. */
 static struct signoff_action *
-action_await(struct signoff *r, enum signoff_action_kind kind, uint64_t now_ms)
+action_new_awaited(
+    struct signoff *r, enum signoff_action_kind kind, uint64_t now_ms)
 {
 	struct signoff_action *a;
 
 	a = action_new(r, kind, now_ms);
 	r->token = a->token;
-	r->answer_by_ms = a->deadline_ms;
+	r->answer_deadline_ms = a->deadline_ms;
 	return a;
 }
 
 void
 step_read_head(struct signoff *r, uint64_t now_ms)
 {
-	(void)action_await(r, SIGNOFF_READ_HEAD, now_ms);
+	(void)action_new_awaited(r, SIGNOFF_READ_HEAD, now_ms);
 }
 
 void
@@ -47,7 +48,7 @@
 {
 	struct signoff_action *a;
 
-	a = action_await(r, SIGNOFF_READ_VERSIONS, now_ms);
+	a = action_new_awaited(r, SIGNOFF_READ_VERSIONS, now_ms);
 	a->from = from;
 	a->to = to;
 }
@@ -58,7 +59,7 @@
 	char hex[DIGEST_HEX_BYTES];
 	struct signoff_action *a;
 
-	a = action_await(r, SIGNOFF_GET_OBJECT, now_ms);
+	a = action_new_awaited(r, SIGNOFF_GET_OBJECT, now_ms);
 	hash_digest_hex(root, hex);
 	g_snprintf(a->key, sizeof(a->key), "root/%s", hex);
 }
@@ -68,7 +69,7 @@
 {
 	struct signoff_action *a;
 
-	a = action_await(r, SIGNOFF_GET_OBJECT, now_ms);
+	a = action_new_awaited(r, SIGNOFF_GET_OBJECT, now_ms);
 	g_snprintf(a->key, sizeof(a->key), "halt/%s", op);
 }
 
@@ -80,7 +81,7 @@
 	a = action_new(r, SIGNOFF_PUT_OBJECT, now_ms);
 	g_strlcpy(a->key, put->key, sizeof(a->key));
 	a->content = g_bytes_ref(put->content);
-	r->answer_by_ms = a->deadline_ms;
+	r->answer_deadline_ms = a->deadline_ms;
 	return a->token;
 }
 
@@ -89,7 +90,7 @@
 {
 	struct signoff_action *a;
 
-	a = action_await(r, SIGNOFF_TRANSACT, now_ms);
+	a = action_new_awaited(r, SIGNOFF_TRANSACT, now_ms);
 	a->expected_seq = r->base.seq;
 	a->head = r->new_head;
 	a->has_version = r->changes != NULL;
@@ -97,7 +98,7 @@
 		a->version = r->row;
 		a->content = g_bytes_ref(r->changes);
 	}
-	r->sent = true;
+	r->write_sent = true;
 }
 
 static void
@@ -123,11 +124,11 @@
 uint64_t
 step_backoff_ms(struct signoff *r)
 {
-	uint64_t most;
+	uint64_t max_ms;
 
-	most = (uint64_t)SIGNOFF_BACKOFF_LEAST_MS
-	    << MIN(r->n_failures, BACKOFF_DOUBLINGS);
-	most = MIN(most, SIGNOFF_BACKOFF_MAX_MS);
+	max_ms = (uint64_t)SIGNOFF_BACKOFF_MIN_MS
+	    << MIN(r->n_failures, BACKOFF_DOUBLINGS_MAX);
+	max_ms = MIN(max_ms, SIGNOFF_BACKOFF_MAX_MS);
 	r->n_failures++;
-	return 1 + (uint64_t)g_rand_int_range(r->rand, 0, (gint32)most);
+	return 1 + (uint64_t)g_rand_int_range(r->rand, 0, (gint32)max_ms);
 }
--- a/packages/signoff/src/version.c
+++ b/packages/signoff/src/version.c
@@ -6,14 +6,14 @@
 #include "signoff_defs.h"
 
 static bool
-supersedes(const struct signoff *r)
+is_supersede(const struct signoff *r)
 {
 	return r->req.kind == SIGNOFF_SUPERSEDE;
 }
 
 /* Objects of a bundle: its sections, and the list under its root. */
 static void
-add_puts(struct signoff *r)
+add_objects(struct signoff *r)
 {
 	const struct bundle *b = r->req.bundle;
 	char hex[DIGEST_HEX_BYTES], key[STORE_KEY_BYTES];
@@ -35,12 +35,12 @@
 static void
 version_begin(struct signoff *r, uint64_t now_ms)
 {
-	if (supersedes(r)) {
+	if (is_supersede(r)) {
 		signoff_enter(r, PHASE_SOURCE_ROW, now_ms);
 		return;
 	}
 	bundle_to_sections(r->req.bundle, &r->list, &r->root);
-	add_puts(r);
+	add_objects(r);
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
@@ -55,7 +55,7 @@
     const struct store_version *rows, uint32_t n, uint64_t upto)
 {
 	if (st != STATUS_OK || upto < r->req.version) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	if (n == 0 || rows[0].version != r->req.version) {
@@ -72,7 +72,7 @@
 
 /* An earlier start with a parent can only have made the version after it. */
 static struct range
-version_first_look(const struct signoff *r)
+version_first_search(const struct signoff *r)
 {
 	struct range range = {1, 0};
 
@@ -81,8 +81,9 @@
 		range.high = MIN(range.low, r->head.version);
 	} else if (!r->req.fresh) {
 		range.high = r->head.version;
-		if (range.high > SIGNOFF_REPEAT_VERSIONS)
-			range.low = range.high - SIGNOFF_REPEAT_VERSIONS + 1;
+		if (range.high > SIGNOFF_REPEAT_VERSIONS_MAX)
+			range.low =
+			    range.high - SIGNOFF_REPEAT_VERSIONS_MAX + 1;
 	}
 	return range;
 }
@@ -92,9 +93,9 @@
  * this operation may have gone on top as well.
  */
 static uint64_t
-version_settle_to(const struct signoff *r)
+version_settle_limit(const struct signoff *r)
 {
-	if (!r->req.has_parent && r->race_left > 0)
+	if (!r->req.has_parent && r->race_retries_left > 0)
 		return r->head.version;
 	return r->base.version + 1;
 }
@@ -115,7 +116,7 @@
 		return;
 	}
 	r->base = r->head;
-	if (supersedes(r) && r->list == NULL)
+	if (is_supersede(r) && r->list == NULL)
 		signoff_enter(r, PHASE_SOURCE_LIST, now_ms);
 	else
 		signoff_enter(r, PHASE_BASE_ROW, now_ms);
@@ -123,13 +124,13 @@
 
 /* Another operation was first: go on top of it only if that was asked for. */
 static void
-version_lost(struct signoff *r, uint64_t now_ms)
+version_on_lost_race(struct signoff *r, uint64_t now_ms)
 {
 	if (r->head.version == r->base.version) {
 		/* Only a halt came in between; the parent is the same. */
 		version_proceed(r, now_ms);
-	} else if (r->race_left > 0) {
-		r->race_left--;
+	} else if (r->race_retries_left > 0) {
+		r->race_retries_left--;
 		version_proceed(r, now_ms);
 	} else {
 		outcome_conflict(r);
@@ -138,10 +139,10 @@
 
 const struct signoff_ops version_ops = {
     .begin = version_begin,
-    .first_look = version_first_look,
-    .settle_to = version_settle_to,
+    .first_search = version_first_search,
+    .settle_limit = version_settle_limit,
     .proceed = version_proceed,
-    .lost = version_lost,
+    .on_lost_race = version_on_lost_race,
 };
 
 void
@@ -163,7 +164,7 @@
 	}
 	if (st != STATUS_OK ||
 	    section_list_decode(data, len, &r->root, &r->list) != STATUS_OK) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
@@ -188,7 +189,7 @@
 {
 	(void)upto;
 	if (st != STATUS_OK || n != 1 || rows[0].version != r->base.version) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
@@ -310,7 +311,7 @@
 {
 	if (st != STATUS_OK && st != STATUS_NOT_FOUND &&
 	    st != STATUS_TOO_LARGE) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
--- a/packages/signoff/test/check_world.c
+++ b/packages/signoff/test/check_world.c
@@ -20,32 +20,32 @@
 	va_end(ap);
 }
 
-static const struct deed *
-deed_at(const struct world *w, uint32_t i)
+static const struct commit *
+commit_at(const struct world *w, uint32_t i)
 {
-	return &g_array_index(w->deeds, struct deed, i);
+	return &g_array_index(w->commits, struct commit, i);
 }
 
 /* Ids of a naive operation's starts differ after the dot only. */
 static bool
-same_op(const char *deed_op, const char *op)
+is_same_op(const char *commit_op, const char *op)
 {
 	size_t len = strlen(op);
 
-	return strncmp(deed_op, op, len) == 0 &&
-	    (deed_op[len] == '\0' || deed_op[len] == '.');
+	return strncmp(commit_op, op, len) == 0 &&
+	    (commit_op[len] == '\0' || commit_op[len] == '.');
 }
 
-static const struct deed *
-find_deed(const struct world *w, const char *op, uint32_t *n)
+static const struct commit *
+find_commit(const struct world *w, const char *op, uint32_t *n)
 {
-	const struct deed *found = NULL;
+	const struct commit *found = NULL;
 	uint32_t i;
 
 	*n = 0;
-	for (i = 0; i < w->deeds->len; i++) {
-		if (same_op(deed_at(w, i)->op, op)) {
-			found = deed_at(w, i);
+	for (i = 0; i < w->commits->len; i++) {
+		if (is_same_op(commit_at(w, i)->op, op)) {
+			found = commit_at(w, i);
 			(*n)++;
 		}
 	}
@@ -58,20 +58,21 @@
 	uint64_t version = 0;
 	uint32_t i, j;
 
-	for (i = 0; i < w->deeds->len; i++) {
-		for (j = i + 1; j < w->deeds->len; j++) {
-			if (deed_at(w, j)->halt &&
-			    deed_at(w, j)->version == deed_at(w, i)->version)
+	for (i = 0; i < w->commits->len; i++) {
+		for (j = i + 1; j < w->commits->len; j++) {
+			if (commit_at(w, j)->halt &&
+			    commit_at(w, j)->version ==
+				commit_at(w, i)->version)
 				break;
 		}
-		if (j == w->deeds->len && !deed_at(w, i)->halt)
-			version = deed_at(w, i)->version;
+		if (j == w->commits->len && !commit_at(w, i)->halt)
+			version = commit_at(w, i)->version;
 	}
 	return version;
 }
 
 static GArray *
-list_of(struct world *w, const struct digest *root)
+load_list(struct world *w, const struct digest *root)
 {
 	char hex[DIGEST_HEX_BYTES], key[STORE_KEY_BYTES];
 	GArray *list = NULL;
@@ -92,7 +93,7 @@
 
 /* All of the version is on the platform, and its changes lead to it. */
 static void
-check_whole(struct world *w, const struct signoff_action *a)
+check_version_complete(struct world *w, const struct signoff_action *a)
 {
 	char hex[DIGEST_HEX_BYTES], key[STORE_KEY_BYTES];
 	static const struct digest none;
@@ -104,8 +105,8 @@
 
 	row = w->rows->len > 0 ? g_ptr_array_index(w->rows, w->rows->len - 1)
 			       : NULL;
-	before = list_of(w, row != NULL ? &row->v.root : &none);
-	list = list_of(w, &a->version.root);
+	before = load_list(w, row != NULL ? &row->v.root : &none);
+	list = load_list(w, &a->version.root);
 	for (i = 0; i < list->len; i++) {
 		hash_digest_hex(
 		    &g_array_index(list, struct rec_section_ref, i).digest,
@@ -149,47 +150,47 @@
 void
 check_write(struct world *w, const struct signoff_action *a)
 {
-	struct deed deed;
+	struct commit commit;
 	uint32_t n;
 
-	memset(&deed, 0, sizeof(deed));
-	g_strlcpy(deed.op, a->head.op, sizeof(deed.op));
-	deed.version = a->head.version;
-	deed.halt = !a->has_version;
-	deed.head = a->head;
-	(void)find_deed(w, deed.op, &n);
+	memset(&commit, 0, sizeof(commit));
+	g_strlcpy(commit.op, a->head.op, sizeof(commit.op));
+	commit.version = a->head.version;
+	commit.halt = !a->has_version;
+	commit.head = a->head;
+	(void)find_commit(w, commit.op, &n);
 	if (n > 0)
-		violation(w, "operation %s is done twice", deed.op);
+		violation(w, "operation %s is done twice", commit.op);
 	if (a->head.seq != w->head.seq + 1)
 		violation(w, "seq skips");
 	if (w->head.seq > 0)
 		check_roots(w);
-	if (deed.halt &&
-	    (deed.version != w->head.version || w->head.state == STORE_HALTED ||
-		a->head.state != STORE_HALTED))
+	if (commit.halt &&
+	    (commit.version != w->head.version ||
+		w->head.state == STORE_HALTED || a->head.state != STORE_HALTED))
 		violation(w, "halt of what is not rolling");
-	if (!deed.halt &&
-	    (deed.version != w->rows->len + 1 ||
-		a->version.version != deed.version ||
+	if (!commit.halt &&
+	    (commit.version != w->rows->len + 1 ||
+		a->version.version != commit.version ||
 		a->version.parent != w->rows->len))
 		violation(w, "versions are not dense");
-	if (!deed.halt)
-		check_whole(w, a);
-	g_array_append_val(w->deeds, deed);
+	if (!commit.halt)
+		check_version_complete(w, a);
+	g_array_append_val(w->commits, commit);
 	if (a->head.in_force != highest_not_halted(w))
 		violation(w, "in_force is not the highest not halted");
 }
 
 /* Who did a deed, by name; NULL when nobody asked for it. */
 static const char *
-operator_of(const struct world *w, const char *op)
+find_operator(const struct world *w, const char *op)
 {
 	const struct actor *actor;
 	uint32_t i;
 
 	for (i = 0; i < w->actors->len; i++) {
 		actor = g_ptr_array_index(w->actors, i);
-		if (same_op(op, actor->req.op))
+		if (is_same_op(op, actor->req.op))
 			return actor->req.operator_name;
 	}
 	return NULL;
@@ -197,12 +198,13 @@
 
 /* That a halt's note could not be read may be said by leaving the name out. */
 static bool
-named_rightly(const struct world *w, const struct signoff_outcome *o)
+is_operator_correct(const struct world *w, const struct signoff_outcome *o)
 {
 	if (o->result == SIGNOFF_ALREADY_HALTED &&
 	    o->winner_operator[0] == '\0')
 		return true;
-	return g_strcmp0(operator_of(w, o->winner_op), o->winner_operator) == 0;
+	return g_strcmp0(find_operator(w, o->winner_op), o->winner_operator) ==
+	    0;
 }
 
 /* The one named as first did what it is said to have done. */
@@ -210,12 +212,12 @@
 check_winner(struct world *w, const struct actor *actor)
 {
 	const struct signoff_outcome *o = &actor->outcome;
-	const struct deed *deed;
+	const struct commit *commit;
 	uint32_t n;
 
-	deed = find_deed(w, o->winner_op, &n);
-	if (deed == NULL || deed->version != o->winner_version ||
-	    deed->halt != o->winner_halted || !named_rightly(w, o))
+	commit = find_commit(w, o->winner_op, &n);
+	if (commit == NULL || commit->version != o->winner_version ||
+	    commit->halt != o->winner_halted || !is_operator_correct(w, o))
 		violation(w, "%s was told wrongly that %s of %s was first",
 		    actor->req.op, o->winner_op, o->winner_operator);
 	if (o->result == SIGNOFF_CONFLICT && actor->req.has_parent &&
@@ -225,7 +227,7 @@
 
 /* Whether another start had the same id: this one can speak for itself only. */
 static bool
-started_elsewhere(const struct world *w, const struct actor *actor)
+has_other_start(const struct world *w, const struct actor *actor)
 {
 	const struct actor *other;
 	uint32_t i;
@@ -239,7 +241,7 @@
 }
 
 static bool
-same_head(const struct store_head *a, const struct store_head *b)
+is_same_head(const struct store_head *a, const struct store_head *b)
 {
 	return a->seq == b->seq && a->version == b->version &&
 	    a->in_force == b->in_force && a->state == b->state &&
@@ -247,20 +249,21 @@
 }
 
 static void
-check_told(struct world *w, const struct actor *actor)
+check_outcome(struct world *w, const struct actor *actor)
 {
 	const struct signoff_outcome *o = &actor->outcome;
-	const struct deed *deed;
+	const struct commit *commit;
 	uint32_t n;
 
-	deed = find_deed(w, actor->req.op, &n);
+	commit = find_commit(w, actor->req.op, &n);
 	if (n > 1)
 		violation(w, "operation %s is done twice", actor->req.op);
 	switch (o->result) {
 	case SIGNOFF_DONE:
-		if (deed == NULL || deed->version != o->version)
+		if (commit == NULL || commit->version != o->version)
 			violation(w, "%s was told done wrongly", actor->req.op);
-		else if (!o->repeated && !same_head(&deed->head, &actor->sent))
+		else if (!o->repeated &&
+		    !is_same_head(&commit->head, &actor->sent_head))
 			violation(w, "%s was told that its write did it",
 			    actor->req.op);
 		break;
@@ -268,7 +271,7 @@
 		break;
 	case SIGNOFF_UNAVAILABLE:
 	case SIGNOFF_INVALID:
-		if (deed != NULL && !started_elsewhere(w, actor))
+		if (commit != NULL && !has_other_start(w, actor))
 			violation(w, "%s was told nothing was done wrongly",
 			    actor->req.op);
 		break;
@@ -277,7 +280,7 @@
 		check_winner(w, actor);
 		/* fall through */
 	default:
-		if (deed != NULL)
+		if (commit != NULL)
 			violation(w, "%s was told %s, but is done",
 			    actor->req.op, signoff_result_name(o->result));
 		break;
@@ -290,6 +293,6 @@
 	uint32_t i;
 
 	for (i = 0; i < w->actors->len; i++)
-		check_told(w, g_ptr_array_index(w->actors, i));
+		check_outcome(w, g_ptr_array_index(w->actors, i));
 	return w->violation[0] == '\0';
 }
--- a/packages/signoff/test/scenario.h
+++ b/packages/signoff/test/scenario.h
@@ -12,14 +12,14 @@
 #define WRITE_REQUEST 6
 
 static inline struct signoff_request
-sign(struct world *w, const char *op)
+sign_off_request(struct world *w, const char *op)
 {
 	return world_request(w, SIGNOFF_SIGN_OFF, op, "anna");
 }
 
 /* Sign versions off until there are @n. */
 static inline void
-sign_many(struct world *w, uint32_t n)
+sign_off_versions(struct world *w, uint32_t n)
 {
 	struct signoff_request req;
 	char op[STORE_OP_BYTES];
@@ -27,14 +27,15 @@
 
 	for (i = (uint32_t)w->rows->len + 1; i <= n; i++) {
 		g_snprintf(op, sizeof(op), "base-%u", i);
-		req = sign(w, op);
+		req = sign_off_request(w, op);
 		req.fresh = true;
-		ck_assert_int_eq(world_do(w, &req, i)->result, SIGNOFF_DONE);
+		ck_assert_int_eq(
+		    world_run_operation(w, &req, i)->result, SIGNOFF_DONE);
 	}
 }
 
 static inline void
-check_truth(struct world *w)
+check_no_violation(struct world *w)
 {
 	ck_assert_msg(world_check(w), "%s", w->violation);
 }
--- a/packages/signoff/test/test_race.c
+++ b/packages/signoff/test/test_race.c
@@ -12,7 +12,7 @@
 #define RACE_FAULT_PERCENT 12
 
 /* Longest time that a racer has; some run out of it. */
-#define RACE_MOST_MS 6000
+#define RACE_TIMEOUT_MAX_MS 6000
 
 /* Two without parent at once: the loser goes on top only if that was asked. */
 START_TEST(test_on_top)
@@ -21,8 +21,8 @@
 	struct signoff_request req;
 	struct actor *a, *b;
 
-	sign_many(w, 1);
-	req = sign(w, "one");
+	sign_off_versions(w, 1);
+	req = sign_off_request(w, "one");
 	req.race_retries = (uint32_t)_i % 2;
 	a = world_start(w, &req, 5, false);
 	req = world_request(w, SIGNOFF_SIGN_OFF, "two", "bjorn");
@@ -33,7 +33,7 @@
 		(b->outcome.result == SIGNOFF_DONE),
 	    1 + _i % 2);
 	ck_assert_uint_eq(w->rows->len, 2 + (uint32_t)_i % 2);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
@@ -47,29 +47,29 @@
 	struct actor *a, *b;
 	uint32_t i;
 
-	sign_many(w, 1);
-	req = sign(w, "op");
+	sign_off_versions(w, 1);
+	req = sign_off_request(w, "op");
 	req.race_retries = RACERS;
 	a = world_start(w, &req, 5, false);
 	b = world_start(w, &req, 5, false);
 	for (i = 0; i < 3; i++) {
 		g_snprintf(op, sizeof(op), "other-%u", i);
-		req = sign(w, op);
+		req = sign_off_request(w, op);
 		req.race_retries = RACERS;
 		(void)world_start(w, &req, 6 + i, false);
 	}
 	world_run(w);
 	ck_assert_int_eq(a->outcome.result, SIGNOFF_DONE);
 	ck_assert_int_eq(b->outcome.result, SIGNOFF_DONE);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
 static void
-run_one(struct world *w, const char *op, uint32_t variant)
+run_until_done(struct world *w, const char *op, uint32_t variant)
 {
-	struct signoff_request req = sign(w, op);
+	struct signoff_request req = sign_off_request(w, op);
 	struct actor *actor;
 
 	req.race_retries = 1;
@@ -88,23 +88,23 @@
 	struct signoff_request req;
 	struct actor *actor;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	/* It looks for its id first, which is one request more. */
 	w->fault_at = w->n_requests + WRITE_REQUEST + 1;
 	w->fault = FAULT_LOST_REQUEST;
-	req = sign(w, "op");
+	req = sign_off_request(w, "op");
 	req.race_retries = 1;
 	actor = world_start(w, &req, 5, false);
 	while (w->n_requests < w->fault_at)
 		ck_assert(world_step(w));
-	run_one(w, "rival", 6);
-	run_one(w, "op", 5);
-	run_one(w, "third", 7);
+	run_until_done(w, "rival", 6);
+	run_until_done(w, "op", 5);
+	run_until_done(w, "third", 7);
 	world_run(w);
 	ck_assert_int_eq(actor->outcome.result, SIGNOFF_DONE);
 	ck_assert(actor->outcome.repeated);
 	ck_assert_uint_eq(actor->outcome.version, 3);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
@@ -113,15 +113,15 @@
 start_racer(struct world *w, uint32_t i, bool naive)
 {
 	struct signoff_request req;
-	char op[STORE_OP_BYTES], who[STORE_OPERATOR_BYTES];
+	char op[STORE_OP_BYTES], operator_name[STORE_OPERATOR_BYTES];
 	uint64_t newest = w->rows->len;
 
-	g_snprintf(op, sizeof(op), "op-%u-%u", (uint32_t)w->deeds->len, i);
-	g_snprintf(who, sizeof(who), "operator-%u", i);
+	g_snprintf(op, sizeof(op), "op-%u-%u", (uint32_t)w->commits->len, i);
+	g_snprintf(operator_name, sizeof(operator_name), "operator-%u", i);
 	req = world_request(w,
 	    naive ? SIGNOFF_SIGN_OFF
 		  : (enum signoff_kind)g_rand_int_range(w->rand, 0, 3),
-	    op, who);
+	    op, operator_name);
 	req.version = newest;
 	if (req.kind == SIGNOFF_SUPERSEDE)
 		req.version = 1;
@@ -130,7 +130,7 @@
 	req.fresh = g_rand_boolean(w->rand);
 	if (!naive)
 		req.deadline_ms = w->now_ms +
-		    (uint64_t)g_rand_int_range(w->rand, 1, RACE_MOST_MS);
+		    (uint64_t)g_rand_int_range(w->rand, 1, RACE_TIMEOUT_MAX_MS);
 	req.race_retries =
 	    naive ? RACERS : (uint32_t)g_rand_int_range(w->rand, 0, 3);
 	(void)world_start(w, &req, 10 + i, naive);
@@ -168,7 +168,7 @@
 	const struct actor *actor;
 	uint32_t i, round;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	w->fault_percent = RACE_FAULT_PERCENT;
 	for (round = 0; round < 2; round++) {
 		for (i = 0; i < RACERS; i++)
@@ -210,14 +210,14 @@
 /* The blind retry does things twice, and the checker sees it. */
 START_TEST(test_naive_is_caught)
 {
-	uint32_t seed, n_caught = 0, n_results[SIGNOFF_UNKNOWN + 1] = {0};
+	uint32_t seed, n_detected = 0, n_results[SIGNOFF_UNKNOWN + 1] = {0};
 	char violation[WORLD_VIOLATION_BYTES];
 
 	for (seed = 1; seed <= SEEDS; seed++) {
 		race(seed, true, violation, n_results);
-		n_caught += strstr(violation, "done twice") != NULL;
+		n_detected += strstr(violation, "done twice") != NULL;
 	}
-	ck_assert_uint_gt(n_caught, SEEDS / 8);
+	ck_assert_uint_gt(n_detected, SEEDS / 8);
 }
 END_TEST
 
--- a/packages/signoff/test/test_signoff.c
+++ b/packages/signoff/test/test_signoff.c
@@ -9,10 +9,10 @@
 #include "scenario.h"
 
 static struct signoff_request
-on_version(struct world *w, enum signoff_kind kind, const char *op,
-    const char *who, uint64_t version)
+request_for_version(struct world *w, enum signoff_kind kind, const char *op,
+    const char *operator_name, uint64_t version)
 {
-	struct signoff_request req = world_request(w, kind, op, who);
+	struct signoff_request req = world_request(w, kind, op, operator_name);
 
 	req.version = version;
 	return req;
@@ -35,20 +35,20 @@
 
 	for (step = 1; step <= STEPS; step++) {
 		w = world_new(step);
-		sign_many(w, 3);
+		sign_off_versions(w, 3);
 		w->fault_at = w->n_requests + step;
 		w->fault = fault;
-		req = on_version(w, kind, "op", "anna", 3);
-		o = world_do(w, &req, 4);
+		req = request_for_version(w, kind, "op", "anna", 3);
+		o = world_run_operation(w, &req, 4);
 		ck_assert_int_eq(o->result, SIGNOFF_DONE);
 		ck_assert_uint_eq(o->version, kind == SIGNOFF_HALT ? 3 : 4);
 		ck_assert_uint_eq(o->in_force, kind == SIGNOFF_HALT ? 2 : 4);
 		ck_assert(!o->repeated);
-		o = world_do(w, &req, 4);
+		o = world_run_operation(w, &req, 4);
 		ck_assert_int_eq(o->result, SIGNOFF_DONE);
 		ck_assert(o->repeated);
-		ck_assert_uint_eq(w->deeds->len, 4);
-		check_truth(w);
+		ck_assert_uint_eq(w->commits->len, 4);
+		check_no_violation(w);
 		world_free(w);
 	}
 }
@@ -64,7 +64,7 @@
 	enum signoff_result result;
 	uint64_t winner_version;
 	const char *winner_operator;
-} told[] = {
+} outcome_cases[] = {
     {SIGNOFF_SIGN_OFF, "op", 0, 3, 9, SIGNOFF_DONE, 0, ""},
     {SIGNOFF_SIGN_OFF, "op", 0, 2, 9, SIGNOFF_CONFLICT, 3, "anna"},
     {SIGNOFF_SIGN_OFF, "op", 0, 0, 9, SIGNOFF_CONFLICT, 1, "anna"},
@@ -84,23 +84,23 @@
     {SIGNOFF_FIND, "op", 0, -1, 0, SIGNOFF_NOT_FOUND, 0, ""},
 };
 
-START_TEST(test_told)
+START_TEST(test_outcomes)
 {
 	struct world *w = world_new(1);
 	const struct signoff_outcome *o;
 	struct signoff_request req;
 
-	sign_many(w, 3);
-	req = on_version(
-	    w, told[_i].kind, told[_i].op, "bjorn", told[_i].version);
-	req.has_parent = told[_i].parent >= 0;
-	req.parent = req.has_parent ? (uint64_t)told[_i].parent : 0;
-	o = world_do(w, &req, told[_i].variant);
-	ck_assert_int_eq(o->result, told[_i].result);
-	ck_assert_uint_eq(o->winner_version, told[_i].winner_version);
-	ck_assert_str_eq(o->winner_operator, told[_i].winner_operator);
+	sign_off_versions(w, 3);
+	req = request_for_version(w, outcome_cases[_i].kind,
+	    outcome_cases[_i].op, "bjorn", outcome_cases[_i].version);
+	req.has_parent = outcome_cases[_i].parent >= 0;
+	req.parent = req.has_parent ? (uint64_t)outcome_cases[_i].parent : 0;
+	o = world_run_operation(w, &req, outcome_cases[_i].variant);
+	ck_assert_int_eq(o->result, outcome_cases[_i].result);
+	ck_assert_uint_eq(o->winner_version, outcome_cases[_i].winner_version);
+	ck_assert_str_eq(o->winner_operator, outcome_cases[_i].winner_operator);
 	ck_assert(o->message[0] != '\0');
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
@@ -113,35 +113,36 @@
 	const struct signoff_outcome *o;
 	struct signoff_request req, first;
 
-	sign_many(w, 2);
-	first = on_version(w, SIGNOFF_HALT, "stop-2", "bjorn", 2);
-	ck_assert_int_eq(world_do(w, &first, 0)->result, SIGNOFF_DONE);
-	req = on_version(w, SIGNOFF_HALT, "late-2", "carl", 2);
-	o = world_do(w, &req, 0);
+	sign_off_versions(w, 2);
+	first = request_for_version(w, SIGNOFF_HALT, "stop-2", "bjorn", 2);
+	ck_assert_int_eq(
+	    world_run_operation(w, &first, 0)->result, SIGNOFF_DONE);
+	req = request_for_version(w, SIGNOFF_HALT, "late-2", "carl", 2);
+	o = world_run_operation(w, &req, 0);
 	ck_assert_int_eq(o->result, SIGNOFF_ALREADY_HALTED);
 	ck_assert_str_eq(o->winner_operator, "bjorn");
-	sign_many(w, 3);
-	o = world_do(w, &req, 0);
+	sign_off_versions(w, 3);
+	o = world_run_operation(w, &req, 0);
 	ck_assert_int_eq(o->result, SIGNOFF_ALREADY_HALTED);
 	ck_assert_str_eq(o->winner_operator, "bjorn");
-	o = world_do(w, &first, 0);
+	o = world_run_operation(w, &first, 0);
 	ck_assert_int_eq(o->result, SIGNOFF_DONE);
 	ck_assert(o->repeated);
-	req = on_version(w, SIGNOFF_HALT, "stop-3", "bjorn", 3);
-	ck_assert_uint_eq(world_do(w, &req, 0)->in_force, 1);
-	req = on_version(w, SIGNOFF_SUPERSEDE, "back", "carl", 1);
-	o = world_do(w, &req, 0);
+	req = request_for_version(w, SIGNOFF_HALT, "stop-3", "bjorn", 3);
+	ck_assert_uint_eq(world_run_operation(w, &req, 0)->in_force, 1);
+	req = request_for_version(w, SIGNOFF_SUPERSEDE, "back", "carl", 1);
+	o = world_run_operation(w, &req, 0);
 	ck_assert_uint_eq(o->version, 4);
 	ck_assert_uint_eq(o->in_force, 4);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 	/* The only version halted: nothing is in force. */
 	w = world_new(1);
-	sign_many(w, 1);
-	req = on_version(w, SIGNOFF_HALT, "stop", "carl", 1);
-	ck_assert_uint_eq(world_do(w, &req, 0)->in_force, 0);
-	sign_many(w, 2);
-	check_truth(w);
+	sign_off_versions(w, 1);
+	req = request_for_version(w, SIGNOFF_HALT, "stop", "carl", 1);
+	ck_assert_uint_eq(world_run_operation(w, &req, 0)->in_force, 0);
+	sign_off_versions(w, 2);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
@@ -156,36 +157,36 @@
 	struct world *w = world_new((uint32_t)_i);
 	uint64_t after_seq;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	w->down = true;
-	req = sign(w, "op");
+	req = sign_off_request(w, "op");
 	req.fresh = true;
-	o = world_do(w, &req, 5);
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_UNAVAILABLE);
 	ck_assert_uint_ge(w->now_ms, req.deadline_ms);
-	ck_assert_uint_eq(w->deeds->len, 1);
+	ck_assert_uint_eq(w->commits->len, 1);
 	/* The write's answer is lost, and nothing can be read after it. */
 	w->down = false;
 	w->fault_at = w->n_requests + WRITE_REQUEST;
 	w->fault = written ? FAULT_LOST_ANSWER : FAULT_LOST_REQUEST;
-	req = sign(w, "lost");
+	req = sign_off_request(w, "lost");
 	req.fresh = true;
 	req.deadline_ms = w->now_ms + SIGNOFF_REQUEST_TIMEOUT_MS;
-	o = world_do(w, &req, 5);
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_UNKNOWN);
-	ck_assert_uint_eq(w->deeds->len, written ? 2 : 1);
+	ck_assert_uint_eq(w->commits->len, written ? 2 : 1);
 	after_seq = o->after_seq;
 	ck_assert_uint_eq(after_seq, 1);
 	find = world_request(w, SIGNOFF_FIND, "lost", "");
 	find.after_seq = after_seq;
-	o = world_do(w, &find, 0);
+	o = world_run_operation(w, &find, 0);
 	ck_assert_int_eq(o->result, written ? SIGNOFF_DONE : SIGNOFF_UNKNOWN);
 	/* Once somebody else has gone on, it is certain either way. */
-	sign_many(w, written ? 3 : 2);
+	sign_off_versions(w, written ? 3 : 2);
 	find.deadline_ms = w->now_ms + SIGNOFF_REQUEST_TIMEOUT_MS;
-	o = world_do(w, &find, 0);
+	o = world_run_operation(w, &find, 0);
 	ck_assert_int_eq(o->result, written ? SIGNOFF_DONE : SIGNOFF_NOT_FOUND);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
@@ -197,35 +198,37 @@
 	const struct signoff_outcome *o;
 	struct signoff_request req;
 
-	sign_many(w, 1);
-	w->refuse = STATUS_TOO_LARGE;
-	w->refuse_kind = _i == 0 ? SIGNOFF_PUT_OBJECT : SIGNOFF_TRANSACT;
-	req = sign(w, "op");
-	o = world_do(w, &req, 5);
+	sign_off_versions(w, 1);
+	w->rejection = STATUS_TOO_LARGE;
+	w->rejected_kind = _i == 0 ? SIGNOFF_PUT_OBJECT : SIGNOFF_TRANSACT;
+	req = sign_off_request(w, "op");
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_INVALID);
 	ck_assert_uint_lt(w->now_ms, req.deadline_ms);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
 /* Changes that are too many for a row, or relative to a list that the
  * platform has lost, are not listed; all sections are written then. */
-START_TEST(test_whole)
+START_TEST(test_changes_not_listed)
 {
 	struct world *w = world_new(1);
 	struct signoff_request req;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	ck_assert_uint_eq(w->n_whole, 0);
 	if (_i == 0)
 		g_hash_table_remove_all(w->objects);
-	req = sign(w, "op");
+	req = sign_off_request(w, "op");
 	req.deadline_ms = DEADLINE_NEVER;
 	ck_assert_int_eq(
-	    world_do(w, &req, _i == 0 ? 5 : WORLD_HUGE)->result, SIGNOFF_DONE);
+	    world_run_operation(w, &req, _i == 0 ? 5 : WORLD_BUNDLE_MAX)
+		->result,
+	    SIGNOFF_DONE);
 	ck_assert_uint_eq(w->n_whole, 1);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
@@ -238,22 +241,22 @@
 	struct world *w = world_new(1);
 	struct signoff_request req;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	w->fault_at = w->n_requests + WRITE_REQUEST;
 	w->fault = FAULT_LATE;
 	w->down_from = w->fault_at + 2;
-	req = sign(w, "op");
+	req = sign_off_request(w, "op");
 	req.fresh = true;
-	o = world_do(w, &req, 5);
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_UNKNOWN);
-	ck_assert_uint_eq(w->deeds->len, 2);
-	check_truth(w);
+	ck_assert_uint_eq(w->commits->len, 2);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
 /* Requests that make no sense are refused before anything is asked. */
-START_TEST(test_refused)
+START_TEST(test_invalid_requests)
 {
 	struct world *w = world_new(1);
 	struct signoff_request req;
@@ -283,13 +286,14 @@
 	TCase *tc = tcase_create("signoff");
 
 	tcase_add_loop_test(tc, test_each_step, 0, 3 * (FAULT_COUNT - 1));
-	tcase_add_loop_test(tc, test_told, 0, (int)G_N_ELEMENTS(told));
+	tcase_add_loop_test(
+	    tc, test_outcomes, 0, (int)G_N_ELEMENTS(outcome_cases));
 	tcase_add_test(tc, test_halts);
 	tcase_add_loop_test(tc, test_down, 0, 20);
 	tcase_add_loop_test(tc, test_too_large, 0, 2);
-	tcase_add_loop_test(tc, test_whole, 0, 2);
+	tcase_add_loop_test(tc, test_changes_not_listed, 0, 2);
 	tcase_add_test(tc, test_late);
-	tcase_add_test(tc, test_refused);
+	tcase_add_test(tc, test_invalid_requests);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return scenario_run(suite);
--- a/packages/signoff/test/world.c
+++ b/packages/signoff/test/world.c
@@ -8,16 +8,16 @@
 #include "base/clock.h"
 #include "check_world.h"
 
-#define LATENCY_MOST_MS 40
-#define LATE_MOST_MS 4000
-#define OPERATION_MS 20000
+#define LATENCY_MAX_MS 40
+#define LATE_DELAY_MAX_MS 4000
+#define OPERATION_TIMEOUT_MS 20000
 
 struct event {
 	uint64_t at_ms;
 	struct actor *actor;
 	struct signoff *r;
-	bool arrival;
-	bool mute;
+	bool is_request;
+	bool drop_answer;
 	struct signoff_action a;
 	enum status st;
 	struct store_head head;
@@ -74,7 +74,7 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, bytes_unref);
 	w->events = g_sequence_new(event_free);
 	w->actors = g_ptr_array_new_with_free_func(actor_free);
-	w->deeds = g_array_new(FALSE, TRUE, sizeof(struct deed));
+	w->commits = g_array_new(FALSE, TRUE, sizeof(struct commit));
 	return w;
 }
 
@@ -85,13 +85,13 @@
 	g_ptr_array_unref(w->actors);
 	g_ptr_array_unref(w->rows);
 	g_hash_table_unref(w->objects);
-	g_array_unref(w->deeds);
+	g_array_unref(w->commits);
 	g_rand_free(w->rand);
 	g_free(w);
 }
 
 static int
-event_order(const void *a, const void *b, void *arg)
+compare_events(const void *a, const void *b, void *arg)
 {
 	const struct event *x = a, *y = b;
 
@@ -100,35 +100,36 @@
 }
 
 static struct event *
-post(struct world *w, const struct event *like, uint64_t at_ms, bool arrival)
+schedule(
+    struct world *w, const struct event *like, uint64_t at_ms, bool is_request)
 {
 	struct event *e = g_new(struct event, 1);
 
 	*e = *like;
 	e->at_ms = at_ms;
-	e->arrival = arrival;
+	e->is_request = is_request;
 	if (e->a.content != NULL)
 		g_bytes_ref(e->a.content);
 	if (e->object != NULL)
 		g_bytes_ref(e->object);
-	g_sequence_insert_sorted(w->events, e, event_order, NULL);
+	g_sequence_insert_sorted(w->events, e, compare_events, NULL);
 	return e;
 }
 
 static uint64_t
 latency(struct world *w)
 {
-	return (uint64_t)g_rand_int_range(w->rand, 1, LATENCY_MOST_MS);
+	return (uint64_t)g_rand_int_range(w->rand, 1, LATENCY_MAX_MS);
 }
 
 static enum fault
-draw_fault(struct world *w)
+next_fault(struct world *w)
 {
 	w->n_requests++;
 	if (w->down_from != 0 && w->n_requests >= w->down_from)
 		w->down = true;
 	if (w->down)
-		return g_rand_boolean(w->rand) ? FAULT_REFUSED
+		return g_rand_boolean(w->rand) ? FAULT_REJECTED
 					       : FAULT_LOST_REQUEST;
 	if (w->n_requests == w->fault_at)
 		return w->fault;
@@ -148,38 +149,39 @@
 send_request(struct world *w, struct actor *actor, struct signoff_action *a)
 {
 	struct event e = {.actor = actor, .r = actor->r, .a = *a};
-	enum fault fault = draw_fault(w);
+	enum fault fault = next_fault(w);
 	uint64_t arrive_ms = w->now_ms + latency(w);
 
 	if (a->kind == SIGNOFF_TRANSACT)
-		actor->sent = a->head;
-	if (w->refuse != STATUS_OK && a->kind == w->refuse_kind) {
-		e.st = w->refuse;
-		post(w, &e, arrive_ms, false);
+		actor->sent_head = a->head;
+	if (w->rejection != STATUS_OK && a->kind == w->rejected_kind) {
+		e.st = w->rejection;
+		schedule(w, &e, arrive_ms, false);
 		signoff_action_clear(a);
 		return;
 	}
 	e.st = is_write(a) ? STATUS_UNKNOWN : STATUS_UNAVAILABLE;
 	switch (fault) {
-	case FAULT_REFUSED:
+	case FAULT_REJECTED:
 		e.st = STATUS_UNAVAILABLE;
-		post(w, &e, arrive_ms, false);
+		schedule(w, &e, arrive_ms, false);
 		break;
 	case FAULT_DOUBLED:
-		post(w, &e, arrive_ms + latency(w), true)->mute = true;
+		schedule(w, &e, arrive_ms + latency(w), true)->drop_answer =
+		    true;
 		/* fall through */
 	case FAULT_NONE:
-		post(w, &e, arrive_ms, true);
+		schedule(w, &e, arrive_ms, true);
 		break;
 	case FAULT_LATE:
 		arrive_ms = a->deadline_ms +
-		    (uint64_t)g_rand_int_range(w->rand, 1, LATE_MOST_MS);
+		    (uint64_t)g_rand_int_range(w->rand, 1, LATE_DELAY_MAX_MS);
 		/* fall through */
 	case FAULT_LOST_ANSWER:
-		post(w, &e, arrive_ms, true)->mute = true;
+		schedule(w, &e, arrive_ms, true)->drop_answer = true;
 		/* fall through */
 	default:
-		post(w, &e, a->deadline_ms, false);
+		schedule(w, &e, a->deadline_ms, false);
 		break;
 	}
 	signoff_action_clear(a);
@@ -207,7 +209,7 @@
 
 /* The platform carries a request out and answers, unless it is muted. */
 static void
-arrive(struct world *w, struct event *e)
+handle_request(struct world *w, struct event *e)
 {
 	struct event answer = *e;
 	GBytes *object;
@@ -241,11 +243,11 @@
 		answer.st = transact(w, &e->a);
 		break;
 	}
-	if (e->mute)
+	if (e->drop_answer)
 		return;
-	post(w, &answer, w->now_ms + latency(w), false);
+	schedule(w, &answer, w->now_ms + latency(w), false);
 	if (g_rand_int_range(w->rand, 0, 10) == 0)
-		post(w, &answer, w->now_ms + latency(w), false);
+		schedule(w, &answer, w->now_ms + latency(w), false);
 }
 
 static void
@@ -270,7 +272,7 @@
 
 /* The blind retry: whatever became of the write, start once more. */
 static void
-start_afresh(struct world *w, struct actor *actor)
+restart_with_new_op(struct world *w, struct actor *actor)
 {
 	struct signoff_request req = actor->req;
 
@@ -283,7 +285,7 @@
 }
 
 static void
-deliver(struct world *w, const struct event *e)
+deliver_answer(struct world *w, const struct event *e)
 {
 	const uint8_t *data = NULL;
 	size_t len = 0;
@@ -308,7 +310,7 @@
 		break;
 	default:
 		if (e->actor->naive && e->st == STATUS_UNKNOWN)
-			start_afresh(w, e->actor);
+			restart_with_new_op(w, e->actor);
 		else
 			signoff_on_transact(e->r, w->now_ms, e->a.token, e->st);
 		break;
@@ -317,7 +319,7 @@
 
 /* Carry out what an operation asks for. */
 static void
-drain(struct world *w, struct actor *actor)
+send_actions(struct world *w, struct actor *actor)
 {
 	struct signoff_action a;
 
@@ -365,16 +367,16 @@
 	if (e != NULL && e->at_ms <= at_ms) {
 		w->now_ms = MAX(w->now_ms, e->at_ms);
 		actor = e->actor;
-		if (e->arrival)
-			arrive(w, e);
+		if (e->is_request)
+			handle_request(w, e);
 		else
-			deliver(w, e);
+			deliver_answer(w, e);
 		g_sequence_remove(iter);
 	} else {
 		w->now_ms = MAX(w->now_ms, at_ms);
 		signoff_tick(actor->r, w->now_ms);
 	}
-	drain(w, actor);
+	send_actions(w, actor);
 	return true;
 }
 
@@ -387,7 +389,7 @@
 
 /* Services whose names are as long as may be. */
 static void
-write_huge(GString *json)
+append_longest_services(GString *json)
 {
 	uint32_t i;
 
@@ -403,8 +405,8 @@
 	    g_string_new("{\"format\":1,\"name\":\"x\",\"services\":[");
 	struct bundle *b;
 
-	if (variant == WORLD_HUGE)
-		write_huge(json);
+	if (variant == WORLD_BUNDLE_MAX)
+		append_longest_services(json);
 	else
 		g_string_append_printf(json,
 		    "{\"name\":\"always\",\"timeout_ms\":%u},"
@@ -426,7 +428,7 @@
 	req.kind = kind;
 	g_strlcpy(req.op, op, sizeof(req.op));
 	g_strlcpy(req.operator_name, operator_name, sizeof(req.operator_name));
-	req.deadline_ms = w->now_ms + OPERATION_MS;
+	req.deadline_ms = w->now_ms + OPERATION_TIMEOUT_MS;
 	req.seed = g_rand_int(w->rand);
 	return req;
 }
@@ -446,12 +448,13 @@
 	g_assert(signoff_new(&actor->req, &actor->r) == STATUS_OK);
 	g_ptr_array_add(w->actors, actor);
 	signoff_start(actor->r, w->now_ms);
-	drain(w, actor);
+	send_actions(w, actor);
 	return actor;
 }
 
 const struct signoff_outcome *
-world_do(struct world *w, const struct signoff_request *req, uint32_t variant)
+world_run_operation(
+    struct world *w, const struct signoff_request *req, uint32_t variant)
 {
 	struct actor *actor = world_start(w, req, variant, false);
 
--- a/packages/signoff/test/world.h
+++ b/packages/signoff/test/world.h
@@ -12,12 +12,12 @@
 #define WORLD_VIOLATION_BYTES 256
 
 /* Variant of a bundle with as many and as long names as may be. */
-#define WORLD_HUGE UINT32_MAX
+#define WORLD_BUNDLE_MAX UINT32_MAX
 
 /** enum fault - what becomes of one request to the platform */
 enum fault {
 	FAULT_NONE = 0,
-	FAULT_REFUSED,	    /* throttled: certainly not done */
+	FAULT_REJECTED,	    /* throttled: certainly not done */
 	FAULT_LOST_REQUEST, /* never arrives; silence until the deadline */
 	FAULT_LOST_ANSWER,  /* done; silence until the deadline */
 	FAULT_LATE,	    /* done after the sender gave up on it */
@@ -33,7 +33,7 @@
  * @variant: what its bundle was made up from
  * @naive: answers an unknown write by starting afresh under another id
  * @n_starts: starts, for the ids of a naive one
- * @sent: head row of its last write, which the shell remembers
+ * @sent_head: head row of its last write, which the shell remembers
  * @outcome: how it ended
  */
 struct actor {
@@ -43,7 +43,7 @@
 	uint32_t variant;
 	bool naive;
 	uint32_t n_starts;
-	struct store_head sent;
+	struct store_head sent_head;
 	struct signoff_outcome outcome;
 };
 
@@ -54,7 +54,7 @@
  * @halt: whether it was a halt
  * @head: head row that it wrote
  */
-struct deed {
+struct commit {
 	char op[STORE_OP_BYTES];
 	uint64_t version;
 	bool halt;
@@ -71,15 +71,15 @@
  * @n_requests: requests so far
  * @fault_at: request that goes wrong by @fault, counted from 1; 0 for none
  * @fault: how
- * @refuse: what the platform says to each request of @refuse_kind;
+ * @rejection: what the platform says to each request of @rejected_kind;
  * STATUS_OK to carry them out
- * @refuse_kind: kind of action refused
+ * @rejected_kind: kind of action refused
  * @head: the head row; seq 0 for none
  * @rows: struct row
  * @objects: key to GBytes
  * @events: struct event, sorted by time
  * @actors: struct actor
- * @deeds: struct deed, in order of the head row's seq
+ * @commits: struct deed, in order of the head row's seq
  * @n_whole: version rows that do not list their changes
  * @violation: first violation seen; empty for none
  */
@@ -92,14 +92,14 @@
 	uint32_t n_requests;
 	uint32_t fault_at;
 	enum fault fault;
-	enum status refuse;
-	enum signoff_action_kind refuse_kind;
+	enum status rejection;
+	enum signoff_action_kind rejected_kind;
 	struct store_head head;
 	GPtrArray *rows;
 	GHashTable *objects;
 	GSequence *events;
 	GPtrArray *actors;
-	GArray *deeds;
+	GArray *commits;
 	uint32_t n_whole;
 	char violation[WORLD_VIOLATION_BYTES];
 };
@@ -121,9 +121,9 @@
 /** world_run() - run until all have ended and nothing is on its way */
 void world_run(struct world *w);
 
-/** world_do() - start an operation and run; its outcome */
-const struct signoff_outcome *
-world_do(struct world *w, const struct signoff_request *req, uint32_t variant);
+/** world_run_operation() - start an operation and run; its outcome */
+const struct signoff_outcome *world_run_operation(
+    struct world *w, const struct signoff_request *req, uint32_t variant);
 
 /** world_check() - whether all were told the truth; sets @w->violation */
 bool world_check(struct world *w);
