--- a/packages/signoff/include/signoff/signoff.h
+++ b/packages/signoff/include/signoff/signoff.h
@@ -1,17 +1,16 @@
 /*
- * Sign-off, halt and supersede as one operation object: a state machine that
- * is fed the platform's answers and says what to ask it next.
+ * Sign-off, halt and supersede as an operation object: a state machine that
+ * receives the platform's answers and returns the next request to send.
  *
- * All rests on one compare-and-set on the head row's seq; there is no lease.
- * A write whose answer was lost is settled by reading the head and the
- * version rows back for the operation's id.  While they can't be read the
- * outcome is "unknown", which the same operation id settles later.
+ * All of them rely on a compare-and-set of the head row's seq; there is no
+ * lease. If the answer to a write is lost, the head and the version rows are
+ * read back and searched for the operation's id. While they can't be read the
+ * outcome is "unknown"; a later start with the same operation id settles it.
  *
- * The shell makes an operation, calls signoff_start(), carries out each
- * action and reports its end with the action's token, and calls
- * signoff_tick() when signoff_next_ms() has come, until the outcome is there.
- * Answers may come late, crossed or twice: a token that is not awaited is
- * ignored.
+ * The caller creates an operation, calls signoff_start(), executes each action
+ * and reports its result with the action's token, and calls signoff_tick() at
+ * the time of signoff_next_ms(), until there is an outcome. Answers may be
+ * late, out of order or duplicated: one whose token is not awaited is ignored.
  */
 #ifndef SIGNOFF_SIGNOFF_H
 #define SIGNOFF_SIGNOFF_H
@@ -21,50 +20,50 @@
 #include "config/bundle.h"
 #include "store/store.h"
 
-/* Longest time for one request to the platform. */
+/* Timeout of one request to the platform. */
 #define SIGNOFF_REQUEST_TIMEOUT_MS 2000
 
-/* Back-off: full jitter, up to twice as long each time, up to the cap. */
+/* Exponential back-off with full jitter between these bounds. */
 #define SIGNOFF_BACKOFF_MIN_MS 50
 #define SIGNOFF_BACKOFF_MAX_MS 3000
 
-/* Objects that are written at the same time. */
+/* Objects written concurrently. */
 #define SIGNOFF_PUTS_IN_FLIGHT_MAX 8
 
-/* Versions that SIGNOFF_FIND looks through, newest first. */
+/* Versions that SIGNOFF_FIND searches, newest first. */
 #define SIGNOFF_FIND_VERSIONS_MAX 500
 
-/* Versions that a sign-off without parent looks through for its own id. */
+/* Versions that a sign-off without parent searches for its own id. */
 #define SIGNOFF_REPEAT_VERSIONS_MAX 100
 
 #define SIGNOFF_MESSAGE_BYTES 384
 
-/** enum signoff_kind - what an operation does */
+/** enum signoff_kind - kind of an operation */
 enum signoff_kind {
-	SIGNOFF_SIGN_OFF = 0, /* a new version from a bundle */
-	SIGNOFF_SUPERSEDE,    /* a new version with an older one's content */
+	SIGNOFF_SIGN_OFF = 0, /* create a version from a bundle */
+	SIGNOFF_SUPERSEDE,    /* create a version with an older one's content */
 	SIGNOFF_HALT,	      /* withdraw the newest version */
-	SIGNOFF_FIND,	      /* look what became of an operation */
+	SIGNOFF_FIND,	      /* look up the outcome of an operation */
 };
 
 /**
- * struct signoff_request - what is asked for
+ * struct signoff_request - parameters of an operation
  * @kind: kind of the operation
  * @op: id of the operation: 1 to 63 of A-Z, a-z, 0-9, '-', '_', '.'
- * @operator_name: who asks
- * @note: why, or empty
- * @fresh: whether @op was made up just now, so that no earlier start of the
- * operation need be looked for
- * @has_parent: whether @parent counts
- * @parent: newest version that the operator has seen, 0 for none; another one
- * is a conflict
- * @race_retries: how often a sign-off without parent that lost a race is tried
- * again on top of the winner
- * @version: version to halt, or whose content supersedes
+ * @operator_name: operator who requests it
+ * @note: the operator's reason, or empty
+ * @fresh: whether @op was generated for this start, so that no earlier start of
+ *	the operation has to be searched for
+ * @has_parent: whether @parent is set
+ * @parent: newest version that the operator has seen, 0 for none; a different
+ *	newest version is a conflict
+ * @race_retries: how often a sign-off without parent is retried on top of the
+ *	version that won a race
+ * @version: version to halt, or whose content supersedes the newest one
  * @after_seq: for SIGNOFF_FIND: signoff_outcome.after_seq of the unknown
- * outcome, 0 when that is not known
+ *	outcome, 0 if that is not known
  * @bundle: for SIGNOFF_SIGN_OFF; must outlive the operation
- * @wall_ms: wall clock, for the records
+ * @wall_ms: wall clock time for the rows
  * @deadline_ms: monotonic time by which the operation has an outcome
  * @seed: seed of the jitter
  */
@@ -85,28 +84,29 @@
 	uint32_t seed;
 };
 
-/** enum signoff_action_kind - what the shell is to do */
+/** enum signoff_action_kind - action for the caller, and the function that
+ * takes its result */
 enum signoff_action_kind {
 	SIGNOFF_READ_HEAD = 0, /* store_read_head(), signoff_on_head() */
 	SIGNOFF_READ_VERSIONS, /* store_read_versions(), ..on_versions() */
 	SIGNOFF_GET_OBJECT,    /* store_get_object(), ..on_object() */
 	SIGNOFF_PUT_OBJECT,    /* store_put_object_once(), ..on_put() */
 	SIGNOFF_TRANSACT,      /* store_transact(), ..on_transact() */
-	SIGNOFF_FINISH,	       /* signoff_outcome() is there; the last one */
+	SIGNOFF_FINISH,	       /* signoff_outcome() is set; the last action */
 };
 
 /**
- * struct signoff_action - one thing to do
- * @kind: what
- * @token: comes back with the answer
- * @deadline_ms: monotonic time by which the answer must come
+ * struct signoff_action - an action for the caller
+ * @kind: kind of the action
+ * @token: token to pass with the result
+ * @deadline_ms: monotonic time by which the result is needed
  * @from: first version to read
  * @to: last version to read
  * @key: key of the object
  * @content: content to put; owned by the action
  * @expected_seq: for SIGNOFF_TRANSACT, as in struct store_write
  * @head: new head row
- * @has_version: whether a version row is written with it
+ * @has_version: whether a version row is written as well
  * @version: new version row; its changes are in @content
  */
 struct signoff_action {
@@ -123,34 +123,35 @@
 	struct store_version version;
 };
 
-/** enum signoff_result - how an operation ended */
+/** enum signoff_result - result of an operation */
 enum signoff_result {
-	SIGNOFF_DONE = 0,	/* in force on the platform */
-	SIGNOFF_ALREADY_HALTED, /* halt: another operation had halted it */
-	SIGNOFF_CONFLICT,	/* another operation was first; nothing done */
+	SIGNOFF_DONE = 0,	/* written to the platform */
+	SIGNOFF_ALREADY_HALTED, /* halt: another operation has halted it */
+	SIGNOFF_CONFLICT,	/* another operation won; nothing written */
 	SIGNOFF_NOT_FOUND,	/* no such version or operation */
-	SIGNOFF_INVALID,	/* the request is wrong; nothing done */
-	SIGNOFF_UNAVAILABLE,	/* the platform is away; nothing done */
-	SIGNOFF_UNKNOWN,	/* may or may not be done; ask again */
+	SIGNOFF_INVALID,	/* invalid request; nothing written */
+	SIGNOFF_UNAVAILABLE,	/* platform unavailable; nothing written */
+	SIGNOFF_UNKNOWN,	/* possibly written; ask again */
 };
 
 /**
- * struct signoff_outcome - how an operation ended
- * @result: how
- * @kind: kind of the operation; with SIGNOFF_FIND that of the one found
- * @repeated: another start of the operation did it; if not, what the last
- * SIGNOFF_TRANSACT wrote is in force on the platform
- * @version: version made or halted; 0 when nothing was done
+ * struct signoff_outcome - outcome of an operation
+ * @result: the result
+ * @kind: kind of the operation; for SIGNOFF_FIND that of the one found
+ * @repeated: whether another start of the operation wrote it; if false, the
+ *	rows of the last SIGNOFF_TRANSACT are on the platform
+ * @version: version created or halted; 0 if nothing was written
  * @in_force: highest version not halted, as last read or written
  * @newest_version: newest version, as last read or written
- * @winner_version: with SIGNOFF_CONFLICT and SIGNOFF_ALREADY_HALTED: version
- * that the first one made or halted
- * @winner_halted: whether the first one was a halt
- * @winner_op: its operation id
- * @winner_operator: who asked for it; empty when that could not be read
- * @after_seq: with SIGNOFF_UNKNOWN: seq that the head row must pass before
- * a search can be sure; goes in signoff_request.after_seq
- * @retry_after_ms: when to ask again, 0 when asking again is of no use
+ * @winner_version: for SIGNOFF_CONFLICT and SIGNOFF_ALREADY_HALTED: version
+ *	that the winning operation created or halted
+ * @winner_halted: whether the winning operation was a halt
+ * @winner_op: id of the winning operation
+ * @winner_operator: operator of the winning operation; empty if that could not
+ *	be read
+ * @after_seq: for SIGNOFF_UNKNOWN: a search is conclusive once the head row's
+ *	seq is above this; goes in signoff_request.after_seq
+ * @retry_after_ms: delay before the next attempt, 0 if a retry is of no use
  * @message: what happened, and the remedy
  */
 struct signoff_outcome {
@@ -172,33 +173,33 @@
 struct signoff;
 
 /**
- * signoff_new() - make an operation
- * @req: what is asked for; copied
- * @r: where the operation goes; free with signoff_free()
+ * signoff_new() - create an operation
+ * @req: its parameters; copied
+ * @r: set to the operation; free with signoff_free()
  *
  * Return: STATUS_OK, or STATUS_INVALID with a message.
  */
 enum status signoff_new(const struct signoff_request *req, struct signoff **r);
 
-/** signoff_free() - free an operation; NULL is fine */
+/** signoff_free() - free an operation; NULL is allowed */
 void signoff_free(struct signoff *r);
 
-/** signoff_start() - begin; call once */
+/** signoff_start() - start the operation; call once */
 void signoff_start(struct signoff *r, uint64_t now_ms);
 
 /**
- * signoff_action() - take the next thing to do
+ * signoff_action() - take the next action
  * @r: operation
- * @action: where it goes; clear with signoff_action_clear()
+ * @action: set to the action; clear with signoff_action_clear()
  *
  * Return: whether there was one.
  */
 bool signoff_action(struct signoff *r, struct signoff_action *action);
 
-/** signoff_action_clear() - free what an action holds */
+/** signoff_action_clear() - free the content of an action */
 void signoff_action_clear(struct signoff_action *action);
 
-/** signoff_on_head() - SIGNOFF_READ_HEAD ended; @head if STATUS_OK */
+/** signoff_on_head() - SIGNOFF_READ_HEAD ended; @head is set if STATUS_OK */
 void signoff_on_head(struct signoff *r, uint64_t now_ms, uint32_t token,
     enum status st, const struct store_head *head);
 
@@ -207,7 +208,7 @@
     enum status st, const struct store_version *rows, uint32_t n,
     uint64_t upto);
 
-/** signoff_on_object() - SIGNOFF_GET_OBJECT ended; @data if STATUS_OK */
+/** signoff_on_object() - SIGNOFF_GET_OBJECT ended; @data is set if STATUS_OK */
 void signoff_on_object(struct signoff *r, uint64_t now_ms, uint32_t token,
     enum status st, const uint8_t *data, size_t len);
 
@@ -219,16 +220,16 @@
 void signoff_on_transact(
     struct signoff *r, uint64_t now_ms, uint32_t token, enum status st);
 
-/** signoff_tick() - the time of signoff_next_ms() has come */
+/** signoff_tick() - handle timeouts and retries that are due */
 void signoff_tick(struct signoff *r, uint64_t now_ms);
 
 /** signoff_next_ms() - when to call signoff_tick(), or DEADLINE_NEVER */
 uint64_t signoff_next_ms(const struct signoff *r);
 
 /**
- * signoff_outcome() - how the operation ended
+ * signoff_outcome() - outcome of the operation
  *
- * Return: the outcome, owned by the operation; NULL while it goes on.
+ * Return: the outcome, owned by the operation; NULL while it is in progress.
  */
 const struct signoff_outcome *signoff_outcome(const struct signoff *r);
 
--- a/packages/signoff/src/find.c
+++ b/packages/signoff/src/find.c
@@ -1,5 +1,5 @@
 /*
- * Find: look what became of an operation, writing nothing.
+ * Find: looks up the outcome of an operation without writing.
  */
 #include "signoff_defs.h"
 
@@ -26,7 +26,7 @@
 	return r->head.version;
 }
 
-/* The id is nowhere; that is final once the head row has moved on. */
+/* The id was not found; that is final once the head row has changed. */
 static void
 find_proceed(struct signoff *r, uint64_t now_ms)
 {
--- a/packages/signoff/src/halt.c
+++ b/packages/signoff/src/halt.c
@@ -1,15 +1,16 @@
 /*
- * Halt: withdraw the newest version, and bring the one before it back into
+ * Halt: withdraws the newest version, and brings the one before it back into
  * force for nodes that have not applied it.
  */
 #include <string.h>
 
 #include "signoff_defs.h"
 
-/* Failures to read a winner's note before it is given up. */
+/* Failed reads of the winner's note after which the outcome is reported without
+ * it. */
 #define NOTE_FAILURES_MAX 4
 
-/* A halt's note, which says who asked for it; the head row can't. */
+/* Encodes a halt's note, which names the operator, as the head row does not. */
 static GBytes *
 encode_note(const struct signoff_request *req)
 {
@@ -37,7 +38,8 @@
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
-/* The row after the version tells who halted it, or who was first. */
+/* The row after the version shows who halted it, or which operation was first.
+ */
 static uint64_t
 halt_settle_limit(const struct signoff *r)
 {
@@ -157,7 +159,8 @@
 	step_get_note(r, r->outcome.winner_op, now_ms);
 }
 
-/* Who asked for the first halt is worth a few tries, not a long wait. */
+/* The name of the first halt's operator is worth a few attempts, not a long
+ * wait. */
 void
 halt_on_winner_note(struct signoff *r, uint64_t now_ms, enum status st,
     const uint8_t *data, size_t len)
--- a/packages/signoff/src/outcome.c
+++ b/packages/signoff/src/outcome.c
@@ -1,5 +1,5 @@
 /*
- * Outcomes of operations and what operators are told.
+ * Outcomes of operations, and their messages for operators.
  */
 #include <stdarg.h>
 #include <string.h>
@@ -48,7 +48,7 @@
 	step_finish(r);
 }
 
-/* Whether an id that was found was used for what this operation asks. */
+/* Whether an id that was found belongs to a request like this one. */
 static bool
 is_same_request(const struct signoff *r, enum signoff_kind kind,
     uint64_t version, const struct digest *root)
@@ -96,7 +96,7 @@
 	    o->winner_operator[0] != '\0' ? " of " : "", o->winner_operator);
 }
 
-/* The row after the one built on tells who was first. */
+/* The row after the version built on names the operation that was first. */
 void
 outcome_conflict(struct signoff *r)
 {
@@ -115,7 +115,7 @@
 	    r->head.version);
 }
 
-/* Ends an operation that did nothing, with a message of the caller's. */
+/* Ends an operation that wrote nothing, with the caller's message. */
 static void
 end_without_effect(
     struct signoff *r, enum signoff_result result, const char *fmt, va_list ap)
--- a/packages/signoff/src/puts.c
+++ b/packages/signoff/src/puts.c
@@ -1,5 +1,5 @@
 /*
- * Writing the objects that a version needs, a few at a time.
+ * Writes the objects of a version, a few at a time.
  */
 #include <string.h>
 
@@ -46,7 +46,7 @@
 	}
 }
 
-/* Number of writes under way. */
+/* Number of writes in progress. */
 static uint32_t
 count_in_flight(const struct signoff *r)
 {
@@ -73,7 +73,7 @@
 		put->token = step_put(r, put, now_ms);
 		n++;
 	}
-	/* All that were needed are there: write the rows. */
+	/* All objects that are needed are written: write the rows. */
 	if (n == 0)
 		signoff_enter(r, PHASE_TRANSACT, now_ms);
 }
@@ -110,7 +110,8 @@
 		    put->key, status_name(st));
 		return;
 	} else if (r->retry_at_ms == DEADLINE_NEVER) {
-		/* Named by content, so that writing it again is harmless. */
+		/* The key is derived from the content, so repeating the write
+		 * is harmless. */
 		r->retry_at_ms = now_ms + step_backoff_ms(r);
 	}
 	if (r->retry_at_ms == DEADLINE_NEVER)
--- a/packages/signoff/src/search.c
+++ b/packages/signoff/src/search.c
@@ -1,10 +1,9 @@
 /*
- * Looking for an operation's id in the head row and in version rows, newest
- * first.
+ * Searches the head row and version rows, newest first, for an operation's id.
  *
- * A sign-off or supersede is known by the row of the version that it made; a
- * halt by the head row, and once that has been replaced, by what the next
- * version's row says of the head that it replaced.
+ * A sign-off or supersede leaves its id in the row of the version that it
+ * created; a halt leaves it in the head row, and once that has been replaced,
+ * in the next version's row, which records the head row that it replaced.
  */
 #include <string.h>
 
@@ -25,7 +24,7 @@
 	return true;
 }
 
-/* Start to look at a range of versions. */
+/* Starts the search of a range of versions. */
 static void
 search_begin(struct signoff *r, struct range range, uint64_t now_ms)
 {
@@ -36,7 +35,8 @@
 	signoff_enter(r, PHASE_SEARCH, now_ms);
 }
 
-/* The id is nowhere: what was sent has no effect, or nothing was sent. */
+/* The id was not found: the write that was sent has no effect, or none was
+ * sent. */
 static void
 search_found_nothing(struct signoff *r, uint64_t now_ms)
 {
@@ -49,7 +49,7 @@
 	r->ops->on_lost_race(r, now_ms);
 }
 
-/* The id stands in the head row. */
+/* The id is in the head row. */
 static void
 found_in_head(struct signoff *r)
 {
@@ -60,14 +60,16 @@
 		    r, SIGNOFF_SIGN_OFF, r->head.version, &r->head.root);
 }
 
-/* A write was sent on @base: has it, or can it still, take effect? */
+/* Determines whether a write that was sent on @base took effect, or still can.
+ */
 static void
 settle(struct signoff *r, uint64_t now_ms)
 {
 	struct range range = {r->base.version + 1, r->ops->settle_limit(r)};
 
 	if (r->head.seq == r->base.seq) {
-		/* Not yet; the same write again is safe, as seq must match. */
+		/* Not yet; repeating the same write is safe, since seq must
+		 * match. */
 		r->phase = PHASE_TRANSACT;
 		signoff_retry_later(r, now_ms);
 	} else if (r->head.version > r->base.version) {
@@ -97,7 +99,7 @@
 		r->ops->proceed(r, now_ms);
 }
 
-/* Rows are asked for in pieces, the newest piece first. */
+/* Rows are read in batches, the newest batch first. */
 void
 search_issue(struct signoff *r, uint64_t now_ms)
 {
@@ -112,7 +114,7 @@
 	step_read_versions(r, s->from, s->to, now_ms);
 }
 
-/* Look at one row; whether it ended the operation. */
+/* Checks one row; returns whether it ended the operation. */
 static bool
 check_row(struct signoff *r, const struct store_version *row)
 {
@@ -138,7 +140,7 @@
 	return false;
 }
 
-/* Version rows are dense: an answer that lacks one is of no use. */
+/* Version rows have no gaps: an answer that lacks one is not usable. */
 static bool
 is_complete(const struct signoff *r, const struct store_version *rows,
     uint32_t n, uint64_t upto)
--- a/packages/signoff/src/signoff.c
+++ b/packages/signoff/src/signoff.c
@@ -1,5 +1,6 @@
 /*
- * Life of an operation: phases, awaited answers, retries, the deadline.
+ * State machine of an operation: phases, awaited answers, retries, the
+ * deadline.
  */
 #include <string.h>
 
@@ -7,10 +8,10 @@
 #include "signoff_defs.h"
 
 /**
- * struct phase - what a phase asks, and where its answer goes
- * @issue: asks
- * @on_versions: version rows came
- * @on_object: an object came
+ * struct phase - request of a phase, and the handlers of its answer
+ * @issue: send the request
+ * @on_versions: handle version rows
+ * @on_object: handle an object
  */
 struct phase {
 	void (*issue)(struct signoff *r, uint64_t now_ms);
@@ -176,7 +177,7 @@
 	memset(action, 0, sizeof(*action));
 }
 
-/* Whether an answer is the one awaited; it is not awaited any more then. */
+/* Whether an answer is the awaited one; clears the awaited token. */
 static bool
 accept_token(struct signoff *r, uint32_t token)
 {
@@ -186,7 +187,7 @@
 	return true;
 }
 
-/* A head row that can follow the one read before. */
+/* Whether a head row can follow the one that was read before. */
 static bool
 is_valid_successor(const struct signoff *r, const struct store_head *head)
 {
@@ -234,7 +235,7 @@
 		puts_on_put(r, now_ms, token, st);
 }
 
-/* The platform calls the write wrong: it can't be done at all. */
+/* The platform rejects the write, so it can't be done at all. */
 static void
 write_rejected(struct signoff *r, enum status st)
 {
@@ -272,14 +273,14 @@
 		signoff_retry_later(r, now_ms);
 		break;
 	default:
-		/* Unknown: never write again before reading back. */
+		/* Unknown: read back before any further write. */
 		r->maybe_written = true;
 		signoff_enter(r, PHASE_HEAD, now_ms);
 		break;
 	}
 }
 
-/* An awaited answer did not come in time. */
+/* Handles an awaited answer that did not arrive in time. */
 static void
 answer_timed_out(struct signoff *r, uint64_t now_ms)
 {
--- a/packages/signoff/src/signoff_defs.h
+++ b/packages/signoff/src/signoff_defs.h
@@ -1,8 +1,9 @@
 /*
- * Inside of an operation, shared by the files of this package.
+ * Internals of an operation, shared by the files of this package.
  *
- * An operation is in one phase at a time.  A phase asks the platform one
- * thing (or puts several objects), and its handler enters the next one.
+ * An operation is in one phase at a time. A phase sends one request to the
+ * platform (or puts several objects), and the handler of its answer enters the
+ * next phase.
  */
 #ifndef SIGNOFF_DEFS_H
 #define SIGNOFF_DEFS_H
@@ -11,19 +12,22 @@
 #include "signoff/signoff.h"
 
 /**
- * enum signoff_phase - what an operation waits for
- * @PHASE_HEAD: the head row
- * @PHASE_SEARCH: version rows, looked through for the operation's id
- * @PHASE_SOURCE_ROW: supersede: row of the version whose content is wanted
- * @PHASE_SOURCE_LIST: supersede: its list
- * @PHASE_BASE_ROW: row of the newest version, whose root a halted head lacks
- * @PHASE_BASE_LIST: list of the newest version
- * @PHASE_PUTS: objects being written
- * @PHASE_TARGET_ROW: halt: row of the version to halt
- * @PHASE_RESTORED_ROW: halt: row of the version that comes back into force
- * @PHASE_TRANSACT: the write
- * @PHASE_WINNER_NOTE: note of the halt that was first
- * @PHASE_END: nothing; the outcome is there
+ * enum signoff_phase - request that an operation waits for
+ * @PHASE_HEAD: read of the head row
+ * @PHASE_SEARCH: read of version rows, which are searched for the operation's
+ *	id
+ * @PHASE_SOURCE_ROW: supersede: read of the row of the version to copy
+ * @PHASE_SOURCE_LIST: supersede: read of that version's section list
+ * @PHASE_BASE_ROW: read of the newest version's row, for its root, which the
+ *	head row lacks after a halt
+ * @PHASE_BASE_LIST: read of the newest version's section list
+ * @PHASE_PUTS: writes of objects
+ * @PHASE_TARGET_ROW: halt: read of the row of the version to halt
+ * @PHASE_RESTORED_ROW: halt: read of the row of the version that comes back
+ *	into force
+ * @PHASE_TRANSACT: write of the rows
+ * @PHASE_WINNER_NOTE: read of the note of the halt that won
+ * @PHASE_END: none; the outcome is set
  */
 enum signoff_phase {
 	PHASE_HEAD = 0,
@@ -44,7 +48,8 @@
 struct signoff;
 
 /**
- * struct range - versions, both ends included; empty when @high is below @low
+ * struct range - range of versions, both ends included; empty if @high is below
+ * @low
  * @low: first version
  * @high: last version
  */
@@ -54,15 +59,16 @@
 };
 
 /**
- * struct signoff_ops - what a kind of operation does; see the tables in
+ * struct signoff_ops - functions of a kind of operation; see the tables in
  * version.c, halt.c and find.c
- * @begin: first thing of all
- * @first_search: versions that may tell of an earlier start, when the head row
- * is first read; an empty range for none
- * @settle_limit: last version that may tell what became of a write on @base
- * @proceed: no earlier start has done it; go on from @head
+ * @begin: start the operation
+ * @first_search: versions whose rows may show an earlier start of the
+ *	operation, once the head row is first read; an empty range for none
+ * @settle_limit: last version whose row may show whether a write on @base took
+ *	effect
+ * @proceed: no earlier start has done the operation; go on from @head
  * @on_lost_race: the write has certainly not taken effect, since another was
- * first
+ *	first
  */
 struct signoff_ops {
 	void (*begin)(struct signoff *r, uint64_t now_ms);
@@ -73,11 +79,11 @@
 };
 
 /**
- * struct search - look through version rows for the operation's id
- * @low: lowest version to look at
- * @high: highest version not yet looked at, with all above it done
- * @from: first version asked for
- * @to: last version asked for
+ * struct search - search of version rows for the operation's id
+ * @low: lowest version to search
+ * @high: highest version that is still to be searched
+ * @from: first version of the current read
+ * @to: last version of the current read, 0 if it is not chosen yet
  */
 struct search {
 	uint64_t low;
@@ -88,11 +94,11 @@
 
 /**
  * struct put - an object to write
- * @key: its key
+ * @key: key of the object
  * @content: its content
  * @section: name of the section, borrowed; NULL for other objects
- * @token: token of the write under way, 0 for none
- * @needed: whether the version needs it written
+ * @token: token of the write in progress, 0 for none
+ * @needed: whether it has to be written for the version
  * @done: whether it is written
  */
 struct put {
@@ -106,32 +112,32 @@
 
 /**
  * struct signoff - see signoff/signoff.h
- * @ops: what this kind does
- * @req: what was asked for
- * @phase: what it waits for
- * @next_token: token of the next action
- * @token: token awaited, 0 for none
+ * @ops: functions of this kind of operation
+ * @req: parameters
+ * @phase: current phase
+ * @next_token: token of the last action
+ * @token: awaited token, 0 for none
  * @answer_deadline_ms: when an awaited answer counts as lost
- * @retry_at_ms: when the phase is tried again
- * @n_failures: failures in a row, for the back-off
- * @race_retries_left: lost races that may still be tried again
+ * @retry_at_ms: when the phase is retried
+ * @n_failures: consecutive failures, for the back-off
+ * @race_retries_left: lost races after which the operation may still be retried
  * @rand: source of jitter
- * @actions: struct signoff_action to be taken
- * @head: head row as last read; seq 0 when there is none
+ * @actions: struct signoff_action: actions that were not taken yet
+ * @head: head row as last read; seq 0 if there is none
  * @base: head row that the write replaces
- * @write_sent: a write on @base was sent
- * @maybe_written: it may have taken effect, or still may
+ * @write_sent: whether a write on @base was sent
+ * @maybe_written: whether it may have taken effect, or still may
  * @search: see struct search
- * @lowest: row of @search.low, once seen
- * @root: root of the version to be made
- * @list: its list, struct rec_section_ref
- * @base_root: root of the list that @base_list holds
- * @base_list: list of the newest version, NULL when it can't be had
+ * @lowest: fields of the row of @search.low, once it was read
+ * @root: root of the version to create
+ * @list: its section list, struct rec_section_ref
+ * @base_root: root of @base_list
+ * @base_list: section list of the newest version, NULL if it is not available
  * @puts: struct put
- * @new_head: head row to be written
- * @row: version row to be written; its changes are in @changes
- * @changes: changes of the version row
- * @outcome: the outcome, once @phase is PHASE_END
+ * @new_head: head row to write
+ * @row: version row to write; its changes are in @changes
+ * @changes: encoded changes of the version row
+ * @outcome: the outcome, set in PHASE_END
  */
 struct signoff {
 	const struct signoff_ops *ops;
@@ -169,14 +175,15 @@
 
 /* signoff.c */
 
-/** signoff_enter() - go to a phase and ask what it asks */
+/** signoff_enter() - enter a phase and send its request */
 void
 signoff_enter(struct signoff *r, enum signoff_phase phase, uint64_t now_ms);
 
-/** signoff_retry_later() - the phase got no usable answer; try again later */
+/** signoff_retry_later() - retry the phase after a back-off, since it got no
+ * usable answer */
 void signoff_retry_later(struct signoff *r, uint64_t now_ms);
 
-/* step.c: actions; each sets the token that is awaited */
+/* step.c: creation of actions; each sets the awaited token */
 
 void step_read_head(struct signoff *r, uint64_t now_ms);
 void step_read_versions(
@@ -187,48 +194,49 @@
 uint32_t step_put(struct signoff *r, const struct put *put, uint64_t now_ms);
 void step_transact(struct signoff *r, uint64_t now_ms);
 
-/** step_finish() - drop what was not taken, and say that it is over */
+/** step_finish() - drop the actions not yet taken, and add SIGNOFF_FINISH */
 void step_finish(struct signoff *r);
 
-/** step_clear() - drop actions that were not taken */
+/** step_clear() - drop the actions not yet taken */
 void step_clear(struct signoff *r);
 
-/** step_backoff_ms() - how long to wait after a failure: full jitter */
+/** step_backoff_ms() - delay after a failure: exponential, full jitter */
 uint64_t step_backoff_ms(struct signoff *r);
 
 /* search.c */
 
-/** search_on_head() - the head row was read: look for the operation's id */
+/** search_on_head() - handle the head row: search for the operation's id */
 void search_on_head(struct signoff *r, uint64_t now_ms);
 
-/** search_issue() - ask for the next rows */
+/** search_issue() - read the next rows */
 void search_issue(struct signoff *r, uint64_t now_ms);
 
-/** search_on_versions() - rows came */
+/** search_on_versions() - search the rows that were read */
 void search_on_versions(struct signoff *r, uint64_t now_ms, enum status st,
     const struct store_version *rows, uint32_t n, uint64_t upto);
 
-/** search_decode() - what a row's changes say of the head it replaced */
+/** search_decode() - decode what a row's changes record about the head row that
+ * it replaced */
 bool search_decode(
     const struct store_version *row, struct rec_replaced_head *replaced);
 
 /* puts.c */
 
-/** puts_new() - an empty list of objects to write */
+/** puts_new() - create an empty list of objects to write */
 GPtrArray *puts_new(void);
 
-/** puts_add() - add an object; see struct put; takes over @content */
+/** puts_add() - add an object; see struct put; takes ownership of @content */
 void puts_add(
     GPtrArray *puts, const char *key, const char *section, GBytes *content);
 
-/** puts_issue() - write as many as may be under way */
+/** puts_issue() - start as many writes as may be in progress */
 void puts_issue(struct signoff *r, uint64_t now_ms);
 
-/** puts_on_put() - a write ended */
+/** puts_on_put() - handle the end of a write */
 void
 puts_on_put(struct signoff *r, uint64_t now_ms, uint32_t token, enum status st);
 
-/** puts_cancel_tokens() - give up waiting for those under way */
+/** puts_cancel_tokens() - stop waiting for the writes in progress */
 void puts_cancel_tokens(struct signoff *r);
 
 /* version.c: sign-off and supersede */
@@ -264,9 +272,9 @@
 
 extern const struct signoff_ops find_ops;
 
-/* outcome.c: each ends the operation */
+/* outcome.c: functions that end the operation */
 
-/** outcome_done() - done; @root is that of the version made, or NULL */
+/** outcome_done() - written; @root is that of the version created, or NULL */
 void outcome_done(struct signoff *r, enum signoff_kind kind, uint64_t version,
     const struct digest *root);
 
@@ -277,7 +285,7 @@
 void outcome_invalid(struct signoff *r, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
-/** outcome_timed_out() - no time left: unavailable or unknown */
+/** outcome_timed_out() - the deadline has passed: unavailable or unknown */
 void outcome_timed_out(struct signoff *r);
 
 /** outcome_not_settled() - find: a write may still arrive */
--- a/packages/signoff/src/step.c
+++ b/packages/signoff/src/step.c
@@ -1,12 +1,12 @@
 /*
- * Steps of an operation: making actions.
+ * Creates the actions of an operation.
  */
 #include <string.h>
 
 #include "base/clock.h"
 #include "signoff_defs.h"
 
-/* Doublings after which the back-off stands at its cap in any case. */
+/* Doublings after which the back-off is at its maximum in any case. */
 #define BACKOFF_DOUBLINGS_MAX 16
 
 static struct signoff_action *
@@ -23,7 +23,7 @@
 	return a;
 }
 
-/* An action whose answer is awaited alone. */
+/* Creates an action whose answer is the only one awaited. */
 static struct signoff_action *
 action_new_awaited(
     struct signoff *r, enum signoff_action_kind kind, uint64_t now_ms)
--- a/packages/signoff/src/version.c
+++ b/packages/signoff/src/version.c
@@ -1,5 +1,5 @@
 /*
- * Sign-off and supersede: a new version on top of the newest one.
+ * Sign-off and supersede: create a version on top of the newest one.
  */
 #include <string.h>
 
@@ -11,7 +11,7 @@
 	return r->req.kind == SIGNOFF_SUPERSEDE;
 }
 
-/* Objects of a bundle: its sections, and the list under its root. */
+/* Adds the objects of a bundle: its sections, and the list under its root. */
 static void
 add_objects(struct signoff *r)
 {
@@ -70,7 +70,7 @@
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
-/* An earlier start with a parent can only have made the version after it. */
+/* An earlier start with a parent can have created only the version after it. */
 static struct range
 version_first_search(const struct signoff *r)
 {
@@ -89,8 +89,9 @@
 }
 
 /*
- * Before going on top, all that came since is looked at: another start of
- * this operation may have gone on top as well.
+ * Before a retry on top of newer versions, all rows since the base are
+ * searched: another start of this operation may have been retried there as
+ * well.
  */
 static uint64_t
 version_settle_limit(const struct signoff *r)
@@ -122,12 +123,13 @@
 		signoff_enter(r, PHASE_BASE_ROW, now_ms);
 }
 
-/* Another operation was first: go on top of it only if that was asked for. */
+/* Another operation was first: retry on top of it only if that was requested.
+ */
 static void
 version_on_lost_race(struct signoff *r, uint64_t now_ms)
 {
 	if (r->head.version == r->base.version) {
-		/* Only a halt came in between; the parent is the same. */
+		/* There was only a halt in between; the parent is the same. */
 		version_proceed(r, now_ms);
 	} else if (r->race_retries_left > 0) {
 		r->race_retries_left--;
@@ -171,7 +173,8 @@
 	signoff_enter(r, PHASE_BASE_ROW, now_ms);
 }
 
-/* The newest version's root is in its row, or in a head that is rolling. */
+/* Reads the newest version's row for its root, which the head row holds unless
+ * it is halted. */
 void
 version_issue_base_row(struct signoff *r, uint64_t now_ms)
 {
@@ -197,7 +200,8 @@
 	signoff_enter(r, PHASE_BASE_LIST, now_ms);
 }
 
-/* Sections that the newest version has are on the platform already. */
+/* Marks the sections to write; those of the newest version are on the platform
+ * already. */
 static void
 mark_needed(struct signoff *r, const GArray *changes)
 {
@@ -273,7 +277,7 @@
 	g_strlcpy(row->note, r->req.note, sizeof(row->note));
 }
 
-/* All is known: write the objects that are needed, then the rows. */
+/* Writes the objects that are needed, then the rows. */
 static void
 version_write(struct signoff *r, uint64_t now_ms)
 {
@@ -304,7 +308,7 @@
 	version_write(r, now_ms);
 }
 
-/* Without the list of the newest version all sections count as changed. */
+/* Without the newest version's list all sections count as changed. */
 void
 version_on_base_list(struct signoff *r, uint64_t now_ms, enum status st,
     const uint8_t *data, size_t len)
--- a/packages/signoff/test/check_world.c
+++ b/packages/signoff/test/check_world.c
@@ -1,7 +1,7 @@
 /*
- * The checker: one dense order of versions, each whole on the platform when
- * it comes into force, in_force the highest not halted, each operation done
- * once at most, and every operator told what is so.
+ * The checker: versions have no gaps and one order, each is complete on the
+ * platform when it comes into force, in_force is the highest not halted, each
+ * operation takes effect at most once, and every reported outcome is true.
  */
 #include "check_world.h"
 
@@ -26,7 +26,7 @@
 	return &g_array_index(w->commits, struct commit, i);
 }
 
-/* Ids of a naive operation's starts differ after the dot only. */
+/* The ids of a naive operation's starts differ only after the dot. */
 static bool
 is_same_op(const char *commit_op, const char *op)
 {
@@ -91,7 +91,8 @@
 	return list;
 }
 
-/* All of the version is on the platform, and its changes lead to it. */
+/* Checks that all of the version is on the platform, and that its changes lead
+ * to it. */
 static void
 check_version_complete(struct world *w, const struct signoff_action *a)
 {
@@ -181,7 +182,7 @@
 		violation(w, "in_force is not the highest not halted");
 }
 
-/* Who did a deed, by name; NULL when nobody asked for it. */
+/* Name of the operator whose operation this is; NULL if nobody started it. */
 static const char *
 find_operator(const struct world *w, const char *op)
 {
@@ -196,7 +197,7 @@
 	return NULL;
 }
 
-/* That a halt's note could not be read may be said by leaving the name out. */
+/* If a halt's note could not be read, the name may be left out. */
 static bool
 is_operator_correct(const struct world *w, const struct signoff_outcome *o)
 {
@@ -207,7 +208,7 @@
 	    0;
 }
 
-/* The one named as first did what it is said to have done. */
+/* The operation reported as the winner did what is reported. */
 static void
 check_winner(struct world *w, const struct actor *actor)
 {
@@ -225,7 +226,8 @@
 		violation(w, "%s was told a later winner", actor->req.op);
 }
 
-/* Whether another start had the same id: this one can speak for itself only. */
+/* Whether another start had the same id; then this one's outcome covers only
+ * its own writes. */
 static bool
 has_other_start(const struct world *w, const struct actor *actor)
 {
--- a/packages/signoff/test/scenario.h
+++ b/packages/signoff/test/scenario.h
@@ -1,5 +1,5 @@
 /*
- * What the tests of operations share.
+ * Helpers shared by the tests of operations.
  */
 #ifndef SIGNOFF_TEST_SCENARIO_H
 #define SIGNOFF_TEST_SCENARIO_H
@@ -8,7 +8,8 @@
 
 #include "world.h"
 
-/* The write of a sign-off comes after head, list, two sections, root. */
+/* Number of a sign-off's write among its requests: it follows the reads of head
+ * and list and the puts of two sections and the root. */
 #define WRITE_REQUEST 6
 
 static inline struct signoff_request
@@ -17,7 +18,7 @@
 	return world_request(w, SIGNOFF_SIGN_OFF, op, "anna");
 }
 
-/* Sign versions off until there are @n. */
+/* Signs off versions until there are @n. */
 static inline void
 sign_off_versions(struct world *w, uint32_t n)
 {
--- a/packages/signoff/test/test_race.c
+++ b/packages/signoff/test/test_race.c
@@ -1,6 +1,6 @@
 /*
- * Operators who race: one order, each told the truth; and a naive blind retry
- * that the checker must catch.
+ * Concurrent operators: versions get one order and every outcome is true; the
+ * checker detects a naive blind retry.
  */
 #include <check.h>
 #include <string.h>
@@ -11,10 +11,11 @@
 #define RACERS 5
 #define RACE_FAULT_PERCENT 12
 
-/* Longest time that a racer has; some run out of it. */
+/* Longest timeout of a racer; some run into it. */
 #define RACE_TIMEOUT_MAX_MS 6000
 
-/* Two without parent at once: the loser goes on top only if that was asked. */
+/* Two concurrent sign-offs without parent: the loser is retried on top of the
+ * winner only if that was requested. */
 START_TEST(test_on_top)
 {
 	struct world *w = world_new((uint32_t)_i);
@@ -38,7 +39,8 @@
 }
 END_TEST
 
-/* Two starts of one id at the same time do it once; both are told so. */
+/* Two concurrent starts of one id take effect once; both are reported as done.
+ */
 START_TEST(test_twins)
 {
 	struct world *w = world_new((uint32_t)_i);
@@ -79,9 +81,10 @@
 	ck_assert_int_eq(actor->outcome.result, SIGNOFF_DONE);
 }
 
-/* A start whose write is lost, while a rival is first, another start of the
- * same id goes on top of that, and a third one on top of both: the id is then
- * neither in the head row nor in the row that the write would have made. */
+/* The write of a start is lost; then a rival is first, another start of the
+ * same id is retried on top of the rival, and a third operation follows on top
+ * of both. The id is then neither in the head row nor in the row that the lost
+ * write would have made, and has to be found in between. */
 START_TEST(test_twin_went_on)
 {
 	struct world *w = world_new(1);
@@ -89,7 +92,7 @@
 	struct actor *actor;
 
 	sign_off_versions(w, 1);
-	/* It looks for its id first, which is one request more. */
+	/* The search for its own id is one request more. */
 	w->fault_at = w->n_requests + WRITE_REQUEST + 1;
 	w->fault = FAULT_LOST_REQUEST;
 	req = sign_off_request(w, "op");
@@ -136,7 +139,7 @@
 	(void)world_start(w, &req, 10 + i, naive);
 }
 
-/* Start again what ended as unknown, until it is known. */
+/* Restarts operations with an unknown outcome until the outcome is known. */
 static void
 settle_unknown(struct world *w)
 {
@@ -160,7 +163,8 @@
 	}
 }
 
-/* Racing operators on a bad platform; the violation, or an empty text. */
+/* Runs concurrent operators on a faulty platform; sets the violation, or an
+ * empty text. */
 static void
 race(uint32_t seed, bool naive, char *violation, uint32_t *n_results)
 {
@@ -197,8 +201,8 @@
 		ck_assert_msg(
 		    violation[0] == '\0', "seed %u: %s", seed, violation);
 	}
-	/* The runs were of use: operators won, lost, halted, ran out of time.
-	 */
+	/* The runs cover all results: operators won, lost, halted, ran out of
+	 * time. */
 	ck_assert_uint_gt(n_results[SIGNOFF_DONE], SEEDS);
 	ck_assert_uint_gt(n_results[SIGNOFF_CONFLICT], SEEDS);
 	ck_assert_uint_gt(n_results[SIGNOFF_ALREADY_HALTED], SEEDS / 2);
@@ -207,7 +211,7 @@
 }
 END_TEST
 
-/* The blind retry does things twice, and the checker sees it. */
+/* A blind retry writes twice, and the checker detects that. */
 START_TEST(test_naive_is_caught)
 {
 	uint32_t seed, n_detected = 0, n_results[SIGNOFF_UNKNOWN + 1] = {0};
--- a/packages/signoff/test/test_signoff.c
+++ b/packages/signoff/test/test_signoff.c
@@ -1,6 +1,6 @@
 /*
  * Sign-off, halt and supersede, one at a time, against a platform that loses
- * answers at each step, throttles, is down, and doubles or delays writes.
+ * answers at each step, throttles, is down, and duplicates or delays writes.
  */
 #include <check.h>
 #include <string.h>
@@ -21,8 +21,8 @@
 #define STEPS 12
 
 /*
- * One operation of each kind, with each fault at each of its requests: it is
- * done, once, and told so; started again it is told so again.
+ * One operation of each kind, with each fault at each of its requests: it takes
+ * effect once and is reported as done; a second start reports the same.
  */
 START_TEST(test_each_step)
 {
@@ -54,7 +54,7 @@
 }
 END_TEST
 
-/* What each request is told on a platform with three versions. */
+/* Outcome of each request on a platform with three versions. */
 static const struct {
 	enum signoff_kind kind;
 	const char *op;
@@ -105,8 +105,8 @@
 }
 END_TEST
 
-/* A halt is told who was first, is found after others went on, and skips
- * versions halted before. */
+/* A halt that is not the first reports the winner, also after newer versions; a
+ * halt skips versions that were halted before. */
 START_TEST(test_halts)
 {
 	struct world *w = world_new(1);
@@ -136,7 +136,7 @@
 	ck_assert_uint_eq(o->in_force, 4);
 	check_no_violation(w);
 	world_free(w);
-	/* The only version halted: nothing is in force. */
+	/* The only version is halted: none is in force. */
 	w = world_new(1);
 	sign_off_versions(w, 1);
 	req = request_for_version(w, SIGNOFF_HALT, "stop", "carl", 1);
@@ -147,8 +147,9 @@
 }
 END_TEST
 
-/* Down from the start, nothing is done; down from the write on, it is not
- * known; asked again when the platform is back, it is. */
+/* While the platform is down from the start, nothing is written. If it goes
+ * down with the write, the outcome is unknown; once the platform is back and
+ * another write has followed, a find settles it. */
 START_TEST(test_down)
 {
 	const bool written = _i % 2 != 0;
@@ -165,7 +166,7 @@
 	ck_assert_int_eq(o->result, SIGNOFF_UNAVAILABLE);
 	ck_assert_uint_ge(w->now_ms, req.deadline_ms);
 	ck_assert_uint_eq(w->commits->len, 1);
-	/* The write's answer is lost, and nothing can be read after it. */
+	/* The write's answer is lost, and no read succeeds after it. */
 	w->down = false;
 	w->fault_at = w->n_requests + WRITE_REQUEST;
 	w->fault = written ? FAULT_LOST_ANSWER : FAULT_LOST_REQUEST;
@@ -181,7 +182,7 @@
 	find.after_seq = after_seq;
 	o = world_run_operation(w, &find, 0);
 	ck_assert_int_eq(o->result, written ? SIGNOFF_DONE : SIGNOFF_UNKNOWN);
-	/* Once somebody else has gone on, it is certain either way. */
+	/* After another operation's write the outcome is certain either way. */
 	sign_off_versions(w, written ? 3 : 2);
 	find.deadline_ms = w->now_ms + SIGNOFF_REQUEST_TIMEOUT_MS;
 	o = world_run_operation(w, &find, 0);
@@ -191,7 +192,7 @@
 }
 END_TEST
 
-/* What the platform will never take is told at once. */
+/* A write that the platform rejects as too large is reported at once. */
 START_TEST(test_too_large)
 {
 	struct world *w = world_new(1);
@@ -210,8 +211,8 @@
 }
 END_TEST
 
-/* Changes that are too many for a row, or relative to a list that the
- * platform has lost, are not listed; all sections are written then. */
+/* Changes are not listed in the row if they are too many for it, or if the list
+ * that they refer to is lost on the platform; then all sections are written. */
 START_TEST(test_changes_not_listed)
 {
 	struct world *w = world_new(1);
@@ -233,8 +234,8 @@
 }
 END_TEST
 
-/* A write that is still on its way when the platform goes down: that it was
- * not there when looked for does not mean that it is not done. */
+/* A write is still in transit when the platform goes down: that a read did not
+ * find it does not prove that it has no effect. */
 START_TEST(test_late)
 {
 	const struct signoff_outcome *o;
@@ -255,7 +256,7 @@
 }
 END_TEST
 
-/* Requests that make no sense are refused before anything is asked. */
+/* Invalid requests are rejected before anything is sent. */
 START_TEST(test_invalid_requests)
 {
 	struct world *w = world_new(1);
--- a/packages/signoff/test/world.c
+++ b/packages/signoff/test/world.c
@@ -144,7 +144,8 @@
 	return a->kind == SIGNOFF_TRANSACT || a->kind == SIGNOFF_PUT_OBJECT;
 }
 
-/* Send a request; what the sender hears and what happens are drawn. */
+/* Sends a request with the next fault, which determines what is executed and
+ * what the sender receives. */
 static void
 send_request(struct world *w, struct actor *actor, struct signoff_action *a)
 {
@@ -207,7 +208,8 @@
 	return STATUS_OK;
 }
 
-/* The platform carries a request out and answers, unless it is muted. */
+/* Executes a request on the platform and answers, unless the answer is dropped.
+ */
 static void
 handle_request(struct world *w, struct event *e)
 {
@@ -223,7 +225,7 @@
 			answer.st = STATUS_NOT_FOUND;
 		break;
 	case SIGNOFF_READ_VERSIONS:
-		/* Now and then only a part, as the platform may. */
+		/* Sometimes only a part, as the platform may. */
 		answer.upto = e->a.to;
 		if (e->a.to > e->a.from && g_rand_boolean(w->rand))
 			answer.upto -= 1;
@@ -270,7 +272,7 @@
 	    e->r, w->now_ms, e->a.token, e->st, rows, n, e->upto);
 }
 
-/* The blind retry: whatever became of the write, start once more. */
+/* Blind retry: starts once more, whatever the outcome of the write. */
 static void
 restart_with_new_op(struct world *w, struct actor *actor)
 {
@@ -317,7 +319,7 @@
 	}
 }
 
-/* Carry out what an operation asks for. */
+/* Executes the actions of an operation. */
 static void
 send_actions(struct world *w, struct actor *actor)
 {
@@ -331,7 +333,7 @@
 	}
 }
 
-/* The actor whose timer is due first, or NULL. */
+/* The actor with the next timer, or NULL. */
 static struct actor *
 next_timer(const struct world *w, uint64_t *at_ms)
 {
@@ -387,7 +389,7 @@
 		;
 }
 
-/* Services whose names are as long as may be. */
+/* Appends as many services as allowed, with names of the greatest length. */
 static void
 append_longest_services(GString *json)
 {
--- a/packages/signoff/test/world.h
+++ b/packages/signoff/test/world.h
@@ -1,7 +1,7 @@
 /*
- * A fake platform that loses answers, throttles, delays and doubles writes,
- * operators who act on it in an order drawn from a seed, and a checker of
- * what they were told.
+ * Simulation: a fake platform that loses answers, throttles, delays and
+ * duplicates writes; operators who act on it in an order drawn from a seed; and
+ * a checker of the outcomes reported to them.
  */
 #ifndef SIGNOFF_TEST_WORLD_H
 #define SIGNOFF_TEST_WORLD_H
@@ -11,30 +11,30 @@
 
 #define WORLD_VIOLATION_BYTES 256
 
-/* Variant of a bundle with as many and as long names as may be. */
+/* Variant with as many services, and as long names, as are allowed. */
 #define WORLD_BUNDLE_MAX UINT32_MAX
 
-/** enum fault - what becomes of one request to the platform */
+/** enum fault - fault of one request to the platform */
 enum fault {
 	FAULT_NONE = 0,
-	FAULT_REJECTED,	    /* throttled: certainly not done */
-	FAULT_LOST_REQUEST, /* never arrives; silence until the deadline */
-	FAULT_LOST_ANSWER,  /* done; silence until the deadline */
-	FAULT_LATE,	    /* done after the sender gave up on it */
+	FAULT_REJECTED,	    /* throttled: certainly not executed */
+	FAULT_LOST_REQUEST, /* never arrives; no answer until the deadline */
+	FAULT_LOST_ANSWER,  /* executed; no answer until the deadline */
+	FAULT_LATE,	    /* executed after the sender's deadline */
 	FAULT_DOUBLED,	    /* arrives twice */
 	FAULT_COUNT,
 };
 
 /**
- * struct actor - an operation and who started it
- * @req: what was asked for
+ * struct actor - an operation and the operator who started it
+ * @req: parameters of the operation
  * @r: the operation; kept to the end, so that late answers reach it
  * @bundle: bundle of a sign-off
- * @variant: what its bundle was made up from
- * @naive: answers an unknown write by starting afresh under another id
- * @n_starts: starts, for the ids of a naive one
- * @sent_head: head row of its last write, which the shell remembers
- * @outcome: how it ended
+ * @variant: variant from which the bundle was made
+ * @naive: restarts an unknown write blindly under another id
+ * @n_starts: number of starts, for the ids of a naive one
+ * @sent_head: head row of its last write
+ * @outcome: its outcome
  */
 struct actor {
 	struct signoff_request req;
@@ -48,9 +48,9 @@
 };
 
 /**
- * struct deed - one write that took effect
- * @op: operation that did it
- * @version: version made or halted
+ * struct commit - a write that took effect
+ * @op: operation that sent it
+ * @version: version created or halted
  * @halt: whether it was a halt
  * @head: head row that it wrote
  */
@@ -63,23 +63,23 @@
 
 /**
  * struct world - platform, actors and the messages between them
- * @rand: all that is drawn
+ * @rand: source of all random choices
  * @now_ms: virtual time
- * @down: the platform refuses everything
+ * @down: whether the platform refuses all requests
  * @down_from: request from which on it is down, counted from 1; 0 for none
- * @fault_percent: share of requests that go wrong
+ * @fault_percent: percentage of requests with a fault
  * @n_requests: requests so far
- * @fault_at: request that goes wrong by @fault, counted from 1; 0 for none
- * @fault: how
- * @rejection: what the platform says to each request of @rejected_kind;
- * STATUS_OK to carry them out
- * @rejected_kind: kind of action refused
+ * @fault_at: request that has @fault, counted from 1; 0 for none
+ * @fault: its fault
+ * @rejection: status of each request of @rejected_kind; STATUS_OK to execute
+ *	them
+ * @rejected_kind: kind of action rejected
  * @head: the head row; seq 0 for none
  * @rows: struct row
  * @objects: key to GBytes
  * @events: struct event, sorted by time
  * @actors: struct actor
- * @commits: struct deed, in order of the head row's seq
+ * @commits: struct commit, in order of the head row's seq
  * @n_whole: version rows that do not list their changes
  * @violation: first violation seen; empty for none
  */
@@ -111,21 +111,23 @@
 struct signoff_request world_request(struct world *w, enum signoff_kind kind,
     const char *op, const char *operator_name);
 
-/** world_start() - start an operation; @variant makes up its bundle */
+/** world_start() - start an operation; its bundle is made from @variant */
 struct actor *world_start(struct world *w, const struct signoff_request *req,
     uint32_t variant, bool naive);
 
-/** world_step() - let one thing happen; whether there was one */
+/** world_step() - process one event; Return: whether there was one */
 bool world_step(struct world *w);
 
-/** world_run() - run until all have ended and nothing is on its way */
+/** world_run() - run until all operations have ended and no message is in
+ * transit */
 void world_run(struct world *w);
 
-/** world_run_operation() - start an operation and run; its outcome */
+/** world_run_operation() - start an operation, run, and return its outcome */
 const struct signoff_outcome *world_run_operation(
     struct world *w, const struct signoff_request *req, uint32_t variant);
 
-/** world_check() - whether all were told the truth; sets @w->violation */
+/** world_check() - whether all reported outcomes are true; sets @w->violation
+ */
 bool world_check(struct world *w);
 
 #endif
