--- a/packages/signoff/src/find.c
+++ b/packages/signoff/src/find.c
@@ -36,12 +36,12 @@
 		return;
 	}
 	outcome_not_found(r,
-	    "Operation %s is not among the last %d versions%s.", r->req.op,
+	    "Operation %s was not found in the last %d versions%s.", r->req.op,
 	    SIGNOFF_FIND_VERSIONS_MAX,
 	    r->req.after_seq > 0
-		? ", and its write can no longer arrive; start it again if "
-		  "you still want it"
-		: "; if it ended as unknown a moment ago, ask again with its "
+		? ", and its write can no longer take effect; start it "
+		  "again if it is still needed"
+		: "; if its outcome was unknown, search again with its "
 		  "after_seq, or start it again with the same id");
 }
 
--- a/packages/signoff/src/halt.c
+++ b/packages/signoff/src/halt.c
@@ -70,8 +70,8 @@
 	if (r->head.version < r->req.version) {
 		outcome_not_found(r,
 		    "There is no version %" G_GUINT64_FORMAT
-		    "; the newest is %" G_GUINT64_FORMAT
-		    ". Look at the history.",
+		    "; the newest version is %" G_GUINT64_FORMAT
+		    ". See the history.",
 		    r->req.version, r->head.version);
 	} else if (r->head.version > r->req.version) {
 		if (r->lowest.replaced.halted)
--- a/packages/signoff/src/outcome.c
+++ b/packages/signoff/src/outcome.c
@@ -69,9 +69,9 @@
 
 	if (!is_same_request(r, kind, version, root)) {
 		outcome_invalid(r,
-		    "Operation id %s has been used for another operation, "
-		    "which %s version %" G_GUINT64_FORMAT "; take a new id.",
-		    r->req.op, kind == SIGNOFF_HALT ? "halted" : "made",
+		    "Operation id %s was used for another operation, which "
+		    "%s version %" G_GUINT64_FORMAT "; use a new id.",
+		    r->req.op, kind == SIGNOFF_HALT ? "halted" : "created",
 		    version);
 		return;
 	}
@@ -80,7 +80,7 @@
 	o->repeated = !r->write_sent || version != r->new_head.version;
 	end_operation(r, SIGNOFF_DONE, "Version %" G_GUINT64_FORMAT " is %s%s.",
 	    version, kind == SIGNOFF_HALT ? "halted" : "signed off",
-	    o->repeated ? "; another start of this operation did it" : "");
+	    o->repeated ? "; another start of this operation wrote it" : "");
 }
 
 void
@@ -91,7 +91,7 @@
 	r->outcome.kind = r->req.kind;
 	end_operation(r, SIGNOFF_ALREADY_HALTED,
 	    "Version %" G_GUINT64_FORMAT
-	    " had been halted by operation %s%s%s; there is nothing to do.",
+	    " was already halted by operation %s%s%s; nothing was written.",
 	    o->winner_version, o->winner_op,
 	    o->winner_operator[0] != '\0' ? " of " : "", o->winner_operator);
 }
@@ -108,9 +108,9 @@
 	g_strlcpy(o->winner_operator, r->lowest.operator_name,
 	    sizeof(o->winner_operator));
 	end_operation(r, SIGNOFF_CONFLICT,
-	    "%s was first with version %" G_GUINT64_FORMAT
-	    " (operation %s); nothing was done. The newest version is "
-	    "%" G_GUINT64_FORMAT "; look at it, then decide again.",
+	    "%s created version %" G_GUINT64_FORMAT
+	    " first (operation %s); nothing was written. The newest version is "
+	    "%" G_GUINT64_FORMAT "; review it, then decide again.",
 	    o->winner_operator, o->winner_version, o->winner_op,
 	    r->head.version);
 }
@@ -154,18 +154,18 @@
 	o->retry_after_ms = (uint32_t)step_backoff_ms(r);
 	if (!r->maybe_written) {
 		end_operation(r, SIGNOFF_UNAVAILABLE,
-		    "The platform did not answer in time; this start did "
-		    "nothing%s. Ask again later.",
+		    "The platform did not answer in time; this start wrote "
+		    "nothing%s. Try again later.",
 		    r->req.fresh ? ""
-				 : ", but what an earlier one with this id "
-				   "did could not be read");
+				 : ", but the outcome of an earlier start "
+				   "with this id could not be read");
 		return;
 	}
 	o->after_seq = r->base.seq;
 	end_operation(r, SIGNOFF_UNKNOWN,
-	    "The write was sent, but the platform can't be read to see "
-	    "whether it took effect. Ask for operation %s, or start it again "
-	    "with the same id: it is done once at most.",
+	    "The write was sent, but whether it took effect could not be read "
+	    "from the platform. Look up operation %s, or start it again with "
+	    "the same id: it takes effect at most once.",
 	    r->req.op);
 }
 
@@ -179,7 +179,7 @@
 	o->retry_after_ms = SIGNOFF_BACKOFF_MAX_MS;
 	end_operation(r, SIGNOFF_UNKNOWN,
 	    "Operation %s has not taken effect, but its write may still "
-	    "arrive. Ask again, or start it again with the same id: it is "
-	    "done once at most.",
+	    "arrive. Look it up again, or start it again with the same id: it "
+	    "takes effect at most once.",
 	    r->req.op);
 }
--- a/packages/signoff/src/puts.c
+++ b/packages/signoff/src/puts.c
@@ -105,8 +105,8 @@
 		r->n_failures = 0;
 	} else if (st == STATUS_TOO_LARGE || st == STATUS_INVALID) {
 		outcome_invalid(r,
-		    "The platform refused object %s (%s). Look at the "
-		    "platform's limits in docs/PLATFORM.md.",
+		    "The platform rejected object %s (%s). See the platform's "
+		    "limits in docs/PLATFORM.md.",
 		    put->key, status_name(st));
 		return;
 	} else if (r->retry_at_ms == DEADLINE_NEVER) {
--- a/packages/signoff/src/signoff.c
+++ b/packages/signoff/src/signoff.c
@@ -65,14 +65,13 @@
 {
 	if (!is_valid_op(req->op))
 		return status_set(STATUS_INVALID,
-		    "An operation id has 1 to 63 of letters, digits, '-', '_' "
-		    "and '.'; give another one.");
+		    "An operation id consists of 1 to 63 letters, digits, '-', "
+		    "'_' and '.'; give a valid one.");
 	if (req->kind != SIGNOFF_FIND &&
 	    (req->operator_name[0] == '\0' ||
 		!g_utf8_validate(req->operator_name, -1, NULL)))
 		return status_set(STATUS_INVALID,
-		    "The operation does not say who asks for it; name the "
-		    "operator.");
+		    "The operation has no valid operator name; give one.");
 	if (!g_utf8_validate(req->note, -1, NULL))
 		return status_set(
 		    STATUS_INVALID, "The note is not UTF-8; correct it.");
@@ -84,7 +83,7 @@
 	if ((req->kind == SIGNOFF_HALT || req->kind == SIGNOFF_SUPERSEDE) &&
 	    req->version == 0)
 		return status_set(STATUS_INVALID,
-		    "Versions count from 1; name one that exists.");
+		    "Version numbers start at 1; give an existing one.");
 	return STATUS_OK;
 }
 
@@ -240,8 +239,8 @@
 write_rejected(struct signoff *r, enum status st)
 {
 	outcome_invalid(r,
-	    "The platform refused the write (%s). Make the change smaller, or "
-	    "look at the platform's limits in docs/PLATFORM.md.",
+	    "The platform rejected the write (%s). Make the change smaller, or "
+	    "see the platform's limits in docs/PLATFORM.md.",
 	    status_name(st));
 }
 
--- a/packages/signoff/src/version.c
+++ b/packages/signoff/src/version.c
@@ -61,7 +61,7 @@
 	if (n == 0 || rows[0].version != r->req.version) {
 		outcome_not_found(r,
 		    "There is no version %" G_GUINT64_FORMAT
-		    "; look at the history.",
+		    "; see the history.",
 		    r->req.version);
 		return;
 	}
@@ -107,8 +107,8 @@
 	if (r->req.has_parent && r->head.version < r->req.parent) {
 		outcome_not_found(r,
 		    "There is no version %" G_GUINT64_FORMAT
-		    " to build on; the newest is %" G_GUINT64_FORMAT
-		    ". Look at the history.",
+		    " to build on; the newest version is %" G_GUINT64_FORMAT
+		    ". See the history.",
 		    r->req.parent, r->head.version);
 		return;
 	}
@@ -159,7 +159,7 @@
 {
 	if (st == STATUS_NOT_FOUND || st == STATUS_TOO_LARGE) {
 		outcome_not_found(r,
-		    "The platform no longer has the list of version "
+		    "The platform no longer has the section list of version "
 		    "%" G_GUINT64_FORMAT "; sign its bundle off again.",
 		    r->req.version);
 		return;
--- a/packages/signoff/test/check_world.c
+++ b/packages/signoff/test/check_world.c
@@ -128,7 +128,7 @@
 		violation(w, "changes do not lead to the root");
 	if (m.replaced.seq != w->head.seq ||
 	    strcmp(m.replaced.op, w->head.op) != 0)
-		violation(w, "row names another head");
+		violation(w, "row records another replaced head");
 	msg_version_changes_clear(&m);
 	g_array_unref(before);
 	g_array_unref(after);
@@ -145,7 +145,7 @@
 		row = g_ptr_array_index(w->rows, w->head.in_force - 1);
 	if (!hash_digest_equal(
 		&w->head.root, row != NULL ? &row->v.root : &none))
-		violation(w, "head's root is not that of the one in force");
+		violation(w, "head's root is not that of the version in force");
 }
 
 void
@@ -161,20 +161,20 @@
 	commit.head = a->head;
 	(void)find_commit(w, commit.op, &n);
 	if (n > 0)
-		violation(w, "operation %s is done twice", commit.op);
+		violation(w, "operation %s takes effect twice", commit.op);
 	if (a->head.seq != w->head.seq + 1)
-		violation(w, "seq skips");
+		violation(w, "seq is not consecutive");
 	if (w->head.seq > 0)
 		check_roots(w);
 	if (commit.halt &&
 	    (commit.version != w->head.version ||
 		w->head.state == STORE_HALTED || a->head.state != STORE_HALTED))
-		violation(w, "halt of what is not rolling");
+		violation(w, "halt of a version that is not rolling");
 	if (!commit.halt &&
 	    (commit.version != w->rows->len + 1 ||
 		a->version.version != commit.version ||
 		a->version.parent != w->rows->len))
-		violation(w, "versions are not dense");
+		violation(w, "versions have a gap");
 	if (!commit.halt)
 		check_version_complete(w, a);
 	g_array_append_val(w->commits, commit);
@@ -219,11 +219,11 @@
 	commit = find_commit(w, o->winner_op, &n);
 	if (commit == NULL || commit->version != o->winner_version ||
 	    commit->halt != o->winner_halted || !is_operator_correct(w, o))
-		violation(w, "%s was told wrongly that %s of %s was first",
+		violation(w, "%s: wrong winner reported: %s of %s",
 		    actor->req.op, o->winner_op, o->winner_operator);
 	if (o->result == SIGNOFF_CONFLICT && actor->req.has_parent &&
 	    o->winner_version != actor->req.parent + 1)
-		violation(w, "%s was told a later winner", actor->req.op);
+		violation(w, "%s: a later winner reported", actor->req.op);
 }
 
 /* Whether another start had the same id; then this one's outcome covers only
@@ -259,14 +259,16 @@
 
 	commit = find_commit(w, actor->req.op, &n);
 	if (n > 1)
-		violation(w, "operation %s is done twice", actor->req.op);
+		violation(w, "operation %s takes effect twice", actor->req.op);
 	switch (o->result) {
 	case SIGNOFF_DONE:
 		if (commit == NULL || commit->version != o->version)
-			violation(w, "%s was told done wrongly", actor->req.op);
+			violation(
+			    w, "%s: wrongly reported as done", actor->req.op);
 		else if (!o->repeated &&
 		    !is_same_head(&commit->head, &actor->sent_head))
-			violation(w, "%s was told that its write did it",
+			violation(w,
+			    "%s: wrongly reported as done by its own write",
 			    actor->req.op);
 		break;
 	case SIGNOFF_UNKNOWN:
@@ -274,7 +276,7 @@
 	case SIGNOFF_UNAVAILABLE:
 	case SIGNOFF_INVALID:
 		if (commit != NULL && !has_other_start(w, actor))
-			violation(w, "%s was told nothing was done wrongly",
+			violation(w, "%s: wrongly reported as not done",
 			    actor->req.op);
 		break;
 	case SIGNOFF_CONFLICT:
@@ -283,7 +285,7 @@
 		/* fall through */
 	default:
 		if (commit != NULL)
-			violation(w, "%s was told %s, but is done",
+			violation(w, "%s: reported as %s, but is done",
 			    actor->req.op, signoff_result_name(o->result));
 		break;
 	}
--- a/packages/signoff/test/test_race.c
+++ b/packages/signoff/test/test_race.c
@@ -219,7 +219,7 @@
 
 	for (seed = 1; seed <= SEEDS; seed++) {
 		race(seed, true, violation, n_results);
-		n_detected += strstr(violation, "done twice") != NULL;
+		n_detected += strstr(violation, "takes effect twice") != NULL;
 	}
 	ck_assert_uint_gt(n_detected, SEEDS / 8);
 }
