--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -126,7 +126,7 @@
 static int
 can_tell(const struct control *c)
 {
-	return c->feed != NULL && c->feed->ops->tell != NULL;
+	return c->feed != NULL && c->feed->ops->report != NULL;
 }
 
 void
@@ -143,7 +143,7 @@
 	    spread_first_reader(c->spread, control_now(c)) != 0,
 	    control_now(c));
 	if (act != REFUSED_ROW_NONE)
-		c->feed->ops->tell(c->feed, c->settings->data_centre,
+		c->feed->ops->report(c->feed, c->settings->data_centre,
 		    act == REFUSED_ROW_WRITE ? &told : NULL, on_told, c);
 }
 
--- a/packages/store/include/store/feed.h
+++ b/packages/store/include/store/feed.h
@@ -74,7 +74,7 @@
 typedef void feed_fn(enum status st, const struct feed_answer *a, void *arg);
 
 /** feed_begun_fn - the answer to a read that waits has begun to come */
-typedef void feed_begun_fn(void *arg);
+typedef void feed_answer_started_fn(void *arg);
 
 /**
  * struct feed_refusal - what operators are told of a version
@@ -91,7 +91,7 @@
 };
 
 /** feed_told_fn - operators were told, or not */
-typedef void feed_told_fn(enum status st, void *arg);
+typedef void feed_reported_fn(enum status st, void *arg);
 
 struct feed;
 
@@ -100,17 +100,17 @@
  * @read: read the newest configuration; see feed_read()
  * @watch: whom to tell that an answer has begun; see feed_watch()
  * @probe: look beside a read that waits; see feed_probe()
- * @tell: tell operators for a data centre what is refused, NULL for nothing
+ * @report: tell operators for a data centre what is refused, NULL for nothing
  *	any more; NULL where there is no way to
  * @free: free the feed; reads under way are dropped
  */
 struct feed_ops {
 	void (*read)(struct feed *f, uint64_t position, uint64_t wait_until_ms,
 	    feed_fn *fn, void *arg);
-	void (*watch)(struct feed *f, feed_begun_fn *fn, void *arg);
+	void (*watch)(struct feed *f, feed_answer_started_fn *fn, void *arg);
 	void (*probe)(struct feed *f, bool beyond, feed_fn *fn, void *arg);
-	void (*tell)(struct feed *f, const char *data_centre,
-	    const struct feed_refusal *r, feed_told_fn *fn, void *arg);
+	void (*report)(struct feed *f, const char *data_centre,
+	    const struct feed_refusal *r, feed_reported_fn *fn, void *arg);
 	void (*free)(struct feed *f);
 };
 
@@ -146,7 +146,7 @@
  * @arg: given to @fn
  */
 static inline void
-feed_watch(struct feed *f, feed_begun_fn *fn, void *arg)
+feed_watch(struct feed *f, feed_answer_started_fn *fn, void *arg)
 {
 	f->ops->watch(f, fn, arg);
 }
