--- a/packages/store/include/store/feed.h
+++ b/packages/store/include/store/feed.h
@@ -108,7 +108,7 @@
 	void (*read)(struct feed *f, uint64_t position, uint64_t wait_until_ms,
 	    feed_fn *fn, void *arg);
 	void (*watch)(struct feed *f, feed_answer_started_fn *fn, void *arg);
-	void (*probe)(struct feed *f, bool beyond, feed_fn *fn, void *arg);
+	void (*probe)(struct feed *f, bool skip_next, feed_fn *fn, void *arg);
 	void (*report)(struct feed *f, const char *data_centre,
 	    const struct feed_refusal *r, feed_reported_fn *fn, void *arg);
 	void (*free)(struct feed *f);
@@ -154,7 +154,7 @@
 /**
  * feed_probe() - look for changes beside a read that waits for one
  * @f: the feed
- * @beyond: leave out what the next change alone brings; changes that the
+ * @skip_next: leave out what the next change alone brings; changes that the
  *	platform counts for others may make it come all the same
  * @fn: called once, never before this returns
  * @arg: given to @fn
@@ -163,9 +163,9 @@
  * comes when a newer one has been given says the same as that one.
  */
 static inline void
-feed_probe(struct feed *f, bool beyond, feed_fn *fn, void *arg)
+feed_probe(struct feed *f, bool skip_next, feed_fn *fn, void *arg)
 {
-	f->ops->probe(f, beyond, fn, arg);
+	f->ops->probe(f, skip_next, fn, arg);
 }
 
 /** DIRECTORY_SAMPLE_MAX - most nodes that one look-up gives */
--- a/packages/store/include/store/store.h
+++ b/packages/store/include/store/store.h
@@ -136,9 +136,9 @@
 typedef void store_versions_fn(enum status st, const struct store_version *rows,
     uint32_t n, uint64_t upto, void *arg);
 
-/** store_write_fn - the write has ended; @which says what conflicted */
+/** store_write_fn - the write has ended; @conflict says what conflicted */
 typedef void
-store_write_fn(enum status st, enum store_conflict which, void *arg);
+store_write_fn(enum status st, enum store_conflict conflict, void *arg);
 
 /** store_object_fn - an object was read; @data is valid during the call */
 typedef void
--- a/packages/store/src/answer.c
+++ b/packages/store/src/answer.c
@@ -73,44 +73,44 @@
 }
 
 static enum status
-failed_read(const struct answer *a, const char *what)
+read_failed(const struct answer *a, const char *detail)
 {
 	return status_set(STATUS_UNAVAILABLE,
 	    "Read from the platform failed: HTTP %d %s; ask again later.",
-	    a->http.code, what);
+	    a->http.code, detail);
 }
 
 /* No answer came; the message of the HTTP client is kept. */
 static enum status
-broken_read(void)
+read_without_answer(void)
 {
-	char *why = g_strdup(status_message());
+	char *reason = g_strdup(status_message());
 
 	(void)status_set(
-	    STATUS_UNAVAILABLE, "The platform gave no answer. %s", why);
-	g_free(why);
+	    STATUS_UNAVAILABLE, "The platform gave no answer. %s", reason);
+	g_free(reason);
 	return STATUS_UNAVAILABLE;
 }
 
 static enum status
-broken_write(const struct answer *a)
+write_without_answer(const struct answer *a)
 {
 	enum status st = a->http.sent ? STATUS_UNKNOWN : STATUS_UNAVAILABLE;
-	char *why = g_strdup(status_message());
+	char *reason = g_strdup(status_message());
 
 	if (a->http.sent)
 		(void)status_set(st,
 		    "Whether a write took effect is not known; read it "
 		    "back. %s",
-		    why);
+		    reason);
 	else
-		(void)status_set(st, "Nothing was written. %s", why);
-	g_free(why);
+		(void)status_set(st, "Nothing was written. %s", reason);
+	g_free(reason);
 	return st;
 }
 
 static enum status
-unclear_write(const struct answer *a)
+write_unknown(const struct answer *a)
 {
 	return status_set(STATUS_UNKNOWN,
 	    "Whether a write took effect is not known (HTTP %d); read it "
@@ -119,10 +119,10 @@
 }
 
 static enum status
-refused_write(enum status st, const char *why)
+write_rejected(enum status st, const char *reason)
 {
 	return status_set(
-	    st, "Nothing was written: the platform says %s.", why);
+	    st, "Nothing was written: the platform says %s.", reason);
 }
 
 enum status
@@ -132,12 +132,12 @@
 
 	*json = NULL;
 	if (a->http.status != STATUS_OK)
-		return broken_read();
+		return read_without_answer();
 	*json = answer_json(a);
 	if (*json == NULL)
-		return failed_read(a, "without a JSON object");
+		return read_failed(a, "without a JSON object");
 	if (a->http.code != CODE_OK)
-		st = failed_read(a, error_name(*json));
+		st = read_failed(a, error_name(*json));
 	if (st != STATUS_OK) {
 		json_decref(*json);
 		*json = NULL;
@@ -164,7 +164,7 @@
 
 /* The head row is always the first of a transaction, a version the second. */
 static enum store_conflict
-cancelled_by(const json_t *reasons)
+conflict_of(const json_t *reasons)
 {
 	if (is_failed_condition(reason_at(reasons, 0)))
 		return STORE_CONFLICT_HEAD;
@@ -174,7 +174,7 @@
 }
 
 static enum status
-cancelled_otherwise(const json_t *reasons)
+cancelled_status(const json_t *reasons)
 {
 	const char *reason;
 	size_t i, k;
@@ -183,61 +183,61 @@
 		reason = reason_at(reasons, i);
 		for (k = 0; k < G_N_ELEMENTS(cancel_reasons); k++)
 			if (strcmp(reason, cancel_reasons[k].name) == 0)
-				return refused_write(
+				return write_rejected(
 				    cancel_reasons[k].status, reason);
 	}
-	return refused_write(
+	return write_rejected(
 	    STATUS_UNAVAILABLE, "that the transaction was cancelled");
 }
 
 static enum status
-cancelled_write(const json_t *json, enum store_conflict *which)
+transaction_cancelled(const json_t *json, enum store_conflict *conflict)
 {
 	const json_t *reasons = json_object_get(json, "CancellationReasons");
 
-	*which = cancelled_by(reasons);
-	if (*which == STORE_CONFLICT_HEAD)
+	*conflict = conflict_of(reasons);
+	if (*conflict == STORE_CONFLICT_HEAD)
 		return status_set(STATUS_CONFLICT,
 		    "Somebody else changed the head row first; read it again "
 		    "and decide anew.");
-	if (*which == STORE_CONFLICT_VERSION)
+	if (*conflict == STORE_CONFLICT_VERSION)
 		return status_set(STATUS_CONFLICT,
 		    "The version exists already; read the head row again and "
 		    "decide anew.");
-	return cancelled_otherwise(reasons);
+	return cancelled_status(reasons);
 }
 
 static enum status
-table_refusal(
-    const struct answer *a, const json_t *json, enum store_conflict *which)
+table_write_error(
+    const struct answer *a, const json_t *json, enum store_conflict *conflict)
 {
 	const char *name = error_name(json);
 	size_t i;
 
 	if (strcmp(name, "TransactionCanceledException") == 0)
-		return cancelled_write(json, which);
+		return transaction_cancelled(json, conflict);
 	for (i = 0; i < G_N_ELEMENTS(table_errors); i++)
 		if (strcmp(name, table_errors[i].name) == 0)
-			return refused_write(table_errors[i].status, name);
-	return unclear_write(a);
+			return write_rejected(table_errors[i].status, name);
+	return write_unknown(a);
 }
 
 enum status
-answer_to_write(const struct answer *a, enum store_conflict *which)
+answer_to_write(const struct answer *a, enum store_conflict *conflict)
 {
 	enum status st;
 	json_t *json;
 
-	*which = STORE_CONFLICT_NONE;
+	*conflict = STORE_CONFLICT_NONE;
 	if (a->http.status != STATUS_OK)
-		return broken_write(a);
+		return write_without_answer(a);
 	json = answer_json(a);
 	if (json != NULL && a->http.code == CODE_OK)
 		st = STATUS_OK;
 	else if (json != NULL && a->http.code == CODE_BAD_REQUEST)
-		st = table_refusal(a, json, which);
+		st = table_write_error(a, json, conflict);
 	else
-		st = unclear_write(a);
+		st = write_unknown(a);
 	json_decref(json);
 	return st;
 }
@@ -259,21 +259,21 @@
 answer_to_get(const struct answer *a)
 {
 	if (a->http.status != STATUS_OK)
-		return broken_read();
+		return read_without_answer();
 	if (a->http.code == CODE_OK && a->http.delimited)
 		return STATUS_OK;
 	if (a->http.code == CODE_NOT_FOUND && has_error_code(a, "NoSuchKey"))
 		return status_set(STATUS_NOT_FOUND,
 		    "The object does not exist; the version that names it "
 		    "was not written whole.");
-	return failed_read(a, "for an object");
+	return read_failed(a, "for an object");
 }
 
 enum status
 answer_to_put(const struct answer *a)
 {
 	if (a->http.status != STATUS_OK)
-		return broken_write(a);
+		return write_without_answer(a);
 	switch (a->http.code) {
 	case CODE_OK:
 	case CODE_CREATED:
@@ -281,25 +281,25 @@
 	case CODE_PRECONDITION:
 		return STATUS_OK;
 	case CODE_CONFLICT:
-		return refused_write(
+		return write_rejected(
 		    STATUS_UNAVAILABLE, "that another write is under way");
 	case CODE_SERVICE_UNAVAILABLE:
 		if (has_error_code(a, "SlowDown") ||
 		    has_error_code(a, "ServiceUnavailable"))
-			return refused_write(
+			return write_rejected(
 			    STATUS_UNAVAILABLE, "to come back later");
-		return unclear_write(a);
+		return write_unknown(a);
 	case CODE_TOO_LARGE:
-		return refused_write(
+		return write_rejected(
 		    STATUS_TOO_LARGE, "that the object is too large");
 	case CODE_BAD_REQUEST:
 	case CODE_FORBIDDEN:
 	case CODE_NOT_FOUND:
 	case CODE_METHOD:
 	case CODE_NOT_IMPLEMENTED:
-		return refused_write(
+		return write_rejected(
 		    STATUS_INVALID, "that the request is wrong");
 	default:
-		return unclear_write(a);
+		return write_unknown(a);
 	}
 }
--- a/packages/store/src/answer.h
+++ b/packages/store/src/answer.h
@@ -38,11 +38,12 @@
 /**
  * answer_to_write() - meaning of an answer to a transaction
  * @a: the answer
- * @which: which condition failed when it is STATUS_CONFLICT
+ * @conflict: which condition failed when it is STATUS_CONFLICT
  *
  * Return: a status of a write; see store/store.h.
  */
-enum status answer_to_write(const struct answer *a, enum store_conflict *which);
+enum status
+answer_to_write(const struct answer *a, enum store_conflict *conflict);
 
 /** answer_to_get() - meaning of an answer to a read of an object */
 enum status answer_to_get(const struct answer *a);
--- a/packages/store/src/http_store.c
+++ b/packages/store/src/http_store.c
@@ -11,7 +11,7 @@
 #define STORE_TABLE "bramley"
 
 static enum status
-row_is_garbled(const char *row)
+row_malformed(const char *row)
 {
 	return status_set(STATUS_UNAVAILABLE,
 	    "The %s row is not as this program writes it; restore the row.",
@@ -29,7 +29,7 @@
 		return status_set(STATUS_NOT_FOUND,
 		    "There is no head row; sign off a first version.");
 	if (!item_to_head(item, head))
-		return row_is_garbled("head");
+		return row_malformed("head");
 	return STATUS_OK;
 }
 
@@ -101,7 +101,7 @@
 	*upto = call->to;
 	for (i = 0; i < json_array_size(keys); i++) {
 		if (!item_to_version_number(json_array_get(keys, i), &version))
-			return row_is_garbled("list of unprocessed");
+			return row_malformed("list of unprocessed");
 		if (version <= call->from)
 			return status_set(STATUS_UNAVAILABLE,
 			    "The platform read none of the rows; ask again "
@@ -120,10 +120,10 @@
 	size_t i;
 
 	if (!json_is_array(items))
-		return row_is_garbled("list of version");
+		return row_malformed("list of version");
 	for (i = 0; i < json_array_size(items); i++) {
 		if (!item_to_version(json_array_get(items, i), &v))
-			return row_is_garbled("version");
+			return row_malformed("version");
 		if (v.version < call->from || v.version > upto)
 			item_version_clear(&v);
 		else
@@ -133,7 +133,7 @@
 	for (i = 1; i < rows->len; i++)
 		if (g_array_index(rows, struct store_version, i).version ==
 		    g_array_index(rows, struct store_version, i - 1).version)
-			return row_is_garbled("list of version");
+			return row_malformed("list of version");
 	return STATUS_OK;
 }
 
@@ -190,17 +190,17 @@
 static enum status
 end_transact(struct store_call *call, const struct answer *a)
 {
-	enum store_conflict which = STORE_CONFLICT_NONE;
+	enum store_conflict conflict = STORE_CONFLICT_NONE;
 	enum status st;
 
-	if (call->refused != STATUS_OK)
-		st = status_set(call->refused,
+	if (call->rejected != STATUS_OK)
+		st = status_set(call->rejected,
 		    "Rows can't be written; a version's list of changes must "
 		    "be under %u bytes and texts must be UTF-8.",
 		    STORE_CHANGES_MAX_BYTES);
 	else
-		st = answer_to_write(a, &which);
-	call->fn.write(st, which, call->arg);
+		st = answer_to_write(a, &conflict);
+	call->fn.write(st, conflict, call->arg);
 	return st;
 }
 
@@ -224,7 +224,7 @@
 }
 
 static json_t *
-put_absent(json_t *item)
+put_if_absent(json_t *item)
 {
 	return json_pack("{s:{s:s,s:o,s:s}}", "Put", "TableName", STORE_TABLE,
 	    "Item", item, "ConditionExpression",
@@ -232,7 +232,7 @@
 }
 
 static json_t *
-put_after(json_t *item, uint64_t expected_seq)
+put_if_seq(json_t *item, uint64_t expected_seq)
 {
 	return json_pack("{s:{s:s,s:o,s:s,s:{s:s},s:{s:o}}}", "Put",
 	    "TableName", STORE_TABLE, "Item", item, "ConditionExpression",
@@ -247,11 +247,11 @@
 	json_t *puts = json_array();
 
 	(void)json_array_append_new(puts,
-	    w->expected_seq == 0 ? put_absent(head)
-				 : put_after(head, w->expected_seq));
+	    w->expected_seq == 0 ? put_if_absent(head)
+				 : put_if_seq(head, w->expected_seq));
 	if (w->version != NULL)
 		(void)json_array_append_new(
-		    puts, put_absent(item_from_version(w->version)));
+		    puts, put_if_absent(item_from_version(w->version)));
 	return puts;
 }
 
@@ -264,9 +264,9 @@
 	json_t *puts;
 
 	call->fn.write = fn;
-	call->refused = write_check(w);
-	if (call->refused != STATUS_OK) {
-		store_call_refuse(call, call->refused);
+	call->rejected = write_check(w);
+	if (call->rejected != STATUS_OK) {
+		store_call_reject(call, call->rejected);
 		return;
 	}
 	puts = transact_items(w);
@@ -307,8 +307,8 @@
 {
 	enum status st;
 
-	if (call->refused != STATUS_OK)
-		st = status_set(call->refused,
+	if (call->rejected != STATUS_OK)
+		st = status_set(call->rejected,
 		    "An object is above %u bytes; make the section smaller.",
 		    STORE_OBJECT_MAX_BYTES);
 	else
@@ -326,7 +326,7 @@
 
 	call->fn.done = fn;
 	if (len > STORE_OBJECT_MAX_BYTES) {
-		store_call_refuse(call, STATUS_TOO_LARGE);
+		store_call_reject(call, STATUS_TOO_LARGE);
 		return;
 	}
 	(void)g_byte_array_append(call->request, data, (guint)len);
@@ -341,7 +341,7 @@
 	struct http_store *s = (struct http_store *)base;
 
 	while (s->calls.head != NULL)
-		store_call_drop(s->calls.head->data);
+		store_call_free(s->calls.head->data);
 	g_free(s->table_url);
 	g_free(s->object_url);
 	g_free(s);
--- a/packages/store/src/store_call.c
+++ b/packages/store/src/store_call.c
@@ -56,26 +56,26 @@
 static void
 call_count(const struct store_call *call, enum status st)
 {
-	uint64_t took_us = clock_now_us() - call->started_us;
+	uint64_t elapsed_us = clock_now_us() - call->started_us;
 	bool failed =
 	    st != STATUS_OK && st != STATUS_NOT_FOUND && st != STATUS_CONFLICT;
 
 	metric_observe_us(
-	    call->writes ? &store_write_time : &store_read_time, took_us);
+	    call->is_write ? &store_write_time : &store_read_time, elapsed_us);
 	if (failed)
-		metric_add(
-		    call->writes ? &store_write_failures : &store_read_failures,
+		metric_add(call->is_write ? &store_write_failures
+					  : &store_read_failures,
 		    1);
 	if (st == STATUS_UNKNOWN)
 		metric_add(&store_unknown, 1);
 }
 
 void
-store_call_drop(struct store_call *call)
+store_call_free(struct store_call *call)
 {
 	if (call->http != NULL)
 		(void)http_call_cancel(call->http);
-	loop_task_cancel(&call->refuse);
+	loop_task_cancel(&call->reject_task);
 	g_queue_unlink(&call->store->calls, &call->link);
 	g_byte_array_unref(call->request);
 	g_byte_array_unref(call->answer);
@@ -121,12 +121,12 @@
 	(void)http;
 	call->http = NULL;
 	call_count(call, call->end(call, &a));
-	store_call_drop(call);
+	store_call_free(call);
 }
 
 /* The operation was refused on this side: nothing was sent. */
 static void
-call_on_refused(void *arg)
+call_on_rejected(void *arg)
 {
 	struct http_result r = {STATUS_INVALID, 0, false, false};
 
@@ -140,30 +140,31 @@
 };
 
 struct store_call *
-store_call_new(struct store *base, store_end_fn *end, bool writes, void *arg)
+store_call_new(struct store *base, store_end_fn *end, bool is_write, void *arg)
 {
 	struct store_call *call = g_new0(struct store_call, 1);
 
 	call->store = (struct http_store *)base;
 	call->end = end;
-	call->writes = writes;
+	call->is_write = is_write;
 	call->arg = arg;
 	call->answer_max_bytes =
-	    writes ? STORE_ERROR_MAX_BYTES : STORE_ANSWER_MAX_BYTES;
+	    is_write ? STORE_ERROR_MAX_BYTES : STORE_ANSWER_MAX_BYTES;
 	call->started_us = clock_now_us();
 	call->request = g_byte_array_new();
 	call->answer = g_byte_array_new();
 	call->link.data = call;
-	loop_task_init(&call->refuse, call->store->loop, call_on_refused, call);
+	loop_task_init(
+	    &call->reject_task, call->store->loop, call_on_rejected, call);
 	g_queue_push_tail_link(&call->store->calls, &call->link);
 	return call;
 }
 
 void
-store_call_refuse(struct store_call *call, enum status st)
+store_call_reject(struct store_call *call, enum status st)
 {
-	call->refused = st;
-	loop_task_defer(&call->refuse);
+	call->rejected = st;
+	loop_task_defer(&call->reject_task);
 }
 
 static void
@@ -174,7 +175,7 @@
 	    .url = url,
 	    .headers = headers,
 	    .n_headers = n,
-	    .once = call->writes,
+	    .once = call->is_write,
 	    .deadline_ms = deadline_ms};
 
 	if (call->request->len > 0) {
@@ -188,7 +189,7 @@
 static void
 call_count_rows(const struct store_call *call, uint32_t rows)
 {
-	metric_add(call->writes ? &store_writes : &store_reads, rows);
+	metric_add(call->is_write ? &store_writes : &store_reads, rows);
 }
 
 void
@@ -218,7 +219,7 @@
 	struct http_header headers[] = {
 	    {"Content-Type", "application/octet-stream"},
 	    {"If-None-Match", "*"}};
-	uint32_t n = call->writes ? G_N_ELEMENTS(headers) : 0;
+	uint32_t n = call->is_write ? G_N_ELEMENTS(headers) : 0;
 	char *path = g_uri_escape_string(key, "/", FALSE);
 	char *url = g_strdup_printf(
 	    "%s/" STORE_BUCKET "/%s", call->store->object_url, path);
--- a/packages/store/src/store_call.h
+++ b/packages/store/src/store_call.h
@@ -36,7 +36,7 @@
 	struct http_store *store;
 	GList link;
 	struct http_call *http;
-	struct loop_task refuse;
+	struct loop_task reject_task;
 	store_end_fn *end;
 	union {
 		store_head_fn *head;
@@ -46,10 +46,10 @@
 		store_done_fn *done;
 	} fn;
 	void *arg;
-	bool writes;
+	bool is_write;
 	bool too_large;
 	int code;
-	enum status refused;
+	enum status rejected;
 	uint64_t from;
 	uint64_t to;
 	uint64_t started_us;
@@ -65,17 +65,17 @@
  * store_call_new() - begin an operation
  * @base: the store
  * @end: called with the answer
- * @writes: whether it writes
+ * @is_write: whether it writes
  * @arg: argument of the caller's function
  */
 struct store_call *
-store_call_new(struct store *base, store_end_fn *end, bool writes, void *arg);
+store_call_new(struct store *base, store_end_fn *end, bool is_write, void *arg);
 
-/** store_call_drop() - forget an operation and what it waits for */
-void store_call_drop(struct store_call *call);
+/** store_call_free() - forget an operation and what it waits for */
+void store_call_free(struct store_call *call);
 
-/** store_call_refuse() - end an operation without sending anything */
-void store_call_refuse(struct store_call *call, enum status st);
+/** store_call_reject() - end an operation without sending anything */
+void store_call_reject(struct store_call *call, enum status st);
 
 /**
  * store_call_table() - send a request to the table service
--- a/packages/store/test/fake_platform.c
+++ b/packages/store/test/fake_platform.c
@@ -18,19 +18,19 @@
 struct http_client *client;
 struct store *store;
 
-int told;
-enum status told_status;
-enum store_conflict told_which;
-struct store_head told_head;
-struct store_version told_rows[STORE_VERSIONS_MAX];
-uint32_t told_n;
-uint64_t told_upto;
-GByteArray *told_bytes;
+int n_callbacks;
+enum status result_status;
+enum store_conflict result_conflict;
+struct store_head result_head;
+struct store_version result_rows[STORE_VERSIONS_MAX];
+uint32_t result_n_rows;
+uint64_t result_upto;
+GByteArray *result_bytes;
 
 /* The fake platform */
 
 static void
-note_header(const char *head, const char *name)
+record_header(const char *head, const char *name)
 {
 	const char *end, *p = strstr(head, name);
 
@@ -42,14 +42,14 @@
 }
 
 static void
-note_request(const struct fake_request *r)
+record_request(const struct fake_request *r)
 {
 	const char *version = strstr(r->head, " HTTP/");
 
 	g_string_truncate(seen_request, 0);
 	g_string_append_len(seen_request, r->head, version - r->head);
-	note_header(r->head, "X-Amz-Target:");
-	note_header(r->head, "If-None-Match:");
+	record_header(r->head, "X-Amz-Target:");
+	record_header(r->head, "If-None-Match:");
 	g_string_truncate(seen_body, 0);
 	g_string_append_len(seen_body, r->body, (gssize)r->body_bytes);
 	seen_count++;
@@ -68,11 +68,11 @@
 }
 
 static bool
-script(const struct fake_request *r, GString *out)
+answer_request(const struct fake_request *r, GString *out)
 {
 	char *big = reply.mode == MODE_BIG ? g_strnfill(BIG_BYTES, 'x') : NULL;
 
-	note_request(r);
+	record_request(r);
 	if (reply.mode != MODE_DROP && reply.mode != MODE_HANG)
 		write_answer(out, big != NULL ? big : reply.body);
 	g_free(big);
@@ -95,9 +95,9 @@
 
 	seen_request = g_string_new(NULL);
 	seen_body = g_string_new(NULL);
-	told_bytes = g_byte_array_new();
+	result_bytes = g_byte_array_new();
 	loop = loop_new();
-	fake = fake_new(loop, script);
+	fake = fake_new(loop, answer_request);
 	client = http_client_new(loop, NULL);
 	url = g_strdup_printf("http://127.0.0.1:%u", fake_addr(fake).port);
 	store = http_store_new(client, loop, url, url);
@@ -113,26 +113,26 @@
 	loop_free(loop);
 	g_string_free(seen_request, TRUE);
 	g_string_free(seen_body, TRUE);
-	g_byte_array_unref(told_bytes);
+	g_byte_array_unref(result_bytes);
 }
 
 /* The caller */
 
 static void
-tell(enum status st)
+record_result(enum status st)
 {
-	told++;
-	told_status = st;
+	n_callbacks++;
+	result_status = st;
 }
 
 void
 caller_on_head(enum status st, const struct store_head *head, void *arg)
 {
-	ck_assert_ptr_eq(arg, &told);
+	ck_assert_ptr_eq(arg, &n_callbacks);
 	ck_assert((st == STATUS_OK) == (head != NULL));
 	if (head != NULL)
-		told_head = *head;
-	tell(st);
+		result_head = *head;
+	record_result(st);
 }
 
 static void
@@ -141,59 +141,60 @@
 {
 	uint32_t i;
 
-	ck_assert_ptr_eq(arg, &told);
-	told_n = n;
-	told_upto = upto;
+	ck_assert_ptr_eq(arg, &n_callbacks);
+	result_n_rows = n;
+	result_upto = upto;
 	for (i = 0; i < n; i++) {
-		told_rows[i] = rows[i];
+		result_rows[i] = rows[i];
 		(void)g_byte_array_append(
-		    told_bytes, rows[i].changes, rows[i].changes_bytes);
+		    result_bytes, rows[i].changes, rows[i].changes_bytes);
 	}
-	tell(st);
+	record_result(st);
 }
 
 static void
-on_write(enum status st, enum store_conflict which, void *arg)
+on_write(enum status st, enum store_conflict conflict, void *arg)
 {
-	ck_assert_ptr_eq(arg, &told);
-	told_which = which;
-	tell(st);
+	ck_assert_ptr_eq(arg, &n_callbacks);
+	result_conflict = conflict;
+	record_result(st);
 }
 
 static void
 on_object(enum status st, const uint8_t *data, size_t len, void *arg)
 {
-	ck_assert_ptr_eq(arg, &told);
-	(void)g_byte_array_append(told_bytes, data, (guint)len);
-	tell(st);
+	ck_assert_ptr_eq(arg, &n_callbacks);
+	(void)g_byte_array_append(result_bytes, data, (guint)len);
+	record_result(st);
 }
 
 void
 caller_on_put(enum status st, void *arg)
 {
-	ck_assert_ptr_eq(arg, &told);
-	tell(st);
+	ck_assert_ptr_eq(arg, &n_callbacks);
+	record_result(st);
 }
 
 void
 caller_await(void)
 {
-	ck_assert_int_eq(told, 0);
-	RUN_UNTIL(loop, told > 0);
-	ck_assert_int_eq(told, 1);
-	told = 0;
+	ck_assert_int_eq(n_callbacks, 0);
+	RUN_UNTIL(loop, n_callbacks > 0);
+	ck_assert_int_eq(n_callbacks, 1);
+	n_callbacks = 0;
 }
 
 uint64_t
 caller_deadline(void)
 {
-	return clock_now_ms() + (reply.mode == MODE_HANG ? SHORT_MS : WAIT_MS);
+	return clock_now_ms() +
+	    (reply.mode == MODE_HANG ? HANG_TIMEOUT_MS : WAIT_MS);
 }
 
 void
 caller_read_head(void)
 {
-	store_read_head(store, caller_deadline(), caller_on_head, &told);
+	store_read_head(store, caller_deadline(), caller_on_head, &n_callbacks);
 	caller_await();
 }
 
@@ -201,12 +202,12 @@
 caller_read_versions(uint64_t from, uint64_t to)
 {
 	store_read_versions(
-	    store, from, to, caller_deadline(), on_versions, &told);
+	    store, from, to, caller_deadline(), on_versions, &n_callbacks);
 	caller_await();
 }
 
 struct store_head
-some_head(void)
+example_head(void)
 {
 	struct store_head h = {.seq = 8,
 	    .version = 18446744073709551615U,
@@ -220,7 +221,7 @@
 }
 
 struct store_version
-some_version(void)
+example_version(void)
 {
 	struct store_version v = {.version = 7,
 	    .parent = 6,
@@ -238,15 +239,15 @@
 void
 caller_transact(const struct store_write *w)
 {
-	store_transact(store, w, caller_deadline(), on_write, &told);
+	store_transact(store, w, caller_deadline(), on_write, &n_callbacks);
 	caller_await();
 }
 
 void
-caller_write_something(void)
+caller_write_example(void)
 {
-	struct store_head h = some_head();
-	struct store_version v = some_version();
+	struct store_head h = example_head();
+	struct store_version v = example_version();
 	struct store_write w = {7, &h, &v};
 
 	caller_transact(&w);
@@ -256,7 +257,7 @@
 caller_put_object(void)
 {
 	store_put_object_once(store, "section/ab", (const uint8_t *)"xyz", 3,
-	    caller_deadline(), caller_on_put, &told);
+	    caller_deadline(), caller_on_put, &n_callbacks);
 	caller_await();
 }
 
@@ -264,6 +265,6 @@
 caller_get_object(size_t max_bytes)
 {
 	store_get_object(store, "section/ab", max_bytes, caller_deadline(),
-	    on_object, &told);
+	    on_object, &n_callbacks);
 	caller_await();
 }
--- a/packages/store/test/fake_platform.h
+++ b/packages/store/test/fake_platform.h
@@ -11,7 +11,7 @@
 #include "store/http_store.h"
 #include "support.h"
 
-#define SHORT_MS 150
+#define HANG_TIMEOUT_MS 150
 
 /**
  * enum mode - what the platform does with a request
@@ -55,14 +55,14 @@
 extern struct store *store;
 
 /* What the caller was told by the last operation. */
-extern int told;
-extern enum status told_status;
-extern enum store_conflict told_which;
-extern struct store_head told_head;
-extern struct store_version told_rows[STORE_VERSIONS_MAX];
-extern uint32_t told_n;
-extern uint64_t told_upto;
-extern GByteArray *told_bytes;
+extern int n_callbacks;
+extern enum status result_status;
+extern enum store_conflict result_conflict;
+extern struct store_head result_head;
+extern struct store_version result_rows[STORE_VERSIONS_MAX];
+extern uint32_t result_n_rows;
+extern uint64_t result_upto;
+extern GByteArray *result_bytes;
 
 /** platform_setup() - a loop, a platform and a store that speaks to it */
 void platform_setup(void);
@@ -94,8 +94,8 @@
 /** caller_transact() - write rows and wait */
 void caller_transact(const struct store_write *w);
 
-/** caller_write_something() - write a head and a version row and wait */
-void caller_write_something(void);
+/** caller_write_example() - write a head and a version row and wait */
+void caller_write_example(void);
 
 /** caller_put_object() - write the object "section/ab" and wait */
 void caller_put_object(void);
@@ -103,10 +103,10 @@
 /** caller_get_object() - read it and wait */
 void caller_get_object(size_t max_bytes);
 
-/** some_head() - a head row with something in every field; seq 8 */
-struct store_head some_head(void);
+/** example_head() - a head row with something in every field; seq 8 */
+struct store_head example_head(void);
 
-/** some_version() - a version row with something in every field */
-struct store_version some_version(void);
+/** example_version() - a version row with something in every field */
+struct store_version example_version(void);
 
 #endif
--- a/packages/store/test/test_store_faults.c
+++ b/packages/store/test/test_store_faults.c
@@ -16,7 +16,7 @@
 static const struct {
 	struct reply reply;
 	enum status status;
-	enum store_conflict which;
+	enum store_conflict conflict;
 } write_replies[] = {
     {{MODE_ANSWER, 200, "{}"}, STATUS_OK, STORE_CONFLICT_NONE},
     {{MODE_ANSWER, 400, REASONS("ConditionalCheckFailed", "None")},
@@ -64,7 +64,7 @@
 }
 
 static void
-arrange(const struct reply *r)
+apply_reply(const struct reply *r)
 {
 	set_reply(r->mode, r->code, r->body);
 	if (r->mode == MODE_DOWN)
@@ -77,10 +77,10 @@
 	set_reply(MODE_ANSWER, 200, "{}");
 	caller_read_head();
 	seen_count = 0;
-	arrange(&write_replies[_i].reply);
-	caller_write_something();
-	ck_assert_int_eq(told_status, write_replies[_i].status);
-	ck_assert_int_eq(told_which, write_replies[_i].which);
+	apply_reply(&write_replies[_i].reply);
+	caller_write_example();
+	ck_assert_int_eq(result_status, write_replies[_i].status);
+	ck_assert_int_eq(result_conflict, write_replies[_i].conflict);
 	ck_assert_int_eq(seen_count, write_replies[_i].reply.mode != MODE_DOWN);
 }
 END_TEST
@@ -106,11 +106,11 @@
     {{MODE_DOWN, 0, ""}, STATUS_UNAVAILABLE},
 };
 
-START_TEST(failed_read_of_the_head_is_told)
+START_TEST(failed_read_of_the_head_is_reported)
 {
-	arrange(&head_replies[_i].reply);
+	apply_reply(&head_replies[_i].reply);
 	caller_read_head();
-	ck_assert_int_eq(told_status, head_replies[_i].status);
+	ck_assert_int_eq(result_status, head_replies[_i].status);
 }
 END_TEST
 
@@ -143,20 +143,20 @@
     {{MODE_DOWN, 0, ""}, STATUS_UNAVAILABLE, STATUS_UNAVAILABLE},
 };
 
-START_TEST(outcome_of_an_object_is_told)
+START_TEST(outcome_of_an_object_is_reported)
 {
-	arrange(&object_replies[_i].reply);
+	apply_reply(&object_replies[_i].reply);
 	caller_put_object();
-	ck_assert_int_eq(told_status, object_replies[_i].put);
+	ck_assert_int_eq(result_status, object_replies[_i].put);
 	if (object_replies[_i].reply.mode != MODE_DOWN) {
 		ck_assert_str_eq(
 		    seen_request->str, "PUT /bramley/section/ab *");
 		ck_assert_str_eq(seen_body->str, "xyz");
 	}
 	caller_get_object(1U << 20);
-	ck_assert_int_eq(told_status, object_replies[_i].get);
+	ck_assert_int_eq(result_status, object_replies[_i].get);
 	ck_assert_uint_eq(
-	    told_bytes->len, object_replies[_i].get == STATUS_OK ? 3 : 0);
+	    result_bytes->len, object_replies[_i].get == STATUS_OK ? 3 : 0);
 }
 END_TEST
 
@@ -164,58 +164,58 @@
 {
 	set_reply(MODE_ANSWER, 200, "xyz");
 	caller_get_object(2);
-	ck_assert_int_eq(told_status, STATUS_TOO_LARGE);
+	ck_assert_int_eq(result_status, STATUS_TOO_LARGE);
 	caller_get_object(3);
-	ck_assert_int_eq(told_status, STATUS_OK);
+	ck_assert_int_eq(result_status, STATUS_OK);
 	/* The limit is for the object, not for what is said of it. */
 	set_reply(MODE_ANSWER, 404, S3_ERROR("NoSuchKey"));
 	caller_get_object(3);
-	ck_assert_int_eq(told_status, STATUS_NOT_FOUND);
+	ck_assert_int_eq(result_status, STATUS_NOT_FOUND);
 	set_reply(MODE_BIG, 500, "");
 	caller_get_object(3);
-	ck_assert_int_eq(told_status, STATUS_UNAVAILABLE);
+	ck_assert_int_eq(result_status, STATUS_UNAVAILABLE);
 }
 END_TEST
 
-START_TEST(what_can_not_be_written_is_not_sent)
+START_TEST(invalid_writes_are_not_sent)
 {
 	uint8_t *data = g_malloc0(STORE_OBJECT_MAX_BYTES + 1);
-	struct store_head h = some_head();
-	struct store_version v = some_version();
+	struct store_head h = example_head();
+	struct store_version v = example_version();
 	struct store_write w = {7, &h, &v};
 
 	v.changes = data;
 	v.changes_bytes = STORE_CHANGES_MAX_BYTES + 1;
 	caller_transact(&w);
-	ck_assert_int_eq(told_status, STATUS_TOO_LARGE);
-	v = some_version();
+	ck_assert_int_eq(result_status, STATUS_TOO_LARGE);
+	v = example_version();
 	v.note[0] = '\xff';
 	caller_transact(&w);
-	ck_assert_int_eq(told_status, STATUS_INVALID);
+	ck_assert_int_eq(result_status, STATUS_INVALID);
 	w.version = NULL;
 	w.expected_seq = 8;
 	caller_transact(&w);
-	ck_assert_int_eq(told_status, STATUS_INVALID);
+	ck_assert_int_eq(result_status, STATUS_INVALID);
 	store_put_object_once(store, "k", data, STORE_OBJECT_MAX_BYTES + 1,
-	    caller_deadline(), caller_on_put, &told);
+	    caller_deadline(), caller_on_put, &n_callbacks);
 	caller_await();
-	ck_assert_int_eq(told_status, STATUS_TOO_LARGE);
+	ck_assert_int_eq(result_status, STATUS_TOO_LARGE);
 	ck_assert_int_eq(seen_count, 0);
 	g_free(data);
 }
 END_TEST
 
-START_TEST(freed_store_calls_nobody)
+START_TEST(freed_store_calls_no_callback)
 {
 	set_reply(MODE_HANG, 200, "{}");
-	store_read_head(store, caller_deadline(), caller_on_head, &told);
+	store_read_head(store, caller_deadline(), caller_on_head, &n_callbacks);
 	store_put_object_once(store, "k", (const uint8_t *)"x", 1,
-	    caller_deadline(), caller_on_put, &told);
+	    caller_deadline(), caller_on_put, &n_callbacks);
 	loop_run_once(loop, 0);
 	store_free(store);
 	store = NULL;
-	loop_run_once(loop, clock_now_ms() + SHORT_MS);
-	ck_assert_int_eq(told, 0);
+	loop_run_once(loop, clock_now_ms() + HANG_TIMEOUT_MS);
+	ck_assert_int_eq(n_callbacks, 0);
 }
 END_TEST
 
@@ -224,7 +224,7 @@
 	GString *out = g_string_new(NULL);
 
 	set_reply(MODE_DROP, 0, "");
-	caller_write_something();
+	caller_write_example();
 	caller_read_versions(1, 3);
 	metrics_render(out);
 	ck_assert_ptr_nonnull(
@@ -249,13 +249,13 @@
 	tcase_add_checked_fixture(tc, platform_setup, platform_teardown);
 	tcase_add_loop_test(tc, outcome_of_a_write_is_never_guessed, 0,
 	    G_N_ELEMENTS(write_replies));
-	tcase_add_loop_test(
-	    tc, failed_read_of_the_head_is_told, 0, G_N_ELEMENTS(head_replies));
-	tcase_add_loop_test(
-	    tc, outcome_of_an_object_is_told, 0, G_N_ELEMENTS(object_replies));
+	tcase_add_loop_test(tc, failed_read_of_the_head_is_reported, 0,
+	    G_N_ELEMENTS(head_replies));
+	tcase_add_loop_test(tc, outcome_of_an_object_is_reported, 0,
+	    G_N_ELEMENTS(object_replies));
 	tcase_add_test(tc, object_above_the_readers_limit_is_refused);
-	tcase_add_test(tc, what_can_not_be_written_is_not_sent);
-	tcase_add_test(tc, freed_store_calls_nobody);
+	tcase_add_test(tc, invalid_writes_are_not_sent);
+	tcase_add_test(tc, freed_store_calls_no_callback);
 	tcase_add_test(tc, operations_are_counted);
 	return support_run("store_faults", tc);
 }
