--- a/packages/store/include/store/feed.h
+++ b/packages/store/include/store/feed.h
@@ -1,7 +1,7 @@
 /*
- * Feed: where accepted configurations come from when operators write them to
- * the platform themselves, and the directory by which nodes find one another
- * there.  Both are vtables that an adapter fills.
+ * Feed: source of accepted configurations if operators write them to the
+ * platform themselves; and directory: the addresses of nodes on the platform,
+ * by which nodes find one another. Both are vtables that an adapter implements.
  */
 #ifndef STORE_FEED_H
 #define STORE_FEED_H
@@ -15,16 +15,16 @@
 
 struct bundle_build;
 
-/** FEED_TEXT_BYTES - room for a service or version in an order */
+/** FEED_TEXT_BYTES - size of a service or version in an order */
 #define FEED_TEXT_BYTES 64
 
 /**
  * struct feed_order - an order to move a service to another version
  * @service: the service, as the order's key names it
- * @to: the version; empty when it is not named
+ * @to: the version; empty if none is named
  * @number: number of the order; a later one of the service has a higher one
- * @duration_ms: time that the operators give it
- * @problem: why it can't be followed, NULL when it can
+ * @duration_ms: time that the operators allow for it
+ * @problem: why it can't be executed, NULL if it can
  */
 struct feed_order {
 	char service[FEED_TEXT_BYTES];
@@ -36,18 +36,19 @@
 
 /**
  * struct feed_answer - outcome of a read
- * @version: newest version, 0 when there is none
- * @build: its bundle, to be ended by bundle_build_end(); NULL when it is the
- *	one that the feed gave last
- * @row_bytes: bytes of it as the operators wrote it
- * @notes: what of it is run otherwise than it is written; NULL for nothing
- * @problem: why the newest version has no bundle, though it is not the one
- *	given last; NULL for none.  @version is 0 then if it can't be read
- * @row: whether the configuration was in the answer, given before or not
- * @body_ms: how long the answer was on its way, from its first part
- * @position: number of the last change that reads have given
- * @orders: orders in the answer, those that were given before perhaps among
- *	them
+ * @version: newest version, 0 if there is none
+ * @build: its bundle, to be ended by bundle_build_end(); NULL if the feed has
+ *	returned it before
+ * @row_bytes: size of the version as the operators wrote it
+ * @notes: parts of it that are executed differently from what is written; NULL
+ *	for none
+ * @problem: why the newest version has no bundle, though the feed has not
+ *	returned it before; NULL for no problem. @version is 0 then if it can't
+ *	be read
+ * @row: whether the answer contained the configuration, returned before or not
+ * @body_ms: transfer time of the answer, from its first part
+ * @position: number of the last change that reads have returned
+ * @orders: orders in the answer; some may have been returned before
  * @n_orders: number of @orders
  */
 struct feed_answer {
@@ -65,21 +66,22 @@
 
 /**
  * feed_fn - a read has ended
- * @st: STATUS_OK, also when the configuration can't be used;
- *	STATUS_TOO_LARGE when it is more than can be read; STATUS_OVERLOADED,
+ * @st: STATUS_OK, also if the configuration is unusable; STATUS_TOO_LARGE if
+ *	the answer exceeds the limit for reads; STATUS_OVERLOADED,
  *	STATUS_UNAVAILABLE or STATUS_TIMEOUT
  * @a: the answer, valid during the call; NULL unless STATUS_OK
- * @arg: the reader's
+ * @arg: argument given to the read
  */
 typedef void feed_fn(enum status st, const struct feed_answer *a, void *arg);
 
-/** feed_begun_fn - the answer to a read that waits has begun to come */
+/** feed_answer_started_fn - the first part of the answer to a long poll has
+ * arrived */
 typedef void feed_answer_started_fn(void *arg);
 
 /**
- * struct feed_refusal - what operators are told of a version
- * @version: the version that can't be used, 0 when its number can't be read
- * @in_force: the one that stays in force, 0 for none
+ * struct feed_refusal - report to operators on an unusable version
+ * @version: the unusable version, 0 if its number can't be read
+ * @in_force: the version that stays in force, 0 for none
  * @since_wall_ms: since when versions are refused, wall clock
  * @reason: why
  */
@@ -90,19 +92,19 @@
 	const char *reason;
 };
 
-/** feed_told_fn - operators were told, or not */
+/** feed_reported_fn - a report to operators was written, or failed */
 typedef void feed_reported_fn(enum status st, void *arg);
 
 struct feed;
 
 /**
- * struct feed_ops - a feed
- * @read: read the newest configuration; see feed_read()
- * @watch: whom to tell that an answer has begun; see feed_watch()
- * @probe: look beside a read that waits; see feed_probe()
- * @report: tell operators for a data centre what is refused, NULL for nothing
- *	any more; NULL where there is no way to
- * @free: free the feed; reads under way are dropped
+ * struct feed_ops - operations of a feed
+ * @read: see feed_read()
+ * @watch: see feed_watch()
+ * @probe: see feed_probe()
+ * @report: report to operators that a data centre refuses a version, NULL that
+ *	it no longer does; the member is NULL if the feed has no way to report
+ * @free: free the feed; reads in progress are dropped
  */
 struct feed_ops {
 	void (*read)(struct feed *f, uint64_t position, uint64_t wait_until_ms,
@@ -114,7 +116,7 @@
 	void (*free)(struct feed *f);
 };
 
-/** struct feed - the common part */
+/** struct feed - common part of all feeds */
 struct feed {
 	const struct feed_ops *ops;
 };
@@ -122,15 +124,15 @@
 /**
  * feed_read() - read the newest configuration
  * @f: the feed
- * @position: number of a change that others have given the content of, and all
- *	before it; 0 for none
- * @wait_until_ms: monotonic time until which the platform may wait for a
- *	change before it answers; 0 to be answered at once, in full
- * @fn: called once, never before this returns
+ * @position: number of a change whose content, and that of all changes before
+ *	it, came from other nodes; 0 for none
+ * @wait_until_ms: monotonic time until which the platform may wait for a change
+ *	before it answers (long poll); 0 for an immediate, complete answer
+ * @fn: called once, after this function has returned
  * @arg: given to @fn
  *
- * What changed since the last read, or since @position if that is later, is in
- * the answer.
+ * The answer contains the changes since the last read, or since @position if
+ * that is later.
  */
 static inline void
 feed_read(struct feed *f, uint64_t position, uint64_t wait_until_ms,
@@ -140,9 +142,9 @@
 }
 
 /**
- * feed_watch() - tell when answers begin
+ * feed_watch() - set a callback for the start of answers
  * @f: the feed
- * @fn: called for each answer to a read that waits, before it is whole
+ * @fn: called for each answer to a long poll, before it is complete
  * @arg: given to @fn
  */
 static inline void
@@ -152,15 +154,16 @@
 }
 
 /**
- * feed_probe() - look for changes beside a read that waits for one
+ * feed_probe() - look for changes while a long poll is waiting
  * @f: the feed
- * @skip_next: leave out what the next change alone brings; changes that the
- *	platform counts for others may make it come all the same
- * @fn: called once, never before this returns
+ * @skip_next: leave out the change with the next number; the next change of the
+ *	configuration is included all the same if it has a higher number, as
+ *	the platform numbers the changes of all rows together
+ * @fn: called once, after this function has returned
  * @arg: given to @fn
  *
- * It is answered at once, and in full if there is something.  An answer that
- * comes when a newer one has been given says the same as that one.
+ * The answer is immediate, and complete if there is a change. An answer that
+ * arrives after a newer one returns the same content as that one.
  */
 static inline void
 feed_probe(struct feed *f, bool skip_next, feed_fn *fn, void *arg)
@@ -168,16 +171,16 @@
 	f->ops->probe(f, skip_next, fn, arg);
 }
 
-/** DIRECTORY_SAMPLE_MAX - most nodes that one look-up gives */
+/** DIRECTORY_SAMPLE_MAX - highest number of nodes in the result of a look-up */
 #define DIRECTORY_SAMPLE_MAX 16
 
-/** DIRECTORY_PLACE_BYTES - room for the name of a place */
+/** DIRECTORY_PLACE_BYTES - size of the name of a place */
 #define DIRECTORY_PLACE_BYTES 48
 
 /**
  * struct directory_entry - an entry
- * @place: where in the directory; entries are in the byte order of their places
- * @node: peer address of the node that entered itself there
+ * @place: key of the entry; entries are in the byte order of their places
+ * @node: peer address that a node wrote there
  */
 struct directory_entry {
 	char place[DIRECTORY_PLACE_BYTES];
@@ -186,25 +189,25 @@
 
 /**
  * directory_fn - a look-up has ended
- * @st: STATUS_OK or why not
- * @entries: what was found, the own one perhaps among them
- * @n: their number
- * @arg: the asker's
+ * @st: STATUS_OK, or the error
+ * @entries: the entries found, perhaps with the own one
+ * @n: number of @entries
+ * @arg: argument given to the look-up
  */
 typedef void directory_fn(enum status st, const struct directory_entry *entries,
     uint32_t n, void *arg);
 
-/** directory_done_fn - an entry was written, or not */
+/** directory_done_fn - an entry was written, or the write failed */
 typedef void directory_done_fn(enum status st, void *arg);
 
 struct directory;
 
 /**
- * struct directory_ops - a directory
- * @enter: write the own address at a place, whoever is there
- * @sample: look some entries up, from a place on; where none follows, from the
+ * struct directory_ops - operations of a directory
+ * @enter: write the own address at a place, replacing the entry there
+ * @sample: look up some entries from a place on; if none follows, from the
  *	first one on
- * @free: free the directory; calls under way are dropped
+ * @free: free the directory; calls in progress are dropped
  */
 struct directory_ops {
 	void (*enter)(struct directory *d, const char *place,
@@ -214,7 +217,7 @@
 	void (*free)(struct directory *d);
 };
 
-/** struct directory - the common part */
+/** struct directory - common part of all directories */
 struct directory {
 	const struct directory_ops *ops;
 };
--- a/packages/store/include/store/http_store.h
+++ b/packages/store/include/store/http_store.h
@@ -1,5 +1,5 @@
 /*
- * A store that speaks to the platform: DynamoDB's JSON protocol for the table
+ * A store that accesses the platform: DynamoDB's JSON protocol for the table
  * and S3's REST protocol for objects, the subset in docs/PLATFORM.md.
  */
 #ifndef STORE_HTTP_STORE_H
@@ -9,8 +9,8 @@
 #include "store/store.h"
 
 /**
- * http_store_new() - make a store
- * @client: the HTTP client to use; stays the caller's and must outlive it
+ * http_store_new() - create a store
+ * @client: the HTTP client; owned by the caller, must outlive the store
  * @loop: the client's loop
  * @table_url: "http://host:port" of the table service; copied
  * @object_url: "http://host:port" of the object store; copied
--- a/packages/store/include/store/keep.h
+++ b/packages/store/include/store/keep.h
@@ -1,6 +1,6 @@
 /*
- * Keep: short texts under keys that outlive all nodes, at the platform.  A
- * vtable that an adapter fills.
+ * Keep: persistent key-value store for short texts on the platform, outside the
+ * nodes. A vtable that an adapter implements.
  */
 #ifndef STORE_KEEP_H
 #define STORE_KEEP_H
@@ -9,13 +9,13 @@
 
 #include "base/status.h"
 
-/** KEEP_ROWS_MAX - most rows that are read */
+/** KEEP_ROWS_MAX - highest number of rows that are read */
 #define KEEP_ROWS_MAX 256
 
 /**
  * struct keep_row - a row; both texts are borrowed
- * @key: its key
- * @value: its text
+ * @key: key
+ * @value: value
  */
 struct keep_row {
 	const char *key;
@@ -24,24 +24,24 @@
 
 /**
  * keep_rows_fn - a read has ended
- * @st: STATUS_OK or why not
+ * @st: STATUS_OK, or the error
  * @rows: the rows, valid during the call
- * @n: their number
- * @arg: the reader's
+ * @n: number of @rows
+ * @arg: argument given to the read
  */
 typedef void keep_rows_fn(
     enum status st, const struct keep_row *rows, uint32_t n, void *arg);
 
-/** keep_done_fn - a row was written or removed, or not */
+/** keep_done_fn - a row was written or removed, or the write failed */
 typedef void keep_done_fn(enum status st, void *arg);
 
 struct keep;
 
 /**
- * struct keep_ops - a keep
- * @read: read all rows; @fn is called once, never before this returns
- * @put: write a row, or remove it where @value is NULL; likewise
- * @free: free the keep; calls under way are dropped
+ * struct keep_ops - operations of a keep
+ * @read: read all rows; @fn is called once, after this has returned
+ * @put: write a row, or remove it if @value is NULL; @fn as with @read
+ * @free: free the keep; calls in progress are dropped
  */
 struct keep_ops {
 	void (*read)(struct keep *k, keep_rows_fn *fn, void *arg);
@@ -50,7 +50,7 @@
 	void (*free)(struct keep *k);
 };
 
-/** struct keep - the common part */
+/** struct keep - common part of all keeps */
 struct keep {
 	const struct keep_ops *ops;
 };
--- a/packages/store/include/store/store.h
+++ b/packages/store/include/store/store.h
@@ -1,28 +1,28 @@
 /*
- * What must last: the platform's table service and object store, behind a
+ * Persistent storage: the platform's table service and object store, behind a
  * vtable.
  *
- * Operations are asynchronous.  Each has a deadline and calls its function
- * once, in the loop's thread, never before the operation has returned.  When
- * a status isn't STATUS_OK, status_message() says more during the call.
+ * Operations are asynchronous. Each has a deadline and calls its function
+ * once, in the loop's thread, after the operation has returned. Unless the
+ * status is STATUS_OK, status_message() gives the details during the call.
  *
- * Nothing is retried here.  Statuses of reads:
+ * Nothing is retried here. Statuses of reads:
  *
  *	STATUS_OK		read
  *	STATUS_NOT_FOUND	the row or object does not exist
- *	STATUS_UNAVAILABLE	no usable answer: down, throttled, late, garbled
- *	STATUS_TOO_LARGE	more than the reader's limit
+ *	STATUS_UNAVAILABLE	no usable answer: down, throttled, late, invalid
+ *	STATUS_TOO_LARGE	above the reader's limit
  *
  * Statuses of writes:
  *
- *	STATUS_OK		in force
+ *	STATUS_OK		written
  *	STATUS_CONFLICT		a condition failed; nothing was written
  *	STATUS_UNAVAILABLE	certainly not written: the platform could not be
- *				reached or said that it refused
- *	STATUS_UNKNOWN		may or may not have taken effect; settle it by
- *				reading the row back for the operation id
+ *				reached or rejected the write
+ *	STATUS_UNKNOWN		may or may not have taken effect; read the row
+ *				back and compare the operation id
  *	STATUS_TOO_LARGE	above the platform's limit; nothing was written
- *	STATUS_INVALID		the platform calls the request wrong
+ *	STATUS_INVALID		the platform calls the request invalid
  */
 #ifndef STORE_STORE_H
 #define STORE_STORE_H
@@ -37,16 +37,16 @@
 #define STORE_OPERATOR_BYTES 64
 #define STORE_NOTE_BYTES 256
 
-/** STORE_VERSIONS_MAX - most versions read by one operation */
+/** STORE_VERSIONS_MAX - highest number of versions read by one operation */
 #define STORE_VERSIONS_MAX 100
-/** STORE_CHANGES_MAX_BYTES - most bytes of changes in a version row */
+/** STORE_CHANGES_MAX_BYTES - largest size of the changes in a version row */
 #define STORE_CHANGES_MAX_BYTES (256U * 1024U)
-/** STORE_OBJECT_MAX_BYTES - largest object */
+/** STORE_OBJECT_MAX_BYTES - largest size of an object */
 #define STORE_OBJECT_MAX_BYTES (16U * 1024U * 1024U)
-/** STORE_KEY_BYTES - longest key of an object, with the ending zero */
+/** STORE_KEY_BYTES - size of an object's key, terminating zero included */
 #define STORE_KEY_BYTES 128
 
-/** enum store_state - what is asked of the nodes */
+/** enum store_state - state of the newest version */
 enum store_state {
 	STORE_ROLLING = 0,
 	STORE_HALTED,
@@ -54,12 +54,12 @@
 
 /**
  * struct store_head - the head row
- * @seq: number of changes to this row; each write adds one
- * @version: highest version number given out
+ * @seq: number of writes of this row; each write adds one
+ * @version: newest version
  * @in_force: highest version that isn't halted
  * @parent: parent of @version
  * @state: rolling or halted
- * @root: root hash of @in_force, all zero when that is 0
+ * @root: root hash of @in_force, all zero if that is 0
  * @op: id of the operation that wrote the row
  */
 struct store_head {
@@ -73,14 +73,14 @@
 };
 
 /**
- * struct store_version - the row of one version; never changes once written
+ * struct store_version - the row of one version; immutable once written
  * @version: number
  * @parent: number of the version that it changes
  * @wall_ms: when it was signed off, wall clock
  * @root: root hash
  * @op: id of the operation that wrote the row
- * @operator_name: who signed it off
- * @note: why
+ * @operator_name: operator who signed it off
+ * @note: the operator's reason
  * @changes: encoded list of changed sections; borrowed
  * @changes_bytes: length of @changes
  */
@@ -97,8 +97,9 @@
 };
 
 /**
- * struct store_write - rows to be written together or not at all
- * @expected_seq: the head row's seq as last read; 0 when there must be none
+ * struct store_write - rows to write in one transaction
+ * @expected_seq: the head row's seq as last read; 0 if there must be no head
+ *	row
  * @head: new head row; its seq must be @expected_seq + 1
  * @version: new version row, which must not exist yet; NULL for none
  */
@@ -109,7 +110,7 @@
 };
 
 /**
- * enum store_conflict - which condition failed
+ * enum store_conflict - condition that failed
  * @STORE_CONFLICT_NONE: none
  * @STORE_CONFLICT_HEAD: the head row has changed
  * @STORE_CONFLICT_VERSION: the version row exists
@@ -126,17 +127,18 @@
 
 /**
  * store_versions_fn - version rows were read
- * @st: status; STATUS_OK also when some of the rows don't exist
- * @rows: rows that exist, in rising order; valid during the call only
+ * @st: status; STATUS_OK also if some of the rows don't exist
+ * @rows: existing rows, in ascending order; valid during the call only
  * @n: number of rows
- * @upto: the answer covers the versions asked for up to this one; lower than
- *	the last one asked for when the platform gave only a part
- * @arg: the caller's argument
+ * @upto: last version that the answer covers; lower than the last one requested
+ *	if the platform returned only a part
+ * @arg: argument given to the read
  */
 typedef void store_versions_fn(enum status st, const struct store_version *rows,
     uint32_t n, uint64_t upto, void *arg);
 
-/** store_write_fn - the write has ended; @conflict says what conflicted */
+/** store_write_fn - the write has ended; @conflict is the condition that failed
+ */
 typedef void
 store_write_fn(enum status st, enum store_conflict conflict, void *arg);
 
@@ -185,7 +187,7 @@
  * store_free() - free a store
  * @s: the store; NULL is allowed
  *
- * Functions of operations that have not ended are not called any more.
+ * The functions of operations in progress are not called any more.
  */
 static inline void
 store_free(struct store *s)
@@ -225,7 +227,7 @@
 }
 
 /**
- * store_transact() - write the head row, and a version row with it
+ * store_transact() - write the head row, and with it a version row, atomically
  * @s: the store
  * @w: the rows; copied
  * @deadline_ms: monotonic time by which @fn is called
@@ -243,7 +245,7 @@
  * store_get_object() - read an object
  * @s: the store
  * @key: key, for instance "section/<hexadecimal digest>"
- * @max_bytes: STATUS_TOO_LARGE above this
+ * @max_bytes: largest size; STATUS_TOO_LARGE above it
  * @deadline_ms: monotonic time by which @fn is called
  * @fn: called with the content, which is not checked against the key
  * @arg: given to @fn
@@ -256,9 +258,10 @@
 }
 
 /**
- * store_put_object_once() - write an object named by its content
+ * store_put_object_once() - write an object whose key is derived from its
+ * content
  * @s: the store
- * @key: key; an object that exists already is success
+ * @key: key; STATUS_OK if the object exists already
  * @data: content; copied
  * @len: number of bytes
  * @deadline_ms: monotonic time by which @fn is called
--- a/packages/store/src/answer.c
+++ b/packages/store/src/answer.c
@@ -1,5 +1,5 @@
 /*
- * What an answer of the platform means.
+ * Maps answers of the platform to statuses.
  */
 #include <string.h>
 
@@ -20,7 +20,7 @@
 #define CODE_NOT_IMPLEMENTED 501
 #define CODE_SERVICE_UNAVAILABLE 503
 
-/* Errors of the table service that say that nothing was written. */
+/* Errors of the table service that prove that nothing was written. */
 static const struct {
 	const char *name;
 	enum status status;
@@ -35,7 +35,7 @@
     {"AccessDeniedException", STATUS_INVALID},
 };
 
-/* Reasons for which a transaction is cancelled, but a failed condition. */
+/* Reasons for cancelled transactions other than a failed condition. */
 static const struct {
 	const char *name;
 	enum status status;
@@ -59,7 +59,7 @@
 	return NULL;
 }
 
-/* Name of an error without its namespace; "" when the body has none. */
+/* Name of an error without its namespace; "" if the body has none. */
 static const char *
 error_name(const json_t *json)
 {
@@ -80,7 +80,7 @@
 	    a->http.code, detail);
 }
 
-/* No answer came; the message of the HTTP client is kept. */
+/* There was no answer; the message of the HTTP client is kept. */
 static enum status
 read_without_answer(void)
 {
@@ -162,7 +162,7 @@
 	return code != NULL ? code : "";
 }
 
-/* The head row is always the first of a transaction, a version the second. */
+/* In a transaction the head row is always first, a version row second. */
 static enum store_conflict
 conflict_of(const json_t *reasons)
 {
--- a/packages/store/src/answer.h
+++ b/packages/store/src/answer.h
@@ -1,9 +1,10 @@
 /*
- * What an answer of the platform means.
+ * Maps answers of the platform to statuses.
  *
- * The rule for writes: only an answer that the platform itself gives in its
- * documented form says that nothing was written.  Anything else, from a
- * broken connection to an answer of something in between, leaves it open.
+ * Rule for writes: only a documented error response of the platform itself
+ * proves that nothing was written. After anything else, from a broken
+ * connection to a response of an intermediary, the outcome of the write is
+ * unknown.
  */
 #ifndef STORE_ANSWER_H
 #define STORE_ANSWER_H
@@ -14,7 +15,7 @@
 #include "store/store.h"
 
 /**
- * struct answer - an answer, or what there is in place of one
+ * struct answer - an answer, or the failure to get one
  * @http: how the call ended
  * @body: body
  * @len: length of @body
@@ -26,29 +27,28 @@
 };
 
 /**
- * answer_to_read() - meaning of an answer to a read of the table
+ * answer_to_read() - status of a read of the table
  * @a: the answer
- * @json: where the body goes; to be released by the caller; NULL unless
- *	STATUS_OK
+ * @json: set to the body, to be released by the caller; NULL unless STATUS_OK
  *
  * Return: STATUS_OK or STATUS_UNAVAILABLE.
  */
 enum status answer_to_read(const struct answer *a, json_t **json);
 
 /**
- * answer_to_write() - meaning of an answer to a transaction
+ * answer_to_write() - status of a transaction
  * @a: the answer
- * @conflict: which condition failed when it is STATUS_CONFLICT
+ * @conflict: set to the condition that failed, for STATUS_CONFLICT
  *
  * Return: a status of a write; see store/store.h.
  */
 enum status
 answer_to_write(const struct answer *a, enum store_conflict *conflict);
 
-/** answer_to_get() - meaning of an answer to a read of an object */
+/** answer_to_get() - status of a read of an object */
 enum status answer_to_get(const struct answer *a);
 
-/** answer_to_put() - meaning of an answer to a write of an object */
+/** answer_to_put() - status of a write of an object */
 enum status answer_to_put(const struct answer *a);
 
 #endif
--- a/packages/store/src/http_store.c
+++ b/packages/store/src/http_store.c
@@ -1,5 +1,5 @@
 /*
- * A store that speaks to the platform over HTTP: its operations.
+ * Operations of the store that accesses the platform over HTTP.
  */
 #include <glib.h>
 #include <jansson.h>
@@ -88,7 +88,7 @@
 	return json_object_get(json_object_get(json, member), STORE_TABLE);
 }
 
-/* Versions are covered up to the one before the first left unprocessed. */
+/* The answer covers the versions before the first unprocessed one. */
 static enum status
 versions_covered(
     const struct store_call *call, const json_t *json, uint64_t *upto)
--- a/packages/store/src/item.c
+++ b/packages/store/src/item.c
@@ -1,8 +1,8 @@
 /*
- * Rows as items of the table service.
+ * Encodes and decodes rows as items of the table service.
  *
- * An attribute value is an object with one member: {"S": "text"},
- * {"N": "decimal"} or {"B": "base64"}.
+ * An attribute value is an object with one member: {"S": "text"}, {"N":
+ * "decimal"} or {"B": "base64"}.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -106,7 +106,7 @@
 	return item;
 }
 
-/* Reading: each returns whether the attribute is there and fits. */
+/* Reading: each function returns whether the attribute exists and is valid. */
 
 static const char *
 item_text(const json_t *item, const char *name, const char *type)
--- a/packages/store/src/item.h
+++ b/packages/store/src/item.h
@@ -12,46 +12,48 @@
 
 /** ITEM_KEY - name of the key attribute */
 #define ITEM_KEY "pk"
-/** ITEM_SEQ - attribute of the head row that writes are conditional on */
+/** ITEM_SEQ - attribute of the head row on which writes are conditional */
 #define ITEM_SEQ "seq"
 
-/** item_number() - a number as an attribute value */
+/** item_number() - encode a number as an attribute value */
 json_t *item_number(uint64_t n);
 
-/** item_head_key() - key of the head row, as an item with nothing else */
+/** item_head_key() - encode the key of the head row, as an item with nothing
+ * else */
 json_t *item_head_key(void);
 
-/** item_version_key() - key of a version row, as an item */
+/** item_version_key() - encode the key of a version row, as an item */
 json_t *item_version_key(uint64_t version);
 
-/** item_from_head() - the head row as an item */
+/** item_from_head() - encode the head row as an item */
 json_t *item_from_head(const struct store_head *head);
 
-/** item_from_version() - a version row as an item */
+/** item_from_version() - encode a version row as an item */
 json_t *item_from_version(const struct store_version *version);
 
 /**
- * item_to_head() - read the head row
+ * item_to_head() - decode the head row
  * @item: the item
- * @head: where the row goes
+ * @head: set to the row
  *
  * Return: whether the item is a head row.
  */
 bool item_to_head(const json_t *item, struct store_head *head);
 
 /**
- * item_to_version() - read a version row
+ * item_to_version() - decode a version row
  * @item: the item
- * @version: where the row goes; release it with item_version_clear()
+ * @version: set to the row; release it with item_version_clear()
  *
  * Return: whether the item is a version row.
  */
 bool item_to_version(const json_t *item, struct store_version *version);
 
-/** item_version_clear() - free what item_to_version() allocated */
+/** item_version_clear() - free the memory of item_to_version() */
 void item_version_clear(struct store_version *version);
 
-/** item_to_version_number() - version that a key names; false if it is none */
+/** item_to_version_number() - decode the version in a key; false if the key has
+ * none */
 bool item_to_version_number(const json_t *item, uint64_t *version);
 
 #endif
--- a/packages/store/src/store_call.c
+++ b/packages/store/src/store_call.c
@@ -1,7 +1,8 @@
 /*
- * Operations of the HTTP store: sending, collecting the answer, counting.
+ * Operations of the HTTP store: send the request, collect the answer, update
+ * the metrics.
  *
- * Writes go out `once`: the HTTP client must not run a transaction twice by
+ * Writes are sent `once`: the HTTP client must not repeat a transaction by
  * itself.
  */
 #include <stdlib.h>
@@ -95,7 +96,7 @@
 	return HTTP_CONTINUE;
 }
 
-/* The caller's limit is for what was asked for, not for an error. */
+/* The caller's limit applies to the requested content, not to an error. */
 static enum http_flow
 call_on_body(struct http_call *http, const uint8_t *data, size_t len, void *arg)
 {
@@ -124,7 +125,7 @@
 	store_call_free(call);
 }
 
-/* The operation was refused on this side: nothing was sent. */
+/* The operation was rejected locally: nothing was sent. */
 static void
 call_on_rejected(void *arg)
 {
--- a/packages/store/src/store_call.h
+++ b/packages/store/src/store_call.h
@@ -1,6 +1,6 @@
 /*
  * One operation of the HTTP store, from its start until the caller's function
- * has been called.
+ * was called.
  */
 #ifndef STORE_CALL_H
 #define STORE_CALL_H
@@ -14,7 +14,7 @@
 
 struct store_call;
 
-/* The store; base comes first, so that it can be cast. */
+/* The store; base is its first member, so that a struct store can be cast. */
 struct http_store {
 	struct store base;
 	struct http_client *client;
@@ -24,13 +24,13 @@
 	GQueue calls;
 };
 
-/** store_end_fn - read the answer and call the caller's function */
+/** store_end_fn - evaluate the answer and call the caller's function */
 typedef enum status
 store_end_fn(struct store_call *call, const struct answer *a);
 
 /*
- * refused is the status of an operation that was refused on this side, too
- * large is set when the answer was above answer_max_bytes.
+ * rejected is the status of an operation that was rejected locally; too_large
+ * is set if the answer exceeded answer_max_bytes.
  */
 struct store_call {
 	struct http_store *store;
@@ -58,30 +58,30 @@
 	GByteArray *answer;
 };
 
-/** store_register_metrics() - add the metrics of stores to the exposition */
+/** store_register_metrics() - register the metrics of stores */
 void store_register_metrics(void);
 
 /**
- * store_call_new() - begin an operation
+ * store_call_new() - create an operation
  * @base: the store
  * @end: called with the answer
- * @is_write: whether it writes
+ * @is_write: whether it is a write
  * @arg: argument of the caller's function
  */
 struct store_call *
 store_call_new(struct store *base, store_end_fn *end, bool is_write, void *arg);
 
-/** store_call_free() - forget an operation and what it waits for */
+/** store_call_free() - free an operation; its HTTP call is cancelled */
 void store_call_free(struct store_call *call);
 
-/** store_call_reject() - end an operation without sending anything */
+/** store_call_reject() - end an operation without sending a request */
 void store_call_reject(struct store_call *call, enum status st);
 
 /**
  * store_call_table() - send a request to the table service
  * @call: the operation
  * @operation: name such as "GetItem"
- * @json: request; taken over
+ * @json: request; ownership is taken
  * @rows: number of rows that it reads or writes
  * @deadline_ms: monotonic deadline
  */
@@ -91,14 +91,15 @@
 /**
  * store_call_object() - send a request to the object store
  * @call: the operation; its request is the body
- * @method: "GET", or "PUT", which writes only what does not exist
+ * @method: "GET", or "PUT", which writes only if the object does not exist
  * @key: the object's key
  * @deadline_ms: monotonic deadline
  */
 void store_call_object(struct store_call *call, const char *method,
     const char *key, uint64_t deadline_ms);
 
-/** store_call_too_large() - status and message for too large an answer */
+/** store_call_too_large() - set status and message for an answer above the
+ * limit */
 enum status store_call_too_large(const struct store_call *call);
 
 #endif
--- a/packages/store/test/fake_platform.c
+++ b/packages/store/test/fake_platform.c
@@ -1,5 +1,5 @@
 /*
- * A platform for tests, and a caller of the store.
+ * A fake platform, and a caller of the store.
  */
 #include <string.h>
 
@@ -55,7 +55,8 @@
 	seen_count++;
 }
 
-/* An open answer ends with its connection, and may be cut short. */
+/* An answer in MODE_OPEN ends with its connection; one in MODE_CUT lacks its
+ * last byte. */
 static void
 write_answer(GString *out, const char *body)
 {
--- a/packages/store/test/test_store.c
+++ b/packages/store/test/test_store.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the store: rows that go out and come back.
+ * Tests of the store: rows are read back as written.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/packages/store/test/test_store_faults.c
+++ b/packages/store/test/test_store_faults.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the store: what each way to fail means.
+ * Tests of the store: status of each kind of failure.
  */
 #include <string.h>
 
@@ -54,7 +54,7 @@
     {{MODE_DOWN, 0, ""}, STATUS_UNAVAILABLE, STORE_CONFLICT_NONE},
 };
 
-/* Point the store at a port that nobody listens on. */
+/* Points the store at a port on which nothing listens. */
 static void
 take_platform_down(void)
 {
@@ -73,7 +73,7 @@
 
 START_TEST(outcome_of_a_write_is_never_guessed)
 {
-	/* Leave a connection behind, which a write must not go out on. */
+	/* Leaves an idle connection, which a write must not use. */
 	set_reply(MODE_ANSWER, 200, "{}");
 	caller_read_head();
 	seen_count = 0;
@@ -167,7 +167,7 @@
 	ck_assert_int_eq(result_status, STATUS_TOO_LARGE);
 	caller_get_object(3);
 	ck_assert_int_eq(result_status, STATUS_OK);
-	/* The limit is for the object, not for what is said of it. */
+	/* The limit applies to the object, not to an error response. */
 	set_reply(MODE_ANSWER, 404, S3_ERROR("NoSuchKey"));
 	caller_get_object(3);
 	ck_assert_int_eq(result_status, STATUS_NOT_FOUND);
