--- a/packages/store/src/answer.c
+++ b/packages/store/src/answer.c
@@ -76,7 +76,7 @@
 read_failed(const struct answer *a, const char *detail)
 {
 	return status_set(STATUS_UNAVAILABLE,
-	    "Read from the platform failed: HTTP %d %s; ask again later.",
+	    "Read from the platform failed: HTTP %d %s; try again later.",
 	    a->http.code, detail);
 }
 
@@ -100,8 +100,8 @@
 
 	if (a->http.sent)
 		(void)status_set(st,
-		    "Whether a write took effect is not known; read it "
-		    "back. %s",
+		    "Whether a write took effect is not known; read the "
+		    "row or object back. %s",
 		    reason);
 	else
 		(void)status_set(st, "Nothing was written. %s", reason);
@@ -113,8 +113,8 @@
 write_unknown(const struct answer *a)
 {
 	return status_set(STATUS_UNKNOWN,
-	    "Whether a write took effect is not known (HTTP %d); read it "
-	    "back.",
+	    "Whether a write took effect is not known (HTTP %d); read the "
+	    "row or object back.",
 	    a->http.code);
 }
 
@@ -122,7 +122,7 @@
 write_rejected(enum status st, const char *reason)
 {
 	return status_set(
-	    st, "Nothing was written: the platform says %s.", reason);
+	    st, "Nothing was written: the platform reported %s.", reason);
 }
 
 enum status
@@ -186,8 +186,7 @@
 				return write_rejected(
 				    cancel_reasons[k].status, reason);
 	}
-	return write_rejected(
-	    STATUS_UNAVAILABLE, "that the transaction was cancelled");
+	return write_rejected(STATUS_UNAVAILABLE, "a cancelled transaction");
 }
 
 static enum status
@@ -198,12 +197,12 @@
 	*conflict = conflict_of(reasons);
 	if (*conflict == STORE_CONFLICT_HEAD)
 		return status_set(STATUS_CONFLICT,
-		    "Somebody else changed the head row first; read it again "
-		    "and decide anew.");
+		    "Another writer changed the head row first; read it "
+		    "again, then decide again.");
 	if (*conflict == STORE_CONFLICT_VERSION)
 		return status_set(STATUS_CONFLICT,
-		    "The version exists already; read the head row again and "
-		    "decide anew.");
+		    "The version exists already; read the head row again, "
+		    "then decide again.");
 	return cancelled_status(reasons);
 }
 
@@ -264,8 +263,8 @@
 		return STATUS_OK;
 	if (a->http.code == CODE_NOT_FOUND && has_error_code(a, "NoSuchKey"))
 		return status_set(STATUS_NOT_FOUND,
-		    "The object does not exist; the version that names it "
-		    "was not written whole.");
+		    "The object does not exist; the version that refers to "
+		    "it was not written completely.");
 	return read_failed(a, "for an object");
 }
 
@@ -282,23 +281,21 @@
 		return STATUS_OK;
 	case CODE_CONFLICT:
 		return write_rejected(
-		    STATUS_UNAVAILABLE, "that another write is under way");
+		    STATUS_UNAVAILABLE, "another write in progress");
 	case CODE_SERVICE_UNAVAILABLE:
 		if (has_error_code(a, "SlowDown") ||
 		    has_error_code(a, "ServiceUnavailable"))
 			return write_rejected(
-			    STATUS_UNAVAILABLE, "to come back later");
+			    STATUS_UNAVAILABLE, "an overload");
 		return write_unknown(a);
 	case CODE_TOO_LARGE:
-		return write_rejected(
-		    STATUS_TOO_LARGE, "that the object is too large");
+		return write_rejected(STATUS_TOO_LARGE, "too large an object");
 	case CODE_BAD_REQUEST:
 	case CODE_FORBIDDEN:
 	case CODE_NOT_FOUND:
 	case CODE_METHOD:
 	case CODE_NOT_IMPLEMENTED:
-		return write_rejected(
-		    STATUS_INVALID, "that the request is wrong");
+		return write_rejected(STATUS_INVALID, "an invalid request");
 	default:
 		return write_unknown(a);
 	}
--- a/packages/store/src/http_store.c
+++ b/packages/store/src/http_store.c
@@ -13,9 +13,8 @@
 static enum status
 row_malformed(const char *row)
 {
-	return status_set(STATUS_UNAVAILABLE,
-	    "The %s row is not as this program writes it; restore the row.",
-	    row);
+	return status_set(
+	    STATUS_UNAVAILABLE, "The %s is malformed; restore it.", row);
 }
 
 /* Head row */
@@ -29,7 +28,7 @@
 		return status_set(STATUS_NOT_FOUND,
 		    "There is no head row; sign off a first version.");
 	if (!item_to_head(item, head))
-		return row_malformed("head");
+		return row_malformed("head row");
 	return STATUS_OK;
 }
 
@@ -101,10 +100,10 @@
 	*upto = call->to;
 	for (i = 0; i < json_array_size(keys); i++) {
 		if (!item_to_version_number(json_array_get(keys, i), &version))
-			return row_malformed("list of unprocessed");
+			return row_malformed("list of unprocessed rows");
 		if (version <= call->from)
 			return status_set(STATUS_UNAVAILABLE,
-			    "The platform read none of the rows; ask again "
+			    "The platform read none of the rows; try again "
 			    "later.");
 		*upto = MIN(*upto, version - 1);
 	}
@@ -120,10 +119,10 @@
 	size_t i;
 
 	if (!json_is_array(items))
-		return row_malformed("list of version");
+		return row_malformed("list of version rows");
 	for (i = 0; i < json_array_size(items); i++) {
 		if (!item_to_version(json_array_get(items, i), &v))
-			return row_malformed("version");
+			return row_malformed("version row");
 		if (v.version < call->from || v.version > upto)
 			item_version_clear(&v);
 		else
@@ -133,7 +132,7 @@
 	for (i = 1; i < rows->len; i++)
 		if (g_array_index(rows, struct store_version, i).version ==
 		    g_array_index(rows, struct store_version, i - 1).version)
-			return row_malformed("list of version");
+			return row_malformed("list of version rows");
 	return STATUS_OK;
 }
 
@@ -195,8 +194,8 @@
 
 	if (call->rejected != STATUS_OK)
 		st = status_set(call->rejected,
-		    "Rows can't be written; a version's list of changes must "
-		    "be under %u bytes and texts must be UTF-8.",
+		    "Rows can't be written; a version's list of changes may "
+		    "have at most %u bytes, and texts must be UTF-8.",
 		    STORE_CHANGES_MAX_BYTES);
 	else
 		st = answer_to_write(a, &conflict);
@@ -309,7 +308,7 @@
 
 	if (call->rejected != STATUS_OK)
 		st = status_set(call->rejected,
-		    "An object is above %u bytes; make the section smaller.",
+		    "An object exceeds %u bytes; make the section smaller.",
 		    STORE_OBJECT_MAX_BYTES);
 	else
 		st = answer_to_put(a);
--- a/packages/store/src/store_call.c
+++ b/packages/store/src/store_call.c
@@ -235,7 +235,7 @@
 store_call_too_large(const struct store_call *call)
 {
 	return status_set(STATUS_TOO_LARGE,
-	    "The platform's answer is above %zu bytes; ask for less or raise "
+	    "The platform's answer exceeds %zu bytes; request less or raise "
 	    "the limit.",
 	    call->answer_max_bytes);
 }
