--- a/packages/rollout/src/judge.c
+++ b/packages/rollout/src/judge.c
@@ -51,6 +51,8 @@
 /* Endpoints of one service differ in speed by up to a factor of two, which is
  * two buckets. */
 #define HOST_SPEED_BUCKETS 2
+
+/* Bounds of the rate of slow answers that is expected of a good version. */
 #define SLOW_RATE_MIN 0.05
 #define SLOW_RATE_MAX 0.5
 
--- a/packages/signoff/include/signoff/signoff.h
+++ b/packages/signoff/include/signoff/signoff.h
@@ -131,7 +131,7 @@
 	SIGNOFF_NOT_FOUND,	/* no such version or operation */
 	SIGNOFF_INVALID,	/* invalid request; nothing written */
 	SIGNOFF_UNAVAILABLE,	/* platform unavailable; nothing written */
-	SIGNOFF_UNKNOWN,	/* possibly written; ask again */
+	SIGNOFF_UNKNOWN,	/* possibly written; look it up later */
 };
 
 /**
--- a/packages/signoff/src/halt.c
+++ b/packages/signoff/src/halt.c
@@ -38,8 +38,7 @@
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
-/* The row after the version shows who halted it, or which operation was first.
- */
+/* The row after the version shows which operation halted it, or was first. */
 static uint64_t
 halt_settle_limit(const struct signoff *r)
 {
--- a/packages/store/include/store/feed.h
+++ b/packages/store/include/store/feed.h
@@ -37,14 +37,14 @@
 /**
  * struct feed_answer - outcome of a read
  * @version: newest version, 0 if there is none
- * @build: its bundle, to be ended by bundle_build_end(); NULL if the feed has
- *	returned it before
+ * @build: its bundle, to be ended by bundle_build_end(); NULL if it is the
+ *	version that the feed returned last
  * @row_bytes: size of the version as the operators wrote it
  * @notes: parts of it that are executed differently from what is written; NULL
  *	for none
- * @problem: why the newest version has no bundle, though the feed has not
- *	returned it before; NULL for no problem. @version is 0 then if it can't
- *	be read
+ * @problem: why the newest version has no bundle, though it is not the one that
+ *	the feed returned last; NULL for no problem. @version is 0 then if it
+ *	can't be read
  * @row: whether the answer contained the configuration, returned before or not
  * @body_ms: transfer time of the answer, from its first part
  * @position: number of the last change that reads have returned
