--- a/packages/node/src/control_refused.c
+++ b/packages/node/src/control_refused.c
@@ -132,7 +132,7 @@
 static int
 can_write_row(const struct control *c)
 {
-	return c->feed != NULL && c->feed->ops->tell != NULL;
+	return c->feed != NULL && c->feed->ops->report != NULL;
 }
 
 void
@@ -149,7 +149,7 @@
 	    spread_is_first_reader(c->spread, control_now(c)) != 0,
 	    control_now(c));
 	if (action != REFUSED_ROW_NONE)
-		c->feed->ops->tell(c->feed, c->settings->data_centre,
+		c->feed->ops->report(c->feed, c->settings->data_centre,
 		    action == REFUSED_ROW_WRITE ? &refusal : NULL,
 		    on_row_written, c);
 }
--- a/packages/rollout/src/watch.c
+++ b/packages/rollout/src/watch.c
@@ -1,5 +1,5 @@
 /*
- * What a node does for the rollouts that are under way.
+ * A node's part in the rollouts in progress.
  */
 #include "rollout/watch.h"
 
@@ -16,17 +16,17 @@
     "a report takes all counts");
 
 /**
- * struct watched - a service whose order is under way
+ * struct watched - a service with an order in progress
  * @service: the service
- * @trial: who takes part and what was found
+ * @trial: endpoints, reports and verdict
  * @version: version of the own endpoint
- * @counts: what it answered
- * @has_counts: whether that is known
- * @reported_ms: when the next report is due
- * @writing: a write is under way
- * @write_ms: when the next write may be tried
- * @since_ms: since when the order is in its phase here
- * @phase: that phase
+ * @counts: counts of the own endpoint
+ * @has_counts: whether @counts are set
+ * @next_report_ms: when the next report is due
+ * @writing: whether a write of the outcome is in progress
+ * @next_write_ms: earliest time of the next write
+ * @phase_since_ms: when this node learned of the current phase
+ * @phase: current phase
  */
 struct watched {
 	char service[ROLLOUT_SERVICE_BYTES];
@@ -34,23 +34,23 @@
 	char version[ROLLOUT_VERSION_BYTES];
 	struct rollout_counts counts;
 	bool has_counts;
-	uint64_t report_ms;
+	uint64_t next_report_ms;
 	bool writing;
-	uint64_t write_ms;
-	uint64_t since_ms;
+	uint64_t next_write_ms;
+	uint64_t phase_since_ms;
 	enum rollout_phase phase;
 };
 
 /**
- * struct rollout_watch - what is watched
- * @host: own name
- * @orders: orders and phases; borrowed
- * @out: where reports go; borrowed
+ * struct rollout_watch - state of a node's part in rollouts
+ * @host: own host
+ * @orders: known orders; borrowed
+ * @out: queue for outgoing reports; borrowed
  * @services: service to struct watched
- * @actions: struct rollout_action that were not popped
- * @seq: number of the last report
- * @writes: this node writes what judges don't
- * @tick_ms: when it was last ticked
+ * @actions: struct rollout_action: actions that were not popped yet
+ * @seq: sequence number of the last report
+ * @fallback_writer: whether this node writes outcomes that no judge wrote
+ * @tick_ms: time of the last tick
  */
 struct rollout_watch {
 	char host[MSG_ROLLOUT_REPORT_HOST_MAX + 1];
@@ -59,7 +59,7 @@
 	GHashTable *services;
 	GQueue actions;
 	uint64_t seq;
-	bool writes;
+	bool fallback_writer;
 	uint64_t tick_ms;
 };
 
@@ -99,26 +99,26 @@
 }
 
 static uint64_t
-early_ms(const struct rollout *r)
+switch_lead_ms(const struct rollout *r)
 {
-	return CLAMP(r->duration_ms * ROLLOUT_SWITCH_PERCENT / PERCENT,
-	    ROLLOUT_SWITCH_LEAST_MS, ROLLOUT_SWITCH_MOST_MS);
+	return CLAMP(r->duration_ms * ROLLOUT_SWITCH_LEAD_PERCENT / PERCENT,
+	    ROLLOUT_SWITCH_LEAD_MIN_MS, ROLLOUT_SWITCH_LEAD_MAX_MS);
 }
 
 uint64_t
 rollout_switch_ms(const struct rollout *r)
 {
-	return r->deadline_ms - MIN(r->deadline_ms, early_ms(r));
+	return r->deadline_ms - MIN(r->deadline_ms, switch_lead_ms(r));
 }
 
 static uint64_t
-write_from_ms(const struct rollout *r)
+outcome_due_ms(const struct rollout *r)
 {
-	return r->deadline_ms - MIN(r->deadline_ms, early_ms(r) / 2);
+	return r->deadline_ms - MIN(r->deadline_ms, switch_lead_ms(r) / 2);
 }
 
-/* The service's place, with a trial of the newest order; NULL when that is
- * over or there is none. */
+/* Returns the service with a trial of its newest order; NULL if that has ended
+ * or there is none. */
 static struct watched *
 watched_get(struct rollout_watch *w, const char *service)
 {
@@ -135,7 +135,7 @@
 	(void)g_strlcpy(s->service, service, sizeof(s->service));
 	s->trial = rollout_trial_new(r);
 	s->phase = r->phase;
-	s->since_ms = w->tick_ms;
+	s->phase_since_ms = w->tick_ms;
 	g_hash_table_replace(w->services, g_strdup(service), s);
 	return s;
 }
@@ -147,7 +147,7 @@
 	struct watched *s = watched_get(w, service);
 
 	if (s != NULL)
-		rollout_trial_set(s->trial, endpoints, n);
+		rollout_trial_set_endpoints(s->trial, endpoints, n);
 }
 
 void
@@ -164,13 +164,13 @@
 }
 
 void
-rollout_watch_writes(struct rollout_watch *w, bool writes)
+rollout_watch_set_fallback_writer(struct rollout_watch *w, bool fallback_writer)
 {
-	w->writes = writes;
+	w->fallback_writer = fallback_writer;
 }
 
 bool
-rollout_watch_owns(uint8_t type)
+rollout_watch_handles(uint8_t type)
 {
 	return type == MSG_ROLLOUT_REPORT;
 }
@@ -178,7 +178,7 @@
 /* Reports */
 
 static void
-read_routes(const struct msg_rollout_report *m, struct rollout_counts *counts)
+decode_routes(const struct msg_rollout_report *m, struct rollout_counts *counts)
 {
 	const struct rec_rollout_route *from;
 	struct rollout_route *to;
@@ -209,16 +209,16 @@
 		return;
 	s = watched_get(w, m.service);
 	if (s != NULL && rollout_trial_order(s->trial) == m.order) {
-		read_routes(&m, &counts);
-		rollout_trial_report(
+		decode_routes(&m, &counts);
+		rollout_trial_add_report(
 		    s->trial, m.host, m.version, m.seq, &counts, now_ms);
 	}
 	msg_rollout_report_clear(&m);
 }
 
-/* Times are cut off behind the last bucket that is not empty. */
+/* Buckets after the last one that is not empty are left out. */
 static void
-write_routes(
+encode_routes(
     const struct rollout_counts *counts, struct rec_rollout_route *routes)
 {
 	const struct rollout_route *from;
@@ -237,7 +237,7 @@
 }
 
 static void
-report(struct rollout_watch *w, struct watched *s, uint64_t now_ms)
+send_report(struct rollout_watch *w, struct watched *s, uint64_t now_ms)
 {
 	struct rec_rollout_route routes[ROLLOUT_ROUTES_MAX];
 	struct net_addr judges[ROLLOUT_JUDGES];
@@ -252,8 +252,8 @@
 	m.order = rollout_trial_order(s->trial);
 	m.seq = ++w->seq;
 	m.n_routes = s->counts.n_routes;
-	write_routes(&s->counts, routes);
-	rollout_trial_report(
+	encode_routes(&s->counts, routes);
+	rollout_trial_add_report(
 	    s->trial, w->host, s->version, m.seq, &s->counts, now_ms);
 	for (i = 0; i < n; i++) {
 		if (i == own)
@@ -264,10 +264,10 @@
 	}
 }
 
-/* Acting */
+/* Actions */
 
 static struct rollout_action *
-act(struct rollout_watch *w, enum rollout_action_kind kind,
+push_action(struct rollout_watch *w, enum rollout_action_kind kind,
     const struct rollout *r)
 {
 	struct rollout_action *a = g_new0(struct rollout_action, 1);
@@ -291,24 +291,26 @@
 }
 
 static void
-move_on(struct rollout_watch *w, struct watched *s, const struct rollout *r,
+set_phase(struct rollout_watch *w, struct watched *s, const struct rollout *r,
     enum rollout_phase phase, const char *reason)
 {
 	struct rollout next = *r;
 
 	next.phase = phase;
 	(void)g_strlcpy(next.reason, reason, sizeof(next.reason));
-	if (rollout_orders_take(w->orders, &next) == NULL)
+	if (rollout_orders_merge(w->orders, &next) == NULL)
 		return;
 	s->phase = phase;
-	s->since_ms = w->tick_ms;
-	(void)act(w, ROLLOUT_ACT_PHASE, &next);
+	s->phase_since_ms = w->tick_ms;
+	(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
-/* An endpoint whose answers are bad may be faulty on its own: the next in place
- * gets its requests, and tells whether the version is. */
+/* Excludes the own endpoint if its answers are bad: its fault may be its own.
+ * The next endpoint receives its requests, and its answers show whether the
+ * version is bad. */
 static void
-exclude_own(struct rollout_watch *w, struct watched *s, const struct rollout *r)
+exclude_own_endpoint(
+    struct rollout_watch *w, struct watched *s, const struct rollout *r)
 {
 	struct rollout next = *r;
 
@@ -318,11 +320,11 @@
 	(void)g_strlcpy(next.excluded, w->host, sizeof(next.excluded));
 	(void)g_strlcpy(
 	    next.reason, "one endpoint answers worse", sizeof(next.reason));
-	if (rollout_orders_take(w->orders, &next) != NULL)
-		(void)act(w, ROLLOUT_ACT_PHASE, &next);
+	if (rollout_orders_merge(w->orders, &next) != NULL)
+		(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
-/* A service with few requests is tried with a larger share of them. */
+/* Raises the share of the new version in a service with few requests. */
 static void
 raise_share(struct rollout_watch *w, struct watched *s, const struct rollout *r)
 {
@@ -333,24 +335,24 @@
 	next.share_milli = rollout_trial_share_milli(
 	    s->trial, rollout_switch_ms(r), w->tick_ms);
 	if (next.share_milli != 0 &&
-	    rollout_orders_take(w->orders, &next) != NULL)
-		(void)act(w, ROLLOUT_ACT_PHASE, &next);
+	    rollout_orders_merge(w->orders, &next) != NULL)
+		(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
-/* Decides whether the new version may take all requests. */
+/* Switches to the new version, or reverts once the outcome is due. */
 static void
-decide(struct rollout_watch *w, struct watched *s, const struct rollout *r,
-    enum rollout_verdict v, char *reason)
+decide_switch(struct rollout_watch *w, struct watched *s,
+    const struct rollout *r, enum rollout_verdict v, char *reason)
 {
 	if (v == ROLLOUT_GOOD &&
 	    rollout_trial_can_take_over(s->trial, w->tick_ms, reason))
-		move_on(w, s, r, ROLLOUT_SWITCHING, reason);
-	else if (w->tick_ms >= write_from_ms(r))
-		move_on(w, s, r, ROLLOUT_REVERTING, reason);
+		set_phase(w, s, r, ROLLOUT_SWITCHING, reason);
+	else if (w->tick_ms >= outcome_due_ms(r))
+		set_phase(w, s, r, ROLLOUT_REVERTING, reason);
 }
 
 static void
-judge(struct rollout_watch *w, struct watched *s)
+evaluate(struct rollout_watch *w, struct watched *s)
 {
 	const struct rollout *r = rollout_orders_find(w->orders, s->service);
 	char reason[ROLLOUT_REASON_BYTES];
@@ -358,41 +360,43 @@
 
 	if (r->phase > ROLLOUT_SWITCHING)
 		return;
-	exclude_own(w, s, r);
+	exclude_own_endpoint(w, s, r);
 	raise_share(w, s, r);
 	v = rollout_trial_verdict(s->trial, reason);
 	if (v == ROLLOUT_BAD)
-		move_on(w, s, r, ROLLOUT_REVERTING, reason);
+		set_phase(w, s, r, ROLLOUT_REVERTING, reason);
 	else if (r->phase == ROLLOUT_RUNNING &&
 	    w->tick_ms >= rollout_switch_ms(r))
-		decide(w, s, r, v, reason);
+		decide_switch(w, s, r, v, reason);
 }
 
-/* Nobody moved it on: its judges are gone, or there never was one. */
+/* Reverts an order that no judge has moved on: the judges have failed, or there
+ * never was one. */
 static void
-give_up(struct rollout_watch *w, struct watched *s)
+revert_unjudged(struct rollout_watch *w, struct watched *s)
 {
 	const struct rollout *r = rollout_orders_find(w->orders, s->service);
 
 	if (r->phase == ROLLOUT_RUNNING &&
-	    w->tick_ms >= write_from_ms(r) + ROLLOUT_TURN_MS)
-		move_on(w, s, r, ROLLOUT_REVERTING,
+	    w->tick_ms >= outcome_due_ms(r) + ROLLOUT_WRITE_STAGGER_MS)
+		set_phase(w, s, r, ROLLOUT_REVERTING,
 		    "no endpoint of the new version was there to be judged");
 }
 
-/* When this node has the outcome written: judges by their rank, then others. */
+/* When this node has the outcome written: judges by rank, then fallback
+ * writers. */
 static uint64_t
-turn_ms(const struct rollout_watch *w, const struct watched *s,
+own_write_ms(const struct rollout_watch *w, const struct watched *s,
     const struct rollout *r)
 {
 	uint32_t rank = rollout_trial_judge_rank(s->trial, w->host);
-	uint64_t from_ms = s->since_ms;
+	uint64_t from_ms = s->phase_since_ms;
 
-	if (rank == ROLLOUT_JUDGES && !w->writes)
+	if (rank == ROLLOUT_JUDGES && !w->fallback_writer)
 		return DEADLINE_NEVER;
 	if (r->phase == ROLLOUT_SWITCHING)
-		from_ms = MAX(from_ms, write_from_ms(r));
-	return from_ms + (uint64_t)rank * ROLLOUT_TURN_MS;
+		from_ms = MAX(from_ms, outcome_due_ms(r));
+	return from_ms + (uint64_t)rank * ROLLOUT_WRITE_STAGGER_MS;
 }
 
 static void
@@ -402,10 +406,10 @@
 	struct rollout_action *a;
 
 	if (r->phase == ROLLOUT_RUNNING || s->writing ||
-	    w->tick_ms < MAX(turn_ms(w, s, r), s->write_ms))
+	    w->tick_ms < MAX(own_write_ms(w, s, r), s->next_write_ms))
 		return;
 	s->writing = true;
-	a = act(w, ROLLOUT_ACT_WRITE, r);
+	a = push_action(w, ROLLOUT_ACT_WRITE, r);
 	a->rollout.phase = r->phase == ROLLOUT_SWITCHING ? ROLLOUT_COMPLETED
 							 : ROLLOUT_ROLLED_BACK;
 }
@@ -419,30 +423,30 @@
 	if (s == NULL)
 		return;
 	s->writing = false;
-	s->write_ms = now_ms + (ok ? 0 : ROLLOUT_RETRY_MS);
+	s->next_write_ms = now_ms + (ok ? 0 : ROLLOUT_WRITE_RETRY_MS);
 }
 
 static void
-pass_time(struct rollout_watch *w, struct watched *s)
+tick_service(struct rollout_watch *w, struct watched *s)
 {
 	const struct rollout *r = rollout_orders_find(w->orders, s->service);
 
 	if (s->phase != r->phase) {
 		s->phase = r->phase;
-		s->since_ms = w->tick_ms;
+		s->phase_since_ms = w->tick_ms;
 	}
-	if (w->tick_ms >= s->report_ms) {
-		s->report_ms = w->tick_ms + ROLLOUT_REPORT_MS;
+	if (w->tick_ms >= s->next_report_ms) {
+		s->next_report_ms = w->tick_ms + ROLLOUT_REPORT_INTERVAL_MS;
 		if (s->has_counts &&
-		    rollout_trial_reports(
+		    rollout_trial_must_report(
 			s->trial, w->host, rollout_counts_answered(&s->counts)))
-			report(w, s, w->tick_ms);
+			send_report(w, s, w->tick_ms);
 		if (rollout_trial_judge_rank(s->trial, w->host) <
 		    ROLLOUT_JUDGES)
-			judge(w, s);
+			evaluate(w, s);
 	}
-	if (w->writes)
-		give_up(w, s);
+	if (w->fallback_writer)
+		revert_unjudged(w, s);
 	write_outcome(w, s);
 }
 
@@ -458,7 +462,7 @@
 		r = rollout_orders_at(w->orders, i);
 		s = watched_get(w, r->service);
 		if (s != NULL)
-			pass_time(w, s);
+			tick_service(w, s);
 	}
 }
 
@@ -469,6 +473,6 @@
 
 	for (i = 0; i < rollout_orders_count(w->orders); i++)
 		if (!rollout_is_over(rollout_orders_at(w->orders, i)))
-			return w->tick_ms + ROLLOUT_TURN_MS;
+			return w->tick_ms + ROLLOUT_WRITE_STAGGER_MS;
 	return DEADLINE_NEVER;
 }
--- a/packages/signoff/src/find.c
+++ b/packages/signoff/src/find.c
@@ -1,5 +1,5 @@
 /*
- * Find: look what became of an operation, writing nothing.
+ * Find: looks up the outcome of an operation without writing.
  */
 #include "signoff_defs.h"
 
@@ -10,23 +10,23 @@
 }
 
 static struct range
-find_first_look(const struct signoff *r)
+find_first_search(const struct signoff *r)
 {
 	struct range range = {1, r->head.version};
 
-	if (range.high > SIGNOFF_SEARCH_VERSIONS)
-		range.low = range.high - SIGNOFF_SEARCH_VERSIONS + 1;
+	if (range.high > SIGNOFF_FIND_VERSIONS_MAX)
+		range.low = range.high - SIGNOFF_FIND_VERSIONS_MAX + 1;
 	return range;
 }
 
 /* Find never sends a write. */
 static uint64_t
-find_settle_to(const struct signoff *r)
+find_settle_limit(const struct signoff *r)
 {
 	return r->head.version;
 }
 
-/* The id is nowhere; that is final once the head row has moved on. */
+/* The id was not found; that is final once the head row has changed. */
 static void
 find_proceed(struct signoff *r, uint64_t now_ms)
 {
@@ -36,19 +36,19 @@
 		return;
 	}
 	outcome_not_found(r,
-	    "Operation %s is not among the last %d versions%s.", r->req.op,
-	    SIGNOFF_SEARCH_VERSIONS,
+	    "Operation %s was not found in the last %d versions%s.", r->req.op,
+	    SIGNOFF_FIND_VERSIONS_MAX,
 	    r->req.after_seq > 0
-		? ", and its write can no longer arrive; start it again if "
-		  "you still want it"
-		: "; if it ended as unknown a moment ago, ask again with its "
+		? ", and its write can no longer take effect; start it "
+		  "again if it is still needed"
+		: "; if its outcome was unknown, search again with its "
 		  "after_seq, or start it again with the same id");
 }
 
 const struct signoff_ops find_ops = {
     .begin = find_begin,
-    .first_look = find_first_look,
-    .settle_to = find_settle_to,
+    .first_search = find_first_search,
+    .settle_limit = find_settle_limit,
     .proceed = find_proceed,
-    .lost = find_proceed,
+    .on_lost_race = find_proceed,
 };
--- a/packages/signoff/src/outcome.c
+++ b/packages/signoff/src/outcome.c
@@ -1,5 +1,5 @@
 /*
- * Outcomes of operations and what operators are told.
+ * Outcomes of operations, and their messages for operators.
  */
 #include <stdarg.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 
 static const char *const result_names[] = {
     [SIGNOFF_DONE] = "done",
-    [SIGNOFF_ALREADY] = "already",
+    [SIGNOFF_ALREADY_HALTED] = "already",
     [SIGNOFF_CONFLICT] = "conflict",
     [SIGNOFF_NOT_FOUND] = "not_found",
     [SIGNOFF_INVALID] = "invalid",
@@ -31,8 +31,8 @@
 	    r->outcome.message, sizeof(r->outcome.message), fmt, ap);
 }
 
-static void __attribute__((format(printf, 3, 4)))
-end(struct signoff *r, enum signoff_result result, const char *fmt, ...)
+static void __attribute__((format(printf, 3, 4))) end_operation(
+    struct signoff *r, enum signoff_result result, const char *fmt, ...)
 {
 	struct signoff_outcome *o = &r->outcome;
 	va_list ap;
@@ -48,10 +48,10 @@
 	step_finish(r);
 }
 
-/* Whether an id that was found was used for what this operation asks. */
+/* Whether an id that was found belongs to a request like this one. */
 static bool
-same_purpose(const struct signoff *r, enum signoff_kind kind, uint64_t version,
-    const struct digest *root)
+is_same_request(const struct signoff *r, enum signoff_kind kind,
+    uint64_t version, const struct digest *root)
 {
 	if (r->req.kind == SIGNOFF_FIND)
 		return true;
@@ -67,36 +67,36 @@
 {
 	struct signoff_outcome *o = &r->outcome;
 
-	if (!same_purpose(r, kind, version, root)) {
+	if (!is_same_request(r, kind, version, root)) {
 		outcome_invalid(r,
-		    "Operation id %s has been used for another operation, "
-		    "which %s version %" G_GUINT64_FORMAT "; take a new id.",
-		    r->req.op, kind == SIGNOFF_HALT ? "halted" : "made",
+		    "Operation id %s was used for another operation, which "
+		    "%s version %" G_GUINT64_FORMAT "; use a new id.",
+		    r->req.op, kind == SIGNOFF_HALT ? "halted" : "created",
 		    version);
 		return;
 	}
 	o->kind = kind;
 	o->version = version;
-	o->repeated = !r->sent || version != r->new_head.version;
-	end(r, SIGNOFF_DONE, "Version %" G_GUINT64_FORMAT " is %s%s.", version,
-	    kind == SIGNOFF_HALT ? "halted" : "signed off",
-	    o->repeated ? "; another start of this operation did it" : "");
+	o->repeated = !r->write_sent || version != r->new_head.version;
+	end_operation(r, SIGNOFF_DONE, "Version %" G_GUINT64_FORMAT " is %s%s.",
+	    version, kind == SIGNOFF_HALT ? "halted" : "signed off",
+	    o->repeated ? "; another start of this operation wrote it" : "");
 }
 
 void
-outcome_already(struct signoff *r)
+outcome_already_halted(struct signoff *r)
 {
 	const struct signoff_outcome *o = &r->outcome;
 
 	r->outcome.kind = r->req.kind;
-	end(r, SIGNOFF_ALREADY,
+	end_operation(r, SIGNOFF_ALREADY_HALTED,
 	    "Version %" G_GUINT64_FORMAT
-	    " had been halted by operation %s%s%s; there is nothing to do.",
+	    " was already halted by operation %s%s%s; nothing was written.",
 	    o->winner_version, o->winner_op,
 	    o->winner_operator[0] != '\0' ? " of " : "", o->winner_operator);
 }
 
-/* The row after the one built on tells who was first. */
+/* The row after the version built on names the operation that was first. */
 void
 outcome_conflict(struct signoff *r)
 {
@@ -107,20 +107,21 @@
 	g_strlcpy(o->winner_op, r->lowest.op, sizeof(o->winner_op));
 	g_strlcpy(o->winner_operator, r->lowest.operator_name,
 	    sizeof(o->winner_operator));
-	end(r, SIGNOFF_CONFLICT,
-	    "%s was first with version %" G_GUINT64_FORMAT
-	    " (operation %s); nothing was done. The newest version is "
-	    "%" G_GUINT64_FORMAT "; look at it, then decide again.",
+	end_operation(r, SIGNOFF_CONFLICT,
+	    "%s created version %" G_GUINT64_FORMAT
+	    " first (operation %s); nothing was written. The newest version is "
+	    "%" G_GUINT64_FORMAT "; review it, then decide again.",
 	    o->winner_operator, o->winner_version, o->winner_op,
 	    r->head.version);
 }
 
-/* Ends an operation that did nothing, with a message of the caller's. */
+/* Ends an operation that wrote nothing, with the caller's message. */
 static void
-fail(struct signoff *r, enum signoff_result result, const char *fmt, va_list ap)
+end_without_effect(
+    struct signoff *r, enum signoff_result result, const char *fmt, va_list ap)
 {
 	r->outcome.kind = r->req.kind;
-	end(r, result, "%s", "");
+	end_operation(r, result, "%s", "");
 	set_message(r, fmt, ap);
 }
 
@@ -130,7 +131,7 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	fail(r, SIGNOFF_NOT_FOUND, fmt, ap);
+	end_without_effect(r, SIGNOFF_NOT_FOUND, fmt, ap);
 	va_end(ap);
 }
 
@@ -140,31 +141,31 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	fail(r, SIGNOFF_INVALID, fmt, ap);
+	end_without_effect(r, SIGNOFF_INVALID, fmt, ap);
 	va_end(ap);
 }
 
 void
-outcome_gave_up(struct signoff *r)
+outcome_timed_out(struct signoff *r)
 {
 	struct signoff_outcome *o = &r->outcome;
 
 	o->kind = r->req.kind;
 	o->retry_after_ms = (uint32_t)step_backoff_ms(r);
 	if (!r->maybe_written) {
-		end(r, SIGNOFF_UNAVAILABLE,
-		    "The platform did not answer in time; this start did "
-		    "nothing%s. Ask again later.",
+		end_operation(r, SIGNOFF_UNAVAILABLE,
+		    "The platform did not answer in time; this start wrote "
+		    "nothing%s. Try again later.",
 		    r->req.fresh ? ""
-				 : ", but what an earlier one with this id "
-				   "did could not be read");
+				 : ", but the outcome of an earlier start "
+				   "with this id could not be read");
 		return;
 	}
 	o->after_seq = r->base.seq;
-	end(r, SIGNOFF_UNKNOWN,
-	    "The write was sent, but the platform can't be read to see "
-	    "whether it took effect. Ask for operation %s, or start it again "
-	    "with the same id: it is done once at most.",
+	end_operation(r, SIGNOFF_UNKNOWN,
+	    "The write was sent, but whether it took effect could not be read "
+	    "from the platform. Look up operation %s, or start it again with "
+	    "the same id: it takes effect at most once.",
 	    r->req.op);
 }
 
@@ -175,10 +176,10 @@
 
 	o->kind = r->req.kind;
 	o->after_seq = r->req.after_seq;
-	o->retry_after_ms = SIGNOFF_BACKOFF_CAP_MS;
-	end(r, SIGNOFF_UNKNOWN,
+	o->retry_after_ms = SIGNOFF_BACKOFF_MAX_MS;
+	end_operation(r, SIGNOFF_UNKNOWN,
 	    "Operation %s has not taken effect, but its write may still "
-	    "arrive. Ask again, or start it again with the same id: it is "
-	    "done once at most.",
+	    "arrive. Look it up again, or start it again with the same id: it "
+	    "takes effect at most once.",
 	    r->req.op);
 }
--- a/packages/signoff/src/puts.c
+++ b/packages/signoff/src/puts.c
@@ -1,5 +1,5 @@
 /*
- * Writing the objects that a version needs, a few at a time.
+ * Writes the objects of a version, a few at a time.
  */
 #include <string.h>
 
@@ -35,7 +35,7 @@
 }
 
 void
-puts_forget(struct signoff *r)
+puts_cancel_tokens(struct signoff *r)
 {
 	struct put *put;
 	uint32_t i;
@@ -46,9 +46,9 @@
 	}
 }
 
-/* Number of writes under way. */
+/* Number of writes in progress. */
 static uint32_t
-n_under_way(const struct signoff *r)
+count_in_flight(const struct signoff *r)
 {
 	const struct put *put;
 	uint32_t i, n = 0;
@@ -63,23 +63,23 @@
 void
 puts_issue(struct signoff *r, uint64_t now_ms)
 {
-	uint32_t i, n = n_under_way(r);
+	uint32_t i, n = count_in_flight(r);
 	struct put *put;
 
-	for (i = 0; i < r->puts->len && n < SIGNOFF_PUT_WINDOW; i++) {
+	for (i = 0; i < r->puts->len && n < SIGNOFF_PUTS_IN_FLIGHT_MAX; i++) {
 		put = g_ptr_array_index(r->puts, i);
 		if (!put->needed || put->done || put->token != 0)
 			continue;
 		put->token = step_put(r, put, now_ms);
 		n++;
 	}
-	/* All that were needed are there: write the rows. */
+	/* All objects that are needed are written: write the rows. */
 	if (n == 0)
 		signoff_enter(r, PHASE_TRANSACT, now_ms);
 }
 
 static struct put *
-find_token(const struct signoff *r, uint32_t token)
+find_put(const struct signoff *r, uint32_t token)
 {
 	struct put *put;
 	uint32_t i;
@@ -95,7 +95,7 @@
 void
 puts_on_put(struct signoff *r, uint64_t now_ms, uint32_t token, enum status st)
 {
-	struct put *put = find_token(r, token);
+	struct put *put = find_put(r, token);
 
 	if (put == NULL)
 		return;
@@ -105,12 +105,13 @@
 		r->n_failures = 0;
 	} else if (st == STATUS_TOO_LARGE || st == STATUS_INVALID) {
 		outcome_invalid(r,
-		    "The platform refused object %s (%s). Look at the "
-		    "platform's limits in docs/PLATFORM.md.",
+		    "The platform rejected object %s (%s). See the platform's "
+		    "limits in docs/PLATFORM.md.",
 		    put->key, status_name(st));
 		return;
 	} else if (r->retry_at_ms == DEADLINE_NEVER) {
-		/* Named by content, so that writing it again is harmless. */
+		/* The key is derived from the content, so repeating the write
+		 * is harmless. */
 		r->retry_at_ms = now_ms + step_backoff_ms(r);
 	}
 	if (r->retry_at_ms == DEADLINE_NEVER)
--- a/packages/signoff/src/version.c
+++ b/packages/signoff/src/version.c
@@ -1,19 +1,19 @@
 /*
- * Sign-off and supersede: a new version on top of the newest one.
+ * Sign-off and supersede: create a version on top of the newest one.
  */
 #include <string.h>
 
 #include "signoff_defs.h"
 
 static bool
-supersedes(const struct signoff *r)
+is_supersede(const struct signoff *r)
 {
 	return r->req.kind == SIGNOFF_SUPERSEDE;
 }
 
-/* Objects of a bundle: its sections, and the list under its root. */
+/* Adds the objects of a bundle: its sections, and the list under its root. */
 static void
-add_puts(struct signoff *r)
+add_objects(struct signoff *r)
 {
 	const struct bundle *b = r->req.bundle;
 	char hex[DIGEST_HEX_BYTES], key[STORE_KEY_BYTES];
@@ -35,12 +35,12 @@
 static void
 version_begin(struct signoff *r, uint64_t now_ms)
 {
-	if (supersedes(r)) {
+	if (is_supersede(r)) {
 		signoff_enter(r, PHASE_SOURCE_ROW, now_ms);
 		return;
 	}
 	bundle_section_list(r->req.bundle, &r->list, &r->root);
-	add_puts(r);
+	add_objects(r);
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
@@ -55,13 +55,13 @@
     const struct store_version *rows, uint32_t n, uint64_t upto)
 {
 	if (st != STATUS_OK || upto < r->req.version) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	if (n == 0 || rows[0].version != r->req.version) {
 		outcome_not_found(r,
 		    "There is no version %" G_GUINT64_FORMAT
-		    "; look at the history.",
+		    "; see the history.",
 		    r->req.version);
 		return;
 	}
@@ -70,9 +70,9 @@
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
-/* An earlier start with a parent can only have made the version after it. */
+/* An earlier start with a parent can have created only the version after it. */
 static struct range
-version_first_look(const struct signoff *r)
+version_first_search(const struct signoff *r)
 {
 	struct range range = {1, 0};
 
@@ -81,20 +81,22 @@
 		range.high = MIN(range.low, r->head.version);
 	} else if (!r->req.fresh) {
 		range.high = r->head.version;
-		if (range.high > SIGNOFF_REPEAT_VERSIONS)
-			range.low = range.high - SIGNOFF_REPEAT_VERSIONS + 1;
+		if (range.high > SIGNOFF_REPEAT_VERSIONS_MAX)
+			range.low =
+			    range.high - SIGNOFF_REPEAT_VERSIONS_MAX + 1;
 	}
 	return range;
 }
 
 /*
- * Before going on top, all that came since is looked at: another start of
- * this operation may have gone on top as well.
+ * Before a retry on top of newer versions, all rows since the base are
+ * searched: another start of this operation may have been retried there as
+ * well.
  */
 static uint64_t
-version_settle_to(const struct signoff *r)
+version_settle_limit(const struct signoff *r)
 {
-	if (!r->req.has_parent && r->race_left > 0)
+	if (!r->req.has_parent && r->race_retries_left > 0)
 		return r->head.version;
 	return r->base.version + 1;
 }
@@ -105,8 +107,8 @@
 	if (r->req.has_parent && r->head.version < r->req.parent) {
 		outcome_not_found(r,
 		    "There is no version %" G_GUINT64_FORMAT
-		    " to build on; the newest is %" G_GUINT64_FORMAT
-		    ". Look at the history.",
+		    " to build on; the newest version is %" G_GUINT64_FORMAT
+		    ". See the history.",
 		    r->req.parent, r->head.version);
 		return;
 	}
@@ -115,21 +117,22 @@
 		return;
 	}
 	r->base = r->head;
-	if (supersedes(r) && r->list == NULL)
+	if (is_supersede(r) && r->list == NULL)
 		signoff_enter(r, PHASE_SOURCE_LIST, now_ms);
 	else
 		signoff_enter(r, PHASE_BASE_ROW, now_ms);
 }
 
-/* Another operation was first: go on top of it only if that was asked for. */
+/* Another operation was first: retry on top of it only if that was requested.
+ */
 static void
-version_lost(struct signoff *r, uint64_t now_ms)
+version_on_lost_race(struct signoff *r, uint64_t now_ms)
 {
 	if (r->head.version == r->base.version) {
-		/* Only a halt came in between; the parent is the same. */
+		/* There was only a halt in between; the parent is the same. */
 		version_proceed(r, now_ms);
-	} else if (r->race_left > 0) {
-		r->race_left--;
+	} else if (r->race_retries_left > 0) {
+		r->race_retries_left--;
 		version_proceed(r, now_ms);
 	} else {
 		outcome_conflict(r);
@@ -138,10 +141,10 @@
 
 const struct signoff_ops version_ops = {
     .begin = version_begin,
-    .first_look = version_first_look,
-    .settle_to = version_settle_to,
+    .first_search = version_first_search,
+    .settle_limit = version_settle_limit,
     .proceed = version_proceed,
-    .lost = version_lost,
+    .on_lost_race = version_on_lost_race,
 };
 
 void
@@ -156,21 +159,22 @@
 {
 	if (st == STATUS_NOT_FOUND || st == STATUS_TOO_LARGE) {
 		outcome_not_found(r,
-		    "The platform no longer has the list of version "
+		    "The platform no longer has the section list of version "
 		    "%" G_GUINT64_FORMAT "; sign its bundle off again.",
 		    r->req.version);
 		return;
 	}
 	if (st != STATUS_OK ||
 	    section_list_decode(data, len, &r->root, &r->list) != STATUS_OK) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
 	signoff_enter(r, PHASE_BASE_ROW, now_ms);
 }
 
-/* The newest version's root is in its row, or in a head that is rolling. */
+/* Reads the newest version's row for its root, which the head row holds unless
+ * it is halted. */
 void
 version_issue_base_row(struct signoff *r, uint64_t now_ms)
 {
@@ -188,7 +192,7 @@
 {
 	(void)upto;
 	if (st != STATUS_OK || n != 1 || rows[0].version != r->base.version) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
@@ -196,7 +200,8 @@
 	signoff_enter(r, PHASE_BASE_LIST, now_ms);
 }
 
-/* Sections that the newest version has are on the platform already. */
+/* Marks the sections to write; those of the newest version are on the platform
+ * already. */
 static void
 mark_needed(struct signoff *r, const GArray *changes)
 {
@@ -272,7 +277,7 @@
 	g_strlcpy(row->note, r->req.note, sizeof(row->note));
 }
 
-/* All is known: write the objects that are needed, then the rows. */
+/* Writes the objects that are needed, then the rows. */
 static void
 version_write(struct signoff *r, uint64_t now_ms)
 {
@@ -303,14 +308,14 @@
 	version_write(r, now_ms);
 }
 
-/* Without the list of the newest version all sections count as changed. */
+/* Without the newest version's list all sections count as changed. */
 void
 version_on_base_list(struct signoff *r, uint64_t now_ms, enum status st,
     const uint8_t *data, size_t len)
 {
 	if (st != STATUS_OK && st != STATUS_NOT_FOUND &&
 	    st != STATUS_TOO_LARGE) {
-		signoff_failed(r, now_ms);
+		signoff_retry_later(r, now_ms);
 		return;
 	}
 	r->n_failures = 0;
--- a/packages/signoff/test/test_signoff.c
+++ b/packages/signoff/test/test_signoff.c
@@ -1,6 +1,6 @@
 /*
  * Sign-off, halt and supersede, one at a time, against a platform that loses
- * answers at each step, throttles, is down, and doubles or delays writes.
+ * answers at each step, throttles, is down, and duplicates or delays writes.
  */
 #include <check.h>
 #include <string.h>
@@ -9,10 +9,10 @@
 #include "scenario.h"
 
 static struct signoff_request
-on_version(struct world *w, enum signoff_kind kind, const char *op,
-    const char *who, uint64_t version)
+request_for_version(struct world *w, enum signoff_kind kind, const char *op,
+    const char *operator_name, uint64_t version)
 {
-	struct signoff_request req = world_request(w, kind, op, who);
+	struct signoff_request req = world_request(w, kind, op, operator_name);
 
 	req.version = version;
 	return req;
@@ -21,8 +21,8 @@
 #define STEPS 12
 
 /*
- * One operation of each kind, with each fault at each of its requests: it is
- * done, once, and told so; started again it is told so again.
+ * One operation of each kind, with each fault at each of its requests: it takes
+ * effect once and is reported as done; a second start reports the same.
  */
 START_TEST(test_each_step)
 {
@@ -35,26 +35,26 @@
 
 	for (step = 1; step <= STEPS; step++) {
 		w = world_new(step);
-		sign_many(w, 3);
+		sign_off_versions(w, 3);
 		w->fault_at = w->n_requests + step;
 		w->fault = fault;
-		req = on_version(w, kind, "op", "anna", 3);
-		o = world_do(w, &req, 4);
+		req = request_for_version(w, kind, "op", "anna", 3);
+		o = world_run_operation(w, &req, 4);
 		ck_assert_int_eq(o->result, SIGNOFF_DONE);
 		ck_assert_uint_eq(o->version, kind == SIGNOFF_HALT ? 3 : 4);
 		ck_assert_uint_eq(o->in_force, kind == SIGNOFF_HALT ? 2 : 4);
 		ck_assert(!o->repeated);
-		o = world_do(w, &req, 4);
+		o = world_run_operation(w, &req, 4);
 		ck_assert_int_eq(o->result, SIGNOFF_DONE);
 		ck_assert(o->repeated);
-		ck_assert_uint_eq(w->deeds->len, 4);
-		check_truth(w);
+		ck_assert_uint_eq(w->commits->len, 4);
+		check_no_violation(w);
 		world_free(w);
 	}
 }
 END_TEST
 
-/* What each request is told on a platform with three versions. */
+/* Outcome of each request on a platform with three versions. */
 static const struct {
 	enum signoff_kind kind;
 	const char *op;
@@ -64,7 +64,7 @@
 	enum signoff_result result;
 	uint64_t winner_version;
 	const char *winner_operator;
-} told[] = {
+} outcome_cases[] = {
     {SIGNOFF_SIGN_OFF, "op", 0, 3, 9, SIGNOFF_DONE, 0, ""},
     {SIGNOFF_SIGN_OFF, "op", 0, 2, 9, SIGNOFF_CONFLICT, 3, "anna"},
     {SIGNOFF_SIGN_OFF, "op", 0, 0, 9, SIGNOFF_CONFLICT, 1, "anna"},
@@ -84,70 +84,72 @@
     {SIGNOFF_FIND, "op", 0, -1, 0, SIGNOFF_NOT_FOUND, 0, ""},
 };
 
-START_TEST(test_told)
+START_TEST(test_outcomes)
 {
 	struct world *w = world_new(1);
 	const struct signoff_outcome *o;
 	struct signoff_request req;
 
-	sign_many(w, 3);
-	req = on_version(
-	    w, told[_i].kind, told[_i].op, "bjorn", told[_i].version);
-	req.has_parent = told[_i].parent >= 0;
-	req.parent = req.has_parent ? (uint64_t)told[_i].parent : 0;
-	o = world_do(w, &req, told[_i].variant);
-	ck_assert_int_eq(o->result, told[_i].result);
-	ck_assert_uint_eq(o->winner_version, told[_i].winner_version);
-	ck_assert_str_eq(o->winner_operator, told[_i].winner_operator);
+	sign_off_versions(w, 3);
+	req = request_for_version(w, outcome_cases[_i].kind,
+	    outcome_cases[_i].op, "bjorn", outcome_cases[_i].version);
+	req.has_parent = outcome_cases[_i].parent >= 0;
+	req.parent = req.has_parent ? (uint64_t)outcome_cases[_i].parent : 0;
+	o = world_run_operation(w, &req, outcome_cases[_i].variant);
+	ck_assert_int_eq(o->result, outcome_cases[_i].result);
+	ck_assert_uint_eq(o->winner_version, outcome_cases[_i].winner_version);
+	ck_assert_str_eq(o->winner_operator, outcome_cases[_i].winner_operator);
 	ck_assert(o->message[0] != '\0');
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
-/* A halt is told who was first, is found after others went on, and skips
- * versions halted before. */
+/* A halt that is not the first reports the winner, also after newer versions; a
+ * halt skips versions that were halted before. */
 START_TEST(test_halts)
 {
 	struct world *w = world_new(1);
 	const struct signoff_outcome *o;
 	struct signoff_request req, first;
 
-	sign_many(w, 2);
-	first = on_version(w, SIGNOFF_HALT, "stop-2", "bjorn", 2);
-	ck_assert_int_eq(world_do(w, &first, 0)->result, SIGNOFF_DONE);
-	req = on_version(w, SIGNOFF_HALT, "late-2", "carl", 2);
-	o = world_do(w, &req, 0);
-	ck_assert_int_eq(o->result, SIGNOFF_ALREADY);
+	sign_off_versions(w, 2);
+	first = request_for_version(w, SIGNOFF_HALT, "stop-2", "bjorn", 2);
+	ck_assert_int_eq(
+	    world_run_operation(w, &first, 0)->result, SIGNOFF_DONE);
+	req = request_for_version(w, SIGNOFF_HALT, "late-2", "carl", 2);
+	o = world_run_operation(w, &req, 0);
+	ck_assert_int_eq(o->result, SIGNOFF_ALREADY_HALTED);
 	ck_assert_str_eq(o->winner_operator, "bjorn");
-	sign_many(w, 3);
-	o = world_do(w, &req, 0);
-	ck_assert_int_eq(o->result, SIGNOFF_ALREADY);
+	sign_off_versions(w, 3);
+	o = world_run_operation(w, &req, 0);
+	ck_assert_int_eq(o->result, SIGNOFF_ALREADY_HALTED);
 	ck_assert_str_eq(o->winner_operator, "bjorn");
-	o = world_do(w, &first, 0);
+	o = world_run_operation(w, &first, 0);
 	ck_assert_int_eq(o->result, SIGNOFF_DONE);
 	ck_assert(o->repeated);
-	req = on_version(w, SIGNOFF_HALT, "stop-3", "bjorn", 3);
-	ck_assert_uint_eq(world_do(w, &req, 0)->in_force, 1);
-	req = on_version(w, SIGNOFF_SUPERSEDE, "back", "carl", 1);
-	o = world_do(w, &req, 0);
+	req = request_for_version(w, SIGNOFF_HALT, "stop-3", "bjorn", 3);
+	ck_assert_uint_eq(world_run_operation(w, &req, 0)->in_force, 1);
+	req = request_for_version(w, SIGNOFF_SUPERSEDE, "back", "carl", 1);
+	o = world_run_operation(w, &req, 0);
 	ck_assert_uint_eq(o->version, 4);
 	ck_assert_uint_eq(o->in_force, 4);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
-	/* The only version halted: nothing is in force. */
+	/* The only version is halted: none is in force. */
 	w = world_new(1);
-	sign_many(w, 1);
-	req = on_version(w, SIGNOFF_HALT, "stop", "carl", 1);
-	ck_assert_uint_eq(world_do(w, &req, 0)->in_force, 0);
-	sign_many(w, 2);
-	check_truth(w);
+	sign_off_versions(w, 1);
+	req = request_for_version(w, SIGNOFF_HALT, "stop", "carl", 1);
+	ck_assert_uint_eq(world_run_operation(w, &req, 0)->in_force, 0);
+	sign_off_versions(w, 2);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
-/* Down from the start, nothing is done; down from the write on, it is not
- * known; asked again when the platform is back, it is. */
+/* While the platform is down from the start, nothing is written. If it goes
+ * down with the write, the outcome is unknown; once the platform is back and
+ * another write has followed, a find settles it. */
 START_TEST(test_down)
 {
 	const bool written = _i % 2 != 0;
@@ -156,104 +158,106 @@
 	struct world *w = world_new((uint32_t)_i);
 	uint64_t after_seq;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	w->down = true;
-	req = sign(w, "op");
+	req = sign_off_request(w, "op");
 	req.fresh = true;
-	o = world_do(w, &req, 5);
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_UNAVAILABLE);
 	ck_assert_uint_ge(w->now_ms, req.deadline_ms);
-	ck_assert_uint_eq(w->deeds->len, 1);
-	/* The write's answer is lost, and nothing can be read after it. */
+	ck_assert_uint_eq(w->commits->len, 1);
+	/* The write's answer is lost, and no read succeeds after it. */
 	w->down = false;
 	w->fault_at = w->n_requests + WRITE_REQUEST;
 	w->fault = written ? FAULT_LOST_ANSWER : FAULT_LOST_REQUEST;
-	req = sign(w, "lost");
+	req = sign_off_request(w, "lost");
 	req.fresh = true;
-	req.deadline_ms = w->now_ms + SIGNOFF_STEP_MS;
-	o = world_do(w, &req, 5);
+	req.deadline_ms = w->now_ms + SIGNOFF_REQUEST_TIMEOUT_MS;
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_UNKNOWN);
-	ck_assert_uint_eq(w->deeds->len, written ? 2 : 1);
+	ck_assert_uint_eq(w->commits->len, written ? 2 : 1);
 	after_seq = o->after_seq;
 	ck_assert_uint_eq(after_seq, 1);
 	find = world_request(w, SIGNOFF_FIND, "lost", "");
 	find.after_seq = after_seq;
-	o = world_do(w, &find, 0);
+	o = world_run_operation(w, &find, 0);
 	ck_assert_int_eq(o->result, written ? SIGNOFF_DONE : SIGNOFF_UNKNOWN);
-	/* Once somebody else has gone on, it is certain either way. */
-	sign_many(w, written ? 3 : 2);
-	find.deadline_ms = w->now_ms + SIGNOFF_STEP_MS;
-	o = world_do(w, &find, 0);
+	/* After another operation's write the outcome is certain either way. */
+	sign_off_versions(w, written ? 3 : 2);
+	find.deadline_ms = w->now_ms + SIGNOFF_REQUEST_TIMEOUT_MS;
+	o = world_run_operation(w, &find, 0);
 	ck_assert_int_eq(o->result, written ? SIGNOFF_DONE : SIGNOFF_NOT_FOUND);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
-/* What the platform will never take is told at once. */
+/* A write that the platform rejects as too large is reported at once. */
 START_TEST(test_too_large)
 {
 	struct world *w = world_new(1);
 	const struct signoff_outcome *o;
 	struct signoff_request req;
 
-	sign_many(w, 1);
-	w->refuse = STATUS_TOO_LARGE;
-	w->refuse_kind = _i == 0 ? SIGNOFF_PUT_OBJECT : SIGNOFF_TRANSACT;
-	req = sign(w, "op");
-	o = world_do(w, &req, 5);
+	sign_off_versions(w, 1);
+	w->rejection = STATUS_TOO_LARGE;
+	w->rejected_kind = _i == 0 ? SIGNOFF_PUT_OBJECT : SIGNOFF_TRANSACT;
+	req = sign_off_request(w, "op");
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_INVALID);
 	ck_assert_uint_lt(w->now_ms, req.deadline_ms);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
-/* Changes that are too many for a row, or relative to a list that the
- * platform has lost, are not listed; all sections are written then. */
-START_TEST(test_whole)
+/* Changes are not listed in the row if they are too many for it, or if the list
+ * that they refer to is lost on the platform; then all sections are written. */
+START_TEST(test_changes_not_listed)
 {
 	struct world *w = world_new(1);
 	struct signoff_request req;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	ck_assert_uint_eq(w->n_whole, 0);
 	if (_i == 0)
 		g_hash_table_remove_all(w->objects);
-	req = sign(w, "op");
+	req = sign_off_request(w, "op");
 	req.deadline_ms = DEADLINE_NEVER;
 	ck_assert_int_eq(
-	    world_do(w, &req, _i == 0 ? 5 : WORLD_HUGE)->result, SIGNOFF_DONE);
+	    world_run_operation(w, &req, _i == 0 ? 5 : WORLD_BUNDLE_MAX)
+		->result,
+	    SIGNOFF_DONE);
 	ck_assert_uint_eq(w->n_whole, 1);
-	check_truth(w);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
-/* A write that is still on its way when the platform goes down: that it was
- * not there when looked for does not mean that it is not done. */
+/* A write is still in transit when the platform goes down: that a read did not
+ * find it does not prove that it has no effect. */
 START_TEST(test_late)
 {
 	const struct signoff_outcome *o;
 	struct world *w = world_new(1);
 	struct signoff_request req;
 
-	sign_many(w, 1);
+	sign_off_versions(w, 1);
 	w->fault_at = w->n_requests + WRITE_REQUEST;
 	w->fault = FAULT_LATE;
 	w->down_from = w->fault_at + 2;
-	req = sign(w, "op");
+	req = sign_off_request(w, "op");
 	req.fresh = true;
-	o = world_do(w, &req, 5);
+	o = world_run_operation(w, &req, 5);
 	ck_assert_int_eq(o->result, SIGNOFF_UNKNOWN);
-	ck_assert_uint_eq(w->deeds->len, 2);
-	check_truth(w);
+	ck_assert_uint_eq(w->commits->len, 2);
+	check_no_violation(w);
 	world_free(w);
 }
 END_TEST
 
-/* Requests that make no sense are refused before anything is asked. */
-START_TEST(test_refused)
+/* Invalid requests are rejected before anything is sent. */
+START_TEST(test_invalid_requests)
 {
 	struct world *w = world_new(1);
 	struct signoff_request req;
@@ -283,13 +287,14 @@
 	TCase *tc = tcase_create("signoff");
 
 	tcase_add_loop_test(tc, test_each_step, 0, 3 * (FAULT_COUNT - 1));
-	tcase_add_loop_test(tc, test_told, 0, (int)G_N_ELEMENTS(told));
+	tcase_add_loop_test(
+	    tc, test_outcomes, 0, (int)G_N_ELEMENTS(outcome_cases));
 	tcase_add_test(tc, test_halts);
 	tcase_add_loop_test(tc, test_down, 0, 20);
 	tcase_add_loop_test(tc, test_too_large, 0, 2);
-	tcase_add_loop_test(tc, test_whole, 0, 2);
+	tcase_add_loop_test(tc, test_changes_not_listed, 0, 2);
 	tcase_add_test(tc, test_late);
-	tcase_add_test(tc, test_refused);
+	tcase_add_test(tc, test_invalid_requests);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return scenario_run(suite);
