--- a/packages/traffic/include/traffic/admission.h
+++ b/packages/traffic/include/traffic/admission.h
@@ -57,7 +57,7 @@
  * @class: class of the request
  * @deadline_ms: monotonic deadline
  * @priority: 0 is the highest; a request waits for all higher priorities
- * @target_ms: monotonic time after which the response is worth less, 0 when
+ * @target_ms: monotonic time after which the answer is worth less, 0 when
  *	unknown.  Within a priority, requests that can still meet their target
  *	go before those that can't, earliest target first, and wait no longer
  *	than the target allows.
@@ -140,8 +140,8 @@
     const struct admission_request *req, uint64_t ran_ms, uint64_t now_ms);
 
 /**
- * admission_mean_run_ms() - mean run time of answered requests like @req, 0
- * when there was none
+ * admission_mean_run_ms() - mean run time of answered requests with the class
+ * and priority of @req, 0 when there was none
  */
 uint64_t admission_mean_run_ms(
     const struct admission *a, const struct admission_request *req);
@@ -161,12 +161,12 @@
  * admission_shed() - the upstream refused a started request for load
  *
  * Reduces the slots in use to the number of requests that the upstream
- * evidently accepts.  The slots grow back by one per round of responses, so
- * that an upstream that announced too many slots or is cold is not sent more
- * than it can run.  An upstream that refuses while most of its slots are free,
- * or while it runs fewer requests than a second ago, refuses for another
- * reason, and the slots stay: reduced in that case too, an upstream that
- * refuses half of all requests at random is left with one slot of twelve.
+ * evidently accepts.  The slots grow back by one per round of answers, so that
+ * an upstream that announced too many slots or is cold is not sent more than it
+ * can run.  An upstream that refuses while most of its slots are free, or while
+ * it runs fewer requests than a second ago, refuses for another reason, and the
+ * slots stay: if they were reduced then too, an upstream that refuses half of
+ * all requests at random would be left with one slot of twelve.
  *
  * Return: time in ms after which a retry is worthwhile.
  */
@@ -201,7 +201,7 @@
 /** admission_undrain() - accept requests again */
 void admission_undrain(struct admission *a);
 
-/** admission_load() - load report for responses and refusals */
+/** admission_load() - load report for answers and refusals */
 void admission_load(const struct admission *a, struct load_report *out);
 
 #endif
--- a/packages/traffic/include/traffic/behind.h
+++ b/packages/traffic/include/traffic/behind.h
@@ -1,9 +1,9 @@
 /*
- * Behind: whether a node knows of a newer version of the configuration than
- * the one in force.
+ * Behind: whether a newer version of the configuration than the one in force is
+ * known on a node.
  *
- * Such a node can't tell whether a request without a matching route is wrong,
- * or whether the newer version has a route for it.
+ * A request without a matching route may be wrong there, or the newer version
+ * may have a route for it.
  */
 #ifndef TRAFFIC_BEHIND_H
 #define TRAFFIC_BEHIND_H
@@ -35,7 +35,7 @@
 #define BEHIND_RETRY_NOW_MS 1
 
 /**
- * struct behind - version in force on a node and newest version it knows of
+ * struct behind - version in force on a node and newest version known there
  * @in_force: version in force on this node, 0 for none
  * @known: newest known version, from any source; 0 for none
  * @since_ms: while @known is newer: monotonic time at which it became newer,
--- a/packages/traffic/include/traffic/body_window.h
+++ b/packages/traffic/include/traffic/body_window.h
@@ -101,7 +101,7 @@
  *
  * Call after each event until it returns NULL.
  *
- * Return: the share that receives the grant.
+ * Return: the share that receives the grant, or NULL.
  */
 struct body_share *
 body_window_next(struct body_window *w, uint32_t *bytes, uint64_t now_ms);
--- a/packages/traffic/include/traffic/call.h
+++ b/packages/traffic/include/traffic/call.h
@@ -1,17 +1,17 @@
 /*
  * State machine of one call at the entry: from the caller's request to the
- * final response.
+ * final answer.
  *
  * The user of this module feeds events and carries out the actions that
  * call_next() returns.  Each SEND and each RESOLVE opens a stream with a new
  * number.  An event names its stream, and events of an earlier stream are
- * ignored, so that a late response is never attributed to a later attempt.
+ * ignored, so that a late answer is never attributed to a later attempt.
  *
  * Rules:
  * - not_run is reported only when it is certain.
  * - A non-idempotent request is sent again only after the earlier attempt is
  *   certain not to have run.
- * - Final responses are reported without delay.
+ * - Final answers are reported without delay.
  */
 #ifndef TRAFFIC_CALL_H
 #define TRAFFIC_CALL_H
@@ -26,7 +26,7 @@
  *	guard to report whether a cancelled request had started
  * @resolve_limit_ms: how long the entry tries to reach a guard for a resolve
  * @attempts: maximum number of attempts, 0 for the retry budget's setting
- * @target_ms: monotonic time after which the response is worth less to the
+ * @target_ms: monotonic time after which the answer is worth less to the
  *	caller; 0 when unknown
  * @caller_gives_up_ms: monotonic time at which the caller itself gives up,
  *	which may be later than the deadline; DEADLINE_NEVER when unknown
@@ -55,12 +55,12 @@
  * @CALL_RESOLVE: resolve @attempt at @endpoint over a NEW connection, as
  *	@stream; close the old connection if it was silent
  * @CALL_CANCEL: notify @endpoint that @attempt is no longer wanted; the call
- *	waits for no response except during the grace time after a deadline
- * @CALL_DELIVER: pass the response of @stream to the caller; final
+ *	waits for no answer except during the grace time after a deadline
+ * @CALL_DELIVER: pass the answer of @stream to the caller; final
  * @CALL_GIVE_UP: report @outcome and @retry_after_ms to the caller; final
- * @CALL_ABORT: part of the response was passed on and the rest is lost: close
- *	the caller's connection, so that the response is not mistaken for
- *	complete; final
+ * @CALL_ABORT: part of the answer was passed on and the rest is lost: close the
+ *	caller's connection, so that the answer is not mistaken for complete;
+ *	final
  */
 enum call_action_kind {
 	CALL_PLACE = 0,
@@ -83,7 +83,7 @@
  * @endpoint: the endpoint concerned
  * @incarnation: RESOLVE: the guard process to which the attempt was sent
  * @sent_ms: RESOLVE: own time at which the attempt was sent
- * @cancel: RESOLVE: only whether the attempt started matters, not its response
+ * @cancel: RESOLVE: only whether the attempt started matters, not its answer
  * @outcome: GIVE_UP: outcome to report
  * @refusal: GIVE_UP: the last refusal, for the message
  * @retry_after_ms: GIVE_UP: when the caller should retry
@@ -155,12 +155,12 @@
 void call_body_discarded(struct call *c);
 
 /**
- * call_committed() - the response exceeds the buffer; its beginning is being
+ * call_committed() - the answer exceeds the buffer; its beginning is being
  * passed to the caller
  */
 void call_committed(struct call *c, uint32_t stream, uint64_t now_ms);
 
-/** call_answered() - the complete response has arrived */
+/** call_answered() - the complete answer has arrived */
 void call_answered(struct call *c, uint32_t stream, uint64_t now_ms);
 
 /**
@@ -176,8 +176,8 @@
     uint64_t retry_after_ms, uint64_t now_ms);
 
 /**
- * call_failed() - the guard reports that the attempt started and no response
- * will come
+ * call_failed() - the guard reports that the attempt started and no answer will
+ * come
  */
 void call_failed(struct call *c, uint32_t stream, uint64_t now_ms);
 
--- a/packages/traffic/include/traffic/clean_runs.h
+++ b/packages/traffic/include/traffic/clean_runs.h
@@ -1,7 +1,7 @@
 /*
  * Clean runs: requests that an upstream on this host has answered recently.
  *
- * A request with a recent response does not crash every upstream that runs it,
+ * A request with a recent answer does not crash every upstream that runs it,
  * whatever ended an upstream while the request was in flight.  This prevents
  * popular requests from being blamed when upstreams end for another reason.
  *
@@ -49,8 +49,8 @@
 /**
  * clean_runs_take() - same as clean_runs_has(), and remove the request
  *
- * A response exonerates a request from one crash only, so that responses from
- * before a release don't cover for long a request that crashes the new
+ * An answer exonerates a request from one crash only: otherwise answers from
+ * before a release would keep exonerating a request that crashes the new
  * release.
  */
 bool clean_runs_take(
--- a/packages/traffic/include/traffic/drain.h
+++ b/packages/traffic/include/traffic/drain.h
@@ -13,7 +13,7 @@
  * @DRAIN_SERVING: no stop was requested
  * @DRAIN_NOTICE: leaving is announced; the guard refuses new requests, and the
  *	entry still accepts calls and closes its callers' connections after
- *	their responses
+ *	their answers
  * @DRAIN_REFUSING: the entry refuses new calls as well
  * @DRAIN_EMPTY: nothing is in flight: stop now
  * @DRAIN_OVERDUE: the deadline has passed with requests in flight: stop now,
@@ -115,8 +115,8 @@
 bool drain_accepts_request(const struct drain *d);
 
 /**
- * drain_closes_connections() - whether callers' connections are closed after a
- * response
+ * drain_closes_connections() - whether callers' connections are closed after an
+ * answer
  */
 bool drain_closes_connections(const struct drain *d);
 
@@ -124,7 +124,7 @@
 void drain_call_began(struct drain *d);
 
 /**
- * drain_call_ended() - the caller has received its complete response or has
+ * drain_call_ended() - the caller has received its complete answer or has
  * disconnected
  */
 void drain_call_ended(struct drain *d, uint64_t now_ms);
@@ -132,7 +132,7 @@
 /** drain_request_began() - the guard accepted a request */
 void drain_request_began(struct drain *d);
 
-/** drain_request_ended() - the complete response of a request was written */
+/** drain_request_ended() - the complete answer to a request was written */
 void drain_request_ended(struct drain *d, uint64_t now_ms);
 
 /** drain_tick() - the time that drain_wake_ms() returned has come */
--- a/packages/traffic/include/traffic/ejection.h
+++ b/packages/traffic/include/traffic/ejection.h
@@ -2,9 +2,9 @@
  * Outlier ejection: excludes endpoints that fail, fall silent or are much
  * slower than the others of their service.
  *
- * The duration of repeated ejections grows up to a limit, and only a share of
- * a service's endpoints is ejected at a time.  After the ejection a few
- * requests probe the endpoint.
+ * The duration of repeated ejections grows up to a limit, and only a share of a
+ * service's endpoints is ejected at a time.  After the ejection one request at
+ * a time probes the endpoint.
  */
 #ifndef TRAFFIC_EJECTION_H
 #define TRAFFIC_EJECTION_H
--- a/packages/traffic/include/traffic/endpoints.h
+++ b/packages/traffic/include/traffic/endpoints.h
@@ -60,9 +60,9 @@
 
 /**
  * enum endpoint_result - result of a request at an endpoint
- * @ENDPOINT_OK: the complete response arrived and is no server error
- * @ENDPOINT_FAILED: a server error, a broken upstream or a truncated response
- * @ENDPOINT_SILENT: no response within the deadline, or connection silent
+ * @ENDPOINT_OK: the complete answer arrived and is no server error
+ * @ENDPOINT_FAILED: a server error, a broken upstream or a truncated answer
+ * @ENDPOINT_SILENT: no answer within the deadline, or connection silent
  * @ENDPOINT_UNREACHABLE: the guard could not be reached
  * @ENDPOINT_REFUSED: the guard refused for load; not counted as a failure
  * @ENDPOINT_DRAINS: the guard refused because the endpoint is draining
@@ -89,7 +89,7 @@
  * @delay_half_life_ms: half-life of a measured delay, so that an endpoint that
  *	was slow to reach is tried again
  * @drain_hold_ms: how long an endpoint that refused as draining is excluded,
- *	unless the snapshot reports it earlier
+ *	unless the snapshot reports earlier that the endpoint is ready again
  * @absent_hold_ms: how long an endpoint that accepts no connections is
  *	excluded; the upstream may start again at any time, and an attempt that
  *	comes too early costs a connection to its guard
@@ -135,7 +135,7 @@
 /**
  * endpoints_generation() - snapshot from which a service was last set
  *
- * Allows services to be set lazily, when a call for one arrives.
+ * Allows a service to be set only when a call for it arrives.
  *
  * Return: the generation, 0 when the service has never been set.
  */
@@ -149,7 +149,7 @@
  * @e: the table
  * @endpoint: the endpoint
  * @result: result of the request
- * @took_us: time from sending to the response head; used for ENDPOINT_OK
+ * @took_us: time from sending to the head of the answer; used for ENDPOINT_OK
  * @now_ms: monotonic time
  */
 void endpoints_ended(struct endpoints *e, uint64_t endpoint,
@@ -160,10 +160,10 @@
  * upstream's processing time
  * @e: the table
  * @endpoint: endpoint id
- * @took_us: time from sending to the response head, or until now when no
- *	response arrived
- * @upstream_us: processing time of the upstream; 0 when no response arrived,
- *	then the usual time of its requests is subtracted
+ * @took_us: time from sending to the head of the answer, or until now when no
+ *	answer arrived
+ * @upstream_us: processing time of the upstream; 0 when no answer arrived, then
+ *	the usual time of its requests is subtracted
  * @now_ms: monotonic time
  *
  * Call only for requests without a body, as the transfer of a body takes time
@@ -194,7 +194,7 @@
 bool endpoints_listed(const struct endpoints *e, uint64_t endpoint);
 
 /**
- * endpoints_report() - a response or refusal of @endpoint carried @load
+ * endpoints_report() - an answer or refusal of @endpoint carried @load
  *
  * Call after endpoints_ended() of the same request.
  */
--- a/packages/traffic/include/traffic/fate.h
+++ b/packages/traffic/include/traffic/fate.h
@@ -19,8 +19,8 @@
  * @FATE_STATE_NEVER: refused, or resolved before it arrived: will never run
  * @FATE_STATE_QUEUED: accepted, not started
  * @FATE_STATE_RUNNING: passed to the upstream
- * @FATE_STATE_DONE: the upstream responded
- * @FATE_STATE_FAILED: started, and no response will come
+ * @FATE_STATE_DONE: the upstream answered
+ * @FATE_STATE_FAILED: started, and no answer will come
  * @FATE_STATE_FOLLOWS: shares the fate of an earlier request with the same
  *	idempotency key
  */
@@ -50,9 +50,9 @@
 /**
  * enum resolution - a guard's answer to a resolve
  * @RESOLUTION_NOT_RUN: the request has not run and never will
- * @RESOLUTION_ATTACHED: queued or running; the response follows on this stream
- * @RESOLUTION_ANSWER: done; the stored response follows on this stream
- * @RESOLUTION_LOST: the request ran, but its response is not stored (any more)
+ * @RESOLUTION_ATTACHED: queued or running; the answer follows on this stream
+ * @RESOLUTION_ANSWER: done; the stored answer follows on this stream
+ * @RESOLUTION_LOST: the request ran, but its answer is not stored (any more)
  * @RESOLUTION_UNKNOWN: sent to an earlier process, or too long ago
  */
 enum resolution {
@@ -70,10 +70,11 @@
  * struct fate_config - limits of the table
  * @incarnation: number of this process, also sent in its hello
  * @window_ms: how long a fate is kept after its last change
- * @records_max: maximum number of fates; above it the oldest finished fate is
- *	removed, and every request sent before that one counts as too old
- * @answers_max_bytes: maximum total size of the stored responses
- * @answer_max_bytes: maximum size of one stored response
+ * @records_max: maximum number of fates; above it the fate that was settled
+ *	first is removed, and each request sent no later than the removed one
+ *	arrived counts as too old
+ * @answers_max_bytes: maximum total size of the stored answers
+ * @answer_max_bytes: maximum size of one stored answer
  */
 struct fate_config {
 	uint64_t incarnation;
@@ -84,7 +85,7 @@
 };
 
 /**
- * struct fate_waiter - a stream that waits for a response
+ * struct fate_waiter - a stream that waits for an answer
  * @conn: number of the connection, assigned by the network layer
  * @stream: number of the stream on that connection, assigned by the entry
  */
@@ -113,8 +114,9 @@
 
 /**
  * struct fate_answer - result of a resolve
- * @resolution: the answer for the entry
- * @answer: for RESOLUTION_ANSWER: the response; the receiver owns a reference
+ * @resolution: the resolution to send to the entry
+ * @answer: for RESOLUTION_ANSWER: the stored answer; the receiver owns a
+ *	reference
  * @cancelled: the request was queued and must not run: remove it from
  *	admission
  */
@@ -129,7 +131,7 @@
 /** fate_table_new() - create an empty table; free with fate_table_free() */
 struct fate_table *fate_table_new(const struct fate_config *cfg);
 
-/** fate_table_free() - free the table and the stored responses */
+/** fate_table_free() - free the table and the stored answers */
 void fate_table_free(struct fate_table *t);
 
 /**
@@ -153,17 +155,17 @@
 fate_start(struct fate_table *t, const struct request_id *id, uint64_t now_ms);
 
 /**
- * fate_done() - record the upstream's complete response
+ * fate_done() - record the upstream's complete answer
  * @t: the table
  * @id: the request
- * @answer: encoded response to store, or NULL when it is too large; the table
+ * @answer: encoded answer to store, or NULL when it is too large; the table
  *	takes its own reference
  * @now_ms: monotonic time
  */
 void fate_done(struct fate_table *t, const struct request_id *id,
     GBytes *answer, uint64_t now_ms);
 
-/** fate_failed() - record that a request started and no response will come */
+/** fate_failed() - record that a request started and no answer will come */
 void
 fate_failed(struct fate_table *t, const struct request_id *id, uint64_t now_ms);
 
@@ -175,11 +177,11 @@
 void fate_refused(
     struct fate_table *t, const struct request_id *id, uint64_t now_ms);
 
-/** fate_acknowledged() - the entry has the complete response: free its bytes */
+/** fate_acknowledged() - the entry has the complete answer: free its bytes */
 void fate_acknowledged(struct fate_table *t, const struct request_id *id);
 
 /**
- * fate_waiters() - streams that wait for the response or the refusal
+ * fate_waiters() - streams that wait for the answer or the refusal
  * @t: the table
  * @id: the request
  * @n: number of waiters
@@ -201,7 +203,7 @@
  * @t: the table
  * @q: the request and the waiting stream
  * @now_ms: monotonic time
- * @out: the answer
+ * @out: the resolution, with the stored answer if there is one
  */
 void fate_resolve(struct fate_table *t, const struct fate_query *q,
     uint64_t now_ms, struct fate_answer *out);
@@ -226,7 +228,7 @@
 /** fate_count() - number of fates in the table */
 size_t fate_count(const struct fate_table *t);
 
-/** fate_answers_bytes() - total size of the stored responses */
+/** fate_answers_bytes() - total size of the stored answers */
 size_t fate_answers_bytes(const struct fate_table *t);
 
 #endif
--- a/packages/traffic/include/traffic/frame_age.h
+++ b/packages/traffic/include/traffic/frame_age.h
@@ -39,7 +39,7 @@
 void frame_age_init(struct frame_age *f);
 
 /**
- * frame_age_echo() - record that the peer echoed one of our times
+ * frame_age_echo() - record that the peer echoed one of the own times
  * @f: offset of the connection
  * @own_ms: the own time that was sent and echoed
  * @peer_ms: the peer's time when it sent the echo
--- a/packages/traffic/include/traffic/keyed.h
+++ b/packages/traffic/include/traffic/keyed.h
@@ -17,8 +17,8 @@
 /**
  * struct keyed_config - limits and mode
  * @window_ms: how long a key is kept after its request has ended
- * @propagation_ms: longest time until a change of the endpoints has reached
- *	all nodes; earlier homes are remembered for this time plus the window
+ * @propagation_ms: longest time until a change of the endpoints has reached all
+ *	nodes; earlier homes are kept for this time plus the window
  * @keys_max: maximum number of keys; above it requests with new keys are
  *	refused
  * @claim_always: claim each key in the platform's table before its request
@@ -119,7 +119,7 @@
  * @n: number of @endpoints
  * @now_ms: monotonic time
  *
- * Earlier views are kept for the window.
+ * Earlier views are kept for the window plus the propagation time.
  */
 void keyed_set_view(
     struct keyed *k, const uint64_t *endpoints, size_t n, uint64_t now_ms);
@@ -137,13 +137,13 @@
     const struct request_id *id, uint64_t now_ms, struct keyed_decision *out);
 
 /**
- * enum keyed_word - reply of an earlier home, or of the table to a claim
+ * enum keyed_word - answer of an earlier home, or of the table to a claim
  * @KEYED_WORD_FREE: no request with the key ran there and none will; or the
  *	claim succeeded (also when an earlier claim of this same process is
  *	found)
  * @KEYED_WORD_TAKEN: a request with the key ran or may have run there; or
  *	another endpoint holds the claim
- * @KEYED_WORD_NONE: no reply: the home or the platform is unreachable
+ * @KEYED_WORD_NONE: no answer: the home or the platform is unreachable
  */
 enum keyed_word {
 	KEYED_WORD_FREE = 0,
@@ -152,12 +152,12 @@
 };
 
 /**
- * keyed_home_answered() - the earlier home has replied or is unreachable
+ * keyed_home_answered() - the earlier home has answered or is unreachable
  * @k: the keys
  * @key: the key
  * @id: the request for which the home was queried
  * @from: the earlier home, keyed_decision.ask
- * @word: its reply
+ * @word: its answer
  * @now_ms: monotonic time
  * @out: the next decision: RUN, ASK_HOME (another home) or UNSETTLED
  */
@@ -170,7 +170,7 @@
  * @k: the keys
  * @key: the key
  * @id: the request for which the key was claimed
- * @word: the reply
+ * @word: the answer
  * @now_ms: monotonic time
  * @out: the decision: RUN or UNSETTLED
  */
@@ -204,11 +204,11 @@
  * @to_age_ms: age of its process (keyed_age_ms() there)
  * @now_ms: monotonic time
  *
- * FREE hands the key over: the key is blocked here for the window, so that no
- * request with it runs here.  FREE is returned only when this process would
- * know of a run: the process is older than the window, and within the window
- * no process other than this one and the querying one was the key's home in
- * this node's views.
+ * FREE hands the key over: the key is blocked here for twice the window, so
+ * that no request with it runs here.  FREE is returned only when this process
+ * would have a record of each run: the process is older than the window, and
+ * within the window no process other than this one and the querying one was the
+ * key's home in this node's views.
  *
  * Return: KEYED_WORD_FREE or KEYED_WORD_TAKEN.
  */
--- a/packages/traffic/include/traffic/placement.h
+++ b/packages/traffic/include/traffic/placement.h
@@ -1,9 +1,9 @@
 /*
  * Placement: chooses the endpoint that serves a call.
  *
- * Uses power of two choices on an estimate of each endpoint's load, prefers
- * the own data centre, and spills over to other data centres when the local
- * endpoints are saturated or absent.
+ * Uses power of two choices on the expected time until each endpoint answers,
+ * prefers the own data centre, and spills over to other data centres when the
+ * local endpoints are saturated or absent.
  */
 #ifndef TRAFFIC_PLACEMENT_H
 #define TRAFFIC_PLACEMENT_H
@@ -14,11 +14,15 @@
 /**
  * enum placement_reason - why an endpoint was chosen, or why none was
  * @PLACEMENT_OWN: on the own host, with free capacity
- * @PLACEMENT_LOCAL: the less loaded of two in the own data centre
- * @PLACEMENT_SPILLED: the local endpoints are saturated, a remote one is not
+ * @PLACEMENT_LOCAL: the endpoint that is expected to answer sooner, of two in
+ *	the own data centre
+ * @PLACEMENT_SPILLED: a remote endpoint is expected to answer sooner than a
+ *	local one that is saturated, or at least twice as soon as one that is
+ *	not
  * @PLACEMENT_REMOTE: the own data centre has no usable endpoint
  * @PLACEMENT_PROBE: an ejected endpoint is probed
- * @PLACEMENT_PANIC: all usable endpoints are ejected; the ejection is ignored
+ * @PLACEMENT_PANIC: no usable endpoint is left; an untried one is used although
+ *	it is ejected, silent, partitioned or to be avoided
  * @PLACEMENT_REPEATED: only endpoints that this call has tried are left
  * @PLACEMENT_HOME: the home of the call's idempotency key
  * @PLACEMENT_RANKED: first in rendezvous rank for the call's content
@@ -93,8 +97,8 @@
  * @saturation_percent: load, in percent of its slots, from which a local
  *	endpoint is saturated
  * @own_percent: load, in percent of its slots, up to which an endpoint on the
- *	own host is preferred; 0 for never.  Such a call crosses no link and
- *	costs no second node any work.
+ *	own host is preferred; 0 for never.  A call to the own host crosses no
+ *	link and costs no second node any work.
  * @local_first: prefer the own data centre
  */
 struct placement_config {
--- a/packages/traffic/include/traffic/quarantine.h
+++ b/packages/traffic/include/traffic/quarantine.h
@@ -2,16 +2,17 @@
  * Quarantine of requests that crash the upstreams which run them.
  *
  * The inputs are the crashes on all hosts, each with the requests in flight
- * there, and exonerations: responses of upstreams and releases by operators.
- * All nodes with the same input come to the same decision, in whatever order
- * the input arrived.  Events of the own host are returned for publication to
- * all nodes.
+ * there, and exonerations: answers of upstreams and releases by operators.  All
+ * nodes with the same input come to the same decision, in whatever order the
+ * input arrived.  Events of the own host are returned for publication to all
+ * nodes.
  *
  * A request is quarantined once QUARANTINE_CRASHES crashes implicate it:
  * - no upstream has answered the request since;
  * - no co-suspect was in flight in all of these crashes and unanswered since,
  *   else both requests are suspended for some seconds and run again;
- * - no quarantined request was in flight in the crash, as that explains it;
+ * - no quarantined request was in flight in the crash, as that request explains
+ *   the crash;
  * - few other upstreams crashed about that time without the request: else a
  *   power loss, a kill or a release is the cause.
  *
@@ -58,10 +59,11 @@
 #define QUARANTINE_SETTLE_MS 300
 
 /*
- * A node that has answered a request of a peer's crash reports that after a
- * random delay up to this, unless another node has reported it: a few of
- * hundreds report.  Shorter than QUARANTINE_SETTLE_MS, so that the reports are
- * part of the decision.
+ * Longest delay of a success report.  A node whose upstream has answered a
+ * request that was in flight in a peer's crash reports that answer after a
+ * random delay, unless another node has reported one: a few of hundreds report.
+ * Shorter than QUARANTINE_SETTLE_MS, so that the reports are part of the
+ * decision.
  */
 #define QUARANTINE_REPORT_MS 150
 
@@ -100,14 +102,14 @@
  * struct quarantine_entry - a quarantined or suspended request
  * @print: fingerprint of the request; caller 0 stands for all callers
  * @since_ms: monotonic time at which the quarantine or suspension began
- * @crashes: number of crashes that this node knows of, 0 when a peer reported
- *	the quarantine
+ * @crashes: number of known crashes that implicate the request, 0 when a peer
+ *	reported the quarantine
  * @last_crash: id of the last of these crashes, 0 when a peer reported the
  *	quarantine
  * @own: the last crash was on the own host, which then publishes the decision
  * @until_ms: end of a suspension, DEADLINE_NEVER when quarantined
  * @expired: the suspension has expired
- * @asked: number of calls that this node rejected
+ * @asked: number of calls that this node refused
  */
 struct quarantine_entry {
 	struct fingerprint print;
@@ -207,7 +209,7 @@
  * @at_ms: monotonic time at which the request was answered, or released by an
  *	operator
  *
- * Return: whether this ended its quarantine.
+ * Return: whether a quarantine of the request was ended.
  */
 bool quarantine_exonerate(
     struct quarantine *q, const struct fingerprint *f, uint64_t at_ms);
@@ -222,7 +224,7 @@
 const struct quarantine_entry *
 quarantine_check(struct quarantine *q, const struct fingerprint *f);
 
-/** quarantine_retry_after_ms() - Retry-After of a rejected request */
+/** quarantine_retry_after_ms() - Retry-After of a refused request, in ms */
 uint64_t
 quarantine_retry_after_ms(const struct quarantine_entry *e, uint64_t now_ms);
 
--- a/packages/traffic/include/traffic/retry.h
+++ b/packages/traffic/include/traffic/retry.h
@@ -39,10 +39,10 @@
  * @refilled_ms: monotonic time up to which the reserve was added
  * @calls: recent calls; halved every second
  * @succeeded: recent calls that were answered; halved every second
- * @halve_ms: monotonic time at which both are halved next
+ * @halve_ms: monotonic time at which @calls and @succeeded are halved next
  * @rerouted: recent calls that were sent to another endpoint after a refusal
  *	for load; halved when there are many
- * @rerouted_refused: those of them that were refused for load again
+ * @rerouted_refused: number of @rerouted that were refused for load again
  */
 struct retry_budget {
 	struct retry_config cfg;
--- a/packages/traffic/include/traffic/split.h
+++ b/packages/traffic/include/traffic/split.h
@@ -2,7 +2,7 @@
  * Split: chooses the service for a request on a weighted route.
  *
  * Uses smooth weighted round robin.  Each entry keeps the weights on its own,
- * exactly over any run of requests as long as the sum of the weights, so that
+ * exactly over each run of as many requests as the sum of the weights, so that
  * the shares also hold over all entries and within short intervals.  A request
  * is never moved away from a service that lacks capacity.
  */
--- a/packages/traffic/include/traffic/traffic_defs.h
+++ b/packages/traffic/include/traffic/traffic_defs.h
@@ -35,7 +35,7 @@
 
 /**
  * enum outcome - final result that is reported to a caller
- * @OUTCOME_DONE: the request ran; the response follows
+ * @OUTCOME_DONE: the request ran; the answer follows
  * @OUTCOME_NOT_RUN: the request has not run and never will
  * @OUTCOME_UNKNOWN: the request may have run
  */
@@ -132,8 +132,8 @@
 bool refusal_settles_key(enum refusal r);
 
 /**
- * struct load_report - load of an endpoint, sent by its guard with each
- * response and refusal
+ * struct load_report - load of an endpoint, sent by its guard with each answer
+ * and refusal
  * @in_flight: requests in slots
  * @queued: requests that wait for a slot
  * @slots: slots of the endpoint
--- a/packages/traffic/src/admission.c
+++ b/packages/traffic/src/admission.c
@@ -3,8 +3,8 @@
  *
  * Requests wait by rank: by priority, and within a priority those that can
  * still meet their target first.  Within a rank each class has its own queue.
- * A class below its share of the slots goes first.  A class that uses the
- * other's share of the queue is evicted from it when the other class needs the
+ * A class below its share of the slots goes first.  Requests of a class that
+ * exceeds its share of the queue are evicted when the other class needs the
  * space.
  */
 #include "base/clock.h"
@@ -149,8 +149,8 @@
 }
 
 /*
- * Remove the newest request of the other class and the same rank, if that
- * class uses more than its share.
+ * Remove the newest request of the other class at the same rank, if @class uses
+ * less than its share of the queue; NULL if there is none.
  */
 static struct waiting *
 evict_from_other_class(
--- a/packages/traffic/src/admission_defs.h
+++ b/packages/traffic/src/admission_defs.h
@@ -92,7 +92,8 @@
  * @overload_since_ms: start of the current series of refusals
  * @overload_until_ms: end of the series if no further request is refused
  * @refused: struct admission_result of evicted requests
- * @next_refused: index of the first one that admission_next() has not returned
+ * @next_refused: index of the first element of @refused that admission_next()
+ *	has not returned
  * @draining: no new request starts
  */
 struct admission {
@@ -132,10 +133,10 @@
 /**
  * admission_run_us() - expected run time of a request in us
  *
- * Returns the mean of the class until a request of the priority has run, and 0
- * until any request of the class has.  A measurement loses weight with age:
- * otherwise a kind of request that was slow once would be refused for that,
- * and never be measured again.
+ * This is the mean of the class while no request of the priority has been
+ * answered, and 0 while no request of the class has run.  A measurement loses
+ * weight with age: otherwise a kind of request that was slow once would be
+ * refused for that, and never be measured again.
  */
 uint64_t admission_run_us(
     const struct admission *a, uint32_t priority, enum admission_class class);
--- a/packages/traffic/src/call.c
+++ b/packages/traffic/src/call.c
@@ -15,8 +15,8 @@
 
 #define NAIVE_ATTEMPTS 4
 /*
- * Attempts that reached no upstream are not counted, up to this number:
- * several of an entry's endpoints may disappear at once, such as a rack or a
+ * Attempts that reached no upstream are not counted, up to this number: several
+ * of an entry's endpoints may disappear at once, such as with a rack or at a
  * release of a service.
  */
 #define FREE_ATTEMPTS_MAX 3
@@ -73,7 +73,7 @@
  * @free_attempts: attempts that are not counted
  * @tried: endpoints of all attempts
  * @actions: struct call_action for call_next()
- * @next_action: index of the next one of @actions
+ * @next_action: index of the action that call_next() returns next
  */
 struct call {
 	struct call_config cfg;
--- a/packages/traffic/src/centres.c
+++ b/packages/traffic/src/centres.c
@@ -9,8 +9,8 @@
 /*
  * Interval of the idempotent calls that probe a partitioned data centre, so
  * that a data centre in which two hosts happened to end together is used again
- * with the first response.  Silent hosts are redialled meanwhile, at least
- * every 1.6 s, and a host that answers ends the partition as well.
+ * with the first answer.  Silent hosts are redialled meanwhile, at least every
+ * 1.6 s, and a host that answers ends the partition as well.
  */
 #define PROBE_INTERVAL_MS 2000
 
--- a/packages/traffic/src/drain.c
+++ b/packages/traffic/src/drain.c
@@ -61,7 +61,7 @@
 	d->stop_ms = stop_ms;
 }
 
-/* Time for the response to travel from the upstream to the entry. */
+/* Time for the answer to travel from the upstream to the entry. */
 #define ANSWER_TRANSFER_MS 200
 /* The longest run times are several times the mean of their kind. */
 #define RUN_MEAN_FACTOR 8
--- a/packages/traffic/src/endpoints.c
+++ b/packages/traffic/src/endpoints.c
@@ -137,8 +137,8 @@
 }
 
 /*
- * @warm: this entry is new to the service and can't tell which endpoints are
- *	cold.
+ * @warm: this entry is new to the service and has no record of which endpoints
+ *	are cold.
  */
 static void
 update_endpoint(const struct endpoints *e, struct endpoint *ep,
--- a/packages/traffic/src/endpoints_defs.h
+++ b/packages/traffic/src/endpoints_defs.h
@@ -17,8 +17,8 @@
  * @successes: recent successes, decaying
  * @failures: recent failures, decaying
  * @halved_ms: monotonic time at which the counts were last halved
- * @took_us: moving average of the time to the response head
- * @samples: number of times in the average
+ * @took_us: moving average of the time to the head of the answer
+ * @samples: number of measured times in the average
  * @ejections: number of successive ejections, for the growing duration
  * @until_ms: end of the ejection; 0 when not ejected
  * @probing: a probe is in flight
@@ -37,7 +37,7 @@
 
 /**
  * struct mean_load - mean load by other entries on a group of endpoints
- * @per_slot: load per slot, averaged over the last reports of all of them
+ * @per_slot: load per slot, averaged over the last reports of the whole group
  * @reported_ms: monotonic time of the last report
  */
 struct mean_load {
@@ -48,7 +48,7 @@
 /**
  * struct service - a service and its endpoints
  * @id: see service_id()
- * @generation: snapshot from which the service was last set
+ * @generation: number of the snapshot from which the service was last set
  * @since_ms: monotonic time at which the service was first set
  * @listed: struct endpoint of all endpoints in the snapshot
  * @ejected: number of ejected endpoints
@@ -132,15 +132,15 @@
     const struct endpoints *e, struct endpoint *ep, uint64_t now_ms);
 
 /**
- * endpoints_load_milli() - estimated load of an endpoint; an old report decays
- * to an idle endpoint
+ * endpoints_load_milli() - estimated load of an endpoint; the load by other
+ * entries decays to 0 as its report grows old
  */
 uint64_t endpoints_load_milli(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms);
 
 /**
- * endpoints_expected_milli() - estimated load of an endpoint; an old report
- * decays to the mean load of its group
+ * endpoints_expected_milli() - estimated load of an endpoint; the load by other
+ * entries decays to the mean of its group as its report grows old
  */
 uint64_t endpoints_expected_milli(
     const struct endpoints *e, const struct endpoint *ep, uint64_t now_ms);
@@ -158,8 +158,8 @@
     enum endpoint_result result, uint64_t took_us, uint64_t now_ms);
 
 /**
- * ejection_verdict_for() - verdict on an endpoint for an idempotent request or
- * another one
+ * ejection_verdict_for() - verdict on an endpoint for an idempotent or a
+ * non-idempotent request
  */
 enum ejection_verdict ejection_verdict_for(const struct ejection *j,
     const struct endpoint *ep, bool idempotent, uint64_t now_ms);
--- a/packages/traffic/src/fate.c
+++ b/packages/traffic/src/fate.c
@@ -21,7 +21,7 @@
  */
 #define CLOCK_DRIFT_MARGIN_MS 1000
 /*
- * Limit on the connections that wait for one response; the oldest is dropped.
+ * Limit on the connections that wait for one answer; the oldest is dropped.
  */
 #define WAITERS_MAX 8
 
@@ -32,10 +32,10 @@
  * @state: see enum fate_state
  * @received_ms: monotonic time at which the record was added
  * @settled_ms: monotonic time at which the record was settled
- * @answer: stored response, or NULL
+ * @answer: stored answer, or NULL
  * @waiters: struct fate_waiter, latest last
  * @active_link: node in the list of active records
- * @answer_link: node in the list of stored responses
+ * @answer_link: node in the list of stored answers
  */
 struct record {
 	struct request_id id;
@@ -55,8 +55,8 @@
  * @records: request id -> struct record
  * @active: queued and running records
  * @settled: settled records in the order in which they were settled
- * @answers: records with a stored response, oldest first
- * @answers_bytes: total size of the stored responses
+ * @answers: records with a stored answer, oldest first
+ * @answers_bytes: total size of the stored answers
  * @rejected_until_ms: requests sent at this time or earlier are too old
  */
 struct fate_table {
@@ -408,7 +408,7 @@
 }
 
 /*
- * The first request's own waiters need its response too, so a follower can't
+ * The first request's own waiters need its answer too, so a follower can't
  * cancel it.
  */
 static void
--- a/packages/traffic/src/key_views.h
+++ b/packages/traffic/src/key_views.h
@@ -27,7 +27,10 @@
 /** key_views_clear() - free the views */
 void key_views_clear(struct key_views *v);
 
-/** key_views_set() - begin a new view at @now_ms if it differs from the last */
+/**
+ * key_views_set() - begin a new view at @now_ms unless @endpoints are those of
+ * the last
+ */
 void key_views_set(
     struct key_views *v, const uint64_t *endpoints, size_t n, uint64_t now_ms);
 
@@ -43,8 +46,8 @@
 key_views_home_before(const struct key_views *v, const struct key_id *key);
 
 /**
- * key_views_home() - home of the key in view number @i; false when there is no
- * such view
+ * key_views_home() - home of the key in view number @i, from 0 for the oldest;
+ * false when there is no such view
  */
 bool key_views_home(const struct key_views *v, size_t i,
     const struct key_id *key, uint64_t *home);
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -2,11 +2,11 @@
  * Idempotency keys of one service at one endpoint.
  *
  * States of a key: settling (earlier homes are being queried, or a claim is in
- * progress), active (owned by a request that is to run), finished (that
- * request has ended), handed over (to another endpoint), or unknown when the
- * key is not in the table.  A request with an unknown key may run only if
- * every process that was the key's home within the window replies that no
- * request with the key ran there.
+ * progress), active (owned by a request that is to run), finished (that request
+ * has ended), handed over (to another endpoint), or unknown when the key is not
+ * in the table.  A request with an unknown key may run only if every process
+ * that was the key's home within the window answers that no request with the
+ * key ran there.
  */
 #include "traffic/keyed.h"
 
@@ -36,7 +36,7 @@
  * @changed_ms: monotonic time of the last change, for the expiry
  * @handed_to: endpoint to which the key was handed over, 0 for none
  * @handed_ms: monotonic time of the handover
- * @free_at: earlier homes that replied FREE
+ * @free_at: earlier homes that answered FREE
  * @link: node in keyed.by_changed, NULL while the key does not expire
  */
 struct entry {
@@ -113,8 +113,9 @@
 }
 
 /*
- * Retention of views and keys: the window, plus the time in which another node
- * may still have been the home by a view that this node had dropped.
+ * How long views are kept, and how old this process must be to have a record of
+ * each key: the window, plus the time in which another node may still have been
+ * the home by a view that this node had dropped.
  */
 static uint64_t
 retention_ms(const struct keyed *k)
@@ -180,7 +181,7 @@
 	return false;
 }
 
-/* The next earlier home that has not replied FREE; 0 when all have. */
+/* The next earlier home that has not answered FREE; 0 when all have. */
 static uint64_t
 next_home_to_ask(const struct keyed *k, const struct entry *e, uint64_t now_ms)
 {
@@ -331,7 +332,7 @@
 	continue_settling(k, e, now_ms, out);
 }
 
-/* The settling entry to which the reply belongs, or NULL if it is gone. */
+/* The settling entry to which the answer belongs, or NULL if it is gone. */
 static struct entry *
 find_settling(struct keyed *k, const struct key_id *key,
     const struct request_id *id, struct keyed_decision *out)
--- a/packages/traffic/src/placement.c
+++ b/packages/traffic/src/placement.c
@@ -11,32 +11,32 @@
 #define PERCENT 100
 
 /*
- * Number of responses after which times are compared.  A larger number would
- * be more accurate but too late: of hundreds of endpoints, each responds to an
- * entry once in some seconds.
+ * Number of answers after which times are compared.  A larger number would be
+ * more accurate but too late: of hundreds of endpoints, each answers an entry
+ * once in some seconds.
  */
 #define TIMES_MIN 3
 
 /*
- * Assumed run time until a response was timed.  Only the order of the
- * endpoints depends on it, and a slow path should weigh as much as it does for
+ * Assumed run time until an answer was timed.  Only the order of the endpoints
+ * depends on this time, and a slow path should weigh as much as it does for
  * short requests.
  */
 #define WORK_DEFAULT_US 50000
 
 /*
- * Another data centre is preferred if it responds this many times sooner, such
- * as when links of the own data centre are full.
+ * An endpoint of another data centre is preferred if it answers this many times
+ * sooner, such as when links of the own data centre are full.
  */
 #define SPILL_FACTOR 2
 
 /*
- * Load, in percent of its slots, up to which an endpoint of the own data
- * centre is preferred although requests queue there: at 140 they wait for less
- * than half a request's time, compared with the path and the bytes to another
- * data centre.  With 140 instead of 100, a sixth fewer bytes were sent between
- * data centres on five days of the robot cells with three seeds each, and no
- * fewer requests were served; 200 saves no more.
+ * Load, in percent of its slots, up to which an endpoint of the own data centre
+ * is preferred although requests queue there: at 140 they wait for less than
+ * half a request's time, while another data centre costs the path and the bytes
+ * to it.  With 140 instead of 100, a sixth fewer bytes were sent between data
+ * centres on five days of the robot cells with three seeds each, and no fewer
+ * requests were served; 200 saves no more.
  */
 #define SATURATION_PERCENT 140
 
@@ -196,7 +196,8 @@
 
 /*
  * Sort the service's endpoints into local and remote usable ones and fallbacks
- * (ejected, silent, already tried, or to be avoided).
+ * (ejected, silent, in a partitioned data centre, already tried, or to be
+ * avoided).
  *
  * Return: an endpoint that is due for a probe, or NULL.
  */
@@ -258,8 +259,8 @@
 }
 
 /*
- * Expected time until the response of a request that is placed now: the
- * network delay, and the time at the endpoint, which grows with its load.
+ * Expected time until the answer to a request that is placed now: the network
+ * delay, and the time at the endpoint, which grows with its load.
  */
 static uint64_t
 cost_us(const struct placement *p, const struct endpoint *ep, uint64_t work_us,
@@ -274,8 +275,8 @@
 }
 
 /*
- * Whether @a responds @factor times sooner than @b.  Unless both have
- * responded often enough, both are assumed to be equally fast.
+ * Whether @a is expected to answer @factor times sooner than @b.  Unless both
+ * have answered often enough, both are assumed to be equally fast.
  */
 static bool
 is_better(const struct placement *p, const struct endpoint *a,
@@ -317,7 +318,7 @@
 	return load * PERCENT > slots * p->cfg.saturation_percent;
 }
 
-/* Only ejected endpoints and those already tried are left. */
+/* Only fallbacks are left, see classify(). */
 static bool
 choose_fallback(struct placement *p, const struct placement_query *q,
     uint64_t now_ms, struct placement_choice *out)
--- a/packages/traffic/src/quarantine.c
+++ b/packages/traffic/src/quarantine.c
@@ -166,7 +166,7 @@
 	return &g_array_index(q->exonerations, struct exoneration, i);
 }
 
-/* A response to any caller exonerates the content for all callers. */
+/* An answer to any caller exonerates the content for all callers. */
 uint64_t
 quarantine_exonerated_ms(
     const struct quarantine *q, const struct fingerprint *f)
--- a/packages/traffic/src/quarantine_defs.h
+++ b/packages/traffic/src/quarantine_defs.h
@@ -29,7 +29,7 @@
 };
 
 /**
- * struct quarantine - the quarantine
+ * struct quarantine - see traffic/quarantine.h
  * @crashes: struct crash, in order of arrival
  * @quarantined: struct quarantine_entry
  * @suspended: struct quarantine_entry of co-suspects, including expired ones
--- a/packages/traffic/src/retry.c
+++ b/packages/traffic/src/retry.c
@@ -159,7 +159,10 @@
 	b->rerouted_refused += refused;
 }
 
-/* Other endpoints are assumed to have capacity until a call was rerouted. */
+/*
+ * REROUTED_PRIOR calls count as rerouted and not refused, so that other
+ * endpoints are assumed to have capacity at first.
+ */
 bool
 retry_budget_others_have_room(const struct retry_budget *b)
 {
--- a/packages/traffic/test/test_behind.c
+++ b/packages/traffic/test/test_behind.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the Retry-After of a node that knows of a newer version.
+ * Tests of the Retry-After of a node on which a newer version is known.
  */
 #include <check.h>
 #include <glib.h>
--- a/packages/traffic/test/test_call.c
+++ b/packages/traffic/test/test_call.c
@@ -397,9 +397,9 @@
 }
 
 /*
- * Random events in random order lead to exactly one final action, at the
- * latest at the end of the grace time (or when the connection is lost, if the
- * response has begun).
+ * Random events in random order lead to exactly one final action, at the latest
+ * at the end of the grace time (or when the connection is lost, if the answer
+ * has begun).
  */
 START_TEST(test_random_events)
 {
--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -120,7 +120,7 @@
 }
 END_TEST
 
-/* The home moved to this endpoint: decision by the earlier home's reply. */
+/* The home moved to this endpoint: decision by the earlier home's answer. */
 struct word_case {
 	enum keyed_word word;
 	enum keyed_verdict want;
@@ -189,7 +189,7 @@
 }
 END_TEST
 
-/* Reply of an earlier home to the endpoint that is the home now. */
+/* Answer of an earlier home to the endpoint that is the home now. */
 struct hand_over_case {
 	const char *name;
 	uint64_t created_ms;
--- a/packages/traffic/test/test_overload.c
+++ b/packages/traffic/test/test_overload.c
@@ -25,7 +25,7 @@
  * @priority: its priority
  * @every_us: time between two arrivals
  * @work_ms: run time
- * @target_ms: time from arrival after which the response is worth less
+ * @target_ms: time from arrival after which the answer is worth less
  * @deadline_ms: time from arrival to the deadline
  */
 struct kind {
--- a/packages/traffic/test/test_placement.c
+++ b/packages/traffic/test/test_placement.c
@@ -219,8 +219,7 @@
 
 /*
  * The slots of a cold endpoint grow, and a replaced endpoint is cold again.  A
- * new entry, which learns of the endpoints one after the other, takes none for
- * cold.
+ * new entry receives the endpoints one after the other and treats none as cold.
  */
 START_TEST(test_slow_start)
 {
@@ -300,8 +299,7 @@
 	ck_assert_int_eq(n[1], 0);
 	ck_assert_int_gt(n[2], 0);
 	/*
-	 * Both local endpoints are delayed: another data centre responds
-	 * sooner.
+	 * Both local endpoints are delayed: another data centre answers sooner.
 	 */
 	for (i = 0; i < 4; i++)
 		endpoints_record_delay(w.endpoints, 2, 522000, 22000, 100);
--- a/packages/traffic/test/test_placement_fleet.c
+++ b/packages/traffic/test/test_placement_fleet.c
@@ -227,9 +227,9 @@
  * In a large fleet each entry shares many endpoints with many other entries.
  *
  * The load: 34 endpoints of six slots, a third of them 2.5 times slower; an
- * entry sends eleven calls a second, so each endpoint responds to it once in
- * three seconds.  An entry that needs many responses before it compares times
- * sends the slow endpoints as many calls as the fast ones until then.
+ * entry sends eleven calls a second, so each endpoint answers it once in three
+ * seconds.  An entry that needs many answers before it compares times sends the
+ * slow endpoints as many calls as the fast ones until then.
  */
 #define SPARSE 34
 #define SPARSE_SLOW 11
--- a/packages/traffic/test/test_quarantine.c
+++ b/packages/traffic/test/test_quarantine.c
@@ -351,8 +351,8 @@
 
 /*
  * All upstreams of hundreds of hosts run one popular path when they end: each
- * guard has seen a response to it, and omits the request from its crash
- * report.
+ * guard has recorded an answer to the path, and omits the request from its
+ * crash report.
  */
 START_TEST(answered_request_is_not_published)
 {
@@ -373,8 +373,8 @@
 END_TEST
 
 /*
- * Guards without a response to the request report it in flight; a guard with a
- * response exonerates the request before any node quarantines it.
+ * Guards without an answer to the request report it in flight; a guard with an
+ * answer exonerates the request before any node quarantines it.
  */
 START_TEST(answer_on_one_node_exonerates_a_request)
 {
@@ -392,7 +392,7 @@
 }
 END_TEST
 
-/* A response from before a release exonerates from one crash per host only. */
+/* An answer from before a release exonerates from one crash per host only. */
 START_TEST(old_answer_exonerates_from_one_crash_only)
 {
 	struct fingerprint f = request(1, A);
