--- a/packages/traffic/src/clean_runs.c
+++ b/packages/traffic/src/clean_runs.c
@@ -53,11 +53,11 @@
 static void
 drop_old_sets(struct clean_runs *c, uint64_t now_ms)
 {
-	uint64_t old_ms = now_ms - MIN(now_ms, c->rotated_ms);
+	uint64_t age_ms = now_ms - MIN(now_ms, c->rotated_ms);
 
-	if (old_ms >= CLEAN_RUNS_KEEP_MS)
+	if (age_ms >= CLEAN_RUNS_KEEP_MS)
 		rotate(c, now_ms);
-	if (old_ms >= 2 * CLEAN_RUNS_KEEP_MS)
+	if (age_ms >= 2 * CLEAN_RUNS_KEEP_MS)
 		g_hash_table_remove_all(c->sets[1]);
 }
 
--- a/packages/traffic/src/fate.c
+++ b/packages/traffic/src/fate.c
@@ -4,7 +4,7 @@
  * A record is active (queued or running) or settled.  Settled records are in a
  * queue in the order in which they were settled, and are removed after the
  * window.  A request is accepted only if it was sent within the window and
- * after rejected_until_ms, and a record is removed only when every frame of
+ * after too_old_until_ms, and a record is removed only when every frame of
  * its request counts as too old.  A request without a record has therefore not
  * run.
  */
@@ -57,7 +57,7 @@
  * @settled: settled records in the order in which they were settled
  * @answers: records with a stored answer, oldest first
  * @answers_bytes: total size of the stored answers
- * @rejected_until_ms: requests sent at this time or earlier are too old
+ * @too_old_until_ms: requests sent at this time or earlier are too old
  */
 struct fate_table {
 	struct fate_config cfg;
@@ -66,7 +66,7 @@
 	GQueue *settled;
 	GQueue *answers;
 	size_t answers_bytes;
-	uint64_t rejected_until_ms;
+	uint64_t too_old_until_ms;
 };
 
 static guint
@@ -160,7 +160,7 @@
 static bool
 is_too_old(const struct fate_table *t, uint64_t sent_ms, uint64_t now_ms)
 {
-	if (sent_ms <= t->rejected_until_ms)
+	if (sent_ms <= t->too_old_until_ms)
 		return true;
 	return sent_ms + t->cfg.window_ms < now_ms;
 }
@@ -174,8 +174,8 @@
 	if (g_hash_table_size(t->records) >= t->cfg.records_max) {
 		oldest = g_queue_peek_head(t->settled);
 		if (oldest != NULL) {
-			t->rejected_until_ms =
-			    MAX(t->rejected_until_ms, oldest->received_ms);
+			t->too_old_until_ms =
+			    MAX(t->too_old_until_ms, oldest->received_ms);
 			remove_oldest(t);
 		}
 	}
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -183,7 +183,8 @@
 
 /* The next earlier home that has not answered FREE; 0 when all have. */
 static uint64_t
-next_home_to_ask(const struct keyed *k, const struct entry *e, uint64_t now_ms)
+next_home_to_query(
+    const struct keyed *k, const struct entry *e, uint64_t now_ms)
 {
 	uint64_t home;
 	size_t i;
@@ -250,7 +251,7 @@
  * next request queries again.
  */
 static void
-reject_unsettled(struct keyed *k, struct entry *e, uint64_t now_ms,
+refuse_unsettled(struct keyed *k, struct entry *e, uint64_t now_ms,
     struct keyed_decision *out)
 {
 	out->verdict = KEYED_UNSETTLED;
@@ -271,14 +272,14 @@
 		out->verdict = KEYED_CLAIM;
 		return;
 	}
-	out->ask = next_home_to_ask(k, e, now_ms);
+	out->ask = next_home_to_query(k, e, now_ms);
 	if (out->ask != 0) {
 		out->verdict = KEYED_ASK_HOME;
 		return;
 	}
 	if (is_recently_started(k, now_ms) &&
 	    key_views_home_before(&k->views, &e->key) == 0) {
-		reject_unsettled(k, e, now_ms, out);
+		refuse_unsettled(k, e, now_ms, out);
 		return;
 	}
 	activate(e, out);
@@ -360,7 +361,7 @@
 	if (e == NULL)
 		return;
 	if (word != KEYED_WORD_FREE) {
-		reject_unsettled(k, e, now_ms, out);
+		refuse_unsettled(k, e, now_ms, out);
 		return;
 	}
 	g_array_append_val(e->free_at, from);
@@ -378,7 +379,7 @@
 	if (e == NULL)
 		return;
 	if (word != KEYED_WORD_FREE) {
-		reject_unsettled(k, e, now_ms, out);
+		refuse_unsettled(k, e, now_ms, out);
 		return;
 	}
 	activate(e, out);
--- a/packages/traffic/src/placement.c
+++ b/packages/traffic/src/placement.c
@@ -291,7 +291,7 @@
 }
 
 static struct endpoint *
-less_loaded_of_two(struct placement *p, GPtrArray *from, uint64_t now_ms)
+better_of_two(struct placement *p, GPtrArray *from, uint64_t now_ms)
 {
 	struct endpoint *a, *b;
 	guint i, k;
@@ -333,7 +333,7 @@
 		if (!was_tried(q, ep->info.id))
 			return fill_choice(p, ep, PLACEMENT_PANIC, now_ms, out);
 	}
-	ep = less_loaded_of_two(p, p->fallback, now_ms);
+	ep = better_of_two(p, p->fallback, now_ms);
 	return fill_choice(p, ep, PLACEMENT_REPEATED, now_ms, out);
 }
 
@@ -367,8 +367,8 @@
 	if (near != NULL)
 		return fill_choice(p, near, PLACEMENT_OWN, now_ms, out);
 
-	near = less_loaded_of_two(p, p->local, now_ms);
-	far = less_loaded_of_two(p, p->remote, now_ms);
+	near = better_of_two(p, p->local, now_ms);
+	far = better_of_two(p, p->remote, now_ms);
 	if (near != NULL && !is_saturated(p, near, now_ms) &&
 	    (far == NULL || !is_better(p, far, near, SPILL_FACTOR, now_ms)))
 		return fill_choice(p, near, PLACEMENT_LOCAL, now_ms, out);
@@ -475,7 +475,7 @@
 		after = ep->info.canary;
 		g_ptr_array_add(p->local, ep);
 	}
-	ep = less_loaded_of_two(p, p->local, now_ms);
+	ep = better_of_two(p, p->local, now_ms);
 	return ep != NULL && fill_choice(p, ep, PLACEMENT_CANARY, now_ms, out);
 }
 
--- a/packages/traffic/src/quarantine.c
+++ b/packages/traffic/src/quarantine.c
@@ -171,15 +171,15 @@
 quarantine_exonerated_ms(
     const struct quarantine *q, const struct fingerprint *f)
 {
-	const struct exoneration *c;
+	const struct exoneration *known;
 	uint64_t at_ms = 0;
 	guint i;
 
 	for (i = 0; i < q->exonerations->len; i++) {
-		c = exoneration_at(q, i);
-		if (quarantine_covers(&c->print, f) ||
-		    quarantine_covers(f, &c->print))
-			at_ms = MAX(at_ms, c->at_ms);
+		known = exoneration_at(q, i);
+		if (quarantine_covers(&known->print, f) ||
+		    quarantine_covers(f, &known->print))
+			at_ms = MAX(at_ms, known->at_ms);
 	}
 	return at_ms;
 }
@@ -188,13 +188,13 @@
 add_exoneration(
     struct quarantine *q, const struct fingerprint *f, uint64_t at_ms)
 {
-	struct exoneration *c, added = {*f, at_ms};
+	struct exoneration *known, added = {*f, at_ms};
 	guint i;
 
 	for (i = 0; i < q->exonerations->len; i++) {
-		c = exoneration_at(q, i);
-		if (fingerprint_equal(&c->print, f)) {
-			c->at_ms = MAX(c->at_ms, at_ms);
+		known = exoneration_at(q, i);
+		if (fingerprint_equal(&known->print, f)) {
+			known->at_ms = MAX(known->at_ms, at_ms);
 			return;
 		}
 	}
--- a/packages/traffic/src/quarantine_suspect.c
+++ b/packages/traffic/src/quarantine_suspect.c
@@ -33,7 +33,7 @@
     const struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
 {
 	uint64_t exonerated_ms = quarantine_exonerated_ms(q, f);
-	struct crash_counts t = {0, 0};
+	struct crash_counts counts = {0, 0};
 	const struct crash *c;
 	guint i;
 
@@ -42,36 +42,36 @@
 		if (c->at_ms + SUSPECT_MS < now_ms)
 			continue;
 		if (c->at_ms > exonerated_ms && quarantine_ran_in(c, f))
-			t.with++;
+			counts.with++;
 		else if (c->at_ms + QUARANTINE_COINCIDENCE_MS >= now_ms)
-			t.without++;
+			counts.without++;
 	}
-	return t;
+	return counts;
 }
 
 static bool
-is_undecided(const struct quarantine *q, const struct crash_counts *t)
+is_undecided(const struct quarantine *q, const struct crash_counts *counts)
 {
 	return q->decide_ms != DEADLINE_NEVER &&
-	    t->with >= QUARANTINE_CRASHES &&
-	    t->without <= t->with * QUARANTINE_COINCIDENCE_RATIO &&
-	    t->with + t->without <= BURST_CRASHES;
+	    counts->with >= QUARANTINE_CRASHES &&
+	    counts->without <= counts->with * QUARANTINE_COINCIDENCE_RATIO &&
+	    counts->with + counts->without <= BURST_CRASHES;
 }
 
 enum suspicion
 quarantine_suspicion(
     struct quarantine *q, const struct fingerprint *f, uint64_t now_ms)
 {
-	struct crash_counts t;
+	struct crash_counts counts;
 
 	if (!quarantine_has_suspects(q, now_ms) ||
 	    quarantine_crash_count(q, f->content) == 0 ||
 	    clean_runs_has(&q->recent_successes, f, now_ms))
 		return SUSPICION_NONE;
-	t = count_crashes(q, f, now_ms);
-	if (is_undecided(q, &t))
+	counts = count_crashes(q, f, now_ms);
+	if (is_undecided(q, &counts))
 		return SUSPICION_UNDECIDED;
-	if (t.with > 0 || quarantine_find_suspended(q, f) != NULL)
+	if (counts.with > 0 || quarantine_find_suspended(q, f) != NULL)
 		return SUSPICION_SUSPECT;
 	return SUSPICION_NONE;
 }
--- a/packages/traffic/test/test_fate.c
+++ b/packages/traffic/test/test_fate.c
@@ -220,7 +220,7 @@
 END_TEST
 
 /* The same when a full table removes a record before the end of the window. */
-START_TEST(test_full_table_rejects_older_requests)
+START_TEST(test_full_table_refuses_older_requests)
 {
 	struct fate_table *t = table_new(3, 1000);
 	struct request_id id = id_of(0), other;
@@ -354,7 +354,7 @@
 	tcase_add_test(tc, test_answer_goes_to_the_last_waiter);
 	tcase_add_test(tc, test_follow);
 	tcase_add_test(tc, test_request_without_record_is_too_old);
-	tcase_add_test(tc, test_full_table_rejects_older_requests);
+	tcase_add_test(tc, test_full_table_refuses_older_requests);
 	tcase_add_test(tc, test_answers_are_bounded);
 	tcase_add_loop_test(
 	    tc, test_frame_age, 0, (int)G_N_ELEMENTS(age_cases));
--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -195,7 +195,7 @@
 	uint64_t created_ms;
 	/* How long ago the view changes to {OTHER} alone; 0: never. */
 	uint64_t moved_ms;
-	uint64_t asker_age_ms;
+	uint64_t to_age_ms;
 	bool ran;
 	enum keyed_word want;
 };
@@ -213,18 +213,18 @@
 
 START_TEST(test_hand_over)
 {
-	const struct hand_over_case *yc = &hand_over_cases[_i];
-	struct keyed *k = keys_new(SELF, false, yc->created_ms);
+	const struct hand_over_case *hc = &hand_over_cases[_i];
+	struct keyed *k = keys_new(SELF, false, hc->created_ms);
 	struct key_id key = key_at(SELF, both, 2, 0);
 	enum keyed_word word;
 
-	keyed_set_view(k, both, 2, yc->created_ms);
-	if (yc->ran)
+	keyed_set_view(k, both, 2, hc->created_ms);
+	if (hc->ran)
 		(void)offer(k, &key, 1, OLD_MS - 10);
-	if (yc->moved_ms != 0)
-		keyed_set_view(k, &both[1], 1, OLD_MS - yc->moved_ms);
-	word = keyed_hand_over(k, &key, OTHER, yc->asker_age_ms, OLD_MS);
-	ck_assert_msg(word == yc->want, "%s", yc->name);
+	if (hc->moved_ms != 0)
+		keyed_set_view(k, &both[1], 1, OLD_MS - hc->moved_ms);
+	word = keyed_hand_over(k, &key, OTHER, hc->to_age_ms, OLD_MS);
+	ck_assert_msg(word == hc->want, "%s", hc->name);
 	if (word != KEYED_WORD_FREE) {
 		keyed_free(k);
 		return;
--- a/packages/traffic/test/test_placement_fleet.c
+++ b/packages/traffic/test/test_placement_fleet.c
@@ -245,7 +245,7 @@
 	return id <= SPARSE_SLOW ? SLOW_US : QUICK_US;
 }
 
-START_TEST(slow_endpoints_are_detected_after_few_responses)
+START_TEST(slow_endpoints_are_detected_after_few_answers)
 {
 	struct endpoint_info infos[SPARSE];
 	uint32_t i, slow = 0, all = 0;
@@ -297,7 +297,7 @@
 	tcase_add_loop_test(tc, partition_costs_few_calls, 0, 10);
 	tcase_add_test(tc, silent_hosts_among_answering_ones_are_no_partition);
 	tcase_add_test(tc, one_silent_host_is_no_partition);
-	tcase_add_test(tc, slow_endpoints_are_detected_after_few_responses);
+	tcase_add_test(tc, slow_endpoints_are_detected_after_few_answers);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/traffic/test/test_split.c
+++ b/packages/traffic/test/test_split.c
@@ -158,7 +158,7 @@
  * A dropped route begins at another point each time: no route sends all
  * requests to one service, and all routes together keep the shares.
  */
-START_TEST(shares_hold_on_average_when_routes_are_forgotten)
+START_TEST(shares_hold_on_average_when_routes_are_dropped)
 {
 	uint8_t *second = call_in_turn(ROUTES_EXCESS, parts, 2 * ROUNDS);
 	uint32_t j, all = 0, of_one = 0;
@@ -186,7 +186,7 @@
 	tcase_add_test(tc, maximum_number_of_services);
 	tcase_add_test(tc, changed_weights_apply_at_once);
 	tcase_add_test(tc, shares_hold_for_each_of_many_routes);
-	tcase_add_test(tc, shares_hold_on_average_when_routes_are_forgotten);
+	tcase_add_test(tc, shares_hold_on_average_when_routes_are_dropped);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
