--- a/packages/traffic/include/traffic/keyed.h
+++ b/packages/traffic/include/traffic/keyed.h
@@ -206,9 +206,9 @@
  *
  * FREE hands the key over: the key is blocked here for twice the window, so
  * that no request with it runs here.  FREE is returned only when this process
- * would have a record of each run: the process is older than the window, and
- * within the window no process other than this one and the querying one was the
- * key's home in this node's views.
+ * would have a record of each run: the process is older than the window plus
+ * the propagation time, and within that time no process other than this one and
+ * the querying one was the key's home in this node's views.
  *
  * Return: KEYED_WORD_FREE or KEYED_WORD_TAKEN.
  */
--- a/packages/traffic/test/test_keyed.c
+++ b/packages/traffic/test/test_keyed.c
@@ -79,7 +79,9 @@
 	ck_assert(request_id_equal(&d.first, &first));
 	keyed_offer(k, &key, 98, &first, OLD_MS, &d);
 	ck_assert_int_eq(d.verdict, KEYED_BODY_MISMATCH);
-	/* The first request was refused unrun: the next one may run. */
+	/*
+	 * The first request was refused and has not run: the next one may run.
+	 */
 	keyed_release(k, &key, &first, OLD_MS);
 	ck_assert_int_eq(offer(k, &key, 3, OLD_MS).verdict, KEYED_RUN);
 	/* A release by a request that doesn't own the key has no effect. */
