--- a/packages/traffic/src/fate.c
+++ b/packages/traffic/src/fate.c
@@ -4,7 +4,7 @@
  * A record is active (queued or running) or settled.  Settled records are in a
  * queue in the order in which they were settled, and are removed after the
  * window.  A request is accepted only if it was sent within the window and
- * after rejected_until_ms, and a record is removed only when every frame of
+ * after too_old_until_ms, and a record is removed only when every frame of
  * its request counts as too old.  A request without a record has therefore not
  * run.
  */
@@ -21,7 +21,7 @@
  */
 #define CLOCK_DRIFT_MARGIN_MS 1000
 /*
- * Limit on the connections that wait for one response; the oldest is dropped.
+ * Limit on the connections that wait for one answer; the oldest is dropped.
  */
 #define WAITERS_MAX 8
 
@@ -32,10 +32,10 @@
  * @state: see enum fate_state
  * @received_ms: monotonic time at which the record was added
  * @settled_ms: monotonic time at which the record was settled
- * @answer: stored response, or NULL
+ * @answer: stored answer, or NULL
  * @waiters: struct fate_waiter, latest last
  * @active_link: node in the list of active records
- * @answer_link: node in the list of stored responses
+ * @answer_link: node in the list of stored answers
  */
 struct record {
 	struct request_id id;
@@ -55,9 +55,9 @@
  * @records: request id -> struct record
  * @active: queued and running records
  * @settled: settled records in the order in which they were settled
- * @answers: records with a stored response, oldest first
- * @answers_bytes: total size of the stored responses
- * @rejected_until_ms: requests sent at this time or earlier are too old
+ * @answers: records with a stored answer, oldest first
+ * @answers_bytes: total size of the stored answers
+ * @too_old_until_ms: requests sent at this time or earlier are too old
  */
 struct fate_table {
 	struct fate_config cfg;
@@ -66,7 +66,7 @@
 	GQueue *settled;
 	GQueue *answers;
 	size_t answers_bytes;
-	uint64_t rejected_until_ms;
+	uint64_t too_old_until_ms;
 };
 
 static guint
@@ -160,7 +160,7 @@
 static bool
 is_too_old(const struct fate_table *t, uint64_t sent_ms, uint64_t now_ms)
 {
-	if (sent_ms <= t->rejected_until_ms)
+	if (sent_ms <= t->too_old_until_ms)
 		return true;
 	return sent_ms + t->cfg.window_ms < now_ms;
 }
@@ -174,8 +174,8 @@
 	if (g_hash_table_size(t->records) >= t->cfg.records_max) {
 		oldest = g_queue_peek_head(t->settled);
 		if (oldest != NULL) {
-			t->rejected_until_ms =
-			    MAX(t->rejected_until_ms, oldest->received_ms);
+			t->too_old_until_ms =
+			    MAX(t->too_old_until_ms, oldest->received_ms);
 			remove_oldest(t);
 		}
 	}
@@ -408,7 +408,7 @@
 }
 
 /*
- * The first request's own waiters need its response too, so a follower can't
+ * The first request's own waiters need its answer too, so a follower can't
  * cancel it.
  */
 static void
--- a/packages/traffic/src/keyed.c
+++ b/packages/traffic/src/keyed.c
@@ -2,11 +2,11 @@
  * Idempotency keys of one service at one endpoint.
  *
  * States of a key: settling (earlier homes are being queried, or a claim is in
- * progress), active (owned by a request that is to run), finished (that
- * request has ended), handed over (to another endpoint), or unknown when the
- * key is not in the table.  A request with an unknown key may run only if
- * every process that was the key's home within the window replies that no
- * request with the key ran there.
+ * progress), active (owned by a request that is to run), finished (that request
+ * has ended), handed over (to another endpoint), or unknown when the key is not
+ * in the table.  A request with an unknown key may run only if every process
+ * that was the key's home within the window answers that no request with the
+ * key ran there.
  */
 #include "traffic/keyed.h"
 
@@ -36,7 +36,7 @@
  * @changed_ms: monotonic time of the last change, for the expiry
  * @handed_to: endpoint to which the key was handed over, 0 for none
  * @handed_ms: monotonic time of the handover
- * @free_at: earlier homes that replied FREE
+ * @free_at: earlier homes that answered FREE
  * @link: node in keyed.by_changed, NULL while the key does not expire
  */
 struct entry {
@@ -113,8 +113,9 @@
 }
 
 /*
- * Retention of views and keys: the window, plus the time in which another node
- * may still have been the home by a view that this node had dropped.
+ * How long views are kept, and how old this process must be to have a record of
+ * each key: the window, plus the time in which another node may still have been
+ * the home by a view that this node had dropped.
  */
 static uint64_t
 retention_ms(const struct keyed *k)
@@ -180,9 +181,10 @@
 	return false;
 }
 
-/* The next earlier home that has not replied FREE; 0 when all have. */
+/* The next earlier home that has not answered FREE; 0 when all have. */
 static uint64_t
-next_home_to_ask(const struct keyed *k, const struct entry *e, uint64_t now_ms)
+next_home_to_query(
+    const struct keyed *k, const struct entry *e, uint64_t now_ms)
 {
 	uint64_t home;
 	size_t i;
@@ -249,7 +251,7 @@
  * next request queries again.
  */
 static void
-reject_unsettled(struct keyed *k, struct entry *e, uint64_t now_ms,
+refuse_unsettled(struct keyed *k, struct entry *e, uint64_t now_ms,
     struct keyed_decision *out)
 {
 	out->verdict = KEYED_UNSETTLED;
@@ -270,14 +272,14 @@
 		out->verdict = KEYED_CLAIM;
 		return;
 	}
-	out->ask = next_home_to_ask(k, e, now_ms);
+	out->ask = next_home_to_query(k, e, now_ms);
 	if (out->ask != 0) {
 		out->verdict = KEYED_ASK_HOME;
 		return;
 	}
 	if (is_recently_started(k, now_ms) &&
 	    key_views_home_before(&k->views, &e->key) == 0) {
-		reject_unsettled(k, e, now_ms, out);
+		refuse_unsettled(k, e, now_ms, out);
 		return;
 	}
 	activate(e, out);
@@ -331,7 +333,7 @@
 	continue_settling(k, e, now_ms, out);
 }
 
-/* The settling entry to which the reply belongs, or NULL if it is gone. */
+/* The settling entry to which the answer belongs, or NULL if it is gone. */
 static struct entry *
 find_settling(struct keyed *k, const struct key_id *key,
     const struct request_id *id, struct keyed_decision *out)
@@ -359,7 +361,7 @@
 	if (e == NULL)
 		return;
 	if (word != KEYED_WORD_FREE) {
-		reject_unsettled(k, e, now_ms, out);
+		refuse_unsettled(k, e, now_ms, out);
 		return;
 	}
 	g_array_append_val(e->free_at, from);
@@ -377,7 +379,7 @@
 	if (e == NULL)
 		return;
 	if (word != KEYED_WORD_FREE) {
-		reject_unsettled(k, e, now_ms, out);
+		refuse_unsettled(k, e, now_ms, out);
 		return;
 	}
 	activate(e, out);
