--- a/test/soak/soak_crasher.c
+++ b/test/soak/soak_crasher.c
@@ -14,33 +14,34 @@
 #define PATH "/search?crash=1"
 #define URL_BYTES 128
 /* Short, since faults are due meanwhile. */
-#define ASK_MS 200
+#define SEND_TIMEOUT_MS 200
 /* Crashes after which it is quarantined, and time for all nodes to know. */
-#define CRASHES 3
-#define STABLE_MS 3000
-#define PAUSE_MS 50
-#define CHECK_MS 30000
+#define QUARANTINE_CRASHES 3
+#define PROPAGATION_MS 3000
+#define POLL_MS 50
+#define CHECK_TIMEOUT_MS 30000
 
 bool
-soak_crasher_ask(struct soak_crasher *c, const struct host *h)
+soak_crasher_send(struct soak_crasher *c, const struct host *h)
 {
 	char url[URL_BYTES];
-	struct fetch f = {.method = "GET", .url = url, .timeout_ms = ASK_MS};
+	struct fetch f = {
+	    .method = "GET", .url = url, .timeout_ms = SEND_TIMEOUT_MS};
 	struct fetch_answer a;
-	bool held;
+	bool quarantined;
 
 	(void)g_snprintf(
 	    url, sizeof(url), "http://%s:%u" PATH, h->address, h->caller_port);
 	fetch_perform(&f, &a);
-	held = strstr(a.body->str, "quarantined") != NULL;
+	quarantined = strstr(a.body->str, "quarantined") != NULL;
 	fetch_answer_clear(&a);
-	c->asked++;
-	c->held += held;
-	return held;
+	c->sent++;
+	c->quarantined += quarantined;
+	return quarantined;
 }
 
 void
-soak_crasher_mend(struct soak_crasher *c, struct host *h)
+soak_crasher_restart(struct soak_crasher *c, struct host *h)
 {
 	if (h->upstream == NULL || !process_ended(h->upstream))
 		return;
@@ -52,22 +53,22 @@
 }
 
 static void
-mend_all(struct soak_crasher *c)
+restart_crashed(struct soak_crasher *c)
 {
 	uint32_t i;
 
 	for (i = 0; i < c->d->hosts->len; i++)
-		soak_crasher_mend(c, deployment_host(c->d, i));
+		soak_crasher_restart(c, deployment_host(c->d, i));
 }
 
 static void
-pause_for(struct soak_crasher *c, uint32_t ms)
+restart_for(struct soak_crasher *c, uint32_t ms)
 {
 	uint64_t until_ms = clock_now_ms() + ms;
 
 	while (clock_now_ms() < until_ms) {
-		g_usleep(PAUSE_MS * G_TIME_SPAN_MILLISECOND);
-		mend_all(c);
+		g_usleep(POLL_MS * G_TIME_SPAN_MILLISECOND);
+		restart_crashed(c);
 	}
 }
 
@@ -76,25 +77,26 @@
  * killed with what they saw, and ends of two processes of one host within 100
  * ms are one to their guard. */
 static void
-ask_until_held(struct soak_crasher *c)
+send_until_quarantined(struct soak_crasher *c)
 {
-	uint64_t until_ms = clock_now_ms() + CHECK_MS;
+	uint64_t until_ms = clock_now_ms() + CHECK_TIMEOUT_MS;
 	uint32_t before = c->crashes, i = 0;
-	bool third = false;
+	bool threshold_reached = false;
 
-	while (!soak_crasher_ask(
+	while (!soak_crasher_send(
 	    c, deployment_host(c->d, i++ % c->d->hosts->len))) {
-		pause_for(c, PAUSE_MS);
-		if (!third && c->crashes >= before + CRASHES) {
-			third = true;
-			until_ms = clock_now_ms() + STABLE_MS;
+		restart_for(c, POLL_MS);
+		if (!threshold_reached &&
+		    c->crashes >= before + QUARANTINE_CRASHES) {
+			threshold_reached = true;
+			until_ms = clock_now_ms() + PROPAGATION_MS;
 		}
 		ck_assert_uint_lt(clock_now_ms(), until_ms);
 	}
 }
 
 static json_t *
-held_off(const struct host *h)
+quarantined_requests(const struct host *h)
 {
 	json_t *answer = deployment_api(h, "GET", "/v1/quarantine", NULL, NULL);
 	json_t *list;
@@ -106,9 +108,9 @@
 }
 
 static size_t
-count_held_off(const struct host *h)
+count_quarantined(const struct host *h)
 {
-	json_t *list = held_off(h);
+	json_t *list = quarantined_requests(h);
 	size_t n = json_array_size(list);
 
 	json_decref(list);
@@ -121,8 +123,8 @@
 {
 	const struct host *h = deployment_host(c->d, 0);
 	const char *args[] = {"release", NULL, NULL};
-	uint64_t until_ms = clock_now_ms() + CHECK_MS;
-	json_t *list = held_off(h);
+	uint64_t until_ms = clock_now_ms() + CHECK_TIMEOUT_MS;
+	json_t *list = quarantined_requests(h);
 	uint32_t i;
 
 	ck_assert_uint_eq(json_array_size(list), 1);
@@ -131,9 +133,9 @@
 	json_decref(deployment_ctl(h, NULL, args));
 	json_decref(list);
 	for (i = 0; i < c->d->hosts->len; i++)
-		while (count_held_off(deployment_host(c->d, i)) > 0) {
+		while (count_quarantined(deployment_host(c->d, i)) > 0) {
 			ck_assert_uint_lt(clock_now_ms(), until_ms);
-			g_usleep(PAUSE_MS * G_TIME_SPAN_MILLISECOND);
+			g_usleep(POLL_MS * G_TIME_SPAN_MILLISECOND);
 		}
 }
 
@@ -142,19 +144,19 @@
 {
 	uint32_t before, i;
 
-	if (!c->on)
+	if (!c->enabled)
 		return;
-	ask_until_held(c);
-	pause_for(c, STABLE_MS);
+	send_until_quarantined(c);
+	restart_for(c, PROPAGATION_MS);
 	before = c->crashes;
 	for (i = 0; i < c->d->hosts->len; i++)
-		ck_assert_msg(soak_crasher_ask(c, deployment_host(c->d, i)),
+		ck_assert_msg(soak_crasher_send(c, deployment_host(c->d, i)),
 		    "%s doesn't hold off a request that crashed %u upstreams",
 		    deployment_host(c->d, i)->name, before);
-	pause_for(c, PAUSE_MS);
+	restart_for(c, POLL_MS);
 	ck_assert_uint_eq(c->crashes, before);
 	(void)printf("crasher: %u crashes since the last loss of power, %u "
 		     "times asked for, %u times quarantined\n",
-	    c->crashes, c->asked, c->held);
+	    c->crashes, c->sent, c->quarantined);
 	release(c);
 }
--- a/test/soak/soak_crasher.h
+++ b/test/soak/soak_crasher.h
@@ -16,29 +16,30 @@
 /**
  * struct soak_crasher - the request and what it did
  * @d: the deployment
- * @on: whether it is sent at all
+ * @enabled: whether it is sent at all
  * @crashes: upstreams that it ended since the start or the last loss of power
- * @asked: how often it was sent
- * @held: answers that it is quarantined
+ * @sent: how often it was sent
+ * @quarantined: answers that it is quarantined
  * @next_ms: when it is sent next
  */
 struct soak_crasher {
 	struct deployment *d;
-	bool on;
+	bool enabled;
 	uint32_t crashes;
-	uint32_t asked;
-	uint32_t held;
+	uint32_t sent;
+	uint32_t quarantined;
 	uint64_t next_ms;
 };
 
-/** soak_crasher_ask() - send it to a host; whether it was told to be
+/** soak_crasher_send() - send it to a host; whether it was told to be
  * quarantined
  */
-bool soak_crasher_ask(struct soak_crasher *c, const struct host *h);
+bool soak_crasher_send(struct soak_crasher *c, const struct host *h);
 
-/** soak_crasher_mend() - start a host's upstream again if the request ended it
+/** soak_crasher_restart() - start a host's upstream again if the request ended
+ * it
  */
-void soak_crasher_mend(struct soak_crasher *c, struct host *h);
+void soak_crasher_restart(struct soak_crasher *c, struct host *h);
 
 /**
  * soak_crasher_check() - all is mended: every node holds it off
--- a/test/soak/soak_plan.c
+++ b/test/soak/soak_plan.c
@@ -5,11 +5,11 @@
 
 /* How long a fault lasts: from shorter than any time-out to longer than a
  * peer's suspicion and the deadline of calls. */
-#define LAST_FROM_MS 150
-#define LAST_TO_MS 2500
+#define FAULT_MIN_MS 150
+#define FAULT_MAX_MS 2500
 
 /* One in so many faults comes right with the one before. */
-#define TOGETHER_EVERY 3
+#define SIMULTANEOUS_ONE_IN 3
 
 const char *
 soak_fault_name(enum soak_fault f)
@@ -25,7 +25,7 @@
 }
 
 static gint
-by_time(gconstpointer a, gconstpointer b)
+compare_by_time(gconstpointer a, gconstpointer b)
 {
 	const struct soak_event *x = a, *y = b;
 
@@ -35,75 +35,77 @@
 }
 
 GArray *
-soak_plan_new(uint32_t seed, uint32_t for_ms, uint32_t faults)
+soak_plan_new(uint32_t seed, uint32_t duration_ms, uint32_t faults)
 {
 	GArray *plan = g_array_new(FALSE, TRUE, sizeof(struct soak_event));
 	GRand *rnd = g_rand_new_with_seed(seed);
 	struct soak_event e = {0};
-	uint32_t i, lasts_ms, begins_ms = 0;
+	uint32_t i, length_ms, begins_ms = 0;
 
 	for (i = 0; i < faults; i++) {
-		if (i == 0 || g_rand_int_range(rnd, 0, TOGETHER_EVERY) > 0)
-			begins_ms =
-			    (uint32_t)g_rand_int_range(rnd, 0, (gint32)for_ms);
+		if (i == 0 || g_rand_int_range(rnd, 0, SIMULTANEOUS_ONE_IN) > 0)
+			begins_ms = (uint32_t)g_rand_int_range(
+			    rnd, 0, (gint32)duration_ms);
 		e.at_ms = begins_ms;
 		e.fault =
 		    (enum soak_fault)g_rand_int_range(rnd, 0, SOAK_FAULTS);
 		e.number = i;
-		e.victim = g_rand_int(rnd);
+		e.target = g_rand_int(rnd);
 		e.ends = false;
 		g_array_append_val(plan, e);
-		lasts_ms =
-		    (uint32_t)g_rand_int_range(rnd, LAST_FROM_MS, LAST_TO_MS);
-		e.at_ms = MIN(for_ms, begins_ms + lasts_ms);
+		length_ms =
+		    (uint32_t)g_rand_int_range(rnd, FAULT_MIN_MS, FAULT_MAX_MS);
+		e.at_ms = MIN(duration_ms, begins_ms + length_ms);
 		e.ends = true;
 		g_array_append_val(plan, e);
 	}
 	g_rand_free(rnd);
-	g_array_sort(plan, by_time);
+	g_array_sort(plan, compare_by_time);
 	return plan;
 }
 
 void
-soak_plan_grow(GArray *plan, uint32_t seed, uint32_t for_ms, uint32_t times)
+soak_plan_grow(
+    GArray *plan, uint32_t seed, uint32_t duration_ms, uint32_t times)
 {
 	GRand *rnd = g_rand_new_with_seed(seed);
 	struct soak_event e = {.fault = SOAK_GROW, .number = plan->len};
 	uint32_t i;
 
 	for (i = 0; i < times; i++, e.number++) {
-		e.at_ms = (i + 1) * for_ms / (times + 1);
-		e.victim = g_rand_int(rnd);
+		e.at_ms = (i + 1) * duration_ms / (times + 1);
+		e.target = g_rand_int(rnd);
 		e.ends = false;
 		g_array_append_val(plan, e);
 		e.ends = true;
 		g_array_append_val(plan, e);
 	}
 	g_rand_free(rnd);
-	g_array_sort(plan, by_time);
+	g_array_sort(plan, compare_by_time);
 }
 
 void
 soak_plan_stop_waves(
-    GArray *plan, uint32_t seed, uint32_t for_ms, uint32_t times)
+    GArray *plan, uint32_t seed, uint32_t duration_ms, uint32_t times)
 {
 	GRand *rnd = g_rand_new_with_seed(seed + 1);
 	struct soak_event e = {.fault = SOAK_STOP_WAVE, .number = plan->len};
 	uint32_t i, begins_ms;
 
 	for (i = 0; i < times; i++, e.number++) {
-		begins_ms = (uint32_t)g_rand_int_range(rnd, 0, (gint32)for_ms);
+		begins_ms =
+		    (uint32_t)g_rand_int_range(rnd, 0, (gint32)duration_ms);
 		e.at_ms = begins_ms;
-		e.victim = g_rand_int(rnd);
+		e.target = g_rand_int(rnd);
 		e.ends = false;
 		g_array_append_val(plan, e);
-		e.at_ms = MIN(for_ms,
+		e.at_ms = MIN(duration_ms,
 		    begins_ms +
 			(uint32_t)g_rand_int_range(
-			    rnd, LAST_FROM_MS, LAST_TO_MS));
+			    rnd, FAULT_MIN_MS, FAULT_MAX_MS));
 		e.ends = true;
 		g_array_append_val(plan, e);
 	}
 	g_rand_free(rnd);
-	g_array_sort(plan, by_time);
+	g_array_sort(plan, compare_by_time);
 }
--- a/test/soak/soak_plan.h
+++ b/test/soak/soak_plan.h
@@ -18,7 +18,7 @@
  * @SOAK_NODE_STOP: a node gets SIGTERM, and is started again once it ended
  * @SOAK_NODE_FREEZE: a node stands still
  * @SOAK_NODE_RELOAD: a node gets SIGHUP
- * @SOAK_HERD_KILL: half of the nodes are killed at once
+ * @SOAK_MASS_KILL: half of the nodes are killed at once
  * @SOAK_UPSTREAM_KILL: an upstream is killed
  * @SOAK_UPSTREAM_STOP: an upstream gets SIGTERM: it drains and leaves
  * @SOAK_UPSTREAM_FREEZE: an upstream stands still
@@ -44,7 +44,7 @@
 	SOAK_NODE_STOP,
 	SOAK_NODE_FREEZE,
 	SOAK_NODE_RELOAD,
-	SOAK_HERD_KILL,
+	SOAK_MASS_KILL,
 	SOAK_UPSTREAM_KILL,
 	SOAK_UPSTREAM_STOP,
 	SOAK_UPSTREAM_FREEZE,
@@ -71,46 +71,46 @@
  * @at_ms: from the start of the run
  * @fault: its kind
  * @number: number of the fault, the same for its beginning and end
- * @victim: which host or data centre; to be taken modulo their number
+ * @target: which host or data centre; to be taken modulo their number
  * @ends: it ends
  */
 struct soak_event {
 	uint32_t at_ms;
 	enum soak_fault fault;
 	uint32_t number;
-	uint32_t victim;
+	uint32_t target;
 	bool ends;
 };
 
 /**
  * soak_plan_new() - draw a plan
  * @seed: the same seed gives the same plan
- * @for_ms: length of the run
+ * @duration_ms: length of the run
  * @faults: number of faults
  *
  * Return: struct soak_event in order of time; free with g_array_unref().
  */
-GArray *soak_plan_new(uint32_t seed, uint32_t for_ms, uint32_t faults);
+GArray *soak_plan_new(uint32_t seed, uint32_t duration_ms, uint32_t faults);
 
 /**
  * soak_plan_grow() - add versions that grow, as far apart as they can be
  * @plan: the plan; what it has stays as it is
  * @seed: which hosts are asked
- * @for_ms: length of the run
+ * @duration_ms: length of the run
  * @times: number of versions
  */
-void
-soak_plan_grow(GArray *plan, uint32_t seed, uint32_t for_ms, uint32_t times);
+void soak_plan_grow(
+    GArray *plan, uint32_t seed, uint32_t duration_ms, uint32_t times);
 
 /**
  * soak_plan_stop_waves() - add waves of SIGTERM, each while the one before may
  * still be under way
  * @plan: the plan; what it has stays as it is
  * @seed: when, and which hosts
- * @for_ms: length of the run
+ * @duration_ms: length of the run
  * @times: number of waves
  */
 void soak_plan_stop_waves(
-    GArray *plan, uint32_t seed, uint32_t for_ms, uint32_t times);
+    GArray *plan, uint32_t seed, uint32_t duration_ms, uint32_t times);
 
 #endif
--- a/test/soak/soak_run.c
+++ b/test/soak/soak_run.c
@@ -29,27 +29,27 @@
 #define KEY_WINDOW_MS 8500
 /* A node that stops isn't waited for while others are to be mended. */
 #define DRAIN_MS 1500
-#define SETTLE_MS 20000
+#define RECOVERY_TIMEOUT_MS 20000
 #define NAME_BYTES 64
 #define LOAD_AFTER_S "1"
 /* Of the calls sent once all is mended. */
-#define SERVED_PERCENT 90
+#define MIN_SERVED_PERCENT 90
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
 /* Routes that a version that grows has more. */
 #define GROW_ROUTES 1400
 /* How often the crasher is sent, and looked after. */
-#define CRASH_EVERY_MS 150
-#define STEP_MS 20
+#define CRASH_INTERVAL_MS 150
+#define POLL_MS 20
 /* How long the end of an upstream's stop is waited for at its time. */
-#define STOP_WAIT_MS 2500
+#define STOP_TIMEOUT_MS 2500
 
 /**
- * struct signing - a sign-off under way
+ * struct pending_sign_off - a sign-off under way
  * @ctl: bramleyctl
  * @routes: grown routes that the version has
  */
-struct signing {
+struct pending_sign_off {
 	struct process *ctl;
 	uint32_t routes;
 };
@@ -58,33 +58,33 @@
  * struct soak - a run
  * @d: the deployment
  * @watch: sees the versions that nodes serve
- * @node_by: number of the fault plus one that has a host's node; 0 for none
- * @upstream_by: the same for its upstream
+ * @node_fault: number of the fault plus one that has a host's node; 0 for none
+ * @upstream_fault: the same for its upstream
  * @stopping: upstreams whose stop takes longer, ended after all other faults
- * @link_by: the same for its way to the platform
- * @store_by: the same for the platform
- * @operators: struct signing of sign-offs under way
- * @signed_off: sign-offs begun
+ * @link_fault: the same for its way to the platform
+ * @store_fault: the same for the platform
+ * @sign_offs: struct pending_sign_off of sign-offs under way
+ * @bundles_written: sign-offs begun
  * @routes: grown routes of the versions that are signed off now
- * @left_out: faults that met what had something already
+ * @skipped: faults that met what had something already
  * @crasher: a request that crashes upstreams
- * @power_ms: when all lose power, DEADLINE_NEVER for never
+ * @power_loss_ms: when all lose power, DEADLINE_NEVER for never
  * @rand: chance of what the plan doesn't draw
  */
 struct soak {
 	struct deployment *d;
 	struct version_watch *watch;
-	uint32_t *node_by;
-	uint32_t *upstream_by;
+	uint32_t *node_fault;
+	uint32_t *upstream_fault;
 	bool *stopping;
-	uint32_t *link_by;
-	uint32_t store_by;
-	GArray *operators;
-	uint32_t signed_off;
+	uint32_t *link_fault;
+	uint32_t store_fault;
+	GArray *sign_offs;
+	uint32_t bundles_written;
 	uint32_t routes;
-	uint32_t left_out;
+	uint32_t skipped;
 	struct soak_crasher crasher;
-	uint64_t power_ms;
+	uint64_t power_loss_ms;
 	GRand *rand;
 };
 
@@ -95,7 +95,7 @@
 }
 
 static void
-node_strike(struct soak *s, struct host *h, enum soak_fault f)
+node_inject(struct soak *s, struct host *h, enum soak_fault f)
 {
 	version_watch_present(s->watch, h, 0);
 	if (is_stop(f))
@@ -108,7 +108,7 @@
 
 /* It has begun to log. */
 static int
-node_runs(void *arg)
+node_logs(void *arg)
 {
 	const struct host *h = arg;
 	struct stat st;
@@ -125,11 +125,11 @@
 node_start(struct soak *s, struct host *h)
 {
 	deployment_start_node(s->d, h);
-	ck_assert(harness_until(node_runs, h, SETTLE_MS));
+	ck_assert(harness_until(node_logs, h, RECOVERY_TIMEOUT_MS));
 }
 
 static void
-node_mend(struct soak *s, struct host *h, enum soak_fault f)
+node_recover(struct soak *s, struct host *h, enum soak_fault f)
 {
 	if (f == SOAK_NODE_FREEZE) {
 		process_signal(h->node, SIGCONT);
@@ -143,10 +143,10 @@
 
 /* Takes a thing for a fault, or gives it back; false if it isn't its own. */
 static bool
-hold(struct soak *s, uint32_t *by, const struct soak_event *e)
+claim(struct soak *s, uint32_t *by, const struct soak_event *e)
 {
 	if (*by != (e->ends ? e->number + 1 : 0)) {
-		s->left_out += !e->ends;
+		s->skipped += !e->ends;
 		return false;
 	}
 	*by = e->ends ? 0 : e->number + 1;
@@ -159,20 +159,20 @@
 	struct host *h = deployment_host(s->d, i);
 
 	if (e->fault == SOAK_NODE_RELOAD) {
-		if (!e->ends && s->node_by[i] == 0)
+		if (!e->ends && s->node_fault[i] == 0)
 			process_signal(h->node, SIGHUP);
 		return;
 	}
-	if (!hold(s, &s->node_by[i], e))
+	if (!claim(s, &s->node_fault[i], e))
 		return;
 	if (e->ends)
-		node_mend(s, h, e->fault);
+		node_recover(s, h, e->fault);
 	else
-		node_strike(s, h, e->fault);
+		node_inject(s, h, e->fault);
 }
 
 static void
-herd_event(struct soak *s, const struct soak_event *e, uint32_t first)
+half_of_nodes_event(struct soak *s, const struct soak_event *e, uint32_t first)
 {
 	uint32_t i, n = s->d->hosts->len;
 
@@ -198,16 +198,16 @@
 upstream_start(struct soak *s, struct host *h)
 {
 	deployment_start_upstream(s->d, h);
-	ck_assert(harness_until(upstream_answers, h, SETTLE_MS));
+	ck_assert(harness_until(upstream_answers, h, RECOVERY_TIMEOUT_MS));
 }
 
 /* A request may have ended it while it drained. */
 static void
-upstream_stopped(struct soak *s, struct host *h)
+upstream_finish_stop(struct soak *s, struct host *h)
 {
 	int code = deployment_stop_upstream(h);
 
-	if (s->crasher.on && code == SOAK_CRASH_CODE)
+	if (s->crasher.enabled && code == SOAK_CRASH_CODE)
 		s->crasher.crashes++;
 	else
 		ck_assert_int_eq(code, 0);
@@ -221,12 +221,12 @@
 	uint64_t until_ms = clock_now_ms() + ms;
 
 	while (!process_ended(h->upstream) && clock_now_ms() < until_ms)
-		g_usleep(STEP_MS * G_TIME_SPAN_MILLISECOND);
+		g_usleep(POLL_MS * G_TIME_SPAN_MILLISECOND);
 	return process_ended(h->upstream) != 0;
 }
 
 static void
-finish_stops(struct soak *s)
+finish_late_stops(struct soak *s)
 {
 	struct host *h;
 	uint32_t i;
@@ -235,21 +235,21 @@
 		h = deployment_host(s->d, i);
 		if (!s->stopping[i])
 			continue;
-		upstream_stopped(s, h);
+		upstream_finish_stop(s, h);
 		upstream_start(s, h);
-		s->upstream_by[i] = 0;
+		s->upstream_fault[i] = 0;
 		s->stopping[i] = false;
 	}
 }
 
 /* One that a request has ended is there again before something befalls it. */
 static void
-upstream_mend(struct soak *s, struct host *h)
+upstream_restart_crashed(struct soak *s, struct host *h)
 {
-	if (!s->crasher.on)
+	if (!s->crasher.enabled)
 		return;
-	soak_crasher_mend(&s->crasher, h);
-	ck_assert(harness_until(upstream_answers, h, SETTLE_MS));
+	soak_crasher_restart(&s->crasher, h);
+	ck_assert(harness_until(upstream_answers, h, RECOVERY_TIMEOUT_MS));
 }
 
 static void
@@ -257,11 +257,11 @@
 {
 	struct host *h = deployment_host(s->d, i);
 
-	if (!hold(s, &s->upstream_by[i], e))
+	if (!claim(s, &s->upstream_fault[i], e))
 		return;
 	if (e->fault == SOAK_UPSTREAM_SHED || e->fault == SOAK_UPSTREAM_BREAK ||
 	    (e->fault == SOAK_UPSTREAM_FREEZE && !e->ends))
-		upstream_mend(s, h);
+		upstream_restart_crashed(s, h);
 	if (e->fault == SOAK_UPSTREAM_FREEZE) {
 		process_signal(h->upstream, e->ends ? SIGCONT : SIGSTOP);
 	} else if (e->fault == SOAK_UPSTREAM_SHED) {
@@ -276,11 +276,11 @@
 			upstream_start(s, h);
 		else
 			deployment_kill_upstream(h);
-	} else if (e->ends && !ended_within(h, STOP_WAIT_MS)) {
-		s->upstream_by[i] = e->number + 1;
+	} else if (e->ends && !ended_within(h, STOP_TIMEOUT_MS)) {
+		s->upstream_fault[i] = e->number + 1;
 		s->stopping[i] = true;
 	} else if (e->ends) {
-		upstream_stopped(s, h);
+		upstream_finish_stop(s, h);
 		upstream_start(s, h);
 	} else {
 		process_signal(h->upstream, SIGTERM);
@@ -296,7 +296,7 @@
 	    "{\"outage\":false}", "{\"delay_ms\":0}", "{\"lose_answers\":0}"};
 	uint32_t kind = e->fault - SOAK_STORE_OUTAGE;
 
-	if (hold(s, &s->store_by, e))
+	if (claim(s, &s->store_fault, e))
 		deployment_platform_knobs(
 		    s->d, e->ends ? ends[kind] : begins[kind]);
 }
@@ -306,7 +306,7 @@
 {
 	struct relay *r = g_ptr_array_index(s->d->relays, i);
 
-	if (!hold(s, &s->link_by[i], e))
+	if (!claim(s, &s->link_fault[i], e))
 		return;
 	if (e->ends)
 		relay_set(r, RELAY_PASS);
@@ -328,7 +328,7 @@
 
 	for (i = 0; i < s->d->hosts->len; i++)
 		if (i == host ||
-		    (e->victim / s->d->hosts->len % 2 == 0 &&
+		    (e->target / s->d->hosts->len % 2 == 0 &&
 			deployment_host(s->d, i)->data_centre == centre))
 			link_event(s, e, i);
 }
@@ -337,26 +337,26 @@
 static void
 sign_off(struct soak *s, uint32_t i)
 {
-	char *bundle = deployment_bundle_grown(++s->signed_off, s->routes);
+	char *bundle = deployment_bundle_grown(++s->bundles_written, s->routes);
 	const char *const args[] = {
 	    "sign-off", bundle, "--operator", "soak", NULL};
-	struct signing signing = {.routes = s->routes};
+	struct pending_sign_off pending = {.routes = s->routes};
 
-	if (s->node_by[i] == 0) {
-		signing.ctl =
+	if (s->node_fault[i] == 0) {
+		pending.ctl =
 		    deployment_ctl_start(deployment_host(s->d, i), args);
-		g_array_append_val(s->operators, signing);
+		g_array_append_val(s->sign_offs, pending);
 	}
 	g_free(bundle);
 }
 
 static void
-carry_out(struct soak *s, const struct soak_event *e)
+apply_event(struct soak *s, const struct soak_event *e)
 {
-	uint32_t host = e->victim % s->d->hosts->len;
+	uint32_t host = e->target % s->d->hosts->len;
 
-	if (e->fault == SOAK_HERD_KILL || e->fault == SOAK_STOP_WAVE)
-		herd_event(s, e, host);
+	if (e->fault == SOAK_MASS_KILL || e->fault == SOAK_STOP_WAVE)
+		half_of_nodes_event(s, e, host);
 	else if (e->fault < SOAK_UPSTREAM_KILL)
 		node_event(s, e, host);
 	else if (e->fault < SOAK_STORE_OUTAGE)
@@ -375,7 +375,7 @@
 	if (e->ends)
 		return;
 	s->routes += GROW_ROUTES;
-	sign_off(s, e->victim % s->d->hosts->len);
+	sign_off(s, e->target % s->d->hosts->len);
 }
 
 /* All hosts at once, but those that something has befallen already. */
@@ -392,47 +392,47 @@
 	for (i = 0; i < s->d->hosts->len; i++) {
 		h = deployment_host(s->d, i);
 		node_event(s, &e, i);
-		if (s->upstream_by[i] == 0)
+		if (s->upstream_fault[i] == 0)
 			deployment_kill_upstream(h);
 	}
 	s->crasher.crashes = 0;
 	for (i = 0; i < s->d->hosts->len; i++) {
 		node_event(s, &ends, i);
-		if (s->upstream_by[i] == 0)
+		if (s->upstream_fault[i] == 0)
 			upstream_start(s, deployment_host(s->d, i));
 	}
 }
 
 /* Sends the crasher, and starts again what it has ended. */
 static void
-crash_some(struct soak *s)
+crash_upstreams(struct soak *s)
 {
 	uint32_t i, n = s->d->hosts->len;
 
 	if (clock_now_ms() < s->crasher.next_ms)
 		return;
-	s->crasher.next_ms = clock_now_ms() + CRASH_EVERY_MS;
+	s->crasher.next_ms = clock_now_ms() + CRASH_INTERVAL_MS;
 	for (i = 0; i < n; i++)
-		if (s->upstream_by[i] == 0)
-			soak_crasher_mend(
+		if (s->upstream_fault[i] == 0)
+			soak_crasher_restart(
 			    &s->crasher, deployment_host(s->d, i));
 	i = (uint32_t)g_rand_int_range(s->rand, 0, (gint32)n);
-	if (s->node_by[i] == 0)
-		(void)soak_crasher_ask(&s->crasher, deployment_host(s->d, i));
+	if (s->node_fault[i] == 0)
+		(void)soak_crasher_send(&s->crasher, deployment_host(s->d, i));
 }
 
 static void
-wait_until(struct soak *s, uint64_t at_ms)
+run_until(struct soak *s, uint64_t at_ms)
 {
 	uint64_t now_ms = clock_now_ms();
 
-	while (s->crasher.on && now_ms < at_ms) {
-		if (now_ms >= s->power_ms) {
-			s->power_ms = DEADLINE_NEVER;
+	while (s->crasher.enabled && now_ms < at_ms) {
+		if (now_ms >= s->power_loss_ms) {
+			s->power_loss_ms = DEADLINE_NEVER;
 			lose_power(s);
 		}
-		crash_some(s);
-		g_usleep(STEP_MS * G_TIME_SPAN_MILLISECOND);
+		crash_upstreams(s);
+		g_usleep(POLL_MS * G_TIME_SPAN_MILLISECOND);
 		now_ms = clock_now_ms();
 	}
 	if (now_ms < at_ms)
@@ -440,39 +440,39 @@
 }
 
 static void
-play(struct soak *s, const GArray *plan, uint64_t start_ms)
+run_plan(struct soak *s, const GArray *plan, uint64_t start_ms)
 {
 	const struct soak_event *e;
 	guint i;
 
 	for (i = 0; i < plan->len; i++) {
 		e = &g_array_index(plan, struct soak_event, i);
-		wait_until(s, start_ms + e->at_ms);
+		run_until(s, start_ms + e->at_ms);
 		if (e->fault == SOAK_GROW)
 			grow(s, e);
 		else
-			carry_out(s, e);
+			apply_event(s, e);
 	}
-	finish_stops(s);
+	finish_late_stops(s);
 }
 
 /* Whether a host has the last of some grown routes, whoever serves it. */
-struct sight {
+struct route_probe {
 	const struct host *host;
 	uint32_t routes;
 };
 
 static int
-has_routes(void *arg)
+has_last_route(void *arg)
 {
-	const struct sight *see = arg;
+	const struct route_probe *probe = arg;
 	char url[NAME_BYTES];
 	struct fetch f = {.method = "GET", .url = url};
 	struct fetch_answer a;
 	int code;
 
 	(void)g_snprintf(url, sizeof(url), "http://%s:%u/grown/%u/x",
-	    see->host->address, see->host->caller_port, see->routes - 1);
+	    probe->host->address, probe->host->caller_port, probe->routes - 1);
 	fetch_perform(&f, &a);
 	code = a.code;
 	fetch_answer_clear(&a);
@@ -482,56 +482,59 @@
 static void
 check_routes(const struct soak *s, uint32_t routes)
 {
-	struct sight see = {.routes = routes};
+	struct route_probe probe = {.routes = routes};
 	uint32_t i;
 
 	for (i = 0; routes > 0 && i < s->d->hosts->len; i++) {
-		see.host = deployment_host(s->d, i);
-		ck_assert_msg(harness_until(has_routes, &see, SETTLE_MS),
-		    "host %s lacks the last of %u routes", see.host->name,
+		probe.host = deployment_host(s->d, i);
+		ck_assert_msg(
+		    harness_until(has_last_route, &probe, RECOVERY_TIMEOUT_MS),
+		    "host %s lacks the last of %u routes", probe.host->name,
 		    routes);
 	}
 }
 
 /* What operators were told is so: a version that was accepted is in force. */
 static void
-settle_operators(struct soak *s)
+check_sign_offs(struct soak *s)
 {
 	uint64_t version, highest = 1;
-	struct signing *signing;
+	struct pending_sign_off *pending;
 	uint32_t routes = 0;
 	int code;
 	json_t *j;
 	guint i;
 
-	for (i = 0; i < s->operators->len; i++) {
-		signing = &g_array_index(s->operators, struct signing, i);
-		j = deployment_ctl_end(signing->ctl, &code);
+	for (i = 0; i < s->sign_offs->len; i++) {
+		pending =
+		    &g_array_index(s->sign_offs, struct pending_sign_off, i);
+		j = deployment_ctl_end(pending->ctl, &code);
 		version = (uint64_t)json_number(j, "version");
 		json_decref(j);
 		ck_assert_msg(code != CTL_INVALID,
 		    "a version with %u more routes was refused",
-		    signing->routes);
+		    pending->routes);
 		if (code != CTL_DONE || version <= highest)
 			continue;
 		highest = version;
-		routes = signing->routes;
+		routes = pending->routes;
 	}
-	(void)deployment_wait_version(s->d, highest, SETTLE_MS);
+	(void)deployment_wait_version(s->d, highest, RECOVERY_TIMEOUT_MS);
 	check_routes(s, routes);
 }
 
 /* All that was grown, whatever became of the sign-offs before. */
 static void
-check_grown(struct soak *s)
+check_all_grown_routes(struct soak *s)
 {
 	char *bundle;
 
 	if (s->routes == 0)
 		return;
-	bundle = deployment_bundle_grown(++s->signed_off, s->routes);
+	bundle = deployment_bundle_grown(++s->bundles_written, s->routes);
 	(void)deployment_wait_version(s->d,
-	    deployment_sign_off(deployment_host(s->d, 0), bundle), SETTLE_MS);
+	    deployment_sign_off(deployment_host(s->d, 0), bundle),
+	    RECOVERY_TIMEOUT_MS);
 	check_routes(s, s->routes);
 	g_free(bundle);
 }
@@ -539,7 +542,7 @@
 /* All is mended: calls are served as before.  Bookings with a key at a host
  * that was started anew are told unknown until its keys are settled. */
 static void
-check_served(struct soak *s, uint32_t seed)
+check_calls_served(struct soak *s, uint32_t seed)
 {
 	struct calls_counts c = {0};
 	char name[NAME_BYTES];
@@ -549,7 +552,7 @@
 	    calls_load_start(s->d, name, LOAD_AFTER_S, seed), name, &c);
 	calls_print("after", &c);
 	ck_assert_uint_ge(
-	    (c.done + c.keyed_unknown) * 100, c.sent * SERVED_PERCENT);
+	    (c.done + c.keyed_unknown) * 100, c.sent * MIN_SERVED_PERCENT);
 	ck_assert_uint_eq(c.bad_answers, 0);
 }
 
@@ -569,11 +572,12 @@
 	plan.work_ms_mean = WORK_MS_MEAN;
 	plan.relayed = RELAYED_HOSTS;
 	s->d = calls_start(&plan, &limits);
-	s->node_by = g_new0(uint32_t, s->d->hosts->len);
-	s->upstream_by = g_new0(uint32_t, s->d->hosts->len);
+	s->node_fault = g_new0(uint32_t, s->d->hosts->len);
+	s->upstream_fault = g_new0(uint32_t, s->d->hosts->len);
 	s->stopping = g_new0(bool, s->d->hosts->len);
-	s->link_by = g_new0(uint32_t, s->d->relays->len);
-	s->operators = g_array_new(FALSE, FALSE, sizeof(struct signing));
+	s->link_fault = g_new0(uint32_t, s->d->relays->len);
+	s->sign_offs =
+	    g_array_new(FALSE, FALSE, sizeof(struct pending_sign_off));
 	s->watch = version_watch_start(s->d);
 }
 
@@ -581,11 +585,11 @@
 soak_end(struct soak *s)
 {
 	ck_assert_uint_eq(version_watch_end(s->watch), 0);
-	g_array_unref(s->operators);
-	g_free(s->node_by);
-	g_free(s->upstream_by);
+	g_array_unref(s->sign_offs);
+	g_free(s->node_fault);
+	g_free(s->upstream_fault);
 	g_free(s->stopping);
-	g_free(s->link_by);
+	g_free(s->link_fault);
 	g_rand_free(s->rand);
 	calls_end(s->d);
 }
@@ -607,41 +611,41 @@
 }
 
 void
-soak_run(uint32_t seed, uint32_t for_s, uint32_t faults, uint32_t growths,
+soak_run(uint32_t seed, uint32_t duration_s, uint32_t faults, uint32_t growths,
     uint32_t stop_waves, bool crashes)
 {
-	GArray *plan = soak_plan_new(seed, for_s * 1000, faults);
+	GArray *plan = soak_plan_new(seed, duration_s * 1000, faults);
 	struct calls_counts c = {0};
 	char name[NAME_BYTES], load_s[NAME_BYTES];
 	struct process *load;
 	struct soak s = {0};
 	uint32_t i;
 
-	soak_plan_grow(plan, seed, for_s * 1000, growths);
-	soak_plan_stop_waves(plan, seed, for_s * 1000, stop_waves);
+	soak_plan_grow(plan, seed, duration_s * 1000, growths);
+	soak_plan_stop_waves(plan, seed, duration_s * 1000, stop_waves);
 	print_plan(seed, plan);
 	soak_init(&s);
 	(void)g_snprintf(name, sizeof(name), "soak-%u", seed);
-	(void)g_snprintf(load_s, sizeof(load_s), "%u", for_s);
+	(void)g_snprintf(load_s, sizeof(load_s), "%u", duration_s);
 	s.rand = g_rand_new_with_seed(seed);
 	s.crasher.d = s.d;
-	s.crasher.on = crashes;
-	s.power_ms = clock_now_ms() + for_s * 1000 / 2;
+	s.crasher.enabled = crashes;
+	s.power_loss_ms = clock_now_ms() + duration_s * 1000 / 2;
 	load = calls_load_start(s.d, name, load_s, seed);
-	play(&s, plan, clock_now_ms());
+	run_plan(&s, plan, clock_now_ms());
 	calls_load_end(load, name, &c);
 	calls_print(name, &c);
 	ck_assert_uint_gt(c.done, 0);
 	ck_assert_uint_eq(c.bad_answers, 0);
 	for (i = 0; i < s.d->hosts->len; i++)
-		upstream_mend(&s, deployment_host(s.d, i));
+		upstream_restart_crashed(&s, deployment_host(s.d, i));
 	calls_ready(s.d);
 	soak_crasher_check(&s.crasher);
 	soak_stops_check(DRAIN_MS);
-	settle_operators(&s);
-	check_grown(&s);
-	check_served(&s, seed);
-	(void)printf("seed %u: %u faults left out\n", seed, s.left_out);
+	check_sign_offs(&s);
+	check_all_grown_routes(&s);
+	check_calls_served(&s, seed);
+	(void)printf("seed %u: %u faults left out\n", seed, s.skipped);
 	soak_end(&s);
 	g_array_unref(plan);
 }
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -11,7 +11,7 @@
 /**
  * soak_run() - play a seed
  * @seed: seed of the plan and of the load
- * @for_s: how long load is sent and faults come, in seconds
+ * @duration_s: how long load is sent and faults come, in seconds
  * @faults: number of faults
  * @growths: number of versions that have many routes more than the one before
  * @stop_waves: number of times at which half of the nodes get SIGTERM
@@ -28,7 +28,7 @@
  * while it stops and then gives up; and for a process that ends other than
  * asked.
  */
-void soak_run(uint32_t seed, uint32_t for_s, uint32_t faults, uint32_t growths,
-    uint32_t stop_waves, bool crashes);
+void soak_run(uint32_t seed, uint32_t duration_s, uint32_t faults,
+    uint32_t growths, uint32_t stop_waves, bool crashes);
 
 #endif
--- a/test/soak/soak_stops.c
+++ b/test/soak/soak_stops.c
@@ -12,24 +12,24 @@
 
 #include "harness.h"
 
-#define GIVEN_UP " reason=stopped ms="
-#define REST_EIGHTHS 5
+#define ABORTED " reason=stopped ms="
+#define AFTER_NOTICE_EIGHTHS 5
 /* The stop begins in another thread than that which takes calls. */
 #define SLACK_MS 150
 #define DECIMAL 10
 
 /**
- * struct given_up - calls that were given up
+ * struct aborted_calls - calls that were given up
  * @n: their number
  * @youngest_ms: age of the youngest
  */
-struct given_up {
+struct aborted_calls {
 	uint32_t n;
 	uint64_t youngest_ms;
 };
 
 static void
-read_log(const char *path, struct given_up *g)
+read_log(const char *path, struct aborted_calls *g)
 {
 	char *text = NULL;
 	const char *at;
@@ -37,8 +37,8 @@
 
 	if (!g_file_get_contents(path, &text, NULL, NULL))
 		return;
-	for (at = text; (at = strstr(at, GIVEN_UP)) != NULL; g->n++) {
-		at += strlen(GIVEN_UP);
+	for (at = text; (at = strstr(at, ABORTED)) != NULL; g->n++) {
+		at += strlen(ABORTED);
 		ms = strtoull(at, NULL, DECIMAL);
 		g->youngest_ms = MIN(g->youngest_ms, ms);
 	}
@@ -48,7 +48,7 @@
 void
 soak_stops_check(uint32_t drain_ms)
 {
-	struct given_up g = {0, UINT64_MAX};
+	struct aborted_calls g = {0, UINT64_MAX};
 	char *folder = harness_path("."), *path;
 	GDir *dir = g_dir_open(folder, 0, NULL);
 	const char *name;
@@ -66,5 +66,5 @@
 	(void)printf("%u calls given up by stops\n", g.n);
 	if (g.n > 0)
 		ck_assert_uint_ge(g.youngest_ms + SLACK_MS,
-		    (uint64_t)drain_ms * REST_EIGHTHS / 8);
+		    (uint64_t)drain_ms * AFTER_NOTICE_EIGHTHS / 8);
 }
--- a/test/soak/test_soak.c
+++ b/test/soak/test_soak.c
@@ -16,7 +16,7 @@
 #define TEST_TIMEOUT_S 120
 #define DECIMAL 10
 #define SEED 1
-#define FOR_S 6
+#define DURATION_S 6
 /* About as many at a time as there are hosts of one data centre. */
 #define FAULTS_PER_S 2
 /* Versions that grow, in a run of any length. */
@@ -28,11 +28,11 @@
 /* Seeds that failed, with the length at which they did. */
 static const struct {
 	uint32_t seed;
-	uint32_t for_s;
+	uint32_t duration_s;
 	uint32_t growths;
 	uint32_t stop_waves;
 	bool crashes;
-} failed_once[] = {
+} previously_failed[] = {
     /* A node was told to stop before its program had begun. */
     {9102, 8, 0, 0, false},
     /* An upstream crashed twice within 100 ms, which its guard takes for one
@@ -45,42 +45,43 @@
 };
 
 static uint32_t
-from_environment(const char *name, uint32_t fallback)
+environment_number(const char *name, uint32_t fallback)
 {
 	const char *text = g_getenv(name);
 
 	return text == NULL ? fallback : (uint32_t)strtoul(text, NULL, DECIMAL);
 }
 
-START_TEST(promises_hold_under_faults)
+START_TEST(guarantees_hold_under_faults)
 {
-	uint32_t for_s = from_environment("BRAMLEY_SOAK_S", FOR_S);
+	uint32_t duration_s = environment_number("BRAMLEY_SOAK_S", DURATION_S);
 
-	soak_run((uint32_t)_i, for_s, for_s * FAULTS_PER_S, GROWTHS, STOP_WAVES,
-	    true);
+	soak_run((uint32_t)_i, duration_s, duration_s * FAULTS_PER_S, GROWTHS,
+	    STOP_WAVES, true);
 }
 END_TEST
 
-START_TEST(seeds_that_failed_once)
+START_TEST(previously_failed_seeds)
 {
-	soak_run(failed_once[_i].seed, failed_once[_i].for_s,
-	    failed_once[_i].for_s * FAULTS_PER_S, failed_once[_i].growths,
-	    failed_once[_i].stop_waves, failed_once[_i].crashes);
+	soak_run(previously_failed[_i].seed, previously_failed[_i].duration_s,
+	    previously_failed[_i].duration_s * FAULTS_PER_S,
+	    previously_failed[_i].growths, previously_failed[_i].stop_waves,
+	    previously_failed[_i].crashes);
 }
 END_TEST
 
 int
 main(void)
 {
-	uint32_t first = from_environment("BRAMLEY_SEED", SEED);
-	uint32_t n = from_environment("BRAMLEY_SEEDS", 1);
+	uint32_t first = environment_number("BRAMLEY_SEED", SEED);
+	uint32_t n = environment_number("BRAMLEY_SEEDS", 1);
 	TCase *tc = tcase_create("soak");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	tcase_add_loop_test(
-	    tc, promises_hold_under_faults, (int)first, (int)(first + n));
+	    tc, guarantees_hold_under_faults, (int)first, (int)(first + n));
 	if (g_getenv("BRAMLEY_SEED") == NULL)
-		tcase_add_loop_test(tc, seeds_that_failed_once, 0,
-		    (int)G_N_ELEMENTS(failed_once));
+		tcase_add_loop_test(tc, previously_failed_seeds, 0,
+		    (int)G_N_ELEMENTS(previously_failed));
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/soak/test_soak_plan.c
+++ b/test/soak/test_soak_plan.c
@@ -7,22 +7,22 @@
 #include "test_run.h"
 
 #define SEEDS 50
-#define FOR_MS 8000
+#define DURATION_MS 8000
 #define FAULTS 16
 #define GROWTHS 4
 
-START_TEST(each_fault_begins_once_and_ends)
+START_TEST(each_fault_begins_and_ends_once)
 {
 	const struct soak_event *e;
 	uint32_t begun[FAULTS] = {0}, ended[FAULTS] = {0}, last_ms = 0;
-	GArray *plan = soak_plan_new((uint32_t)_i, FOR_MS, FAULTS);
+	GArray *plan = soak_plan_new((uint32_t)_i, DURATION_MS, FAULTS);
 	guint i;
 
 	ck_assert_uint_eq(plan->len, 2 * FAULTS);
 	for (i = 0; i < plan->len; i++) {
 		e = &g_array_index(plan, struct soak_event, i);
 		ck_assert_uint_ge(e->at_ms, last_ms);
-		ck_assert_uint_le(e->at_ms, FOR_MS);
+		ck_assert_uint_le(e->at_ms, DURATION_MS);
 		last_ms = e->at_ms;
 		if (e->ends)
 			ended[e->number] += begun[e->number];
@@ -35,7 +35,7 @@
 }
 END_TEST
 
-START_TEST(a_seed_gives_the_same_plan_and_all_kinds_come)
+START_TEST(plan_is_deterministic_and_has_all_kinds)
 {
 	uint32_t seen[SOAK_FAULTS] = {0}, seed;
 	const struct soak_event *x, *y;
@@ -43,13 +43,13 @@
 	guint i;
 
 	for (seed = 1; seed <= SEEDS; seed++) {
-		a = soak_plan_new(seed, FOR_MS, FAULTS);
-		b = soak_plan_new(seed, FOR_MS, FAULTS);
+		a = soak_plan_new(seed, DURATION_MS, FAULTS);
+		b = soak_plan_new(seed, DURATION_MS, FAULTS);
 		for (i = 0; i < a->len; i++) {
 			x = &g_array_index(a, struct soak_event, i);
 			y = &g_array_index(b, struct soak_event, i);
 			ck_assert(x->at_ms == y->at_ms &&
-			    x->fault == y->fault && x->victim == y->victim &&
+			    x->fault == y->fault && x->target == y->target &&
 			    x->number == y->number && x->ends == y->ends);
 			seen[x->fault]++;
 		}
@@ -61,15 +61,15 @@
 }
 END_TEST
 
-START_TEST(growth_comes_in_series_and_leaves_the_rest_as_it_is)
+START_TEST(growth_is_spaced_and_keeps_other_events)
 {
-	GArray *a = soak_plan_new((uint32_t)_i, FOR_MS, FAULTS);
-	GArray *b = soak_plan_new((uint32_t)_i, FOR_MS, FAULTS);
+	GArray *a = soak_plan_new((uint32_t)_i, DURATION_MS, FAULTS);
+	GArray *b = soak_plan_new((uint32_t)_i, DURATION_MS, FAULTS);
 	const struct soak_event *x, *y;
 	uint32_t last_ms = 0, n = 0;
 	guint i;
 
-	soak_plan_grow(b, (uint32_t)_i, FOR_MS, GROWTHS);
+	soak_plan_grow(b, (uint32_t)_i, DURATION_MS, GROWTHS);
 	for (i = 0; i < b->len; i++) {
 		y = &g_array_index(b, struct soak_event, i);
 		if (y->fault != SOAK_GROW) {
@@ -77,7 +77,7 @@
 			ck_assert(x->number == y->number && x->ends == y->ends);
 		} else if (!y->ends) {
 			ck_assert_uint_ge(
-			    y->at_ms, last_ms + FOR_MS / (GROWTHS + 1));
+			    y->at_ms, last_ms + DURATION_MS / (GROWTHS + 1));
 			last_ms = y->at_ms;
 		}
 	}
@@ -94,10 +94,10 @@
 	Suite *s = suite_create("soak_plan");
 	TCase *tc = tcase_create("soak_plan");
 
-	tcase_add_loop_test(tc, each_fault_begins_once_and_ends, 1, SEEDS);
-	tcase_add_test(tc, a_seed_gives_the_same_plan_and_all_kinds_come);
+	tcase_add_loop_test(tc, each_fault_begins_and_ends_once, 1, SEEDS);
+	tcase_add_test(tc, plan_is_deterministic_and_has_all_kinds);
 	tcase_add_loop_test(
-	    tc, growth_comes_in_series_and_leaves_the_rest_as_it_is, 1, SEEDS);
+	    tc, growth_is_spaced_and_keeps_other_events, 1, SEEDS);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
