--- a/test/soak/soak_crasher.c
+++ b/test/soak/soak_crasher.c
@@ -1,5 +1,5 @@
 /*
- * A request that crashes upstreams, in the soak.
+ * Poison request of a soak run.
  */
 #include "soak_crasher.h"
 
@@ -13,9 +13,10 @@
 
 #define PATH "/search?crash=1"
 #define URL_BYTES 128
-/* Short, since faults are due meanwhile. */
+/* Short, since the caller also has to begin and end faults on time. */
 #define SEND_TIMEOUT_MS 200
-/* Crashes after which it is quarantined, and time for all nodes to know. */
+/* Crashes after which nodes quarantine the request, and time for the
+ * quarantine to reach all nodes. */
 #define QUARANTINE_CRASHES 3
 #define PROPAGATION_MS 3000
 #define POLL_MS 50
@@ -72,10 +73,12 @@
 	}
 }
 
-/* Until a node says that it is quarantined, STABLE_MS after its third crash at
- * the latest.  Nodes may know of fewer crashes than there were: guards were
- * killed with what they saw, and ends of two processes of one host within 100
- * ms are one to their guard. */
+/*
+ * Repeats the request until a node reports it as quarantined, which must happen
+ * within PROPAGATION_MS of the third crash counted here.  Nodes may have
+ * recorded fewer crashes than happened: a killed guard loses its records, and a
+ * guard counts two exits on its host within 100 ms as one crash.
+ */
 static void
 send_until_quarantined(struct soak_crasher *c)
 {
@@ -117,7 +120,8 @@
 	return n;
 }
 
-/* Nothing else is quarantined, which the end of the run asks too. */
+/* Releases the request, which must be the only quarantined one.  The end of the
+ * run checks that no request is quarantined. */
 static void
 release(const struct soak_crasher *c)
 {
--- a/test/soak/soak_crasher.h
+++ b/test/soak/soak_crasher.h
@@ -1,6 +1,6 @@
 /*
- * A request that crashes the upstreams which run it, sent again and again to
- * any node during a run of the soak, and what starts its upstreams again.
+ * Poison request of a soak run: a request that crashes each upstream that runs
+ * it, sent repeatedly to random nodes, and the restart of those upstreams.
  */
 #ifndef SOAK_CRASHER_H
 #define SOAK_CRASHER_H
@@ -10,17 +10,18 @@
 
 #include "deployment.h"
 
-/* Exit code of a stand-in that a request has ended. */
+/* Exit code of a stand-in upstream that a request has crashed. */
 #define SOAK_CRASH_CODE 70
 
 /**
- * struct soak_crasher - the request and what it did
+ * struct soak_crasher - the poison request and its counters
  * @d: the deployment
- * @enabled: whether it is sent at all
- * @crashes: upstreams that it ended since the start or the last loss of power
- * @sent: how often it was sent
- * @quarantined: answers that it is quarantined
- * @next_ms: when it is sent next
+ * @enabled: whether the request is sent at all
+ * @crashes: upstreams that the request crashed since the start of the run or
+ *	the last power loss
+ * @sent: number of times that the request was sent
+ * @quarantined: number of answers that reported the request as quarantined
+ * @next_ms: monotonic time at which the request is sent next
  */
 struct soak_crasher {
 	struct deployment *d;
@@ -31,22 +32,29 @@
 	uint64_t next_ms;
 };
 
-/** soak_crasher_send() - send it to a host; whether it was told to be
- * quarantined
+/**
+ * soak_crasher_send() - send the request to the node of a host
+ * @c: the request
+ * @h: the host
+ *
+ * Return: whether the answer reported the request as quarantined.
  */
 bool soak_crasher_send(struct soak_crasher *c, const struct host *h);
 
-/** soak_crasher_restart() - start a host's upstream again if the request ended
- * it
+/**
+ * soak_crasher_restart() - restart a host's upstream if it has exited
+ * @c: the request; counts the exit if the request caused it
+ * @h: the host
  */
 void soak_crasher_restart(struct soak_crasher *c, struct host *h);
 
 /**
- * soak_crasher_check() - all is mended: every node holds it off
+ * soak_crasher_check() - check that every node quarantines the request
+ * @c: the request
  *
- * It may crash as many upstreams as nodes need to hold it off, now that nothing
- * else happens.  At the end an operator releases it, so that nothing is held
- * off any more.
+ * Call this after all faults have ended.  The request may still crash the
+ * upstreams that nodes need for a quarantine.  At the end an operator releases
+ * the request, so that no node has a quarantined request.
  */
 void soak_crasher_check(struct soak_crasher *c);
 
--- a/test/soak/soak_plan.c
+++ b/test/soak/soak_plan.c
@@ -1,14 +1,14 @@
 /*
- * Draws what goes wrong.
+ * Draws the fault schedule of a soak run.
  */
 #include "soak_plan.h"
 
-/* How long a fault lasts: from shorter than any time-out to longer than a
- * peer's suspicion and the deadline of calls. */
+/* Faults last from less than any timeout to more than both the suspicion
+ * timeout of peers and the deadline of calls. */
 #define FAULT_MIN_MS 150
 #define FAULT_MAX_MS 2500
 
-/* One in so many faults comes right with the one before. */
+/* One in this many faults begins at the same time as the previous one. */
 #define SIMULTANEOUS_ONE_IN 3
 
 const char *
--- a/test/soak/soak_plan.h
+++ b/test/soak/soak_plan.h
@@ -1,8 +1,8 @@
 /*
- * What goes wrong in a run of the soak, and when: drawn from a seed.
+ * Fault schedule of a soak run, drawn from a seed.
  *
- * Faults come in series and overlap.  What befalls a host that something has
- * befallen already is left out, by the run.
+ * Faults overlap, and some begin at the same time.  The run skips a fault
+ * whose target already has another fault.
  */
 #ifndef SOAK_PLAN_H
 #define SOAK_PLAN_H
@@ -15,29 +15,32 @@
 /**
  * enum soak_fault - kinds of faults
  * @SOAK_NODE_KILL: a node is killed and started again
- * @SOAK_NODE_STOP: a node gets SIGTERM, and is started again once it ended
- * @SOAK_NODE_FREEZE: a node stands still
+ * @SOAK_NODE_STOP: a node gets SIGTERM, and is started again once it has exited
+ * @SOAK_NODE_FREEZE: a node is suspended by SIGSTOP
  * @SOAK_NODE_RELOAD: a node gets SIGHUP
  * @SOAK_MASS_KILL: half of the nodes are killed at once
  * @SOAK_UPSTREAM_KILL: an upstream is killed
- * @SOAK_UPSTREAM_STOP: an upstream gets SIGTERM: it drains and leaves
- * @SOAK_UPSTREAM_FREEZE: an upstream stands still
- * @SOAK_UPSTREAM_SHED: an upstream refuses all
- * @SOAK_UPSTREAM_BREAK: an upstream runs calls and closes without an answer
- * @SOAK_STORE_OUTAGE: the platform fails
- * @SOAK_STORE_SLOW: it answers late
- * @SOAK_STORE_LOST: some of its answers are lost after they took effect
- * @SOAK_LINK_CUT: a host's connections to it are closed, new ones too, or those
- *	of all hosts of a data centre
- * @SOAK_LINK_SILENT: nothing passes on them, open or new
- * @SOAK_LINK_STALLED: those that are open go silent for good
- * @SOAK_LINK_ONE_WAY: its answers don't arrive
+ * @SOAK_UPSTREAM_STOP: an upstream gets SIGTERM, drains and exits
+ * @SOAK_UPSTREAM_FREEZE: an upstream is suspended by SIGSTOP
+ * @SOAK_UPSTREAM_SHED: an upstream refuses all calls
+ * @SOAK_UPSTREAM_BREAK: an upstream runs calls and closes the connection
+ *	without an answer
+ * @SOAK_STORE_OUTAGE: the platform fails every request
+ * @SOAK_STORE_SLOW: the platform answers late
+ * @SOAK_STORE_LOST: the platform executes some writes and drops the answers
+ * @SOAK_LINK_CUT: the relay between a host and the platform closes open and
+ *	new connections
+ * @SOAK_LINK_SILENT: the relay passes no bytes on open or new connections
+ * @SOAK_LINK_STALLED: connections that are open now stay silent until closed
+ * @SOAK_LINK_ONE_WAY: the relay withholds the platform's answers
  * @SOAK_SIGN_OFF: an operator signs a version off
- * @SOAK_FAULTS: number of kinds that are drawn
- * @SOAK_GROW: an operator signs a version off that has many routes more; comes
- * in series beside the others, see soak_plan_grow()
- * @SOAK_STOP_WAVE: half of the nodes get SIGTERM at once; comes in series
- * beside the others, see soak_plan_stop_waves()
+ * @SOAK_FAULTS: number of kinds that are drawn at random
+ * @SOAK_GROW: an operator signs off a version with many more routes; scheduled
+ *	apart from the random faults, see soak_plan_grow()
+ * @SOAK_STOP_WAVE: half of the nodes get SIGTERM at once; scheduled apart from
+ *	the random faults, see soak_plan_stop_waves()
+ *
+ * Half of the link faults hit the relays of all hosts of the data centre.
  */
 enum soak_fault {
 	SOAK_NODE_KILL = 0,
@@ -63,16 +66,16 @@
 	SOAK_STOP_WAVE,
 };
 
-/** soak_fault_name() - short name for the output */
+/** soak_fault_name() - short name of a kind of fault, for the output */
 const char *soak_fault_name(enum soak_fault f);
 
 /**
- * struct soak_event - a fault begins or ends
- * @at_ms: from the start of the run
- * @fault: its kind
+ * struct soak_event - beginning or end of a fault
+ * @at_ms: time since the start of the run
+ * @fault: kind of the fault
  * @number: number of the fault, the same for its beginning and end
- * @target: which host or data centre; to be taken modulo their number
- * @ends: it ends
+ * @target: random number that selects the host, modulo the number of hosts
+ * @ends: whether the event is the end of the fault
  */
 struct soak_event {
 	uint32_t at_ms;
@@ -83,19 +86,19 @@
 };
 
 /**
- * soak_plan_new() - draw a plan
- * @seed: the same seed gives the same plan
+ * soak_plan_new() - draw a schedule of random faults
+ * @seed: seed of the random numbers; equal seeds give equal plans
  * @duration_ms: length of the run
  * @faults: number of faults
  *
- * Return: struct soak_event in order of time; free with g_array_unref().
+ * Return: struct soak_event ordered by time; free with g_array_unref().
  */
 GArray *soak_plan_new(uint32_t seed, uint32_t duration_ms, uint32_t faults);
 
 /**
- * soak_plan_grow() - add versions that grow, as far apart as they can be
- * @plan: the plan; what it has stays as it is
- * @seed: which hosts are asked
+ * soak_plan_grow() - add sign-offs of growing versions at equal intervals
+ * @plan: the plan; its other events stay unchanged
+ * @seed: seed that selects the hosts that receive the sign-offs
  * @duration_ms: length of the run
  * @times: number of versions
  */
@@ -103,10 +106,10 @@
     GArray *plan, uint32_t seed, uint32_t duration_ms, uint32_t times);
 
 /**
- * soak_plan_stop_waves() - add waves of SIGTERM, each while the one before may
- * still be under way
- * @plan: the plan; what it has stays as it is
- * @seed: when, and which hosts
+ * soak_plan_stop_waves() - add waves of SIGTERM at random, possibly overlapping
+ * times
+ * @plan: the plan; its other events stay unchanged
+ * @seed: seed of the times and of the hosts
  * @duration_ms: length of the run
  * @times: number of waves
  */
--- a/test/soak/soak_run.c
+++ b/test/soak/soak_run.c
@@ -1,6 +1,6 @@
 /*
- * Carries a plan out on a deployment, and holds what was seen against what must
- * hold.
+ * Injects the faults of a plan into a deployment and checks the guarantees of
+ * calls, versions and quarantines.
  */
 #include "soak_run.h"
 
@@ -25,29 +25,30 @@
 #define SLOTS 4
 #define QUEUE 8
 #define QUEUE_WAIT_MS 300
-/* Longer than callers go on repeating a key, with a freeze between. */
+/* Longer than a caller repeats an idempotency key, with a freeze in between. */
 #define KEY_WINDOW_MS 8500
-/* A node that stops isn't waited for while others are to be mended. */
+/* Short, so that waiting for a stopping node doesn't delay the end of other
+ * faults. */
 #define DRAIN_MS 1500
 #define RECOVERY_TIMEOUT_MS 20000
 #define NAME_BYTES 64
 #define LOAD_AFTER_S "1"
-/* Of the calls sent once all is mended. */
+/* Share of the calls sent after all faults have ended. */
 #define MIN_SERVED_PERCENT 90
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
-/* Routes that a version that grows has more. */
+/* Routes that each growing version adds to the previous one. */
 #define GROW_ROUTES 1400
-/* How often the crasher is sent, and looked after. */
+/* Interval of the poison request, and of the poll for crashed upstreams. */
 #define CRASH_INTERVAL_MS 150
 #define POLL_MS 20
-/* How long the end of an upstream's stop is waited for at its time. */
+/* Limit of waiting for a stopping upstream when its fault ends. */
 #define STOP_TIMEOUT_MS 2500
 
 /**
- * struct pending_sign_off - a sign-off under way
- * @ctl: bramleyctl
- * @routes: grown routes that the version has
+ * struct pending_sign_off - a sign-off whose bramleyctl has not been waited for
+ * @ctl: process of bramleyctl
+ * @routes: number of routes added to the version
  */
 struct pending_sign_off {
 	struct process *ctl;
@@ -55,21 +56,23 @@
 };
 
 /**
- * struct soak - a run
+ * struct soak - state of a run
  * @d: the deployment
- * @watch: sees the versions that nodes serve
- * @node_fault: number of the fault plus one that has a host's node; 0 for none
- * @upstream_fault: the same for its upstream
- * @stopping: upstreams whose stop takes longer, ended after all other faults
- * @link_fault: the same for its way to the platform
- * @store_fault: the same for the platform
- * @sign_offs: struct pending_sign_off of sign-offs under way
- * @bundles_written: sign-offs begun
- * @routes: grown routes of the versions that are signed off now
- * @skipped: faults that met what had something already
- * @crasher: a request that crashes upstreams
- * @power_loss_ms: when all lose power, DEADLINE_NEVER for never
- * @rand: chance of what the plan doesn't draw
+ * @watch: observes the versions that nodes serve
+ * @node_fault: for each host, number of the fault of its node plus one, or 0
+ * @upstream_fault: the same for the host's upstream
+ * @stopping: for each host, whether its upstream exceeded STOP_TIMEOUT_MS; such
+ *	stops are waited for after all other faults
+ * @link_fault: the same as @node_fault for each relay to the platform
+ * @store_fault: number of the fault of the platform plus one, or 0
+ * @sign_offs: struct pending_sign_off of each sign-off
+ * @bundles_written: number of bundles written, each different
+ * @routes: number of routes added to versions so far
+ * @skipped: number of faults whose target already had another fault
+ * @crasher: the poison request
+ * @power_loss_ms: monotonic time at which all hosts lose power, or
+ *	DEADLINE_NEVER
+ * @rand: random numbers for choices that aren't in the plan
  */
 struct soak {
 	struct deployment *d;
@@ -106,7 +109,7 @@
 		deployment_kill_node(h);
 }
 
-/* It has begun to log. */
+/* Whether a node has begun to log. */
 static int
 node_logs(void *arg)
 {
@@ -117,9 +120,9 @@
 }
 
 /*
- * The next fault may befall it at once, so it must be there: a signal that
- * comes before the program has begun ends it by the signal, not by its own
- * order.
+ * Waits until the program runs, since its next fault may follow at once: a
+ * signal that arrives before the program has installed its handlers kills it
+ * instead of stopping it in order.
  */
 static void
 node_start(struct soak *s, struct host *h)
@@ -141,7 +144,10 @@
 	version_watch_present(s->watch, h, 1);
 }
 
-/* Takes a thing for a fault, or gives it back; false if it isn't its own. */
+/*
+ * Reserves a target when a fault begins and releases it when the fault ends.
+ * Returns false if the target belongs to another fault.
+ */
 static bool
 claim(struct soak *s, uint32_t *by, const struct soak_event *e)
 {
@@ -193,7 +199,7 @@
 	return code == HTTP_OK;
 }
 
-/* The next fault may befall it at once, so it must be there. */
+/* Waits until the upstream answers, since its next fault may follow at once. */
 static void
 upstream_start(struct soak *s, struct host *h)
 {
@@ -201,7 +207,8 @@
 	ck_assert(harness_until(upstream_answers, h, RECOVERY_TIMEOUT_MS));
 }
 
-/* A request may have ended it while it drained. */
+/* Waits for a stopped upstream, which the poison request may have crashed while
+ * it drained. */
 static void
 upstream_finish_stop(struct soak *s, struct host *h)
 {
@@ -213,8 +220,11 @@
 		ck_assert_int_eq(code, 0);
 }
 
-/* One that leaves waits for its node, which may stand still until a later fault
- * has ended: waiting for it here would keep that node so. */
+/*
+ * Whether an upstream exits within a time.  A draining upstream waits for its
+ * node, which may be suspended until a later event of the plan: waiting longer
+ * here would delay that event.
+ */
 static bool
 ended_within(const struct host *h, uint32_t ms)
 {
@@ -242,7 +252,8 @@
 	}
 }
 
-/* One that a request has ended is there again before something befalls it. */
+/* Restarts an upstream that the poison request has crashed, so that a fault can
+ * be injected into a running one. */
 static void
 upstream_restart_crashed(struct soak *s, struct host *h)
 {
@@ -320,7 +331,7 @@
 		relay_silence_open(r);
 }
 
-/* One host's way, or that of all hosts of its data centre. */
+/* Applies a link fault to one host, or to all hosts of its data centre. */
 static void
 links_event(struct soak *s, const struct soak_event *e, uint32_t host)
 {
@@ -333,7 +344,8 @@
 			link_event(s, e, i);
 }
 
-/* Through a node that runs; what becomes of it is asked at the end. */
+/* Starts a sign-off at a node, unless that node has a fault.  The result is
+ * read by check_sign_offs(). */
 static void
 sign_off(struct soak *s, uint32_t i)
 {
@@ -378,7 +390,8 @@
 	sign_off(s, e->target % s->d->hosts->len);
 }
 
-/* All hosts at once, but those that something has befallen already. */
+/* Kills and restarts the nodes and upstreams of all hosts at once, except those
+ * that already have a fault. */
 static void
 lose_power(struct soak *s)
 {
@@ -403,7 +416,8 @@
 	}
 }
 
-/* Sends the crasher, and starts again what it has ended. */
+/* Restarts the upstreams that the poison request has crashed, and sends it to a
+ * random node. */
 static void
 crash_upstreams(struct soak *s)
 {
@@ -456,7 +470,7 @@
 	finish_late_stops(s);
 }
 
-/* Whether a host has the last of some grown routes, whoever serves it. */
+/* Host and number of added routes that the host must have. */
 struct route_probe {
 	const struct host *host;
 	uint32_t routes;
@@ -494,7 +508,8 @@
 	}
 }
 
-/* What operators were told is so: a version that was accepted is in force. */
+/* Checks that the newest version that an operator was told was accepted is in
+ * force on all hosts, with all its routes. */
 static void
 check_sign_offs(struct soak *s)
 {
@@ -523,7 +538,8 @@
 	check_routes(s, routes);
 }
 
-/* All that was grown, whatever became of the sign-offs before. */
+/* Signs off all added routes once more, since earlier sign-offs may have
+ * failed, and checks them on all hosts. */
 static void
 check_all_grown_routes(struct soak *s)
 {
@@ -539,8 +555,11 @@
 	g_free(bundle);
 }
 
-/* All is mended: calls are served as before.  Bookings with a key at a host
- * that was started anew are told unknown until its keys are settled. */
+/*
+ * Checks that calls are served after all faults have ended.  A booking with an
+ * idempotency key at a recently restarted host is answered as unknown until the
+ * host's keys are settled, so these count as served.
+ */
 static void
 check_calls_served(struct soak *s, uint32_t seed)
 {
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -1,6 +1,6 @@
 /*
- * A run of the soak: a deployment under load, and a plan of faults carried out
- * on it from outside.
+ * Soak run: a deployment under load, with faults injected from outside by the
+ * schedule of a seed.
  */
 #ifndef SOAK_RUN_H
 #define SOAK_RUN_H
@@ -9,24 +9,27 @@
 #include <stdint.h>
 
 /**
- * soak_run() - play a seed
+ * soak_run() - run the soak with a seed
  * @seed: seed of the plan and of the load
- * @duration_s: how long load is sent and faults come, in seconds
- * @faults: number of faults
- * @growths: number of versions that have many routes more than the one before
+ * @duration_s: duration of load and faults, in seconds
+ * @faults: number of random faults
+ * @growths: number of versions with many more routes than the previous one
  * @stop_waves: number of times at which half of the nodes get SIGTERM
- * @crashes: whether a request that crashes upstreams is sent all the while, and
- *	all hosts lose power in the middle
+ * @crashes: whether a request that crashes upstreams is sent throughout the
+ *	run, and all hosts lose power in the middle
  *
- * The test fails for a call that ran twice though it must not, ran though it
- * was told not to have run, got another's answer or one that is not whole; for
- * a host that served an older version than before, or one that nobody signed
- * off; for a version that isn't in force everywhere once all is mended, or
- * lacks a route there that it was signed off with; for one that is refused;
- * when calls aren't served again then; for a node that runs what has crashed
- * three upstreams, or quarantines anything else; for a call that a node takes
- * while it stops and then gives up; and for a process that ends other than
- * asked.
+ * The test fails
+ * - if a call that must run at most once ran twice, ran although its caller was
+ *   told not_run, or got the answer of another call or a truncated one;
+ * - if a host served an older version than before, or a version that was never
+ *   signed off;
+ * - if after the end of all faults an accepted version isn't in force on every
+ *   host, lacks one of its routes on a host, or calls aren't served;
+ * - if a version of the plan is rejected as invalid;
+ * - if a node runs a request that has crashed three upstreams, or quarantines
+ *   any other request;
+ * - if a stopping node aborts a call that it accepted while stopping;
+ * - if a process exits without being told to, or with an unexpected code.
  */
 void soak_run(uint32_t seed, uint32_t duration_s, uint32_t faults,
     uint32_t growths, uint32_t stop_waves, bool crashes);
--- a/test/soak/soak_stops.c
+++ b/test/soak/soak_stops.c
@@ -1,5 +1,5 @@
 /*
- * Calls that a stop gives up.
+ * Check of the calls that stopping nodes aborted.
  */
 #include "soak_stops.h"
 
@@ -14,14 +14,14 @@
 
 #define ABORTED " reason=stopped ms="
 #define AFTER_NOTICE_EIGHTHS 5
-/* The stop begins in another thread than that which takes calls. */
+/* The thread that begins a stop isn't the one that accepts calls. */
 #define SLACK_MS 150
 #define DECIMAL 10
 
 /**
- * struct aborted_calls - calls that were given up
- * @n: their number
- * @youngest_ms: age of the youngest
+ * struct aborted_calls - calls that a stop aborted
+ * @n: number of calls
+ * @youngest_ms: age of the youngest call
  */
 struct aborted_calls {
 	uint32_t n;
--- a/test/soak/soak_stops.h
+++ b/test/soak/soak_stops.h
@@ -1,5 +1,5 @@
 /*
- * Calls that a stop gives up, as the nodes' logs tell them.
+ * Check of the calls that stopping nodes aborted, read from the nodes' logs.
  */
 #ifndef SOAK_STOPS_H
 #define SOAK_STOPS_H
@@ -7,11 +7,13 @@
 #include <stdint.h>
 
 /**
- * soak_stops_check() - no node gave up a call that it took while it stopped
- * @drain_ms: how long a stop may last
+ * soak_stops_check() - check that no node aborted a call that it accepted while
+ * stopping
+ * @drain_ms: limit of the duration of a stop
  *
- * Calls are taken in the first three eighths of a stop, so one that is given up
- * is older than the rest of it.  The test fails for a younger one.
+ * A stopping node accepts calls during the first three eighths of @drain_ms and
+ * aborts calls at its end, so an aborted call is at least five eighths of
+ * @drain_ms old.  The test fails for a younger one.
  */
 void soak_stops_check(uint32_t drain_ms);
 
--- a/test/soak/test_soak.c
+++ b/test/soak/test_soak.c
@@ -1,8 +1,8 @@
 /*
- * The soak: one short seed by itself, and the seeds that failed once.
+ * Soak test: one short run with a fixed seed, and the seeds that failed before.
  *
- * BRAMLEY_SEED and BRAMLEY_SEEDS name the first seed and their number for a run
- * by hand, BRAMLEY_SOAK_S its length in seconds.
+ * For a manual run BRAMLEY_SEED is the first seed, BRAMLEY_SEEDS the number of
+ * seeds, and BRAMLEY_SOAK_S the duration of each run in seconds.
  */
 #include <stdlib.h>
 
@@ -17,15 +17,16 @@
 #define DECIMAL 10
 #define SEED 1
 #define DURATION_S 6
-/* About as many at a time as there are hosts of one data centre. */
+/* At this rate about as many faults are active at a time as a data centre has
+ * hosts. */
 #define FAULTS_PER_S 2
-/* Versions that grow, in a run of any length. */
+/* Growing versions in a run of any length. */
 #define GROWTHS 4
 
 /* Waves of SIGTERM, in a run of any length. */
 #define STOP_WAVES 3
 
-/* Seeds that failed, with the length at which they did. */
+/* Seeds that failed before, with the parameters of the failed run. */
 static const struct {
 	uint32_t seed;
 	uint32_t duration_s;
@@ -33,14 +34,13 @@
 	uint32_t stop_waves;
 	bool crashes;
 } previously_failed[] = {
-    /* A node was told to stop before its program had begun. */
+    /* A node got SIGTERM before its program had begun. */
     {9102, 8, 0, 0, false},
-    /* An upstream crashed twice within 100 ms, which its guard takes for one
-     * crash; the check asked for a refusal after three by its own count. */
+    /* An upstream crashed twice within 100 ms, which its guard counts as one
+     * crash; the check counted two, and expected a refusal after three. */
     {9709, 8, GROWTHS, 0, true},
-    /* The end of an upstream's stop was waited for while its node stood still,
-     * so that the node stood still for 34 s, longer than keys are remembered.
-     */
+    /* The run waited for a stopping upstream whose node was suspended, so the
+     * node stayed suspended for 34 s, longer than keys are remembered. */
     {9714, 8, GROWTHS, 0, true},
 };
 
--- a/test/soak/test_soak_plan.c
+++ b/test/soak/test_soak_plan.c
@@ -1,5 +1,6 @@
 /*
- * A plan is the same for the same seed, in order, and each fault ends.
+ * Unit tests of the fault schedule: it depends on the seed only, is ordered by
+ * time, and ends each fault that it begins.
  */
 #include <check.h>
 
--- a/test/support/test_run.h
+++ b/test/support/test_run.h
@@ -1,5 +1,5 @@
 /*
- * How every test program ends.
+ * Entry point that all test programs share: runs a suite of libcheck.
  */
 #ifndef TEST_RUN_H
 #define TEST_RUN_H
@@ -8,6 +8,9 @@
 
 /**
  * test_run() - run a suite and free it
+ * @suite: the suite; freed
+ *
+ * The output and other options come from libcheck's environment variables.
  *
  * Return: the exit status of the program, EXIT_FAILURE if a test failed.
  */
