--- a/test/soak/soak_crasher.c
+++ b/test/soak/soak_crasher.c
@@ -155,12 +155,12 @@
 	before = c->crashes;
 	for (i = 0; i < c->d->hosts->len; i++)
 		ck_assert_msg(soak_crasher_send(c, deployment_host(c->d, i)),
-		    "%s doesn't hold off a request that crashed %u upstreams",
+		    "%s doesn't quarantine a request that crashed %u upstreams",
 		    deployment_host(c->d, i)->name, before);
 	restart_for(c, POLL_MS);
 	ck_assert_uint_eq(c->crashes, before);
-	(void)printf("crasher: %u crashes since the last loss of power, %u "
-		     "times asked for, %u times quarantined\n",
+	(void)printf("poison request: %u crashes since the last power loss, "
+		     "sent %u times, quarantined %u times\n",
 	    c->crashes, c->sent, c->quarantined);
 	release(c);
 }
--- a/test/soak/soak_plan.c
+++ b/test/soak/soak_plan.c
@@ -15,7 +15,7 @@
 soak_fault_name(enum soak_fault f)
 {
 	static const char *const names[] = {"node_kill", "node_stop",
-	    "node_freeze", "node_reload", "herd_kill", "upstream_kill",
+	    "node_freeze", "node_reload", "mass_kill", "upstream_kill",
 	    "upstream_stop", "upstream_freeze", "upstream_shed",
 	    "upstream_break", "store_outage", "store_slow", "store_lost",
 	    "link_cut", "link_silent", "link_stalled", "link_one_way",
--- a/test/soak/soak_run.c
+++ b/test/soak/soak_run.c
@@ -527,7 +527,7 @@
 		version = (uint64_t)json_number(j, "version");
 		json_decref(j);
 		ck_assert_msg(code != CTL_INVALID,
-		    "a version with %u more routes was refused",
+		    "a version with %u more routes was rejected as invalid",
 		    pending->routes);
 		if (code != CTL_DONE || version <= highest)
 			continue;
@@ -664,7 +664,7 @@
 	check_sign_offs(&s);
 	check_all_grown_routes(&s);
 	check_calls_served(&s, seed);
-	(void)printf("seed %u: %u faults left out\n", seed, s.skipped);
+	(void)printf("seed %u: %u faults skipped\n", seed, s.skipped);
 	soak_end(&s);
 	g_array_unref(plan);
 }
--- a/test/soak/soak_stops.c
+++ b/test/soak/soak_stops.c
@@ -63,7 +63,7 @@
 	}
 	g_dir_close(dir);
 	g_free(folder);
-	(void)printf("%u calls given up by stops\n", g.n);
+	(void)printf("%u calls aborted by stops\n", g.n);
 	if (g.n > 0)
 		ck_assert_uint_ge(g.youngest_ms + SLACK_MS,
 		    (uint64_t)drain_ms * AFTER_NOTICE_EIGHTHS / 8);
