--- a/test/capacity/bench_depth.c
+++ b/test/capacity/bench_depth.c
@@ -70,7 +70,7 @@
 
 	b->at.ip = subject_address(PLATFORM_PLACE);
 	(void)addr_format_ip(b->at.ip, address);
-	harness_ports(address, &b->at.port, 1);
+	harness_choose_ports(address, &b->at.port, 1);
 	if (platform_start(address, b->at.port, PLATFORM_THREADS,
 		&b->platform) != STATUS_OK)
 		g_error("%s", status_message());
--- a/test/capacity/bench_guard.c
+++ b/test/capacity/bench_guard.c
@@ -180,7 +180,7 @@
 	uint16_t port;
 
 	(void)addr_format_ip(subject_address(PLATFORM_PLACE), address);
-	harness_ports(address, &port, 1);
+	harness_choose_ports(address, &port, 1);
 	if (platform_start(address, port, PLATFORM_THREADS, &b->platform) !=
 	    STATUS_OK)
 		g_error("%s", status_message());
--- a/test/capacity/bench_sign_off.c
+++ b/test/capacity/bench_sign_off.c
@@ -139,7 +139,7 @@
 	b->number = 0;
 	b->at.ip = subject_address(PLATFORM_PLACE);
 	(void)addr_format_ip(b->at.ip, address);
-	harness_ports(address, &b->at.port, 1);
+	harness_choose_ports(address, &b->at.port, 1);
 	if (platform_start(address, b->at.port, PLATFORM_THREADS,
 		&b->platform) != STATUS_OK)
 		g_error("%s", status_message());
--- a/test/capacity/subject.c
+++ b/test/capacity/subject.c
@@ -23,7 +23,7 @@
 START_TEST(bench)
 {
 	chosen();
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -93,7 +93,7 @@
 
 	memset(s, 0, sizeof(*s));
 	(void)addr_format_ip(subject_address(plan->place), s->address);
-	harness_ports(s->address, ports, SUBJECT_PORTS);
+	harness_choose_ports(s->address, ports, SUBJECT_PORTS);
 	s->caller_port = ports[0];
 	s->peer_port = ports[1];
 	s->call_port = ports[2];
--- a/test/functional/calls.c
+++ b/test/functional/calls.c
@@ -195,5 +195,5 @@
 	ck_assert_msg(deployment_check(d) == 0,
 	    "callers were told what did not happen; see %s", harness_dir());
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
--- a/test/functional/deployment.c
+++ b/test/functional/deployment.c
@@ -75,7 +75,7 @@
 	(void)g_snprintf(h->name, sizeof(h->name), "%s-%u",
 	    plan->data_centres[data_centre], i + 1);
 	harness_host_address(data_centre, i, h->address);
-	harness_ports(h->address, ports, HOST_PORTS);
+	harness_choose_ports(h->address, ports, HOST_PORTS);
 	h->data_centre = data_centre;
 	h->service = plan->services[n %
 	    g_strv_length((char **)(uintptr_t)plan->services)];
@@ -98,7 +98,7 @@
 	    d->platform_address, "--port", port, NULL};
 
 	harness_host_address(PLATFORM_NET, 0, d->platform_address);
-	harness_ports(d->platform_address, &d->platform_port, 1);
+	harness_choose_ports(d->platform_address, &d->platform_port, 1);
 	(void)g_snprintf(port, sizeof(port), "%u", d->platform_port);
 	d->platform = process_start("platform", harness_dir(), argv);
 	(void)g_snprintf(url, sizeof(url), "http://%s:%u/standin/stats",
--- a/test/functional/deployment_watch.c
+++ b/test/functional/deployment_watch.c
@@ -83,7 +83,7 @@
 {
 	uint64_t start_ms = clock_now_ms();
 
-	ck_assert_msg(harness_until(all_show, a, wait_ms),
+	ck_assert_msg(harness_wait_until(all_show, a, wait_ms),
 	    "not all nodes came to %s %ld in %u ms; see %s", a->name,
 	    (long)a->least, wait_ms, harness_dir());
 	return clock_now_ms() - start_ms;
@@ -121,7 +121,7 @@
 void
 deployment_wait_serving(struct deployment *d, uint32_t wait_ms)
 {
-	ck_assert_msg(harness_until(all_serve, d, wait_ms),
+	ck_assert_msg(harness_wait_until(all_serve, d, wait_ms),
 	    "not all nodes serve after %u ms; see %s", wait_ms, harness_dir());
 }
 
--- a/test/functional/harness.c
+++ b/test/functional/harness.c
@@ -47,7 +47,7 @@
 }
 
 void
-harness_end(void)
+harness_cleanup(void)
 {
 	const char *name;
 	char *path;
@@ -105,7 +105,7 @@
 
 /* All sockets are held until the end, so that no port comes twice. */
 void
-harness_ports(const char *address, uint16_t *ports, uint32_t n)
+harness_choose_ports(const char *address, uint16_t *ports, uint32_t n)
 {
 	int *fds = g_new(int, n), udp;
 	uint32_t i = 0, j;
@@ -128,7 +128,7 @@
 }
 
 int
-harness_until(int (*holds)(void *arg), void *arg, uint32_t wait_ms)
+harness_wait_until(int (*holds)(void *arg), void *arg, uint32_t wait_ms)
 {
 	uint64_t until_ms = clock_now_ms() + wait_ms;
 
--- a/test/functional/harness.h
+++ b/test/functional/harness.h
@@ -15,8 +15,8 @@
 /**
  * harness_dir() - directory of this test's settings, journals and logs
  *
- * It is made at the first call.  harness_end() removes it; a test that fails
- * doesn't reach that, so its logs stay.
+ * It is made at the first call.  harness_cleanup() removes it; a test that
+ * fails doesn't reach that, so its logs stay.
  */
 const char *harness_dir(void);
 
@@ -26,8 +26,8 @@
 /** harness_write() - write a file in harness_dir(); its path, a new string */
 char *harness_write(const char *name, const char *text);
 
-/** harness_end() - remove the directory, unless BRAMLEY_KEEP_LOGS is set */
-void harness_end(void);
+/** harness_cleanup() - remove the directory, unless BRAMLEY_KEEP_LOGS is set */
+void harness_cleanup(void);
 
 /**
  * harness_host_address() - address of a host of this test
@@ -42,26 +42,26 @@
     uint32_t data_centre, uint32_t host, char out[HARNESS_ADDRESS_BYTES]);
 
 /**
- * harness_ports() - choose free ports
+ * harness_choose_ports() - choose free ports
  * @address: address on which they are free for TCP and UDP
  * @ports: where they go
  * @n: how many
  */
-void harness_ports(const char *address, uint16_t *ports, uint32_t n);
+void harness_choose_ports(const char *address, uint16_t *ports, uint32_t n);
 
 /** harness_address() - fill in a socket address */
 void
 harness_address(struct sockaddr_in *out, const char *address, uint16_t port);
 
 /**
- * harness_until() - wait until a condition holds
+ * harness_wait_until() - wait until a condition holds
  * @holds: the condition
  * @arg: passed to it
  * @wait_ms: how long to wait
  *
  * Return: 1 when it holds, 0 when it did not in time.
  */
-int harness_until(int (*holds)(void *arg), void *arg, uint32_t wait_ms);
+int harness_wait_until(int (*holds)(void *arg), void *arg, uint32_t wait_ms);
 
 /**
  * harness_run() - run test cases and end the program
--- a/test/functional/test_abandoned.c
+++ b/test/functional/test_abandoned.c
@@ -39,7 +39,7 @@
 	g_free(bundle);
 	g_free(other);
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_call_many.c
+++ b/test/functional/test_call_many.c
@@ -211,7 +211,7 @@
 	deployment_free(d);
 	g_free(idle);
 	g_free(mute);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_call_unanswered.c
+++ b/test/functional/test_call_unanswered.c
@@ -174,7 +174,7 @@
 	    "blind client: %u of %d bookings ran twice\n", found, LOST);
 	ck_assert_uint_eq(found, 5);
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_frozen.c
+++ b/test/functional/test_frozen.c
@@ -184,7 +184,7 @@
 	(void)sign(d, w, 1, START_BOUND_MS);
 	version_watch_present(w, deployment_host(d, FROZEN), 0);
 	process_signal(deployment_host(d, FROZEN)->node, SIGSTOP);
-	ck_assert_msg(harness_until(frozen_is_lost, &l, START_BOUND_MS),
+	ck_assert_msg(harness_wait_until(frozen_is_lost, &l, START_BOUND_MS),
 	    "the frozen node was never lost");
 	check_nobody_lost(d);
 	(void)sign(d, w, 2, ROLL_BOUND_MS);
@@ -201,7 +201,7 @@
 	check_failures(d);
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_halt.c
+++ b/test/functional/test_halt.c
@@ -125,7 +125,7 @@
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
 	g_free(path);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_harness.c
+++ b/test/functional/test_harness.c
@@ -39,7 +39,7 @@
 standin_place(struct standin *s, uint32_t i)
 {
 	harness_host_address(0, i, s->address);
-	harness_ports(s->address, &s->port, 1);
+	harness_choose_ports(s->address, &s->port, 1);
 	(void)g_snprintf(s->at, sizeof(s->at), "%s:%u", s->address, s->port);
 	(void)g_snprintf(s->url, sizeof(s->url), "http://%s", s->at);
 }
@@ -182,7 +182,7 @@
 	fetch_answer_clear(&a);
 	g_free(url);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -214,7 +214,7 @@
 	ck_assert_int_eq(standin_count(&s, "/standin/stats", "rejected"), 1);
 	g_free(url);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -232,7 +232,7 @@
 	ck_assert_int_eq(check_exit("h0"), 0);
 	process_free(load);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -250,7 +250,7 @@
 	ck_assert_int_eq(check_exit("h0"), 0);
 	process_free(load);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -269,7 +269,7 @@
 	ck_assert_int_eq(check_exit("h0"), 0);
 	process_free(load);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -287,7 +287,7 @@
 	g_free(empty);
 	process_free(load);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -307,7 +307,7 @@
 	ck_assert_int_eq(check_exit("h0"), 0);
 	process_free(load);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -331,7 +331,7 @@
 	curl_easy_cleanup(c);
 	(void)fclose(sink);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -396,13 +396,13 @@
 	upstream_run(&s, 0, at.at);
 	g_usleep(NODE_LATE_MS * 1000);
 	ck_assert_int_eq(web_start(&o, &web), STATUS_OK);
-	ck_assert(harness_until(node_heard_ready_renewed, &n, START_MS));
+	ck_assert(harness_wait_until(node_heard_ready_renewed, &n, START_MS));
 	ck_assert_int_eq(process_stop(s.process, STOP_MS), 0);
 	web_stop(web);
 	ck_assert_str_eq(n.heard->str, "starting ready draining gone ");
 	g_string_free(n.heard, TRUE);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -444,7 +444,7 @@
 	curl_easy_cleanup(c);
 	(void)fclose(sink);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -473,7 +473,7 @@
 	fetch_answer_clear(&a);
 	relay_stop(r);
 	process_free(s.process);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_herd.c
+++ b/test/functional/test_herd.c
@@ -164,7 +164,7 @@
 		version_watch_present(h->watch, deployment_host(h->d, i), 0);
 	signal_hosts(h, 0, HOSTS, SIGSTOP);
 	h->newest = sign(h, HOSTS);
-	ck_assert(harness_until(all_hold, h, BOUND_MS));
+	ck_assert(harness_wait_until(all_hold, h, BOUND_MS));
 	set_outage(h, 1);
 	kill_hosts(h, HOSTS, 2 * HOSTS);
 	signal_hosts(h, 0, HOSTS, SIGCONT);
@@ -230,7 +230,7 @@
 	restart_all(&h);
 	ck_assert_uint_eq(version_watch_end(h.watch), 0);
 	deployment_free(h.d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_lost_answers.c
+++ b/test/functional/test_lost_answers.c
@@ -145,7 +145,7 @@
 	struct process *ctl =
 	    deployment_ctl_start(deployment_host(p->d, 0), p->args);
 
-	ck_assert_msg(harness_until(all_lost, p, LOSE_WAIT_MS),
+	ck_assert_msg(harness_wait_until(all_lost, p, LOSE_WAIT_MS),
 	    "%s: the writes did not come", p->lost->op);
 	deployment_platform_knobs(p->d, "{\"outage\":true}");
 	json_decref(deployment_ctl_end(ctl, &code));
@@ -268,7 +268,7 @@
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
 	g_free(first);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_path.c
+++ b/test/functional/test_path.c
@@ -242,7 +242,7 @@
 	json_decref(sum);
 	deployment_free(d);
 	g_free(bundle);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_platform_away.c
+++ b/test/functional/test_platform_away.c
@@ -162,7 +162,7 @@
 	ck_assert_uint_eq(deployment_check(d), 0);
 	json_decref(sum);
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_platform_silent.c
+++ b/test/functional/test_platform_silent.c
@@ -117,7 +117,7 @@
 	(void)sign(d, w, 4, 3);
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -257,7 +257,7 @@
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
 	g_free(first);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
--- a/test/functional/version_watch.c
+++ b/test/functional/version_watch.c
@@ -219,7 +219,7 @@
 	struct awaited a = {w, version};
 	uint64_t start_ms = clock_now_ms();
 
-	ck_assert_msg(harness_until(all_reached, &a, wait_ms),
+	ck_assert_msg(harness_wait_until(all_reached, &a, wait_ms),
 	    "not all nodes serve version %" G_GUINT64_FORMAT
 	    " after %u ms; see %s",
 	    version, wait_ms, harness_dir());
--- a/test/soak/soak_run.c
+++ b/test/soak/soak_run.c
@@ -128,7 +128,7 @@
 node_start(struct soak *s, struct host *h)
 {
 	deployment_start_node(s->d, h);
-	ck_assert(harness_until(node_logs, h, RECOVERY_TIMEOUT_MS));
+	ck_assert(harness_wait_until(node_logs, h, RECOVERY_TIMEOUT_MS));
 }
 
 static void
@@ -204,7 +204,7 @@
 upstream_start(struct soak *s, struct host *h)
 {
 	deployment_start_upstream(s->d, h);
-	ck_assert(harness_until(upstream_answers, h, RECOVERY_TIMEOUT_MS));
+	ck_assert(harness_wait_until(upstream_answers, h, RECOVERY_TIMEOUT_MS));
 }
 
 /* Waits for a stopped upstream, which the poison request may have crashed while
@@ -260,7 +260,7 @@
 	if (!s->crasher.enabled)
 		return;
 	soak_crasher_restart(&s->crasher, h);
-	ck_assert(harness_until(upstream_answers, h, RECOVERY_TIMEOUT_MS));
+	ck_assert(harness_wait_until(upstream_answers, h, RECOVERY_TIMEOUT_MS));
 }
 
 static void
@@ -501,8 +501,8 @@
 
 	for (i = 0; routes > 0 && i < s->d->hosts->len; i++) {
 		probe.host = deployment_host(s->d, i);
-		ck_assert_msg(
-		    harness_until(has_last_route, &probe, RECOVERY_TIMEOUT_MS),
+		ck_assert_msg(harness_wait_until(
+				  has_last_route, &probe, RECOVERY_TIMEOUT_MS),
 		    "host %s lacks the last of %u routes", probe.host->name,
 		    routes);
 	}
