--- a/test/functional/calls.c
+++ b/test/functional/calls.c
@@ -70,7 +70,7 @@
 }
 
 void
-calls_ready(struct deployment *d)
+calls_wait_ready(struct deployment *d)
 {
 	uint32_t i, upstreams = 0;
 
@@ -94,7 +94,7 @@
 	deployment_start(d);
 	(void)deployment_wait_version(
 	    d, deployment_sign_off(deployment_host(d, 0), bundle), READY_MS);
-	calls_ready(d);
+	calls_wait_ready(d);
 	g_usleep((gulong)(limits->key_window_ms + NEWS_MS) *
 	    G_TIME_SPAN_MILLISECOND);
 	g_free(bundle);
@@ -188,11 +188,11 @@
 }
 
 void
-calls_end(struct deployment *d)
+calls_stop(struct deployment *d)
 {
 	check_nobody_is_held_off(d);
 	ck_assert_int_eq(deployment_stop(d), 0);
-	ck_assert_msg(deployment_check(d) == 0,
+	ck_assert_msg(deployment_check_runs(d) == 0,
 	    "callers were told what did not happen; see %s", harness_dir());
 	deployment_free(d);
 	harness_cleanup();
--- a/test/functional/calls.h
+++ b/test/functional/calls.h
@@ -74,8 +74,8 @@
 struct deployment *calls_start(
     const struct deployment_plan *plan, const struct calls_limits *limits);
 
-/** calls_ready() - wait until all nodes serve and know all endpoints */
-void calls_ready(struct deployment *d);
+/** calls_wait_ready() - wait until all nodes serve and know all endpoints */
+void calls_wait_ready(struct deployment *d);
 
 /**
  * calls_load_start() - load of all kinds of calls to all nodes that run
@@ -103,41 +103,41 @@
 void calls_print(const char *what, const struct calls_counts *c);
 
 /**
- * calls_end() - stop all gracefully, check what was told, and free
+ * calls_stop() - stop all gracefully, check what was told, and free
  *
  * The test fails for a violation, for a process that doesn't end with 0, and
  * for a request that a node holds off, as none of those sent crashes upstreams.
  */
-void calls_end(struct deployment *d);
+void calls_stop(struct deployment *d);
 
 /** calls_first_seed() - seed of the first round, BRAMLEY_SEED or a fixed one */
 uint32_t calls_first_seed(void);
 
-/** enum calls_victims - what fails in a round */
-enum calls_victims {
+/** enum calls_targets - what fails in a round */
+enum calls_targets {
 	CALLS_NODE,
 	CALLS_UPSTREAM,
 	CALLS_HOST,
-	CALLS_HERD,
-	CALLS_VICTIMS,
+	CALLS_HALF_OF_NODES,
+	CALLS_TARGETS,
 };
 
 /**
  * struct calls_fault - how something fails and recovers
  * @name: for the output
- * @strike: make a host's node or upstream fail
- * @mend: let it go on
- * @last_from_ms: shortest time between both
- * @last_to_ms: longest time between both
+ * @inject: make a host's node or upstream fail
+ * @recover: let it go on
+ * @min_length_ms: shortest time between both
+ * @max_length_ms: longest time between both
  * @key_window_ms: see struct calls_limits
  * @load_s: how long load is sent in a round, in seconds
  */
 struct calls_fault {
 	const char *name;
-	void (*strike)(struct deployment *d, struct host *h, int node);
-	void (*mend)(struct deployment *d, struct host *h, int node);
-	uint32_t last_from_ms;
-	uint32_t last_to_ms;
+	void (*inject)(struct deployment *d, struct host *h, int node);
+	void (*recover)(struct deployment *d, struct host *h, int node);
+	uint32_t min_length_ms;
+	uint32_t max_length_ms;
 	uint32_t key_window_ms;
 	const char *load_s;
 };
@@ -146,7 +146,7 @@
  * calls_round() - load of all kinds of calls, in which something fails
  * @d: the deployment, with all of it running
  * @f: the fault
- * @victims: what it befalls; which ones, and when, come from the seed
+ * @targets: what it befalls; which ones, and when, come from the seed
  * @seed: seed of the round and its load
  * @sum: what callers were told is added here
  *
@@ -154,7 +154,7 @@
  * once, and one told unknown is repeated twice through other nodes.
  */
 void calls_round(struct deployment *d, const struct calls_fault *f,
-    enum calls_victims victims, uint32_t seed, struct calls_counts *sum);
+    enum calls_targets targets, uint32_t seed, struct calls_counts *sum);
 
 /**
  * calls_rounds() - rounds with all victims, over one deployment
@@ -164,9 +164,9 @@
  *
  * The first seed is 1, or what the environment says in BRAMLEY_SEED.  The test
  * fails for an answer that was not whole, not the caller's own or without its
- * fate, and for all that calls_end() checks.
+ * fate, and for all that calls_stop() checks.
  */
 void calls_rounds(const struct calls_fault *f, uint32_t seeds,
-    struct calls_counts sums[CALLS_VICTIMS]);
+    struct calls_counts sums[CALLS_TARGETS]);
 
 #endif
--- a/test/functional/calls_round.c
+++ b/test/functional/calls_round.c
@@ -12,8 +12,8 @@
 #define NAME_BYTES 64
 #define DECIMAL 10
 /* The fault strikes within this time from the start of the load. */
-#define STRIKE_FROM_MS 200
-#define STRIKE_TO_MS 800
+#define INJECT_MIN_MS 200
+#define INJECT_MAX_MS 800
 #define RATE "250"
 #define WORK_MS_MEAN 20
 #define TIMEOUT_MS 1500
@@ -21,7 +21,7 @@
 #define QUEUE 8
 #define QUEUE_WAIT_MS 300
 
-static const char *const victim_names[CALLS_VICTIMS] = {
+static const char *const target_names[CALLS_TARGETS] = {
     "a node", "an upstream", "a host", "half of the nodes"};
 
 static void
@@ -33,17 +33,17 @@
 }
 
 static void
-each_victim(struct deployment *d, enum calls_victims victims, uint32_t first,
-    void (*fn)(struct deployment *d, struct host *h, int node))
+for_each_target(struct deployment *d, enum calls_targets targets,
+    uint32_t first, void (*fn)(struct deployment *d, struct host *h, int node))
 {
-	uint32_t i, n = victims == CALLS_HERD ? d->hosts->len / 2 : 1;
+	uint32_t i, n = targets == CALLS_HALF_OF_NODES ? d->hosts->len / 2 : 1;
 	struct host *h;
 
 	for (i = 0; i < n; i++) {
 		h = deployment_host(d, (first + i) % d->hosts->len);
-		if (victims == CALLS_UPSTREAM || victims == CALLS_HOST)
+		if (targets == CALLS_UPSTREAM || targets == CALLS_HOST)
 			fn(d, h, 0);
-		if (victims != CALLS_UPSTREAM)
+		if (targets != CALLS_UPSTREAM)
 			fn(d, h, 1);
 	}
 }
@@ -64,22 +64,22 @@
 
 void
 calls_round(struct deployment *d, const struct calls_fault *f,
-    enum calls_victims victims, uint32_t seed, struct calls_counts *sum)
+    enum calls_targets targets, uint32_t seed, struct calls_counts *sum)
 {
 	char name[NAME_BYTES];
-	GRand *rnd = g_rand_new_with_seed(seed * CALLS_VICTIMS + victims);
+	GRand *rnd = g_rand_new_with_seed(seed * CALLS_TARGETS + targets);
 	struct process *load;
 	uint32_t first = g_rand_int(rnd) % d->hosts->len;
 
 	(void)g_snprintf(
-	    name, sizeof(name), "%s-%u-%u", f->name, seed, (uint32_t)victims);
+	    name, sizeof(name), "%s-%u-%u", f->name, seed, (uint32_t)targets);
 	load = calls_load_start(d, name, f->load_s, seed);
-	sleep_between(rnd, STRIKE_FROM_MS, STRIKE_TO_MS);
-	each_victim(d, victims, first, f->strike);
-	sleep_between(rnd, f->last_from_ms, f->last_to_ms);
-	each_victim(d, victims, first, f->mend);
+	sleep_between(rnd, INJECT_MIN_MS, INJECT_MAX_MS);
+	for_each_target(d, targets, first, f->inject);
+	sleep_between(rnd, f->min_length_ms, f->max_length_ms);
+	for_each_target(d, targets, first, f->recover);
 	calls_load_end(load, name, sum);
-	calls_ready(d);
+	calls_wait_ready(d);
 	g_rand_free(rnd);
 }
 
@@ -93,10 +93,10 @@
 
 void
 calls_rounds(const struct calls_fault *f, uint32_t seeds,
-    struct calls_counts sums[CALLS_VICTIMS])
+    struct calls_counts sums[CALLS_TARGETS])
 {
 	char what[NAME_BYTES];
-	enum calls_victims v;
+	enum calls_targets v;
 	struct calls_limits limits = {.timeout_ms = TIMEOUT_MS,
 	    .slots = SLOTS,
 	    .queue = QUEUE,
@@ -109,15 +109,15 @@
 	plan.slots = limits.slots;
 	plan.work_ms_mean = WORK_MS_MEAN;
 	d = calls_start(&plan, &limits);
-	for (v = 0; v < CALLS_VICTIMS; v++) {
+	for (v = 0; v < CALLS_TARGETS; v++) {
 		sums[v] = (struct calls_counts){0};
 		for (i = 0; i < seeds; i++)
 			calls_round(d, f, v, calls_first_seed() + i, &sums[v]);
 		(void)g_snprintf(
-		    what, sizeof(what), "%s %s", f->name, victim_names[v]);
+		    what, sizeof(what), "%s %s", f->name, target_names[v]);
 		calls_print(what, &sums[v]);
 		ck_assert_uint_gt(sums[v].done, 0);
 		ck_assert_uint_eq(sums[v].bad_answers, 0);
 	}
-	calls_end(d);
+	calls_stop(d);
 }
--- a/test/functional/deployment.c
+++ b/test/functional/deployment.c
@@ -103,8 +103,9 @@
 	d->platform = process_start("platform", harness_dir(), argv);
 	(void)g_snprintf(url, sizeof(url), "http://%s:%u/standin/stats",
 	    d->platform_address, d->platform_port);
-	ck_assert_msg(fetch_until(url, 200, DEPLOYMENT_START_MS),
-	    "the platform did not start; see %s", process_log(d->platform));
+	ck_assert_msg(fetch_wait_status(url, 200, DEPLOYMENT_START_MS),
+	    "the platform did not start; see %s",
+	    process_log_path(d->platform));
 }
 
 static void
@@ -127,10 +128,10 @@
 	d->outcomes = g_ptr_array_new_with_free_func(g_free);
 	start_platform(d);
 	for (dc = 0; plan->data_centres[dc] != NULL; dc++) {
-		if (plan->relayed == RELAYED_CENTRES)
+		if (plan->relayed == RELAYED_BY_DATA_CENTRE)
 			add_relay(d);
 		for (i = 0; i < plan->hosts; i++) {
-			if (plan->relayed == RELAYED_HOSTS)
+			if (plan->relayed == RELAYED_BY_HOST)
 				add_relay(d);
 			g_ptr_array_add(d->hosts, host_new(plan, dc, i));
 		}
@@ -167,9 +168,9 @@
 {
 	guint i = h->data_centre;
 
-	if (d->plan.relayed == RELAYED_NOT)
+	if (d->plan.relayed == RELAYED_NONE)
 		return d->platform_port;
-	if (d->plan.relayed == RELAYED_HOSTS)
+	if (d->plan.relayed == RELAYED_BY_HOST)
 		ck_assert(g_ptr_array_find(d->hosts, h, &i));
 	return relay_port(g_ptr_array_index(d->relays, i));
 }
--- a/test/functional/deployment.h
+++ b/test/functional/deployment.h
@@ -20,14 +20,14 @@
 
 /**
  * enum deployment_relays - whether nodes reach the platform through relays
- * @RELAYED_NOT: they don't
- * @RELAYED_CENTRES: there is one for each data centre
- * @RELAYED_HOSTS: there is one for each host
+ * @RELAYED_NONE: they don't
+ * @RELAYED_BY_DATA_CENTRE: there is one for each data centre
+ * @RELAYED_BY_HOST: there is one for each host
  */
 enum deployment_relays {
-	RELAYED_NOT = 0,
-	RELAYED_CENTRES,
-	RELAYED_HOSTS,
+	RELAYED_NONE = 0,
+	RELAYED_BY_DATA_CENTRE,
+	RELAYED_BY_HOST,
 };
 
 /**
@@ -257,18 +257,18 @@
 char *deployment_bundle(uint32_t n);
 
 /**
- * deployment_bundle_of() - the same with more services
+ * deployment_bundle_services() - the same with more services
  * @n: which change
  * @more: number of services besides the example's
  */
-char *deployment_bundle_of(uint32_t n, uint32_t more);
+char *deployment_bundle_services(uint32_t n, uint32_t more);
 
 /**
- * deployment_bundle_grown() - the same with more routes of its first service
+ * deployment_bundle_routes() - the same with more routes of its first service
  * @n: which change
  * @routes: number of routes "/grown/NUMBER/x" besides the example's, from 0 on
  */
-char *deployment_bundle_grown(uint32_t n, uint32_t routes);
+char *deployment_bundle_routes(uint32_t n, uint32_t routes);
 
 /**
  * deployment_sign_off() - sign a bundle off with bramleyctl
@@ -294,11 +294,11 @@
 json_t *deployment_load_end(struct process *load);
 
 /**
- * deployment_check() - hold all load runs against all journals
+ * deployment_check_runs() - hold all load runs against all journals
  *
  * Prints each violation.  Return: their number.
  */
-uint32_t deployment_check(const struct deployment *d);
+uint32_t deployment_check_runs(const struct deployment *d);
 
 /** json_number() - an integer of an object, 0 when it is absent */
 int64_t json_number(const json_t *j, const char *name);
--- a/test/functional/deployment_ctl.c
+++ b/test/functional/deployment_ctl.c
@@ -25,7 +25,7 @@
 	g_ptr_array_add(argv, (gpointer) "--node");
 	g_ptr_array_add(argv, node);
 	g_ptr_array_add(argv, (gpointer) "--json");
-	process_args(argv, args);
+	process_append_args(argv, args);
 	p = process_start(
 	    name, harness_dir(), (const char *const *)argv->pdata);
 	g_ptr_array_unref(argv);
@@ -44,7 +44,7 @@
 		*code = res;
 	else
 		ck_assert_msg(res == 0, "bramleyctl ended with %d; see %s", res,
-		    process_log(ctl));
+		    process_log_path(ctl));
 	process_free(ctl);
 	return j;
 }
@@ -124,13 +124,13 @@
 }
 
 char *
-deployment_bundle_of(uint32_t n, uint32_t more)
+deployment_bundle_services(uint32_t n, uint32_t more)
 {
 	return write_bundle(n, more, 0);
 }
 
 char *
-deployment_bundle_grown(uint32_t n, uint32_t routes)
+deployment_bundle_routes(uint32_t n, uint32_t routes)
 {
 	return write_bundle(n, 0, routes);
 }
@@ -138,7 +138,7 @@
 char *
 deployment_bundle(uint32_t n)
 {
-	return deployment_bundle_of(n, 0);
+	return deployment_bundle_services(n, 0);
 }
 
 uint64_t
--- a/test/functional/deployment_watch.c
+++ b/test/functional/deployment_watch.c
@@ -176,7 +176,7 @@
 	g_ptr_array_add(argv, (gpointer)name);
 	g_ptr_array_add(argv, (gpointer) "--outcomes");
 	g_ptr_array_add(argv, path);
-	process_args(argv, args);
+	process_append_args(argv, args);
 	p = process_start(
 	    name, harness_dir(), (const char *const *)argv->pdata);
 	g_ptr_array_unref(argv);
@@ -192,7 +192,7 @@
 	json_t *j;
 
 	ck_assert_msg(code == 0, "load_gen ended with %d; see %s", code,
-	    process_log(load));
+	    process_log_path(load));
 	j = process_json(load);
 	ck_assert_ptr_nonnull(j);
 	process_free(load);
@@ -208,7 +208,7 @@
 }
 
 uint32_t
-deployment_check(const struct deployment *d)
+deployment_check_runs(const struct deployment *d)
 {
 	GArray *calls = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	GArray *found;
--- a/test/functional/fetch.c
+++ b/test/functional/fetch.c
@@ -102,7 +102,7 @@
 }
 
 int
-fetch_until(const char *url, int code, uint32_t wait_ms)
+fetch_wait_status(const char *url, int code, uint32_t wait_ms)
 {
 	int got;
 	struct fetch f = {"GET", url, NULL, NULL, 0, FETCH_TRY_TIMEOUT_MS};
--- a/test/functional/fetch.h
+++ b/test/functional/fetch.h
@@ -67,13 +67,13 @@
 fetch_json(const char *method, const char *url, const char *body, int *code);
 
 /**
- * fetch_until() - repeat a GET until it answers with a status
+ * fetch_wait_status() - repeat a GET until it answers with a status
  * @url: where
  * @code: the status
  * @wait_ms: how long to try
  *
  * Return: 1 when it did, else 0.
  */
-int fetch_until(const char *url, int code, uint32_t wait_ms);
+int fetch_wait_status(const char *url, int code, uint32_t wait_ms);
 
 #endif
--- a/test/functional/harness.c
+++ b/test/functional/harness.c
@@ -78,7 +78,7 @@
 }
 
 void
-harness_address(struct sockaddr_in *out, const char *address, uint16_t port)
+harness_sockaddr(struct sockaddr_in *out, const char *address, uint16_t port)
 {
 	memset(out, 0, sizeof(*out));
 	out->sin_family = AF_INET;
@@ -93,7 +93,7 @@
 	struct sockaddr_in at;
 	socklen_t len = sizeof(at);
 
-	harness_address(&at, address, *port);
+	harness_sockaddr(&at, address, *port);
 	if (bind(fd, (struct sockaddr *)&at, sizeof(at)) == -1) {
 		(void)close(fd);
 		return -1;
--- a/test/functional/harness.h
+++ b/test/functional/harness.h
@@ -49,9 +49,9 @@
  */
 void harness_choose_ports(const char *address, uint16_t *ports, uint32_t n);
 
-/** harness_address() - fill in a socket address */
+/** harness_sockaddr() - fill in a socket address */
 void
-harness_address(struct sockaddr_in *out, const char *address, uint16_t port);
+harness_sockaddr(struct sockaddr_in *out, const char *address, uint16_t port);
 
 /**
  * harness_wait_until() - wait until a condition holds
--- a/test/functional/operators.c
+++ b/test/functional/operators.c
@@ -35,7 +35,7 @@
 }
 
 uint32_t
-operators_versions_of(
+operators_count_versions(
     const struct deployment *d, const char *op, uint64_t *version)
 {
 	char key[KEY_BYTES];
@@ -61,7 +61,7 @@
 }
 
 int
-operators_ask(const struct host *h, const char *op, uint64_t *version)
+operators_query(const struct host *h, const char *op, uint64_t *version)
 {
 	const char *args[] = {"operation", op, NULL};
 	int code;
@@ -74,15 +74,15 @@
 }
 
 uint64_t
-operators_check_told(const struct host *h, const struct deployment *d,
+operators_check_result(const struct host *h, const struct deployment *d,
     const char *op, int code, uint64_t told)
 {
 	uint64_t asked, made;
-	uint32_t n = operators_versions_of(d, op, &made);
+	uint32_t n = operators_count_versions(d, op, &made);
 
 	ck_assert_msg(n <= 1, "operation %s was done %u times", op, n);
 	if (code == CTL_UNKNOWN) {
-		code = operators_ask(h, op, &asked);
+		code = operators_query(h, op, &asked);
 		ck_assert_msg(code == CTL_DONE || code == CTL_NOT_FOUND ||
 			code == CTL_UNKNOWN,
 		    "operation %s: asked later it ends with %d", op, code);
--- a/test/functional/operators.h
+++ b/test/functional/operators.h
@@ -35,28 +35,28 @@
 struct platform_head operators_head(const struct deployment *d);
 
 /**
- * operators_versions_of() - versions that an operation made
+ * operators_count_versions() - versions that an operation made
  * @d: the deployment
  * @op: id of the operation
  * @version: where the last of them goes, 0 for none; may be NULL
  *
  * Return: their number.
  */
-uint32_t operators_versions_of(
+uint32_t operators_count_versions(
     const struct deployment *d, const char *op, uint64_t *version);
 
 /**
- * operators_ask() - `bramleyctl operation OP`
+ * operators_query() - `bramleyctl operation OP`
  * @h: host whose node is asked
  * @op: id of the operation
  * @version: where its version goes; may be NULL
  *
  * Return: exit code.
  */
-int operators_ask(const struct host *h, const char *op, uint64_t *version);
+int operators_query(const struct host *h, const char *op, uint64_t *version);
 
 /**
- * operators_check_told() - hold what a sign-off or supersede was told
+ * operators_check_result() - hold what a sign-off or supersede was told
  * against the rows
  * @h: host whose node is asked for an operation that ended as unknown
  * @d: the deployment; its platform must answer
@@ -67,7 +67,7 @@
  * The test fails when the operator was told what is not so.
  * Return: the version made, 0 for none.
  */
-uint64_t operators_check_told(const struct host *h, const struct deployment *d,
-    const char *op, int code, uint64_t told);
+uint64_t operators_check_result(const struct host *h,
+    const struct deployment *d, const char *op, int code, uint64_t told);
 
 #endif
--- a/test/functional/process.c
+++ b/test/functional/process.c
@@ -62,7 +62,7 @@
 }
 
 const char *
-process_log(const struct process *p)
+process_log_path(const struct process *p)
 {
 	return p->log;
 }
@@ -85,7 +85,7 @@
 }
 
 void
-process_args(GPtrArray *argv, const char *const *args)
+process_append_args(GPtrArray *argv, const char *const *args)
 {
 	for (; *args != NULL; args++)
 		g_ptr_array_add(argv, (gpointer)*args);
@@ -106,7 +106,7 @@
 }
 
 int
-process_ended(struct process *p)
+process_has_exited(struct process *p)
 {
 	int st;
 
@@ -124,7 +124,7 @@
 {
 	uint64_t until_ms = clock_now_ms() + wait_ms;
 
-	while (!process_ended(p)) {
+	while (!process_has_exited(p)) {
 		if (clock_now_ms() >= until_ms) {
 			process_kill(p);
 			break;
@@ -144,7 +144,7 @@
 void
 process_kill(struct process *p)
 {
-	if (process_ended(p))
+	if (process_has_exited(p))
 		return;
 	(void)kill(p->pid, SIGKILL);
 	(void)waitpid(p->pid, NULL, 0);
--- a/test/functional/process.h
+++ b/test/functional/process.h
@@ -27,8 +27,8 @@
 struct process *
 process_start(const char *name, const char *dir, const char *const *argv);
 
-/** process_log() - path of the log, which holds both outputs */
-const char *process_log(const struct process *p);
+/** process_log_path() - path of the log, which holds both outputs */
+const char *process_log_path(const struct process *p);
 
 /**
  * process_json() - what a process printed as JSON
@@ -38,14 +38,14 @@
  */
 json_t *process_json(const struct process *p);
 
-/** process_args() - append arguments, ended by NULL, with the NULL */
-void process_args(GPtrArray *argv, const char *const *args);
+/** process_append_args() - append arguments, ended by NULL, with the NULL */
+void process_append_args(GPtrArray *argv, const char *const *args);
 
 /** process_pid() - its id, or 0 when it has ended */
 pid_t process_pid(const struct process *p);
 
-/** process_ended() - whether it has ended, by itself or not */
-int process_ended(struct process *p);
+/** process_has_exited() - whether it has ended, by itself or not */
+int process_has_exited(struct process *p);
 
 /** process_signal() - send a signal to a running process */
 void process_signal(const struct process *p, int sig);
--- a/test/functional/relay.c
+++ b/test/functional/relay.c
@@ -260,7 +260,7 @@
 	struct sockaddr_in at;
 	socklen_t len = sizeof(at);
 
-	harness_address(&at, address, 0);
+	harness_sockaddr(&at, address, 0);
 	r->listen_fd =
 	    socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	ck_assert_int_eq(
@@ -276,7 +276,7 @@
 {
 	struct relay *r = g_new0(struct relay, 1);
 
-	harness_address(&r->target, target_address, target_port);
+	harness_sockaddr(&r->target, target_address, target_port);
 	relay_listen(r, address);
 	r->wake_fd = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
 	r->links = g_ptr_array_new_with_free_func(link_free);
--- a/test/functional/silence.c
+++ b/test/functional/silence.c
@@ -57,7 +57,7 @@
 	struct sockaddr_in at;
 	uint32_t n = 0;
 
-	harness_address(&at, address, port);
+	harness_sockaddr(&at, address, port);
 	pidfd = (int)syscall(SYS_pidfd_open, process_pid(p), 0);
 	ck_assert_int_ne(pidfd, -1);
 	while (dir != NULL && (name = g_dir_read_name(dir)) != NULL) {
--- a/test/functional/test_abandoned.c
+++ b/test/functional/test_abandoned.c
@@ -34,7 +34,7 @@
 	version = deployment_sign_off(deployment_host(d, 0), other);
 	(void)deployment_wait_version(d, version, ROLL_BOUND_MS);
 	g_usleep(LATER_US);
-	ck_assert_uint_eq(operators_versions_of(d, "gone-1", NULL), 0);
+	ck_assert_uint_eq(operators_count_versions(d, "gone-1", NULL), 0);
 	ck_assert_uint_eq(operators_head(d).version, version);
 	g_free(bundle);
 	g_free(other);
--- a/test/functional/test_call_crash.c
+++ b/test/functional/test_call_crash.c
@@ -130,7 +130,7 @@
 
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
-		if (h->upstream != NULL && process_ended(h->upstream)) {
+		if (h->upstream != NULL && process_has_exited(h->upstream)) {
 			process_free(h->upstream);
 			h->upstream = NULL;
 			up_ms[i] = clock_now_ms() + DOWN_MS;
--- a/test/functional/test_call_freeze.c
+++ b/test/functional/test_call_freeze.c
@@ -17,14 +17,14 @@
 #define WINDOW_MS 8500
 
 static void
-strike(struct deployment *d, struct host *h, int node)
+inject(struct deployment *d, struct host *h, int node)
 {
 	(void)d;
 	process_signal(node ? h->node : h->upstream, SIGSTOP);
 }
 
 static void
-mend(struct deployment *d, struct host *h, int node)
+recover(struct deployment *d, struct host *h, int node)
 {
 	(void)d;
 	process_signal(node ? h->node : h->upstream, SIGCONT);
@@ -33,9 +33,9 @@
 START_TEST(frozen_at_random_moments)
 {
 	static const struct calls_fault f = {
-	    "frozen", strike, mend, 1700, 2800, WINDOW_MS, LOAD_S};
+	    "frozen", inject, recover, 1700, 2800, WINDOW_MS, LOAD_S};
 
-	struct calls_counts sums[CALLS_VICTIMS];
+	struct calls_counts sums[CALLS_TARGETS];
 
 	calls_rounds(&f, SEEDS, sums);
 }
--- a/test/functional/test_call_kill.c
+++ b/test/functional/test_call_kill.c
@@ -15,7 +15,7 @@
 #define WINDOW_MS 5500
 
 static void
-strike(struct deployment *d, struct host *h, int node)
+inject(struct deployment *d, struct host *h, int node)
 {
 	(void)d;
 	if (node)
@@ -25,7 +25,7 @@
 }
 
 static void
-mend(struct deployment *d, struct host *h, int node)
+recover(struct deployment *d, struct host *h, int node)
 {
 	if (node)
 		deployment_start_node(d, h);
@@ -36,9 +36,9 @@
 START_TEST(killed_at_random_moments)
 {
 	static const struct calls_fault f = {
-	    "killed", strike, mend, 50, 700, WINDOW_MS, LOAD_S};
+	    "killed", inject, recover, 50, 700, WINDOW_MS, LOAD_S};
 
-	struct calls_counts sums[CALLS_VICTIMS];
+	struct calls_counts sums[CALLS_TARGETS];
 
 	calls_rounds(&f, SEEDS, sums);
 }
--- a/test/functional/test_call_many.c
+++ b/test/functional/test_call_many.c
@@ -68,7 +68,7 @@
 	struct timeval limit = {.tv_sec = RECEIVE_S};
 
 	ck_assert_int_ne(fd, -1);
-	harness_address(&at, h->address, h->caller_port);
+	harness_sockaddr(&at, h->address, h->caller_port);
 	(void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
 	ck_assert_int_eq(connect(fd, (struct sockaddr *)&at, sizeof(at)), 0);
 	return fd;
@@ -272,7 +272,7 @@
 	ck_assert_uint_eq(c.done, c.sent);
 	ck_assert_uint_eq(c.bad_answers, 0);
 	ck_assert_int_le(most, GROWTH_MAX_KB);
-	calls_end(d);
+	calls_stop(d);
 }
 END_TEST
 
--- a/test/functional/test_call_overload.c
+++ b/test/functional/test_call_overload.c
@@ -94,7 +94,7 @@
 	    goodput[AT_MOST] * PERCENT / goodput[AT_CAPACITY]);
 	(void)fflush(stdout);
 	ck_assert_double_ge(goodput[AT_MOST] * 2, goodput[AT_CAPACITY]);
-	calls_end(d);
+	calls_stop(d);
 }
 END_TEST
 
--- a/test/functional/test_call_refused.c
+++ b/test/functional/test_call_refused.c
@@ -26,7 +26,7 @@
 	ck_assert_uint_gt(c.sent, 0);
 	ck_assert_uint_eq(c.not_run, c.sent);
 	ck_assert_uint_eq(c.bad_answers, 0);
-	calls_end(d);
+	calls_stop(d);
 }
 END_TEST
 
--- a/test/functional/test_call_silent.c
+++ b/test/functional/test_call_silent.c
@@ -57,7 +57,7 @@
 
 /* It strikes twice in a round, each time another end. */
 static void
-strike(struct deployment *d, struct host *h, int node)
+inject(struct deployment *d, struct host *h, int node)
 {
 	static uint32_t strikes;
 	enum deaf deaf = (enum deaf)(strikes++ % DEAF_KINDS);
@@ -71,9 +71,9 @@
 START_TEST(silent_at_random_moments)
 {
 	static const struct calls_fault f = {
-	    "silent", strike, strike, 300, 600, WINDOW_MS, LOAD_S};
+	    "silent", inject, inject, 300, 600, WINDOW_MS, LOAD_S};
 
-	struct calls_counts sums[CALLS_VICTIMS];
+	struct calls_counts sums[CALLS_TARGETS];
 
 	calls_rounds(&f, SEEDS, sums);
 	(void)printf("%u ends of connections went silent\n", silenced);
--- a/test/functional/test_call_stop.c
+++ b/test/functional/test_call_stop.c
@@ -65,7 +65,7 @@
 
 	for (i = 0; i < d->hosts->len; i++) {
 		entry = deployment_host(d, i);
-		us = last_placed_us(process_log(entry->node), host);
+		us = last_placed_us(process_log_path(entry->node), host);
 		last_us = MAX(last_us, us);
 	}
 	return (last_us - from_us) / US_PER_MS;
@@ -104,7 +104,7 @@
 }
 
 static void
-strike(struct deployment *d, struct host *h, int node)
+inject(struct deployment *d, struct host *h, int node)
 {
 	if (node)
 		ck_assert_int_eq(deployment_stop_node(h), 0);
@@ -113,7 +113,7 @@
 }
 
 static void
-mend(struct deployment *d, struct host *h, int node)
+recover(struct deployment *d, struct host *h, int node)
 {
 	if (node)
 		deployment_start_node(d, h);
@@ -124,8 +124,8 @@
 START_TEST(planned_stops_cut_nothing)
 {
 	static const struct calls_fault f = {
-	    "stopped", strike, mend, 50, 200, WINDOW_MS, LOAD_S};
-	struct calls_counts sums[CALLS_VICTIMS];
+	    "stopped", inject, recover, 50, 200, WINDOW_MS, LOAD_S};
+	struct calls_counts sums[CALLS_TARGETS];
 	uint32_t v;
 
 	calls_rounds(&f, SEEDS, sums);
@@ -133,7 +133,7 @@
 		     "call placed there %ld ms after it\n",
 	    drained, (long)after_drain, (long)slowest_entry_ms);
 	(void)fflush(stdout);
-	for (v = 0; v < CALLS_VICTIMS; v++) {
+	for (v = 0; v < CALLS_TARGETS; v++) {
 		ck_assert_uint_eq(sums[v].cut, 0);
 		ck_assert_uint_eq(sums[v].no_answer, 0);
 		ck_assert_uint_eq(sums[v].unknown, 0);
--- a/test/functional/test_call_stop_grace.c
+++ b/test/functional/test_call_stop_grace.c
@@ -165,7 +165,7 @@
 		ck_assert_int_eq(deployment_stop_node(h), 0);
 		deployment_start_node(d, h);
 	}
-	calls_ready(d);
+	calls_wait_ready(d);
 }
 
 START_TEST(stop_within_the_grace_time_gives_up_no_booking)
@@ -189,7 +189,7 @@
 	ck_assert_uint_eq(c.cut, 0);
 	ck_assert_uint_eq(c.bad_answers, 0);
 	ck_assert_uint_gt(c.done, 0);
-	calls_end(d);
+	calls_stop(d);
 }
 END_TEST
 
--- a/test/functional/test_call_unanswered.c
+++ b/test/functional/test_call_unanswered.c
@@ -94,7 +94,7 @@
 	    deployment_host(d, 0), "{\"close_after_run\":3}");
 	load(d, "lookups", "1:0:0", &lookups);
 	ck_assert_uint_eq(lookups.done, lookups.sent);
-	calls_end(d);
+	calls_stop(d);
 }
 END_TEST
 
@@ -110,7 +110,7 @@
 	ck_assert_uint_eq(c.done + c.unknown, c.sent);
 	ck_assert_uint_eq(c.unknown, unanswered(d));
 	ck_assert_uint_eq(c.unknown, 0);
-	calls_end(d);
+	calls_stop(d);
 }
 END_TEST
 
@@ -169,7 +169,7 @@
 	book_blindly(deployment_host(d, 0), outcomes);
 	(void)fclose(outcomes);
 	g_ptr_array_add(d->outcomes, path);
-	found = deployment_check(d);
+	found = deployment_check_runs(d);
 	(void)printf(
 	    "blind client: %u of %d bookings ran twice\n", found, LOST);
 	ck_assert_uint_eq(found, 5);
--- a/test/functional/test_frozen.c
+++ b/test/functional/test_frozen.c
@@ -143,7 +143,7 @@
 	uint64_t last_old_ms, start_ms = clock_now_ms(), version;
 
 	process_signal(h->node, SIGCONT);
-	version_watch_present(w, h, 1);
+	version_watch_set_reachable(w, h, 1);
 	last_old_ms = start_ms;
 	do {
 		version = call_version(h);
@@ -182,7 +182,7 @@
 	deployment_start(d);
 	w = version_watch_start(d);
 	(void)sign(d, w, 1, START_BOUND_MS);
-	version_watch_present(w, deployment_host(d, FROZEN), 0);
+	version_watch_set_reachable(w, deployment_host(d, FROZEN), 0);
 	process_signal(deployment_host(d, FROZEN)->node, SIGSTOP);
 	ck_assert_msg(harness_wait_until(frozen_is_lost, &l, START_BOUND_MS),
 	    "the frozen node was never lost");
--- a/test/functional/test_halt.c
+++ b/test/functional/test_halt.c
@@ -30,7 +30,7 @@
 	for (i = 0; i < G_N_ELEMENTS(missed); i++) {
 		h = deployment_host(d, missed[i]);
 		process_signal(h->node, sig);
-		version_watch_present(w, h, sig == SIGCONT);
+		version_watch_set_reachable(w, h, sig == SIGCONT);
 	}
 }
 
--- a/test/functional/test_harness.c
+++ b/test/functional/test_harness.c
@@ -49,8 +49,8 @@
 {
 	char *url = g_strconcat(s->url, path, NULL);
 
-	ck_assert_msg(fetch_until(url, 200, START_MS), "%s: see %s", url,
-	    process_log(s->process));
+	ck_assert_msg(fetch_wait_status(url, 200, START_MS), "%s: see %s", url,
+	    process_log_path(s->process));
 	g_free(url);
 }
 
@@ -132,7 +132,8 @@
 	int64_t n;
 	json_t *j;
 
-	ck_assert(g_file_get_contents(process_log(load), &text, NULL, NULL));
+	ck_assert(
+	    g_file_get_contents(process_log_path(load), &text, NULL, NULL));
 	j = json_loads(text, 0, NULL);
 	ck_assert_ptr_nonnull(j);
 	n = json_integer_value(json_object_get(j, name));
--- a/test/functional/test_herd.c
+++ b/test/functional/test_herd.c
@@ -37,7 +37,7 @@
 static uint64_t
 sign(struct herd *h, uint32_t host)
 {
-	char *path = deployment_bundle_of(++h->bundles, MORE_SERVICES);
+	char *path = deployment_bundle_services(++h->bundles, MORE_SERVICES);
 	uint64_t version =
 	    deployment_sign_off(deployment_host(h->d, host), path);
 
@@ -54,7 +54,7 @@
 
 	for (i = from; i < to; i++) {
 		host = deployment_host(h->d, i);
-		version_watch_present(h->watch, host, 0);
+		version_watch_set_reachable(h->watch, host, 0);
 		process_signal(host->node, SIGKILL);
 	}
 	for (i = from; i < to; i++)
@@ -69,7 +69,8 @@
 	for (i = from; i < to; i++)
 		deployment_start_node(h->d, deployment_host(h->d, i));
 	for (i = from; i < to; i++)
-		version_watch_present(h->watch, deployment_host(h->d, i), 1);
+		version_watch_set_reachable(
+		    h->watch, deployment_host(h->d, i), 1);
 }
 
 static void
@@ -161,7 +162,8 @@
 	uint32_t i;
 
 	for (i = 0; i < HOSTS; i++)
-		version_watch_present(h->watch, deployment_host(h->d, i), 0);
+		version_watch_set_reachable(
+		    h->watch, deployment_host(h->d, i), 0);
 	signal_hosts(h, 0, HOSTS, SIGSTOP);
 	h->newest = sign(h, HOSTS);
 	ck_assert(harness_wait_until(all_hold, h, BOUND_MS));
@@ -169,7 +171,8 @@
 	kill_hosts(h, HOSTS, 2 * HOSTS);
 	signal_hosts(h, 0, HOSTS, SIGCONT);
 	for (i = 0; i < HOSTS; i++)
-		version_watch_present(h->watch, deployment_host(h->d, i), 1);
+		version_watch_set_reachable(
+		    h->watch, deployment_host(h->d, i), 1);
 	g_usleep(THAW_US);
 	ck_assert_uint_eq(
 	    deployment_version(deployment_host(h->d, 0)), h->newest - 1);
--- a/test/functional/test_lost_answers.c
+++ b/test/functional/test_lost_answers.c
@@ -184,7 +184,7 @@
 	uint64_t version;
 
 	ck_assert_int_eq(
-	    operators_ask(deployment_host(p->d, 3), p->lost->op, &version),
+	    operators_query(deployment_host(p->d, 3), p->lost->op, &version),
 	    CTL_DONE);
 	ck_assert_uint_eq(version, expected_version(p));
 }
@@ -208,7 +208,7 @@
 check_done_once(const struct play *p)
 {
 	struct platform_head head = operators_head(p->d);
-	uint32_t made = operators_versions_of(p->d, p->lost->op, NULL);
+	uint32_t made = operators_count_versions(p->d, p->lost->op, NULL);
 
 	ck_assert_uint_eq(head.seq, p->before.seq + 1);
 	ck_assert_uint_eq(head.version, expected_version(p));
--- a/test/functional/test_path.c
+++ b/test/functional/test_path.c
@@ -238,7 +238,7 @@
 	sign_off_with_warning(d);
 	check_fleet(d);
 	ck_assert_int_eq(deployment_stop(d), 0);
-	ck_assert_uint_eq(deployment_check(d), 0);
+	ck_assert_uint_eq(deployment_check_runs(d), 0);
 	json_decref(sum);
 	deployment_free(d);
 	g_free(bundle);
--- a/test/functional/test_platform_away.c
+++ b/test/functional/test_platform_away.c
@@ -118,7 +118,8 @@
 	/* The node may be at it still, for as long as it had promised. */
 	version = sign(d, w, 3, 5, RETURN_BOUND_MS);
 	(void)version_watch_wait(w, version, RETURN_BOUND_MS);
-	(void)operators_check_told(deployment_host(d, 0), d, "slow-1", code, 0);
+	(void)operators_check_result(
+	    deployment_host(d, 0), d, "slow-1", code, 0);
 	g_free(path);
 }
 
@@ -127,12 +128,12 @@
 {
 	struct platform_head head = operators_head(d);
 
-	ck_assert_uint_eq(operators_versions_of(d, "out-1", NULL), 0);
-	ck_assert_uint_eq(operators_versions_of(d, "out-3", NULL), 0);
+	ck_assert_uint_eq(operators_count_versions(d, "out-1", NULL), 0);
+	ck_assert_uint_eq(operators_count_versions(d, "out-3", NULL), 0);
 	/* No halt: each write made a version. */
 	ck_assert_uint_eq(head.seq, head.version);
-	ck_assert_int_eq(
-	    operators_ask(deployment_host(d, 3), "out-2", NULL), CTL_NOT_FOUND);
+	ck_assert_int_eq(operators_query(deployment_host(d, 3), "out-2", NULL),
+	    CTL_NOT_FOUND);
 }
 
 START_TEST(nodes_go_on_without_the_platform)
@@ -159,7 +160,7 @@
 	ck_assert_int_gt(json_number(sum, "sent"), 0);
 	ck_assert_int_eq(json_number(sum, "done"), json_number(sum, "sent"));
 	ck_assert_uint_eq(version_watch_end(w), 0);
-	ck_assert_uint_eq(deployment_check(d), 0);
+	ck_assert_uint_eq(deployment_check_runs(d), 0);
 	json_decref(sum);
 	deployment_free(d);
 	harness_cleanup();
--- a/test/functional/test_platform_silent.c
+++ b/test/functional/test_platform_silent.c
@@ -57,7 +57,7 @@
 static uint64_t
 sign(struct deployment *d, struct version_watch *w, uint32_t host, uint32_t n)
 {
-	char *path = deployment_bundle_of(n, MORE_SERVICES);
+	char *path = deployment_bundle_services(n, MORE_SERVICES);
 	uint64_t version = deployment_sign_off(deployment_host(d, host), path);
 
 	version_watch_accept(w, version, BOUND_MS);
@@ -76,14 +76,14 @@
 
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
-		version_watch_present(w, h, 0);
+		version_watch_set_reachable(w, h, 0);
 		deployment_kill_node(h);
 	}
 	silence_all_after(d, MIDDLE_BYTES);
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
 		deployment_start_node(d, h);
-		version_watch_present(w, h, 1);
+		version_watch_set_reachable(w, h, 1);
 	}
 	for (i = 0; i < AGAIN; i++) {
 		g_usleep(AGAIN_US);
@@ -101,7 +101,7 @@
 	struct version_watch *w;
 	uint64_t version;
 
-	plan.relayed = RELAYED_CENTRES;
+	plan.relayed = RELAYED_BY_DATA_CENTRE;
 	d = deployment_new(&plan);
 	deployment_start_nodes(d);
 	w = version_watch_start(d);
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -166,10 +166,11 @@
 	if (e->code == CTL_CONFLICT)
 		check_loser(r, e);
 	if (e->halts) {
-		ck_assert_uint_eq(operators_versions_of(r->d, e->op, NULL), 0);
+		ck_assert_uint_eq(
+		    operators_count_versions(r->d, e->op, NULL), 0);
 		return;
 	}
-	(void)operators_check_told(
+	(void)operators_check_result(
 	    deployment_host(r->d, 0), r->d, e->op, e->code, version);
 	if (e->code != CTL_DONE)
 		return;
--- a/test/functional/test_version_check.c
+++ b/test/functional/test_version_check.c
@@ -75,20 +75,25 @@
 static const struct planted plants[] = {
     {"forward only", {SEE("a", 1, "x"), SEE("a", 1, "x"), SEE("a", 3, "z")},
 	-1},
-    {"back", {SEE("a", 2, "y"), SEE("a", 1, "x")}, VERSION_BACK},
-    {"back in a call", {SEE("a", 2, "y"), SEE("a", 1, NULL)}, VERSION_BACK},
+    {"back", {SEE("a", 2, "y"), SEE("a", 1, "x")}, VERSION_REGRESSION},
+    {"back in a call", {SEE("a", 2, "y"), SEE("a", 1, NULL)},
+	VERSION_REGRESSION},
     {"back across a restart",
-	{SEE("a", 2, "y"), SEE("a", 0, NULL), SEE("a", 1, "x")}, VERSION_BACK},
+	{SEE("a", 2, "y"), SEE("a", 0, NULL), SEE("a", 1, "x")},
+	VERSION_REGRESSION},
     {"nothing served after a restart", {SEE("a", 2, "y"), SEE("a", 0, NULL)},
 	-1},
     {"another host is older", {SEE("a", 2, "y"), SEE("b", 1, "x")}, -1},
-    {"half of a version", {SEE("a", 2, "y"), SEE("b", 2, "x")}, VERSION_ROOT},
+    {"half of a version", {SEE("a", 2, "y"), SEE("b", 2, "x")},
+	VERSION_ROOT_MISMATCH},
     {"half of a version after a call",
-	{SEE("a", 2, NULL), SEE("a", 2, "y"), SEE("b", 2, "x")}, VERSION_ROOT},
-    {"a root that changes", {SEE("a", 2, "y"), SEE("a", 2, "x")}, VERSION_ROOT},
+	{SEE("a", 2, NULL), SEE("a", 2, "y"), SEE("b", 2, "x")},
+	VERSION_ROOT_MISMATCH},
+    {"a root that changes", {SEE("a", 2, "y"), SEE("a", 2, "x")},
+	VERSION_ROOT_MISMATCH},
     {"as recorded", {SEE("a", 1, "x"), RECORD(1, "x"), RECORDED}, -1},
     {"not as recorded", {SEE("a", 1, "x"), RECORD(1, "y"), RECORDED},
-	VERSION_ROOT},
+	VERSION_ROOT_MISMATCH},
     {"never accepted", {SEE("a", 2, "x"), RECORD(1, "x"), RECORDED},
 	VERSION_NO_RECORD},
     {"never accepted, in a call", {SEE("a", 2, NULL), RECORDED},
@@ -125,13 +130,13 @@
 {
 	switch (s->kind) {
 	case STEP_SEE:
-		version_check_see(c, s->host, s->version, s->root);
+		version_check_observe(c, s->host, s->version, s->root);
 		break;
 	case STEP_PRESENT:
-		version_check_present(c, s->host, s->now_ms);
+		version_check_reachable(c, s->host, s->now_ms);
 		break;
 	case STEP_ABSENT:
-		version_check_absent(c, s->host);
+		version_check_unreachable(c, s->host);
 		break;
 	case STEP_ACCEPT:
 		version_check_accept(c, s->version, s->now_ms, BOUND_MS);
@@ -146,7 +151,7 @@
 		version_check_record(c, s->version, s->root);
 		break;
 	case STEP_RECORDED:
-		version_check_recorded(c);
+		version_check_compare_records(c);
 		break;
 	case STEP_END:
 		break;
@@ -163,7 +168,7 @@
 
 	for (i = 0; i < STEPS_MAX; i++)
 		feed(c, &p->steps[i]);
-	found = version_check_found(c);
+	found = version_check_violations(c);
 	ck_assert_msg(found->len == (p->found == -1 ? 0 : 1),
 	    "%s: %u violations", p->name, found->len);
 	if (p->found != -1) {
--- a/test/functional/version_check.c
+++ b/test/functional/version_check.c
@@ -142,12 +142,12 @@
 	if (root != NULL && v->root == NULL)
 		v->root = g_strdup(root);
 	else if (root != NULL && strcmp(root, v->root) != 0)
-		violate(c, VERSION_ROOT, host, version);
+		violate(c, VERSION_ROOT_MISMATCH, host, version);
 }
 
 void
-version_check_see(struct version_check *c, const char *host, uint64_t version,
-    const char *root)
+version_check_observe(struct version_check *c, const char *host,
+    uint64_t version, const char *root)
 {
 	struct seen_host *h = host_of(c, host);
 
@@ -155,13 +155,13 @@
 		return;
 	h->sights++;
 	if (version < h->highest)
-		violate(c, VERSION_BACK, host, version);
+		violate(c, VERSION_REGRESSION, host, version);
 	see_root(c, host, version, root);
 	h->highest = MAX(h->highest, version);
 }
 
 void
-version_check_present(
+version_check_reachable(
     struct version_check *c, const char *host, uint64_t now_ms)
 {
 	struct seen_host *h = host_of(c, host);
@@ -171,7 +171,7 @@
 }
 
 void
-version_check_absent(struct version_check *c, const char *host)
+version_check_unreachable(struct version_check *c, const char *host)
 {
 	host_of(c, host)->present = 0;
 }
@@ -237,7 +237,7 @@
 }
 
 void
-version_check_recorded(struct version_check *c)
+version_check_compare_records(struct version_check *c)
 {
 	const char *root;
 	gpointer p;
@@ -251,12 +251,12 @@
 		if (root == NULL)
 			violate(c, VERSION_NO_RECORD, v->host, v->version);
 		else if (v->root != NULL && strcmp(root, v->root) != 0)
-			violate(c, VERSION_ROOT, v->host, v->version);
+			violate(c, VERSION_ROOT_MISMATCH, v->host, v->version);
 	}
 }
 
 uint32_t
-version_check_sights(const struct version_check *c, const char *host)
+version_check_observations(const struct version_check *c, const char *host)
 {
 	const struct seen_host *h = g_hash_table_lookup(c->hosts, host);
 
@@ -272,7 +272,7 @@
 }
 
 const GPtrArray *
-version_check_found(const struct version_check *c)
+version_check_violations(const struct version_check *c)
 {
 	return c->found;
 }
@@ -281,8 +281,8 @@
 version_rule_name(enum version_rule rule)
 {
 	static const char *const names[] = {
-	    [VERSION_BACK] = "a host went back",
-	    [VERSION_ROOT] = "two roots of one version",
+	    [VERSION_REGRESSION] = "a host went back",
+	    [VERSION_ROOT_MISMATCH] = "two roots of one version",
 	    [VERSION_NO_RECORD] = "a version that was never accepted",
 	    [VERSION_LATE] = "an accepted version came late",
 	};
--- a/test/functional/version_check.h
+++ b/test/functional/version_check.h
@@ -16,15 +16,15 @@
 
 /**
  * enum version_rule - what was violated
- * @VERSION_BACK: a host served an older version than before
- * @VERSION_ROOT: a host served a version with another root than seen before
- *	or recorded
+ * @VERSION_REGRESSION: a host served an older version than before
+ * @VERSION_ROOT_MISMATCH: a host served a version with another root than seen
+ *before or recorded
  * @VERSION_NO_RECORD: a host served a version that was never accepted
  * @VERSION_LATE: a host did not serve an accepted version in time
  */
 enum version_rule {
-	VERSION_BACK,
-	VERSION_ROOT,
+	VERSION_REGRESSION,
+	VERSION_ROOT_MISMATCH,
 	VERSION_NO_RECORD,
 	VERSION_LATE,
 };
@@ -52,26 +52,26 @@
 void version_check_free(struct version_check *c);
 
 /**
- * version_check_see() - a host serves a version
+ * version_check_observe() - a host serves a version
  * @c: the check
  * @host: its name
  * @version: the version; 0 when the host serves none
  * @root: its root, or NULL when only the version was seen
  */
-void version_check_see(struct version_check *c, const char *host,
+void version_check_observe(struct version_check *c, const char *host,
     uint64_t version, const char *root);
 
 /**
- * version_check_present() - a host is to follow accepted versions from now
+ * version_check_reachable() - a host is to follow accepted versions from now
  * @c: the check
  * @host: its name
  * @now_ms: monotonic time
  */
-void version_check_present(
+void version_check_reachable(
     struct version_check *c, const char *host, uint64_t now_ms);
 
-/** version_check_absent() - a host is stopped, frozen or cut off */
-void version_check_absent(struct version_check *c, const char *host);
+/** version_check_unreachable() - a host is stopped, frozen or cut off */
+void version_check_unreachable(struct version_check *c, const char *host);
 
 /**
  * version_check_accept() - a version was accepted
@@ -96,22 +96,25 @@
  * @version: the version
  * @root: its root
  *
- * Give all records, then call version_check_recorded().
+ * Give all records, then call version_check_compare_records().
  */
 void version_check_record(
     struct version_check *c, uint64_t version, const char *root);
 
-/** version_check_recorded() - hold all that was seen against the records */
-void version_check_recorded(struct version_check *c);
+/** version_check_compare_records() - hold all that was seen against the records
+ */
+void version_check_compare_records(struct version_check *c);
 
-/** version_check_sights() - number of sights of a host, 0 versions left out */
-uint32_t version_check_sights(const struct version_check *c, const char *host);
+/** version_check_observations() - number of sights of a host, 0 versions left
+ * out */
+uint32_t
+version_check_observations(const struct version_check *c, const char *host);
 
 /** version_check_highest() - highest version that a host has served */
 uint64_t version_check_highest(const struct version_check *c, const char *host);
 
-/** version_check_found() - violations so far: struct version_violation */
-const GPtrArray *version_check_found(const struct version_check *c);
+/** version_check_violations() - violations so far: struct version_violation */
+const GPtrArray *version_check_violations(const struct version_check *c);
 
 /** version_rule_name() - short name, for the log */
 const char *version_rule_name(enum version_rule rule);
--- a/test/functional/version_watch.c
+++ b/test/functional/version_watch.c
@@ -42,7 +42,7 @@
 	struct version_watch *all = w->watch;
 
 	pthread_mutex_lock(&all->lock);
-	version_check_see(all->check, w->host->name, version, root);
+	version_check_observe(all->check, w->host->name, version, root);
 	version_check_tick(all->check, clock_now_ms());
 	pthread_mutex_unlock(&all->lock);
 }
@@ -128,7 +128,7 @@
 		one->watch = w;
 		one->host = deployment_host(d, i);
 		g_ptr_array_add(w->watchers, one);
-		version_watch_present(w, one->host, 1);
+		version_watch_set_reachable(w, one->host, 1);
 	}
 	for (i = 0; i < d->hosts->len; i++) {
 		one = g_ptr_array_index(w->watchers, i);
@@ -152,15 +152,15 @@
 }
 
 void
-version_watch_present(
+version_watch_set_reachable(
     struct version_watch *w, const struct host *h, int present)
 {
 	pthread_mutex_lock(&w->lock);
 	watcher_of(w, h)->present = present;
 	if (present)
-		version_check_present(w->check, h->name, clock_now_ms());
+		version_check_reachable(w->check, h->name, clock_now_ms());
 	else
-		version_check_absent(w->check, h->name);
+		version_check_unreachable(w->check, h->name);
 	pthread_mutex_unlock(&w->lock);
 }
 
@@ -244,13 +244,13 @@
 		    w->check, version, deployment_row_text(row, "root"));
 		json_decref(row);
 	}
-	version_check_recorded(w->check);
+	version_check_compare_records(w->check);
 }
 
 static uint32_t
 print_found(const struct version_watch *w)
 {
-	const GPtrArray *found = version_check_found(w->check);
+	const GPtrArray *found = version_check_violations(w->check);
 	guint i;
 	const struct version_violation *v;
 
@@ -277,7 +277,7 @@
 	for (i = 0; i < w->watchers->len; i++) {
 		one = g_ptr_array_index(w->watchers, i);
 		pthread_join(one->thread, NULL);
-		n = version_check_sights(w->check, one->host->name);
+		n = version_check_observations(w->check, one->host->name);
 		ck_assert_msg(n >= WATCH_SIGHTS_MIN,
 		    "%s was seen to serve %u times only", one->host->name, n);
 	}
--- a/test/functional/version_watch.h
+++ b/test/functional/version_watch.h
@@ -20,8 +20,8 @@
  */
 struct version_watch *version_watch_start(struct deployment *d);
 
-/** version_watch_present() - whether a host can be reached from now on */
-void version_watch_present(
+/** version_watch_set_reachable() - whether a host can be reached from now on */
+void version_watch_set_reachable(
     struct version_watch *w, const struct host *h, int present);
 
 /** version_watch_accept() - a version was accepted; see version_check.h */
--- a/test/soak/soak_crasher.c
+++ b/test/soak/soak_crasher.c
@@ -44,7 +44,7 @@
 void
 soak_crasher_restart(struct soak_crasher *c, struct host *h)
 {
-	if (h->upstream == NULL || !process_ended(h->upstream))
+	if (h->upstream == NULL || !process_has_exited(h->upstream))
 		return;
 	if (process_wait(h->upstream, 0) == SOAK_CRASH_CODE)
 		c->crashes++;
--- a/test/soak/soak_run.c
+++ b/test/soak/soak_run.c
@@ -100,7 +100,7 @@
 static void
 node_inject(struct soak *s, struct host *h, enum soak_fault f)
 {
-	version_watch_present(s->watch, h, 0);
+	version_watch_set_reachable(s->watch, h, 0);
 	if (is_stop(f))
 		process_signal(h->node, SIGTERM);
 	else if (f == SOAK_NODE_FREEZE)
@@ -116,7 +116,7 @@
 	const struct host *h = arg;
 	struct stat st;
 
-	return stat(process_log(h->node), &st) == 0 && st.st_size > 0;
+	return stat(process_log_path(h->node), &st) == 0 && st.st_size > 0;
 }
 
 /*
@@ -141,7 +141,7 @@
 			ck_assert_int_eq(deployment_stop_node(h), 0);
 		node_start(s, h);
 	}
-	version_watch_present(s->watch, h, 1);
+	version_watch_set_reachable(s->watch, h, 1);
 }
 
 /*
@@ -230,9 +230,9 @@
 {
 	uint64_t until_ms = clock_now_ms() + ms;
 
-	while (!process_ended(h->upstream) && clock_now_ms() < until_ms)
+	while (!process_has_exited(h->upstream) && clock_now_ms() < until_ms)
 		g_usleep(POLL_MS * G_TIME_SPAN_MILLISECOND);
-	return process_ended(h->upstream) != 0;
+	return process_has_exited(h->upstream) != 0;
 }
 
 static void
@@ -349,7 +349,8 @@
 static void
 sign_off(struct soak *s, uint32_t i)
 {
-	char *bundle = deployment_bundle_grown(++s->bundles_written, s->routes);
+	char *bundle =
+	    deployment_bundle_routes(++s->bundles_written, s->routes);
 	const char *const args[] = {
 	    "sign-off", bundle, "--operator", "soak", NULL};
 	struct pending_sign_off pending = {.routes = s->routes};
@@ -547,7 +548,7 @@
 
 	if (s->routes == 0)
 		return;
-	bundle = deployment_bundle_grown(++s->bundles_written, s->routes);
+	bundle = deployment_bundle_routes(++s->bundles_written, s->routes);
 	(void)deployment_wait_version(s->d,
 	    deployment_sign_off(deployment_host(s->d, 0), bundle),
 	    RECOVERY_TIMEOUT_MS);
@@ -589,7 +590,7 @@
 
 	plan.slots = SLOTS;
 	plan.work_ms_mean = WORK_MS_MEAN;
-	plan.relayed = RELAYED_HOSTS;
+	plan.relayed = RELAYED_BY_HOST;
 	s->d = calls_start(&plan, &limits);
 	s->node_fault = g_new0(uint32_t, s->d->hosts->len);
 	s->upstream_fault = g_new0(uint32_t, s->d->hosts->len);
@@ -610,7 +611,7 @@
 	g_free(s->stopping);
 	g_free(s->link_fault);
 	g_rand_free(s->rand);
-	calls_end(s->d);
+	calls_stop(s->d);
 }
 
 static void
@@ -658,7 +659,7 @@
 	ck_assert_uint_eq(c.bad_answers, 0);
 	for (i = 0; i < s.d->hosts->len; i++)
 		upstream_restart_crashed(&s, deployment_host(s.d, i));
-	calls_ready(s.d);
+	calls_wait_ready(s.d);
 	soak_crasher_check(&s.crasher);
 	soak_stops_check(DRAIN_MS);
 	check_sign_offs(&s);
