--- a/test/functional/calls.c
+++ b/test/functional/calls.c
@@ -11,12 +11,12 @@
 #include "calls.h"
 #include "standins/summary.h"
 
-#define READY_MS 20000
+#define READY_TIMEOUT_MS 20000
 #define BODY_MAX_BYTES 2147483647
 
 /* A guard settles keys once it is older than the window and this. */
 #define SUSPICION_MS 500
-#define NEWS_MS (2 * SUSPICION_MS)
+#define PROPAGATION_MS (2 * SUSPICION_MS)
 #define SETTINGS_BYTES 256
 #define DRAIN_MS 30000
 
@@ -76,8 +76,8 @@
 
 	for (i = 0; i < d->hosts->len; i++)
 		upstreams += deployment_host(d, i)->upstream != NULL;
-	deployment_wait_endpoints(d, upstreams, READY_MS);
-	deployment_wait_serving(d, READY_MS);
+	deployment_wait_endpoints(d, upstreams, READY_TIMEOUT_MS);
+	deployment_wait_serving(d, READY_TIMEOUT_MS);
 }
 
 struct deployment *
@@ -92,10 +92,11 @@
 	p.node_settings = settings;
 	d = deployment_new(&p);
 	deployment_start(d);
-	(void)deployment_wait_version(
-	    d, deployment_sign_off(deployment_host(d, 0), bundle), READY_MS);
+	(void)deployment_wait_version(d,
+	    deployment_sign_off(deployment_host(d, 0), bundle),
+	    READY_TIMEOUT_MS);
 	calls_wait_ready(d);
-	g_usleep((gulong)(limits->key_window_ms + NEWS_MS) *
+	g_usleep((gulong)(limits->key_window_ms + PROPAGATION_MS) *
 	    G_TIME_SPAN_MILLISECOND);
 	g_free(bundle);
 	return d;
@@ -121,22 +122,23 @@
 refused_p99_us(const GArray *calls)
 {
 	const struct outcome *o;
-	GArray *us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	GArray *latencies_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	guint i;
 	struct latency l;
 
 	for (i = 0; i < calls->len; i++) {
 		o = &g_array_index(calls, struct outcome, i);
 		if (o->told == TOLD_NOT_RUN)
-			g_array_append_val(us, o->latency_us);
+			g_array_append_val(latencies_us, o->latency_us);
 	}
-	summary_latency(us, &l);
-	g_array_unref(us);
+	summary_latency(latencies_us, &l);
+	g_array_unref(latencies_us);
 	return l.p99_us;
 }
 
 void
-calls_load_end(struct process *load, const char *name, struct calls_counts *sum)
+calls_load_end(
+    struct process *load, const char *name, struct calls_counts *total)
 {
 	char *file = g_strdup_printf("%s.outcomes", name);
 	char *path = harness_path(file);
@@ -146,9 +148,9 @@
 
 	ck_assert_int_eq(outcomes_read(path, calls), STATUS_OK);
 	for (i = 0; i < calls->len; i++)
-		count(sum, &g_array_index(calls, struct outcome, i));
-	sum->refused_p99_us = refused_p99_us(calls);
-	sum->bad_answers += (uint32_t)json_number(j, "no_retry_after");
+		count(total, &g_array_index(calls, struct outcome, i));
+	total->refused_p99_us = refused_p99_us(calls);
+	total->bad_answers += (uint32_t)json_number(j, "no_retry_after");
 	json_decref(j);
 	g_array_unref(calls);
 	g_free(path);
@@ -168,7 +170,7 @@
 
 /* Requests that merely ran when upstreams ended are run on. */
 static void
-check_nobody_is_held_off(struct deployment *d)
+check_nothing_quarantined(struct deployment *d)
 {
 	const struct host *h;
 	json_t *answer;
@@ -190,7 +192,7 @@
 void
 calls_stop(struct deployment *d)
 {
-	check_nobody_is_held_off(d);
+	check_nothing_quarantined(d);
 	ck_assert_int_eq(deployment_stop(d), 0);
 	ck_assert_msg(deployment_check_runs(d) == 0,
 	    "callers were told what did not happen; see %s", harness_dir());
--- a/test/functional/calls.h
+++ b/test/functional/calls.h
@@ -81,23 +81,23 @@
  * calls_load_start() - load of all kinds of calls to all nodes that run
  * @d: the deployment
  * @name: name of the run; different for each
- * @load_s: how long, in seconds
+ * @duration_s: how long, in seconds
  * @seed: seed of the load
  *
  * Half of the bookings have a key; a third of these go through two nodes at
  * once, and one told unknown is repeated twice through other nodes.
  */
-struct process *calls_load_start(
-    struct deployment *d, const char *name, const char *load_s, uint32_t seed);
+struct process *calls_load_start(struct deployment *d, const char *name,
+    const char *duration_s, uint32_t seed);
 
 /**
  * calls_load_end() - wait for load_gen and add up what it was told
  * @load: freed
  * @name: name of the run, as given to deployment_load()
- * @sum: what is added to
+ * @total: what is added to
  */
 void calls_load_end(
-    struct process *load, const char *name, struct calls_counts *sum);
+    struct process *load, const char *name, struct calls_counts *total);
 
 /** calls_print() - one line with all counts */
 void calls_print(const char *what, const struct calls_counts *c);
@@ -130,7 +130,7 @@
  * @min_length_ms: shortest time between both
  * @max_length_ms: longest time between both
  * @key_window_ms: see struct calls_limits
- * @load_s: how long load is sent in a round, in seconds
+ * @duration_s: how long load is sent in a round, in seconds
  */
 struct calls_fault {
 	const char *name;
@@ -139,7 +139,7 @@
 	uint32_t min_length_ms;
 	uint32_t max_length_ms;
 	uint32_t key_window_ms;
-	const char *load_s;
+	const char *duration_s;
 };
 
 /**
@@ -148,13 +148,13 @@
  * @f: the fault
  * @targets: what it befalls; which ones, and when, come from the seed
  * @seed: seed of the round and its load
- * @sum: what callers were told is added here
+ * @total: what callers were told is added here
  *
  * Half of the bookings have a key; a third of these go through two nodes at
  * once, and one told unknown is repeated twice through other nodes.
  */
 void calls_round(struct deployment *d, const struct calls_fault *f,
-    enum calls_targets targets, uint32_t seed, struct calls_counts *sum);
+    enum calls_targets targets, uint32_t seed, struct calls_counts *total);
 
 /**
  * calls_rounds() - rounds with all victims, over one deployment
--- a/test/functional/calls_round.c
+++ b/test/functional/calls_round.c
@@ -25,7 +25,7 @@
     "a node", "an upstream", "a host", "half of the nodes"};
 
 static void
-sleep_between(GRand *rnd, uint32_t from_ms, uint32_t to_ms)
+sleep_random(GRand *rnd, uint32_t from_ms, uint32_t to_ms)
 {
 	gint32 ms = g_rand_int_range(rnd, (gint32)from_ms, (gint32)to_ms);
 
@@ -49,22 +49,22 @@
 }
 
 struct process *
-calls_load_start(
-    struct deployment *d, const char *name, const char *load_s, uint32_t seed)
+calls_load_start(struct deployment *d, const char *name, const char *duration_s,
+    uint32_t seed)
 {
-	char number[NAME_BYTES];
-	const char *args[] = {"--rate", RATE, "--duration-s", load_s, "--mix",
-	    "5:4:1", "--keyed", "50", "--twins", "30", "--repeats", "2",
-	    "--answer-bytes", "100000", "--upload-bytes", "200000", "--seed",
-	    number, NULL};
+	char seed_arg[NAME_BYTES];
+	const char *args[] = {"--rate", RATE, "--duration-s", duration_s,
+	    "--mix", "5:4:1", "--keyed", "50", "--twins", "30", "--repeats",
+	    "2", "--answer-bytes", "100000", "--upload-bytes", "200000",
+	    "--seed", seed_arg, NULL};
 
-	(void)g_snprintf(number, sizeof(number), "%u", seed);
+	(void)g_snprintf(seed_arg, sizeof(seed_arg), "%u", seed);
 	return deployment_load(d, name, deployment_host(d, 0), 1, args);
 }
 
 void
 calls_round(struct deployment *d, const struct calls_fault *f,
-    enum calls_targets targets, uint32_t seed, struct calls_counts *sum)
+    enum calls_targets targets, uint32_t seed, struct calls_counts *total)
 {
 	char name[NAME_BYTES];
 	GRand *rnd = g_rand_new_with_seed(seed * CALLS_TARGETS + targets);
@@ -73,12 +73,12 @@
 
 	(void)g_snprintf(
 	    name, sizeof(name), "%s-%u-%u", f->name, seed, (uint32_t)targets);
-	load = calls_load_start(d, name, f->load_s, seed);
-	sleep_between(rnd, INJECT_MIN_MS, INJECT_MAX_MS);
+	load = calls_load_start(d, name, f->duration_s, seed);
+	sleep_random(rnd, INJECT_MIN_MS, INJECT_MAX_MS);
 	for_each_target(d, targets, first, f->inject);
-	sleep_between(rnd, f->min_length_ms, f->max_length_ms);
+	sleep_random(rnd, f->min_length_ms, f->max_length_ms);
 	for_each_target(d, targets, first, f->recover);
-	calls_load_end(load, name, sum);
+	calls_load_end(load, name, total);
 	calls_wait_ready(d);
 	g_rand_free(rnd);
 }
--- a/test/functional/deployment.c
+++ b/test/functional/deployment.c
@@ -16,22 +16,22 @@
 #define SEEDS_MAX 3
 /* The platform stands outside of the data centres. */
 #define PLATFORM_NET 200
-#define KNOB_TRIES_CODE 200
+#define HTTP_OK 200
 #define NUMBER_BYTES 16
 #define URL_BYTES 128
 
-static const char *const registry_places[] = {
+static const char *const registry_data_centres[] = {
     "grandahus", "hofdasalur", "vallasalur", NULL};
 static const char *const registry_services[] = {
     "public-search", "hearing-booking", "document-store", NULL};
-static const char *const crew_places[] = {
+static const char *const crew_data_centres[] = {
     "bandirma", "erdek", "tekirdag", "canakkale", NULL};
 static const char *const crew_services[] = {
     "weather-window", "seat-booking", "fleet-records", NULL};
 
 const struct deployment_plan deployment_registry = {
     .region = "hofudsvaedi",
-    .data_centres = registry_places,
+    .data_centres = registry_data_centres,
     .services = registry_services,
     .profile = "registry",
     .hosts = 2,
@@ -40,7 +40,7 @@
 
 const struct deployment_plan deployment_crew = {
     .region = "marmara",
-    .data_centres = crew_places,
+    .data_centres = crew_data_centres,
     .services = crew_services,
     .profile = "crew",
     .hosts = 3,
@@ -224,20 +224,21 @@
 void
 deployment_start_upstream(struct deployment *d, struct host *h)
 {
-	char cold[NUMBER_BYTES], node[URL_BYTES], port[NUMBER_BYTES],
+	char cold_start[NUMBER_BYTES], node[URL_BYTES], port[NUMBER_BYTES],
 	    slots[NUMBER_BYTES], work[NUMBER_BYTES];
 	char *log = g_strdup_printf("%s.upstream", h->name);
 	const char *argv[] = {STANDIN_UPSTREAM_PATH, "--address", h->address,
 	    "--port", port, "--host", h->name, "--service", h->service,
 	    "--slots", slots, "--node", node, "--work-ms-mean", work,
-	    "--cold-start-ms", cold, "--journal", h->journal, NULL};
+	    "--cold-start-ms", cold_start, "--journal", h->journal, NULL};
 
 	ck_assert_msg(h->upstream == NULL,
 	    "the upstream of %s is running already", h->name);
 	(void)g_snprintf(port, sizeof(port), "%u", h->upstream_port);
 	(void)g_snprintf(slots, sizeof(slots), "%u", d->plan.slots);
 	(void)g_snprintf(work, sizeof(work), "%u", d->plan.work_ms_mean);
-	(void)g_snprintf(cold, sizeof(cold), "%u", d->plan.cold_start_ms);
+	(void)g_snprintf(
+	    cold_start, sizeof(cold_start), "%u", d->plan.cold_start_ms);
 	(void)g_snprintf(
 	    node, sizeof(node), "%s:%u", h->address, h->admin_port);
 	h->upstream = process_start(log, harness_dir(), argv);
@@ -267,7 +268,7 @@
 }
 
 static int
-end_process(struct process **p)
+stop_process(struct process **p)
 {
 	int code;
 
@@ -289,13 +290,13 @@
 int
 deployment_stop_node(struct host *h)
 {
-	return end_process(&h->node);
+	return stop_process(&h->node);
 }
 
 int
 deployment_stop_upstream(struct host *h)
 {
-	return end_process(&h->upstream);
+	return stop_process(&h->upstream);
 }
 
 void
@@ -353,7 +354,7 @@
 	(void)g_snprintf(
 	    url, sizeof(url), "http://%s:%u/standin/knobs", address, port);
 	json_decref(fetch_json("POST", url, knobs, &code));
-	ck_assert_msg(code == KNOB_TRIES_CODE, "%s: %d", url, code);
+	ck_assert_msg(code == HTTP_OK, "%s: %d", url, code);
 }
 
 void
--- a/test/functional/deployment.h
+++ b/test/functional/deployment.h
@@ -197,35 +197,36 @@
  * deployment_wait_version() - wait until all running nodes run a version
  * @d: the deployment
  * @version: the version, or a later one
- * @wait_ms: how long to wait
+ * @timeout_ms: how long to wait
  *
- * Return: milliseconds until the last one did; the test fails after @wait_ms.
+ * Return: milliseconds until the last one did; the test fails after
+ * @timeout_ms.
  */
 uint64_t deployment_wait_version(
-    struct deployment *d, uint64_t version, uint32_t wait_ms);
+    struct deployment *d, uint64_t version, uint32_t timeout_ms);
 
 /**
  * deployment_wait_serving() - wait until all running nodes serve calls
  * @d: the deployment
- * @wait_ms: how long to wait; then the test fails
+ * @timeout_ms: how long to wait; then the test fails
  *
  * A node that has just started can hold a version and not serve yet: its
  * floor may not be known.  GET /v1/health tells.
  */
-void deployment_wait_serving(struct deployment *d, uint32_t wait_ms);
+void deployment_wait_serving(struct deployment *d, uint32_t timeout_ms);
 
 /**
  * deployment_wait_endpoints() - wait until all running nodes know this many
  * @d: the deployment
  * @n: number of endpoints, all hosts together
- * @wait_ms: how long to wait; then the test fails
+ * @timeout_ms: how long to wait; then the test fails
  */
-void
-deployment_wait_endpoints(struct deployment *d, uint32_t n, uint32_t wait_ms);
+void deployment_wait_endpoints(
+    struct deployment *d, uint32_t n, uint32_t timeout_ms);
 
 /** deployment_wait_members() - the same for hosts that count as live */
 void
-deployment_wait_members(struct deployment *d, uint32_t n, uint32_t wait_ms);
+deployment_wait_members(struct deployment *d, uint32_t n, uint32_t timeout_ms);
 
 /**
  * deployment_ctl() - run bramleyctl
--- a/test/functional/deployment_ctl.c
+++ b/test/functional/deployment_ctl.c
@@ -7,7 +7,7 @@
 
 #include "deployment.h"
 
-#define CTL_WAIT_MS 60000
+#define CTL_TIMEOUT_MS 60000
 /* Timeout of the example's first service, which changed bundles vary. */
 #define EXAMPLE_TIMEOUT_MS 2000
 #define NAME_BYTES 32
@@ -37,7 +37,7 @@
 json_t *
 deployment_ctl_end(struct process *ctl, int *code)
 {
-	int res = process_wait(ctl, CTL_WAIT_MS);
+	int res = process_wait(ctl, CTL_TIMEOUT_MS);
 	json_t *j = process_json(ctl);
 
 	if (code != NULL)
--- a/test/functional/deployment_watch.c
+++ b/test/functional/deployment_watch.c
@@ -13,9 +13,9 @@
 #include "fetch.h"
 #include "standins/run_check.h"
 
-#define LOAD_WAIT_MS 300000
+#define LOAD_TIMEOUT_MS 300000
 #define URL_BYTES 512
-#define HEALTH_SERVES 200
+#define HTTP_OK 200
 
 int64_t
 json_number(const json_t *j, const char *name)
@@ -52,17 +52,17 @@
 }
 
 /* What all running nodes are to show in their status. */
-struct awaited {
+struct status_range {
 	const struct deployment *d;
 	const char *name;
-	int64_t least;
-	int64_t most;
+	int64_t min;
+	int64_t max;
 };
 
 static int
-all_show(void *arg)
+all_in_range(void *arg)
 {
-	const struct awaited *a = arg;
+	const struct status_range *a = arg;
 	const struct host *h;
 	int64_t n;
 	uint32_t i;
@@ -72,34 +72,34 @@
 		if (h->node == NULL)
 			continue;
 		n = status_number(h, a->name);
-		if (n < a->least || n > a->most)
+		if (n < a->min || n > a->max)
 			return 0;
 	}
 	return 1;
 }
 
 static uint64_t
-wait_for(struct awaited *a, uint32_t wait_ms)
+wait_for_status(struct status_range *a, uint32_t timeout_ms)
 {
 	uint64_t start_ms = clock_now_ms();
 
-	ck_assert_msg(harness_wait_until(all_show, a, wait_ms),
+	ck_assert_msg(harness_wait_until(all_in_range, a, timeout_ms),
 	    "not all nodes came to %s %ld in %u ms; see %s", a->name,
-	    (long)a->least, wait_ms, harness_dir());
+	    (long)a->min, timeout_ms, harness_dir());
 	return clock_now_ms() - start_ms;
 }
 
 uint64_t
 deployment_wait_version(
-    struct deployment *d, uint64_t version, uint32_t wait_ms)
+    struct deployment *d, uint64_t version, uint32_t timeout_ms)
 {
-	struct awaited a = {d, "version", (int64_t)version, INT64_MAX};
+	struct status_range a = {d, "version", (int64_t)version, INT64_MAX};
 
-	return wait_for(&a, wait_ms);
+	return wait_for_status(&a, timeout_ms);
 }
 
 static int
-all_serve(void *arg)
+all_serving(void *arg)
 {
 	const struct deployment *d = arg;
 	const struct host *h;
@@ -112,41 +112,42 @@
 			continue;
 		json_decref(
 		    deployment_api(h, "GET", "/v1/health", NULL, &code));
-		if (code != HEALTH_SERVES)
+		if (code != HTTP_OK)
 			return 0;
 	}
 	return 1;
 }
 
 void
-deployment_wait_serving(struct deployment *d, uint32_t wait_ms)
+deployment_wait_serving(struct deployment *d, uint32_t timeout_ms)
 {
-	ck_assert_msg(harness_wait_until(all_serve, d, wait_ms),
-	    "not all nodes serve after %u ms; see %s", wait_ms, harness_dir());
+	ck_assert_msg(harness_wait_until(all_serving, d, timeout_ms),
+	    "not all nodes serve after %u ms; see %s", timeout_ms,
+	    harness_dir());
 }
 
 void
-deployment_wait_members(struct deployment *d, uint32_t n, uint32_t wait_ms)
+deployment_wait_members(struct deployment *d, uint32_t n, uint32_t timeout_ms)
 {
-	struct awaited a = {d, "members_live", n, n};
+	struct status_range a = {d, "members_live", n, n};
 
-	(void)wait_for(&a, wait_ms);
+	(void)wait_for_status(&a, timeout_ms);
 }
 
 void
-deployment_wait_endpoints(struct deployment *d, uint32_t n, uint32_t wait_ms)
+deployment_wait_endpoints(struct deployment *d, uint32_t n, uint32_t timeout_ms)
 {
-	struct awaited a = {d, "endpoints", n, n};
+	struct status_range a = {d, "endpoints", n, n};
 
-	(void)wait_for(&a, wait_ms);
+	(void)wait_for_status(&a, timeout_ms);
 }
 
 static void
-append_node(GPtrArray *argv, GPtrArray *own, const struct host *h)
+append_node(GPtrArray *argv, GPtrArray *allocated, const struct host *h)
 {
 	char *node = g_strdup_printf("%s:%u", h->address, h->caller_port);
 
-	g_ptr_array_add(own, node);
+	g_ptr_array_add(allocated, node);
 	g_ptr_array_add(argv, (gpointer) "--node");
 	g_ptr_array_add(argv, node);
 }
@@ -159,17 +160,17 @@
 	char *path = harness_path(file);
 	const struct host *other;
 	GPtrArray *argv = g_ptr_array_new();
-	GPtrArray *own = g_ptr_array_new_with_free_func(g_free);
+	GPtrArray *allocated = g_ptr_array_new_with_free_func(g_free);
 	struct process *p;
 	uint32_t i;
 
 	g_ptr_array_add(d->outcomes, path);
 	g_ptr_array_add(argv, (gpointer)LOAD_GEN_PATH);
-	append_node(argv, own, h);
+	append_node(argv, allocated, h);
 	for (i = 0; spread && i < d->hosts->len; i++) {
 		other = deployment_host(d, i);
 		if (other != h && other->node != NULL)
-			append_node(argv, own, other);
+			append_node(argv, allocated, other);
 	}
 	g_ptr_array_add(argv, (gpointer) "--json");
 	g_ptr_array_add(argv, (gpointer) "--run-id");
@@ -180,7 +181,7 @@
 	p = process_start(
 	    name, harness_dir(), (const char *const *)argv->pdata);
 	g_ptr_array_unref(argv);
-	g_ptr_array_unref(own);
+	g_ptr_array_unref(allocated);
 	g_free(file);
 	return p;
 }
@@ -188,7 +189,7 @@
 json_t *
 deployment_load_end(struct process *load)
 {
-	int code = process_wait(load, LOAD_WAIT_MS);
+	int code = process_wait(load, LOAD_TIMEOUT_MS);
 	json_t *j;
 
 	ck_assert_msg(code == 0, "load_gen ended with %d; see %s", code,
@@ -211,7 +212,7 @@
 deployment_check_runs(const struct deployment *d)
 {
 	GArray *calls = g_array_new(FALSE, FALSE, sizeof(struct outcome));
-	GArray *found;
+	GArray *violations;
 	guint i;
 	struct runs *r;
 	uint32_t n;
@@ -225,11 +226,12 @@
 		ck_assert_int_eq(
 		    runs_read_journal(r, deployment_host(d, i)->journal),
 		    STATUS_OK);
-	found = run_check(calls, r);
-	for (i = 0; i < found->len; i++)
-		print_violation(&g_array_index(found, struct violation, i));
-	n = found->len;
-	g_array_unref(found);
+	violations = run_check(calls, r);
+	for (i = 0; i < violations->len; i++)
+		print_violation(
+		    &g_array_index(violations, struct violation, i));
+	n = violations->len;
+	g_array_unref(violations);
 	g_array_unref(calls);
 	runs_free(r);
 	return n;
--- a/test/functional/fetch.c
+++ b/test/functional/fetch.c
@@ -11,8 +11,8 @@
 #include "fetch.h"
 
 #define FETCH_TIMEOUT_MS 5000
-#define FETCH_TRY_TIMEOUT_MS 1000
-#define FETCH_AGAIN_US 10000
+#define FETCH_ATTEMPT_TIMEOUT_MS 1000
+#define FETCH_RETRY_US 10000
 
 static size_t
 fetch_append(char *data, size_t size, size_t n, void *arg)
@@ -102,21 +102,21 @@
 }
 
 int
-fetch_wait_status(const char *url, int code, uint32_t wait_ms)
+fetch_wait_status(const char *url, int code, uint32_t timeout_ms)
 {
-	int got;
-	struct fetch f = {"GET", url, NULL, NULL, 0, FETCH_TRY_TIMEOUT_MS};
+	int status;
+	struct fetch f = {"GET", url, NULL, NULL, 0, FETCH_ATTEMPT_TIMEOUT_MS};
 	struct fetch_answer a;
-	uint64_t until_ms = clock_now_ms() + wait_ms;
+	uint64_t until_ms = clock_now_ms() + timeout_ms;
 
 	for (;;) {
 		fetch_perform(&f, &a);
-		got = a.code;
+		status = a.code;
 		fetch_answer_clear(&a);
-		if (got == code)
+		if (status == code)
 			return 1;
 		if (clock_now_ms() >= until_ms)
 			return 0;
-		g_usleep(FETCH_AGAIN_US);
+		g_usleep(FETCH_RETRY_US);
 	}
 }
--- a/test/functional/fetch.h
+++ b/test/functional/fetch.h
@@ -70,10 +70,10 @@
  * fetch_wait_status() - repeat a GET until it answers with a status
  * @url: where
  * @code: the status
- * @wait_ms: how long to try
+ * @timeout_ms: how long to try
  *
  * Return: 1 when it did, else 0.
  */
-int fetch_wait_status(const char *url, int code, uint32_t wait_ms);
+int fetch_wait_status(const char *url, int code, uint32_t timeout_ms);
 
 #endif
--- a/test/functional/harness.c
+++ b/test/functional/harness.c
@@ -16,7 +16,7 @@
 #include "test_run.h"
 
 #define HARNESS_POLL_US 5000
-#define HARNESS_FIRST_NET 16
+#define HARNESS_NET_FIRST 16
 #define HARNESS_NETS 200
 
 static char *dir;
@@ -71,7 +71,7 @@
 harness_host_address(
     uint32_t data_centre, uint32_t host, char out[HARNESS_ADDRESS_BYTES])
 {
-	uint32_t net = HARNESS_FIRST_NET + (uint32_t)getpid() % HARNESS_NETS;
+	uint32_t net = HARNESS_NET_FIRST + (uint32_t)getpid() % HARNESS_NETS;
 
 	(void)g_snprintf(out, HARNESS_ADDRESS_BYTES, "127.%u.%u.%u", net,
 	    data_centre + 1, host + 1);
@@ -90,16 +90,16 @@
 bind_socket(const char *address, int type, uint16_t *port)
 {
 	int fd = socket(AF_INET, type | SOCK_CLOEXEC, 0);
-	struct sockaddr_in at;
-	socklen_t len = sizeof(at);
+	struct sockaddr_in addr;
+	socklen_t len = sizeof(addr);
 
-	harness_sockaddr(&at, address, *port);
-	if (bind(fd, (struct sockaddr *)&at, sizeof(at)) == -1) {
+	harness_sockaddr(&addr, address, *port);
+	if (bind(fd, (struct sockaddr *)&addr, sizeof(addr)) == -1) {
 		(void)close(fd);
 		return -1;
 	}
-	(void)getsockname(fd, (struct sockaddr *)&at, &len);
-	*port = ntohs(at.sin_port);
+	(void)getsockname(fd, (struct sockaddr *)&addr, &len);
+	*port = ntohs(addr.sin_port);
 	return fd;
 }
 
@@ -128,11 +128,11 @@
 }
 
 int
-harness_wait_until(int (*holds)(void *arg), void *arg, uint32_t wait_ms)
+harness_wait_until(int (*condition)(void *arg), void *arg, uint32_t timeout_ms)
 {
-	uint64_t until_ms = clock_now_ms() + wait_ms;
+	uint64_t until_ms = clock_now_ms() + timeout_ms;
 
-	while (!holds(arg)) {
+	while (!condition(arg)) {
 		if (clock_now_ms() >= until_ms)
 			return 0;
 		g_usleep(HARNESS_POLL_US);
--- a/test/functional/harness.h
+++ b/test/functional/harness.h
@@ -55,13 +55,14 @@
 
 /**
  * harness_wait_until() - wait until a condition holds
- * @holds: the condition
+ * @condition: the condition
  * @arg: passed to it
- * @wait_ms: how long to wait
+ * @timeout_ms: how long to wait
  *
  * Return: 1 when it holds, 0 when it did not in time.
  */
-int harness_wait_until(int (*holds)(void *arg), void *arg, uint32_t wait_ms);
+int
+harness_wait_until(int (*condition)(void *arg), void *arg, uint32_t timeout_ms);
 
 /**
  * harness_run() - run test cases and end the program
--- a/test/functional/operators.c
+++ b/test/functional/operators.c
@@ -75,25 +75,25 @@
 
 uint64_t
 operators_check_result(const struct host *h, const struct deployment *d,
-    const char *op, int code, uint64_t told)
+    const char *op, int code, uint64_t reported)
 {
-	uint64_t asked, made;
-	uint32_t n = operators_count_versions(d, op, &made);
+	uint64_t queried, created;
+	uint32_t n = operators_count_versions(d, op, &created);
 
 	ck_assert_msg(n <= 1, "operation %s was done %u times", op, n);
 	if (code == CTL_UNKNOWN) {
-		code = operators_query(h, op, &asked);
+		code = operators_query(h, op, &queried);
 		ck_assert_msg(code == CTL_DONE || code == CTL_NOT_FOUND ||
 			code == CTL_UNKNOWN,
 		    "operation %s: asked later it ends with %d", op, code);
-		told = code == CTL_DONE ? asked : 0;
+		reported = code == CTL_DONE ? queried : 0;
 	}
 	if (code == CTL_DONE)
-		ck_assert_msg(n == 1 && told == made,
+		ck_assert_msg(n == 1 && reported == created,
 		    "operation %s was told version %lu and made %lu", op,
-		    (unsigned long)told, (unsigned long)made);
+		    (unsigned long)reported, (unsigned long)created);
 	else
 		ck_assert_msg(n == 0, "operation %s ended with %d and made %lu",
-		    op, code, (unsigned long)made);
-	return made;
+		    op, code, (unsigned long)created);
+	return created;
 }
--- a/test/functional/operators.h
+++ b/test/functional/operators.h
@@ -62,12 +62,12 @@
  * @d: the deployment; its platform must answer
  * @op: id of the operation
  * @code: exit code that bramleyctl gave
- * @told: version that it was told, 0 for none
+ * @reported: version that it was told, 0 for none
  *
  * The test fails when the operator was told what is not so.
  * Return: the version made, 0 for none.
  */
 uint64_t operators_check_result(const struct host *h,
-    const struct deployment *d, const char *op, int code, uint64_t told);
+    const struct deployment *d, const char *op, int code, uint64_t reported);
 
 #endif
--- a/test/functional/process.c
+++ b/test/functional/process.c
@@ -28,13 +28,13 @@
 static void
 child_exec(const char *const *argv, int log_fd, pid_t parent)
 {
-	sigset_t none;
+	sigset_t empty_set;
 
 	(void)prctl(PR_SET_PDEATHSIG, SIGKILL);
 	if (getppid() != parent)
 		_exit(PROCESS_EXEC_FAILED);
-	(void)sigemptyset(&none);
-	(void)sigprocmask(SIG_SETMASK, &none, NULL);
+	(void)sigemptyset(&empty_set);
+	(void)sigprocmask(SIG_SETMASK, &empty_set, NULL);
 	(void)dup2(log_fd, STDOUT_FILENO);
 	(void)dup2(log_fd, STDERR_FILENO);
 	(void)execv(argv[0], (char *const *)argv);
@@ -120,9 +120,9 @@
 }
 
 int
-process_wait(struct process *p, uint32_t wait_ms)
+process_wait(struct process *p, uint32_t timeout_ms)
 {
-	uint64_t until_ms = clock_now_ms() + wait_ms;
+	uint64_t until_ms = clock_now_ms() + timeout_ms;
 
 	while (!process_has_exited(p)) {
 		if (clock_now_ms() >= until_ms) {
@@ -135,10 +135,10 @@
 }
 
 int
-process_stop(struct process *p, uint32_t wait_ms)
+process_stop(struct process *p, uint32_t timeout_ms)
 {
 	process_signal(p, SIGTERM);
-	return process_wait(p, wait_ms);
+	return process_wait(p, timeout_ms);
 }
 
 void
--- a/test/functional/process.h
+++ b/test/functional/process.h
@@ -53,14 +53,14 @@
 /**
  * process_wait() - wait for the end of a process
  * @p: the process
- * @wait_ms: how long to wait; then it is killed
+ * @timeout_ms: how long to wait; then it is killed
  *
  * Return: its exit code, or PROCESS_KILLED.
  */
-int process_wait(struct process *p, uint32_t wait_ms);
+int process_wait(struct process *p, uint32_t timeout_ms);
 
 /** process_stop() - SIGTERM, then process_wait() */
-int process_stop(struct process *p, uint32_t wait_ms);
+int process_stop(struct process *p, uint32_t timeout_ms);
 
 /** process_kill() - SIGKILL, and wait */
 void process_kill(struct process *p);
--- a/test/functional/read_meter.c
+++ b/test/functional/read_meter.c
@@ -11,8 +11,8 @@
 #include "base/clock.h"
 #include "read_meter.h"
 
-#define METER_PAUSE_US 100000
-#define METER_WINDOW_MS 1000
+#define SAMPLE_INTERVAL_US 100000
+#define WINDOW_MS 1000
 
 /* The platform's counts at one moment. */
 struct sample {
@@ -50,7 +50,7 @@
 
 	while (!atomic_load(&m->stopping)) {
 		take_sample(m);
-		g_usleep(METER_PAUSE_US);
+		g_usleep(SAMPLE_INTERVAL_US);
 	}
 	take_sample(m);
 	return NULL;
@@ -81,7 +81,7 @@
 		b = &g_array_index(samples, struct sample, i);
 		p.reads = b->reads - a->reads;
 		p.requests = b->requests - a->requests;
-		if (b->at_ms - a->at_ms >= METER_WINDOW_MS)
+		if (b->at_ms - a->at_ms >= WINDOW_MS)
 			break;
 	}
 	return p;
--- a/test/functional/relay.c
+++ b/test/functional/relay.c
@@ -24,23 +24,23 @@
 
 #define RELAY_BUFFER_BYTES 65536
 #define RELAY_BACKLOG 256
-#define RELAY_SLOTS 2 /* of poll() before the connections: wake, listen */
+#define RELAY_FIXED_FDS 2 /* of poll() before the connections: wake, listen */
 
 /* One way of a connection: bytes read from @from and not yet written. */
-struct way {
+struct direction {
 	int from;
 	int to;
-	int ended; /* the sender has closed */
-	size_t at;
+	int eof; /* the sender has closed */
+	size_t sent;
 	size_t len;
 	uint8_t data[RELAY_BUFFER_BYTES];
 };
 
 struct link {
-	struct way way[2];
+	struct direction dir[2];
 	uint64_t bytes;
 	int silent;
-	int broken;
+	int failed;
 };
 
 struct relay {
@@ -65,8 +65,8 @@
 {
 	struct link *l = p;
 
-	(void)close(l->way[0].from);
-	(void)close(l->way[1].from);
+	(void)close(l->dir[0].from);
+	(void)close(l->dir[1].from);
 	g_free(l);
 }
 
@@ -90,41 +90,41 @@
 		return;
 	}
 	l = g_new0(struct link, 1);
-	l->way[0].from = l->way[1].to = a;
-	l->way[1].from = l->way[0].to = b;
+	l->dir[0].from = l->dir[1].to = a;
+	l->dir[1].from = l->dir[0].to = b;
 	l->silent = r->mode == RELAY_SILENT;
 	g_ptr_array_add(r->links, l);
 }
 
 static void
-way_read(struct link *l, struct way *w)
+direction_read(struct link *l, struct direction *d)
 {
 	ssize_t n;
 
-	n = recv(w->from, w->data, sizeof(w->data), 0);
+	n = recv(d->from, d->data, sizeof(d->data), 0);
 	if (n > 0) {
-		w->at = 0;
-		w->len = (size_t)n;
+		d->sent = 0;
+		d->len = (size_t)n;
 	} else if (n == 0) {
-		w->ended = 1;
-		(void)shutdown(w->to, SHUT_WR);
+		d->eof = 1;
+		(void)shutdown(d->to, SHUT_WR);
 	} else if (errno != EAGAIN) {
-		l->broken = 1;
+		l->failed = 1;
 	}
 }
 
 static void
-way_write(struct relay *r, struct link *l, struct way *w)
+direction_write(struct relay *r, struct link *l, struct direction *d)
 {
-	size_t len = w->len - w->at;
+	size_t len = d->len - d->sent;
 	ssize_t n;
 
-	n = send(w->to, w->data + w->at, len, MSG_NOSIGNAL);
+	n = send(d->to, d->data + d->sent, len, MSG_NOSIGNAL);
 	if (n < 0) {
-		l->broken = errno != EAGAIN;
+		l->failed = errno != EAGAIN;
 		return;
 	}
-	w->at += (size_t)n;
+	d->sent += (size_t)n;
 	l->bytes += (uint64_t)n;
 	atomic_fetch_add(&r->bytes, (uint64_t)n);
 	if (r->silence_after_bytes != 0 && l->bytes >= r->silence_after_bytes) {
@@ -136,7 +136,7 @@
 
 /* Whether what comes from this side is not taken: the target's is side 1. */
 static int
-is_deaf(const struct relay *r, int side)
+is_withheld(const struct relay *r, int side)
 {
 	return side == 1 && r->mode == RELAY_ONE_WAY;
 }
@@ -144,19 +144,19 @@
 static short
 link_events(const struct relay *r, const struct link *l, int side)
 {
-	const struct way *in = &l->way[side], *out = &l->way[1 - side];
+	const struct direction *in = &l->dir[side], *out = &l->dir[1 - side];
 	short events = 0;
 
-	if (!in->ended && in->at == in->len && !is_deaf(r, side))
+	if (!in->eof && in->sent == in->len && !is_withheld(r, side))
 		events |= POLLIN;
-	if (out->at < out->len)
+	if (out->sent < out->len)
 		events |= POLLOUT;
 	return events;
 }
 
 /* Two poll() entries for each link; a silent one has none to wait for. */
 static void
-relay_poll_set(const struct relay *r, GArray *fds)
+relay_fill_pollfds(const struct relay *r, GArray *fds)
 {
 	guint i;
 	int side;
@@ -172,49 +172,49 @@
 		for (side = 0; side < 2; side++) {
 			f.events = link_events(r, l, side);
 			f.fd =
-			    l->silent || f.events == 0 ? -1 : l->way[side].from;
+			    l->silent || f.events == 0 ? -1 : l->dir[side].from;
 			g_array_append_val(fds, f);
 		}
 	}
 }
 
 static void
-link_serve(struct relay *r, struct link *l, int side, short revents)
+link_handle_events(struct relay *r, struct link *l, int side, short revents)
 {
-	struct way *in = &l->way[side], *out = &l->way[1 - side];
+	struct direction *in = &l->dir[side], *out = &l->dir[1 - side];
 
-	if (l->silent || l->broken || revents == 0)
+	if (l->silent || l->failed || revents == 0)
 		return;
-	if (out->at < out->len && (revents & (POLLOUT | POLLERR)))
-		way_write(r, l, out);
-	if (!in->ended && in->at == in->len && !is_deaf(r, side) &&
+	if (out->sent < out->len && (revents & (POLLOUT | POLLERR)))
+		direction_write(r, l, out);
+	if (!in->eof && in->sent == in->len && !is_withheld(r, side) &&
 	    (revents & (POLLIN | POLLHUP | POLLERR)))
-		way_read(l, in);
+		direction_read(l, in);
 }
 
 static int
-link_over(const struct link *l)
+link_is_finished(const struct link *l)
 {
-	return l->broken || (l->way[0].ended && l->way[1].ended);
+	return l->failed || (l->dir[0].eof && l->dir[1].eof);
 }
 
 static void
-relay_serve(struct relay *r, const GArray *fds)
+relay_handle_events(struct relay *r, const GArray *fds)
 {
-	guint i, n = (fds->len - RELAY_SLOTS) / 2;
+	guint i, n = (fds->len - RELAY_FIXED_FDS) / 2;
 	int side;
 	struct link *l;
 
 	for (i = 0; i < n; i++) {
 		l = g_ptr_array_index(r->links, i);
 		for (side = 0; side < 2; side++)
-			link_serve(r, l, side,
+			link_handle_events(r, l, side,
 			    g_array_index(fds, struct pollfd,
-				RELAY_SLOTS + 2 * i + (guint)side)
+				RELAY_FIXED_FDS + 2 * i + (guint)side)
 				.revents);
 	}
 	for (i = r->links->len; i-- > 0;)
-		if (link_over(g_ptr_array_index(r->links, i)))
+		if (link_is_finished(g_ptr_array_index(r->links, i)))
 			g_ptr_array_remove_index(r->links, i);
 	if (g_array_index(fds, struct pollfd, 1).revents != 0)
 		relay_accept(r);
@@ -225,19 +225,19 @@
 {
 	GArray *fds = g_array_new(FALSE, FALSE, sizeof(struct pollfd));
 	struct relay *r = arg;
-	uint64_t epoch, woken;
+	uint64_t epoch, wakeups;
 
 	pthread_mutex_lock(&r->lock);
 	while (!r->stopping) {
 		epoch = r->epoch;
-		relay_poll_set(r, fds);
+		relay_fill_pollfds(r, fds);
 		pthread_mutex_unlock(&r->lock);
 		(void)poll((struct pollfd *)(void *)fds->data, fds->len, -1);
 		pthread_mutex_lock(&r->lock);
-		(void)!read(r->wake_fd, &woken, sizeof(woken));
+		(void)!read(r->wake_fd, &wakeups, sizeof(wakeups));
 		/* When the links have changed, what was polled is no more. */
 		if (epoch == r->epoch)
-			relay_serve(r, fds);
+			relay_handle_events(r, fds);
 	}
 	pthread_mutex_unlock(&r->lock);
 	g_array_unref(fds);
@@ -257,17 +257,17 @@
 static void
 relay_listen(struct relay *r, const char *address)
 {
-	struct sockaddr_in at;
-	socklen_t len = sizeof(at);
+	struct sockaddr_in addr;
+	socklen_t len = sizeof(addr);
 
-	harness_sockaddr(&at, address, 0);
+	harness_sockaddr(&addr, address, 0);
 	r->listen_fd =
 	    socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	ck_assert_int_eq(
-	    bind(r->listen_fd, (struct sockaddr *)&at, sizeof(at)), 0);
+	    bind(r->listen_fd, (struct sockaddr *)&addr, sizeof(addr)), 0);
 	ck_assert_int_eq(listen(r->listen_fd, RELAY_BACKLOG), 0);
-	(void)getsockname(r->listen_fd, (struct sockaddr *)&at, &len);
-	r->port = ntohs(at.sin_port);
+	(void)getsockname(r->listen_fd, (struct sockaddr *)&addr, &len);
+	r->port = ntohs(addr.sin_port);
 }
 
 struct relay *
--- a/test/functional/silence.c
+++ b/test/functional/silence.c
@@ -17,14 +17,14 @@
 #define DECIMAL 10
 
 static int
-same_address(const struct sockaddr_in *a, const struct sockaddr_in *b)
+equal_address(const struct sockaddr_in *a, const struct sockaddr_in *b)
 {
 	return a->sin_family == AF_INET && a->sin_port == b->sin_port &&
 	    a->sin_addr.s_addr == b->sin_addr.s_addr;
 }
 
 static int
-is_connection(int fd, enum silence_end end, const struct sockaddr_in *at)
+has_address(int fd, enum silence_end end, const struct sockaddr_in *at)
 {
 	struct sockaddr_in own = {0}, peer = {0};
 	socklen_t own_len = sizeof(own), peer_len = sizeof(peer);
@@ -32,11 +32,11 @@
 	if (getsockname(fd, (struct sockaddr *)&own, &own_len) == -1 ||
 	    getpeername(fd, (struct sockaddr *)&peer, &peer_len) == -1)
 		return 0;
-	return same_address(end == SILENCE_SERVER ? &own : &peer, at);
+	return equal_address(end == SILENCE_SERVER ? &own : &peer, at);
 }
 
 static void
-drop_all(int fd)
+drop_incoming(int fd)
 {
 	struct sock_filter drop = {BPF_RET | BPF_K, 0, 0, 0};
 	struct sock_fprog program = {1, &drop};
@@ -65,8 +65,8 @@
 		    (int)strtol(name, NULL, DECIMAL), 0);
 		if (fd == -1)
 			continue;
-		if (is_connection(fd, end, &at)) {
-			drop_all(fd);
+		if (has_address(fd, end, &at)) {
+			drop_incoming(fd);
 			n++;
 		}
 		(void)close(fd);
--- a/test/functional/version_check.c
+++ b/test/functional/version_check.c
@@ -6,41 +6,41 @@
 #include "version_check.h"
 
 /* What is known of a host; it lives as long as the check. */
-struct seen_host {
+struct host_state {
 	char *name;
 	uint64_t highest;
-	uint32_t sights;
-	int present;
-	uint64_t since_ms; /* when it became present */
+	uint32_t observations;
+	int reachable;
+	uint64_t reachable_since_ms; /* when it became present */
 };
 
 /* A version that was accepted. */
-struct promise {
+struct expectation {
 	uint64_t version;
-	uint64_t from_ms;
+	uint64_t accepted_ms;
 	uint32_t bound_ms;
-	GHashTable *missed; /* hosts that are known to be late */
+	GHashTable *late_hosts; /* hosts that are known to be late */
 };
 
 /* A version as first seen. */
-struct seen_version {
+struct first_observation {
 	uint64_t version;
 	char *root;
 	char *host;
 };
 
 struct version_check {
-	GHashTable *hosts;    /* name -> struct seen_host */
-	GHashTable *versions; /* version -> struct seen_version */
+	GHashTable *hosts;    /* name -> struct host_state */
+	GHashTable *versions; /* version -> struct first_observation */
 	GHashTable *records;  /* version -> root */
-	GPtrArray *promises;
-	GPtrArray *found;
+	GPtrArray *expectations;
+	GPtrArray *violations;
 };
 
 static void
 host_free(gpointer p)
 {
-	struct seen_host *h = p;
+	struct host_state *h = p;
 
 	g_free(h->name);
 	g_free(h);
@@ -49,7 +49,7 @@
 static void
 version_free(gpointer p)
 {
-	struct seen_version *v = p;
+	struct first_observation *v = p;
 
 	g_free(v->root);
 	g_free(v->host);
@@ -57,12 +57,12 @@
 }
 
 static void
-promise_free(gpointer p)
+expectation_free(gpointer p)
 {
-	struct promise *pr = p;
+	struct expectation *e = p;
 
-	g_hash_table_unref(pr->missed);
-	g_free(pr);
+	g_hash_table_unref(e->late_hosts);
+	g_free(e);
 }
 
 static void
@@ -85,8 +85,8 @@
 	    g_int64_hash, g_int64_equal, NULL, version_free);
 	c->records =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	c->promises = g_ptr_array_new_with_free_func(promise_free);
-	c->found = g_ptr_array_new_with_free_func(violation_free);
+	c->expectations = g_ptr_array_new_with_free_func(expectation_free);
+	c->violations = g_ptr_array_new_with_free_func(violation_free);
 	return c;
 }
 
@@ -96,18 +96,18 @@
 	g_hash_table_unref(c->hosts);
 	g_hash_table_unref(c->versions);
 	g_hash_table_unref(c->records);
-	g_ptr_array_unref(c->promises);
-	g_ptr_array_unref(c->found);
+	g_ptr_array_unref(c->expectations);
+	g_ptr_array_unref(c->violations);
 	g_free(c);
 }
 
-static struct seen_host *
-host_of(struct version_check *c, const char *name)
+static struct host_state *
+get_host(struct version_check *c, const char *name)
 {
-	struct seen_host *h = g_hash_table_lookup(c->hosts, name);
+	struct host_state *h = g_hash_table_lookup(c->hosts, name);
 
 	if (h == NULL) {
-		h = g_new0(struct seen_host, 1);
+		h = g_new0(struct host_state, 1);
 		h->name = g_strdup(name);
 		g_hash_table_insert(c->hosts, h->name, h);
 	}
@@ -115,7 +115,7 @@
 }
 
 static void
-violate(struct version_check *c, enum version_rule rule, const char *host,
+add_violation(struct version_check *c, enum version_rule rule, const char *host,
     uint64_t version)
 {
 	struct version_violation *v = g_new0(struct version_violation, 1);
@@ -123,18 +123,19 @@
 	v->rule = rule;
 	v->host = g_strdup(host);
 	v->version = version;
-	v->before = host_of(c, host)->highest;
-	g_ptr_array_add(c->found, v);
+	v->before = get_host(c, host)->highest;
+	g_ptr_array_add(c->violations, v);
 }
 
 static void
-see_root(struct version_check *c, const char *host, uint64_t version,
+check_root(struct version_check *c, const char *host, uint64_t version,
     const char *root)
 {
-	struct seen_version *v = g_hash_table_lookup(c->versions, &version);
+	struct first_observation *v =
+	    g_hash_table_lookup(c->versions, &version);
 
 	if (v == NULL) {
-		v = g_new0(struct seen_version, 1);
+		v = g_new0(struct first_observation, 1);
 		v->version = version;
 		v->host = g_strdup(host);
 		g_hash_table_insert(c->versions, &v->version, v);
@@ -142,21 +143,21 @@
 	if (root != NULL && v->root == NULL)
 		v->root = g_strdup(root);
 	else if (root != NULL && strcmp(root, v->root) != 0)
-		violate(c, VERSION_ROOT_MISMATCH, host, version);
+		add_violation(c, VERSION_ROOT_MISMATCH, host, version);
 }
 
 void
 version_check_observe(struct version_check *c, const char *host,
     uint64_t version, const char *root)
 {
-	struct seen_host *h = host_of(c, host);
+	struct host_state *h = get_host(c, host);
 
 	if (version == 0)
 		return;
-	h->sights++;
+	h->observations++;
 	if (version < h->highest)
-		violate(c, VERSION_REGRESSION, host, version);
-	see_root(c, host, version, root);
+		add_violation(c, VERSION_REGRESSION, host, version);
+	check_root(c, host, version, root);
 	h->highest = MAX(h->highest, version);
 }
 
@@ -164,53 +165,53 @@
 version_check_reachable(
     struct version_check *c, const char *host, uint64_t now_ms)
 {
-	struct seen_host *h = host_of(c, host);
+	struct host_state *h = get_host(c, host);
 
-	h->present = 1;
-	h->since_ms = now_ms;
+	h->reachable = 1;
+	h->reachable_since_ms = now_ms;
 }
 
 void
 version_check_unreachable(struct version_check *c, const char *host)
 {
-	host_of(c, host)->present = 0;
+	get_host(c, host)->reachable = 0;
 }
 
 void
 version_check_accept(struct version_check *c, uint64_t version, uint64_t now_ms,
     uint32_t bound_ms)
 {
-	struct promise *p = g_new0(struct promise, 1);
+	struct expectation *e = g_new0(struct expectation, 1);
 
-	p->version = version;
-	p->from_ms = now_ms;
-	p->bound_ms = bound_ms;
-	p->missed = g_hash_table_new(g_direct_hash, g_direct_equal);
-	g_ptr_array_add(c->promises, p);
+	e->version = version;
+	e->accepted_ms = now_ms;
+	e->bound_ms = bound_ms;
+	e->late_hosts = g_hash_table_new(g_direct_hash, g_direct_equal);
+	g_ptr_array_add(c->expectations, e);
 }
 
 void
 version_check_withdraw(struct version_check *c, uint64_t version)
 {
-	struct promise *p;
+	struct expectation *e;
 	guint i;
 
-	for (i = c->promises->len; i-- > 0;) {
-		p = g_ptr_array_index(c->promises, i);
-		if (p->version == version)
-			g_ptr_array_remove_index(c->promises, i);
+	for (i = c->expectations->len; i-- > 0;) {
+		e = g_ptr_array_index(c->expectations, i);
+		if (e->version == version)
+			g_ptr_array_remove_index(c->expectations, i);
 	}
 }
 
 static void
-check_promise(struct version_check *c, struct promise *p, struct seen_host *h,
-    uint64_t now_ms)
+check_expectation(struct version_check *c, struct expectation *e,
+    struct host_state *h, uint64_t now_ms)
 {
-	if (!h->present || h->highest >= p->version ||
-	    now_ms < MAX(p->from_ms, h->since_ms) + p->bound_ms ||
-	    !g_hash_table_add(p->missed, h))
+	if (!h->reachable || h->highest >= e->version ||
+	    now_ms < MAX(e->accepted_ms, h->reachable_since_ms) + e->bound_ms ||
+	    !g_hash_table_add(e->late_hosts, h))
 		return;
-	violate(c, VERSION_LATE, h->name, p->version);
+	add_violation(c, VERSION_LATE, h->name, e->version);
 }
 
 void
@@ -220,11 +221,11 @@
 	GHashTableIter it;
 	guint i;
 
-	for (i = 0; i < c->promises->len; i++) {
+	for (i = 0; i < c->expectations->len; i++) {
 		g_hash_table_iter_init(&it, c->hosts);
 		while (g_hash_table_iter_next(&it, NULL, &h))
-			check_promise(
-			    c, g_ptr_array_index(c->promises, i), h, now_ms);
+			check_expectation(c,
+			    g_ptr_array_index(c->expectations, i), h, now_ms);
 	}
 }
 
@@ -242,31 +243,33 @@
 	const char *root;
 	gpointer p;
 	GHashTableIter it;
-	struct seen_version *v;
+	struct first_observation *v;
 
 	g_hash_table_iter_init(&it, c->versions);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		v = p;
 		root = g_hash_table_lookup(c->records, &v->version);
 		if (root == NULL)
-			violate(c, VERSION_NO_RECORD, v->host, v->version);
+			add_violation(
+			    c, VERSION_NO_RECORD, v->host, v->version);
 		else if (v->root != NULL && strcmp(root, v->root) != 0)
-			violate(c, VERSION_ROOT_MISMATCH, v->host, v->version);
+			add_violation(
+			    c, VERSION_ROOT_MISMATCH, v->host, v->version);
 	}
 }
 
 uint32_t
 version_check_observations(const struct version_check *c, const char *host)
 {
-	const struct seen_host *h = g_hash_table_lookup(c->hosts, host);
+	const struct host_state *h = g_hash_table_lookup(c->hosts, host);
 
-	return h == NULL ? 0 : h->sights;
+	return h == NULL ? 0 : h->observations;
 }
 
 uint64_t
 version_check_highest(const struct version_check *c, const char *host)
 {
-	const struct seen_host *h = g_hash_table_lookup(c->hosts, host);
+	const struct host_state *h = g_hash_table_lookup(c->hosts, host);
 
 	return h == NULL ? 0 : h->highest;
 }
@@ -274,7 +277,7 @@
 const GPtrArray *
 version_check_violations(const struct version_check *c)
 {
-	return c->found;
+	return c->violations;
 }
 
 const char *
--- a/test/functional/version_watch.c
+++ b/test/functional/version_watch.c
@@ -14,9 +14,9 @@
 #include "version_check.h"
 #include "version_watch.h"
 
-#define WATCH_PAUSE_US 30000
-#define WATCH_TIMEOUT_MS 1000
-#define WATCH_SIGHTS_MIN 10
+#define POLL_INTERVAL_US 30000
+#define REQUEST_TIMEOUT_MS 1000
+#define MIN_OBSERVATIONS 10
 #define URL_BYTES 128
 #define KEY_BYTES 64
 
@@ -25,7 +25,7 @@
 	struct version_watch *watch;
 	const struct host *host;
 	pthread_t thread;
-	int present;
+	int reachable;
 };
 
 struct version_watch {
@@ -37,7 +37,7 @@
 };
 
 static void
-see(struct watcher *w, uint64_t version, const char *root)
+observe(struct watcher *w, uint64_t version, const char *root)
 {
 	struct version_watch *all = w->watch;
 
@@ -49,12 +49,12 @@
 
 /* A node that holds a version and isn't ready does not serve it. */
 static void
-look_at_status(struct watcher *w)
+poll_status(struct watcher *w)
 {
 	char url[URL_BYTES];
 	int64_t version;
 	json_t *j;
-	struct fetch f = {"GET", url, NULL, NULL, 0, WATCH_TIMEOUT_MS};
+	struct fetch f = {"GET", url, NULL, NULL, 0, REQUEST_TIMEOUT_MS};
 	struct fetch_answer a;
 
 	(void)g_snprintf(url, sizeof(url), "http://%s:%u/v1/status",
@@ -64,7 +64,7 @@
 	version = json_is_true(json_object_get(j, "ready"))
 	    ? json_number(j, "version")
 	    : 0;
-	see(w, (uint64_t)version,
+	observe(w, (uint64_t)version,
 	    json_string_value(json_object_get(j, "root")));
 	json_decref(j);
 	fetch_answer_clear(&a);
@@ -72,10 +72,10 @@
 
 /* Any answer to a call tells the version by which it was routed. */
 static void
-look_at_call(struct watcher *w)
+poll_call(struct watcher *w)
 {
 	char url[URL_BYTES], *version;
-	struct fetch f = {"GET", url, NULL, NULL, 0, WATCH_TIMEOUT_MS};
+	struct fetch f = {"GET", url, NULL, NULL, 0, REQUEST_TIMEOUT_MS};
 	struct fetch_answer a;
 
 	(void)g_snprintf(url, sizeof(url), "http://%s:%u/search?watch",
@@ -83,7 +83,7 @@
 	fetch_perform(&f, &a);
 	version = fetch_header(&a, "Bramley-Version");
 	if (a.code != 0 && version != NULL)
-		see(w, g_ascii_strtoull(version, NULL, 10), NULL);
+		observe(w, g_ascii_strtoull(version, NULL, 10), NULL);
 	g_free(version);
 	fetch_answer_clear(&a);
 }
@@ -105,9 +105,9 @@
 	struct watcher *w = arg;
 
 	while (!is_stopping(w->watch)) {
-		look_at_status(w);
-		look_at_call(w);
-		g_usleep(WATCH_PAUSE_US);
+		poll_status(w);
+		poll_call(w);
+		g_usleep(POLL_INTERVAL_US);
 	}
 	return NULL;
 }
@@ -116,7 +116,7 @@
 version_watch_start(struct deployment *d)
 {
 	struct version_watch *w = g_new0(struct version_watch, 1);
-	struct watcher *one;
+	struct watcher *watcher;
 	uint32_t i;
 
 	w->deployment = d;
@@ -124,40 +124,40 @@
 	w->watchers = g_ptr_array_new_with_free_func(g_free);
 	pthread_mutex_init(&w->lock, NULL);
 	for (i = 0; i < d->hosts->len; i++) {
-		one = g_new0(struct watcher, 1);
-		one->watch = w;
-		one->host = deployment_host(d, i);
-		g_ptr_array_add(w->watchers, one);
-		version_watch_set_reachable(w, one->host, 1);
+		watcher = g_new0(struct watcher, 1);
+		watcher->watch = w;
+		watcher->host = deployment_host(d, i);
+		g_ptr_array_add(w->watchers, watcher);
+		version_watch_set_reachable(w, watcher->host, 1);
 	}
 	for (i = 0; i < d->hosts->len; i++) {
-		one = g_ptr_array_index(w->watchers, i);
-		pthread_create(&one->thread, NULL, watcher_run, one);
+		watcher = g_ptr_array_index(w->watchers, i);
+		pthread_create(&watcher->thread, NULL, watcher_run, watcher);
 	}
 	return w;
 }
 
 static struct watcher *
-watcher_of(struct version_watch *w, const struct host *h)
+find_watcher(struct version_watch *w, const struct host *h)
 {
-	struct watcher *one;
+	struct watcher *watcher;
 	guint i;
 
 	for (i = 0; i < w->watchers->len; i++) {
-		one = g_ptr_array_index(w->watchers, i);
-		if (one->host == h)
-			return one;
+		watcher = g_ptr_array_index(w->watchers, i);
+		if (watcher->host == h)
+			return watcher;
 	}
 	return NULL;
 }
 
 void
 version_watch_set_reachable(
-    struct version_watch *w, const struct host *h, int present)
+    struct version_watch *w, const struct host *h, int reachable)
 {
 	pthread_mutex_lock(&w->lock);
-	watcher_of(w, h)->present = present;
-	if (present)
+	find_watcher(w, h)->reachable = reachable;
+	if (reachable)
 		version_check_reachable(w->check, h->name, clock_now_ms());
 	else
 		version_check_unreachable(w->check, h->name);
@@ -192,37 +192,38 @@
 	return version;
 }
 
-struct awaited {
+struct version_goal {
 	struct version_watch *watch;
 	uint64_t version;
 };
 
 static int
-all_reached(void *arg)
+all_serve_version(void *arg)
 {
-	const struct awaited *a = arg;
-	const struct watcher *one;
+	const struct version_goal *a = arg;
+	const struct watcher *watcher;
 	guint i;
 
 	for (i = 0; i < a->watch->watchers->len; i++) {
-		one = g_ptr_array_index(a->watch->watchers, i);
-		if (one->present &&
-		    version_watch_highest(a->watch, one->host) < a->version)
+		watcher = g_ptr_array_index(a->watch->watchers, i);
+		if (watcher->reachable &&
+		    version_watch_highest(a->watch, watcher->host) < a->version)
 			return 0;
 	}
 	return 1;
 }
 
 uint64_t
-version_watch_wait(struct version_watch *w, uint64_t version, uint32_t wait_ms)
+version_watch_wait(
+    struct version_watch *w, uint64_t version, uint32_t timeout_ms)
 {
-	struct awaited a = {w, version};
+	struct version_goal a = {w, version};
 	uint64_t start_ms = clock_now_ms();
 
-	ck_assert_msg(harness_wait_until(all_reached, &a, wait_ms),
+	ck_assert_msg(harness_wait_until(all_serve_version, &a, timeout_ms),
 	    "not all nodes serve version %" G_GUINT64_FORMAT
 	    " after %u ms; see %s",
-	    version, wait_ms, harness_dir());
+	    version, timeout_ms, harness_dir());
 	return clock_now_ms() - start_ms;
 }
 
@@ -248,42 +249,43 @@
 }
 
 static uint32_t
-print_found(const struct version_watch *w)
+print_violations(const struct version_watch *w)
 {
-	const GPtrArray *found = version_check_violations(w->check);
+	const GPtrArray *violations = version_check_violations(w->check);
 	guint i;
 	const struct version_violation *v;
 
-	for (i = 0; i < found->len; i++) {
-		v = g_ptr_array_index(found, i);
+	for (i = 0; i < violations->len; i++) {
+		v = g_ptr_array_index(violations, i);
 		(void)printf("%s: version %" G_GUINT64_FORMAT
 			     " at %s, which had served %" G_GUINT64_FORMAT "\n",
 		    version_rule_name(v->rule), v->version, v->host, v->before);
 	}
 	(void)fflush(stdout);
-	return found->len;
+	return violations->len;
 }
 
 uint32_t
 version_watch_end(struct version_watch *w)
 {
 	guint i;
-	struct watcher *one;
+	struct watcher *watcher;
 	uint32_t n;
 
 	pthread_mutex_lock(&w->lock);
 	w->stopping = 1;
 	pthread_mutex_unlock(&w->lock);
 	for (i = 0; i < w->watchers->len; i++) {
-		one = g_ptr_array_index(w->watchers, i);
-		pthread_join(one->thread, NULL);
-		n = version_check_observations(w->check, one->host->name);
-		ck_assert_msg(n >= WATCH_SIGHTS_MIN,
-		    "%s was seen to serve %u times only", one->host->name, n);
+		watcher = g_ptr_array_index(w->watchers, i);
+		pthread_join(watcher->thread, NULL);
+		n = version_check_observations(w->check, watcher->host->name);
+		ck_assert_msg(n >= MIN_OBSERVATIONS,
+		    "%s was seen to serve %u times only", watcher->host->name,
+		    n);
 	}
 	version_check_tick(w->check, clock_now_ms());
 	read_records(w);
-	n = print_found(w);
+	n = print_violations(w);
 	version_check_free(w->check);
 	g_ptr_array_unref(w->watchers);
 	pthread_mutex_destroy(&w->lock);
--- a/test/functional/version_watch.h
+++ b/test/functional/version_watch.h
@@ -22,7 +22,7 @@
 
 /** version_watch_set_reachable() - whether a host can be reached from now on */
 void version_watch_set_reachable(
-    struct version_watch *w, const struct host *h, int present);
+    struct version_watch *w, const struct host *h, int reachable);
 
 /** version_watch_accept() - a version was accepted; see version_check.h */
 void version_watch_accept(
@@ -38,12 +38,12 @@
  * version_watch_wait() - wait until all present hosts were seen to serve
  * @w: the watch
  * @version: the version, or a later one
- * @wait_ms: how long to wait; then the test fails
+ * @timeout_ms: how long to wait; then the test fails
  *
  * Return: milliseconds that it took.
  */
-uint64_t
-version_watch_wait(struct version_watch *w, uint64_t version, uint32_t wait_ms);
+uint64_t version_watch_wait(
+    struct version_watch *w, uint64_t version, uint32_t timeout_ms);
 
 /**
  * version_watch_end() - stop watching and hold all against the platform
