--- a/test/functional/fetch.c
+++ b/test/functional/fetch.c
@@ -1,5 +1,5 @@
 /*
- * HTTP requests of a test.
+ * HTTP client for tests.
  */
 #include <string.h>
 
--- a/test/functional/fetch.h
+++ b/test/functional/fetch.h
@@ -1,5 +1,6 @@
 /*
- * HTTP requests of a test, by libcurl, each on a connection of its own.
+ * HTTP client for tests, based on libcurl, with a new connection for each
+ * request.
  */
 #ifndef FUNCTIONAL_FETCH_H
 #define FUNCTIONAL_FETCH_H
@@ -10,13 +11,13 @@
 #include <jansson.h>
 
 /**
- * struct fetch - one request
+ * struct fetch - an HTTP request
  * @method: "GET", "POST", ...
  * @url: "http://ip:port/path"
- * @headers: header lines, ended by NULL; may be NULL
+ * @headers: header lines, terminated by NULL; may be NULL
  * @body: body or NULL
- * @body_len: its length in bytes
- * @timeout_ms: when to give up; 0 means 5 s
+ * @body_len: length of @body in bytes
+ * @timeout_ms: timeout of the whole request; 0 means 5 s
  */
 struct fetch {
 	const char *method;
@@ -28,8 +29,8 @@
 };
 
 /**
- * struct fetch_answer - what came of it
- * @code: HTTP status; 0 when no whole answer came
+ * struct fetch_answer - answer to a request
+ * @code: HTTP status; 0 without a complete answer
  * @headers: all header lines
  * @body: the body
  */
@@ -39,40 +40,41 @@
 	GString *body;
 };
 
-/** fetch_perform() - make a request; clear the answer after use */
+/** fetch_perform() - send a request; free the answer with fetch_answer_clear()
+ */
 void fetch_perform(const struct fetch *f, struct fetch_answer *a);
 
-/** fetch_answer_clear() - free what an answer holds */
+/** fetch_answer_clear() - free the headers and the body of an answer */
 void fetch_answer_clear(struct fetch_answer *a);
 
 /**
  * fetch_header() - value of a header of an answer
  * @a: the answer
- * @name: the header, in any case
+ * @name: name of the header, compared without regard to case
  *
- * Return: a new string, or NULL when there is none.
+ * Return: a new string, or NULL if the answer lacks the header.
  */
 char *fetch_header(const struct fetch_answer *a, const char *name);
 
 /**
- * fetch_json() - make a request with an optional body and read JSON
+ * fetch_json() - send a request with an optional body and parse the answer
  * @method: "GET", ...
- * @url: where
+ * @url: URL
  * @body: text or NULL
- * @code: where the status goes, or NULL
+ * @code: receives the HTTP status; may be NULL
  *
- * Return: a new reference, or NULL when the answer was no JSON.
+ * Return: a new reference, or NULL if the answer isn't JSON.
  */
 json_t *
 fetch_json(const char *method, const char *url, const char *body, int *code);
 
 /**
- * fetch_wait_status() - repeat a GET until it answers with a status
- * @url: where
- * @code: the status
- * @timeout_ms: how long to try
+ * fetch_wait_status() - repeat a GET until the answer has a given status
+ * @url: URL
+ * @code: the HTTP status
+ * @timeout_ms: how long to repeat the request
  *
- * Return: 1 when it did, else 0.
+ * Return: 1 if an answer had the status in time, else 0.
  */
 int fetch_wait_status(const char *url, int code, uint32_t timeout_ms);
 
--- a/test/functional/harness.c
+++ b/test/functional/harness.c
@@ -1,5 +1,5 @@
 /*
- * What process-level tests share.
+ * Harness of process-level tests.
  */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -103,7 +103,7 @@
 	return fd;
 }
 
-/* All sockets are held until the end, so that no port comes twice. */
+/* All TCP sockets stay bound until the end, so that no port is chosen twice. */
 void
 harness_choose_ports(const char *address, uint16_t *ports, uint32_t n)
 {
--- a/test/functional/operators.c
+++ b/test/functional/operators.c
@@ -1,5 +1,5 @@
 /*
- * What operators were told, held against the platform's rows.
+ * Checks the results reported to operators against the platform's rows.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/test/functional/operators.h
+++ b/test/functional/operators.h
@@ -1,5 +1,5 @@
 /*
- * What operators were told, held against the platform's rows.
+ * Checks the results reported to operators against the platform's rows.
  */
 #ifndef FUNCTIONAL_OPERATORS_H
 #define FUNCTIONAL_OPERATORS_H
@@ -10,7 +10,7 @@
 
 #include "deployment.h"
 
-/* Exit codes of bramleyctl, as bramleyctl(1) promises them. */
+/* Exit codes of bramleyctl, see bramleyctl(1). */
 #define CTL_DONE 0
 #define CTL_INVALID 3
 #define CTL_CONFLICT 4
@@ -20,8 +20,8 @@
 #define CTL_NOT_FOUND 8
 
 /**
- * struct platform_head - the head row
- * @seq: number of writes that took effect
+ * struct platform_head - head row of the platform's table
+ * @seq: number of writes that were executed
  * @version: newest version
  * @in_force: newest version that is not halted
  */
@@ -31,41 +31,42 @@
 	uint64_t in_force;
 };
 
-/** operators_head() - read the head row; all 0 when there is none */
+/** operators_head() - read the head row; all zero if it doesn't exist */
 struct platform_head operators_head(const struct deployment *d);
 
 /**
- * operators_count_versions() - versions that an operation made
+ * operators_count_versions() - count the versions that an operation created
  * @d: the deployment
  * @op: id of the operation
- * @version: where the last of them goes, 0 for none; may be NULL
+ * @version: receives the last of the versions, 0 for none; may be NULL
  *
- * Return: their number.
+ * Return: number of versions.
  */
 uint32_t operators_count_versions(
     const struct deployment *d, const char *op, uint64_t *version);
 
 /**
- * operators_query() - `bramleyctl operation OP`
- * @h: host whose node is asked
+ * operators_query() - run `bramleyctl operation OP`
+ * @h: host whose node is queried
  * @op: id of the operation
- * @version: where its version goes; may be NULL
+ * @version: receives the version of the operation; may be NULL
  *
- * Return: exit code.
+ * Return: exit code of bramleyctl.
  */
 int operators_query(const struct host *h, const char *op, uint64_t *version);
 
 /**
- * operators_check_result() - hold what a sign-off or supersede was told
- * against the rows
- * @h: host whose node is asked for an operation that ended as unknown
+ * operators_check_result() - check the reported result of a sign-off or
+ * supersede against the platform's rows
+ * @h: host whose node is queried if the operation ended as unknown
  * @d: the deployment; its platform must answer
  * @op: id of the operation
- * @code: exit code that bramleyctl gave
- * @reported: version that it was told, 0 for none
+ * @code: exit code of bramleyctl
+ * @reported: version that bramleyctl reported, 0 for none
  *
- * The test fails when the operator was told what is not so.
- * Return: the version made, 0 for none.
+ * The test fails if the reported result differs from the rows.
+ *
+ * Return: the version that the operation created, 0 for none.
  */
 uint64_t operators_check_result(const struct host *h,
     const struct deployment *d, const char *op, int code, uint64_t reported);
--- a/test/functional/process.c
+++ b/test/functional/process.c
@@ -1,5 +1,5 @@
 /*
- * Processes of a test.
+ * Child processes of a test.
  */
 #include <fcntl.h>
 #include <signal.h>
@@ -19,12 +19,12 @@
 #define PROCESS_EXEC_FAILED 127
 
 struct process {
-	pid_t pid; /* 0 when it has ended */
+	pid_t pid; /* 0 after the process has been reaped */
 	int exit_code;
 	char *log;
 };
 
-/* In the child: only calls that are safe after a fork. */
+/* Runs in the child, so it calls async-signal-safe functions only. */
 static void
 child_exec(const char *const *argv, int log_fd, pid_t parent)
 {
--- a/test/functional/process.h
+++ b/test/functional/process.h
@@ -1,6 +1,6 @@
 /*
- * Processes of a test: started by path, with a log file, and ended by their
- * own id only.  A process dies with the test that started it.
+ * Child processes of a test, started by path with a log file and signalled by
+ * their process id only.  The kernel kills a child when the test exits.
  */
 #ifndef FUNCTIONAL_PROCESS_H
 #define FUNCTIONAL_PROCESS_H
@@ -11,7 +11,7 @@
 #include <glib.h>
 #include <jansson.h>
 
-/* Exit code of a process that was killed or would not end. */
+/* Exit code of a process that ended by a signal or exceeded its timeout. */
 #define PROCESS_KILLED (-1)
 
 struct process;
@@ -20,52 +20,56 @@
  * process_start() - start a program
  * @name: name of its log file
  * @dir: directory of the log file
- * @argv: path and arguments, ended by NULL
+ * @argv: path and arguments, terminated by NULL
  *
- * Return: the process; the test fails when it can't be started.
+ * The test fails if the process can't be forked.
+ *
+ * Return: the process.
  */
 struct process *
 process_start(const char *name, const char *dir, const char *const *argv);
 
-/** process_log_path() - path of the log, which holds both outputs */
+/** process_log_path() - path of the log, which has both stdout and stderr */
 const char *process_log_path(const struct process *p);
 
 /**
- * process_json() - what a process printed as JSON
+ * process_json() - parse the JSON output of a process
+ * @p: the process
  *
- * Return: the whole output or its last line that is JSON, a new reference,
- * or NULL.
+ * Return: the whole output, or else its last line that is JSON; a new
+ * reference, or NULL.
  */
 json_t *process_json(const struct process *p);
 
-/** process_append_args() - append arguments, ended by NULL, with the NULL */
+/** process_append_args() - append arguments up to and including their NULL */
 void process_append_args(GPtrArray *argv, const char *const *args);
 
-/** process_pid() - its id, or 0 when it has ended */
+/** process_pid() - process id, or 0 if the process has exited */
 pid_t process_pid(const struct process *p);
 
-/** process_has_exited() - whether it has ended, by itself or not */
+/** process_has_exited() - whether a process has exited or was killed; reaps it
+ */
 int process_has_exited(struct process *p);
 
 /** process_signal() - send a signal to a running process */
 void process_signal(const struct process *p, int sig);
 
 /**
- * process_wait() - wait for the end of a process
+ * process_wait() - wait until a process exits
  * @p: the process
- * @timeout_ms: how long to wait; then it is killed
+ * @timeout_ms: how long to wait; the process is killed afterwards
  *
- * Return: its exit code, or PROCESS_KILLED.
+ * Return: exit code of the process, or PROCESS_KILLED.
  */
 int process_wait(struct process *p, uint32_t timeout_ms);
 
-/** process_stop() - SIGTERM, then process_wait() */
+/** process_stop() - send SIGTERM and call process_wait() */
 int process_stop(struct process *p, uint32_t timeout_ms);
 
-/** process_kill() - SIGKILL, and wait */
+/** process_kill() - send SIGKILL and reap the process */
 void process_kill(struct process *p);
 
-/** process_free() - kill if it runs, and free; the log stays */
+/** process_free() - kill a process if it runs, and free it; its log stays */
 void process_free(struct process *p);
 
 #endif
--- a/test/functional/read_meter.c
+++ b/test/functional/read_meter.c
@@ -1,5 +1,5 @@
 /*
- * Counts the requests that the platform gets.
+ * Measures the peak rate of reads and requests at the platform.
  */
 #include <pthread.h>
 #include <stdatomic.h>
@@ -14,7 +14,7 @@
 #define SAMPLE_INTERVAL_US 100000
 #define WINDOW_MS 1000
 
-/* The platform's counts at one moment. */
+/* The platform's counters at one point in time. */
 struct sample {
 	uint64_t at_ms;
 	uint64_t reads;
@@ -68,7 +68,8 @@
 	return m;
 }
 
-/* A window ends at the first sample that is a second later or more. */
+/* Counts of the window that begins at a sample; it ends at the first sample
+ * taken at least a second later. */
 static struct read_peak
 window_after(const GArray *samples, guint first)
 {
--- a/test/functional/relay.c
+++ b/test/functional/relay.c
@@ -1,10 +1,10 @@
 /*
  * TCP relay between two programs.
  *
- * One thread polls all sockets.  Each way of a connection has one buffer: it
- * is read only when the last bytes are written, so a slow receiver slows the
- * sender down as without the relay.  A silent connection is not polled at
- * all: neither bytes nor a close get through.
+ * One thread polls all sockets.  Each direction of a connection has one buffer,
+ * which is filled only after its last bytes have been written, so a slow
+ * receiver slows down the sender as it does without the relay.  A silent
+ * connection isn't polled, so neither bytes nor a close pass.
  */
 #include <errno.h>
 #include <netinet/in.h>
@@ -24,9 +24,10 @@
 
 #define RELAY_BUFFER_BYTES 65536
 #define RELAY_BACKLOG 256
-#define RELAY_FIXED_FDS 2 /* of poll() before the connections: wake, listen */
+#define RELAY_FIXED_FDS 2 /* pollfds of wake_fd and listen_fd, at the front */
 
-/* One way of a connection: bytes read from @from and not yet written. */
+/* One direction of a connection, with bytes read from @from and not yet
+ * written to @to. */
 struct direction {
 	int from;
 	int to;
@@ -51,7 +52,7 @@
 	struct sockaddr_in target;
 	pthread_mutex_t lock; /* guards the links and all below */
 	GPtrArray *links;
-	uint64_t epoch; /* counts changes of the links from outside */
+	uint64_t epoch; /* incremented when another thread changes the links */
 	enum relay_mode mode;
 	uint64_t silence_after_bytes; /* 0 for never */
 	int stopping;
@@ -134,7 +135,7 @@
 	}
 }
 
-/* Whether what comes from this side is not taken: the target's is side 1. */
+/* Whether bytes from this side of a link are withheld; the target is side 1. */
 static int
 is_withheld(const struct relay *r, int side)
 {
@@ -154,7 +155,7 @@
 	return events;
 }
 
-/* Two poll() entries for each link; a silent one has none to wait for. */
+/* Adds two pollfds for each link; those of a silent link are disabled. */
 static void
 relay_fill_pollfds(const struct relay *r, GArray *fds)
 {
@@ -235,7 +236,7 @@
 		(void)poll((struct pollfd *)(void *)fds->data, fds->len, -1);
 		pthread_mutex_lock(&r->lock);
 		(void)!read(r->wake_fd, &wakeups, sizeof(wakeups));
-		/* When the links have changed, what was polled is no more. */
+		/* If the links have changed, the poll result is stale. */
 		if (epoch == r->epoch)
 			relay_handle_events(r, fds);
 	}
@@ -244,7 +245,7 @@
 	return NULL;
 }
 
-/* Call under the lock after a change that the thread must see. */
+/* Wakes up the thread after a change of the relay; needs the lock. */
 static void
 relay_wake(struct relay *r)
 {
--- a/test/functional/relay.h
+++ b/test/functional/relay.h
@@ -1,7 +1,7 @@
 /*
- * TCP relay between two programs, in a thread of the test.  It can be cut,
- * swallow everything, or let the open connections go silent for good while
- * new ones work.
+ * TCP relay between two programs, in a thread of the test.  It can close
+ * connections, drop all bytes, or silence the open connections permanently
+ * while new ones work.
  */
 #ifndef FUNCTIONAL_RELAY_H
 #define FUNCTIONAL_RELAY_H
@@ -11,12 +11,12 @@
 struct relay;
 
 /**
- * enum relay_mode - what becomes of connections
- * @RELAY_PASS: bytes pass
- * @RELAY_CUT: open connections are closed, new ones are closed at once
- * @RELAY_SILENT: nothing passes on any connection, open or new; those that
- *	met it stay silent for good
- * @RELAY_ONE_WAY: what the target says doesn't arrive until the mode changes
+ * enum relay_mode - how the relay treats connections
+ * @RELAY_PASS: bytes are passed on
+ * @RELAY_CUT: open connections are closed, new ones are closed when accepted
+ * @RELAY_SILENT: no bytes pass on open or new connections; these connections
+ *	stay silent after the mode has changed
+ * @RELAY_ONE_WAY: bytes of the target are withheld until the mode changes
  */
 enum relay_mode {
 	RELAY_PASS,
@@ -26,42 +26,45 @@
 };
 
 /**
- * relay_start() - start a relay that passes
+ * relay_start() - start a relay in mode RELAY_PASS
  * @address: IPv4 address to listen on
- * @target_address: IPv4 address to pass on to
- * @target_port: its TCP port
+ * @target_address: IPv4 address of the target
+ * @target_port: TCP port of the target
  *
- * Return: the relay; the test fails when it can't be started.
+ * The test fails if the relay can't be started.
+ *
+ * Return: the relay.
  */
 struct relay *relay_start(
     const char *address, const char *target_address, uint16_t target_port);
 
-/** relay_port() - port that the relay listens on */
+/** relay_port() - TCP port that the relay listens on */
 uint16_t relay_port(const struct relay *r);
 
 /** relay_set() - change the mode */
 void relay_set(struct relay *r, enum relay_mode mode);
 
-/** relay_silence_open() - open connections go silent; new ones pass */
+/** relay_silence_open() - silence open connections permanently; new ones pass
+ */
 void relay_silence_open(struct relay *r);
 
 /**
- * relay_silence_after() - the open connection that next brings the bytes
- * passed so far to this many goes silent then, in the middle of a transfer
+ * relay_silence_after() - silence the next connection that has passed this many
+ * bytes, in the middle of a transfer
  * @r: the relay
- * @bytes: number of bytes passed on one connection, both ways together
+ * @bytes: number of bytes passed on one connection, both directions together
  *
- * It happens to one connection only.
+ * Only one connection is silenced for each call.
  */
 void relay_silence_after(struct relay *r, uint64_t bytes);
 
-/** relay_silenced() - number of connections that went silent while open */
+/** relay_silenced() - number of connections that were silenced while open */
 uint64_t relay_silenced(const struct relay *r);
 
-/** relay_connections() - number of connections taken so far */
+/** relay_connections() - number of connections accepted so far */
 uint64_t relay_connections(const struct relay *r);
 
-/** relay_bytes() - number of bytes passed so far, both ways */
+/** relay_bytes() - number of bytes passed so far, both directions together */
 uint64_t relay_bytes(const struct relay *r);
 
 /** relay_stop() - close all connections, stop and free */
--- a/test/functional/silence.c
+++ b/test/functional/silence.c
@@ -1,5 +1,5 @@
 /*
- * Open TCP connections that go silent for good while new ones work.
+ * Silences open TCP connections permanently while new ones work.
  */
 #include <linux/filter.h>
 #include <netinet/in.h>
--- a/test/functional/silence.h
+++ b/test/functional/silence.h
@@ -1,10 +1,10 @@
 /*
- * Open TCP connections that go silent for good while new ones work, as when
- * something between the two ends has lost track of them.
+ * Silences open TCP connections permanently while new ones work, as happens
+ * when a middlebox drops the state of a connection.
  *
- * A socket of a process that the test started is borrowed for a moment and
- * given a filter that drops all that comes in, acknowledgements and resets
- * included.  Neither end is told anything.
+ * The sockets are duplicated from a process that the test has started, and get
+ * a socket filter that drops all incoming packets, including acknowledgements
+ * and resets.  Neither end gets an error.
  */
 #ifndef FUNCTIONAL_SILENCE_H
 #define FUNCTIONAL_SILENCE_H
@@ -14,8 +14,8 @@
 #include "process.h"
 
 /**
- * enum silence_end - which end of a connection is meant by an address
- * @SILENCE_SERVER: the process has accepted connections at the address
+ * enum silence_end - end of a connection that has a given address
+ * @SILENCE_SERVER: the process has accepted the connection at the address
  * @SILENCE_CLIENT: the process has connected to the address
  */
 enum silence_end {
@@ -24,14 +24,15 @@
 };
 
 /**
- * silence_connections() - the process hears nothing more on open connections
- * @p: the process
- * @end: what the address means
+ * silence_connections() - drop all incoming packets on open connections
+ * @p: the process that receives on the connections
+ * @end: end of the connections that has the address
  * @address: IPv4 address
  * @port: TCP port
  *
- * Return: number of connections.  The test fails when the system doesn't
- * allow it.
+ * The test fails if the system denies access to the sockets.
+ *
+ * Return: number of connections.
  */
 uint32_t silence_connections(const struct process *p, enum silence_end end,
     const char *address, uint16_t port);
