--- a/test/functional/calls.c
+++ b/test/functional/calls.c
@@ -1,5 +1,5 @@
 /*
- * What the process-level tests of calls share.
+ * Helpers of process-level tests of calls.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,13 +14,13 @@
 #define READY_TIMEOUT_MS 20000
 #define BODY_MAX_BYTES 2147483647
 
-/* A guard settles keys once it is older than the window and this. */
+/* A guard settles idempotency keys after the key window and PROPAGATION_MS. */
 #define SUSPICION_MS 500
 #define PROPAGATION_MS (2 * SUSPICION_MS)
 #define SETTINGS_BYTES 256
 #define DRAIN_MS 30000
 
-/* The deployment borrows it. */
+/* Node settings; the deployment keeps a pointer to them. */
 static char settings[SETTINGS_BYTES];
 
 static void
@@ -46,7 +46,7 @@
 	    "retry", "attempts", 2, "budget_percent", 10);
 }
 
-/* The registry's example with other limits. */
+/* Writes the registry's example with other limits. */
 static char *
 bundle_write(const struct calls_limits *l)
 {
@@ -168,7 +168,8 @@
 	(void)fflush(stdout);
 }
 
-/* Requests that merely ran when upstreams ended are run on. */
+/* Requests that ran while an upstream exited for another reason must not be
+ * quarantined. */
 static void
 check_nothing_quarantined(struct deployment *d)
 {
--- a/test/functional/calls.h
+++ b/test/functional/calls.h
@@ -1,7 +1,7 @@
 /*
- * What the process-level tests of calls share: a deployment that serves with
- * short deadlines, load of all kinds of calls, counts of what callers were
- * told, and rounds in which something fails at a random moment under load.
+ * Helpers of process-level tests of calls: a deployment that serves with short
+ * deadlines, load of all kinds of calls, counters of their outcomes, and rounds
+ * of load in which a fault is injected at a random time.
  */
 #ifndef FUNCTIONAL_CALLS_H
 #define FUNCTIONAL_CALLS_H
@@ -13,15 +13,16 @@
 
 /**
  * struct calls_limits - limits of every service in the bundle, and of nodes
- * @timeout_ms: deadline of calls
- * @slots: most calls at once on an endpoint
- * @queue: most calls that wait at an endpoint
- * @queue_wait_ms: longest wait
+ * @timeout_ms: timeout of calls
+ * @slots: maximum of concurrent calls at an endpoint
+ * @queue: maximum of queued calls at an endpoint
+ * @queue_wait_ms: maximum time in the queue
  * @key_window_ms: how long nodes remember fates and idempotency keys; longer
- *	than callers go on repeating a key
- * @drain_ms: how long a node may take to stop; 0 for the default
- * @grace_ms: when a node that was asked to stop is killed; 0 for never
- * @notice_ms: how long a node that stops takes calls; 0 for the default
+ *	than callers repeat a key
+ * @drain_ms: limit of the duration of a node's stop; 0 for the default
+ * @grace_ms: time after SIGTERM at which nodes must expect to be killed; 0 for
+ *	never
+ * @notice_ms: how long a stopping node accepts calls; 0 for the default
  */
 struct calls_limits {
 	uint32_t timeout_ms;
@@ -35,20 +36,20 @@
 };
 
 /**
- * struct calls_counts - what callers were told, over several load runs
- * @sent: calls
- * @done: told done
- * @not_run: told not_run
- * @not_sent: no connection came about
- * @unknown: told unknown, without an idempotency key
- * @keyed_unknown: told unknown, with a key
- * @no_answer: neither an answer nor a part of one came
- * @cut: answers that broke off
- * @bad_answers: answers to another call, not whole, without their fate, or
- *	refusals without Retry-After
- * @done_of_kind: told done, for each kind of call
- * @refused_p99_us: latency of calls told not_run, 99 of 100 are below; of the
- *	last load run
+ * struct calls_counts - outcomes of calls, summed over several load runs
+ * @sent: all calls
+ * @done: calls with the fate done
+ * @not_run: calls with the fate not_run
+ * @not_sent: calls whose connection couldn't be opened
+ * @unknown: calls with the fate unknown and without an idempotency key
+ * @keyed_unknown: calls with the fate unknown and with an idempotency key
+ * @no_answer: calls without any part of an answer
+ * @cut: calls whose answer was truncated
+ * @bad_answers: answers that belong to another call, aren't whole or lack their
+ *	fate, and refusals without Retry-After
+ * @done_of_kind: calls with the fate done, for each kind of call
+ * @refused_p99_us: 99th percentile of the latency of calls with the fate
+ *	not_run, in the last load run
  */
 struct calls_counts {
 	uint32_t sent;
@@ -66,10 +67,11 @@
 
 /**
  * calls_start() - start a deployment and wait until it serves
- * @plan: what to start; @node_settings is set by this
- * @limits: of all services
+ * @plan: what to start; calls_start() sets @node_settings
+ * @limits: limits of all services
  *
- * Keys are settled as well: the guards are old enough.
+ * Also waits until the guards have run for longer than the key window, so that
+ * idempotency keys are settled.
  */
 struct deployment *calls_start(
     const struct deployment_plan *plan, const struct calls_limits *limits);
@@ -78,42 +80,52 @@
 void calls_wait_ready(struct deployment *d);
 
 /**
- * calls_load_start() - load of all kinds of calls to all nodes that run
+ * calls_load_start() - start load of all kinds of calls to all running nodes
  * @d: the deployment
- * @name: name of the run; different for each
- * @duration_s: how long, in seconds
+ * @name: name of the run, unique in the deployment
+ * @duration_s: duration of the load in seconds
  * @seed: seed of the load
  *
- * Half of the bookings have a key; a third of these go through two nodes at
- * once, and one told unknown is repeated twice through other nodes.
+ * Half of the bookings have an idempotency key; 30 % of these are sent through
+ * two nodes at once, and those with the fate unknown are repeated twice through
+ * other nodes.
  */
 struct process *calls_load_start(struct deployment *d, const char *name,
     const char *duration_s, uint32_t seed);
 
 /**
- * calls_load_end() - wait for load_gen and add up what it was told
- * @load: freed
+ * calls_load_end() - wait for load_gen and add its outcomes to a sum
+ * @load: the process; freed
  * @name: name of the run, as given to deployment_load()
- * @total: what is added to
+ * @total: the sum
  */
 void calls_load_end(
     struct process *load, const char *name, struct calls_counts *total);
 
-/** calls_print() - one line with all counts */
+/** calls_print() - print one line with all counts */
 void calls_print(const char *what, const struct calls_counts *c);
 
 /**
- * calls_stop() - stop all gracefully, check what was told, and free
+ * calls_stop() - stop all processes gracefully, check all outcomes, and free
+ * @d: the deployment
  *
- * The test fails for a violation, for a process that doesn't end with 0, and
- * for a request that a node holds off, as none of those sent crashes upstreams.
+ * The test fails if a node quarantines a request, since the load contains no
+ * request that crashes upstreams, if a process doesn't exit with code 0, or if
+ * an outcome contradicts the upstreams' journals.
  */
 void calls_stop(struct deployment *d);
 
-/** calls_first_seed() - seed of the first round, BRAMLEY_SEED or a fixed one */
+/** calls_first_seed() - seed of the first round: BRAMLEY_SEED, or 1 */
 uint32_t calls_first_seed(void);
 
-/** enum calls_targets - what fails in a round */
+/**
+ * enum calls_targets - targets of the fault of a round
+ * @CALLS_NODE: the node of a host
+ * @CALLS_UPSTREAM: the upstream of a host
+ * @CALLS_HOST: both the node and the upstream of a host
+ * @CALLS_HALF_OF_NODES: half of all nodes
+ * @CALLS_TARGETS: number of values
+ */
 enum calls_targets {
 	CALLS_NODE,
 	CALLS_UPSTREAM,
@@ -123,14 +135,14 @@
 };
 
 /**
- * struct calls_fault - how something fails and recovers
- * @name: for the output
- * @inject: make a host's node or upstream fail
- * @recover: let it go on
- * @min_length_ms: shortest time between both
- * @max_length_ms: longest time between both
+ * struct calls_fault - a kind of fault
+ * @name: name for the output
+ * @inject: makes a host's node or upstream fail
+ * @recover: ends the fault
+ * @min_length_ms: shortest time between @inject and @recover
+ * @max_length_ms: longest time between @inject and @recover
  * @key_window_ms: see struct calls_limits
- * @duration_s: how long load is sent in a round, in seconds
+ * @duration_s: duration of the load of a round in seconds
  */
 struct calls_fault {
 	const char *name;
@@ -143,28 +155,27 @@
 };
 
 /**
- * calls_round() - load of all kinds of calls, in which something fails
- * @d: the deployment, with all of it running
+ * calls_round() - inject a fault at a random time under load
+ * @d: the deployment, with all processes running
  * @f: the fault
- * @targets: what it befalls; which ones, and when, come from the seed
+ * @targets: kind of targets; the seed selects the targets and the times
  * @seed: seed of the round and its load
- * @total: what callers were told is added here
+ * @total: sum to which the outcomes are added
  *
- * Half of the bookings have a key; a third of these go through two nodes at
- * once, and one told unknown is repeated twice through other nodes.
+ * The load is that of calls_load_start().
  */
 void calls_round(struct deployment *d, const struct calls_fault *f,
     enum calls_targets targets, uint32_t seed, struct calls_counts *total);
 
 /**
- * calls_rounds() - rounds with all victims, over one deployment
+ * calls_rounds() - run rounds with all kinds of targets in one deployment
  * @f: the fault
- * @seeds: rounds for each kind of victims
- * @sums: what callers were told, for each kind of victims
+ * @seeds: number of rounds for each kind of targets
+ * @sums: receives the outcomes for each kind of targets
  *
- * The first seed is 1, or what the environment says in BRAMLEY_SEED.  The test
- * fails for an answer that was not whole, not the caller's own or without its
- * fate, and for all that calls_stop() checks.
+ * The first seed is that of calls_first_seed().  The test fails if no call was
+ * done, for the answers that calls_counts counts as @bad_answers, and for all
+ * that calls_stop() checks.
  */
 void calls_rounds(const struct calls_fault *f, uint32_t seeds,
     struct calls_counts sums[CALLS_TARGETS]);
--- a/test/functional/calls_round.c
+++ b/test/functional/calls_round.c
@@ -1,5 +1,5 @@
 /*
- * Rounds of load in which something fails at a random moment.
+ * Rounds of load with a fault at a random time.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 #define NAME_BYTES 64
 #define DECIMAL 10
-/* The fault strikes within this time from the start of the load. */
+/* Time from the start of the load to the fault. */
 #define INJECT_MIN_MS 200
 #define INJECT_MAX_MS 800
 #define RATE "250"
--- a/test/functional/deployment.c
+++ b/test/functional/deployment.c
@@ -1,5 +1,5 @@
 /*
- * A small deployment for tests: what is started, and where.
+ * Small deployment for tests: addresses, settings and processes.
  */
 #include <signal.h>
 #include <string.h>
@@ -14,7 +14,7 @@
 
 #define HOST_PORTS 5
 #define SEEDS_MAX 3
-/* The platform stands outside of the data centres. */
+/* The platform's address lies outside the networks of the data centres. */
 #define PLATFORM_NET 200
 #define HTTP_OK 200
 #define NUMBER_BYTES 16
@@ -146,7 +146,7 @@
 	return g_ptr_array_index(d->hosts, i);
 }
 
-/* The first host of each data centre is a seed. */
+/* The first host of each data centre is a seed of the membership. */
 static json_t *
 seeds_json(const struct deployment *d)
 {
--- a/test/functional/deployment.h
+++ b/test/functional/deployment.h
@@ -1,5 +1,5 @@
 /*
- * A small deployment for tests: a stand-in platform and hosts over data
+ * Small deployment for tests: a stand-in platform and hosts in several data
  * centres, each with a node and a stand-in upstream.
  */
 #ifndef FUNCTIONAL_DEPLOYMENT_H
@@ -19,10 +19,10 @@
 #define DEPLOYMENT_STOP_MS 40000
 
 /**
- * enum deployment_relays - whether nodes reach the platform through relays
- * @RELAYED_NONE: they don't
- * @RELAYED_BY_DATA_CENTRE: there is one for each data centre
- * @RELAYED_BY_HOST: there is one for each host
+ * enum deployment_relays - relays between nodes and the platform
+ * @RELAYED_NONE: nodes connect to the platform directly
+ * @RELAYED_BY_DATA_CENTRE: one relay for each data centre
+ * @RELAYED_BY_HOST: one relay for each host
  */
 enum deployment_relays {
 	RELAYED_NONE = 0,
@@ -33,15 +33,15 @@
 /**
  * struct deployment_plan - what to start
  * @region: name of the region
- * @data_centres: names, ended by NULL
- * @services: names, ended by NULL; handed out to the hosts in turn
+ * @data_centres: names, terminated by NULL
+ * @services: names, terminated by NULL; assigned to the hosts in turn
  * @profile: "registry" or "crew"
  * @hosts: number of hosts in each data centre
  * @slots: slots of each upstream
- * @work_ms_mean: mean time of a call at an upstream
- * @cold_start_ms: cold start of an upstream
+ * @work_ms_mean: mean processing time of a call at an upstream
+ * @cold_start_ms: duration of the cold start of an upstream
  * @node_settings: JSON object of further settings of all nodes, or NULL
- * @relayed: how nodes reach the platform
+ * @relayed: relays between nodes and the platform
  */
 struct deployment_plan {
 	const char *region;
@@ -56,27 +56,32 @@
 	enum deployment_relays relayed;
 };
 
-/** deployment_registry - the registry's places and services, 2 hosts each */
+/** deployment_registry - data centres and services of the registry, with 2
+ * hosts in each data centre
+ */
 extern const struct deployment_plan deployment_registry;
 
-/** deployment_crew - the crew transfer office's, 3 hosts each */
+/** deployment_crew - data centres and services of the crew transfer office,
+ * with 3 hosts in each data centre
+ */
 extern const struct deployment_plan deployment_crew;
 
 /**
- * struct host - one host
- * @name: its name
- * @address: its IPv4 address
- * @data_centre: index of its data centre
- * @service: service of its upstream
- * @caller_port: of the node
- * @peer_port: of the node
- * @call_port: of the node
- * @admin_port: of the node
- * @upstream_port: of the upstream
+ * struct host - a host of the deployment
+ * @name: name of the host
+ * @address: IPv4 address
+ * @data_centre: index of the data centre
+ * @service: service of the upstream
+ * @caller_port: port of the node for callers
+ * @peer_port: port of the node for its peers
+ * @call_port: port of the node for calls of other nodes
+ * @admin_port: port of the node's administration API
+ * @upstream_port: port of the upstream
  * @node: running node, or NULL
  * @upstream: running upstream, or NULL
- * @journal: file of the upstream's runs; goes on when it is started again
- * @starts: how often a node was started here
+ * @journal: path of the upstream's journal of runs, which a restarted upstream
+ *	continues
+ * @starts: number of times that a node was started on the host
  */
 struct host {
 	char name[DEPLOYMENT_NAME_BYTES];
@@ -95,14 +100,14 @@
 };
 
 /**
- * struct deployment - what was started; it frees all of it
- * @plan: what was asked
+ * struct deployment - the platform, relays and hosts of a deployment
+ * @plan: copy of the plan
  * @platform: the stand-in platform
- * @platform_address: its address
- * @platform_port: its port
+ * @platform_address: IPv4 address of the platform
+ * @platform_port: TCP port of the platform
  * @relays: struct relay to the platform, by data centre or by host, or empty
- * @hosts: struct host, data centre by data centre
- * @outcomes: files written by load runs
+ * @hosts: struct host, ordered by data centre
+ * @outcomes: paths of the outcome files of load runs
  */
 struct deployment {
 	struct deployment_plan plan;
@@ -115,7 +120,7 @@
 };
 
 /**
- * deployment_new() - choose addresses and ports and start the platform
+ * deployment_new() - choose addresses and ports, and start the platform
  * @plan: what to start; its strings must outlive the deployment
  */
 struct deployment *deployment_new(const struct deployment_plan *plan);
@@ -126,81 +131,87 @@
 /** deployment_start_upstream() - start a host's upstream */
 void deployment_start_upstream(struct deployment *d, struct host *h);
 
-/** deployment_start_nodes() - start all nodes and wait until all are members
+/** deployment_start_nodes() - start all nodes and wait until all are live
+ * members
  */
 void deployment_start_nodes(struct deployment *d);
 
-/** deployment_start() - start all nodes, then all upstreams, and wait */
+/** deployment_start() - start all nodes, then all upstreams, and wait until all
+ * nodes know all endpoints
+ */
 void deployment_start(struct deployment *d);
 
-/** deployment_host() - the host with this index */
+/** deployment_host() - host with an index */
 struct host *deployment_host(const struct deployment *d, uint32_t i);
 
 /**
- * deployment_stop() - stop all upstreams and nodes by SIGTERM at once
+ * deployment_stop() - stop all upstreams by SIGTERM at once, then all nodes
  *
- * Return: the number of processes that did not end with code 0.
+ * Return: number of processes that didn't exit with code 0.
  */
 int deployment_stop(struct deployment *d);
 
-/** deployment_free() - kill what still runs, and free */
+/** deployment_free() - kill all processes that still run, and free */
 void deployment_free(struct deployment *d);
 
-/** deployment_stop_node() - stop a node by SIGTERM; its exit code */
+/** deployment_stop_node() - stop a node by SIGTERM; returns its exit code */
 int deployment_stop_node(struct host *h);
 
-/** deployment_stop_upstream() - stop an upstream by SIGTERM; its exit code */
+/** deployment_stop_upstream() - stop an upstream by SIGTERM; returns its exit
+ * code
+ */
 int deployment_stop_upstream(struct host *h);
 
-/** deployment_kill_node() - kill a node */
+/** deployment_kill_node() - kill a node by SIGKILL */
 void deployment_kill_node(struct host *h);
 
-/** deployment_kill_upstream() - kill an upstream */
+/** deployment_kill_upstream() - kill an upstream by SIGKILL */
 void deployment_kill_upstream(struct host *h);
 
-/** deployment_platform_knobs() - set knobs of the platform */
+/** deployment_platform_knobs() - set knobs of the stand-in platform, as JSON */
 void deployment_platform_knobs(const struct deployment *d, const char *knobs);
 
-/** deployment_platform_stats() - the platform's counts, a new reference */
+/** deployment_platform_stats() - counters of the platform, a new reference */
 json_t *deployment_platform_stats(const struct deployment *d);
 
 /**
- * deployment_platform_row() - a row of the platform's table
+ * deployment_platform_row() - read a row of the platform's table
+ * @d: the deployment; its platform must answer
+ * @key: key of the row
  *
- * The platform must answer.  Return: a new reference, NULL if there is none.
+ * Return: a new reference, or NULL if the row doesn't exist.
  */
 json_t *deployment_platform_row(const struct deployment *d, const char *key);
 
-/** deployment_row_text() - an attribute of a row; NULL if there is none */
+/** deployment_row_text() - attribute of a row, or NULL if the row lacks it */
 const char *deployment_row_text(const json_t *row, const char *name);
 
-/** deployment_upstream_knobs() - set knobs of an upstream */
+/** deployment_upstream_knobs() - set knobs of a stand-in upstream, as JSON */
 void deployment_upstream_knobs(const struct host *h, const char *knobs);
 
 /**
- * deployment_api() - a request to the administration API
- * @h: host whose node is asked
+ * deployment_api() - send a request to the administration API of a node
+ * @h: host of the node
  * @method: HTTP method
  * @path: path and query, for instance "/v1/status"
  * @body: text or NULL
- * @code: where the HTTP status goes, or NULL
+ * @code: receives the HTTP status; may be NULL
  *
- * Return: the JSON answer, a new reference, or NULL.
+ * Return: the answer as JSON, a new reference, or NULL.
  */
 json_t *deployment_api(const struct host *h, const char *method,
     const char *path, const char *body, int *code);
 
-/** deployment_version() - version that a node runs, 0 for none or no answer */
+/** deployment_version() - version that a node runs; 0 for none or no answer */
 uint64_t deployment_version(const struct host *h);
 
 /**
  * deployment_wait_version() - wait until all running nodes run a version
  * @d: the deployment
- * @version: the version, or a later one
- * @timeout_ms: how long to wait
+ * @version: the lowest accepted version
+ * @timeout_ms: how long to wait; then the test fails
  *
- * Return: milliseconds until the last one did; the test fails after
- * @timeout_ms.
+ * Return: milliseconds until the last node ran the version.
  */
 uint64_t deployment_wait_version(
     struct deployment *d, uint64_t version, uint32_t timeout_ms);
@@ -210,98 +221,106 @@
  * @d: the deployment
  * @timeout_ms: how long to wait; then the test fails
  *
- * A node that has just started can hold a version and not serve yet: its
- * floor may not be known.  GET /v1/health tells.
+ * A node that has just started can have a version without serving calls, as
+ * long as it doesn't know its floor.  GET /v1/health reports whether it serves.
  */
 void deployment_wait_serving(struct deployment *d, uint32_t timeout_ms);
 
 /**
- * deployment_wait_endpoints() - wait until all running nodes know this many
+ * deployment_wait_endpoints() - wait until all running nodes know @n endpoints
  * @d: the deployment
- * @n: number of endpoints, all hosts together
+ * @n: number of endpoints of all hosts together
  * @timeout_ms: how long to wait; then the test fails
  */
 void deployment_wait_endpoints(
     struct deployment *d, uint32_t n, uint32_t timeout_ms);
 
-/** deployment_wait_members() - the same for hosts that count as live */
+/** deployment_wait_members() - wait until all running nodes count @n live
+ * members
+ */
 void
 deployment_wait_members(struct deployment *d, uint32_t n, uint32_t timeout_ms);
 
 /**
  * deployment_ctl() - run bramleyctl
- * @h: host whose node is asked
- * @code: where the exit code goes, or NULL; then it must be 0
- * @args: arguments, ended by NULL
+ * @h: host whose node bramleyctl uses
+ * @code: receives the exit code; if it is NULL, the exit code must be 0
+ * @args: arguments, terminated by NULL
  *
- * Return: its JSON output, a new reference, or NULL.
+ * Return: JSON output of bramleyctl, a new reference, or NULL.
  */
 json_t *
 deployment_ctl(const struct host *h, int *code, const char *const *args);
 
-/** deployment_ctl_start() - start bramleyctl; arguments as above */
+/** deployment_ctl_start() - start bramleyctl; see deployment_ctl() */
 struct process *
 deployment_ctl_start(const struct host *h, const char *const *args);
 
-/** deployment_ctl_end() - wait for it and free it; result as above */
+/** deployment_ctl_end() - wait for bramleyctl and free it; see deployment_ctl()
+ */
 json_t *deployment_ctl_end(struct process *ctl, int *code);
 
 /** deployment_example() - path of a file in examples/, a new string */
 char *deployment_example(const char *name);
 
 /**
- * deployment_bundle() - the registry's example with one service changed
- * @n: which change; different numbers give different bundles
+ * deployment_bundle() - write the registry's example with one service changed
+ * @n: number of the change; different numbers give different bundles
  *
- * Return: its path, a new string.
+ * Return: path of the bundle, a new string.
  */
 char *deployment_bundle(uint32_t n);
 
 /**
- * deployment_bundle_services() - the same with more services
- * @n: which change
- * @more: number of services besides the example's
+ * deployment_bundle_services() - like deployment_bundle(), with more services
+ * @n: number of the change
+ * @more: number of additional services
  */
 char *deployment_bundle_services(uint32_t n, uint32_t more);
 
 /**
- * deployment_bundle_routes() - the same with more routes of its first service
- * @n: which change
- * @routes: number of routes "/grown/NUMBER/x" besides the example's, from 0 on
+ * deployment_bundle_routes() - like deployment_bundle(), with more routes of
+ * the first service
+ * @n: number of the change
+ * @routes: number of additional routes, with the prefixes "/grown/0",
+ *	"/grown/1" and so on
  */
 char *deployment_bundle_routes(uint32_t n, uint32_t routes);
 
 /**
  * deployment_sign_off() - sign a bundle off with bramleyctl
- * @h: host whose node is asked
+ * @h: host whose node bramleyctl uses
  * @bundle: path of the bundle
  *
- * Return: the version's number.
+ * Return: number of the version.
  */
 uint64_t deployment_sign_off(const struct host *h, const char *bundle);
 
 /**
  * deployment_load() - start load_gen in the background
  * @d: the deployment
- * @name: name of the run; different for each
- * @h: host whose node is called first; others follow when @spread is set
- * @spread: send to all nodes that run
- * @args: further arguments of load_gen, ended by NULL
+ * @name: name of the run, unique in the deployment
+ * @h: host whose node comes first in the list of nodes
+ * @spread: whether to list all other running nodes too
+ * @args: further arguments of load_gen, terminated by NULL
  */
 struct process *deployment_load(struct deployment *d, const char *name,
     const struct host *h, int spread, const char *const *args);
 
-/** deployment_load_end() - wait for load_gen; its summary; frees @load */
+/** deployment_load_end() - wait for load_gen, free it and return its summary */
 json_t *deployment_load_end(struct process *load);
 
 /**
- * deployment_check_runs() - hold all load runs against all journals
+ * deployment_check_runs() - check the outcomes of all load runs against the
+ * journals of all upstreams
+ *
+ * Prints each violation.
  *
- * Prints each violation.  Return: their number.
+ * Return: number of violations.
  */
 uint32_t deployment_check_runs(const struct deployment *d);
 
-/** json_number() - an integer of an object, 0 when it is absent */
+/** json_number() - integer member of a JSON object, 0 if it is absent */
 int64_t json_number(const json_t *j, const char *name);
 
 #endif
--- a/test/functional/deployment_ctl.c
+++ b/test/functional/deployment_ctl.c
@@ -1,5 +1,5 @@
 /*
- * A small deployment for tests: its operators.
+ * Small deployment for tests: bramleyctl and bundles.
  */
 #include <check.h>
 #include <glib.h>
@@ -8,7 +8,8 @@
 #include "deployment.h"
 
 #define CTL_TIMEOUT_MS 60000
-/* Timeout of the example's first service, which changed bundles vary. */
+/* Timeout of the example's first service; changed bundles add a number to it.
+ */
 #define EXAMPLE_TIMEOUT_MS 2000
 #define NAME_BYTES 32
 
@@ -61,7 +62,7 @@
 	return g_build_filename(EXAMPLES_DIR, name, NULL);
 }
 
-/* More services like the example's first, each with a route of its own. */
+/* Adds copies of the example's first service, each with a route. */
 static void
 add_services(json_t *bundle, uint32_t n)
 {
@@ -82,7 +83,7 @@
 	}
 }
 
-/* More routes of the example's first service. */
+/* Adds routes to the example's first service. */
 static void
 add_routes(json_t *bundle, uint32_t n)
 {
--- a/test/functional/deployment_watch.c
+++ b/test/functional/deployment_watch.c
@@ -1,5 +1,5 @@
 /*
- * A small deployment for tests: its state, load and the check of calls.
+ * Small deployment for tests: status of nodes, load, and the check of calls.
  */
 #include <stdio.h>
 #include <string.h>
@@ -51,7 +51,7 @@
 	return (uint64_t)status_number(h, "version");
 }
 
-/* What all running nodes are to show in their status. */
+/* Range of a number in the status of all running nodes. */
 struct status_range {
 	const struct deployment *d;
 	const char *name;
--- a/test/functional/version_check.c
+++ b/test/functional/version_check.c
@@ -1,28 +1,28 @@
 /*
- * Checks what nodes say that they serve.
+ * Checks the versions that nodes report to serve.
  */
 #include <string.h>
 
 #include "version_check.h"
 
-/* What is known of a host; it lives as long as the check. */
+/* State of a host; freed with the check. */
 struct host_state {
 	char *name;
 	uint64_t highest;
 	uint32_t observations;
 	int reachable;
-	uint64_t reachable_since_ms; /* when it became present */
+	uint64_t reachable_since_ms;
 };
 
-/* A version that was accepted. */
+/* An accepted version that reachable hosts must serve. */
 struct expectation {
 	uint64_t version;
 	uint64_t accepted_ms;
 	uint32_t bound_ms;
-	GHashTable *late_hosts; /* hosts that are known to be late */
+	GHashTable *late_hosts; /* hosts whose violation has been recorded */
 };
 
-/* A version as first seen. */
+/* First observation of a version. */
 struct first_observation {
 	uint64_t version;
 	char *root;
--- a/test/functional/version_watch.c
+++ b/test/functional/version_watch.c
@@ -1,5 +1,5 @@
 /*
- * Watches the versions that nodes serve.
+ * Observes the versions that nodes serve.
  */
 #include <pthread.h>
 #include <stdio.h>
@@ -20,7 +20,7 @@
 #define URL_BYTES 128
 #define KEY_BYTES 64
 
-/* One host and the thread that watches it. */
+/* A host and the thread that observes it. */
 struct watcher {
 	struct version_watch *watch;
 	const struct host *host;
@@ -47,7 +47,7 @@
 	pthread_mutex_unlock(&all->lock);
 }
 
-/* A node that holds a version and isn't ready does not serve it. */
+/* A node that has a version but isn't ready doesn't serve it. */
 static void
 poll_status(struct watcher *w)
 {
@@ -70,7 +70,7 @@
 	fetch_answer_clear(&a);
 }
 
-/* Any answer to a call tells the version by which it was routed. */
+/* Every answer to a call has a header with the version that routed it. */
 static void
 poll_call(struct watcher *w)
 {
@@ -227,7 +227,7 @@
 	return clock_now_ms() - start_ms;
 }
 
-/* Gives all version rows of the platform to the check. */
+/* Adds all version rows of the platform to the check. */
 static void
 read_records(struct version_watch *w)
 {
--- a/test/functional/version_watch.h
+++ b/test/functional/version_watch.h
@@ -1,7 +1,6 @@
 /*
- * Watches the versions that the nodes of a deployment serve, all the time,
- * by GET /v1/status and by calls, and holds them against the rules of
- * version_check.h.
+ * Continuously observes the versions that the nodes of a deployment serve, by
+ * GET /v1/status and by calls, and checks them by version_check.h.
  */
 #ifndef FUNCTIONAL_VERSION_WATCH_H
 #define FUNCTIONAL_VERSION_WATCH_H
@@ -13,43 +12,50 @@
 struct version_watch;
 
 /**
- * version_watch_start() - watch all hosts, each in a thread of its own
+ * version_watch_start() - observe all hosts, with one thread for each
  * @d: the deployment; must outlive the watch
  *
- * Each host counts as present.
+ * Each host counts as reachable.
  */
 struct version_watch *version_watch_start(struct deployment *d);
 
-/** version_watch_set_reachable() - whether a host can be reached from now on */
+/** version_watch_set_reachable() - set whether a host is reachable from now on
+ */
 void version_watch_set_reachable(
     struct version_watch *w, const struct host *h, int reachable);
 
-/** version_watch_accept() - a version was accepted; see version_check.h */
+/** version_watch_accept() - require an accepted version; see
+ * version_check_accept()
+ */
 void version_watch_accept(
     struct version_watch *w, uint64_t version, uint32_t bound_ms);
 
-/** version_watch_halted() - a version was halted */
+/** version_watch_halted() - drop the requirement of a halted version */
 void version_watch_halted(struct version_watch *w, uint64_t version);
 
-/** version_watch_highest() - highest version that a host was seen to serve */
+/** version_watch_highest() - highest observed version of a host */
 uint64_t version_watch_highest(struct version_watch *w, const struct host *h);
 
 /**
- * version_watch_wait() - wait until all present hosts were seen to serve
+ * version_watch_wait() - wait until all reachable hosts were observed to serve
+ * a version
  * @w: the watch
- * @version: the version, or a later one
+ * @version: the lowest accepted version
  * @timeout_ms: how long to wait; then the test fails
  *
- * Return: milliseconds that it took.
+ * Return: duration of the wait in milliseconds.
  */
 uint64_t version_watch_wait(
     struct version_watch *w, uint64_t version, uint32_t timeout_ms);
 
 /**
- * version_watch_end() - stop watching and hold all against the platform
+ * version_watch_end() - stop observing, and check against the platform's
+ * records
  * @w: the watch; freed
  *
- * The platform must answer.  The test fails if a host was hardly ever seen.
+ * The platform must answer.  The test fails if a host was observed fewer than
+ * 10 times.
+ *
  * Return: number of violations, each of which is printed.
  */
 uint32_t version_watch_end(struct version_watch *w);
