--- a/test/functional/version_check.h
+++ b/test/functional/version_check.h
@@ -107,8 +107,8 @@
  */
 void version_check_compare_records(struct version_check *c);
 
-/** version_check_observations() - number of observations of a host that served a
- * version
+/** version_check_observations() - number of observations in which a host served
+ * a version
  */
 uint32_t
 version_check_observations(const struct version_check *c, const char *host);
