--- a/test/functional/calls.c
+++ b/test/functional/calls.c
@@ -185,7 +185,7 @@
 		ck_assert_ptr_nonnull(answer);
 		ck_assert_msg(
 		    json_array_size(json_object_get(answer, "requests")) == 0,
-		    "%s holds requests off; see %s", h->name, harness_dir());
+		    "%s quarantines requests; see %s", h->name, harness_dir());
 		json_decref(answer);
 	}
 }
@@ -196,7 +196,7 @@
 	check_nothing_quarantined(d);
 	ck_assert_int_eq(deployment_stop(d), 0);
 	ck_assert_msg(deployment_check_runs(d) == 0,
-	    "callers were told what did not happen; see %s", harness_dir());
+	    "outcomes contradict the journals; see %s", harness_dir());
 	deployment_free(d);
 	harness_cleanup();
 }
--- a/test/functional/deployment_watch.c
+++ b/test/functional/deployment_watch.c
@@ -84,7 +84,7 @@
 	uint64_t start_ms = clock_now_ms();
 
 	ck_assert_msg(harness_wait_until(all_in_range, a, timeout_ms),
-	    "not all nodes came to %s %ld in %u ms; see %s", a->name,
+	    "not all nodes report %s %ld after %u ms; see %s", a->name,
 	    (long)a->min, timeout_ms, harness_dir());
 	return clock_now_ms() - start_ms;
 }
@@ -203,7 +203,7 @@
 static void
 print_violation(const struct violation *v)
 {
-	(void)printf("violation %s: %s told %s, %lu runs\n",
+	(void)printf("violation %s: %s reported %s, %lu runs\n",
 	    run_rule_name(v->rule), v->id, told_name(v->told),
 	    (unsigned long)v->runs);
 }
--- a/test/functional/operators.c
+++ b/test/functional/operators.c
@@ -48,7 +48,7 @@
 		(void)g_snprintf(
 		    key, sizeof(key), "version/%" G_GUINT64_FORMAT, v);
 		row = deployment_platform_row(d, key);
-		ck_assert_msg(row != NULL, "there is no row %s", key);
+		ck_assert_msg(row != NULL, "row %s does not exist", key);
 		if (g_strcmp0(deployment_row_text(row, "op"), op) == 0) {
 			last = v;
 			n++;
@@ -80,20 +80,21 @@
 	uint64_t queried, created;
 	uint32_t n = operators_count_versions(d, op, &created);
 
-	ck_assert_msg(n <= 1, "operation %s was done %u times", op, n);
+	ck_assert_msg(n <= 1, "operation %s was executed %u times", op, n);
 	if (code == CTL_UNKNOWN) {
 		code = operators_query(h, op, &queried);
 		ck_assert_msg(code == CTL_DONE || code == CTL_NOT_FOUND ||
 			code == CTL_UNKNOWN,
-		    "operation %s: asked later it ends with %d", op, code);
+		    "operation %s: a later query ended with %d", op, code);
 		reported = code == CTL_DONE ? queried : 0;
 	}
 	if (code == CTL_DONE)
 		ck_assert_msg(n == 1 && reported == created,
-		    "operation %s was told version %lu and made %lu", op,
+		    "operation %s reported version %lu but created %lu", op,
 		    (unsigned long)reported, (unsigned long)created);
 	else
-		ck_assert_msg(n == 0, "operation %s ended with %d and made %lu",
-		    op, code, (unsigned long)created);
+		ck_assert_msg(n == 0,
+		    "operation %s ended with %d but created %lu", op, code,
+		    (unsigned long)created);
 	return created;
 }
--- a/test/functional/process.c
+++ b/test/functional/process.c
@@ -51,7 +51,7 @@
 	p->log = g_strdup_printf("%s/%s.log", dir, name);
 	fd = open(p->log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC,
 	    PROCESS_LOG_MODE);
-	ck_assert_msg(fd != -1, "can't write %s", p->log);
+	ck_assert_msg(fd != -1, "can't open %s for writing", p->log);
 	pid = fork();
 	ck_assert_int_ne(pid, -1);
 	if (pid == 0)
--- a/test/functional/version_check.c
+++ b/test/functional/version_check.c
@@ -284,10 +284,11 @@
 version_rule_name(enum version_rule rule)
 {
 	static const char *const names[] = {
-	    [VERSION_REGRESSION] = "a host went back",
-	    [VERSION_ROOT_MISMATCH] = "two roots of one version",
-	    [VERSION_NO_RECORD] = "a version that was never accepted",
-	    [VERSION_LATE] = "an accepted version came late",
+	    [VERSION_REGRESSION] = "older version than before",
+	    [VERSION_ROOT_MISMATCH] =
+		"root differs from another host or the record",
+	    [VERSION_NO_RECORD] = "version was never accepted",
+	    [VERSION_LATE] = "accepted version not served in time",
 	};
 
 	return names[rule];
--- a/test/functional/version_watch.c
+++ b/test/functional/version_watch.c
@@ -280,8 +280,8 @@
 		pthread_join(watcher->thread, NULL);
 		n = version_check_observations(w->check, watcher->host->name);
 		ck_assert_msg(n >= MIN_OBSERVATIONS,
-		    "%s was seen to serve %u times only", watcher->host->name,
-		    n);
+		    "%s was observed serving only %u times",
+		    watcher->host->name, n);
 	}
 	version_check_tick(w->check, clock_now_ms());
 	read_records(w);
