--- a/test/functional/test_abandoned.c
+++ b/test/functional/test_abandoned.c
@@ -11,11 +11,11 @@
 #include "operators.h"
 
 #define TEST_TIMEOUT_S 60
-#define ROLL_BOUND_MS 15000
+#define ROLLOUT_BOUND_MS 15000
 /* Longer than a node goes on with an operation at most. */
-#define LATER_US (11 * G_USEC_PER_SEC)
+#define LATE_EFFECT_US (11 * G_USEC_PER_SEC)
 
-START_TEST(what_was_given_up_is_not_done_later)
+START_TEST(abandoned_sign_off_has_no_late_effect)
 {
 	char *bundle = deployment_bundle(1);
 	const char *args[] = {
@@ -32,8 +32,8 @@
 	    "a sign-off in an outage ended with %d", code);
 	deployment_platform_knobs(d, "{\"outage\":false}");
 	version = deployment_sign_off(deployment_host(d, 0), other);
-	(void)deployment_wait_version(d, version, ROLL_BOUND_MS);
-	g_usleep(LATER_US);
+	(void)deployment_wait_version(d, version, ROLLOUT_BOUND_MS);
+	g_usleep(LATE_EFFECT_US);
 	ck_assert_uint_eq(operators_count_versions(d, "gone-1", NULL), 0);
 	ck_assert_uint_eq(operators_head(d).version, version);
 	g_free(bundle);
@@ -49,6 +49,6 @@
 	TCase *tc = tcase_create("abandoned");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, what_was_given_up_is_not_done_later);
+	tcase_add_test(tc, abandoned_sign_off_has_no_late_effect);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_crash.c
+++ b/test/functional/test_call_crash.c
@@ -26,19 +26,19 @@
 #define TEST_TIMEOUT_S 120
 #define HOSTS 4
 #define URL_BYTES 128
-#define CRASHER "crasher"
+#define REQUEST_ID "crasher"
 /* Ends after which a request is no longer to be run... */
-#define CRASHES 3
+#define QUARANTINE_CRASHES 3
 /* ...by nodes that have had so long to hear of it, but for so many tries. */
-#define STABLE_MS 3000
+#define PROPAGATION_MS 3000
 #define RUNS_AFTER_MAX 3
-#define WATCH_MS 5000
-#define DEADLINE_MS 30000
-#define PAUSE_MS 20
+#define OBSERVE_MS 5000
+#define TEST_DEADLINE_MS 30000
+#define POLL_MS 20
 /* News of an operator reaches all nodes within this. */
-#define RELEASE_MS 3000
+#define RELEASE_TIMEOUT_MS 3000
 /* Time from the end of an upstream to its next start. */
-#define DOWN_MS 400
+#define RESTART_DELAY_MS 400
 
 static const struct calls_limits limits = {.timeout_ms = 2000,
     .slots = 12,
@@ -47,14 +47,14 @@
     .key_window_ms = 1000};
 
 /**
- * struct watch - what the test sees
+ * struct counters - what the test sees
  * @runs_ms: monotonic time of each run of the request, in any order
  * @refused: answers that say that the request is quarantined
  * @others: other requests sent
  * @others_done: those of them that were answered
  * @others_refused: those of them that were told to be quarantined
  */
-struct watch {
+struct counters {
 	GArray *runs_ms;
 	uint32_t refused;
 	uint32_t others;
@@ -63,7 +63,7 @@
 };
 
 static int
-call(const struct host *h, const char *path, const char *id, bool *held)
+call(const struct host *h, const char *path, const char *id, bool *quarantined)
 {
 	char url[URL_BYTES], header[URL_BYTES];
 	const char *headers[] = {header, NULL};
@@ -76,13 +76,13 @@
 	(void)g_snprintf(header, sizeof(header), "X-Test-Id: %s", id);
 	fetch_perform(&f, &a);
 	code = a.code;
-	*held = strstr(a.body->str, "quarantined") != NULL;
+	*quarantined = strstr(a.body->str, "quarantined") != NULL;
 	fetch_answer_clear(&a);
 	return code;
 }
 
 static int64_t
-by_time(const uint64_t *a, const uint64_t *b)
+time_order(const uint64_t *a, const uint64_t *b)
 {
 	return *a < *b ? -1 : *a > *b;
 }
@@ -90,7 +90,7 @@
 static gint
 compare_times(gconstpointer a, gconstpointer b)
 {
-	return (gint)by_time(a, b);
+	return (gint)time_order(a, b);
 }
 
 /* All runs of the request, by the upstreams' journals. */
@@ -109,7 +109,7 @@
 		for (j = 0; lines[j] != NULL; j++) {
 			fields = g_strsplit(lines[j], "\t", 0);
 			if (g_strv_length(fields) == 5 &&
-			    strcmp(fields[0], CRASHER) == 0) {
+			    strcmp(fields[0], REQUEST_ID) == 0) {
 				at_ms = g_ascii_strtoull(fields[4], NULL, 10);
 				g_array_append_val(runs_ms, at_ms);
 			}
@@ -123,7 +123,7 @@
 
 /* Starts again what has ended, a while after that. */
 static void
-supervise(struct deployment *d, uint64_t *up_ms)
+restart_crashed(struct deployment *d, uint64_t *restart_at_ms)
 {
 	struct host *h;
 	uint32_t i;
@@ -133,32 +133,32 @@
 		if (h->upstream != NULL && process_has_exited(h->upstream)) {
 			process_free(h->upstream);
 			h->upstream = NULL;
-			up_ms[i] = clock_now_ms() + DOWN_MS;
+			restart_at_ms[i] = clock_now_ms() + RESTART_DELAY_MS;
 		}
-		if (h->upstream == NULL && clock_now_ms() >= up_ms[i])
+		if (h->upstream == NULL && clock_now_ms() >= restart_at_ms[i])
 			deployment_start_upstream(d, h);
 	}
 }
 
 static void
-one_round(struct deployment *d, struct watch *w, uint32_t n)
+send_pair(struct deployment *d, struct counters *w, uint32_t n)
 {
 	char path[URL_BYTES];
-	bool held;
+	bool quarantined;
 
 	(void)call(deployment_host(d, n % d->hosts->len), "/search?crash=1",
-	    CRASHER, &held);
-	w->refused += held;
+	    REQUEST_ID, &quarantined);
+	w->refused += quarantined;
 	(void)g_snprintf(path, sizeof(path), "/search?other=%u", n);
 	w->others_done += call(deployment_host(d, (n + 1) % d->hosts->len),
-			      path, path, &held) == 200;
-	w->others_refused += held;
+			      path, path, &quarantined) == 200;
+	w->others_refused += quarantined;
 	w->others++;
-	g_usleep(PAUSE_MS * G_TIME_SPAN_MILLISECOND);
+	g_usleep(POLL_MS * G_TIME_SPAN_MILLISECOND);
 }
 
 static uint32_t
-runs_after(const struct watch *w, uint64_t from_ms)
+count_runs_after(const struct counters *w, uint64_t from_ms)
 {
 	uint32_t i, n = 0;
 
@@ -168,16 +168,16 @@
 }
 
 static uint64_t
-third_ms(const struct watch *w)
+threshold_ms(const struct counters *w)
 {
-	if (w->runs_ms->len < CRASHES)
+	if (w->runs_ms->len < QUARANTINE_CRASHES)
 		return DEADLINE_NEVER;
-	return g_array_index(w->runs_ms, uint64_t, CRASHES - 1);
+	return g_array_index(w->runs_ms, uint64_t, QUARANTINE_CRASHES - 1);
 }
 
 /* Requests that a node holds off, by bramleyctl; a new reference. */
 static json_t *
-held_off(const struct host *h)
+quarantined_requests(const struct host *h)
 {
 	static const char *const args[] = {"quarantine", NULL};
 	json_t *answer = deployment_ctl(h, NULL, args), *list;
@@ -191,13 +191,13 @@
 static void
 wait_for_release(const struct host *h)
 {
-	uint64_t until_ms = clock_now_ms() + RELEASE_MS;
+	uint64_t until_ms = clock_now_ms() + RELEASE_TIMEOUT_MS;
 	json_t *list;
 	size_t n;
 
 	do {
-		g_usleep(PAUSE_MS * G_TIME_SPAN_MILLISECOND);
-		list = held_off(h);
+		g_usleep(POLL_MS * G_TIME_SPAN_MILLISECOND);
+		list = quarantined_requests(h);
 		n = json_array_size(list);
 		json_decref(list);
 	} while (n > 0 && clock_now_ms() < until_ms);
@@ -211,12 +211,12 @@
 {
 	const struct host *h = deployment_host(d, 0);
 	const char *args[] = {"release", NULL, NULL};
-	json_t *list = held_off(h), *entry;
+	json_t *list = quarantined_requests(h), *entry;
 	int code;
 
 	ck_assert_uint_eq(json_array_size(list), 1);
 	entry = json_array_get(list, 0);
-	ck_assert_int_ge(json_number(entry, "crashes"), CRASHES);
+	ck_assert_int_ge(json_number(entry, "crashes"), QUARANTINE_CRASHES);
 	ck_assert_int_gt(json_number(entry, "since_wall_ms"), 0);
 	ck_assert_int_gt(json_number(entry, "asked_here"), 0);
 	ck_assert_str_eq(json_string_value(json_object_get(entry, "asks")),
@@ -229,38 +229,42 @@
 	json_decref(list);
 }
 
-START_TEST(what_ended_three_upstreams_is_no_longer_run)
+START_TEST(request_that_crashed_three_upstreams_is_quarantined)
 {
 	struct deployment_plan plan = deployment_registry;
-	struct watch w = {
+	struct counters w = {
 	    .runs_ms = g_array_new(FALSE, FALSE, sizeof(uint64_t))};
-	uint64_t *up_ms, begin_ms = clock_now_ms(), end_ms = DEADLINE_NEVER;
+	uint64_t *restart_at_ms, begin_ms = clock_now_ms(),
+				 end_ms = DEADLINE_NEVER;
 	struct deployment *d;
 	uint32_t n = 0;
 
 	plan.hosts = HOSTS;
 	d = calls_start(&plan, &limits);
-	up_ms = g_new0(uint64_t, d->hosts->len);
+	restart_at_ms = g_new0(uint64_t, d->hosts->len);
 	while (clock_now_ms() < end_ms) {
-		ck_assert_uint_lt(clock_now_ms(), begin_ms + DEADLINE_MS);
-		one_round(d, &w, n++);
-		supervise(d, up_ms);
+		ck_assert_uint_lt(clock_now_ms(), begin_ms + TEST_DEADLINE_MS);
+		send_pair(d, &w, n++);
+		restart_crashed(d, restart_at_ms);
 		read_runs(d, w.runs_ms);
-		if (third_ms(&w) != DEADLINE_NEVER)
-			end_ms = third_ms(&w) + STABLE_MS + WATCH_MS;
+		if (threshold_ms(&w) != DEADLINE_NEVER)
+			end_ms = threshold_ms(&w) + PROPAGATION_MS + OBSERVE_MS;
 	}
 	(void)printf("%u runs, %u of them over %u ms after the third, %u "
 		     "refusals; others: %u sent, %u answered, %u quarantined\n",
-	    w.runs_ms->len, runs_after(&w, third_ms(&w) + STABLE_MS), STABLE_MS,
-	    w.refused, w.others, w.others_done, w.others_refused);
+	    w.runs_ms->len,
+	    count_runs_after(&w, threshold_ms(&w) + PROPAGATION_MS),
+	    PROPAGATION_MS, w.refused, w.others, w.others_done,
+	    w.others_refused);
 	(void)fflush(stdout);
 	ck_assert_uint_le(
-	    runs_after(&w, third_ms(&w) + STABLE_MS), RUNS_AFTER_MAX);
+	    count_runs_after(&w, threshold_ms(&w) + PROPAGATION_MS),
+	    RUNS_AFTER_MAX);
 	ck_assert_uint_gt(w.refused, 0);
 	ck_assert_uint_eq(w.others_refused, 0);
 	check_release(d);
 	g_array_free(w.runs_ms, TRUE);
-	g_free(up_ms);
+	g_free(restart_at_ms);
 	ck_assert_int_eq(deployment_stop(d), 0);
 	deployment_free(d);
 }
@@ -272,6 +276,6 @@
 	TCase *tc = tcase_create("crash");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, what_ended_three_upstreams_is_no_longer_run);
+	tcase_add_test(tc, request_that_crashed_three_upstreams_is_quarantined);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_freeze.c
+++ b/test/functional/test_call_freeze.c
@@ -13,8 +13,8 @@
 #define TEST_TIMEOUT_S 60
 #define SEEDS 1
 /* Longer than three tries of a keyed call and the time frozen. */
-#define LOAD_S "1.5"
-#define WINDOW_MS 8500
+#define DURATION_S "1.5"
+#define KEY_WINDOW_MS 8500
 
 static void
 inject(struct deployment *d, struct host *h, int node)
@@ -30,10 +30,10 @@
 	process_signal(node ? h->node : h->upstream, SIGCONT);
 }
 
-START_TEST(frozen_at_random_moments)
+START_TEST(frozen_at_random_times)
 {
 	static const struct calls_fault f = {
-	    "frozen", inject, recover, 1700, 2800, WINDOW_MS, LOAD_S};
+	    "frozen", inject, recover, 1700, 2800, KEY_WINDOW_MS, DURATION_S};
 
 	struct calls_counts sums[CALLS_TARGETS];
 
@@ -47,6 +47,6 @@
 	TCase *tc = tcase_create("freeze");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, frozen_at_random_moments);
+	tcase_add_test(tc, frozen_at_random_times);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_kill.c
+++ b/test/functional/test_call_kill.c
@@ -11,8 +11,8 @@
 #define TEST_TIMEOUT_S 60
 #define SEEDS 2
 /* Longer than three tries of a keyed call. */
-#define LOAD_S "1.5"
-#define WINDOW_MS 5500
+#define DURATION_S "1.5"
+#define KEY_WINDOW_MS 5500
 
 static void
 inject(struct deployment *d, struct host *h, int node)
@@ -33,10 +33,10 @@
 		deployment_start_upstream(d, h);
 }
 
-START_TEST(killed_at_random_moments)
+START_TEST(killed_at_random_times)
 {
 	static const struct calls_fault f = {
-	    "killed", inject, recover, 50, 700, WINDOW_MS, LOAD_S};
+	    "killed", inject, recover, 50, 700, KEY_WINDOW_MS, DURATION_S};
 
 	struct calls_counts sums[CALLS_TARGETS];
 
@@ -50,6 +50,6 @@
 	TCase *tc = tcase_create("kill");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, killed_at_random_moments);
+	tcase_add_test(tc, killed_at_random_times);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_many.c
+++ b/test/functional/test_call_many.c
@@ -25,17 +25,17 @@
 #define TEST_TIMEOUT_S 90
 #define HOSTS 6
 #define IDLE 2000
-#define MUTE 200
+#define SILENT 200
 #define SLOW 40
 #define SLOW_MAX 1000
 #define DECIMAL 10
-#define SLOW_EVERY_MS 100
-#define RECEIVE_S 5
+#define SLOW_INTERVAL_MS 100
+#define RECEIVE_TIMEOUT_S 5
 #define NAME_BYTES 64
 #define LINE_BYTES 256
 #define UPLOAD_BYTES "1073741824"
 /* What the node may grow by in an upload of 1 GB. */
-#define GROWTH_MAX_KB 65536
+#define MAX_GROWTH_KB 65536
 #define US_PER_MS 1000.0
 
 static const struct calls_limits limits = {.timeout_ms = 30000,
@@ -50,7 +50,7 @@
 static const char request[] = "GET /search HTTP/1.1\r\nHost: node\r\n\r\n";
 
 static struct deployment *
-start(void)
+start_deployment(void)
 {
 	struct rlimit r;
 
@@ -65,7 +65,7 @@
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	struct sockaddr_in at;
-	struct timeval limit = {.tv_sec = RECEIVE_S};
+	struct timeval limit = {.tv_sec = RECEIVE_TIMEOUT_S};
 
 	ck_assert_int_ne(fd, -1);
 	harness_sockaddr(&at, h->address, h->caller_port);
@@ -140,7 +140,7 @@
 		for (i = 0; i < s->n; i++)
 			(void)send(s->fds[i], request + at, 1, MSG_NOSIGNAL);
 		at++;
-		g_usleep(SLOW_EVERY_MS * G_TIME_SPAN_MILLISECOND);
+		g_usleep(SLOW_INTERVAL_MS * G_TIME_SPAN_MILLISECOND);
 	}
 	return NULL;
 }
@@ -179,11 +179,11 @@
 }
 
 /* The test's own lookups carry no id, so the check of runs is left out. */
-START_TEST(idle_mute_and_slow_callers_starve_nobody)
+START_TEST(idle_silent_and_slow_callers_block_no_lookup)
 {
-	double alone, beside;
-	int *idle = g_new(int, IDLE), *mute = g_new(int, MUTE);
-	struct deployment *d = start();
+	double alone, under_load;
+	int *idle = g_new(int, IDLE), *silent = g_new(int, SILENT);
+	struct deployment *d = start_deployment();
 	const struct host *h = deployment_host(d, 0);
 	struct slow_callers slow = {0};
 	uint32_t answered, i;
@@ -196,21 +196,21 @@
 		     "%lu ms\n",
 	    answered, IDLE, (unsigned long)(clock_now_ms() - start_ms));
 	ck_assert_uint_eq(answered, IDLE);
-	for (i = 0; i < MUTE; i++)
-		mute[i] = caller_connect(h);
+	for (i = 0; i < SILENT; i++)
+		silent[i] = caller_connect(h);
 	slow_start(&slow, h);
-	beside = lookups_p99_ms(d, "beside", 3);
+	under_load = lookups_p99_ms(d, "beside", 3);
 	(void)printf(
 	    "p99 of lookups alone %.1f ms, beside %d idle, %d mute and "
 	    "%d slow callers %.1f ms: ratio %.2f\n",
-	    alone, IDLE, MUTE, slow.n, beside, beside / alone);
+	    alone, IDLE, SILENT, slow.n, under_load, under_load / alone);
 	slow_end(&slow);
 	close_all(idle, IDLE);
-	close_all(mute, MUTE);
+	close_all(silent, SILENT);
 	ck_assert_int_eq(deployment_stop(d), 0);
 	deployment_free(d);
 	g_free(idle);
-	g_free(mute);
+	g_free(silent);
 	harness_cleanup();
 }
 END_TEST
@@ -234,18 +234,18 @@
 
 /* The entry is host 0; documents are stored elsewhere, so two nodes carry it.
  */
-START_TEST(an_upload_of_a_gigabyte_takes_little_memory)
+START_TEST(upload_of_a_gigabyte_takes_little_memory)
 {
 	static const char *const upload_args[] = {"--rate", "2", "--duration-s",
 	    "0.5", "--mix", "0:0:1", "--upload-bytes", UPLOAD_BYTES,
 	    "--timeout-ms", "60000", "--seed", "2", NULL};
-	double alone, beside;
-	long before[HOSTS], grown, most = 0;
+	double alone, under_load;
+	long before[HOSTS], growth, max_growth = 0;
 	struct calls_counts c = {0};
-	struct deployment *d = start();
+	struct deployment *d = start_deployment();
 	struct process *upload;
 	uint32_t i;
-	uint64_t start_ms, took_ms;
+	uint64_t start_ms, duration_ms;
 
 	ck_assert_uint_eq(d->hosts->len, HOSTS);
 	alone = lookups_p99_ms(d, "alone", 3);
@@ -254,24 +254,24 @@
 	start_ms = clock_now_ms();
 	upload =
 	    deployment_load(d, "upload", deployment_host(d, 0), 0, upload_args);
-	beside = lookups_p99_ms(d, "beside", 3);
+	under_load = lookups_p99_ms(d, "beside", 3);
 	calls_load_end(upload, "upload", &c);
-	took_ms = clock_now_ms() - start_ms;
+	duration_ms = clock_now_ms() - start_ms;
 	calls_print("uploads of 1 GB", &c);
 	for (i = 0; i < d->hosts->len; i++) {
-		grown = peak_kb(deployment_host(d, i)->node) - before[i];
-		most = MAX(most, grown);
+		growth = peak_kb(deployment_host(d, i)->node) - before[i];
+		max_growth = MAX(max_growth, growth);
 	}
 	(void)printf(
 	    "%u GB within %lu ms; a node grew by %ld KB at most; p99 of "
 	    "lookups alone %.1f ms, beside %.1f ms: ratio %.2f\n",
-	    c.done, (unsigned long)took_ms, most, alone, beside,
-	    beside / alone);
+	    c.done, (unsigned long)duration_ms, max_growth, alone, under_load,
+	    under_load / alone);
 	(void)fflush(stdout);
 	ck_assert_uint_gt(c.sent, 0);
 	ck_assert_uint_eq(c.done, c.sent);
 	ck_assert_uint_eq(c.bad_answers, 0);
-	ck_assert_int_le(most, GROWTH_MAX_KB);
+	ck_assert_int_le(max_growth, MAX_GROWTH_KB);
 	calls_stop(d);
 }
 END_TEST
@@ -282,7 +282,7 @@
 	TCase *tc = tcase_create("many");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, idle_mute_and_slow_callers_starve_nobody);
-	tcase_add_test(tc, an_upload_of_a_gigabyte_takes_little_memory);
+	tcase_add_test(tc, idle_silent_and_slow_callers_block_no_lookup);
+	tcase_add_test(tc, upload_of_a_gigabyte_takes_little_memory);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_overload.c
+++ b/test/functional/test_call_overload.c
@@ -19,17 +19,17 @@
 #define MS_PER_S 1000
 #define CAPACITY_PER_S (ENDPOINTS * SLOTS * MS_PER_S / WORK_MS_MEAN)
 #define PERCENT 100
-#define LOAD_S 3
+#define DURATION_S 3
 /* Each kind of calls keeps at least one part in this many. */
-#define SHARE 5
+#define MIN_SHARE_ONE_IN 5
 
-static const uint32_t loads_percent[] = {30, 80, 100, 150, 300};
-#define LOADS G_N_ELEMENTS(loads_percent)
+static const uint32_t load_percents[] = {30, 80, 100, 150, 300};
+#define LOADS G_N_ELEMENTS(load_percents)
 #define AT_CAPACITY 2
-#define AT_MOST (LOADS - 1)
+#define AT_MAXIMUM (LOADS - 1)
 
 /* Both endpoints belong to one service, which lookups and bookings share. */
-static const char *const places[] = {"grandahus", "hofdasalur", NULL};
+static const char *const data_centres[] = {"grandahus", "hofdasalur", NULL};
 static const char *const services[] = {"hearing-booking", NULL};
 
 /* Under overload lookups and bookings each keep a share; both are sent alike.
@@ -37,8 +37,10 @@
 static void
 check_shares(const struct calls_counts *c)
 {
-	ck_assert_uint_ge(c->done_of_kind[CALL_LOOKUP] * SHARE, c->done);
-	ck_assert_uint_ge(c->done_of_kind[CALL_BOOKING] * SHARE, c->done);
+	ck_assert_uint_ge(
+	    c->done_of_kind[CALL_LOOKUP] * MIN_SHARE_ONE_IN, c->done);
+	ck_assert_uint_ge(
+	    c->done_of_kind[CALL_BOOKING] * MIN_SHARE_ONE_IN, c->done);
 }
 
 static double
@@ -54,14 +56,14 @@
 	(void)g_snprintf(name, sizeof(name), "load-%u", percent);
 	(void)g_snprintf(
 	    rate, sizeof(rate), "%u", CAPACITY_PER_S * percent / PERCENT);
-	(void)g_snprintf(seconds, sizeof(seconds), "%u", LOAD_S);
+	(void)g_snprintf(seconds, sizeof(seconds), "%u", DURATION_S);
 	load = deployment_load(d, name, deployment_host(d, 0), 1, args);
 	calls_load_end(load, name, &c);
 	calls_print(name, &c);
 	ck_assert_uint_eq(c.bad_answers, 0);
 	ck_assert_uint_eq(c.no_answer, 0);
 	ck_assert_uint_eq(c.unknown, 0);
-	goodput = (double)c.done / LOAD_S;
+	goodput = (double)c.done / DURATION_S;
 	check_shares(&c);
 	(void)printf("%u %% of %u a second: goodput %.0f a second, %u lookups "
 		     "and %u bookings done, refused in %.1f ms (p99)\n",
@@ -82,18 +84,18 @@
 	struct deployment *d;
 	size_t i;
 
-	plan.data_centres = places;
+	plan.data_centres = data_centres;
 	plan.services = services;
 	plan.hosts = 1;
 	plan.slots = SLOTS;
 	plan.work_ms_mean = WORK_MS_MEAN;
 	d = calls_start(&plan, &limits);
 	for (i = 0; i < LOADS; i++)
-		goodput[i] = load_at(d, loads_percent[i]);
+		goodput[i] = load_at(d, load_percents[i]);
 	(void)printf("goodput at 300 %%: %.0f %% of that at 100 %% (aim 90)\n",
-	    goodput[AT_MOST] * PERCENT / goodput[AT_CAPACITY]);
+	    goodput[AT_MAXIMUM] * PERCENT / goodput[AT_CAPACITY]);
 	(void)fflush(stdout);
-	ck_assert_double_ge(goodput[AT_MOST] * 2, goodput[AT_CAPACITY]);
+	ck_assert_double_ge(goodput[AT_MAXIMUM] * 2, goodput[AT_CAPACITY]);
 	calls_stop(d);
 }
 END_TEST
--- a/test/functional/test_call_refused.c
+++ b/test/functional/test_call_refused.c
@@ -11,7 +11,7 @@
 #define TEST_TIMEOUT_S 60
 
 /* Nodes without a version refuse every call. */
-START_TEST(refusals_reach_callers_that_still_send)
+START_TEST(refusals_reach_callers_that_are_still_sending)
 {
 	static const char *const args[] = {"--rate", "200", "--duration-s", "3",
 	    "--mix", "1:1:4", "--upload-bytes", "400000", NULL};
@@ -36,6 +36,6 @@
 	TCase *tc = tcase_create("refused");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, refusals_reach_callers_that_still_send);
+	tcase_add_test(tc, refusals_reach_callers_that_are_still_sending);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_silent.c
+++ b/test/functional/test_call_silent.c
@@ -13,30 +13,31 @@
 
 #define TEST_TIMEOUT_S 60
 #define SEEDS 1
-#define LOAD_S "1.5"
-#define WINDOW_MS 5500
+#define DURATION_S "1.5"
+#define KEY_WINDOW_MS 5500
 
-/** enum deaf - which end hears nothing more */
-enum deaf {
-	DEAF_CLIENT,
-	DEAF_SERVER,
-	DEAF_BOTH,
-	DEAF_KINDS,
+/** enum silent_ends - which end hears nothing more */
+enum silent_ends {
+	SILENT_CLIENT,
+	SILENT_SERVER,
+	SILENT_BOTH,
+	SILENT_KINDS,
 };
 
 static uint32_t silenced;
 
 /* Connections of entries to the guard of a host. */
 static void
-silence_guard(const struct deployment *d, const struct host *h, enum deaf deaf)
+silence_guard(
+    const struct deployment *d, const struct host *h, enum silent_ends ends)
 {
 	const struct host *entry;
 	uint32_t i;
 
-	if (deaf != DEAF_CLIENT)
+	if (ends != SILENT_CLIENT)
 		silenced += silence_connections(
 		    h->node, SILENCE_SERVER, h->address, h->call_port);
-	for (i = 0; deaf != DEAF_SERVER && i < d->hosts->len; i++) {
+	for (i = 0; ends != SILENT_SERVER && i < d->hosts->len; i++) {
 		entry = deployment_host(d, i);
 		silenced += silence_connections(
 		    entry->node, SILENCE_CLIENT, h->address, h->call_port);
@@ -45,12 +46,12 @@
 
 /* Connections of a guard to its upstream. */
 static void
-silence_upstream(const struct host *h, enum deaf deaf)
+silence_upstream(const struct host *h, enum silent_ends ends)
 {
-	if (deaf != DEAF_CLIENT)
+	if (ends != SILENT_CLIENT)
 		silenced += silence_connections(
 		    h->upstream, SILENCE_SERVER, h->address, h->upstream_port);
-	if (deaf != DEAF_SERVER)
+	if (ends != SILENT_SERVER)
 		silenced += silence_connections(
 		    h->node, SILENCE_CLIENT, h->address, h->upstream_port);
 }
@@ -59,19 +60,19 @@
 static void
 inject(struct deployment *d, struct host *h, int node)
 {
-	static uint32_t strikes;
-	enum deaf deaf = (enum deaf)(strikes++ % DEAF_KINDS);
+	static uint32_t injections;
+	enum silent_ends ends = (enum silent_ends)(injections++ % SILENT_KINDS);
 
 	if (node)
-		silence_guard(d, h, deaf);
+		silence_guard(d, h, ends);
 	else
-		silence_upstream(h, deaf);
+		silence_upstream(h, ends);
 }
 
-START_TEST(silent_at_random_moments)
+START_TEST(silent_at_random_times)
 {
 	static const struct calls_fault f = {
-	    "silent", inject, inject, 300, 600, WINDOW_MS, LOAD_S};
+	    "silent", inject, inject, 300, 600, KEY_WINDOW_MS, DURATION_S};
 
 	struct calls_counts sums[CALLS_TARGETS];
 
@@ -87,6 +88,6 @@
 	TCase *tc = tcase_create("silent");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, silent_at_random_moments);
+	tcase_add_test(tc, silent_at_random_times);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_stop.c
+++ b/test/functional/test_call_stop.c
@@ -16,30 +16,30 @@
 
 #define TEST_TIMEOUT_S 90
 #define SEEDS 1
-#define LOAD_S "3"
-#define WINDOW_MS 3000
+#define DURATION_S "3"
+#define KEY_WINDOW_MS 3000
 #define URL_BYTES 128
 #define TIME_BYTES 24
 #define US_PER_MS 1000
 /* How long the entries are watched after the notice. */
-#define WATCH_MS 700
+#define OBSERVE_MS 700
 
-static uint32_t drained;
-static int64_t after_drain;
-static int64_t slowest_entry_ms;
+static uint32_t drained_upstreams;
+static int64_t runs_after_notice;
+static int64_t max_placement_delay_ms;
 
 /* When the last call was placed on a host, by the log of one node. */
 static int64_t
 last_placed_us(const char *log, const char *host)
 {
-	char *mark = g_strdup_printf(" on %s (", host), *text = NULL;
+	char *pattern = g_strdup_printf(" on %s (", host), *text = NULL;
 	char time[TIME_BYTES + 1] = "";
 	const char *at, *line;
 	GDateTime *t;
 	int64_t us = 0;
 
 	ck_assert(g_file_get_contents(log, &text, NULL, NULL));
-	at = g_strrstr(text, mark);
+	at = g_strrstr(text, pattern);
 	if (at != NULL) {
 		line = g_strrstr_len(text, at - text, "\n");
 		line = line == NULL ? text : line + 1;
@@ -51,13 +51,14 @@
 		g_date_time_unref(t);
 	}
 	g_free(text);
-	g_free(mark);
+	g_free(pattern);
 	return us;
 }
 
 /* How long after a time the last entry placed a call on a host. */
 static int64_t
-placed_after_ms(const struct deployment *d, const char *host, int64_t from_us)
+placement_delay_ms(
+    const struct deployment *d, const char *host, int64_t from_us)
 {
 	const struct host *entry;
 	int64_t us, last_us = from_us;
@@ -89,17 +90,17 @@
 
 /* The knob returns when the node has taken the notice. */
 static void
-leave(struct deployment *d, struct host *h)
+drain_and_stop(struct deployment *d, struct host *h)
 {
-	int64_t late_ms, notice_us;
+	int64_t delay_ms, notice_us;
 
 	deployment_upstream_knobs(h, "{\"drain\":true}");
 	notice_us = g_get_real_time();
-	g_usleep(WATCH_MS * G_TIME_SPAN_MILLISECOND);
-	late_ms = placed_after_ms(d, h->name, notice_us);
-	slowest_entry_ms = MAX(slowest_entry_ms, late_ms);
-	after_drain += runs_after_drain(h);
-	drained++;
+	g_usleep(OBSERVE_MS * G_TIME_SPAN_MILLISECOND);
+	delay_ms = placement_delay_ms(d, h->name, notice_us);
+	max_placement_delay_ms = MAX(max_placement_delay_ms, delay_ms);
+	runs_after_notice += runs_after_drain(h);
+	drained_upstreams++;
 	ck_assert_int_eq(deployment_stop_upstream(h), 0);
 }
 
@@ -109,7 +110,7 @@
 	if (node)
 		ck_assert_int_eq(deployment_stop_node(h), 0);
 	else
-		leave(d, h);
+		drain_and_stop(d, h);
 }
 
 static void
@@ -121,25 +122,26 @@
 		deployment_start_upstream(d, h);
 }
 
-START_TEST(planned_stops_cut_nothing)
+START_TEST(planned_stops_lose_no_answer)
 {
 	static const struct calls_fault f = {
-	    "stopped", inject, recover, 50, 200, WINDOW_MS, LOAD_S};
+	    "stopped", inject, recover, 50, 200, KEY_WINDOW_MS, DURATION_S};
 	struct calls_counts sums[CALLS_TARGETS];
 	uint32_t v;
 
 	calls_rounds(&f, SEEDS, sums);
 	(void)printf("%u upstreams drained: %ld runs after the notice, last "
 		     "call placed there %ld ms after it\n",
-	    drained, (long)after_drain, (long)slowest_entry_ms);
+	    drained_upstreams, (long)runs_after_notice,
+	    (long)max_placement_delay_ms);
 	(void)fflush(stdout);
 	for (v = 0; v < CALLS_TARGETS; v++) {
 		ck_assert_uint_eq(sums[v].cut, 0);
 		ck_assert_uint_eq(sums[v].no_answer, 0);
 		ck_assert_uint_eq(sums[v].unknown, 0);
 	}
-	ck_assert_uint_gt(drained, 0);
-	ck_assert_int_eq(after_drain, 0);
+	ck_assert_uint_gt(drained_upstreams, 0);
+	ck_assert_int_eq(runs_after_notice, 0);
 }
 END_TEST
 
@@ -149,6 +151,6 @@
 	TCase *tc = tcase_create("stop");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, planned_stops_cut_nothing);
+	tcase_add_test(tc, planned_stops_lose_no_answer);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_stop_grace.c
+++ b/test/functional/test_call_stop_grace.c
@@ -20,9 +20,9 @@
 #define KNOBS_BYTES 64
 #define ARG_BYTES 16
 /* Time in which all calls of a load have ended. */
-#define AFTER_MS 300
+#define SETTLE_MS 300
 
-static const char *const places[] = {"grandahus", "hofdasalur", NULL};
+static const char *const data_centres[] = {"grandahus", "hofdasalur", NULL};
 static const char *const services[] = {"hearing-booking", NULL};
 
 /**
@@ -36,8 +36,8 @@
  * @from: index of the first host that stops
  * @hosts: how many stop
  * @gap_ms: longest time between the stops of two hosts, 0 for all at once
- * @after_s: when the first one stops, in seconds
- * @load_s: how long bookings are sent, in seconds
+ * @start_after_s: when the first one stops, in seconds
+ * @duration_s: how long bookings are sent, in seconds
  * @spread: bookings go to all nodes, also to those that stop
  */
 struct stop_case {
@@ -50,8 +50,8 @@
 	uint32_t from;
 	uint32_t hosts;
 	uint32_t gap_ms;
-	uint32_t after_s;
-	uint32_t load_s;
+	uint32_t start_after_s;
+	uint32_t duration_s;
 	int spread;
 };
 
@@ -62,8 +62,8 @@
 	.slots = 200,
 	.rate = 60,
 	.hosts = 2,
-	.after_s = 2,
-	.load_s = 6,
+	.start_after_s = 2,
+	.duration_s = 6,
 	.spread = 1},
     {.name = "guard",
 	.work_ms = 2800,
@@ -72,8 +72,8 @@
 	.rate = 16,
 	.from = 1,
 	.hosts = 1,
-	.after_s = 4,
-	.load_s = 7},
+	.start_after_s = 4,
+	.duration_s = 7},
     {.name = "both",
 	.work_ms = 1500,
 	.timeout_ms = 2100,
@@ -81,8 +81,8 @@
 	.rate = 60,
 	.hosts = 3,
 	.gap_ms = 1500,
-	.after_s = 2,
-	.load_s = 8,
+	.start_after_s = 2,
+	.duration_s = 8,
 	.spread = 1},
     {.name = "queued",
 	.work_ms = 300,
@@ -92,13 +92,13 @@
 	.rate = 50,
 	.hosts = 3,
 	.gap_ms = 1500,
-	.after_s = 2,
-	.load_s = 8,
+	.start_after_s = 2,
+	.duration_s = 8,
 	.spread = 1},
 };
 
 static struct deployment *
-start(const struct stop_case *sc)
+start_deployment(const struct stop_case *sc)
 {
 	struct calls_limits limits = {.timeout_ms = sc->timeout_ms,
 	    .slots = sc->slots,
@@ -112,7 +112,7 @@
 	struct deployment *d;
 	uint32_t i;
 
-	plan.data_centres = places;
+	plan.data_centres = data_centres;
 	plan.services = services;
 	plan.hosts = 2;
 	plan.slots = sc->slots;
@@ -125,14 +125,14 @@
 }
 
 static struct process *
-load(struct deployment *d, const struct stop_case *sc)
+start_load(struct deployment *d, const struct stop_case *sc)
 {
 	char rate[ARG_BYTES], duration[ARG_BYTES];
 	const char *args[] = {"--rate", rate, "--duration-s", duration, "--mix",
 	    "0:1:0", "--path-lookup", "/bookings", NULL};
 
 	(void)g_snprintf(rate, sizeof(rate), "%u", sc->rate);
-	(void)g_snprintf(duration, sizeof(duration), "%u", sc->load_s);
+	(void)g_snprintf(duration, sizeof(duration), "%u", sc->duration_s);
 	return deployment_load(
 	    d, sc->name, deployment_host(d, 0), sc->spread, args);
 }
@@ -144,7 +144,7 @@
 	struct host *h;
 	uint32_t i;
 
-	g_usleep(sc->after_s * G_USEC_PER_SEC);
+	g_usleep(sc->start_after_s * G_USEC_PER_SEC);
 	for (i = 0; i < sc->hosts; i++) {
 		h = deployment_host(d, sc->from + i);
 		process_signal(h->node, SIGTERM);
@@ -155,7 +155,7 @@
 }
 
 static void
-start_again(struct deployment *d, const struct stop_case *sc)
+restart_nodes(struct deployment *d, const struct stop_case *sc)
 {
 	struct host *h;
 	uint32_t i;
@@ -168,22 +168,22 @@
 	calls_wait_ready(d);
 }
 
-START_TEST(stop_within_the_grace_time_gives_up_no_booking)
+START_TEST(stop_within_the_grace_time_aborts_no_booking)
 {
 	const struct stop_case *sc = &stop_cases[_i];
-	struct deployment *d = start(sc);
+	struct deployment *d = start_deployment(sc);
 	struct calls_counts c = {0};
 	struct process *running;
 	uint32_t seed = calls_first_seed();
 
-	running = load(d, sc);
+	running = start_load(d, sc);
 	stop_nodes(d, sc, seed);
 	calls_load_end(running, sc->name, &c);
 	(void)printf("seed %u: ", seed);
 	calls_print(sc->name, &c);
 	(void)fflush(stdout);
-	g_usleep(AFTER_MS * G_TIME_SPAN_MILLISECOND);
-	start_again(d, sc);
+	g_usleep(SETTLE_MS * G_TIME_SPAN_MILLISECOND);
+	restart_nodes(d, sc);
 	ck_assert_uint_eq(c.unknown, 0);
 	ck_assert_uint_eq(c.no_answer, 0);
 	ck_assert_uint_eq(c.cut, 0);
@@ -199,7 +199,7 @@
 	TCase *tc = tcase_create("stop_grace");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_loop_test(tc, stop_within_the_grace_time_gives_up_no_booking,
-	    0, G_N_ELEMENTS(stop_cases));
+	tcase_add_loop_test(tc, stop_within_the_grace_time_aborts_no_booking, 0,
+	    G_N_ELEMENTS(stop_cases));
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_unanswered.c
+++ b/test/functional/test_call_unanswered.c
@@ -14,7 +14,8 @@
 
 #define TEST_TIMEOUT_S 60
 #define URL_BYTES 128
-#define LOST 20
+#define RUNS_WITHOUT_ANSWER 20
+#define BOOKINGS 20
 #define HTTP_OK 200
 
 static const struct calls_limits limits = {.timeout_ms = 2000,
@@ -23,22 +24,22 @@
     .queue_wait_ms = 500,
     .key_window_ms = 1000};
 
-static const char *const places[] = {"grandahus", "hofdasalur", NULL};
+static const char *const data_centres[] = {"grandahus", "hofdasalur", NULL};
 static const char *const services[] = {"hearing-booking", NULL};
 
 static struct deployment *
-start(void)
+start_deployment(void)
 {
 	struct deployment_plan plan = deployment_registry;
 
-	plan.data_centres = places;
+	plan.data_centres = data_centres;
 	plan.services = services;
 	plan.hosts = 1;
 	return calls_start(&plan, &limits);
 }
 
 static void
-knobs(const struct deployment *d, const char *text)
+set_knobs(const struct deployment *d, const char *text)
 {
 	uint32_t i;
 
@@ -47,7 +48,7 @@
 }
 
 static uint32_t
-unanswered(const struct deployment *d)
+count_unanswered(const struct deployment *d)
 {
 	char url[URL_BYTES];
 	const struct host *h;
@@ -66,7 +67,7 @@
 }
 
 static void
-load(struct deployment *d, const char *name, const char *mix,
+run_load(struct deployment *d, const char *name, const char *mix,
     struct calls_counts *c)
 {
 	const char *args[] = {"--rate", "150", "--duration-s", "2", "--mix",
@@ -82,17 +83,18 @@
 START_TEST(calls_run_without_an_answer)
 {
 	struct calls_counts bookings = {0}, lookups = {0};
-	struct deployment *d = start();
-
-	knobs(d, "{\"close_after_run\":20}");
-	load(d, "bookings", "0:1:0", &bookings);
-	ck_assert_uint_eq(unanswered(d), 2 * LOST);
-	ck_assert_uint_eq(bookings.unknown, 2 * LOST);
-	ck_assert_uint_eq(bookings.done, bookings.sent - 2 * LOST);
+	struct deployment *d = start_deployment();
+
+	set_knobs(d, "{\"close_after_run\":20}");
+	run_load(d, "bookings", "0:1:0", &bookings);
+	ck_assert_uint_eq(count_unanswered(d), 2 * RUNS_WITHOUT_ANSWER);
+	ck_assert_uint_eq(bookings.unknown, 2 * RUNS_WITHOUT_ANSWER);
+	ck_assert_uint_eq(
+	    bookings.done, bookings.sent - 2 * RUNS_WITHOUT_ANSWER);
 	/* At one endpoint only: the other attempt is answered. */
 	deployment_upstream_knobs(
 	    deployment_host(d, 0), "{\"close_after_run\":3}");
-	load(d, "lookups", "1:0:0", &lookups);
+	run_load(d, "lookups", "1:0:0", &lookups);
 	ck_assert_uint_eq(lookups.done, lookups.sent);
 	calls_stop(d);
 }
@@ -102,13 +104,14 @@
 START_TEST(kept_alive_connections_that_close)
 {
 	struct calls_counts c = {0};
-	struct deployment *d = start();
+	struct deployment *d = start_deployment();
 
-	knobs(d, "{\"close_kept_alive\":1000000}");
-	load(d, "mixed", "1:1:0", &c);
-	(void)printf("%u POSTs met a closing connection\n", unanswered(d));
+	set_knobs(d, "{\"close_kept_alive\":1000000}");
+	run_load(d, "mixed", "1:1:0", &c);
+	(void)printf(
+	    "%u POSTs met a closing connection\n", count_unanswered(d));
 	ck_assert_uint_eq(c.done + c.unknown, c.sent);
-	ck_assert_uint_eq(c.unknown, unanswered(d));
+	ck_assert_uint_eq(c.unknown, count_unanswered(d));
 	ck_assert_uint_eq(c.unknown, 0);
 	calls_stop(d);
 }
@@ -116,7 +119,7 @@
 
 /* What a client that was answered 200 has been told. */
 static void
-note_done(FILE *f, const char *test_id)
+record_done(FILE *f, const char *test_id)
 {
 	struct outcome o = {.kind = CALL_BOOKING,
 	    .told = TOLD_DONE,
@@ -129,7 +132,7 @@
 
 /* libcurl sends a POST again when its kept-alive connection closes. */
 static void
-book_blindly(const struct host *h, FILE *outcomes)
+book_with_retries(const struct host *h, FILE *outcomes)
 {
 	char header[URL_BYTES], id[URL_BYTES], url[URL_BYTES];
 	CURL *c = curl_easy_init();
@@ -142,13 +145,13 @@
 	curl_easy_setopt(c, CURLOPT_URL, url);
 	curl_easy_setopt(c, CURLOPT_POSTFIELDS, "x");
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, sink);
-	for (i = 0; i < LOST; i++) {
+	for (i = 0; i < BOOKINGS; i++) {
 		(void)g_snprintf(id, sizeof(id), "blind-%d", i);
 		(void)g_snprintf(header, sizeof(header), "X-Test-Id: %s", id);
 		headers = curl_slist_append(NULL, header);
 		curl_easy_setopt(c, CURLOPT_HTTPHEADER, headers);
 		ck_assert_int_eq(curl_easy_perform(c), CURLE_OK);
-		note_done(outcomes, id);
+		record_done(outcomes, id);
 		curl_slist_free_all(headers);
 	}
 	curl_easy_cleanup(c);
@@ -156,23 +159,23 @@
 }
 
 /* The same upstream and the same check, with a client that is blind to it. */
-START_TEST(the_check_finds_what_a_blind_client_doubles)
+START_TEST(check_finds_bookings_doubled_by_a_retrying_client)
 {
 	char *path = harness_path("blind.outcomes");
 	FILE *outcomes = fopen(path, "w");
-	struct deployment *d = start();
-	uint32_t found;
+	struct deployment *d = start_deployment();
+	uint32_t violations;
 
 	ck_assert_ptr_nonnull(outcomes);
 	deployment_upstream_knobs(
 	    deployment_host(d, 0), "{\"close_kept_alive\":5}");
-	book_blindly(deployment_host(d, 0), outcomes);
+	book_with_retries(deployment_host(d, 0), outcomes);
 	(void)fclose(outcomes);
 	g_ptr_array_add(d->outcomes, path);
-	found = deployment_check_runs(d);
-	(void)printf(
-	    "blind client: %u of %d bookings ran twice\n", found, LOST);
-	ck_assert_uint_eq(found, 5);
+	violations = deployment_check_runs(d);
+	(void)printf("blind client: %u of %d bookings ran twice\n", violations,
+	    BOOKINGS);
+	ck_assert_uint_eq(violations, 5);
 	deployment_free(d);
 	harness_cleanup();
 }
@@ -186,6 +189,6 @@
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	tcase_add_test(tc, calls_run_without_an_answer);
 	tcase_add_test(tc, kept_alive_connections_that_close);
-	tcase_add_test(tc, the_check_finds_what_a_blind_client_doubles);
+	tcase_add_test(tc, check_finds_bookings_doubled_by_a_retrying_client);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_frozen.c
+++ b/test/functional/test_frozen.c
@@ -17,9 +17,9 @@
 
 #define TEST_TIMEOUT_S 120
 #define START_BOUND_MS 20000
-#define ROLL_BOUND_MS 8000
+#define ROLLOUT_BOUND_MS 8000
 #define CALL_PAUSE_US 2000
-#define AFTER_US 2000000
+#define SETTLE_US 2000000
 #define FROZEN 1
 #define URL_BYTES 128
 
@@ -28,10 +28,10 @@
 
 /* Whether each live node but the frozen one counts all but the frozen one. */
 static void
-check_nobody_lost(struct deployment *d)
+check_others_not_failed(struct deployment *d)
 {
 	const char *state;
-	json_t *j, *list, *m;
+	json_t *j, *members, *member;
 	size_t k;
 	uint32_t i;
 
@@ -40,13 +40,14 @@
 			continue;
 		j = deployment_api(
 		    deployment_host(d, i), "GET", "/v1/members", NULL, NULL);
-		list = json_is_array(j) ? j : json_object_get(j, "members");
-		ck_assert_uint_eq(json_array_size(list), d->hosts->len);
-		json_array_foreach(list, k, m)
+		members = json_is_array(j) ? j : json_object_get(j, "members");
+		ck_assert_uint_eq(json_array_size(members), d->hosts->len);
+		json_array_foreach(members, k, member)
 		{
-			state = json_string_value(json_object_get(m, "state"));
-			if (g_strcmp0(
-				json_string_value(json_object_get(m, "host")),
+			state =
+			    json_string_value(json_object_get(member, "state"));
+			if (g_strcmp0(json_string_value(
+					  json_object_get(member, "host")),
 				deployment_host(d, FROZEN)->name) != 0)
 				ck_assert_str_ne(state, "failed");
 		}
@@ -56,7 +57,7 @@
 
 /* How often a node took another one for failed since its start. */
 static uint64_t
-failures_taken(const struct host *h)
+count_failed_hosts(const struct host *h)
 {
 	static const char name[] = "\nbramley_failed_hosts_total ";
 	char url[URL_BYTES];
@@ -84,9 +85,9 @@
 
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
-		ck_assert_msg(failures_taken(h) <= (i != FROZEN),
+		ck_assert_msg(count_failed_hosts(h) <= (i != FROZEN),
 		    "%s took %lu hosts for failed", h->name,
-		    (unsigned long)failures_taken(h));
+		    (unsigned long)count_failed_hosts(h));
 	}
 }
 
@@ -95,7 +96,7 @@
 };
 
 static int
-frozen_is_lost(void *arg)
+others_exclude_frozen(void *arg)
 {
 	const struct lost *l = arg;
 	json_t *j;
@@ -137,7 +138,7 @@
 
 /* Milliseconds for which calls got an older version after the thaw. */
 static uint64_t
-thaw(struct deployment *d, struct version_watch *w, uint64_t newest)
+resume(struct deployment *d, struct version_watch *w, uint64_t newest)
 {
 	const struct host *h = deployment_host(d, FROZEN);
 	uint64_t last_old_ms, start_ms = clock_now_ms(), version;
@@ -149,14 +150,14 @@
 		version = call_version(h);
 		if (version != 0 && version < newest)
 			last_old_ms = clock_now_ms();
-		ck_assert_uint_lt(clock_now_ms() - start_ms, ROLL_BOUND_MS);
+		ck_assert_uint_lt(clock_now_ms() - start_ms, ROLLOUT_BOUND_MS);
 		g_usleep(CALL_PAUSE_US);
 	} while (version < newest);
 	return last_old_ms - start_ms;
 }
 
 static uint64_t
-sign(struct deployment *d, struct version_watch *w, uint32_t n,
+sign_off(struct deployment *d, struct version_watch *w, uint32_t n,
     uint32_t bound_ms)
 {
 	char *path = deployment_bundle(n);
@@ -181,23 +182,24 @@
 	l.d = d;
 	deployment_start(d);
 	w = version_watch_start(d);
-	(void)sign(d, w, 1, START_BOUND_MS);
+	(void)sign_off(d, w, 1, START_BOUND_MS);
 	version_watch_set_reachable(w, deployment_host(d, FROZEN), 0);
 	process_signal(deployment_host(d, FROZEN)->node, SIGSTOP);
-	ck_assert_msg(harness_wait_until(frozen_is_lost, &l, START_BOUND_MS),
+	ck_assert_msg(
+	    harness_wait_until(others_exclude_frozen, &l, START_BOUND_MS),
 	    "the frozen node was never lost");
-	check_nobody_lost(d);
-	(void)sign(d, w, 2, ROLL_BOUND_MS);
-	version = sign(d, w, 3, ROLL_BOUND_MS);
-	old_ms = thaw(d, w, version);
+	check_others_not_failed(d);
+	(void)sign_off(d, w, 2, ROLLOUT_BOUND_MS);
+	version = sign_off(d, w, 3, ROLLOUT_BOUND_MS);
+	old_ms = resume(d, w, version);
 	(void)printf("calls at the thawed node got an older version for "
 		     "%lu ms\n",
 	    (unsigned long)old_ms);
-	check_nobody_lost(d);
-	deployment_wait_members(d, d->hosts->len, ROLL_BOUND_MS);
-	g_usleep(AFTER_US);
-	check_nobody_lost(d);
-	deployment_wait_members(d, d->hosts->len, ROLL_BOUND_MS);
+	check_others_not_failed(d);
+	deployment_wait_members(d, d->hosts->len, ROLLOUT_BOUND_MS);
+	g_usleep(SETTLE_US);
+	check_others_not_failed(d);
+	deployment_wait_members(d, d->hosts->len, ROLLOUT_BOUND_MS);
 	check_failures(d);
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
--- a/test/functional/test_halt.c
+++ b/test/functional/test_halt.c
@@ -15,32 +15,32 @@
 
 #define TEST_TIMEOUT_S 120
 #define START_BOUND_MS 20000
-#define ROLL_BOUND_MS 8000
-#define AFTER_HALT_US 3000000
+#define ROLLOUT_BOUND_MS 8000
+#define SETTLE_US 3000000
 
 /* Hosts that are stopped while the version is signed off and halted. */
-static const uint32_t missed[] = {1, 4};
+static const uint32_t suspended[] = {1, 4};
 
 static void
-signal_missed(struct deployment *d, struct version_watch *w, int sig)
+signal_suspended(struct deployment *d, struct version_watch *w, int sig)
 {
 	const struct host *h;
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(missed); i++) {
-		h = deployment_host(d, missed[i]);
+	for (i = 0; i < G_N_ELEMENTS(suspended); i++) {
+		h = deployment_host(d, suspended[i]);
 		process_signal(h->node, sig);
 		version_watch_set_reachable(w, h, sig == SIGCONT);
 	}
 }
 
 static int
-is_missed(uint32_t i)
+is_suspended(uint32_t i)
 {
 	size_t k;
 
-	for (k = 0; k < G_N_ELEMENTS(missed); k++)
-		if (missed[k] == i)
+	for (k = 0; k < G_N_ELEMENTS(suspended); k++)
+		if (suspended[k] == i)
 			return 1;
 	return 0;
 }
@@ -54,30 +54,31 @@
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
 		ck_assert_uint_eq(
-		    version_watch_highest(w, h), is_missed(i) ? 1 : 2);
-		ck_assert_uint_eq(deployment_version(h), is_missed(i) ? 1 : 2);
+		    version_watch_highest(w, h), is_suspended(i) ? 1 : 2);
+		ck_assert_uint_eq(
+		    deployment_version(h), is_suspended(i) ? 1 : 2);
 	}
 }
 
 /* Version 2 rolls to all but two hosts; then it is halted. */
 static void
-halt_in_roll(struct deployment *d, struct version_watch *w)
+halt_during_rollout(struct deployment *d, struct version_watch *w)
 {
 	char *path = deployment_bundle(2);
 	const char *halt[] = {"--op", "halt-2", "halt", "2", NULL};
 	const char *watch[] = {"watch", "2", "--timeout-ms", "5000", NULL};
 	int code;
 
-	signal_missed(d, w, SIGSTOP);
+	signal_suspended(d, w, SIGSTOP);
 	ck_assert_uint_eq(deployment_sign_off(deployment_host(d, 0), path), 2);
-	version_watch_accept(w, 2, ROLL_BOUND_MS);
-	(void)version_watch_wait(w, 2, ROLL_BOUND_MS);
+	version_watch_accept(w, 2, ROLLOUT_BOUND_MS);
+	(void)version_watch_wait(w, 2, ROLLOUT_BOUND_MS);
 	json_decref(deployment_ctl(deployment_host(d, 2), NULL, halt));
 	version_watch_halted(w, 2);
-	signal_missed(d, w, SIGCONT);
+	signal_suspended(d, w, SIGCONT);
 	json_decref(deployment_ctl(deployment_host(d, 3), &code, watch));
 	ck_assert_int_eq(code, CTL_NOT_CONVERGED);
-	g_usleep(AFTER_HALT_US);
+	g_usleep(SETTLE_US);
 	check_served(d, w);
 	g_free(path);
 }
@@ -92,8 +93,8 @@
 
 	j = deployment_ctl(deployment_host(d, 5), NULL, args);
 	ck_assert_int_eq(json_number(j, "version"), 3);
-	version_watch_accept(w, 3, ROLL_BOUND_MS);
-	ms = version_watch_wait(w, 3, ROLL_BOUND_MS);
+	version_watch_accept(w, 3, ROLLOUT_BOUND_MS);
+	ms = version_watch_wait(w, 3, ROLLOUT_BOUND_MS);
 	(void)printf("all serve the superseding version after %lu ms\n",
 	    (unsigned long)ms);
 	first = deployment_platform_row(d, "version/1");
@@ -105,7 +106,7 @@
 	json_decref(j);
 }
 
-START_TEST(halted_while_it_rolls)
+START_TEST(halted_during_rollout)
 {
 	char *path = deployment_bundle(1);
 	struct deployment *d = deployment_new(&deployment_registry);
@@ -117,7 +118,7 @@
 	ck_assert_uint_eq(deployment_sign_off(deployment_host(d, 0), path), 1);
 	version_watch_accept(w, 1, START_BOUND_MS);
 	(void)version_watch_wait(w, 1, START_BOUND_MS);
-	halt_in_roll(d, w);
+	halt_during_rollout(d, w);
 	head = operators_head(d);
 	ck_assert_uint_eq(head.version, 2);
 	ck_assert_uint_eq(head.in_force, 1);
@@ -135,6 +136,6 @@
 	TCase *tc = tcase_create("halt");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, halted_while_it_rolls);
+	tcase_add_test(tc, halted_during_rollout);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_harness.c
+++ b/test/functional/test_harness.c
@@ -18,12 +18,12 @@
 #include "standins/web.h"
 
 #define TEST_TIMEOUT_S 30
-#define START_MS 5000
-#define STOP_MS 10000
+#define START_TIMEOUT_MS 5000
+#define STOP_TIMEOUT_MS 10000
 #define URL_BYTES 256
 #define FAKE_NODE_THREADS 4
-#define NODE_LATE_MS 300
-#define FAKE_NODE_KEEP_MS 100
+#define NODE_DELAY_MS 300
+#define FAKE_NODE_KEEP_ALIVE_MS 100
 #define LEASE_MS "300"
 
 /* A stand-in running at an address of this test. */
@@ -36,7 +36,7 @@
 };
 
 static void
-standin_place(struct standin *s, uint32_t i)
+standin_choose_address(struct standin *s, uint32_t i)
 {
 	harness_host_address(0, i, s->address);
 	harness_choose_ports(s->address, &s->port, 1);
@@ -45,31 +45,31 @@
 }
 
 static void
-standin_await(struct standin *s, const char *path)
+standin_wait(struct standin *s, const char *path)
 {
 	char *url = g_strconcat(s->url, path, NULL);
 
-	ck_assert_msg(fetch_wait_status(url, 200, START_MS), "%s: see %s", url,
-	    process_log_path(s->process));
+	ck_assert_msg(fetch_wait_status(url, 200, START_TIMEOUT_MS),
+	    "%s: see %s", url, process_log_path(s->process));
 	g_free(url);
 }
 
 static void
-platform_run(struct standin *s)
+platform_start(struct standin *s)
 {
 	char port[16];
 	const char *argv[] = {STANDIN_PLATFORM_PATH, "--address", s->address,
 	    "--port", port, NULL};
 
-	standin_place(s, 0);
+	standin_choose_address(s, 0);
 	(void)g_snprintf(port, sizeof(port), "%u", s->port);
 	s->process = process_start("platform", harness_dir(), argv);
-	standin_await(s, "/standin/stats");
+	standin_wait(s, "/standin/stats");
 }
 
 /* An upstream "h<i>" with a journal, announced to a node unless it is NULL. */
 static void
-upstream_run(struct standin *s, uint32_t i, const char *node)
+upstream_start(struct standin *s, uint32_t i, const char *node)
 {
 	char *name = g_strdup_printf("h%u", i);
 	char *journal = harness_path(name);
@@ -79,10 +79,10 @@
 	    journal, "--work-ms-mean", "2", "--slots", "64", "--lease-ms",
 	    LEASE_MS, node == NULL ? NULL : "--node", node, NULL};
 
-	standin_place(s, i);
+	standin_choose_address(s, i);
 	(void)g_snprintf(port, sizeof(port), "%u", s->port);
 	s->process = process_start(name, harness_dir(), argv);
-	standin_await(s, "/health");
+	standin_wait(s, "/health");
 	g_free(journal);
 	g_free(name);
 }
@@ -154,7 +154,7 @@
 	struct process *p;
 
 	p = process_start("check", harness_dir(), argv);
-	code = process_wait(p, STOP_MS);
+	code = process_wait(p, STOP_TIMEOUT_MS);
 	process_free(p);
 	g_free(journal);
 	g_free(outcomes);
@@ -168,7 +168,7 @@
 	struct fetch_answer a;
 	char *url;
 
-	platform_run(&s);
+	platform_start(&s);
 	standin_knobs(&s, "{\"lose_answers\":1}");
 	url = g_strconcat(s.url, "/bramley/section/1", NULL);
 	f.url = url;
@@ -203,7 +203,7 @@
 	size_t i;
 	struct standin s;
 
-	platform_run(&s);
+	platform_start(&s);
 	url = g_strconcat(s.url, "/bramley/none", NULL);
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		standin_knobs(&s, cases[i].knobs);
@@ -219,14 +219,14 @@
 }
 END_TEST
 
-START_TEST(load_on_a_good_upstream_is_all_done)
+START_TEST(load_on_a_healthy_upstream_is_all_done)
 {
 	struct process *load;
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	load = load_start(&s, "0.5");
-	ck_assert_int_eq(process_wait(load, STOP_MS), 0);
+	ck_assert_int_eq(process_wait(load, STOP_TIMEOUT_MS), 0);
 	ck_assert_int_gt(load_count(load, "sent"), 0);
 	ck_assert_int_eq(load_count(load, "done"), load_count(load, "sent"));
 	ck_assert_int_eq(load_count(load, "wrong_answers"), 0);
@@ -237,15 +237,15 @@
 }
 END_TEST
 
-START_TEST(runs_without_an_answer_are_told_unknown)
+START_TEST(runs_without_an_answer_are_unknown)
 {
 	struct process *load;
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	standin_knobs(&s, "{\"close_after_run\":20}");
 	load = load_start(&s, "0.5");
-	ck_assert_int_eq(process_wait(load, STOP_MS), 0);
+	ck_assert_int_eq(process_wait(load, STOP_TIMEOUT_MS), 0);
 	ck_assert_int_gt(load_count(load, "no_answer"), 0);
 	ck_assert_int_eq(standin_count(&s, "/standin/runs", "unanswered"), 20);
 	ck_assert_int_eq(check_exit("h0"), 0);
@@ -255,16 +255,16 @@
 }
 END_TEST
 
-START_TEST(journal_outlives_a_kill_in_the_middle_of_load)
+START_TEST(journal_survives_a_kill_under_load)
 {
 	struct process *load;
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	load = load_start(&s, "0.5");
 	g_usleep(250 * 1000);
 	process_kill(s.process);
-	ck_assert_int_eq(process_wait(load, STOP_MS), 0);
+	ck_assert_int_eq(process_wait(load, STOP_TIMEOUT_MS), 0);
 	ck_assert_int_gt(load_count(load, "done"), 0);
 	ck_assert_int_gt(load_count(load, "not_sent"), 0);
 	ck_assert_int_eq(check_exit("h0"), 0);
@@ -274,15 +274,15 @@
 }
 END_TEST
 
-START_TEST(check_runs_finds_a_run_that_is_missing)
+START_TEST(check_runs_finds_a_missing_run)
 {
 	char *empty;
 	struct process *load;
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	load = load_start(&s, "0.2");
-	ck_assert_int_eq(process_wait(load, STOP_MS), 0);
+	ck_assert_int_eq(process_wait(load, STOP_TIMEOUT_MS), 0);
 	empty = harness_write("empty", "");
 	ck_assert_int_eq(check_exit("empty"), 1);
 	g_free(empty);
@@ -292,17 +292,17 @@
 }
 END_TEST
 
-START_TEST(upstream_finishes_what_runs_before_it_stops)
+START_TEST(upstream_finishes_running_calls_before_it_stops)
 {
 	struct process *load;
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	standin_knobs(&s, "{\"work_ms_mean\":100}");
 	load = load_start(&s, "0.5");
 	g_usleep(300 * 1000);
-	ck_assert_int_eq(process_stop(s.process, STOP_MS), 0);
-	ck_assert_int_eq(process_wait(load, STOP_MS), 0);
+	ck_assert_int_eq(process_stop(s.process, STOP_TIMEOUT_MS), 0);
+	ck_assert_int_eq(process_wait(load, STOP_TIMEOUT_MS), 0);
 	ck_assert_int_eq(load_count(load, "no_answer"), 0);
 	ck_assert_int_eq(load_count(load, "cut"), 0);
 	ck_assert_int_eq(check_exit("h0"), 0);
@@ -320,7 +320,7 @@
 	FILE *sink = fopen("/dev/null", "w");
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	standin_knobs(&s, "{\"close_kept_alive\":1}");
 	(void)g_snprintf(url, sizeof(url), "%s/bookings", s.url);
 	curl_easy_setopt(c, CURLOPT_URL, url);
@@ -339,8 +339,8 @@
 /* A node that only writes down what upstreams announce. */
 struct fake_node {
 	pthread_mutex_t lock;
-	GString *heard;
-	char last[16];
+	GString *states;
+	char last_state[16];
 	uint32_t renewals;
 };
 
@@ -358,11 +358,11 @@
 		g_strlcpy(state, json_string_value(json_object_get(j, "state")),
 		    sizeof(state));
 	pthread_mutex_lock(&n->lock);
-	if (strcmp(n->last, state) != 0)
-		g_string_append_printf(n->heard, "%s ", state);
+	if (strcmp(n->last_state, state) != 0)
+		g_string_append_printf(n->states, "%s ", state);
 	else
 		n->renewals++;
-	g_strlcpy(n->last, state, sizeof(n->last));
+	g_strlcpy(n->last_state, state, sizeof(n->last_state));
 	pthread_mutex_unlock(&n->lock);
 	json_decref(j);
 	g_byte_array_unref(body);
@@ -370,13 +370,13 @@
 }
 
 static int
-node_heard_ready_renewed(void *arg)
+node_received_renewals(void *arg)
 {
 	int ok;
 	struct fake_node *n = arg;
 
 	pthread_mutex_lock(&n->lock);
-	ok = strcmp(n->last, "ready") == 0 && n->renewals >= 2;
+	ok = strcmp(n->last_state, "ready") == 0 && n->renewals >= 2;
 	pthread_mutex_unlock(&n->lock);
 	return ok;
 }
@@ -385,23 +385,24 @@
 {
 	struct fake_node n = {PTHREAD_MUTEX_INITIALIZER, NULL, "", 0};
 	struct standin at, s;
-	struct web_options o = {NULL, 0, FAKE_NODE_THREADS, FAKE_NODE_KEEP_MS,
-	    fake_node_handle, &n};
+	struct web_options o = {NULL, 0, FAKE_NODE_THREADS,
+	    FAKE_NODE_KEEP_ALIVE_MS, fake_node_handle, &n};
 	struct web_server *web;
 
-	n.heard = g_string_new(NULL);
-	standin_place(&at, 5);
+	n.states = g_string_new(NULL);
+	standin_choose_address(&at, 5);
 	o.address = at.address;
 	o.port = at.port;
 	/* The node comes later: "starting" must still be heard first. */
-	upstream_run(&s, 0, at.at);
-	g_usleep(NODE_LATE_MS * 1000);
+	upstream_start(&s, 0, at.at);
+	g_usleep(NODE_DELAY_MS * 1000);
 	ck_assert_int_eq(web_start(&o, &web), STATUS_OK);
-	ck_assert(harness_wait_until(node_heard_ready_renewed, &n, START_MS));
-	ck_assert_int_eq(process_stop(s.process, STOP_MS), 0);
+	ck_assert(
+	    harness_wait_until(node_received_renewals, &n, START_TIMEOUT_MS));
+	ck_assert_int_eq(process_stop(s.process, STOP_TIMEOUT_MS), 0);
 	web_stop(web);
-	ck_assert_str_eq(n.heard->str, "starting ready draining gone ");
-	g_string_free(n.heard, TRUE);
+	ck_assert_str_eq(n.states->str, "starting ready draining gone ");
+	g_string_free(n.states, TRUE);
 	process_free(s.process);
 	harness_cleanup();
 }
@@ -409,7 +410,7 @@
 
 /* One request on a kept connection; its curl result. */
 static CURLcode
-try_again(CURL *c)
+perform(CURL *c)
 {
 	return curl_easy_perform(c);
 }
@@ -422,25 +423,25 @@
 	struct relay *r;
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	r = relay_start(s.address, s.address, s.port);
 	(void)g_snprintf(
 	    url, sizeof(url), "http://%s:%u/health", s.address, relay_port(r));
 	curl_easy_setopt(c, CURLOPT_URL, url);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, sink);
 	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, 300L);
-	ck_assert_int_eq(try_again(c), CURLE_OK);
+	ck_assert_int_eq(perform(c), CURLE_OK);
 	relay_silence_open(r);
-	ck_assert_int_eq(try_again(c), CURLE_OPERATION_TIMEDOUT);
-	ck_assert_int_eq(try_again(c), CURLE_OK);
+	ck_assert_int_eq(perform(c), CURLE_OPERATION_TIMEDOUT);
+	ck_assert_int_eq(perform(c), CURLE_OK);
 	ck_assert_uint_eq(relay_connections(r), 2);
 	relay_set(r, RELAY_CUT);
-	ck_assert_int_ne(try_again(c), CURLE_OK);
+	ck_assert_int_ne(perform(c), CURLE_OK);
 	relay_set(r, RELAY_PASS);
-	ck_assert_int_eq(try_again(c), CURLE_OK);
+	ck_assert_int_eq(perform(c), CURLE_OK);
 	relay_set(r, RELAY_SILENT);
-	ck_assert_int_eq(try_again(c), CURLE_OPERATION_TIMEDOUT);
-	ck_assert_int_eq(try_again(c), CURLE_OPERATION_TIMEDOUT);
+	ck_assert_int_eq(perform(c), CURLE_OPERATION_TIMEDOUT);
+	ck_assert_int_eq(perform(c), CURLE_OPERATION_TIMEDOUT);
 	relay_stop(r);
 	curl_easy_cleanup(c);
 	(void)fclose(sink);
@@ -457,7 +458,7 @@
 	struct relay *r;
 	struct standin s;
 
-	upstream_run(&s, 0, NULL);
+	upstream_start(&s, 0, NULL);
 	r = relay_start(s.address, s.address, s.port);
 	(void)g_snprintf(url, sizeof(url),
 	    "http://%s:%u/documents?answer_bytes=1000000", s.address,
@@ -486,11 +487,11 @@
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	tcase_add_test(tc, platform_loses_the_answer_not_the_write);
 	tcase_add_test(tc, platform_fails_and_throttles_on_demand);
-	tcase_add_test(tc, load_on_a_good_upstream_is_all_done);
-	tcase_add_test(tc, runs_without_an_answer_are_told_unknown);
-	tcase_add_test(tc, journal_outlives_a_kill_in_the_middle_of_load);
-	tcase_add_test(tc, check_runs_finds_a_run_that_is_missing);
-	tcase_add_test(tc, upstream_finishes_what_runs_before_it_stops);
+	tcase_add_test(tc, load_on_a_healthy_upstream_is_all_done);
+	tcase_add_test(tc, runs_without_an_answer_are_unknown);
+	tcase_add_test(tc, journal_survives_a_kill_under_load);
+	tcase_add_test(tc, check_runs_finds_a_missing_run);
+	tcase_add_test(tc, upstream_finishes_running_calls_before_it_stops);
 	tcase_add_test(tc, kept_alive_close_makes_libcurl_send_a_post_again);
 	tcase_add_test(tc, upstream_announces_renews_drains_and_leaves);
 	tcase_add_test(tc, relay_silences_open_connections_only);
--- a/test/functional/test_herd.c
+++ b/test/functional/test_herd.c
@@ -18,16 +18,16 @@
 
 #define TEST_TIMEOUT_S 180
 #define HOSTS 6
-#define MORE_SERVICES 600
+#define ADDED_SERVICES 600
 #define BOUND_MS 20000
 /* A tenth of the 2,000 reads a second that the platform can do. */
-#define READS_MAX 200
-#define THAW_US 500000
-#define DOWN_US 3000000
+#define MAX_READS_PER_S 200
+#define RESUME_US 500000
+#define OUTAGE_US 3000000
 
-static const char *const places[] = {"grandahus", "hofdasalur", NULL};
+static const char *const data_centres[] = {"grandahus", "hofdasalur", NULL};
 
-struct herd {
+struct mass_restart {
 	struct deployment *d;
 	struct version_watch *watch;
 	uint32_t bundles;
@@ -35,9 +35,9 @@
 };
 
 static uint64_t
-sign(struct herd *h, uint32_t host)
+sign_off(struct mass_restart *h, uint32_t host)
 {
-	char *path = deployment_bundle_services(++h->bundles, MORE_SERVICES);
+	char *path = deployment_bundle_services(++h->bundles, ADDED_SERVICES);
 	uint64_t version =
 	    deployment_sign_off(deployment_host(h->d, host), path);
 
@@ -47,7 +47,7 @@
 }
 
 static void
-kill_hosts(struct herd *h, uint32_t from, uint32_t to)
+kill_hosts(struct mass_restart *h, uint32_t from, uint32_t to)
 {
 	struct host *host;
 	uint32_t i;
@@ -62,7 +62,7 @@
 }
 
 static void
-start_hosts(struct herd *h, uint32_t from, uint32_t to)
+start_hosts(struct mass_restart *h, uint32_t from, uint32_t to)
 {
 	uint32_t i;
 
@@ -74,7 +74,7 @@
 }
 
 static void
-signal_hosts(struct herd *h, uint32_t from, uint32_t to, int sig)
+signal_hosts(struct mass_restart *h, uint32_t from, uint32_t to, int sig)
 {
 	uint32_t i;
 
@@ -83,7 +83,7 @@
 }
 
 static void
-set_outage(struct herd *h, int outage)
+set_outage(struct mass_restart *h, int outage)
 {
 	deployment_platform_knobs(
 	    h->d, outage ? "{\"outage\":true}" : "{\"outage\":false}");
@@ -91,46 +91,47 @@
 
 /* Until all that were started serve again, each at least what it held. */
 static void
-await(struct herd *h, const char *what, uint64_t version)
+wait_for_version(struct mass_restart *h, const char *label, uint64_t version)
 {
 	uint64_t ms = deployment_wait_version(h->d, version, BOUND_MS);
 
-	(void)printf("%s: all serve after %lu ms\n", what, (unsigned long)ms);
+	(void)printf("%s: all serve after %lu ms\n", label, (unsigned long)ms);
 }
 
 static void
-check_reads(struct read_meter *m, const char *what)
+check_reads(struct read_meter *m, const char *label)
 {
 	struct read_peak peak = read_meter_stop(m);
 
 	(void)printf("%s: at most %lu reads and %lu requests in a second\n",
-	    what, (unsigned long)peak.reads, (unsigned long)peak.requests);
-	ck_assert_msg(peak.reads < READS_MAX && peak.requests < READS_MAX,
-	    "%s: %lu reads and %lu requests in a second", what,
+	    label, (unsigned long)peak.reads, (unsigned long)peak.requests);
+	ck_assert_msg(
+	    peak.reads < MAX_READS_PER_S && peak.requests < MAX_READS_PER_S,
+	    "%s: %lu reads and %lu requests in a second", label,
 	    (unsigned long)peak.reads, (unsigned long)peak.requests);
 }
 
 /* One data centre; a version is signed off while it is gone. */
 static void
-restart_data_centre(struct herd *h)
+restart_data_centre(struct mass_restart *h)
 {
-	const char *what = "a data centre";
+	const char *label = "a data centre";
 	struct read_meter *m;
 	uint64_t version;
 
 	kill_hosts(h, HOSTS, 2 * HOSTS);
-	version = sign(h, 0);
+	version = sign_off(h, 0);
 	m = read_meter_start(h->d);
 	start_hosts(h, HOSTS, 2 * HOSTS);
-	await(h, what, version);
-	check_reads(m, what);
+	wait_for_version(h, label, version);
+	check_reads(m, label);
 }
 
 /* The same with the platform down: what it held comes from the other one. */
 static void
-restart_without_platform(struct herd *h)
+restart_without_platform(struct mass_restart *h)
 {
-	const char *what = "a data centre, the platform down";
+	const char *label = "a data centre, the platform down";
 	struct read_meter *m;
 	uint64_t version = deployment_version(deployment_host(h->d, 0));
 
@@ -138,15 +139,15 @@
 	kill_hosts(h, HOSTS, 2 * HOSTS);
 	m = read_meter_start(h->d);
 	start_hosts(h, HOSTS, 2 * HOSTS);
-	await(h, what, version);
-	check_reads(m, what);
+	wait_for_version(h, label, version);
+	check_reads(m, label);
 	set_outage(h, 0);
 }
 
 static int
-all_hold(void *arg)
+all_have_newest(void *arg)
 {
-	const struct herd *h = arg;
+	const struct mass_restart *h = arg;
 	uint32_t i;
 
 	for (i = HOSTS; i < 2 * HOSTS; i++)
@@ -157,7 +158,7 @@
 
 /* A version that only the second data centre gets. */
 static void
-sign_for_one(struct herd *h)
+sign_off_in_one_data_centre(struct mass_restart *h)
 {
 	uint32_t i;
 
@@ -165,15 +166,15 @@
 		version_watch_set_reachable(
 		    h->watch, deployment_host(h->d, i), 0);
 	signal_hosts(h, 0, HOSTS, SIGSTOP);
-	h->newest = sign(h, HOSTS);
-	ck_assert(harness_wait_until(all_hold, h, BOUND_MS));
+	h->newest = sign_off(h, HOSTS);
+	ck_assert(harness_wait_until(all_have_newest, h, BOUND_MS));
 	set_outage(h, 1);
 	kill_hosts(h, HOSTS, 2 * HOSTS);
 	signal_hosts(h, 0, HOSTS, SIGCONT);
 	for (i = 0; i < HOSTS; i++)
 		version_watch_set_reachable(
 		    h->watch, deployment_host(h->d, i), 1);
-	g_usleep(THAW_US);
+	g_usleep(RESUME_US);
 	ck_assert_uint_eq(
 	    deployment_version(deployment_host(h->d, 0)), h->newest - 1);
 }
@@ -184,49 +185,49 @@
  * rather than go back.
  */
 static void
-restart_ahead_of_peers(struct herd *h)
+restart_ahead_of_peers(struct mass_restart *h)
 {
 	uint32_t i;
 
-	sign_for_one(h);
+	sign_off_in_one_data_centre(h);
 	start_hosts(h, HOSTS, 2 * HOSTS);
-	g_usleep(DOWN_US);
+	g_usleep(OUTAGE_US);
 	for (i = HOSTS; i < 2 * HOSTS; i++)
 		ck_assert_uint_eq(
 		    deployment_version(deployment_host(h->d, i)), 0);
 	set_outage(h, 0);
-	await(h, "a data centre ahead of the other, the platform back",
-	    h->newest);
+	wait_for_version(h,
+	    "a data centre ahead of the other, the platform back", h->newest);
 }
 
 /* Nobody holds anything; all wait for the platform, which comes back. */
 static void
-restart_all(struct herd *h)
+restart_all(struct mass_restart *h)
 {
-	const char *what = "all hosts, the platform back after 3 s";
+	const char *label = "all hosts, the platform back after 3 s";
 	struct read_meter *m;
 
 	kill_hosts(h, 0, 2 * HOSTS);
 	set_outage(h, 1);
 	m = read_meter_start(h->d);
 	start_hosts(h, 0, 2 * HOSTS);
-	g_usleep(DOWN_US);
+	g_usleep(OUTAGE_US);
 	set_outage(h, 0);
-	await(h, what, h->newest);
-	check_reads(m, what);
+	wait_for_version(h, label, h->newest);
+	check_reads(m, label);
 }
 
-START_TEST(herds_start_at_once)
+START_TEST(many_nodes_restart_at_once)
 {
 	struct deployment_plan plan = deployment_registry;
-	struct herd h = {0};
+	struct mass_restart h = {0};
 
-	plan.data_centres = places;
+	plan.data_centres = data_centres;
 	plan.hosts = HOSTS;
 	h.d = deployment_new(&plan);
 	deployment_start_nodes(h.d);
 	h.watch = version_watch_start(h.d);
-	(void)version_watch_wait(h.watch, sign(&h, 0), BOUND_MS);
+	(void)version_watch_wait(h.watch, sign_off(&h, 0), BOUND_MS);
 	restart_data_centre(&h);
 	restart_without_platform(&h);
 	restart_ahead_of_peers(&h);
@@ -243,6 +244,6 @@
 	TCase *tc = tcase_create("herd");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, herds_start_at_once);
+	tcase_add_test(tc, many_nodes_restart_at_once);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_lost_answers.c
+++ b/test/functional/test_lost_answers.c
@@ -15,8 +15,8 @@
 
 #define TEST_TIMEOUT_S 120
 #define START_BOUND_MS 20000
-#define ROLL_BOUND_MS 15000
-#define LOSE_WAIT_MS 8000
+#define ROLLOUT_BOUND_MS 15000
+#define LOSE_TIMEOUT_MS 8000
 #define KNOBS_BYTES 96
 #define NUMBER_BYTES 24
 #define ARGS_MAX 12
@@ -32,7 +32,7 @@
  * three writes; content that is there already is written no second time; a
  * halt writes its note and the head row.
  */
-struct lost {
+struct lost_case {
 	const char *op;
 	enum kind kind;
 	uint32_t bundle;
@@ -40,7 +40,7 @@
 	int outage; /* the platform can't be read back for a while */
 };
 
-static const struct lost cases[] = {
+static const struct lost_case cases[] = {
     {"lost-sign-off", SIGN_OFF, 1, 3, 0},
     {"lost-halt", HALT, 0, 2, 0},
     {"lost-supersede", SUPERSEDE, 0, 1, 0},
@@ -50,10 +50,10 @@
 };
 
 /* The deployment, its watch, and the case that is played. */
-struct play {
+struct case_run {
 	struct deployment *d;
 	struct version_watch *watch;
-	const struct lost *lost;
+	const struct lost_case *lost_case;
 	struct platform_head before;
 	int64_t lost_before;
 	char number[NUMBER_BYTES];
@@ -75,13 +75,13 @@
 static int
 all_lost(void *arg)
 {
-	const struct play *p = arg;
+	const struct case_run *p = arg;
 
-	return lost_answers(p->d) - p->lost_before == p->lost->writes;
+	return lost_answers(p->d) - p->lost_before == p->lost_case->writes;
 }
 
 static void
-append(struct play *p, const char *arg)
+append(struct case_run *p, const char *arg)
 {
 	uint32_t n = 0;
 
@@ -93,17 +93,17 @@
 
 /* The command, by the operation's own id. */
 static void
-set_args(struct play *p)
+set_args(struct case_run *p)
 {
 	append(p, "--operator");
 	append(p, "anna");
 	append(p, "--op");
-	append(p, p->lost->op);
-	if (p->lost->outage) {
+	append(p, p->lost_case->op);
+	if (p->lost_case->outage) {
 		append(p, "--timeout-ms");
 		append(p, "4000");
 	}
-	switch (p->lost->kind) {
+	switch (p->lost_case->kind) {
 	case SIGN_OFF:
 		append(p, "sign-off");
 		append(p, p->bundle);
@@ -120,18 +120,18 @@
 }
 
 static void
-set_knobs(const struct play *p)
+set_knobs(const struct case_run *p)
 {
 	char knobs[KNOBS_BYTES];
 
 	(void)g_snprintf(knobs, sizeof(knobs),
-	    "{\"lose_answers\":%u,\"delay_ms\":%u}", p->lost->writes,
-	    p->lost->outage ? 200 : 0);
+	    "{\"lose_answers\":%u,\"delay_ms\":%u}", p->lost_case->writes,
+	    p->lost_case->outage ? 200 : 0);
 	deployment_platform_knobs(p->d, knobs);
 }
 
 static void
-reset_knobs(const struct play *p)
+reset_knobs(const struct case_run *p)
 {
 	deployment_platform_knobs(
 	    p->d, "{\"lose_answers\":0,\"delay_ms\":0,\"outage\":false}");
@@ -139,64 +139,65 @@
 
 /* Before the answer can be read back, the platform goes down. */
 static int
-run_into_outage(struct play *p)
+run_into_outage(struct case_run *p)
 {
 	int code;
 	struct process *ctl =
 	    deployment_ctl_start(deployment_host(p->d, 0), p->args);
 
-	ck_assert_msg(harness_wait_until(all_lost, p, LOSE_WAIT_MS),
-	    "%s: the writes did not come", p->lost->op);
+	ck_assert_msg(harness_wait_until(all_lost, p, LOSE_TIMEOUT_MS),
+	    "%s: the writes did not come", p->lost_case->op);
 	deployment_platform_knobs(p->d, "{\"outage\":true}");
 	json_decref(deployment_ctl_end(ctl, &code));
 	return code;
 }
 
 static void
-run_first(struct play *p)
+run_operation(struct case_run *p)
 {
 	int code;
 
 	p->lost_before = lost_answers(p->d);
 	set_knobs(p);
-	if (p->lost->outage)
+	if (p->lost_case->outage)
 		code = run_into_outage(p);
 	else
 		json_decref(
 		    deployment_ctl(deployment_host(p->d, 0), &code, p->args));
-	ck_assert_msg(all_lost(p), "%s: the answer was not lost", p->lost->op);
+	ck_assert_msg(
+	    all_lost(p), "%s: the answer was not lost", p->lost_case->op);
 	reset_knobs(p);
-	ck_assert_msg(code == (p->lost->outage ? CTL_UNKNOWN : CTL_DONE),
-	    "%s ended with %d", p->lost->op, code);
+	ck_assert_msg(code == (p->lost_case->outage ? CTL_UNKNOWN : CTL_DONE),
+	    "%s ended with %d", p->lost_case->op, code);
 }
 
-/* The version that the operation has made or halted. */
+/* The version that the operation has created or halted. */
 static uint64_t
-expected_version(const struct play *p)
+expected_version(const struct case_run *p)
 {
-	return p->before.version + (p->lost->kind == HALT ? 0 : 1);
+	return p->before.version + (p->lost_case->kind == HALT ? 0 : 1);
 }
 
 /* Another node knows what became of it. */
 static void
-check_asked(const struct play *p)
+check_query(const struct case_run *p)
 {
 	uint64_t version;
 
-	ck_assert_int_eq(
-	    operators_query(deployment_host(p->d, 3), p->lost->op, &version),
+	ck_assert_int_eq(operators_query(deployment_host(p->d, 3),
+			     p->lost_case->op, &version),
 	    CTL_DONE);
 	ck_assert_uint_eq(version, expected_version(p));
 }
 
 static void
-check_repeated(const struct play *p, uint32_t host)
+check_repeated(const struct case_run *p, uint32_t host)
 {
 	int code;
 	json_t *j = deployment_ctl(deployment_host(p->d, host), &code, p->args);
 
 	ck_assert_msg(
-	    code == CTL_DONE, "%s again ended with %d", p->lost->op, code);
+	    code == CTL_DONE, "%s again ended with %d", p->lost_case->op, code);
 	ck_assert(json_is_true(json_object_get(j, "repeated")));
 	ck_assert_uint_eq(
 	    (uint64_t)json_number(j, "version"), expected_version(p));
@@ -205,53 +206,55 @@
 
 /* One write of the head row took effect, whatever was asked again. */
 static void
-check_done_once(const struct play *p)
+check_executed_once(const struct case_run *p)
 {
 	struct platform_head head = operators_head(p->d);
-	uint32_t made = operators_count_versions(p->d, p->lost->op, NULL);
+	uint32_t created =
+	    operators_count_versions(p->d, p->lost_case->op, NULL);
 
 	ck_assert_uint_eq(head.seq, p->before.seq + 1);
 	ck_assert_uint_eq(head.version, expected_version(p));
-	ck_assert_uint_eq(made, p->lost->kind == HALT ? 0 : 1);
-	if (p->lost->kind == HALT)
+	ck_assert_uint_eq(created, p->lost_case->kind == HALT ? 0 : 1);
+	if (p->lost_case->kind == HALT)
 		ck_assert_uint_lt(head.in_force, head.version);
 	else
 		ck_assert_uint_eq(head.in_force, head.version);
 }
 
 static void
-watch_outcome(const struct play *p)
+observe_outcome(const struct case_run *p)
 {
 	uint64_t version = expected_version(p);
 
-	if (p->lost->kind == HALT) {
+	if (p->lost_case->kind == HALT) {
 		version_watch_halted(p->watch, version);
 		return;
 	}
-	version_watch_accept(p->watch, version, ROLL_BOUND_MS);
-	(void)version_watch_wait(p->watch, version, ROLL_BOUND_MS);
+	version_watch_accept(p->watch, version, ROLLOUT_BOUND_MS);
+	(void)version_watch_wait(p->watch, version, ROLLOUT_BOUND_MS);
 }
 
 static void
-play(struct deployment *d, struct version_watch *w, const struct lost *lost)
+run_case(struct deployment *d, struct version_watch *w,
+    const struct lost_case *lost_case)
 {
-	struct play p = {.d = d, .watch = w, .lost = lost};
+	struct case_run p = {.d = d, .watch = w, .lost_case = lost_case};
 
 	p.before = operators_head(d);
-	p.bundle = deployment_bundle(lost->bundle);
+	p.bundle = deployment_bundle(lost_case->bundle);
 	(void)g_snprintf(
 	    p.number, sizeof(p.number), "%" G_GUINT64_FORMAT, p.before.version);
 	set_args(&p);
-	run_first(&p);
-	check_asked(&p);
+	run_operation(&p);
+	check_query(&p);
 	check_repeated(&p, 0);
 	check_repeated(&p, 4);
-	check_done_once(&p);
-	watch_outcome(&p);
+	check_executed_once(&p);
+	observe_outcome(&p);
 	g_free(p.bundle);
 }
 
-START_TEST(lost_answers_settle)
+START_TEST(lost_answers_are_resolved)
 {
 	char *first = deployment_bundle(0);
 	size_t i;
@@ -264,7 +267,7 @@
 	version_watch_accept(w, 1, START_BOUND_MS);
 	(void)version_watch_wait(w, 1, START_BOUND_MS);
 	for (i = 0; i < G_N_ELEMENTS(cases); i++)
-		play(d, w, &cases[i]);
+		run_case(d, w, &cases[i]);
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
 	g_free(first);
@@ -278,6 +281,6 @@
 	TCase *tc = tcase_create("lost_answers");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, lost_answers_settle);
+	tcase_add_test(tc, lost_answers_are_resolved);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_path.c
+++ b/test/functional/test_path.c
@@ -14,13 +14,13 @@
 #include "fetch.h"
 
 #define TEST_TIMEOUT_S 120
-#define ROLL_MS 15000
-#define ROLLS 3
+#define ROLLOUT_TIMEOUT_MS 15000
+#define ROLLOUTS 3
 #define UPLOAD_BYTES 3000000
 #define URL_BYTES 256
 
 /* A call whose service has no endpoint in the data centre of its entry. */
-struct far_call {
+struct remote_call {
 	const char *method;
 	const char *path;
 	const char *service;
@@ -28,7 +28,7 @@
 	uint32_t body_bytes;
 };
 
-static const struct far_call far_calls[] = {
+static const struct remote_call remote_calls[] = {
     {"GET", "/search?name=x", "public-search", 5, 0},
     {"POST", "/bookings", "hearing-booking", 2, 200},
     {"POST", "/documents", "document-store", 0, UPLOAD_BYTES},
@@ -59,7 +59,7 @@
 }
 
 static void
-make_far_call(const struct deployment *d, const struct far_call *c)
+make_remote_call(const struct deployment *d, const struct remote_call *c)
 {
 	char url[URL_BYTES];
 	char *body = g_malloc0(c->body_bytes + 1), *fate;
@@ -128,7 +128,7 @@
 	j = deployment_ctl(deployment_host(d, n % d->hosts->len), NULL, args);
 	next = (uint64_t)json_number(j, "version");
 	ck_assert_uint_gt(next, version);
-	(void)deployment_wait_version(d, next, ROLL_MS);
+	(void)deployment_wait_version(d, next, ROLLOUT_TIMEOUT_MS);
 	json_decref(j);
 	g_free(path);
 	return next;
@@ -162,7 +162,7 @@
 }
 
 /* Above the range of a service's timeout, which is run as the range's end. */
-#define BEYOND_RANGE_MS 3600000
+#define ABOVE_RANGE_MS 3600000
 
 static void
 check_one_warning(const json_t *j)
@@ -179,7 +179,7 @@
 static void
 sign_off_with_warning(struct deployment *d)
 {
-	char *bundle = deployment_bundle(BEYOND_RANGE_MS);
+	char *bundle = deployment_bundle(ABOVE_RANGE_MS);
 	const char *validate[] = {"validate", bundle, NULL};
 	const char *sign_off[] = {
 	    "--operator", "test", "sign-off", bundle, NULL};
@@ -191,7 +191,7 @@
 	j = deployment_ctl(deployment_host(d, 0), NULL, sign_off);
 	check_one_warning(j);
 	(void)deployment_wait_version(
-	    d, (uint64_t)json_number(j, "version"), ROLL_MS);
+	    d, (uint64_t)json_number(j, "version"), ROLLOUT_TIMEOUT_MS);
 	json_decref(j);
 	g_free(bundle);
 }
@@ -210,7 +210,7 @@
 	json_decref(j);
 }
 
-START_TEST(calls_pass_while_versions_roll)
+START_TEST(calls_succeed_during_rollouts)
 {
 	static const char *const load_args[] = {
 	    "--rate", "100", "--duration-s", "4", "--mix", "8:1:1", NULL};
@@ -226,10 +226,10 @@
 	version = deployment_sign_off(deployment_host(d, 0), bundle);
 	watch(d, version);
 	check_in_force(d);
-	for (i = 0; i < G_N_ELEMENTS(far_calls); i++)
-		make_far_call(d, &far_calls[i]);
+	for (i = 0; i < G_N_ELEMENTS(remote_calls); i++)
+		make_remote_call(d, &remote_calls[i]);
 	load = deployment_load(d, "load", deployment_host(d, 0), 1, load_args);
-	for (i = 0; i < ROLLS; i++)
+	for (i = 0; i < ROLLOUTS; i++)
 		version = supersede(d, version, (uint32_t)i + 1);
 	sum = deployment_load_end(load);
 	ck_assert_int_gt(json_number(sum, "sent"), 0);
@@ -252,6 +252,6 @@
 	TCase *tc = tcase_create("path");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, calls_pass_while_versions_roll);
+	tcase_add_test(tc, calls_succeed_during_rollouts);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_platform_away.c
+++ b/test/functional/test_platform_away.c
@@ -16,13 +16,13 @@
 
 #define TEST_TIMEOUT_S 120
 #define START_BOUND_MS 20000
-#define ROLL_BOUND_MS 5000
+#define ROLLOUT_BOUND_MS 5000
 /* A reader may have backed off for 10 s when the platform comes back. */
-#define RETURN_BOUND_MS 15000
-#define FROZEN_US 300000
+#define RECOVERY_BOUND_MS 15000
+#define SUSPENDED_US 300000
 
 /* An operation that is asked for while the platform is down. */
-struct refused {
+struct outage_operation {
 	const char *op;
 	const char *args[8];
 	struct process *ctl;
@@ -32,8 +32,8 @@
     "--rate", "60", "--duration-s", "16", "--mix", "8:1:1", NULL};
 
 static uint64_t
-sign(struct deployment *d, struct version_watch *w, uint32_t host, uint32_t n,
-    uint32_t bound_ms)
+sign_off(struct deployment *d, struct version_watch *w, uint32_t host,
+    uint32_t n, uint32_t bound_ms)
 {
 	char *path = deployment_bundle(n);
 	uint64_t version = deployment_sign_off(deployment_host(d, host), path);
@@ -44,7 +44,7 @@
 }
 
 static void
-signal_some(struct deployment *d, int sig)
+signal_two_nodes(struct deployment *d, int sig)
 {
 	process_signal(deployment_host(d, 1)->node, sig);
 	process_signal(deployment_host(d, 4)->node, sig);
@@ -52,16 +52,16 @@
 
 /* Two nodes miss the version; when they go on, the platform is down. */
 static uint64_t
-sign_before_outage(struct deployment *d, struct version_watch *w)
+sign_off_before_outage(struct deployment *d, struct version_watch *w)
 {
 	uint64_t ms, version;
 
-	signal_some(d, SIGSTOP);
-	version = sign(d, w, 0, 1, ROLL_BOUND_MS);
+	signal_two_nodes(d, SIGSTOP);
+	version = sign_off(d, w, 0, 1, ROLLOUT_BOUND_MS);
 	deployment_platform_knobs(d, "{\"outage\":true}");
-	g_usleep(FROZEN_US);
-	signal_some(d, SIGCONT);
-	ms = version_watch_wait(w, version, ROLL_BOUND_MS);
+	g_usleep(SUSPENDED_US);
+	signal_two_nodes(d, SIGCONT);
+	ms = version_watch_wait(w, version, ROLLOUT_BOUND_MS);
 	(void)printf("a version signed before the outage came to all peers "
 		     "%lu ms after they went on\n",
 	    (unsigned long)ms);
@@ -70,10 +70,10 @@
 
 /* Nothing can be written: each operator is told that nothing was done. */
 static void
-operate_in_outage(struct deployment *d)
+run_operations_in_outage(struct deployment *d)
 {
 	char *path = deployment_bundle(2);
-	struct refused ops[] = {
+	struct outage_operation ops[] = {
 	    {"out-1", {"--op", "out-1", "sign-off", path, NULL}, NULL},
 	    {"out-2", {"--op", "out-2", "halt", "2", NULL}, NULL},
 	    {"out-3", {"--op", "out-3", "supersede", "1", NULL}, NULL},
@@ -94,15 +94,15 @@
 
 /* The platform answers, but after so long that a sign-off takes seconds. */
 static uint64_t
-sign_while_slow(struct deployment *d, struct version_watch *w)
+sign_off_while_slow(struct deployment *d, struct version_watch *w)
 {
 	deployment_platform_knobs(d, "{\"outage\":false,\"delay_ms\":600}");
-	return sign(d, w, 2, 3, RETURN_BOUND_MS);
+	return sign_off(d, w, 2, 3, RECOVERY_BOUND_MS);
 }
 
 /* Each answer comes too late to be waited for; the operator gives up. */
 static void
-sign_while_too_slow(struct deployment *d, struct version_watch *w)
+sign_off_while_too_slow(struct deployment *d, struct version_watch *w)
 {
 	char *path = deployment_bundle(4);
 	const char *args[] = {
@@ -116,15 +116,15 @@
 	    "a sign-off that can't be known ended with %d", code);
 	deployment_platform_knobs(d, "{\"delay_ms\":0}");
 	/* The node may be at it still, for as long as it had promised. */
-	version = sign(d, w, 3, 5, RETURN_BOUND_MS);
-	(void)version_watch_wait(w, version, RETURN_BOUND_MS);
+	version = sign_off(d, w, 3, 5, RECOVERY_BOUND_MS);
+	(void)version_watch_wait(w, version, RECOVERY_BOUND_MS);
 	(void)operators_check_result(
 	    deployment_host(d, 0), d, "slow-1", code, 0);
 	g_free(path);
 }
 
 static void
-check_outage_left_nothing(struct deployment *d)
+check_outage_wrote_nothing(struct deployment *d)
 {
 	struct platform_head head = operators_head(d);
 
@@ -136,7 +136,7 @@
 	    CTL_NOT_FOUND);
 }
 
-START_TEST(nodes_go_on_without_the_platform)
+START_TEST(nodes_serve_without_the_platform)
 {
 	json_t *sum;
 	struct deployment *d = deployment_new(&deployment_registry);
@@ -146,16 +146,16 @@
 
 	deployment_start(d);
 	w = version_watch_start(d);
-	version = sign(d, w, 0, 0, START_BOUND_MS);
+	version = sign_off(d, w, 0, 0, START_BOUND_MS);
 	(void)version_watch_wait(w, version, START_BOUND_MS);
 	load = deployment_load(d, "load", deployment_host(d, 0), 1, load_args);
-	version = sign_before_outage(d, w);
-	operate_in_outage(d);
+	version = sign_off_before_outage(d, w);
+	run_operations_in_outage(d);
 	ck_assert_uint_eq(deployment_version(deployment_host(d, 5)), version);
-	version = sign_while_slow(d, w);
-	(void)version_watch_wait(w, version, RETURN_BOUND_MS);
-	sign_while_too_slow(d, w);
-	check_outage_left_nothing(d);
+	version = sign_off_while_slow(d, w);
+	(void)version_watch_wait(w, version, RECOVERY_BOUND_MS);
+	sign_off_while_too_slow(d, w);
+	check_outage_wrote_nothing(d);
 	sum = deployment_load_end(load);
 	ck_assert_int_gt(json_number(sum, "sent"), 0);
 	ck_assert_int_eq(json_number(sum, "done"), json_number(sum, "sent"));
@@ -173,6 +173,6 @@
 	TCase *tc = tcase_create("platform_away");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, nodes_go_on_without_the_platform);
+	tcase_add_test(tc, nodes_serve_without_the_platform);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_platform_silent.c
+++ b/test/functional/test_platform_silent.c
@@ -15,13 +15,13 @@
 
 #define TEST_TIMEOUT_S 120
 #define BOUND_MS 25000
-#define MORE_SERVICES 200
+#define ADDED_SERVICES 200
 /* In the middle of the list of sections, which is some 14 KB. */
 #define MIDDLE_BYTES 6000
 #define IDLE_US 1500000
 /* While all read, what is open goes silent again and again. */
-#define AGAIN 6
-#define AGAIN_US 700000
+#define SILENCE_ROUNDS 6
+#define SILENCE_INTERVAL_US 700000
 
 static void
 silence_all_after(struct deployment *d, uint64_t bytes)
@@ -42,22 +42,23 @@
 }
 
 static void
-check_silenced(struct deployment *d, const char *what)
+check_silenced(struct deployment *d, const char *label)
 {
 	guint i;
 	uint64_t n = 0;
 
 	for (i = 0; i < d->relays->len; i++)
 		n += relay_silenced(g_ptr_array_index(d->relays, i));
-	ck_assert_msg(n > 0, "%s: no connection went silent", what);
+	ck_assert_msg(n > 0, "%s: no connection went silent", label);
 	(void)printf(
-	    "%s: %lu connections silent so far\n", what, (unsigned long)n);
+	    "%s: %lu connections silent so far\n", label, (unsigned long)n);
 }
 
 static uint64_t
-sign(struct deployment *d, struct version_watch *w, uint32_t host, uint32_t n)
+sign_off(
+    struct deployment *d, struct version_watch *w, uint32_t host, uint32_t n)
 {
-	char *path = deployment_bundle_services(n, MORE_SERVICES);
+	char *path = deployment_bundle_services(n, ADDED_SERVICES);
 	uint64_t version = deployment_sign_off(deployment_host(d, host), path);
 
 	version_watch_accept(w, version, BOUND_MS);
@@ -85,8 +86,8 @@
 		deployment_start_node(d, h);
 		version_watch_set_reachable(w, h, 1);
 	}
-	for (i = 0; i < AGAIN; i++) {
-		g_usleep(AGAIN_US);
+	for (i = 0; i < SILENCE_ROUNDS; i++) {
+		g_usleep(SILENCE_INTERVAL_US);
 		silence_all_open(d);
 	}
 	ms = deployment_wait_version(d, version, BOUND_MS);
@@ -94,7 +95,7 @@
 	    "all serve %lu ms after the last silence\n", (unsigned long)ms);
 }
 
-START_TEST(silent_connections_hold_nothing_up)
+START_TEST(silent_connections_block_nothing)
 {
 	struct deployment_plan plan = deployment_registry;
 	struct deployment *d;
@@ -106,15 +107,15 @@
 	deployment_start_nodes(d);
 	w = version_watch_start(d);
 	silence_all_after(d, MIDDLE_BYTES);
-	(void)sign(d, w, 0, 1);
+	(void)sign_off(d, w, 0, 1);
 	check_silenced(d, "in the middle of a sign-off");
 	g_usleep(IDLE_US);
 	silence_all_open(d);
-	version = sign(d, w, 2, 2);
+	version = sign_off(d, w, 2, 2);
 	check_silenced(d, "idle connections");
 	restart_all(d, w, version);
 	check_silenced(d, "in the middle of reads");
-	(void)sign(d, w, 4, 3);
+	(void)sign_off(d, w, 4, 3);
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
 	harness_cleanup();
@@ -127,6 +128,6 @@
 	TCase *tc = tcase_create("platform_silent");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, silent_connections_hold_nothing_up);
+	tcase_add_test(tc, silent_connections_block_nothing);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -15,7 +15,7 @@
 
 #define TEST_TIMEOUT_S 120
 #define START_BOUND_MS 20000
-#define ROLL_BOUND_MS 8000
+#define ROLLOUT_BOUND_MS 8000
 #define OPERATORS 5
 #define ROUNDS 4 /* of each kind */
 #define OP_BYTES 32
@@ -23,36 +23,37 @@
 #define ARGS_MAX 16
 
 /* How the five ask. */
-enum style {
-	STYLE_PARENT,  /* all build on the version that they have seen */
-	STYLE_ANY,     /* none says what it has seen */
-	STYLE_RETRIES, /* none does, and all try again */
-	STYLE_MIXED,   /* one halts, one supersedes, three sign off */
-	STYLES,
+enum scenario {
+	SCENARIO_PARENT,    /* all build on the version that they have seen */
+	SCENARIO_NO_PARENT, /* none says what it has seen */
+	SCENARIO_RETRIES,   /* none does, and all try again */
+	SCENARIO_MIXED,	    /* one halts, one supersedes, three sign off */
+	SCENARIOS,
 };
 
 /* One operator's command in one round. */
-struct entrant {
+struct contender {
 	char op[OP_BYTES];
 	char name[OP_BYTES];
 	char *bundle;
 	int halts;
 	struct process *ctl;
 	int code;
-	json_t *told;
+	json_t *result;
 };
 
 struct race {
 	struct deployment *d;
 	struct version_watch *watch;
-	enum style style;
+	enum scenario scenario;
 	struct platform_head before;
 	char parent[OP_BYTES];
-	struct entrant entrants[OPERATORS];
+	struct contender contenders[OPERATORS];
 };
 
-static const char *const retries[STYLES] = {
-    [STYLE_ANY] = "0", [STYLE_RETRIES] = "20", [STYLE_MIXED] = "20"};
+static const char *const retries[SCENARIOS] = {[SCENARIO_NO_PARENT] = "0",
+    [SCENARIO_RETRIES] = "20",
+    [SCENARIO_MIXED] = "20"};
 
 static void
 append(const char **args, const char *arg)
@@ -68,21 +69,21 @@
 static void
 append_command(const struct race *r, uint32_t i, const char **args)
 {
-	const struct entrant *e = &r->entrants[i];
+	const struct contender *e = &r->contenders[i];
 
 	if (e->halts) {
 		append(args, "halt");
 		append(args, r->parent);
 		return;
 	}
-	if (r->style == STYLE_PARENT) {
+	if (r->scenario == SCENARIO_PARENT) {
 		append(args, "--parent");
 		append(args, r->parent);
 	} else {
 		append(args, "--race-retries");
-		append(args, retries[r->style]);
+		append(args, retries[r->scenario]);
 	}
-	if (r->style == STYLE_MIXED && i == 1) {
+	if (r->scenario == SCENARIO_MIXED && i == 1) {
 		append(args, "supersede");
 		append(args, "1");
 	} else {
@@ -92,14 +93,14 @@
 }
 
 static void
-start(struct race *r, uint32_t round, uint32_t i)
+start_contender(struct race *r, uint32_t round, uint32_t i)
 {
-	struct entrant *e = &r->entrants[i];
+	struct contender *e = &r->contenders[i];
 	const char *args[ARGS_MAX] = {"--operator", e->name, "--op", e->op};
 
 	(void)g_snprintf(e->name, sizeof(e->name), "operator-%u", i);
 	(void)g_snprintf(e->op, sizeof(e->op), "race-%u-%u", round, i);
-	e->halts = r->style == STYLE_MIXED && i == 0;
+	e->halts = r->scenario == SCENARIO_MIXED && i == 0;
 	e->bundle = deployment_bundle(round * OPERATORS + i + 1);
 	append_command(r, i, args);
 	e->ctl = deployment_ctl_start(deployment_host(r->d, i), args);
@@ -121,45 +122,46 @@
 	json_decref(row);
 }
 
-static const struct entrant *
-find_entrant(const struct race *r, const char *op)
+static const struct contender *
+find_contender(const struct race *r, const char *op)
 {
 	uint32_t i;
 
 	for (i = 0; i < OPERATORS; i++)
-		if (g_strcmp0(r->entrants[i].op, op) == 0)
-			return &r->entrants[i];
+		if (g_strcmp0(r->contenders[i].op, op) == 0)
+			return &r->contenders[i];
 	return NULL;
 }
 
 /* Who was first is one of this round, did it, and comes after what was. */
 static void
-check_loser(const struct race *r, const struct entrant *e)
+check_loser(const struct race *r, const struct contender *e)
 {
-	json_t *told = json_object_get(e->told, "winner");
-	const char *op = json_string_value(json_object_get(told, "op"));
-	const char *name = json_string_value(json_object_get(told, "operator"));
-	const struct entrant *winner = find_entrant(r, op);
-	uint64_t version = (uint64_t)json_number(told, "version");
+	json_t *result = json_object_get(e->result, "winner");
+	const char *op = json_string_value(json_object_get(result, "op"));
+	const char *name =
+	    json_string_value(json_object_get(result, "operator"));
+	const struct contender *winner = find_contender(r, op);
+	uint64_t version = (uint64_t)json_number(result, "version");
 
 	ck_assert_msg(winner != NULL && winner != e, "%s was told that %s won",
 	    e->op, op == NULL ? "nobody" : op);
 	ck_assert_int_eq(winner->code, CTL_DONE);
 	ck_assert_str_eq(winner->name, name);
 	ck_assert_int_eq(
-	    json_is_true(json_object_get(told, "halted")), winner->halts);
+	    json_is_true(json_object_get(result, "halted")), winner->halts);
 	if (winner->halts)
 		return;
 	check_row(r, version, op, name);
 	ck_assert_uint_gt(version, r->before.version);
-	if (r->style == STYLE_PARENT)
+	if (r->scenario == SCENARIO_PARENT)
 		ck_assert_uint_eq(version, r->before.version + 1);
 }
 
 static void
-check_entrant(struct race *r, const struct entrant *e)
+check_contender(struct race *r, const struct contender *e)
 {
-	uint64_t version = (uint64_t)json_number(e->told, "version");
+	uint64_t version = (uint64_t)json_number(e->result, "version");
 
 	if (e->code != CTL_DONE && e->code != CTL_CONFLICT)
 		ck_abort_msg("%s ended with %d", e->op, e->code);
@@ -175,13 +177,13 @@
 	if (e->code != CTL_DONE)
 		return;
 	check_row(r, version, e->op, e->name);
-	version_watch_accept(r->watch, version, ROLL_BOUND_MS);
+	version_watch_accept(r->watch, version, ROLLOUT_BOUND_MS);
 }
 
 static void
 check_halt(struct race *r)
 {
-	if (r->style == STYLE_MIXED && r->entrants[0].code == CTL_DONE)
+	if (r->scenario == SCENARIO_MIXED && r->contenders[0].code == CTL_DONE)
 		version_watch_halted(r->watch, r->before.version);
 }
 
@@ -193,27 +195,27 @@
 	uint32_t done = 0, halts = 0, i;
 
 	for (i = 0; i < OPERATORS; i++) {
-		if (r->entrants[i].code != CTL_DONE)
+		if (r->contenders[i].code != CTL_DONE)
 			continue;
 		done++;
-		halts += (uint32_t)r->entrants[i].halts;
+		halts += (uint32_t)r->contenders[i].halts;
 	}
 	ck_assert_uint_eq(after.seq, r->before.seq + done);
 	ck_assert_uint_eq(after.version, r->before.version + done - halts);
 	ck_assert_uint_eq(after.in_force, after.version);
-	if (r->style == STYLE_PARENT)
+	if (r->scenario == SCENARIO_PARENT)
 		ck_assert_uint_eq(done, 1);
-	if (r->style == STYLE_RETRIES)
+	if (r->scenario == SCENARIO_RETRIES)
 		ck_assert_uint_eq(done, OPERATORS);
 	ck_assert_uint_ge(done, 1);
 }
 
 static void
-race(struct deployment *d, struct version_watch *w, enum style style,
+race(struct deployment *d, struct version_watch *w, enum scenario scenario,
     uint32_t round)
 {
-	struct entrant *e;
-	struct race r = {.d = d, .watch = w, .style = style};
+	struct contender *e;
+	struct race r = {.d = d, .watch = w, .scenario = scenario};
 	uint32_t i;
 
 	r.before = operators_head(d);
@@ -222,19 +224,19 @@
 	/* Each request takes so long that the five overlap. */
 	deployment_platform_knobs(d, "{\"delay_ms\":20}");
 	for (i = 0; i < OPERATORS; i++)
-		start(&r, round, i);
+		start_contender(&r, round, i);
 	for (i = 0; i < OPERATORS; i++) {
-		e = &r.entrants[i];
-		e->told = deployment_ctl_end(e->ctl, &e->code);
+		e = &r.contenders[i];
+		e->result = deployment_ctl_end(e->ctl, &e->code);
 	}
 	deployment_platform_knobs(d, "{\"delay_ms\":0}");
 	check_halt(&r);
 	for (i = 0; i < OPERATORS; i++)
-		check_entrant(&r, &r.entrants[i]);
+		check_contender(&r, &r.contenders[i]);
 	check_counts(&r);
 	for (i = 0; i < OPERATORS; i++) {
-		json_decref(r.entrants[i].told);
-		g_free(r.entrants[i].bundle);
+		json_decref(r.contenders[i].result);
+		g_free(r.contenders[i].bundle);
 	}
 }
 
@@ -250,9 +252,10 @@
 	ck_assert_uint_eq(deployment_sign_off(deployment_host(d, 0), first), 1);
 	version_watch_accept(w, 1, START_BOUND_MS);
 	(void)version_watch_wait(w, 1, START_BOUND_MS);
-	for (i = 0; i < ROUNDS * STYLES; i++)
-		race(d, w, (enum style)(i % STYLES), i);
-	(void)version_watch_wait(w, operators_head(d).in_force, ROLL_BOUND_MS);
+	for (i = 0; i < ROUNDS * SCENARIOS; i++)
+		race(d, w, (enum scenario)(i % SCENARIOS), i);
+	(void)version_watch_wait(
+	    w, operators_head(d).in_force, ROLLOUT_BOUND_MS);
 	(void)printf("%lu versions by %u operators\n",
 	    (unsigned long)operators_head(d).version, OPERATORS);
 	ck_assert_uint_eq(version_watch_end(w), 0);
