--- a/test/functional/test_abandoned.c
+++ b/test/functional/test_abandoned.c
@@ -1,7 +1,8 @@
 /*
- * An operator gives up while the platform is down.  The node must give up by
- * then too: a sign-off that nobody waits for must not take effect later, on
- * top of what others have signed meanwhile.
+ * bramleyctl times out during an outage of the platform.  The node must abandon
+ * the sign-off by then too.  Otherwise a sign-off without a waiting client
+ * could be executed later, on top of versions that others have signed off
+ * meanwhile.
  */
 #include <check.h>
 #include <curl/curl.h>
@@ -12,7 +13,7 @@
 
 #define TEST_TIMEOUT_S 60
 #define ROLLOUT_BOUND_MS 15000
-/* Longer than a node goes on with an operation at most. */
+/* Longer than a node retries an operation. */
 #define LATE_EFFECT_US (11 * G_USEC_PER_SEC)
 
 START_TEST(abandoned_sign_off_has_no_late_effect)
--- a/test/functional/test_call_crash.c
+++ b/test/functional/test_call_crash.c
@@ -1,15 +1,15 @@
 /*
- * A request that ends every upstream which runs it.
+ * A request that crashes each upstream that runs it must be quarantined.
  *
- * Seen: one read ended the four upstreams of a service again and again, 16
- * times in 17 s, sent by its caller to any node; most other reads were refused,
- * since one or two upstreams were up at a time. How: an attempt whose upstream
- * ends is lost to its entry, which sends it to the next upstream; the caller
- * then asks another node. Cause: nobody keeps what was seen.  An entry forgets
- * a request with its call, a guard which requests ran when its upstream ended,
- * and nothing is told to others. Proof: this test, where nothing else happens:
- * each node in turn gets the same request, and each of its runs ends an
- * upstream, which is started again.
+ * Without a quarantine, one read crashed the four upstreams of a service 16
+ * times in 17 s, and most other reads were refused because only one or two
+ * upstreams were running at a time.  The entry retried each attempt whose
+ * upstream had crashed at the next upstream, and the caller then sent the
+ * request to another node.  Neither entries nor guards recorded which requests
+ * were running when an upstream crashed, and nodes didn't exchange that.
+ *
+ * The test sends the same request to each node in turn, without other faults,
+ * and restarts the upstreams that it crashes.
  */
 #include <stdbool.h>
 #include <stdio.h>
@@ -27,17 +27,17 @@
 #define HOSTS 4
 #define URL_BYTES 128
 #define REQUEST_ID "crasher"
-/* Ends after which a request is no longer to be run... */
+/* Crashes after which nodes must quarantine a request. */
 #define QUARANTINE_CRASHES 3
-/* ...by nodes that have had so long to hear of it, but for so many tries. */
+/* Time for the quarantine to reach all nodes, and maximum of runs after it. */
 #define PROPAGATION_MS 3000
 #define RUNS_AFTER_MAX 3
 #define OBSERVE_MS 5000
 #define TEST_DEADLINE_MS 30000
 #define POLL_MS 20
-/* News of an operator reaches all nodes within this. */
+/* Time for a release by an operator to reach all nodes. */
 #define RELEASE_TIMEOUT_MS 3000
-/* Time from the end of an upstream to its next start. */
+/* Time from the exit of an upstream to its restart. */
 #define RESTART_DELAY_MS 400
 
 static const struct calls_limits limits = {.timeout_ms = 2000,
@@ -47,12 +47,12 @@
     .key_window_ms = 1000};
 
 /**
- * struct counters - what the test sees
- * @runs_ms: monotonic time of each run of the request, in any order
- * @refused: answers that say that the request is quarantined
- * @others: other requests sent
- * @others_done: those of them that were answered
- * @others_refused: those of them that were told to be quarantined
+ * struct counters - observations of the test
+ * @runs_ms: monotonic time of each run of the request
+ * @refused: answers that report the request as quarantined
+ * @others: number of other requests sent
+ * @others_done: number of other requests that were answered
+ * @others_refused: number of other requests reported as quarantined
  */
 struct counters {
 	GArray *runs_ms;
@@ -93,7 +93,7 @@
 	return (gint)time_order(a, b);
 }
 
-/* All runs of the request, by the upstreams' journals. */
+/* Reads the times of all runs of the request from the upstreams' journals. */
 static void
 read_runs(const struct deployment *d, GArray *runs_ms)
 {
@@ -121,7 +121,7 @@
 	g_array_sort(runs_ms, compare_times);
 }
 
-/* Starts again what has ended, a while after that. */
+/* Restarts upstreams RESTART_DELAY_MS after they have exited. */
 static void
 restart_crashed(struct deployment *d, uint64_t *restart_at_ms)
 {
@@ -175,7 +175,7 @@
 	return g_array_index(w->runs_ms, uint64_t, QUARANTINE_CRASHES - 1);
 }
 
-/* Requests that a node holds off, by bramleyctl; a new reference. */
+/* Quarantined requests of a node, by bramleyctl; a new reference. */
 static json_t *
 quarantined_requests(const struct host *h)
 {
@@ -204,8 +204,8 @@
 	ck_assert_uint_eq(n, 0);
 }
 
-/* An operator finds out quarantined requests, since when and why, and lets it
- * be run again, at all nodes. */
+/* An operator lists the quarantined request with its time and cause, and
+ * releases it at all nodes. */
 static void
 check_release(const struct deployment *d)
 {
--- a/test/functional/test_call_freeze.c
+++ b/test/functional/test_call_freeze.c
@@ -1,7 +1,8 @@
 /*
- * Nodes and upstreams are frozen at random moments under load, for longer
- * than the deadline of the calls and the suspicion of their peers, and thawed.
- * Frames and bytes that waited meanwhile must not be taken for fresh ones.
+ * Nodes and upstreams are suspended by SIGSTOP at random times under load, for
+ * longer than the deadline of calls and the suspicion timeout of peers, and
+ * resumed.  Frames and bytes that were buffered meanwhile must not be treated
+ * as current.
  */
 #include <signal.h>
 
@@ -12,8 +13,8 @@
 
 #define TEST_TIMEOUT_S 60
 #define SEEDS 1
-/* Longer than three tries of a keyed call and the time frozen. */
 #define DURATION_S "1.5"
+/* Longer than three attempts of a keyed call and the suspension together. */
 #define KEY_WINDOW_MS 8500
 
 static void
--- a/test/functional/test_call_kill.c
+++ b/test/functional/test_call_kill.c
@@ -1,7 +1,7 @@
 /*
- * Nodes and upstreams are killed at random moments under load.  A node is the
- * guard of its upstream and the entry of its callers.  Whatever a caller was
- * told must be true: see standins/run_check.h.
+ * Nodes and upstreams are killed at random times under load.  A node is both
+ * the guard of its upstream and the entry of its callers.  Each fate reported
+ * to a caller must be true, see standins/run_check.h.
  */
 #include <check.h>
 #include <curl/curl.h>
@@ -10,8 +10,8 @@
 
 #define TEST_TIMEOUT_S 60
 #define SEEDS 2
-/* Longer than three tries of a keyed call. */
 #define DURATION_S "1.5"
+/* Longer than three attempts of a keyed call. */
 #define KEY_WINDOW_MS 5500
 
 static void
--- a/test/functional/test_call_many.c
+++ b/test/functional/test_call_many.c
@@ -1,12 +1,12 @@
 /*
  * Many callers on one node: 2,000 that keep a connection open after one
- * lookup, 200 that say nothing, 40 that send their request a byte at a time,
- * and one that uploads 1 GB.  Lookups of others go on being answered, and the
- * node's memory stays bounded.  Latency is only printed.
+ * lookup, 200 that send nothing, 40 that send their request a byte at a time,
+ * and one that uploads 1 GB.  The node must answer lookups of other callers,
+ * and its memory must stay bounded.  Latency is only printed.
  *
- * BRAMLEY_SLOW sets another number of slow senders.  Each holds one of the 64
- * threads for callers: with 100 no lookup is answered, which is a fault that
- * is still open.
+ * BRAMLEY_SLOW sets the number of slow senders.  Each occupies one of the 64
+ * threads for callers: with 100 slow senders no lookup is answered, which is a
+ * known fault.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -34,7 +34,7 @@
 #define NAME_BYTES 64
 #define LINE_BYTES 256
 #define UPLOAD_BYTES "1073741824"
-/* What the node may grow by in an upload of 1 GB. */
+/* Maximum growth of a node's peak memory in an upload of 1 GB. */
 #define MAX_GROWTH_KB 65536
 #define US_PER_MS 1000.0
 
@@ -74,7 +74,8 @@
 	return fd;
 }
 
-/* One lookup over a connection that then stays open; its status. */
+/* Sends a lookup on a connection and leaves it open; returns the HTTP status.
+ */
 static int
 caller_lookup(int fd)
 {
@@ -100,7 +101,8 @@
 	return answered;
 }
 
-/* Load for 3 s on the node, beside whatever else goes on; its p99. */
+/* Sends lookups to the node of host 0, all of which must be done; returns the
+ * 99th percentile of their latency. */
 static double
 lookups_p99_ms(struct deployment *d, const char *name, uint32_t seconds)
 {
@@ -121,7 +123,7 @@
 	return p99;
 }
 
-/* Sends a request a byte at a time on each connection, until told to end. */
+/* Callers that send a request a byte at a time until @stop is set. */
 struct slow_callers {
 	int fds[SLOW_MAX];
 	uint32_t n;
@@ -178,7 +180,7 @@
 		(void)close(fds[i]);
 }
 
-/* The test's own lookups carry no id, so the check of runs is left out. */
+/* Doesn't check the runs, since the lookups of open_idle() have no test id. */
 START_TEST(idle_silent_and_slow_callers_block_no_lookup)
 {
 	double alone, under_load;
@@ -215,7 +217,7 @@
 }
 END_TEST
 
-/* Most memory that a process ever had, in kilobytes. */
+/* Peak resident memory of a process in kilobytes. */
 static long
 peak_kb(const struct process *p)
 {
@@ -232,8 +234,8 @@
 	return kb;
 }
 
-/* The entry is host 0; documents are stored elsewhere, so two nodes carry it.
- */
+/* The entry is host 0.  The upstreams for documents are on other hosts, so each
+ * upload passes through two nodes. */
 START_TEST(upload_of_a_gigabyte_takes_little_memory)
 {
 	static const char *const upload_args[] = {"--rate", "2", "--duration-s",
--- a/test/functional/test_call_overload.c
+++ b/test/functional/test_call_overload.c
@@ -1,7 +1,7 @@
 /*
- * Open-loop load at 30, 80, 100, 150 and 300 % of what two small endpoints
- * carry.  What is refused is refused unrun, with the time to come back, and
- * goodput doesn't collapse.  Speed itself is only printed.
+ * Open-loop load at 30, 80, 100, 150 and 300 % of the capacity of two small
+ * endpoints.  Refused calls must not run and must get a Retry-After header, and
+ * goodput must not collapse.  Latency is only printed.
  */
 #include <stdio.h>
 
@@ -20,7 +20,7 @@
 #define CAPACITY_PER_S (ENDPOINTS * SLOTS * MS_PER_S / WORK_MS_MEAN)
 #define PERCENT 100
 #define DURATION_S 3
-/* Each kind of calls keeps at least one part in this many. */
+/* Each kind of calls gets at least one in this many of the calls done. */
 #define MIN_SHARE_ONE_IN 5
 
 static const uint32_t load_percents[] = {30, 80, 100, 150, 300};
@@ -32,8 +32,8 @@
 static const char *const data_centres[] = {"grandahus", "hofdasalur", NULL};
 static const char *const services[] = {"hearing-booking", NULL};
 
-/* Under overload lookups and bookings each keep a share; both are sent alike.
- */
+/* Checks that lookups and bookings, sent at the same rate, each get a share of
+ * the goodput. */
 static void
 check_shares(const struct calls_counts *c)
 {
--- a/test/functional/test_call_refused.c
+++ b/test/functional/test_call_refused.c
@@ -1,7 +1,7 @@
 /*
- * A call that is refused at once hears so, also while its caller still sends
- * a body that nobody wants: a connection closed with bytes unread is reset,
- * and the answer may be lost.
+ * A refusal must reach the caller even while the caller is still sending a body
+ * that the node discards: closing a connection with unread bytes resets it, and
+ * the answer can be lost.
  */
 #include <check.h>
 #include <curl/curl.h>
--- a/test/functional/test_call_silent.c
+++ b/test/functional/test_call_silent.c
@@ -1,7 +1,7 @@
 /*
- * Open connections go silent for good while new ones work: those between
- * entries and a guard, and those between a guard and its upstream.  It goes
- * for what the one end hears, for what the other end hears, or for both.
+ * Open connections between entries and a guard, and between a guard and its
+ * upstream, go silent permanently while new ones work.  Incoming packets are
+ * dropped at the client's end, the server's end, or both.
  */
 #include <stdio.h>
 
@@ -16,7 +16,7 @@
 #define DURATION_S "1.5"
 #define KEY_WINDOW_MS 5500
 
-/** enum silent_ends - which end hears nothing more */
+/** enum silent_ends - ends of a connection that drop incoming packets */
 enum silent_ends {
 	SILENT_CLIENT,
 	SILENT_SERVER,
@@ -26,7 +26,7 @@
 
 static uint32_t silenced;
 
-/* Connections of entries to the guard of a host. */
+/* Silences the connections of all entries to the guard of a host. */
 static void
 silence_guard(
     const struct deployment *d, const struct host *h, enum silent_ends ends)
@@ -44,7 +44,7 @@
 	}
 }
 
-/* Connections of a guard to its upstream. */
+/* Silences the connections of a guard to its upstream. */
 static void
 silence_upstream(const struct host *h, enum silent_ends ends)
 {
@@ -56,7 +56,8 @@
 		    h->node, SILENCE_CLIENT, h->address, h->upstream_port);
 }
 
-/* It strikes twice in a round, each time another end. */
+/* Called twice in a round, as inject and as recover, with other ends each time.
+ */
 static void
 inject(struct deployment *d, struct host *h, int node)
 {
--- a/test/functional/test_call_stop.c
+++ b/test/functional/test_call_stop.c
@@ -1,8 +1,7 @@
 /*
- * Planned stops under load: an upstream drains and leaves, a node stops, a
- * host stops, half of the nodes stop one after the other, and each is started
- * again.  No answer is cut, every caller gets its own, no caller is left
- * without a word, and an upstream that drains gets no new work.
+ * Planned stops and restarts under load of an upstream, a node, a host, and
+ * half of the nodes one after another.  Each caller must get a complete answer
+ * to its own call, and a draining upstream must not get new calls.
  */
 #include <stdio.h>
 #include <string.h>
@@ -21,14 +20,14 @@
 #define URL_BYTES 128
 #define TIME_BYTES 24
 #define US_PER_MS 1000
-/* How long the entries are watched after the notice. */
+/* How long the entries are observed after the notice of the drain. */
 #define OBSERVE_MS 700
 
 static uint32_t drained_upstreams;
 static int64_t runs_after_notice;
 static int64_t max_placement_delay_ms;
 
-/* When the last call was placed on a host, by the log of one node. */
+/* Wall-clock time of the last call placed on a host, from the log of a node. */
 static int64_t
 last_placed_us(const char *log, const char *host)
 {
@@ -55,7 +54,7 @@
 	return us;
 }
 
-/* How long after a time the last entry placed a call on a host. */
+/* Time from @from_us until the last call that any entry placed on a host. */
 static int64_t
 placement_delay_ms(
     const struct deployment *d, const char *host, int64_t from_us)
@@ -88,7 +87,7 @@
 	return n;
 }
 
-/* The knob returns when the node has taken the notice. */
+/* The knob's request returns after the node has accepted the notice. */
 static void
 drain_and_stop(struct deployment *d, struct host *h)
 {
--- a/test/functional/test_call_stop_grace.c
+++ b/test/functional/test_call_stop_grace.c
@@ -1,7 +1,7 @@
 /*
- * Nodes stop within a grace time while bookings are on their way: queued, just
- * sent, at work, answered, with the peer stopping too.  A booking that reached
- * its upstream is answered, or its deadline passes; none is given up by a stop.
+ * Nodes stop within a grace time while bookings are queued, being sent, running
+ * or being answered, and while peers stop too.  A booking that has reached its
+ * upstream must be answered or exceed its deadline; a stop must not abort it.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -19,7 +19,7 @@
 #define READY_MS 15000
 #define KNOBS_BYTES 64
 #define ARG_BYTES 16
-/* Time in which all calls of a load have ended. */
+/* Time for the nodes to finish the calls of the load. */
 #define SETTLE_MS 300
 
 static const char *const data_centres[] = {"grandahus", "hofdasalur", NULL};
@@ -28,17 +28,18 @@
 /**
  * struct stop_case - nodes that stop while bookings run
  * @name: name of the load
- * @work_ms: how long each booking takes
- * @timeout_ms: deadline of bookings
- * @slots: bookings at once at an upstream
- * @queue: bookings that may wait there
+ * @work_ms: processing time of each booking
+ * @timeout_ms: timeout of bookings
+ * @slots: maximum of concurrent bookings at an upstream
+ * @queue: maximum of queued bookings at an upstream
  * @rate: bookings a second
  * @from: index of the first host that stops
- * @hosts: how many stop
+ * @hosts: number of hosts that stop
  * @gap_ms: longest time between the stops of two hosts, 0 for all at once
- * @start_after_s: when the first one stops, in seconds
- * @duration_s: how long bookings are sent, in seconds
- * @spread: bookings go to all nodes, also to those that stop
+ * @start_after_s: time of the first stop after the start of the load, in
+ *	seconds
+ * @duration_s: duration of the load in seconds
+ * @spread: whether bookings go to all nodes, including those that stop
  */
 struct stop_case {
 	const char *name;
@@ -137,7 +138,7 @@
 	    d, sc->name, deployment_host(d, 0), sc->spread, args);
 }
 
-/* Stops nodes at moments of the seed; they are killed after the grace time. */
+/* Stops nodes at times drawn from the seed. */
 static void
 stop_nodes(struct deployment *d, const struct stop_case *sc, uint32_t seed)
 {
--- a/test/functional/test_call_unanswered.c
+++ b/test/functional/test_call_unanswered.c
@@ -1,8 +1,8 @@
 /*
- * An upstream runs a call and closes the connection instead of answering,
- * also a kept-alive one just as a POST goes out.  Nothing but a lookup may be
- * sent again for it.  A client that repeats what it was not told the fate of
- * shows that the check finds a doubled booking.
+ * An upstream runs a call and closes the connection without an answer, or
+ * closes a kept-alive connection just as a POST is sent.  Nodes may retry
+ * lookups only.  A client that retries bookings of unknown fate shows that the
+ * check of runs finds a booking that ran twice.
  */
 #include <stdio.h>
 
@@ -79,7 +79,8 @@
 	ck_assert_uint_eq(c->bad_answers, 0);
 }
 
-/* Each booking is told unknown once, and a lookup is made good elsewhere. */
+/* Each booking without an answer is reported as unknown; lookups are retried at
+ * the other endpoint. */
 START_TEST(calls_run_without_an_answer)
 {
 	struct calls_counts bookings = {0}, lookups = {0};
@@ -91,7 +92,7 @@
 	ck_assert_uint_eq(bookings.unknown, 2 * RUNS_WITHOUT_ANSWER);
 	ck_assert_uint_eq(
 	    bookings.done, bookings.sent - 2 * RUNS_WITHOUT_ANSWER);
-	/* At one endpoint only: the other attempt is answered. */
+	/* At one endpoint only, so the retry at the other one is answered. */
 	deployment_upstream_knobs(
 	    deployment_host(d, 0), "{\"close_after_run\":3}");
 	run_load(d, "lookups", "1:0:0", &lookups);
@@ -100,7 +101,7 @@
 }
 END_TEST
 
-/* Only a POST on a connection that was used before meets this knob. */
+/* The knob affects only a POST on a connection that was used before. */
 START_TEST(kept_alive_connections_that_close)
 {
 	struct calls_counts c = {0};
@@ -117,7 +118,7 @@
 }
 END_TEST
 
-/* What a client that was answered 200 has been told. */
+/* Writes the outcome of a booking that was answered with status 200. */
 static void
 record_done(FILE *f, const char *test_id)
 {
@@ -130,7 +131,8 @@
 	outcomes_write(f, &o);
 }
 
-/* libcurl sends a POST again when its kept-alive connection closes. */
+/* Sends bookings by libcurl, which repeats a POST if its kept-alive connection
+ * closes. */
 static void
 book_with_retries(const struct host *h, FILE *outcomes)
 {
@@ -158,7 +160,8 @@
 	(void)fclose(sink);
 }
 
-/* The same upstream and the same check, with a client that is blind to it. */
+/* Sends bookings to the upstream directly, by a client that retries them; the
+ * check must find the five that ran twice. */
 START_TEST(check_finds_bookings_doubled_by_a_retrying_client)
 {
 	char *path = harness_path("blind.outcomes");
--- a/test/functional/test_frozen.c
+++ b/test/functional/test_frozen.c
@@ -1,6 +1,7 @@
 /*
- * A node is frozen for longer than its peers suspect it, and goes on after
- * newer versions have rolled: it catches up, and nobody else is lost.
+ * A node is suspended for longer than the suspicion timeout of its peers, and
+ * resumed after newer versions have been rolled out.  It must catch up, and no
+ * node may report any other node as failed.
  */
 #include <signal.h>
 #include <string.h>
@@ -26,7 +27,8 @@
 static const char settings[] = "{\"probe_interval_ms\":200,"
 			       "\"probe_timeout_ms\":80,\"suspicion_ms\":800}";
 
-/* Whether each live node but the frozen one counts all but the frozen one. */
+/* Checks that the running nodes report no member as failed except the suspended
+ * one. */
 static void
 check_others_not_failed(struct deployment *d)
 {
@@ -55,7 +57,8 @@
 	}
 }
 
-/* How often a node took another one for failed since its start. */
+/* Number of times that a node reported another one as failed since its start.
+ */
 static uint64_t
 count_failed_hosts(const struct host *h)
 {
@@ -76,7 +79,8 @@
 	return n;
 }
 
-/* Only the frozen node was ever taken for failed, and that once. */
+/* Checks that only the suspended node was ever reported as failed, and at most
+ * once by each node. */
 static void
 check_failures(const struct deployment *d)
 {
@@ -116,7 +120,7 @@
 	return 1;
 }
 
-/* Version that a call is served by; 0 when it was not answered. */
+/* Version that served a call; 0 if the call wasn't answered. */
 static uint64_t
 call_version(const struct host *h)
 {
@@ -136,7 +140,8 @@
 	return version;
 }
 
-/* Milliseconds for which calls got an older version after the thaw. */
+/* Resumes the suspended node; returns for how many milliseconds after that
+ * calls were served by an older version. */
 static uint64_t
 resume(struct deployment *d, struct version_watch *w, uint64_t newest)
 {
--- a/test/functional/test_halt.c
+++ b/test/functional/test_halt.c
@@ -1,6 +1,7 @@
 /*
- * A version is halted while it rolls: hosts that lack it never serve it,
- * those that have it keep it, and the next version brings all together.
+ * A version is halted during its rollout.  Hosts without the version must never
+ * serve it, hosts with the version keep it, and the next version must reach all
+ * hosts.
  */
 #include <signal.h>
 #include <string.h>
@@ -18,7 +19,7 @@
 #define ROLLOUT_BOUND_MS 8000
 #define SETTLE_US 3000000
 
-/* Hosts that are stopped while the version is signed off and halted. */
+/* Hosts that are suspended while the version is signed off and halted. */
 static const uint32_t suspended[] = {1, 4};
 
 static void
@@ -60,7 +61,7 @@
 	}
 }
 
-/* Version 2 rolls to all but two hosts; then it is halted. */
+/* Rolls out version 2 to all but two hosts, and halts it. */
 static void
 halt_during_rollout(struct deployment *d, struct version_watch *w)
 {
@@ -83,7 +84,7 @@
 	g_free(path);
 }
 
-/* The content of version 1 comes back as version 3, to all hosts. */
+/* Supersedes the halted version by version 3, with the content of version 1. */
 static void
 supersede_halted(struct deployment *d, struct version_watch *w)
 {
--- a/test/functional/test_harness.c
+++ b/test/functional/test_harness.c
@@ -1,6 +1,6 @@
 /*
- * Tests of the harness and the stand-ins as processes, without a node: what
- * later tests rely on.
+ * Tests of the harness and of the stand-ins as processes, without a node.  The
+ * other functional tests depend on this behaviour.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -26,7 +26,7 @@
 #define FAKE_NODE_KEEP_ALIVE_MS 100
 #define LEASE_MS "300"
 
-/* A stand-in running at an address of this test. */
+/* A running stand-in and its address. */
 struct standin {
 	struct process *process;
 	char address[HARNESS_ADDRESS_BYTES];
@@ -67,7 +67,8 @@
 	standin_wait(s, "/standin/stats");
 }
 
-/* An upstream "h<i>" with a journal, announced to a node unless it is NULL. */
+/* Starts upstream "h<i>" with a journal; it announces itself to @node, unless
+ * that is NULL. */
 static void
 upstream_start(struct standin *s, uint32_t i, const char *node)
 {
@@ -142,7 +143,7 @@
 	return n;
 }
 
-/* Exit code of check_runs on the outcomes and one journal. */
+/* Runs check_runs on the outcomes and one journal; returns its exit code. */
 static int
 check_exit(const char *journal_name)
 {
@@ -312,7 +313,8 @@
 }
 END_TEST
 
-/* What makes a client run a POST twice, if it reuses connections. */
+/* A client that reuses connections sends a POST again if the server closes the
+ * kept-alive connection, so the upstream runs the call twice. */
 START_TEST(kept_alive_close_makes_libcurl_send_a_post_again)
 {
 	char url[URL_BYTES];
@@ -336,7 +338,7 @@
 }
 END_TEST
 
-/* A node that only writes down what upstreams announce. */
+/* A node that only records the states that upstreams announce. */
 struct fake_node {
 	pthread_mutex_t lock;
 	GString *states;
@@ -393,7 +395,7 @@
 	standin_choose_address(&at, 5);
 	o.address = at.address;
 	o.port = at.port;
-	/* The node comes later: "starting" must still be heard first. */
+	/* The node starts later, but must still receive "starting" first. */
 	upstream_start(&s, 0, at.at);
 	g_usleep(NODE_DELAY_MS * 1000);
 	ck_assert_int_eq(web_start(&o, &web), STATUS_OK);
@@ -408,7 +410,7 @@
 }
 END_TEST
 
-/* One request on a kept connection; its curl result. */
+/* Sends one request on a kept-alive connection; returns curl's result. */
 static CURLcode
 perform(CURL *c)
 {
--- a/test/functional/test_herd.c
+++ b/test/functional/test_herd.c
@@ -1,8 +1,8 @@
 /*
- * Herds: all nodes of a data centre, or all there are, are killed and start
- * at once, with the platform up, down, or coming back.  The platform is read
- * at less than a tenth of what it can do, and no host serves an older version
- * than it had held.
+ * Thundering herd: all nodes of a data centre, or of all data centres, are
+ * killed and restarted at once while the platform is up, down or recovering.
+ * Reads must stay below a tenth of the platform's capacity, and no host may
+ * serve an older version than before.
  */
 #include <signal.h>
 #include <string.h>
@@ -20,7 +20,7 @@
 #define HOSTS 6
 #define ADDED_SERVICES 600
 #define BOUND_MS 20000
-/* A tenth of the 2,000 reads a second that the platform can do. */
+/* A tenth of the platform's capacity of 2,000 reads a second. */
 #define MAX_READS_PER_S 200
 #define RESUME_US 500000
 #define OUTAGE_US 3000000
@@ -89,7 +89,7 @@
 	    h->d, outage ? "{\"outage\":true}" : "{\"outage\":false}");
 }
 
-/* Until all that were started serve again, each at least what it held. */
+/* Waits until all running nodes serve a version or a later one. */
 static void
 wait_for_version(struct mass_restart *h, const char *label, uint64_t version)
 {
@@ -111,7 +111,7 @@
 	    (unsigned long)peak.reads, (unsigned long)peak.requests);
 }
 
-/* One data centre; a version is signed off while it is gone. */
+/* Restarts a data centre; a version is signed off while it is down. */
 static void
 restart_data_centre(struct mass_restart *h)
 {
@@ -127,7 +127,8 @@
 	check_reads(m, label);
 }
 
-/* The same with the platform down: what it held comes from the other one. */
+/* Restarts a data centre while the platform is down, so that its nodes get the
+ * version from the other data centre. */
 static void
 restart_without_platform(struct mass_restart *h)
 {
@@ -156,7 +157,8 @@
 	return 1;
 }
 
-/* A version that only the second data centre gets. */
+/* Signs off a version that reaches only the second data centre, which is then
+ * killed. */
 static void
 sign_off_in_one_data_centre(struct mass_restart *h)
 {
@@ -180,9 +182,9 @@
 }
 
 /*
- * A data centre is gone that held a version which nobody else got, and the
- * platform is down.  Its hosts are told so by the floors: they serve nothing
- * rather than go back.
+ * Restarts a data centre that had a version which no other data centre has,
+ * while the platform is down.  The floors require that version, so its hosts
+ * must serve nothing instead of an older version.
  */
 static void
 restart_ahead_of_peers(struct mass_restart *h)
@@ -200,7 +202,8 @@
 	    "a data centre ahead of the other, the platform back", h->newest);
 }
 
-/* Nobody holds anything; all wait for the platform, which comes back. */
+/* Restarts all nodes during an outage, so that no node has a version and all
+ * wait until the platform recovers. */
 static void
 restart_all(struct mass_restart *h)
 {
--- a/test/functional/test_lost_answers.c
+++ b/test/functional/test_lost_answers.c
@@ -1,7 +1,7 @@
 /*
- * The platform takes a write and its answer is lost.  Each operator is told
- * what is so, or that it is not known and how to ask; the same operation
- * started again never takes effect twice.
+ * The platform executes a write and its answer is lost.  bramleyctl must report
+ * the true result, or that the result is unknown and how to query it. Repeating
+ * the same operation must not execute it twice.
  */
 #include <string.h>
 
@@ -28,16 +28,16 @@
 };
 
 /*
- * A write whose answer is lost.  A new section, the list and the head row are
- * three writes; content that is there already is written no second time; a
- * halt writes its note and the head row.
+ * An operation whose answers are lost.  A sign-off of a new section consists of
+ * three writes: the section, the list and the head row; existing content isn't
+ * written again.  A halt writes its note and the head row.
  */
 struct lost_case {
 	const char *op;
 	enum kind kind;
 	uint32_t bundle;
 	uint32_t writes;
-	int outage; /* the platform can't be read back for a while */
+	int outage; /* the platform goes down before the result can be read */
 };
 
 static const struct lost_case cases[] = {
@@ -49,7 +49,7 @@
     {"unknown-supersede", SUPERSEDE, 0, 1, 1},
 };
 
-/* The deployment, its watch, and the case that is played. */
+/* State of the run of a case. */
 struct case_run {
 	struct deployment *d;
 	struct version_watch *watch;
@@ -91,7 +91,7 @@
 	p->args[n] = arg;
 }
 
-/* The command, by the operation's own id. */
+/* Builds the arguments of bramleyctl, with the id of the operation. */
 static void
 set_args(struct case_run *p)
 {
@@ -137,7 +137,8 @@
 	    p->d, "{\"lose_answers\":0,\"delay_ms\":0,\"outage\":false}");
 }
 
-/* Before the answer can be read back, the platform goes down. */
+/* Runs the operation, and takes the platform down before the node can read the
+ * result. */
 static int
 run_into_outage(struct case_run *p)
 {
@@ -171,14 +172,14 @@
 	    "%s ended with %d", p->lost_case->op, code);
 }
 
-/* The version that the operation has created or halted. */
+/* Version that the operation creates or halts. */
 static uint64_t
 expected_version(const struct case_run *p)
 {
 	return p->before.version + (p->lost_case->kind == HALT ? 0 : 1);
 }
 
-/* Another node knows what became of it. */
+/* Checks that another node reports the result of the operation. */
 static void
 check_query(const struct case_run *p)
 {
@@ -204,7 +205,7 @@
 	json_decref(j);
 }
 
-/* One write of the head row took effect, whatever was asked again. */
+/* Checks that the head row was written once, in spite of the repetitions. */
 static void
 check_executed_once(const struct case_run *p)
 {
--- a/test/functional/test_path.c
+++ b/test/functional/test_path.c
@@ -1,7 +1,7 @@
 /*
- * The whole path, thin: platform, three data centres of two hosts, sign-off
- * and watch by bramleyctl, calls through nodes of other data centres, three
- * versions that supersede one another while calls go on, and a planned stop.
+ * End-to-end test: platform, three data centres of two hosts each, sign-off and
+ * watch by bramleyctl, calls through nodes of other data centres, three
+ * versions that supersede one another under load, and a planned stop.
  */
 #include <string.h>
 
@@ -45,7 +45,7 @@
 	return NULL;
 }
 
-/* The first line of a stand-in's answer. */
+/* Parses the first line of a stand-in's answer. */
 static json_t *
 answer_line(const struct fetch_answer *a)
 {
@@ -88,7 +88,7 @@
 	g_free(body);
 }
 
-/* Without a version no node serves; each says at once that nothing was run. */
+/* Checks that nodes without a version refuse calls as not_run. */
 static void
 check_refused(const struct deployment *d)
 {
@@ -144,7 +144,7 @@
 	json_decref(deployment_ctl(deployment_host(d, 1), NULL, args));
 }
 
-/* When the watch ends, the version is in force: every node serves it. */
+/* After the watch the version is in force, so all nodes must serve. */
 static void
 check_in_force(const struct deployment *d)
 {
@@ -161,7 +161,7 @@
 	}
 }
 
-/* Above the range of a service's timeout, which is run as the range's end. */
+/* Above the range of a service's timeout, so that nodes use the upper limit. */
 #define ABOVE_RANGE_MS 3600000
 
 static void
@@ -175,7 +175,7 @@
 	    "services[0].timeout_ms");
 }
 
-/* A bundle with a warning is signed off, and the warning told. */
+/* Signs off a bundle with a warning, which bramleyctl must report. */
 static void
 sign_off_with_warning(struct deployment *d)
 {
@@ -196,7 +196,7 @@
 	g_free(bundle);
 }
 
-/* Any node's status has the sums of all; nothing is refused. */
+/* Checks that a node's status has the sums of all nodes, without refusals. */
 static void
 check_fleet(const struct deployment *d)
 {
--- a/test/functional/test_platform_away.c
+++ b/test/functional/test_platform_away.c
@@ -1,7 +1,7 @@
 /*
- * The platform is down, then slow, for long while versions roll.  Nodes go
- * on with what they have, a version that was accepted just before comes to
- * all of them through peers, and operators are told the truth.
+ * The platform is down, then slow, during rollouts.  Nodes must serve the
+ * version that they have, a version that was accepted just before the outage
+ * must reach all nodes through peers, and bramleyctl must report true results.
  */
 #include <signal.h>
 #include <string.h>
@@ -17,11 +17,11 @@
 #define TEST_TIMEOUT_S 120
 #define START_BOUND_MS 20000
 #define ROLLOUT_BOUND_MS 5000
-/* A reader may have backed off for 10 s when the platform comes back. */
+/* A reader's backoff can be 10 s when the platform recovers. */
 #define RECOVERY_BOUND_MS 15000
 #define SUSPENDED_US 300000
 
-/* An operation that is asked for while the platform is down. */
+/* An operation that is started while the platform is down. */
 struct outage_operation {
 	const char *op;
 	const char *args[8];
@@ -50,7 +50,8 @@
 	process_signal(deployment_host(d, 4)->node, sig);
 }
 
-/* Two nodes miss the version; when they go on, the platform is down. */
+/* Signs off a version while two nodes are suspended; when they resume, the
+ * platform is down. */
 static uint64_t
 sign_off_before_outage(struct deployment *d, struct version_watch *w)
 {
@@ -68,7 +69,7 @@
 	return version;
 }
 
-/* Nothing can be written: each operator is told that nothing was done. */
+/* No write is possible, so each operation must end as unavailable. */
 static void
 run_operations_in_outage(struct deployment *d)
 {
@@ -92,7 +93,7 @@
 	g_free(path);
 }
 
-/* The platform answers, but after so long that a sign-off takes seconds. */
+/* The platform answers so slowly that a sign-off takes seconds. */
 static uint64_t
 sign_off_while_slow(struct deployment *d, struct version_watch *w)
 {
@@ -100,7 +101,7 @@
 	return sign_off(d, w, 2, 3, RECOVERY_BOUND_MS);
 }
 
-/* Each answer comes too late to be waited for; the operator gives up. */
+/* Each answer of the platform exceeds its timeout, and bramleyctl times out. */
 static void
 sign_off_while_too_slow(struct deployment *d, struct version_watch *w)
 {
@@ -115,7 +116,7 @@
 	ck_assert_msg(code == CTL_UNKNOWN || code == CTL_UNAVAILABLE,
 	    "a sign-off that can't be known ended with %d", code);
 	deployment_platform_knobs(d, "{\"delay_ms\":0}");
-	/* The node may be at it still, for as long as it had promised. */
+	/* The node may still be executing the operation until its deadline. */
 	version = sign_off(d, w, 3, 5, RECOVERY_BOUND_MS);
 	(void)version_watch_wait(w, version, RECOVERY_BOUND_MS);
 	(void)operators_check_result(
@@ -130,7 +131,7 @@
 
 	ck_assert_uint_eq(operators_count_versions(d, "out-1", NULL), 0);
 	ck_assert_uint_eq(operators_count_versions(d, "out-3", NULL), 0);
-	/* No halt: each write made a version. */
+	/* Without a halt each write of the head row created a version. */
 	ck_assert_uint_eq(head.seq, head.version);
 	ck_assert_int_eq(operators_query(deployment_host(d, 3), "out-2", NULL),
 	    CTL_NOT_FOUND);
--- a/test/functional/test_platform_silent.c
+++ b/test/functional/test_platform_silent.c
@@ -1,6 +1,7 @@
 /*
- * Open connections to the platform go silent for good while new ones work,
- * idle and in the middle of a transfer: sign-offs and rolls go through.
+ * Open connections to the platform go silent permanently while new ones work,
+ * both when idle and in the middle of a transfer.  Sign-offs and rollouts must
+ * succeed.
  */
 #include <signal.h>
 #include <string.h>
@@ -16,10 +17,10 @@
 #define TEST_TIMEOUT_S 120
 #define BOUND_MS 25000
 #define ADDED_SERVICES 200
-/* In the middle of the list of sections, which is some 14 KB. */
+/* In the middle of the list of sections, which has about 14 KB. */
 #define MIDDLE_BYTES 6000
 #define IDLE_US 1500000
-/* While all read, what is open goes silent again and again. */
+/* Rounds in which open connections are silenced while all nodes read. */
 #define SILENCE_ROUNDS 6
 #define SILENCE_INTERVAL_US 700000
 
@@ -67,7 +68,8 @@
 	return version;
 }
 
-/* Nobody holds anything, so all of it is read while connections go silent. */
+/* Restarts all nodes, which have no version and read all of it from the
+ * platform, while connections go silent. */
 static void
 restart_all(struct deployment *d, struct version_watch *w, uint64_t version)
 {
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -1,7 +1,7 @@
 /*
- * Five operators race through different nodes.  Versions are dense and have
- * one order, and each operator is told truly whether it was first, and if
- * not, who was.
+ * Five operators run operations concurrently through different nodes.  Versions
+ * must be numbered without gaps in a total order, and each operator must be
+ * told correctly whether the operation succeeded and, if not, which one won.
  */
 #include <string.h>
 
@@ -22,11 +22,11 @@
 #define KEY_BYTES 64
 #define ARGS_MAX 16
 
-/* How the five ask. */
+/* How the five operators start their operations. */
 enum scenario {
-	SCENARIO_PARENT,    /* all build on the version that they have seen */
-	SCENARIO_NO_PARENT, /* none says what it has seen */
-	SCENARIO_RETRIES,   /* none does, and all try again */
+	SCENARIO_PARENT,    /* all name the current version as parent */
+	SCENARIO_NO_PARENT, /* none names a parent or retries */
+	SCENARIO_RETRIES,   /* none names a parent, all retry */
 	SCENARIO_MIXED,	    /* one halts, one supersedes, three sign off */
 	SCENARIOS,
 };
@@ -133,7 +133,8 @@
 	return NULL;
 }
 
-/* Who was first is one of this round, did it, and comes after what was. */
+/* Checks the winner reported to a loser: a contender of this round that
+ * succeeded, with a version newer than the one before the round. */
 static void
 check_loser(const struct race *r, const struct contender *e)
 {
@@ -187,7 +188,7 @@
 		version_watch_halted(r->watch, r->before.version);
 }
 
-/* Each that was told "done" has made one write, and nobody else has. */
+/* Checks that each successful operation made one write, and the others none. */
 static void
 check_counts(const struct race *r)
 {
@@ -221,7 +222,7 @@
 	r.before = operators_head(d);
 	(void)g_snprintf(
 	    r.parent, sizeof(r.parent), "%" G_GUINT64_FORMAT, r.before.version);
-	/* Each request takes so long that the five overlap. */
+	/* Slow enough for the five operations to overlap. */
 	deployment_platform_knobs(d, "{\"delay_ms\":20}");
 	for (i = 0; i < OPERATORS; i++)
 		start_contender(&r, round, i);
--- a/test/functional/test_version_check.c
+++ b/test/functional/test_version_check.c
@@ -1,6 +1,6 @@
 /*
- * Tests of the check of versions: each violation, planted by hand, is found,
- * and only that.
+ * Tests of version_check.h: each scenario yields exactly the violation that it
+ * contains, or none.
  */
 #include <check.h>
 #include <glib.h>
@@ -12,7 +12,7 @@
 #define BOUND_MS 1000
 #define STEPS_MAX 8
 
-/* What the check is fed with. */
+/* Calls to the check. */
 enum step_kind {
 	STEP_END,
 	STEP_OBSERVE,
