--- a/test/functional/test_call_crash.c
+++ b/test/functional/test_call_crash.c
@@ -250,8 +250,9 @@
 		if (threshold_ms(&w) != DEADLINE_NEVER)
 			end_ms = threshold_ms(&w) + PROPAGATION_MS + OBSERVE_MS;
 	}
-	(void)printf("%u runs, %u of them over %u ms after the third, %u "
-		     "refusals; others: %u sent, %u answered, %u quarantined\n",
+	(void)printf("%u runs, %u of them more than %u ms after the third, %u "
+		     "refusals; other requests: %u sent, %u answered, "
+		     "%u quarantined\n",
 	    w.runs_ms->len,
 	    count_runs_after(&w, threshold_ms(&w) + PROPAGATION_MS),
 	    PROPAGATION_MS, w.refused, w.others, w.others_done,
--- a/test/functional/test_call_many.c
+++ b/test/functional/test_call_many.c
@@ -194,7 +194,7 @@
 	alone = lookups_p99_ms(d, "alone", 3);
 	start_ms = clock_now_ms();
 	answered = open_idle(h, idle, IDLE);
-	(void)printf("%u of %d callers that keep their connection answered in "
+	(void)printf("%u of %d callers with idle connections answered in "
 		     "%lu ms\n",
 	    answered, IDLE, (unsigned long)(clock_now_ms() - start_ms));
 	ck_assert_uint_eq(answered, IDLE);
@@ -202,9 +202,9 @@
 		silent[i] = caller_connect(h);
 	slow_start(&slow, h);
 	under_load = lookups_p99_ms(d, "beside", 3);
-	(void)printf(
-	    "p99 of lookups alone %.1f ms, beside %d idle, %d mute and "
-	    "%d slow callers %.1f ms: ratio %.2f\n",
+	(void)printf("p99 of lookups alone %.1f ms, under load by %d idle, %d "
+		     "silent and "
+		     "%d slow callers %.1f ms: ratio %.2f\n",
 	    alone, IDLE, SILENT, slow.n, under_load, under_load / alone);
 	slow_end(&slow);
 	close_all(idle, IDLE);
@@ -266,7 +266,7 @@
 	}
 	(void)printf(
 	    "%u GB within %lu ms; a node grew by %ld KB at most; p99 of "
-	    "lookups alone %.1f ms, beside %.1f ms: ratio %.2f\n",
+	    "lookups alone %.1f ms, during uploads %.1f ms: ratio %.2f\n",
 	    c.done, (unsigned long)duration_ms, max_growth, alone, under_load,
 	    under_load / alone);
 	(void)fflush(stdout);
--- a/test/functional/test_call_overload.c
+++ b/test/functional/test_call_overload.c
@@ -65,7 +65,7 @@
 	ck_assert_uint_eq(c.unknown, 0);
 	goodput = (double)c.done / DURATION_S;
 	check_shares(&c);
-	(void)printf("%u %% of %u a second: goodput %.0f a second, %u lookups "
+	(void)printf("%u %% of %u calls/s: goodput %.0f calls/s, %u lookups "
 		     "and %u bookings done, refused in %.1f ms (p99)\n",
 	    percent, CAPACITY_PER_S, goodput, c.done_of_kind[CALL_LOOKUP],
 	    c.done_of_kind[CALL_BOOKING], (double)c.refused_p99_us / MS_PER_S);
@@ -92,7 +92,8 @@
 	d = calls_start(&plan, &limits);
 	for (i = 0; i < LOADS; i++)
 		goodput[i] = load_at(d, load_percents[i]);
-	(void)printf("goodput at 300 %%: %.0f %% of that at 100 %% (aim 90)\n",
+	(void)printf(
+	    "goodput at 300 %%: %.0f %% of that at 100 %% (target 90)\n",
 	    goodput[AT_MAXIMUM] * PERCENT / goodput[AT_CAPACITY]);
 	(void)fflush(stdout);
 	ck_assert_double_ge(goodput[AT_MAXIMUM] * 2, goodput[AT_CAPACITY]);
--- a/test/functional/test_call_silent.c
+++ b/test/functional/test_call_silent.c
@@ -78,7 +78,7 @@
 	struct calls_counts sums[CALLS_TARGETS];
 
 	calls_rounds(&f, SEEDS, sums);
-	(void)printf("%u ends of connections went silent\n", silenced);
+	(void)printf("%u ends of connections silenced\n", silenced);
 	ck_assert_uint_gt(silenced, 0);
 }
 END_TEST
--- a/test/functional/test_call_stop.c
+++ b/test/functional/test_call_stop.c
@@ -44,7 +44,8 @@
 		line = line == NULL ? text : line + 1;
 		(void)g_strlcpy(time, line, sizeof(time));
 		t = g_date_time_new_from_iso8601(time, NULL);
-		ck_assert_msg(t != NULL, "no time: %s", time);
+		ck_assert_msg(
+		    t != NULL, "log line doesn't begin with a time: %s", time);
 		us = g_date_time_to_unix(t) * G_USEC_PER_SEC +
 		    g_date_time_get_microsecond(t);
 		g_date_time_unref(t);
@@ -130,7 +131,7 @@
 
 	calls_rounds(&f, SEEDS, sums);
 	(void)printf("%u upstreams drained: %ld runs after the notice, last "
-		     "call placed there %ld ms after it\n",
+		     "call placed %ld ms after the notice\n",
 	    drained_upstreams, (long)runs_after_notice,
 	    (long)max_placement_delay_ms);
 	(void)fflush(stdout);
--- a/test/functional/test_call_unanswered.c
+++ b/test/functional/test_call_unanswered.c
@@ -109,8 +109,8 @@
 
 	set_knobs(d, "{\"close_kept_alive\":1000000}");
 	run_load(d, "mixed", "1:1:0", &c);
-	(void)printf(
-	    "%u POSTs met a closing connection\n", count_unanswered(d));
+	(void)printf("%u POSTs were sent on a closing connection\n",
+	    count_unanswered(d));
 	ck_assert_uint_eq(c.done + c.unknown, c.sent);
 	ck_assert_uint_eq(c.unknown, count_unanswered(d));
 	ck_assert_uint_eq(c.unknown, 0);
@@ -176,8 +176,8 @@
 	(void)fclose(outcomes);
 	g_ptr_array_add(d->outcomes, path);
 	violations = deployment_check_runs(d);
-	(void)printf("blind client: %u of %d bookings ran twice\n", violations,
-	    BOOKINGS);
+	(void)printf("retrying client: %u of %d bookings ran twice\n",
+	    violations, BOOKINGS);
 	ck_assert_uint_eq(violations, 5);
 	deployment_free(d);
 	harness_cleanup();
--- a/test/functional/test_frozen.c
+++ b/test/functional/test_frozen.c
@@ -73,7 +73,7 @@
 	    h->admin_port);
 	fetch_perform(&f, &a);
 	at = strstr(a.body->str, name);
-	ck_assert_msg(at != NULL, "%s shows no %s", h->name, name);
+	ck_assert_msg(at != NULL, "%s has no metric %s", h->name, name);
 	n = g_ascii_strtoull(at + strlen(name), NULL, 10);
 	fetch_answer_clear(&a);
 	return n;
@@ -90,7 +90,7 @@
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
 		ck_assert_msg(count_failed_hosts(h) <= (i != FROZEN),
-		    "%s took %lu hosts for failed", h->name,
+		    "%s reported %lu hosts as failed", h->name,
 		    (unsigned long)count_failed_hosts(h));
 	}
 }
@@ -192,12 +192,12 @@
 	process_signal(deployment_host(d, FROZEN)->node, SIGSTOP);
 	ck_assert_msg(
 	    harness_wait_until(others_exclude_frozen, &l, START_BOUND_MS),
-	    "the frozen node was never lost");
+	    "the suspended node was never reported as failed");
 	check_others_not_failed(d);
 	(void)sign_off(d, w, 2, ROLLOUT_BOUND_MS);
 	version = sign_off(d, w, 3, ROLLOUT_BOUND_MS);
 	old_ms = resume(d, w, version);
-	(void)printf("calls at the thawed node got an older version for "
+	(void)printf("calls at the resumed node got an older version for "
 		     "%lu ms\n",
 	    (unsigned long)old_ms);
 	check_others_not_failed(d);
--- a/test/functional/test_harness.c
+++ b/test/functional/test_harness.c
@@ -50,7 +50,7 @@
 	char *url = g_strconcat(s->url, path, NULL);
 
 	ck_assert_msg(fetch_wait_status(url, 200, START_TIMEOUT_MS),
-	    "%s: see %s", url, process_log_path(s->process));
+	    "%s didn't answer 200; see %s", url, process_log_path(s->process));
 	g_free(url);
 }
 
@@ -209,8 +209,8 @@
 	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
 		standin_knobs(&s, cases[i].knobs);
 		json_decref(fetch_json("GET", url, NULL, &code));
-		ck_assert_msg(
-		    code == cases[i].code, "%s: %d", cases[i].knobs, code);
+		ck_assert_msg(code == cases[i].code, "%s: status %d",
+		    cases[i].knobs, code);
 	}
 	ck_assert_int_eq(standin_count(&s, "/standin/stats", "failed"), 1);
 	ck_assert_int_eq(standin_count(&s, "/standin/stats", "rejected"), 1);
--- a/test/functional/test_herd.c
+++ b/test/functional/test_herd.c
@@ -132,7 +132,7 @@
 static void
 restart_without_platform(struct mass_restart *h)
 {
-	const char *label = "a data centre, the platform down";
+	const char *label = "a data centre, platform down";
 	struct read_meter *m;
 	uint64_t version = deployment_version(deployment_host(h->d, 0));
 
@@ -199,7 +199,7 @@
 		    deployment_version(deployment_host(h->d, i)), 0);
 	set_outage(h, 0);
 	wait_for_version(h,
-	    "a data centre ahead of the other, the platform back", h->newest);
+	    "a data centre ahead of the other, platform recovered", h->newest);
 }
 
 /* Restarts all nodes during an outage, so that no node has a version and all
@@ -207,7 +207,7 @@
 static void
 restart_all(struct mass_restart *h)
 {
-	const char *label = "all hosts, the platform back after 3 s";
+	const char *label = "all hosts, platform recovered after 3 s";
 	struct read_meter *m;
 
 	kill_hosts(h, 0, 2 * HOSTS);
--- a/test/functional/test_lost_answers.c
+++ b/test/functional/test_lost_answers.c
@@ -147,7 +147,7 @@
 	    deployment_ctl_start(deployment_host(p->d, 0), p->args);
 
 	ck_assert_msg(harness_wait_until(all_lost, p, LOSE_TIMEOUT_MS),
-	    "%s: the writes did not come", p->lost_case->op);
+	    "%s: the platform didn't get the writes", p->lost_case->op);
 	deployment_platform_knobs(p->d, "{\"outage\":true}");
 	json_decref(deployment_ctl_end(ctl, &code));
 	return code;
@@ -197,8 +197,8 @@
 	int code;
 	json_t *j = deployment_ctl(deployment_host(p->d, host), &code, p->args);
 
-	ck_assert_msg(
-	    code == CTL_DONE, "%s again ended with %d", p->lost_case->op, code);
+	ck_assert_msg(code == CTL_DONE, "repeated %s ended with %d",
+	    p->lost_case->op, code);
 	ck_assert(json_is_true(json_object_get(j, "repeated")));
 	ck_assert_uint_eq(
 	    (uint64_t)json_number(j, "version"), expected_version(p));
--- a/test/functional/test_path.c
+++ b/test/functional/test_path.c
@@ -105,7 +105,7 @@
 		fetch_perform(&f, &a);
 		fate = fetch_header(&a, "Bramley-Fate");
 		retry = fetch_header(&a, "Retry-After");
-		ck_assert_msg(a.code == 503, "%s: %d", h->name, a.code);
+		ck_assert_msg(a.code == 503, "%s: status %d", h->name, a.code);
 		ck_assert_str_eq(fate, "not_run");
 		ck_assert_ptr_nonnull(retry);
 		g_free(fate);
@@ -157,7 +157,8 @@
 		json_decref(
 		    deployment_api(h, "GET", "/v1/health", NULL, &code));
 		ck_assert_msg(code == 200,
-		    "the watch ended and %s does not serve: %d", h->name, code);
+		    "%s doesn't serve after the watch: status %d", h->name,
+		    code);
 	}
 }
 
--- a/test/functional/test_platform_away.c
+++ b/test/functional/test_platform_away.c
@@ -63,8 +63,8 @@
 	g_usleep(SUSPENDED_US);
 	signal_two_nodes(d, SIGCONT);
 	ms = version_watch_wait(w, version, ROLLOUT_BOUND_MS);
-	(void)printf("a version signed before the outage came to all peers "
-		     "%lu ms after they went on\n",
+	(void)printf("a version signed off before the outage reached all nodes "
+		     "%lu ms after they resumed\n",
 	    (unsigned long)ms);
 	return version;
 }
@@ -114,7 +114,7 @@
 	deployment_platform_knobs(d, "{\"delay_ms\":2500}");
 	json_decref(deployment_ctl(deployment_host(d, 5), &code, args));
 	ck_assert_msg(code == CTL_UNKNOWN || code == CTL_UNAVAILABLE,
-	    "a sign-off that can't be known ended with %d", code);
+	    "a sign-off of unknown result ended with %d", code);
 	deployment_platform_knobs(d, "{\"delay_ms\":0}");
 	/* The node may still be executing the operation until its deadline. */
 	version = sign_off(d, w, 3, 5, RECOVERY_BOUND_MS);
--- a/test/functional/test_platform_silent.c
+++ b/test/functional/test_platform_silent.c
@@ -50,9 +50,9 @@
 
 	for (i = 0; i < d->relays->len; i++)
 		n += relay_silenced(g_ptr_array_index(d->relays, i));
-	ck_assert_msg(n > 0, "%s: no connection went silent", label);
+	ck_assert_msg(n > 0, "%s: no connection was silenced", label);
 	(void)printf(
-	    "%s: %lu connections silent so far\n", label, (unsigned long)n);
+	    "%s: %lu connections silenced so far\n", label, (unsigned long)n);
 }
 
 static uint64_t
@@ -94,7 +94,7 @@
 	}
 	ms = deployment_wait_version(d, version, BOUND_MS);
 	(void)printf(
-	    "all serve %lu ms after the last silence\n", (unsigned long)ms);
+	    "all serve %lu ms after the last silencing\n", (unsigned long)ms);
 }
 
 START_TEST(silent_connections_block_nothing)
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -116,7 +116,7 @@
 	(void)g_snprintf(
 	    key, sizeof(key), "version/%" G_GUINT64_FORMAT, version);
 	row = deployment_platform_row(r->d, key);
-	ck_assert_msg(row != NULL, "there is no row %s", key);
+	ck_assert_msg(row != NULL, "row %s does not exist", key);
 	ck_assert_str_eq(deployment_row_text(row, "op"), op);
 	ck_assert_str_eq(deployment_row_text(row, "operator"), name);
 	json_decref(row);
@@ -145,8 +145,9 @@
 	const struct contender *winner = find_contender(r, op);
 	uint64_t version = (uint64_t)json_number(result, "version");
 
-	ck_assert_msg(winner != NULL && winner != e, "%s was told that %s won",
-	    e->op, op == NULL ? "nobody" : op);
+	ck_assert_msg(winner != NULL && winner != e,
+	    "%s was told that the winner is %s", e->op,
+	    op == NULL ? "nobody" : op);
 	ck_assert_int_eq(winner->code, CTL_DONE);
 	ck_assert_str_eq(winner->name, name);
 	ck_assert_int_eq(
--- a/test/functional/test_version_check.c
+++ b/test/functional/test_version_check.c
@@ -36,7 +36,7 @@
 struct scenario {
 	const char *name;
 	struct step steps[STEPS_MAX];
-	int violations; /* enum version_rule, or -1 for none */
+	int expected_rule; /* enum version_rule, or -1 for none */
 };
 
 #define OBSERVE(h, v, r)                 \
@@ -73,27 +73,29 @@
 	}
 
 static const struct scenario scenarios[] = {
-    {"forward only",
+    {"increasing versions",
 	{OBSERVE("a", 1, "x"), OBSERVE("a", 1, "x"), OBSERVE("a", 3, "z")}, -1},
-    {"back", {OBSERVE("a", 2, "y"), OBSERVE("a", 1, "x")}, VERSION_REGRESSION},
-    {"back in a call", {OBSERVE("a", 2, "y"), OBSERVE("a", 1, NULL)},
+    {"regression", {OBSERVE("a", 2, "y"), OBSERVE("a", 1, "x")},
 	VERSION_REGRESSION},
-    {"back across a restart",
+    {"regression in a call", {OBSERVE("a", 2, "y"), OBSERVE("a", 1, NULL)},
+	VERSION_REGRESSION},
+    {"regression across a restart",
 	{OBSERVE("a", 2, "y"), OBSERVE("a", 0, NULL), OBSERVE("a", 1, "x")},
 	VERSION_REGRESSION},
     {"nothing served after a restart",
 	{OBSERVE("a", 2, "y"), OBSERVE("a", 0, NULL)}, -1},
     {"another host is older", {OBSERVE("a", 2, "y"), OBSERVE("b", 1, "x")}, -1},
-    {"half of a version", {OBSERVE("a", 2, "y"), OBSERVE("b", 2, "x")},
+    {"roots of two hosts differ", {OBSERVE("a", 2, "y"), OBSERVE("b", 2, "x")},
 	VERSION_ROOT_MISMATCH},
-    {"half of a version after a call",
+    {"roots of two hosts differ after a call",
 	{OBSERVE("a", 2, NULL), OBSERVE("a", 2, "y"), OBSERVE("b", 2, "x")},
 	VERSION_ROOT_MISMATCH},
-    {"a root that changes", {OBSERVE("a", 2, "y"), OBSERVE("a", 2, "x")},
+    {"root of one host changes", {OBSERVE("a", 2, "y"), OBSERVE("a", 2, "x")},
 	VERSION_ROOT_MISMATCH},
-    {"as recorded", {OBSERVE("a", 1, "x"), RECORD(1, "x"), COMPARE_RECORDS},
-	-1},
-    {"not as recorded", {OBSERVE("a", 1, "x"), RECORD(1, "y"), COMPARE_RECORDS},
+    {"root as recorded",
+	{OBSERVE("a", 1, "x"), RECORD(1, "x"), COMPARE_RECORDS}, -1},
+    {"root not as recorded",
+	{OBSERVE("a", 1, "x"), RECORD(1, "y"), COMPARE_RECORDS},
 	VERSION_ROOT_MISMATCH},
     {"never accepted", {OBSERVE("a", 2, "x"), RECORD(1, "x"), COMPARE_RECORDS},
 	VERSION_NO_RECORD},
@@ -105,23 +107,23 @@
 	-1},
     {"late", {REACHABLE("a", 0), ACCEPT(1, 0), TICK(1000), TICK(2000)},
 	VERSION_LATE},
-    {"late, and never seen at all",
+    {"late, without any version",
 	{REACHABLE("a", 0), OBSERVE("a", 0, NULL), ACCEPT(1, 0), TICK(1000)},
 	VERSION_LATE},
     {"late with an older version",
 	{REACHABLE("a", 0), OBSERVE("a", 1, "x"), ACCEPT(2, 0), TICK(1000)},
 	VERSION_LATE},
-    {"a later version will do",
+    {"a later version is sufficient",
 	{REACHABLE("a", 0), ACCEPT(1, 0), ACCEPT(2, 0), OBSERVE("a", 2, "y"),
 	    TICK(1000)},
 	-1},
-    {"absent", {REACHABLE("a", 0), ACCEPT(1, 0), UNREACHABLE("a"), TICK(1000)},
-	-1},
-    {"the bound starts with the return",
+    {"unreachable",
+	{REACHABLE("a", 0), ACCEPT(1, 0), UNREACHABLE("a"), TICK(1000)}, -1},
+    {"bound counts from reachability",
 	{REACHABLE("a", 0), ACCEPT(1, 0), UNREACHABLE("a"),
 	    REACHABLE("a", 5000), TICK(5999)},
 	-1},
-    {"late after the return",
+    {"late after becoming reachable",
 	{UNREACHABLE("a"), ACCEPT(1, 0), REACHABLE("a", 5000), TICK(6000)},
 	VERSION_LATE},
     {"halted", {REACHABLE("a", 0), ACCEPT(1, 0), WITHDRAW(1), TICK(1000)}, -1},
@@ -171,12 +173,13 @@
 	for (i = 0; i < STEPS_MAX; i++)
 		apply_step(c, &p->steps[i]);
 	violations = version_check_violations(c);
-	ck_assert_msg(violations->len == (p->violations == -1 ? 0 : 1),
+	ck_assert_msg(violations->len == (p->expected_rule == -1 ? 0 : 1),
 	    "%s: %u violations", p->name, violations->len);
-	if (p->violations != -1) {
+	if (p->expected_rule != -1) {
 		v = g_ptr_array_index(violations, 0);
-		ck_assert_msg((int)v->rule == p->violations, "%s: found \"%s\"",
-		    p->name, version_rule_name(v->rule));
+		ck_assert_msg((int)v->rule == p->expected_rule,
+		    "%s: violation \"%s\"", p->name,
+		    version_rule_name(v->rule));
 	}
 	version_check_free(c);
 }
