--- a/test/functional/test_frozen.c
+++ b/test/functional/test_frozen.c
@@ -21,7 +21,7 @@
 #define ROLLOUT_BOUND_MS 8000
 #define CALL_PAUSE_US 2000
 #define SETTLE_US 2000000
-#define FROZEN 1
+#define SUSPENDED 1
 #define URL_BYTES 128
 
 static const char settings[] = "{\"probe_interval_ms\":200,"
@@ -38,7 +38,7 @@
 	uint32_t i;
 
 	for (i = 0; i < d->hosts->len; i++) {
-		if (i == FROZEN)
+		if (i == SUSPENDED)
 			continue;
 		j = deployment_api(
 		    deployment_host(d, i), "GET", "/v1/members", NULL, NULL);
@@ -50,7 +50,7 @@
 			    json_string_value(json_object_get(member, "state"));
 			if (g_strcmp0(json_string_value(
 					  json_object_get(member, "host")),
-				deployment_host(d, FROZEN)->name) != 0)
+				deployment_host(d, SUSPENDED)->name) != 0)
 				ck_assert_str_ne(state, "failed");
 		}
 		json_decref(j);
@@ -89,26 +89,26 @@
 
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
-		ck_assert_msg(count_failed_hosts(h) <= (i != FROZEN),
+		ck_assert_msg(count_failed_hosts(h) <= (i != SUSPENDED),
 		    "%s reported %lu hosts as failed", h->name,
 		    (unsigned long)count_failed_hosts(h));
 	}
 }
 
-struct lost {
+struct wait_arg {
 	struct deployment *d;
 };
 
 static int
-others_exclude_frozen(void *arg)
+others_exclude_suspended(void *arg)
 {
-	const struct lost *l = arg;
+	const struct wait_arg *l = arg;
 	json_t *j;
 	int64_t live;
 	uint32_t i;
 
 	for (i = 0; i < l->d->hosts->len; i++) {
-		if (i == FROZEN)
+		if (i == SUSPENDED)
 			continue;
 		j = deployment_api(
 		    deployment_host(l->d, i), "GET", "/v1/status", NULL, NULL);
@@ -145,7 +145,7 @@
 static uint64_t
 resume(struct deployment *d, struct version_watch *w, uint64_t newest)
 {
-	const struct host *h = deployment_host(d, FROZEN);
+	const struct host *h = deployment_host(d, SUSPENDED);
 	uint64_t last_old_ms, start_ms = clock_now_ms(), version;
 
 	process_signal(h->node, SIGCONT);
@@ -174,11 +174,11 @@
 	return version;
 }
 
-START_TEST(frozen_node_catches_up)
+START_TEST(suspended_node_catches_up)
 {
 	struct deployment_plan plan = deployment_registry;
 	struct deployment *d;
-	struct lost l;
+	struct wait_arg l;
 	struct version_watch *w;
 	uint64_t old_ms, version;
 
@@ -188,10 +188,10 @@
 	deployment_start(d);
 	w = version_watch_start(d);
 	(void)sign_off(d, w, 1, START_BOUND_MS);
-	version_watch_set_reachable(w, deployment_host(d, FROZEN), 0);
-	process_signal(deployment_host(d, FROZEN)->node, SIGSTOP);
+	version_watch_set_reachable(w, deployment_host(d, SUSPENDED), 0);
+	process_signal(deployment_host(d, SUSPENDED)->node, SIGSTOP);
 	ck_assert_msg(
-	    harness_wait_until(others_exclude_frozen, &l, START_BOUND_MS),
+	    harness_wait_until(others_exclude_suspended, &l, START_BOUND_MS),
 	    "the suspended node was never reported as failed");
 	check_others_not_failed(d);
 	(void)sign_off(d, w, 2, ROLLOUT_BOUND_MS);
@@ -218,6 +218,6 @@
 	TCase *tc = tcase_create("frozen");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, frozen_node_catches_up);
+	tcase_add_test(tc, suspended_node_catches_up);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -69,9 +69,9 @@
 static void
 append_command(const struct race *r, uint32_t i, const char **args)
 {
-	const struct contender *e = &r->contenders[i];
+	const struct contender *c = &r->contenders[i];
 
-	if (e->halts) {
+	if (c->halts) {
 		append(args, "halt");
 		append(args, r->parent);
 		return;
@@ -88,22 +88,22 @@
 		append(args, "1");
 	} else {
 		append(args, "sign-off");
-		append(args, e->bundle);
+		append(args, c->bundle);
 	}
 }
 
 static void
 start_contender(struct race *r, uint32_t round, uint32_t i)
 {
-	struct contender *e = &r->contenders[i];
-	const char *args[ARGS_MAX] = {"--operator", e->name, "--op", e->op};
+	struct contender *c = &r->contenders[i];
+	const char *args[ARGS_MAX] = {"--operator", c->name, "--op", c->op};
 
-	(void)g_snprintf(e->name, sizeof(e->name), "operator-%u", i);
-	(void)g_snprintf(e->op, sizeof(e->op), "race-%u-%u", round, i);
-	e->halts = r->scenario == SCENARIO_MIXED && i == 0;
-	e->bundle = deployment_bundle(round * OPERATORS + i + 1);
+	(void)g_snprintf(c->name, sizeof(c->name), "operator-%u", i);
+	(void)g_snprintf(c->op, sizeof(c->op), "race-%u-%u", round, i);
+	c->halts = r->scenario == SCENARIO_MIXED && i == 0;
+	c->bundle = deployment_bundle(round * OPERATORS + i + 1);
 	append_command(r, i, args);
-	e->ctl = deployment_ctl_start(deployment_host(r->d, i), args);
+	c->ctl = deployment_ctl_start(deployment_host(r->d, i), args);
 }
 
 static void
@@ -136,17 +136,17 @@
 /* Checks the winner reported to a loser: a contender of this round that
  * succeeded, with a version newer than the one before the round. */
 static void
-check_loser(const struct race *r, const struct contender *e)
+check_loser(const struct race *r, const struct contender *c)
 {
-	json_t *result = json_object_get(e->result, "winner");
+	json_t *result = json_object_get(c->result, "winner");
 	const char *op = json_string_value(json_object_get(result, "op"));
 	const char *name =
 	    json_string_value(json_object_get(result, "operator"));
 	const struct contender *winner = find_contender(r, op);
 	uint64_t version = (uint64_t)json_number(result, "version");
 
-	ck_assert_msg(winner != NULL && winner != e,
-	    "%s was told that the winner is %s", e->op,
+	ck_assert_msg(winner != NULL && winner != c,
+	    "%s was told that the winner is %s", c->op,
 	    op == NULL ? "nobody" : op);
 	ck_assert_int_eq(winner->code, CTL_DONE);
 	ck_assert_str_eq(winner->name, name);
@@ -161,24 +161,24 @@
 }
 
 static void
-check_contender(struct race *r, const struct contender *e)
+check_contender(struct race *r, const struct contender *c)
 {
-	uint64_t version = (uint64_t)json_number(e->result, "version");
+	uint64_t version = (uint64_t)json_number(c->result, "version");
 
-	if (e->code != CTL_DONE && e->code != CTL_CONFLICT)
-		ck_abort_msg("%s ended with %d", e->op, e->code);
-	if (e->code == CTL_CONFLICT)
-		check_loser(r, e);
-	if (e->halts) {
+	if (c->code != CTL_DONE && c->code != CTL_CONFLICT)
+		ck_abort_msg("%s ended with %d", c->op, c->code);
+	if (c->code == CTL_CONFLICT)
+		check_loser(r, c);
+	if (c->halts) {
 		ck_assert_uint_eq(
-		    operators_count_versions(r->d, e->op, NULL), 0);
+		    operators_count_versions(r->d, c->op, NULL), 0);
 		return;
 	}
 	(void)operators_check_result(
-	    deployment_host(r->d, 0), r->d, e->op, e->code, version);
-	if (e->code != CTL_DONE)
+	    deployment_host(r->d, 0), r->d, c->op, c->code, version);
+	if (c->code != CTL_DONE)
 		return;
-	check_row(r, version, e->op, e->name);
+	check_row(r, version, c->op, c->name);
 	version_watch_accept(r->watch, version, ROLLOUT_BOUND_MS);
 }
 
@@ -216,7 +216,7 @@
 race(struct deployment *d, struct version_watch *w, enum scenario scenario,
     uint32_t round)
 {
-	struct contender *e;
+	struct contender *c;
 	struct race r = {.d = d, .watch = w, .scenario = scenario};
 	uint32_t i;
 
@@ -228,8 +228,8 @@
 	for (i = 0; i < OPERATORS; i++)
 		start_contender(&r, round, i);
 	for (i = 0; i < OPERATORS; i++) {
-		e = &r.contenders[i];
-		e->result = deployment_ctl_end(e->ctl, &e->code);
+		c = &r.contenders[i];
+		c->result = deployment_ctl_end(c->ctl, &c->code);
 	}
 	deployment_platform_knobs(d, "{\"delay_ms\":0}");
 	check_halt(&r);
--- a/test/soak/soak_run.c
+++ b/test/soak/soak_run.c
@@ -111,7 +111,7 @@
 
 /* Whether a node has begun to log. */
 static int
-node_logs(void *arg)
+node_has_logged(void *arg)
 {
 	const struct host *h = arg;
 	struct stat st;
@@ -128,7 +128,7 @@
 node_start(struct soak *s, struct host *h)
 {
 	deployment_start_node(s->d, h);
-	ck_assert(harness_wait_until(node_logs, h, RECOVERY_TIMEOUT_MS));
+	ck_assert(harness_wait_until(node_has_logged, h, RECOVERY_TIMEOUT_MS));
 }
 
 static void
@@ -149,13 +149,13 @@
  * Returns false if the target belongs to another fault.
  */
 static bool
-claim(struct soak *s, uint32_t *by, const struct soak_event *e)
+claim(struct soak *s, uint32_t *fault_slot, const struct soak_event *e)
 {
-	if (*by != (e->ends ? e->number + 1 : 0)) {
+	if (*fault_slot != (e->ends ? e->number + 1 : 0)) {
 		s->skipped += !e->ends;
 		return false;
 	}
-	*by = e->ends ? 0 : e->number + 1;
+	*fault_slot = e->ends ? 0 : e->number + 1;
 	return true;
 }
 
@@ -226,7 +226,7 @@
  * here would delay that event.
  */
 static bool
-ended_within(const struct host *h, uint32_t ms)
+exits_within(const struct host *h, uint32_t ms)
 {
 	uint64_t until_ms = clock_now_ms() + ms;
 
@@ -287,7 +287,7 @@
 			upstream_start(s, h);
 		else
 			deployment_kill_upstream(h);
-	} else if (e->ends && !ended_within(h, STOP_TIMEOUT_MS)) {
+	} else if (e->ends && !exits_within(h, STOP_TIMEOUT_MS)) {
 		s->upstream_fault[i] = e->number + 1;
 		s->stopping[i] = true;
 	} else if (e->ends) {
