--- a/test/functional/test_call_crash.c
+++ b/test/functional/test_call_crash.c
@@ -48,7 +48,7 @@
 
 /**
  * struct counters - observations of the test
- * @runs_ms: monotonic time of each run of the request
+ * @runs_ms: monotonic time of each run of the request, ascending
  * @refused: answers that report the request as quarantined
  * @others: number of other requests sent
  * @others_done: number of other requests that were answered
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -1,7 +1,7 @@
 /*
  * Five operators run operations concurrently through different nodes.  Versions
- * must be numbered without gaps in a total order, and each operator must be
- * told correctly whether the operation succeeded and, if not, which one won.
+ * must be numbered without gaps in a total order, and bramleyctl must report
+ * correctly whether each operation succeeded and, if not, which operation won.
  */
 #include <string.h>
 
@@ -17,7 +17,7 @@
 #define START_BOUND_MS 20000
 #define ROLLOUT_BOUND_MS 8000
 #define OPERATORS 5
-#define ROUNDS 4 /* of each kind */
+#define ROUNDS 4 /* of each scenario */
 #define OP_BYTES 32
 #define KEY_BYTES 64
 #define ARGS_MAX 16
--- a/test/soak/soak_run.c
+++ b/test/soak/soak_run.c
@@ -509,8 +509,8 @@
 	}
 }
 
-/* Checks that the newest version that an operator was told was accepted is in
- * force on all hosts, with all its routes. */
+/* Checks that the newest version whose sign-off succeeded is in force on all
+ * hosts, with all its routes. */
 static void
 check_sign_offs(struct soak *s)
 {
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -19,8 +19,8 @@
  *	run, and all hosts lose power in the middle
  *
  * The test fails
- * - if a call that must run at most once ran twice, ran although its caller was
- *   told not_run, or got the answer of another call or a truncated one;
+ * - if a call that must run at most once ran twice, ran although its reported
+ *   fate is not_run, or got the answer of another call or a truncated one;
  * - if a host served an older version than before, or a version that was never
  *   signed off;
  * - if after the end of all faults an accepted version isn't in force on every
@@ -29,7 +29,7 @@
  * - if a node runs a request that has crashed three upstreams, or quarantines
  *   any other request;
  * - if a stopping node aborts a call that it accepted while stopping;
- * - if a process exits without being told to, or with an unexpected code.
+ * - if a process exits without having been stopped, or with an unexpected code.
  */
 void soak_run(uint32_t seed, uint32_t duration_s, uint32_t faults,
     uint32_t growths, uint32_t stop_waves, bool crashes);
