--- a/test/functional/test_call_unanswered.c
+++ b/test/functional/test_call_unanswered.c
@@ -148,7 +148,7 @@
 	curl_easy_setopt(c, CURLOPT_POSTFIELDS, "x");
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, sink);
 	for (i = 0; i < BOOKINGS; i++) {
-		(void)g_snprintf(id, sizeof(id), "blind-%d", i);
+		(void)g_snprintf(id, sizeof(id), "retry-%d", i);
 		(void)g_snprintf(header, sizeof(header), "X-Test-Id: %s", id);
 		headers = curl_slist_append(NULL, header);
 		curl_easy_setopt(c, CURLOPT_HTTPHEADER, headers);
@@ -164,7 +164,7 @@
  * check must find the five that ran twice. */
 START_TEST(check_finds_bookings_doubled_by_a_retrying_client)
 {
-	char *path = harness_path("blind.outcomes");
+	char *path = harness_path("retrying.outcomes");
 	FILE *outcomes = fopen(path, "w");
 	struct deployment *d = start_deployment();
 	uint32_t violations;
--- a/test/functional/test_race.c
+++ b/test/functional/test_race.c
@@ -146,7 +146,7 @@
 	uint64_t version = (uint64_t)json_number(result, "version");
 
 	ck_assert_msg(winner != NULL && winner != c,
-	    "%s was told that the winner is %s", c->op,
+	    "%s reports that the winner is %s", c->op,
 	    op == NULL ? "nobody" : op);
 	ck_assert_int_eq(winner->code, CTL_DONE);
 	ck_assert_str_eq(winner->name, name);
