--- a/test/functional/deployment.c
+++ b/test/functional/deployment.c
@@ -1,5 +1,5 @@
 /*
- * A small deployment for tests: what is started, and where.
+ * Small deployment for tests: addresses, settings and processes.
  */
 #include <signal.h>
 #include <string.h>
@@ -14,24 +14,24 @@
 
 #define HOST_PORTS 5
 #define SEEDS_MAX 3
-/* The platform stands outside of the data centres. */
+/* The platform's address lies outside the networks of the data centres. */
 #define PLATFORM_NET 200
-#define KNOB_TRIES_CODE 200
+#define HTTP_OK 200
 #define NUMBER_BYTES 16
 #define URL_BYTES 128
 
-static const char *const registry_places[] = {
+static const char *const registry_data_centres[] = {
     "grandahus", "hofdasalur", "vallasalur", NULL};
 static const char *const registry_services[] = {
     "public-search", "hearing-booking", "document-store", NULL};
-static const char *const crew_places[] = {
+static const char *const crew_data_centres[] = {
     "bandirma", "erdek", "tekirdag", "canakkale", NULL};
 static const char *const crew_services[] = {
     "weather-window", "seat-booking", "fleet-records", NULL};
 
 const struct deployment_plan deployment_registry = {
     .region = "hofudsvaedi",
-    .data_centres = registry_places,
+    .data_centres = registry_data_centres,
     .services = registry_services,
     .profile = "registry",
     .hosts = 2,
@@ -40,7 +40,7 @@
 
 const struct deployment_plan deployment_crew = {
     .region = "marmara",
-    .data_centres = crew_places,
+    .data_centres = crew_data_centres,
     .services = crew_services,
     .profile = "crew",
     .hosts = 3,
@@ -75,7 +75,7 @@
 	(void)g_snprintf(h->name, sizeof(h->name), "%s-%u",
 	    plan->data_centres[data_centre], i + 1);
 	harness_host_address(data_centre, i, h->address);
-	harness_ports(h->address, ports, HOST_PORTS);
+	harness_choose_ports(h->address, ports, HOST_PORTS);
 	h->data_centre = data_centre;
 	h->service = plan->services[n %
 	    g_strv_length((char **)(uintptr_t)plan->services)];
@@ -98,13 +98,14 @@
 	    d->platform_address, "--port", port, NULL};
 
 	harness_host_address(PLATFORM_NET, 0, d->platform_address);
-	harness_ports(d->platform_address, &d->platform_port, 1);
+	harness_choose_ports(d->platform_address, &d->platform_port, 1);
 	(void)g_snprintf(port, sizeof(port), "%u", d->platform_port);
 	d->platform = process_start("platform", harness_dir(), argv);
 	(void)g_snprintf(url, sizeof(url), "http://%s:%u/standin/stats",
 	    d->platform_address, d->platform_port);
-	ck_assert_msg(fetch_until(url, 200, DEPLOYMENT_START_MS),
-	    "the platform did not start; see %s", process_log(d->platform));
+	ck_assert_msg(fetch_wait_status(url, 200, DEPLOYMENT_START_MS),
+	    "the platform did not start; see %s",
+	    process_log_path(d->platform));
 }
 
 static void
@@ -127,10 +128,10 @@
 	d->outcomes = g_ptr_array_new_with_free_func(g_free);
 	start_platform(d);
 	for (dc = 0; plan->data_centres[dc] != NULL; dc++) {
-		if (plan->relayed == RELAYED_CENTRES)
+		if (plan->relayed == RELAYED_BY_DATA_CENTRE)
 			add_relay(d);
 		for (i = 0; i < plan->hosts; i++) {
-			if (plan->relayed == RELAYED_HOSTS)
+			if (plan->relayed == RELAYED_BY_HOST)
 				add_relay(d);
 			g_ptr_array_add(d->hosts, host_new(plan, dc, i));
 		}
@@ -145,7 +146,7 @@
 	return g_ptr_array_index(d->hosts, i);
 }
 
-/* The first host of each data centre is a seed. */
+/* The first host of each data centre is a seed of the membership. */
 static json_t *
 seeds_json(const struct deployment *d)
 {
@@ -167,9 +168,9 @@
 {
 	guint i = h->data_centre;
 
-	if (d->plan.relayed == RELAYED_NOT)
+	if (d->plan.relayed == RELAYED_NONE)
 		return d->platform_port;
-	if (d->plan.relayed == RELAYED_HOSTS)
+	if (d->plan.relayed == RELAYED_BY_HOST)
 		ck_assert(g_ptr_array_find(d->hosts, h, &i));
 	return relay_port(g_ptr_array_index(d->relays, i));
 }
@@ -223,20 +224,21 @@
 void
 deployment_start_upstream(struct deployment *d, struct host *h)
 {
-	char cold[NUMBER_BYTES], node[URL_BYTES], port[NUMBER_BYTES],
+	char cold_start[NUMBER_BYTES], node[URL_BYTES], port[NUMBER_BYTES],
 	    slots[NUMBER_BYTES], work[NUMBER_BYTES];
 	char *log = g_strdup_printf("%s.upstream", h->name);
 	const char *argv[] = {STANDIN_UPSTREAM_PATH, "--address", h->address,
 	    "--port", port, "--host", h->name, "--service", h->service,
 	    "--slots", slots, "--node", node, "--work-ms-mean", work,
-	    "--cold-start-ms", cold, "--journal", h->journal, NULL};
+	    "--cold-start-ms", cold_start, "--journal", h->journal, NULL};
 
 	ck_assert_msg(h->upstream == NULL,
 	    "the upstream of %s is running already", h->name);
 	(void)g_snprintf(port, sizeof(port), "%u", h->upstream_port);
 	(void)g_snprintf(slots, sizeof(slots), "%u", d->plan.slots);
 	(void)g_snprintf(work, sizeof(work), "%u", d->plan.work_ms_mean);
-	(void)g_snprintf(cold, sizeof(cold), "%u", d->plan.cold_start_ms);
+	(void)g_snprintf(
+	    cold_start, sizeof(cold_start), "%u", d->plan.cold_start_ms);
 	(void)g_snprintf(
 	    node, sizeof(node), "%s:%u", h->address, h->admin_port);
 	h->upstream = process_start(log, harness_dir(), argv);
@@ -266,7 +268,7 @@
 }
 
 static int
-end_process(struct process **p)
+stop_process(struct process **p)
 {
 	int code;
 
@@ -288,13 +290,13 @@
 int
 deployment_stop_node(struct host *h)
 {
-	return end_process(&h->node);
+	return stop_process(&h->node);
 }
 
 int
 deployment_stop_upstream(struct host *h)
 {
-	return end_process(&h->upstream);
+	return stop_process(&h->upstream);
 }
 
 void
@@ -352,7 +354,7 @@
 	(void)g_snprintf(
 	    url, sizeof(url), "http://%s:%u/standin/knobs", address, port);
 	json_decref(fetch_json("POST", url, knobs, &code));
-	ck_assert_msg(code == KNOB_TRIES_CODE, "%s: %d", url, code);
+	ck_assert_msg(code == HTTP_OK, "%s: %d", url, code);
 }
 
 void
--- a/test/functional/deployment_ctl.c
+++ b/test/functional/deployment_ctl.c
@@ -1,5 +1,5 @@
 /*
- * A small deployment for tests: its operators.
+ * Small deployment for tests: bramleyctl and bundles.
  */
 #include <check.h>
 #include <glib.h>
@@ -7,8 +7,9 @@
 
 #include "deployment.h"
 
-#define CTL_WAIT_MS 60000
-/* Timeout of the example's first service, which changed bundles vary. */
+#define CTL_TIMEOUT_MS 60000
+/* Timeout of the example's first service; changed bundles add a number to it.
+ */
 #define EXAMPLE_TIMEOUT_MS 2000
 #define NAME_BYTES 32
 
@@ -25,7 +26,7 @@
 	g_ptr_array_add(argv, (gpointer) "--node");
 	g_ptr_array_add(argv, node);
 	g_ptr_array_add(argv, (gpointer) "--json");
-	process_args(argv, args);
+	process_append_args(argv, args);
 	p = process_start(
 	    name, harness_dir(), (const char *const *)argv->pdata);
 	g_ptr_array_unref(argv);
@@ -37,14 +38,14 @@
 json_t *
 deployment_ctl_end(struct process *ctl, int *code)
 {
-	int res = process_wait(ctl, CTL_WAIT_MS);
+	int res = process_wait(ctl, CTL_TIMEOUT_MS);
 	json_t *j = process_json(ctl);
 
 	if (code != NULL)
 		*code = res;
 	else
 		ck_assert_msg(res == 0, "bramleyctl ended with %d; see %s", res,
-		    process_log(ctl));
+		    process_log_path(ctl));
 	process_free(ctl);
 	return j;
 }
@@ -61,7 +62,7 @@
 	return g_build_filename(EXAMPLES_DIR, name, NULL);
 }
 
-/* More services like the example's first, each with a route of its own. */
+/* Adds copies of the example's first service, each with a route. */
 static void
 add_services(json_t *bundle, uint32_t n)
 {
@@ -82,7 +83,7 @@
 	}
 }
 
-/* More routes of the example's first service. */
+/* Adds routes to the example's first service. */
 static void
 add_routes(json_t *bundle, uint32_t n)
 {
@@ -124,13 +125,13 @@
 }
 
 char *
-deployment_bundle_of(uint32_t n, uint32_t more)
+deployment_bundle_services(uint32_t n, uint32_t more)
 {
 	return write_bundle(n, more, 0);
 }
 
 char *
-deployment_bundle_grown(uint32_t n, uint32_t routes)
+deployment_bundle_routes(uint32_t n, uint32_t routes)
 {
 	return write_bundle(n, 0, routes);
 }
@@ -138,7 +139,7 @@
 char *
 deployment_bundle(uint32_t n)
 {
-	return deployment_bundle_of(n, 0);
+	return deployment_bundle_services(n, 0);
 }
 
 uint64_t
--- a/test/functional/operators.c
+++ b/test/functional/operators.c
@@ -1,5 +1,5 @@
 /*
- * What operators were told, held against the platform's rows.
+ * Checks the results reported to operators against the platform's rows.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -35,7 +35,7 @@
 }
 
 uint32_t
-operators_versions_of(
+operators_count_versions(
     const struct deployment *d, const char *op, uint64_t *version)
 {
 	char key[KEY_BYTES];
@@ -48,7 +48,7 @@
 		(void)g_snprintf(
 		    key, sizeof(key), "version/%" G_GUINT64_FORMAT, v);
 		row = deployment_platform_row(d, key);
-		ck_assert_msg(row != NULL, "there is no row %s", key);
+		ck_assert_msg(row != NULL, "row %s does not exist", key);
 		if (g_strcmp0(deployment_row_text(row, "op"), op) == 0) {
 			last = v;
 			n++;
@@ -61,7 +61,7 @@
 }
 
 int
-operators_ask(const struct host *h, const char *op, uint64_t *version)
+operators_query(const struct host *h, const char *op, uint64_t *version)
 {
 	const char *args[] = {"operation", op, NULL};
 	int code;
@@ -74,26 +74,27 @@
 }
 
 uint64_t
-operators_check_told(const struct host *h, const struct deployment *d,
-    const char *op, int code, uint64_t told)
+operators_check_result(const struct host *h, const struct deployment *d,
+    const char *op, int code, uint64_t reported)
 {
-	uint64_t asked, made;
-	uint32_t n = operators_versions_of(d, op, &made);
+	uint64_t queried, created;
+	uint32_t n = operators_count_versions(d, op, &created);
 
-	ck_assert_msg(n <= 1, "operation %s was done %u times", op, n);
+	ck_assert_msg(n <= 1, "operation %s was executed %u times", op, n);
 	if (code == CTL_UNKNOWN) {
-		code = operators_ask(h, op, &asked);
+		code = operators_query(h, op, &queried);
 		ck_assert_msg(code == CTL_DONE || code == CTL_NOT_FOUND ||
 			code == CTL_UNKNOWN,
-		    "operation %s: asked later it ends with %d", op, code);
-		told = code == CTL_DONE ? asked : 0;
+		    "operation %s: a later query ended with %d", op, code);
+		reported = code == CTL_DONE ? queried : 0;
 	}
 	if (code == CTL_DONE)
-		ck_assert_msg(n == 1 && told == made,
-		    "operation %s was told version %lu and made %lu", op,
-		    (unsigned long)told, (unsigned long)made);
+		ck_assert_msg(n == 1 && reported == created,
+		    "operation %s reported version %lu but created %lu", op,
+		    (unsigned long)reported, (unsigned long)created);
 	else
-		ck_assert_msg(n == 0, "operation %s ended with %d and made %lu",
-		    op, code, (unsigned long)made);
-	return made;
+		ck_assert_msg(n == 0,
+		    "operation %s ended with %d but created %lu", op, code,
+		    (unsigned long)created);
+	return created;
 }
--- a/test/functional/process.c
+++ b/test/functional/process.c
@@ -1,5 +1,5 @@
 /*
- * Processes of a test.
+ * Child processes of a test.
  */
 #include <fcntl.h>
 #include <signal.h>
@@ -19,22 +19,22 @@
 #define PROCESS_EXEC_FAILED 127
 
 struct process {
-	pid_t pid; /* 0 when it has ended */
+	pid_t pid; /* 0 after the process has been reaped */
 	int exit_code;
 	char *log;
 };
 
-/* In the child: only calls that are safe after a fork. */
+/* Runs in the child, so it calls async-signal-safe functions only. */
 static void
 child_exec(const char *const *argv, int log_fd, pid_t parent)
 {
-	sigset_t none;
+	sigset_t empty_set;
 
 	(void)prctl(PR_SET_PDEATHSIG, SIGKILL);
 	if (getppid() != parent)
 		_exit(PROCESS_EXEC_FAILED);
-	(void)sigemptyset(&none);
-	(void)sigprocmask(SIG_SETMASK, &none, NULL);
+	(void)sigemptyset(&empty_set);
+	(void)sigprocmask(SIG_SETMASK, &empty_set, NULL);
 	(void)dup2(log_fd, STDOUT_FILENO);
 	(void)dup2(log_fd, STDERR_FILENO);
 	(void)execv(argv[0], (char *const *)argv);
@@ -51,7 +51,7 @@
 	p->log = g_strdup_printf("%s/%s.log", dir, name);
 	fd = open(p->log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC,
 	    PROCESS_LOG_MODE);
-	ck_assert_msg(fd != -1, "can't write %s", p->log);
+	ck_assert_msg(fd != -1, "can't open %s for writing", p->log);
 	pid = fork();
 	ck_assert_int_ne(pid, -1);
 	if (pid == 0)
@@ -62,7 +62,7 @@
 }
 
 const char *
-process_log(const struct process *p)
+process_log_path(const struct process *p)
 {
 	return p->log;
 }
@@ -85,7 +85,7 @@
 }
 
 void
-process_args(GPtrArray *argv, const char *const *args)
+process_append_args(GPtrArray *argv, const char *const *args)
 {
 	for (; *args != NULL; args++)
 		g_ptr_array_add(argv, (gpointer)*args);
@@ -106,7 +106,7 @@
 }
 
 int
-process_ended(struct process *p)
+process_has_exited(struct process *p)
 {
 	int st;
 
@@ -120,11 +120,11 @@
 }
 
 int
-process_wait(struct process *p, uint32_t wait_ms)
+process_wait(struct process *p, uint32_t timeout_ms)
 {
-	uint64_t until_ms = clock_now_ms() + wait_ms;
+	uint64_t until_ms = clock_now_ms() + timeout_ms;
 
-	while (!process_ended(p)) {
+	while (!process_has_exited(p)) {
 		if (clock_now_ms() >= until_ms) {
 			process_kill(p);
 			break;
@@ -135,16 +135,16 @@
 }
 
 int
-process_stop(struct process *p, uint32_t wait_ms)
+process_stop(struct process *p, uint32_t timeout_ms)
 {
 	process_signal(p, SIGTERM);
-	return process_wait(p, wait_ms);
+	return process_wait(p, timeout_ms);
 }
 
 void
 process_kill(struct process *p)
 {
-	if (process_ended(p))
+	if (process_has_exited(p))
 		return;
 	(void)kill(p->pid, SIGKILL);
 	(void)waitpid(p->pid, NULL, 0);
--- a/test/functional/read_meter.c
+++ b/test/functional/read_meter.c
@@ -1,5 +1,5 @@
 /*
- * Counts the requests that the platform gets.
+ * Measures the peak rate of reads and requests at the platform.
  */
 #include <pthread.h>
 #include <stdatomic.h>
@@ -11,10 +11,10 @@
 #include "base/clock.h"
 #include "read_meter.h"
 
-#define METER_PAUSE_US 100000
-#define METER_WINDOW_MS 1000
+#define SAMPLE_INTERVAL_US 100000
+#define WINDOW_MS 1000
 
-/* The platform's counts at one moment. */
+/* The platform's counters at one point in time. */
 struct sample {
 	uint64_t at_ms;
 	uint64_t reads;
@@ -50,7 +50,7 @@
 
 	while (!atomic_load(&m->stopping)) {
 		take_sample(m);
-		g_usleep(METER_PAUSE_US);
+		g_usleep(SAMPLE_INTERVAL_US);
 	}
 	take_sample(m);
 	return NULL;
@@ -68,7 +68,8 @@
 	return m;
 }
 
-/* A window ends at the first sample that is a second later or more. */
+/* Counts of the window that begins at a sample; it ends at the first sample
+ * taken at least a second later. */
 static struct read_peak
 window_after(const GArray *samples, guint first)
 {
@@ -81,7 +82,7 @@
 		b = &g_array_index(samples, struct sample, i);
 		p.reads = b->reads - a->reads;
 		p.requests = b->requests - a->requests;
-		if (b->at_ms - a->at_ms >= METER_WINDOW_MS)
+		if (b->at_ms - a->at_ms >= WINDOW_MS)
 			break;
 	}
 	return p;
--- a/test/functional/test_abandoned.c
+++ b/test/functional/test_abandoned.c
@@ -1,7 +1,8 @@
 /*
- * An operator gives up while the platform is down.  The node must give up by
- * then too: a sign-off that nobody waits for must not take effect later, on
- * top of what others have signed meanwhile.
+ * bramleyctl times out during an outage of the platform.  The node must abandon
+ * the sign-off by then too.  Otherwise a sign-off without a waiting client
+ * could be executed later, on top of versions that others have signed off
+ * meanwhile.
  */
 #include <check.h>
 #include <curl/curl.h>
@@ -11,11 +12,11 @@
 #include "operators.h"
 
 #define TEST_TIMEOUT_S 60
-#define ROLL_BOUND_MS 15000
-/* Longer than a node goes on with an operation at most. */
-#define LATER_US (11 * G_USEC_PER_SEC)
+#define ROLLOUT_BOUND_MS 15000
+/* Longer than a node retries an operation. */
+#define LATE_EFFECT_US (11 * G_USEC_PER_SEC)
 
-START_TEST(what_was_given_up_is_not_done_later)
+START_TEST(abandoned_sign_off_has_no_late_effect)
 {
 	char *bundle = deployment_bundle(1);
 	const char *args[] = {
@@ -32,14 +33,14 @@
 	    "a sign-off in an outage ended with %d", code);
 	deployment_platform_knobs(d, "{\"outage\":false}");
 	version = deployment_sign_off(deployment_host(d, 0), other);
-	(void)deployment_wait_version(d, version, ROLL_BOUND_MS);
-	g_usleep(LATER_US);
-	ck_assert_uint_eq(operators_versions_of(d, "gone-1", NULL), 0);
+	(void)deployment_wait_version(d, version, ROLLOUT_BOUND_MS);
+	g_usleep(LATE_EFFECT_US);
+	ck_assert_uint_eq(operators_count_versions(d, "gone-1", NULL), 0);
 	ck_assert_uint_eq(operators_head(d).version, version);
 	g_free(bundle);
 	g_free(other);
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -49,6 +50,6 @@
 	TCase *tc = tcase_create("abandoned");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, what_was_given_up_is_not_done_later);
+	tcase_add_test(tc, abandoned_sign_off_has_no_late_effect);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_freeze.c
+++ b/test/functional/test_call_freeze.c
@@ -1,7 +1,8 @@
 /*
- * Nodes and upstreams are frozen at random moments under load, for longer
- * than the deadline of the calls and the suspicion of their peers, and thawed.
- * Frames and bytes that waited meanwhile must not be taken for fresh ones.
+ * Nodes and upstreams are suspended by SIGSTOP at random times under load, for
+ * longer than the deadline of calls and the suspicion timeout of peers, and
+ * resumed.  Frames and bytes that were buffered meanwhile must not be treated
+ * as current.
  */
 #include <signal.h>
 
@@ -12,30 +13,30 @@
 
 #define TEST_TIMEOUT_S 60
 #define SEEDS 1
-/* Longer than three tries of a keyed call and the time frozen. */
-#define LOAD_S "1.5"
-#define WINDOW_MS 8500
+#define DURATION_S "1.5"
+/* Longer than three attempts of a keyed call and the suspension together. */
+#define KEY_WINDOW_MS 8500
 
 static void
-strike(struct deployment *d, struct host *h, int node)
+inject(struct deployment *d, struct host *h, int node)
 {
 	(void)d;
 	process_signal(node ? h->node : h->upstream, SIGSTOP);
 }
 
 static void
-mend(struct deployment *d, struct host *h, int node)
+recover(struct deployment *d, struct host *h, int node)
 {
 	(void)d;
 	process_signal(node ? h->node : h->upstream, SIGCONT);
 }
 
-START_TEST(frozen_at_random_moments)
+START_TEST(frozen_at_random_times)
 {
 	static const struct calls_fault f = {
-	    "frozen", strike, mend, 1700, 2800, WINDOW_MS, LOAD_S};
+	    "frozen", inject, recover, 1700, 2800, KEY_WINDOW_MS, DURATION_S};
 
-	struct calls_counts sums[CALLS_VICTIMS];
+	struct calls_counts sums[CALLS_TARGETS];
 
 	calls_rounds(&f, SEEDS, sums);
 }
@@ -47,6 +48,6 @@
 	TCase *tc = tcase_create("freeze");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, frozen_at_random_moments);
+	tcase_add_test(tc, frozen_at_random_times);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_kill.c
+++ b/test/functional/test_call_kill.c
@@ -1,7 +1,7 @@
 /*
- * Nodes and upstreams are killed at random moments under load.  A node is the
- * guard of its upstream and the entry of its callers.  Whatever a caller was
- * told must be true: see standins/run_check.h.
+ * Nodes and upstreams are killed at random times under load.  A node is both
+ * the guard of its upstream and the entry of its callers.  Each fate reported
+ * to a caller must be true, see standins/run_check.h.
  */
 #include <check.h>
 #include <curl/curl.h>
@@ -10,12 +10,12 @@
 
 #define TEST_TIMEOUT_S 60
 #define SEEDS 2
-/* Longer than three tries of a keyed call. */
-#define LOAD_S "1.5"
-#define WINDOW_MS 5500
+#define DURATION_S "1.5"
+/* Longer than three attempts of a keyed call. */
+#define KEY_WINDOW_MS 5500
 
 static void
-strike(struct deployment *d, struct host *h, int node)
+inject(struct deployment *d, struct host *h, int node)
 {
 	(void)d;
 	if (node)
@@ -25,7 +25,7 @@
 }
 
 static void
-mend(struct deployment *d, struct host *h, int node)
+recover(struct deployment *d, struct host *h, int node)
 {
 	if (node)
 		deployment_start_node(d, h);
@@ -33,12 +33,12 @@
 		deployment_start_upstream(d, h);
 }
 
-START_TEST(killed_at_random_moments)
+START_TEST(killed_at_random_times)
 {
 	static const struct calls_fault f = {
-	    "killed", strike, mend, 50, 700, WINDOW_MS, LOAD_S};
+	    "killed", inject, recover, 50, 700, KEY_WINDOW_MS, DURATION_S};
 
-	struct calls_counts sums[CALLS_VICTIMS];
+	struct calls_counts sums[CALLS_TARGETS];
 
 	calls_rounds(&f, SEEDS, sums);
 }
@@ -50,6 +50,6 @@
 	TCase *tc = tcase_create("kill");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, killed_at_random_moments);
+	tcase_add_test(tc, killed_at_random_times);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_many.c
+++ b/test/functional/test_call_many.c
@@ -1,12 +1,12 @@
 /*
  * Many callers on one node: 2,000 that keep a connection open after one
- * lookup, 200 that say nothing, 40 that send their request a byte at a time,
- * and one that uploads 1 GB.  Lookups of others go on being answered, and the
- * node's memory stays bounded.  Latency is only printed.
+ * lookup, 200 that send nothing, 40 that send their request a byte at a time,
+ * and one that uploads 1 GB.  The node must answer lookups of other callers,
+ * and its memory must stay bounded.  Latency is only printed.
  *
- * BRAMLEY_SLOW sets another number of slow senders.  Each holds one of the 64
- * threads for callers: with 100 no lookup is answered, which is a fault that
- * is still open.
+ * BRAMLEY_SLOW sets the number of slow senders.  Each occupies one of the 64
+ * threads for callers: with 100 slow senders no lookup is answered, which is a
+ * known fault.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -25,17 +25,17 @@
 #define TEST_TIMEOUT_S 90
 #define HOSTS 6
 #define IDLE 2000
-#define MUTE 200
+#define SILENT 200
 #define SLOW 40
 #define SLOW_MAX 1000
 #define DECIMAL 10
-#define SLOW_EVERY_MS 100
-#define RECEIVE_S 5
+#define SLOW_INTERVAL_MS 100
+#define RECEIVE_TIMEOUT_S 5
 #define NAME_BYTES 64
 #define LINE_BYTES 256
 #define UPLOAD_BYTES "1073741824"
-/* What the node may grow by in an upload of 1 GB. */
-#define GROWTH_MAX_KB 65536
+/* Maximum growth of a node's peak memory in an upload of 1 GB. */
+#define MAX_GROWTH_KB 65536
 #define US_PER_MS 1000.0
 
 static const struct calls_limits limits = {.timeout_ms = 30000,
@@ -50,7 +50,7 @@
 static const char request[] = "GET /search HTTP/1.1\r\nHost: node\r\n\r\n";
 
 static struct deployment *
-start(void)
+start_deployment(void)
 {
 	struct rlimit r;
 
@@ -65,16 +65,17 @@
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	struct sockaddr_in at;
-	struct timeval limit = {.tv_sec = RECEIVE_S};
+	struct timeval limit = {.tv_sec = RECEIVE_TIMEOUT_S};
 
 	ck_assert_int_ne(fd, -1);
-	harness_address(&at, h->address, h->caller_port);
+	harness_sockaddr(&at, h->address, h->caller_port);
 	(void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
 	ck_assert_int_eq(connect(fd, (struct sockaddr *)&at, sizeof(at)), 0);
 	return fd;
 }
 
-/* One lookup over a connection that then stays open; its status. */
+/* Sends a lookup on a connection and leaves it open; returns the HTTP status.
+ */
 static int
 caller_lookup(int fd)
 {
@@ -100,7 +101,8 @@
 	return answered;
 }
 
-/* Load for 3 s on the node, beside whatever else goes on; its p99. */
+/* Sends lookups to the node of host 0, all of which must be done; returns the
+ * 99th percentile of their latency. */
 static double
 lookups_p99_ms(struct deployment *d, const char *name, uint32_t seconds)
 {
@@ -121,7 +123,7 @@
 	return p99;
 }
 
-/* Sends a request a byte at a time on each connection, until told to end. */
+/* Callers that send a request a byte at a time until @stop is set. */
 struct slow_callers {
 	int fds[SLOW_MAX];
 	uint32_t n;
@@ -140,7 +142,7 @@
 		for (i = 0; i < s->n; i++)
 			(void)send(s->fds[i], request + at, 1, MSG_NOSIGNAL);
 		at++;
-		g_usleep(SLOW_EVERY_MS * G_TIME_SPAN_MILLISECOND);
+		g_usleep(SLOW_INTERVAL_MS * G_TIME_SPAN_MILLISECOND);
 	}
 	return NULL;
 }
@@ -178,12 +180,12 @@
 		(void)close(fds[i]);
 }
 
-/* The test's own lookups carry no id, so the check of runs is left out. */
-START_TEST(idle_mute_and_slow_callers_starve_nobody)
+/* Doesn't check the runs, since the lookups of open_idle() have no test id. */
+START_TEST(idle_silent_and_slow_callers_block_no_lookup)
 {
-	double alone, beside;
-	int *idle = g_new(int, IDLE), *mute = g_new(int, MUTE);
-	struct deployment *d = start();
+	double alone, under_load;
+	int *idle = g_new(int, IDLE), *silent = g_new(int, SILENT);
+	struct deployment *d = start_deployment();
 	const struct host *h = deployment_host(d, 0);
 	struct slow_callers slow = {0};
 	uint32_t answered, i;
@@ -192,30 +194,30 @@
 	alone = lookups_p99_ms(d, "alone", 3);
 	start_ms = clock_now_ms();
 	answered = open_idle(h, idle, IDLE);
-	(void)printf("%u of %d callers that keep their connection answered in "
+	(void)printf("%u of %d callers with idle connections answered in "
 		     "%lu ms\n",
 	    answered, IDLE, (unsigned long)(clock_now_ms() - start_ms));
 	ck_assert_uint_eq(answered, IDLE);
-	for (i = 0; i < MUTE; i++)
-		mute[i] = caller_connect(h);
+	for (i = 0; i < SILENT; i++)
+		silent[i] = caller_connect(h);
 	slow_start(&slow, h);
-	beside = lookups_p99_ms(d, "beside", 3);
-	(void)printf(
-	    "p99 of lookups alone %.1f ms, beside %d idle, %d mute and "
-	    "%d slow callers %.1f ms: ratio %.2f\n",
-	    alone, IDLE, MUTE, slow.n, beside, beside / alone);
+	under_load = lookups_p99_ms(d, "beside", 3);
+	(void)printf("p99 of lookups alone %.1f ms, under load by %d idle, %d "
+		     "silent and "
+		     "%d slow callers %.1f ms: ratio %.2f\n",
+	    alone, IDLE, SILENT, slow.n, under_load, under_load / alone);
 	slow_end(&slow);
 	close_all(idle, IDLE);
-	close_all(mute, MUTE);
+	close_all(silent, SILENT);
 	ck_assert_int_eq(deployment_stop(d), 0);
 	deployment_free(d);
 	g_free(idle);
-	g_free(mute);
-	harness_end();
+	g_free(silent);
+	harness_cleanup();
 }
 END_TEST
 
-/* Most memory that a process ever had, in kilobytes. */
+/* Peak resident memory of a process in kilobytes. */
 static long
 peak_kb(const struct process *p)
 {
@@ -232,20 +234,20 @@
 	return kb;
 }
 
-/* The entry is host 0; documents are stored elsewhere, so two nodes carry it.
- */
-START_TEST(an_upload_of_a_gigabyte_takes_little_memory)
+/* The entry is host 0.  The upstreams for documents are on other hosts, so each
+ * upload passes through two nodes. */
+START_TEST(upload_of_a_gigabyte_takes_little_memory)
 {
 	static const char *const upload_args[] = {"--rate", "2", "--duration-s",
 	    "0.5", "--mix", "0:0:1", "--upload-bytes", UPLOAD_BYTES,
 	    "--timeout-ms", "60000", "--seed", "2", NULL};
-	double alone, beside;
-	long before[HOSTS], grown, most = 0;
+	double alone, under_load;
+	long before[HOSTS], growth, max_growth = 0;
 	struct calls_counts c = {0};
-	struct deployment *d = start();
+	struct deployment *d = start_deployment();
 	struct process *upload;
 	uint32_t i;
-	uint64_t start_ms, took_ms;
+	uint64_t start_ms, duration_ms;
 
 	ck_assert_uint_eq(d->hosts->len, HOSTS);
 	alone = lookups_p99_ms(d, "alone", 3);
@@ -254,25 +256,25 @@
 	start_ms = clock_now_ms();
 	upload =
 	    deployment_load(d, "upload", deployment_host(d, 0), 0, upload_args);
-	beside = lookups_p99_ms(d, "beside", 3);
+	under_load = lookups_p99_ms(d, "beside", 3);
 	calls_load_end(upload, "upload", &c);
-	took_ms = clock_now_ms() - start_ms;
+	duration_ms = clock_now_ms() - start_ms;
 	calls_print("uploads of 1 GB", &c);
 	for (i = 0; i < d->hosts->len; i++) {
-		grown = peak_kb(deployment_host(d, i)->node) - before[i];
-		most = MAX(most, grown);
+		growth = peak_kb(deployment_host(d, i)->node) - before[i];
+		max_growth = MAX(max_growth, growth);
 	}
 	(void)printf(
 	    "%u GB within %lu ms; a node grew by %ld KB at most; p99 of "
-	    "lookups alone %.1f ms, beside %.1f ms: ratio %.2f\n",
-	    c.done, (unsigned long)took_ms, most, alone, beside,
-	    beside / alone);
+	    "lookups alone %.1f ms, during uploads %.1f ms: ratio %.2f\n",
+	    c.done, (unsigned long)duration_ms, max_growth, alone, under_load,
+	    under_load / alone);
 	(void)fflush(stdout);
 	ck_assert_uint_gt(c.sent, 0);
 	ck_assert_uint_eq(c.done, c.sent);
 	ck_assert_uint_eq(c.bad_answers, 0);
-	ck_assert_int_le(most, GROWTH_MAX_KB);
-	calls_end(d);
+	ck_assert_int_le(max_growth, MAX_GROWTH_KB);
+	calls_stop(d);
 }
 END_TEST
 
@@ -282,7 +284,7 @@
 	TCase *tc = tcase_create("many");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, idle_mute_and_slow_callers_starve_nobody);
-	tcase_add_test(tc, an_upload_of_a_gigabyte_takes_little_memory);
+	tcase_add_test(tc, idle_silent_and_slow_callers_block_no_lookup);
+	tcase_add_test(tc, upload_of_a_gigabyte_takes_little_memory);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_call_refused.c
+++ b/test/functional/test_call_refused.c
@@ -1,7 +1,7 @@
 /*
- * A call that is refused at once hears so, also while its caller still sends
- * a body that nobody wants: a connection closed with bytes unread is reset,
- * and the answer may be lost.
+ * A refusal must reach the caller even while the caller is still sending a body
+ * that the node discards: closing a connection with unread bytes resets it, and
+ * the answer can be lost.
  */
 #include <check.h>
 #include <curl/curl.h>
@@ -11,7 +11,7 @@
 #define TEST_TIMEOUT_S 60
 
 /* Nodes without a version refuse every call. */
-START_TEST(refusals_reach_callers_that_still_send)
+START_TEST(refusals_reach_callers_that_are_still_sending)
 {
 	static const char *const args[] = {"--rate", "200", "--duration-s", "3",
 	    "--mix", "1:1:4", "--upload-bytes", "400000", NULL};
@@ -26,7 +26,7 @@
 	ck_assert_uint_gt(c.sent, 0);
 	ck_assert_uint_eq(c.not_run, c.sent);
 	ck_assert_uint_eq(c.bad_answers, 0);
-	calls_end(d);
+	calls_stop(d);
 }
 END_TEST
 
@@ -36,6 +36,6 @@
 	TCase *tc = tcase_create("refused");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, refusals_reach_callers_that_still_send);
+	tcase_add_test(tc, refusals_reach_callers_that_are_still_sending);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_frozen.c
+++ b/test/functional/test_frozen.c
@@ -1,6 +1,7 @@
 /*
- * A node is frozen for longer than its peers suspect it, and goes on after
- * newer versions have rolled: it catches up, and nobody else is lost.
+ * A node is suspended for longer than the suspicion timeout of its peers, and
+ * resumed after newer versions have been rolled out.  It must catch up, and no
+ * node may report any other node as failed.
  */
 #include <signal.h>
 #include <string.h>
@@ -17,46 +18,49 @@
 
 #define TEST_TIMEOUT_S 120
 #define START_BOUND_MS 20000
-#define ROLL_BOUND_MS 8000
+#define ROLLOUT_BOUND_MS 8000
 #define CALL_PAUSE_US 2000
-#define AFTER_US 2000000
-#define FROZEN 1
+#define SETTLE_US 2000000
+#define SUSPENDED 1
 #define URL_BYTES 128
 
 static const char settings[] = "{\"probe_interval_ms\":200,"
 			       "\"probe_timeout_ms\":80,\"suspicion_ms\":800}";
 
-/* Whether each live node but the frozen one counts all but the frozen one. */
+/* Checks that the running nodes report no member as failed except the suspended
+ * one. */
 static void
-check_nobody_lost(struct deployment *d)
+check_others_not_failed(struct deployment *d)
 {
 	const char *state;
-	json_t *j, *list, *m;
+	json_t *j, *members, *member;
 	size_t k;
 	uint32_t i;
 
 	for (i = 0; i < d->hosts->len; i++) {
-		if (i == FROZEN)
+		if (i == SUSPENDED)
 			continue;
 		j = deployment_api(
 		    deployment_host(d, i), "GET", "/v1/members", NULL, NULL);
-		list = json_is_array(j) ? j : json_object_get(j, "members");
-		ck_assert_uint_eq(json_array_size(list), d->hosts->len);
-		json_array_foreach(list, k, m)
+		members = json_is_array(j) ? j : json_object_get(j, "members");
+		ck_assert_uint_eq(json_array_size(members), d->hosts->len);
+		json_array_foreach(members, k, member)
 		{
-			state = json_string_value(json_object_get(m, "state"));
-			if (g_strcmp0(
-				json_string_value(json_object_get(m, "host")),
-				deployment_host(d, FROZEN)->name) != 0)
+			state =
+			    json_string_value(json_object_get(member, "state"));
+			if (g_strcmp0(json_string_value(
+					  json_object_get(member, "host")),
+				deployment_host(d, SUSPENDED)->name) != 0)
 				ck_assert_str_ne(state, "failed");
 		}
 		json_decref(j);
 	}
 }
 
-/* How often a node took another one for failed since its start. */
+/* Number of times that a node reported another one as failed since its start.
+ */
 static uint64_t
-failures_taken(const struct host *h)
+count_failed_hosts(const struct host *h)
 {
 	static const char name[] = "\nbramley_failed_hosts_total ";
 	char url[URL_BYTES];
@@ -69,13 +73,14 @@
 	    h->admin_port);
 	fetch_perform(&f, &a);
 	at = strstr(a.body->str, name);
-	ck_assert_msg(at != NULL, "%s shows no %s", h->name, name);
+	ck_assert_msg(at != NULL, "%s has no metric %s", h->name, name);
 	n = g_ascii_strtoull(at + strlen(name), NULL, 10);
 	fetch_answer_clear(&a);
 	return n;
 }
 
-/* Only the frozen node was ever taken for failed, and that once. */
+/* Checks that only the suspended node was ever reported as failed, and at most
+ * once by each node. */
 static void
 check_failures(const struct deployment *d)
 {
@@ -84,26 +89,26 @@
 
 	for (i = 0; i < d->hosts->len; i++) {
 		h = deployment_host(d, i);
-		ck_assert_msg(failures_taken(h) <= (i != FROZEN),
-		    "%s took %lu hosts for failed", h->name,
-		    (unsigned long)failures_taken(h));
+		ck_assert_msg(count_failed_hosts(h) <= (i != SUSPENDED),
+		    "%s reported %lu hosts as failed", h->name,
+		    (unsigned long)count_failed_hosts(h));
 	}
 }
 
-struct lost {
+struct wait_arg {
 	struct deployment *d;
 };
 
 static int
-frozen_is_lost(void *arg)
+others_exclude_suspended(void *arg)
 {
-	const struct lost *l = arg;
+	const struct wait_arg *l = arg;
 	json_t *j;
 	int64_t live;
 	uint32_t i;
 
 	for (i = 0; i < l->d->hosts->len; i++) {
-		if (i == FROZEN)
+		if (i == SUSPENDED)
 			continue;
 		j = deployment_api(
 		    deployment_host(l->d, i), "GET", "/v1/status", NULL, NULL);
@@ -115,7 +120,7 @@
 	return 1;
 }
 
-/* Version that a call is served by; 0 when it was not answered. */
+/* Version that served a call; 0 if the call wasn't answered. */
 static uint64_t
 call_version(const struct host *h)
 {
@@ -135,28 +140,29 @@
 	return version;
 }
 
-/* Milliseconds for which calls got an older version after the thaw. */
+/* Resumes the suspended node; returns for how many milliseconds after that
+ * calls were served by an older version. */
 static uint64_t
-thaw(struct deployment *d, struct version_watch *w, uint64_t newest)
+resume(struct deployment *d, struct version_watch *w, uint64_t newest)
 {
-	const struct host *h = deployment_host(d, FROZEN);
+	const struct host *h = deployment_host(d, SUSPENDED);
 	uint64_t last_old_ms, start_ms = clock_now_ms(), version;
 
 	process_signal(h->node, SIGCONT);
-	version_watch_present(w, h, 1);
+	version_watch_set_reachable(w, h, 1);
 	last_old_ms = start_ms;
 	do {
 		version = call_version(h);
 		if (version != 0 && version < newest)
 			last_old_ms = clock_now_ms();
-		ck_assert_uint_lt(clock_now_ms() - start_ms, ROLL_BOUND_MS);
+		ck_assert_uint_lt(clock_now_ms() - start_ms, ROLLOUT_BOUND_MS);
 		g_usleep(CALL_PAUSE_US);
 	} while (version < newest);
 	return last_old_ms - start_ms;
 }
 
 static uint64_t
-sign(struct deployment *d, struct version_watch *w, uint32_t n,
+sign_off(struct deployment *d, struct version_watch *w, uint32_t n,
     uint32_t bound_ms)
 {
 	char *path = deployment_bundle(n);
@@ -168,11 +174,11 @@
 	return version;
 }
 
-START_TEST(frozen_node_catches_up)
+START_TEST(suspended_node_catches_up)
 {
 	struct deployment_plan plan = deployment_registry;
 	struct deployment *d;
-	struct lost l;
+	struct wait_arg l;
 	struct version_watch *w;
 	uint64_t old_ms, version;
 
@@ -181,27 +187,28 @@
 	l.d = d;
 	deployment_start(d);
 	w = version_watch_start(d);
-	(void)sign(d, w, 1, START_BOUND_MS);
-	version_watch_present(w, deployment_host(d, FROZEN), 0);
-	process_signal(deployment_host(d, FROZEN)->node, SIGSTOP);
-	ck_assert_msg(harness_until(frozen_is_lost, &l, START_BOUND_MS),
-	    "the frozen node was never lost");
-	check_nobody_lost(d);
-	(void)sign(d, w, 2, ROLL_BOUND_MS);
-	version = sign(d, w, 3, ROLL_BOUND_MS);
-	old_ms = thaw(d, w, version);
-	(void)printf("calls at the thawed node got an older version for "
+	(void)sign_off(d, w, 1, START_BOUND_MS);
+	version_watch_set_reachable(w, deployment_host(d, SUSPENDED), 0);
+	process_signal(deployment_host(d, SUSPENDED)->node, SIGSTOP);
+	ck_assert_msg(
+	    harness_wait_until(others_exclude_suspended, &l, START_BOUND_MS),
+	    "the suspended node was never reported as failed");
+	check_others_not_failed(d);
+	(void)sign_off(d, w, 2, ROLLOUT_BOUND_MS);
+	version = sign_off(d, w, 3, ROLLOUT_BOUND_MS);
+	old_ms = resume(d, w, version);
+	(void)printf("calls at the resumed node got an older version for "
 		     "%lu ms\n",
 	    (unsigned long)old_ms);
-	check_nobody_lost(d);
-	deployment_wait_members(d, d->hosts->len, ROLL_BOUND_MS);
-	g_usleep(AFTER_US);
-	check_nobody_lost(d);
-	deployment_wait_members(d, d->hosts->len, ROLL_BOUND_MS);
+	check_others_not_failed(d);
+	deployment_wait_members(d, d->hosts->len, ROLLOUT_BOUND_MS);
+	g_usleep(SETTLE_US);
+	check_others_not_failed(d);
+	deployment_wait_members(d, d->hosts->len, ROLLOUT_BOUND_MS);
 	check_failures(d);
 	ck_assert_uint_eq(version_watch_end(w), 0);
 	deployment_free(d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -211,6 +218,6 @@
 	TCase *tc = tcase_create("frozen");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, frozen_node_catches_up);
+	tcase_add_test(tc, suspended_node_catches_up);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_herd.c
+++ b/test/functional/test_herd.c
@@ -1,8 +1,8 @@
 /*
- * Herds: all nodes of a data centre, or all there are, are killed and start
- * at once, with the platform up, down, or coming back.  The platform is read
- * at less than a tenth of what it can do, and no host serves an older version
- * than it had held.
+ * Thundering herd: all nodes of a data centre, or of all data centres, are
+ * killed and restarted at once while the platform is up, down or recovering.
+ * Reads must stay below a tenth of the platform's capacity, and no host may
+ * serve an older version than before.
  */
 #include <signal.h>
 #include <string.h>
@@ -18,16 +18,16 @@
 
 #define TEST_TIMEOUT_S 180
 #define HOSTS 6
-#define MORE_SERVICES 600
+#define ADDED_SERVICES 600
 #define BOUND_MS 20000
-/* A tenth of the 2,000 reads a second that the platform can do. */
-#define READS_MAX 200
-#define THAW_US 500000
-#define DOWN_US 3000000
+/* A tenth of the platform's capacity of 2,000 reads a second. */
+#define MAX_READS_PER_S 200
+#define RESUME_US 500000
+#define OUTAGE_US 3000000
 
-static const char *const places[] = {"grandahus", "hofdasalur", NULL};
+static const char *const data_centres[] = {"grandahus", "hofdasalur", NULL};
 
-struct herd {
+struct mass_restart {
 	struct deployment *d;
 	struct version_watch *watch;
 	uint32_t bundles;
@@ -35,9 +35,9 @@
 };
 
 static uint64_t
-sign(struct herd *h, uint32_t host)
+sign_off(struct mass_restart *h, uint32_t host)
 {
-	char *path = deployment_bundle_of(++h->bundles, MORE_SERVICES);
+	char *path = deployment_bundle_services(++h->bundles, ADDED_SERVICES);
 	uint64_t version =
 	    deployment_sign_off(deployment_host(h->d, host), path);
 
@@ -47,14 +47,14 @@
 }
 
 static void
-kill_hosts(struct herd *h, uint32_t from, uint32_t to)
+kill_hosts(struct mass_restart *h, uint32_t from, uint32_t to)
 {
 	struct host *host;
 	uint32_t i;
 
 	for (i = from; i < to; i++) {
 		host = deployment_host(h->d, i);
-		version_watch_present(h->watch, host, 0);
+		version_watch_set_reachable(h->watch, host, 0);
 		process_signal(host->node, SIGKILL);
 	}
 	for (i = from; i < to; i++)
@@ -62,18 +62,19 @@
 }
 
 static void
-start_hosts(struct herd *h, uint32_t from, uint32_t to)
+start_hosts(struct mass_restart *h, uint32_t from, uint32_t to)
 {
 	uint32_t i;
 
 	for (i = from; i < to; i++)
 		deployment_start_node(h->d, deployment_host(h->d, i));
 	for (i = from; i < to; i++)
-		version_watch_present(h->watch, deployment_host(h->d, i), 1);
+		version_watch_set_reachable(
+		    h->watch, deployment_host(h->d, i), 1);
 }
 
 static void
-signal_hosts(struct herd *h, uint32_t from, uint32_t to, int sig)
+signal_hosts(struct mass_restart *h, uint32_t from, uint32_t to, int sig)
 {
 	uint32_t i;
 
@@ -82,54 +83,56 @@
 }
 
 static void
-set_outage(struct herd *h, int outage)
+set_outage(struct mass_restart *h, int outage)
 {
 	deployment_platform_knobs(
 	    h->d, outage ? "{\"outage\":true}" : "{\"outage\":false}");
 }
 
-/* Until all that were started serve again, each at least what it held. */
+/* Waits until all running nodes serve a version or a later one. */
 static void
-await(struct herd *h, const char *what, uint64_t version)
+wait_for_version(struct mass_restart *h, const char *label, uint64_t version)
 {
 	uint64_t ms = deployment_wait_version(h->d, version, BOUND_MS);
 
-	(void)printf("%s: all serve after %lu ms\n", what, (unsigned long)ms);
+	(void)printf("%s: all serve after %lu ms\n", label, (unsigned long)ms);
 }
 
 static void
-check_reads(struct read_meter *m, const char *what)
+check_reads(struct read_meter *m, const char *label)
 {
 	struct read_peak peak = read_meter_stop(m);
 
 	(void)printf("%s: at most %lu reads and %lu requests in a second\n",
-	    what, (unsigned long)peak.reads, (unsigned long)peak.requests);
-	ck_assert_msg(peak.reads < READS_MAX && peak.requests < READS_MAX,
-	    "%s: %lu reads and %lu requests in a second", what,
+	    label, (unsigned long)peak.reads, (unsigned long)peak.requests);
+	ck_assert_msg(
+	    peak.reads < MAX_READS_PER_S && peak.requests < MAX_READS_PER_S,
+	    "%s: %lu reads and %lu requests in a second", label,
 	    (unsigned long)peak.reads, (unsigned long)peak.requests);
 }
 
-/* One data centre; a version is signed off while it is gone. */
+/* Restarts a data centre; a version is signed off while it is down. */
 static void
-restart_data_centre(struct herd *h)
+restart_data_centre(struct mass_restart *h)
 {
-	const char *what = "a data centre";
+	const char *label = "a data centre";
 	struct read_meter *m;
 	uint64_t version;
 
 	kill_hosts(h, HOSTS, 2 * HOSTS);
-	version = sign(h, 0);
+	version = sign_off(h, 0);
 	m = read_meter_start(h->d);
 	start_hosts(h, HOSTS, 2 * HOSTS);
-	await(h, what, version);
-	check_reads(m, what);
+	wait_for_version(h, label, version);
+	check_reads(m, label);
 }
 
-/* The same with the platform down: what it held comes from the other one. */
+/* Restarts a data centre while the platform is down, so that its nodes get the
+ * version from the other data centre. */
 static void
-restart_without_platform(struct herd *h)
+restart_without_platform(struct mass_restart *h)
 {
-	const char *what = "a data centre, the platform down";
+	const char *label = "a data centre, platform down";
 	struct read_meter *m;
 	uint64_t version = deployment_version(deployment_host(h->d, 0));
 
@@ -137,15 +140,15 @@
 	kill_hosts(h, HOSTS, 2 * HOSTS);
 	m = read_meter_start(h->d);
 	start_hosts(h, HOSTS, 2 * HOSTS);
-	await(h, what, version);
-	check_reads(m, what);
+	wait_for_version(h, label, version);
+	check_reads(m, label);
 	set_outage(h, 0);
 }
 
 static int
-all_hold(void *arg)
+all_have_newest(void *arg)
 {
-	const struct herd *h = arg;
+	const struct mass_restart *h = arg;
 	uint32_t i;
 
 	for (i = HOSTS; i < 2 * HOSTS; i++)
@@ -154,83 +157,87 @@
 	return 1;
 }
 
-/* A version that only the second data centre gets. */
+/* Signs off a version that reaches only the second data centre, which is then
+ * killed. */
 static void
-sign_for_one(struct herd *h)
+sign_off_in_one_data_centre(struct mass_restart *h)
 {
 	uint32_t i;
 
 	for (i = 0; i < HOSTS; i++)
-		version_watch_present(h->watch, deployment_host(h->d, i), 0);
+		version_watch_set_reachable(
+		    h->watch, deployment_host(h->d, i), 0);
 	signal_hosts(h, 0, HOSTS, SIGSTOP);
-	h->newest = sign(h, HOSTS);
-	ck_assert(harness_until(all_hold, h, BOUND_MS));
+	h->newest = sign_off(h, HOSTS);
+	ck_assert(harness_wait_until(all_have_newest, h, BOUND_MS));
 	set_outage(h, 1);
 	kill_hosts(h, HOSTS, 2 * HOSTS);
 	signal_hosts(h, 0, HOSTS, SIGCONT);
 	for (i = 0; i < HOSTS; i++)
-		version_watch_present(h->watch, deployment_host(h->d, i), 1);
-	g_usleep(THAW_US);
+		version_watch_set_reachable(
+		    h->watch, deployment_host(h->d, i), 1);
+	g_usleep(RESUME_US);
 	ck_assert_uint_eq(
 	    deployment_version(deployment_host(h->d, 0)), h->newest - 1);
 }
 
 /*
- * A data centre is gone that held a version which nobody else got, and the
- * platform is down.  Its hosts are told so by the floors: they serve nothing
- * rather than go back.
+ * Restarts a data centre that had a version which no other data centre has,
+ * while the platform is down.  The floors require that version, so its hosts
+ * must serve nothing instead of an older version.
  */
 static void
-restart_ahead_of_peers(struct herd *h)
+restart_ahead_of_peers(struct mass_restart *h)
 {
 	uint32_t i;
 
-	sign_for_one(h);
+	sign_off_in_one_data_centre(h);
 	start_hosts(h, HOSTS, 2 * HOSTS);
-	g_usleep(DOWN_US);
+	g_usleep(OUTAGE_US);
 	for (i = HOSTS; i < 2 * HOSTS; i++)
 		ck_assert_uint_eq(
 		    deployment_version(deployment_host(h->d, i)), 0);
 	set_outage(h, 0);
-	await(h, "a data centre ahead of the other, the platform back",
-	    h->newest);
+	wait_for_version(h,
+	    "a data centre ahead of the other, platform recovered", h->newest);
 }
 
-/* Nobody holds anything; all wait for the platform, which comes back. */
+/* Restarts all nodes during an outage, so that no node has a version and all
+ * wait until the platform recovers. */
 static void
-restart_all(struct herd *h)
+restart_all(struct mass_restart *h)
 {
-	const char *what = "all hosts, the platform back after 3 s";
+	const char *label = "all hosts, platform recovered after 3 s";
 	struct read_meter *m;
 
 	kill_hosts(h, 0, 2 * HOSTS);
 	set_outage(h, 1);
 	m = read_meter_start(h->d);
 	start_hosts(h, 0, 2 * HOSTS);
-	g_usleep(DOWN_US);
+	g_usleep(OUTAGE_US);
 	set_outage(h, 0);
-	await(h, what, h->newest);
-	check_reads(m, what);
+	wait_for_version(h, label, h->newest);
+	check_reads(m, label);
 }
 
-START_TEST(herds_start_at_once)
+START_TEST(many_nodes_restart_at_once)
 {
 	struct deployment_plan plan = deployment_registry;
-	struct herd h = {0};
+	struct mass_restart h = {0};
 
-	plan.data_centres = places;
+	plan.data_centres = data_centres;
 	plan.hosts = HOSTS;
 	h.d = deployment_new(&plan);
 	deployment_start_nodes(h.d);
 	h.watch = version_watch_start(h.d);
-	(void)version_watch_wait(h.watch, sign(&h, 0), BOUND_MS);
+	(void)version_watch_wait(h.watch, sign_off(&h, 0), BOUND_MS);
 	restart_data_centre(&h);
 	restart_without_platform(&h);
 	restart_ahead_of_peers(&h);
 	restart_all(&h);
 	ck_assert_uint_eq(version_watch_end(h.watch), 0);
 	deployment_free(h.d);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -240,6 +247,6 @@
 	TCase *tc = tcase_create("herd");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, herds_start_at_once);
+	tcase_add_test(tc, many_nodes_restart_at_once);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/functional/test_path.c
+++ b/test/functional/test_path.c
@@ -1,7 +1,7 @@
 /*
- * The whole path, thin: platform, three data centres of two hosts, sign-off
- * and watch by bramleyctl, calls through nodes of other data centres, three
- * versions that supersede one another while calls go on, and a planned stop.
+ * End-to-end test: platform, three data centres of two hosts each, sign-off and
+ * watch by bramleyctl, calls through nodes of other data centres, three
+ * versions that supersede one another under load, and a planned stop.
  */
 #include <string.h>
 
@@ -14,13 +14,13 @@
 #include "fetch.h"
 
 #define TEST_TIMEOUT_S 120
-#define ROLL_MS 15000
-#define ROLLS 3
+#define ROLLOUT_TIMEOUT_MS 15000
+#define ROLLOUTS 3
 #define UPLOAD_BYTES 3000000
 #define URL_BYTES 256
 
 /* A call whose service has no endpoint in the data centre of its entry. */
-struct far_call {
+struct remote_call {
 	const char *method;
 	const char *path;
 	const char *service;
@@ -28,7 +28,7 @@
 	uint32_t body_bytes;
 };
 
-static const struct far_call far_calls[] = {
+static const struct remote_call remote_calls[] = {
     {"GET", "/search?name=x", "public-search", 5, 0},
     {"POST", "/bookings", "hearing-booking", 2, 200},
     {"POST", "/documents", "document-store", 0, UPLOAD_BYTES},
@@ -45,7 +45,7 @@
 	return NULL;
 }
 
-/* The first line of a stand-in's answer. */
+/* Parses the first line of a stand-in's answer. */
 static json_t *
 answer_line(const struct fetch_answer *a)
 {
@@ -59,7 +59,7 @@
 }
 
 static void
-make_far_call(const struct deployment *d, const struct far_call *c)
+make_remote_call(const struct deployment *d, const struct remote_call *c)
 {
 	char url[URL_BYTES];
 	char *body = g_malloc0(c->body_bytes + 1), *fate;
@@ -88,7 +88,7 @@
 	g_free(body);
 }
 
-/* Without a version no node serves; each says at once that nothing was run. */
+/* Checks that nodes without a version refuse calls as not_run. */
 static void
 check_refused(const struct deployment *d)
 {
@@ -105,7 +105,7 @@
 		fetch_perform(&f, &a);
 		fate = fetch_header(&a, "Bramley-Fate");
 		retry = fetch_header(&a, "Retry-After");
-		ck_assert_msg(a.code == 503, "%s: %d", h->name, a.code);
+		ck_assert_msg(a.code == 503, "%s: status %d", h->name, a.code);
 		ck_assert_str_eq(fate, "not_run");
 		ck_assert_ptr_nonnull(retry);
 		g_free(fate);
@@ -128,7 +128,7 @@
 	j = deployment_ctl(deployment_host(d, n % d->hosts->len), NULL, args);
 	next = (uint64_t)json_number(j, "version");
 	ck_assert_uint_gt(next, version);
-	(void)deployment_wait_version(d, next, ROLL_MS);
+	(void)deployment_wait_version(d, next, ROLLOUT_TIMEOUT_MS);
 	json_decref(j);
 	g_free(path);
 	return next;
@@ -144,7 +144,7 @@
 	json_decref(deployment_ctl(deployment_host(d, 1), NULL, args));
 }
 
-/* When the watch ends, the version is in force: every node serves it. */
+/* After the watch the version is in force, so all nodes must serve. */
 static void
 check_in_force(const struct deployment *d)
 {
@@ -157,12 +157,13 @@
 		json_decref(
 		    deployment_api(h, "GET", "/v1/health", NULL, &code));
 		ck_assert_msg(code == 200,
-		    "the watch ended and %s does not serve: %d", h->name, code);
+		    "%s doesn't serve after the watch: status %d", h->name,
+		    code);
 	}
 }
 
-/* Above the range of a service's timeout, which is run as the range's end. */
-#define BEYOND_RANGE_MS 3600000
+/* Above the range of a service's timeout, so that nodes use the upper limit. */
+#define ABOVE_RANGE_MS 3600000
 
 static void
 check_one_warning(const json_t *j)
@@ -175,11 +176,11 @@
 	    "services[0].timeout_ms");
 }
 
-/* A bundle with a warning is signed off, and the warning told. */
+/* Signs off a bundle with a warning, which bramleyctl must report. */
 static void
 sign_off_with_warning(struct deployment *d)
 {
-	char *bundle = deployment_bundle(BEYOND_RANGE_MS);
+	char *bundle = deployment_bundle(ABOVE_RANGE_MS);
 	const char *validate[] = {"validate", bundle, NULL};
 	const char *sign_off[] = {
 	    "--operator", "test", "sign-off", bundle, NULL};
@@ -191,12 +192,12 @@
 	j = deployment_ctl(deployment_host(d, 0), NULL, sign_off);
 	check_one_warning(j);
 	(void)deployment_wait_version(
-	    d, (uint64_t)json_number(j, "version"), ROLL_MS);
+	    d, (uint64_t)json_number(j, "version"), ROLLOUT_TIMEOUT_MS);
 	json_decref(j);
 	g_free(bundle);
 }
 
-/* Any node's status has the sums of all; nothing is refused. */
+/* Checks that a node's status has the sums of all nodes, without refusals. */
 static void
 check_fleet(const struct deployment *d)
 {
@@ -210,7 +211,7 @@
 	json_decref(j);
 }
 
-START_TEST(calls_pass_while_versions_roll)
+START_TEST(calls_succeed_during_rollouts)
 {
 	static const char *const load_args[] = {
 	    "--rate", "100", "--duration-s", "4", "--mix", "8:1:1", NULL};
@@ -226,10 +227,10 @@
 	version = deployment_sign_off(deployment_host(d, 0), bundle);
 	watch(d, version);
 	check_in_force(d);
-	for (i = 0; i < G_N_ELEMENTS(far_calls); i++)
-		make_far_call(d, &far_calls[i]);
+	for (i = 0; i < G_N_ELEMENTS(remote_calls); i++)
+		make_remote_call(d, &remote_calls[i]);
 	load = deployment_load(d, "load", deployment_host(d, 0), 1, load_args);
-	for (i = 0; i < ROLLS; i++)
+	for (i = 0; i < ROLLOUTS; i++)
 		version = supersede(d, version, (uint32_t)i + 1);
 	sum = deployment_load_end(load);
 	ck_assert_int_gt(json_number(sum, "sent"), 0);
@@ -238,11 +239,11 @@
 	sign_off_with_warning(d);
 	check_fleet(d);
 	ck_assert_int_eq(deployment_stop(d), 0);
-	ck_assert_uint_eq(deployment_check(d), 0);
+	ck_assert_uint_eq(deployment_check_runs(d), 0);
 	json_decref(sum);
 	deployment_free(d);
 	g_free(bundle);
-	harness_end();
+	harness_cleanup();
 }
 END_TEST
 
@@ -252,6 +253,6 @@
 	TCase *tc = tcase_create("path");
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	tcase_add_test(tc, calls_pass_while_versions_roll);
+	tcase_add_test(tc, calls_succeed_during_rollouts);
 	return harness_run(tc, TEST_TIMEOUT_S);
 }
--- a/test/soak/soak_stops.c
+++ b/test/soak/soak_stops.c
@@ -1,5 +1,5 @@
 /*
- * Calls that a stop gives up.
+ * Check of the calls that stopping nodes aborted.
  */
 #include "soak_stops.h"
 
@@ -12,24 +12,24 @@
 
 #include "harness.h"
 
-#define GIVEN_UP " reason=stopped ms="
-#define REST_EIGHTHS 5
-/* The stop begins in another thread than that which takes calls. */
+#define ABORTED " reason=stopped ms="
+#define AFTER_NOTICE_EIGHTHS 5
+/* The thread that begins a stop isn't the one that accepts calls. */
 #define SLACK_MS 150
 #define DECIMAL 10
 
 /**
- * struct given_up - calls that were given up
- * @n: their number
- * @youngest_ms: age of the youngest
+ * struct aborted_calls - calls that a stop aborted
+ * @n: number of calls
+ * @youngest_ms: age of the youngest call
  */
-struct given_up {
+struct aborted_calls {
 	uint32_t n;
 	uint64_t youngest_ms;
 };
 
 static void
-read_log(const char *path, struct given_up *g)
+read_log(const char *path, struct aborted_calls *g)
 {
 	char *text = NULL;
 	const char *at;
@@ -37,8 +37,8 @@
 
 	if (!g_file_get_contents(path, &text, NULL, NULL))
 		return;
-	for (at = text; (at = strstr(at, GIVEN_UP)) != NULL; g->n++) {
-		at += strlen(GIVEN_UP);
+	for (at = text; (at = strstr(at, ABORTED)) != NULL; g->n++) {
+		at += strlen(ABORTED);
 		ms = strtoull(at, NULL, DECIMAL);
 		g->youngest_ms = MIN(g->youngest_ms, ms);
 	}
@@ -48,7 +48,7 @@
 void
 soak_stops_check(uint32_t drain_ms)
 {
-	struct given_up g = {0, UINT64_MAX};
+	struct aborted_calls g = {0, UINT64_MAX};
 	char *folder = harness_path("."), *path;
 	GDir *dir = g_dir_open(folder, 0, NULL);
 	const char *name;
@@ -63,8 +63,8 @@
 	}
 	g_dir_close(dir);
 	g_free(folder);
-	(void)printf("%u calls given up by stops\n", g.n);
+	(void)printf("%u calls aborted by stops\n", g.n);
 	if (g.n > 0)
 		ck_assert_uint_ge(g.youngest_ms + SLACK_MS,
-		    (uint64_t)drain_ms * REST_EIGHTHS / 8);
+		    (uint64_t)drain_ms * AFTER_NOTICE_EIGHTHS / 8);
 }
