--- a/packages/node/include/node/call_dialect.h
+++ b/packages/node/include/node/call_dialect.h
@@ -9,8 +9,9 @@
 
 /**
  * struct call_dialect - header names; NULL for a header that isn't used
- * @prefix: headers whose names begin with it belong to this system: those that
- *	callers or upstreams send aren't forwarded, unless listed below
+ * @prefix: headers whose names begin with this prefix belong to this system:
+ *	those that callers or upstreams send aren't forwarded, unless listed
+ *	below
  * @from_callers: such headers that are forwarded to upstreams; ends with NULL
  * @from_upstreams: such headers that are forwarded to callers; ends with NULL
  * @request_id: id of a request
@@ -24,9 +25,11 @@
  * @fate: sent to callers: outcome of the request, "done", "not_run" or
  *	"unknown"
  * @version: sent to callers: version of the configuration
- * @not_run: an upstream declares with it that it has not run a request
+ * @not_run: an upstream declares with this header that it has not run a
+ *	request
  * @not_run_value: value of @not_run that declares it; NULL for any value
- * @signature: a successful answer without it didn't come from the upstream
+ * @signature: a successful answer without this header is not the upstream's
+ *	own, unaltered answer
  * @load: an upstream's running and queued requests and its slots
  * @fractional_retry_after: Retry-After may hold a fraction of a second
  */
--- a/packages/node/include/node/callers.h
+++ b/packages/node/include/node/callers.h
@@ -1,6 +1,6 @@
 /*
- * Callers: the HTTP server on the caller port, in the traffic thread.  It
- * submits calls to the entry and streams bodies in both directions.
+ * Callers: the HTTP server on the caller port, in the traffic thread.  The
+ * server submits calls to the entry and streams bodies in both directions.
  */
 #ifndef NODE_CALLERS_H
 #define NODE_CALLERS_H
@@ -41,8 +41,8 @@
  * @c: the server
  * @deadline_ms: monotonic time at which calls still in flight are aborted
  *
- * Any thread may call it.  Each answer closes its connection from now on, and
- * new calls are answered not_run.  The drain is complete when
+ * Any thread may call this function.  Each answer closes its connection from
+ * now on, and new calls are answered not_run.  The drain is complete when
  * callers_in_flight() is 0.
  */
 void callers_drain(struct callers *c, uint64_t deadline_ms);
@@ -54,8 +54,8 @@
  * callers_stop() - stop listening and wait until connections have closed
  * @c: the server; the traffic thread still runs
  *
- * To be called from another thread.  After a drain it returns once no
- * connection is left, or at the drain's deadline; answers being written then
+ * To be called from another thread.  After a drain this function returns once
+ * no connection is left, or at the drain's deadline; answers being written then
  * are truncated.
  */
 void callers_stop(struct callers *c);
--- a/packages/node/include/node/entry.h
+++ b/packages/node/include/node/entry.h
@@ -35,8 +35,9 @@
  * entry_snapshot_changed() - a new snapshot was published
  * @e: the entry
  *
- * Any thread may call it.  New calls read the snapshot in force in any case;
- * this makes the entry release the state of endpoints that were removed.
+ * Any thread may call this function.  New calls read the snapshot in force in
+ * any case; this makes the entry release the previous snapshot, and calls the
+ * callback of entry_watch_snapshot().
  */
 void entry_snapshot_changed(struct entry *e);
 
@@ -50,22 +51,21 @@
 void entry_watch_snapshot(struct entry *e, void (*fn)(void *arg), void *arg);
 
 /**
- * entry_version_known() - the newest version that this node has seen changed
+ * entry_version_known() - set the newest version that this node has seen
  * @e: the entry
  * @version: the version, in force here or not; 0 for none
  *
- * Any thread may call it.
+ * Any thread may call this function.
  */
 void entry_version_known(struct entry *e, uint64_t version);
 
 /**
- * entry_version_awaited() - the newest version that this node should apply
- * changed
+ * entry_version_awaited() - set the newest version that this node should apply
  * @e: the entry
  * @version: a version that some node has read and that this node is not known
- *	to reject; in force here or not
+ *	to refuse; in force here or not
  *
- * Any thread may call it.
+ * Any thread may call this function.
  */
 void entry_version_awaited(struct entry *e, uint64_t version);
 
@@ -85,9 +85,10 @@
 /**
  * entry_submit() - submit a call to the entry
  * @e: the entry
- * @x: the call; see node/call_exchange.h
+ * @x: the call; see call_exchange.h
  *
- * In the traffic thread; the answer is never delivered before this returns.
+ * In the traffic thread; the answer is never delivered before this
+ * function returns.
  */
 void entry_submit(struct entry *e, struct call_exchange *x);
 
@@ -96,23 +97,24 @@
  * @e: the entry
  * @deadline_ms: monotonic time at which calls still in flight are aborted
  *
- * Any thread may call it.  New calls are still accepted for drain_notice_ms (a
- * tenth of the remaining time by default), then answered not_run.  The drain is
- * complete when entry_in_flight() is 0.
+ * Any thread may call this function.  New calls are still accepted for
+ * drain_notice_ms (a tenth of the remaining time by default), then answered
+ * not_run.  The drain is complete when entry_in_flight() is 0.
  */
 void entry_drain(struct entry *e, uint64_t deadline_ms);
 
 /** entry_in_flight() - calls that have not ended */
 uint32_t entry_in_flight(const struct entry *e);
 
-/** entry_stop() - abort calls in flight; any thread may call it */
+/** entry_stop() - abort calls in flight; any thread may call this function
+ */
 void entry_stop(struct entry *e);
 
 /**
  * entry_use_quarantine() - set the quarantined requests, which are refused
  *
- * To be called before the traffic thread starts, which also updates @q; @q is
- * borrowed.
+ * To be called before the traffic thread starts; that thread also updates @q,
+ * which is borrowed.
  */
 void entry_use_quarantine(struct entry *e, struct quarantine *q);
 
--- a/packages/node/include/node/guard.h
+++ b/packages/node/include/node/guard.h
@@ -134,8 +134,9 @@
 void guard_log_aborted(struct guard *g);
 
 /**
- * guard_in_flight() - number of unfinished calls, including answers that are
- * still in the output buffers of connections
+ * guard_in_flight() - number of unfinished requests, plus that of connections
+ * on which a stop would lose data, such as unsent answers; not 0 while a drain
+ * is requested and has not started
  */
 uint32_t guard_in_flight(const struct guard *g);
 
--- a/packages/node/src/call_exchange.h
+++ b/packages/node/src/call_exchange.h
@@ -86,8 +86,8 @@
 /**
  * enum exchange_end - how a body ended
  * @EXCHANGE_OPEN: more may follow
- * @EXCHANGE_COMPLETE: all of it was written
- * @EXCHANGE_ABORTED: it was truncated
+ * @EXCHANGE_COMPLETE: the whole body was written
+ * @EXCHANGE_ABORTED: the body was truncated
  */
 enum exchange_end {
 	EXCHANGE_OPEN = 0,
@@ -199,8 +199,8 @@
  * @x: the exchange
  * @a: the head; ownership passes to the exchange
  * @pieces: GBytes, the beginning of the body, moved to the exchange; or NULL
- * @end: EXCHANGE_COMPLETE when @pieces are all of it, EXCHANGE_OPEN when more
- *	follows
+ * @end: EXCHANGE_COMPLETE when @pieces are the whole body, EXCHANGE_OPEN when
+ *	more follows
  */
 void call_exchange_begin_answer(struct call_exchange *x, struct call_answer *a,
     GQueue *pieces, enum exchange_end end);
--- a/packages/node/src/call_headers.h
+++ b/packages/node/src/call_headers.h
@@ -64,12 +64,12 @@
  * 7.6.1)
  * @connection: its value, or NULL
  *
- * A tree and not a hash table, since a head may have thousands of headers and a
- * Connection header thousands of options, and a caller may choose them so that
- * their hashes collide.
+ * The options are kept in a tree and not in a hash table: a head may have
+ * thousands of headers and a Connection header thousands of options, which a
+ * caller may choose so that their hashes collide.
  *
- * Return: the header names, for call_headers_conn_options_free(); NULL when it
- * has no options, or only "close" and "keep-alive".
+ * Return: the header names, for call_headers_conn_options_free(); NULL when the
+ * header has no options, or only "close" and "keep-alive".
  */
 GTree *call_headers_conn_options(const char *connection);
 
--- a/packages/node/src/call_print.c
+++ b/packages/node/src/call_print.c
@@ -30,8 +30,8 @@
 }
 
 /* A caller_service header names the service of the host where the request
- * entered.  It doesn't identify the caller, which may use any host, so it isn't
- * part of the fingerprint. */
+ * entered.  A caller may use any host, so the header doesn't identify the
+ * caller and isn't part of the fingerprint. */
 static const char *
 identity_of(const struct call_print_parts *p)
 {
--- a/packages/node/src/call_print.h
+++ b/packages/node/src/call_print.h
@@ -1,5 +1,5 @@
 /*
- * Fingerprint of a call: entry and guard compute the same one.
+ * Fingerprint of a call: entry and guard compute the same fingerprint.
  */
 #ifndef CALL_PRINT_H
 #define CALL_PRINT_H
@@ -20,7 +20,8 @@
  * @method: HTTP method
  * @path: path and query
  * @headers: headers that are forwarded
- * @address: address of the caller, which identifies it when no header does
+ * @address: address of the caller, which identifies the caller when no header
+ *	does
  * @body_bytes: length of the body, -1 when unknown
  * @body: GBytes of the body, from its first byte
  * @received: received bytes of the body
--- a/packages/node/src/callers_request.c
+++ b/packages/node/src/callers_request.c
@@ -122,8 +122,8 @@
 	return 0;
 }
 
-/* More than one Host header is refused: servers differ in which one they use
- * (RFC 9112, 3.2). */
+/* A request with more than one Host header is rejected: servers differ in which
+ * one they use (RFC 9112, 3.2). */
 static uint32_t
 read_target(const struct http_incoming_head *head, struct call_request *r)
 {
--- a/packages/node/src/entry.c
+++ b/packages/node/src/entry.c
@@ -17,8 +17,8 @@
 #define OTHER_LINES_PER_S 100
 #define OTHER_LINES_BURST 400
 
-/* Default of drain_notice_ms: a drain's time divided by this.  Calls are still
- * accepted meanwhile. */
+/* Default of drain_notice_ms: a drain's time divided by this number.  Calls
+ * are still accepted during the notice. */
 #define NOTICE_DIVISOR 10
 
 static void
--- a/packages/node/src/entry_body.c
+++ b/packages/node/src/entry_body.c
@@ -4,8 +4,8 @@
  */
 #include "entry_priv.h"
 
-/* Unsent bytes of a large body that are buffered here, in addition to the
- * exchange. */
+/* Unsent bytes of a large body that are buffered here, in addition to those in
+ * the exchange. */
 #define BODY_AHEAD_BYTES 65536
 
 GBytes *
--- a/packages/node/src/entry_call.c
+++ b/packages/node/src/entry_call.c
@@ -82,9 +82,9 @@
 }
 
 /*
- * Refuses a quarantined request and one whose crashes are undecided.  A
- * suspected request, and one whose earlier attempt may have run, is placed by
- * its content, so that all copies of it reach the same upstream.
+ * Refuses a request that is quarantined or undecided.  A suspect request, and a
+ * request of which an earlier attempt may have run, is placed by its content,
+ * so that all copies of it reach the same upstream.
  */
 static bool
 passes_quarantine(struct entry_call *c, struct placement_query *query)
@@ -188,8 +188,8 @@
 	entry_peer_add(entry_peer_get(e, a->address), a);
 }
 
-/* Uses the address of the attempt, since the endpoint may have left the
- * snapshot. */
+/* Uses the address that the attempt was sent to, since the endpoint may have
+ * left the snapshot. */
 static void
 resolve(struct entry_call *c, const struct call_action *action)
 {
--- a/packages/node/src/entry_frames.c
+++ b/packages/node/src/entry_frames.c
@@ -114,8 +114,9 @@
 
 #define SERVER_ERROR 500
 
-/* Lets the guard drop the answer.  Answers to an idempotency key aren't
- * acknowledged: they are kept for repetitions of the key. */
+/* Lets the guard drop the answer.  The guard retains no answers to
+ * idempotent requests, and those to requests with an idempotency key are kept
+ * for repetitions of the key, so neither are acknowledged. */
 static void
 acknowledge(struct entry_attempt *a)
 {
@@ -205,7 +206,7 @@
 	case REFUSAL_DRAINING:
 	case REFUSAL_STOPPING:
 		return ENDPOINT_DRAINS;
-	/* The endpoint has ended, or another one has its address now. */
+	/* The endpoint has ended, or another endpoint has its address now. */
 	case REFUSAL_NO_ENDPOINT:
 		return ENDPOINT_ABSENT;
 	case REFUSAL_CANCELLED:
--- a/packages/node/src/entry_log.h
+++ b/packages/node/src/entry_log.h
@@ -1,6 +1,7 @@
 /*
- * Log of calls: a line at the end of each call, and one for each attempt that
- * ended without an answer.  The lines are rate-limited.
+ * Log of calls: a line at the end of each call, for each attempt that ended
+ * without an answer, and for the result of each query to a guard.  The lines
+ * are rate-limited.
  */
 #ifndef ENTRY_LOG_H
 #define ENTRY_LOG_H
@@ -26,7 +27,8 @@
 void entry_log_behind(struct entry *e, const struct call_request *r,
     uint64_t version, uint32_t status);
 
-/** entry_log_attempt() - log the end of an attempt without an answer */
+/** entry_log_attempt() - log the end of an attempt without an answer, or the
+ * result of a query for an attempt's outcome */
 void entry_log_attempt(const struct entry_attempt *a, const char *ended);
 
 /** entry_log_quarantined() - log the refusal of a quarantined request */
@@ -34,7 +36,7 @@
     const struct fingerprint *print, const struct quarantine_entry *held);
 
 /** entry_log_undecided() - log the refusal of a request that ran in several
- * crashes while the one that causes them isn't determined yet */
+ * crashes while the request that causes them isn't determined yet */
 void entry_log_undecided(
     const struct entry_call *c, const struct fingerprint *print);
 
--- a/packages/node/src/entry_priv.h
+++ b/packages/node/src/entry_priv.h
@@ -40,8 +40,9 @@
 
 /* Retry-After of a node without a configuration.  A starting node has its
  * configuration in force 0.5 to 0.7 s after its start, and callers retry twice.
- * With 1 ms they had used both retries by then: of 1,770 requests in the 2 s
- * after all processes were killed 648 were refused, 176 for that reason. */
+ * With a Retry-After of 1 ms callers had used both retries before that: of the
+ * 1,770 requests in the 2 s after all processes were killed, 648 were refused,
+ * 176 of them for that reason. */
 #define ENTRY_STARTING_RETRY_MS 400
 
 /**
@@ -263,10 +264,10 @@
  * @service: the service
  * @config: configuration of @service in @snapshot
  * @route: the route in @snapshot
- * @deadline_ms: monotonic deadline: the caller's or the route's, the earlier
- *	one
- * @target_ms: monotonic target time of the answer, which loses value after it;
- *	0 when not configured
+ * @deadline_ms: monotonic deadline: the earlier of the caller's deadline and
+ *	the configured timeout
+ * @target_ms: monotonic time after which the answer is worth less; 0 when not
+ *	configured
  * @idempotent: the request may run more than once
  * @keyed: the request's idempotency key is in effect
  * @machine: the state machine
@@ -370,8 +371,8 @@
 /** entry_attempt_start() - the connection is ready: send the first frame */
 void entry_attempt_start(struct entry_attempt *a);
 
-/** entry_attempt_lost() - the connection was lost or could not be
- * established */
+/** entry_attempt_lost() - the connection was lost or could not be established;
+ * @silent: the guard had stopped answering */
 void entry_attempt_lost(struct entry_attempt *a, bool silent);
 
 /** entry_attempt_end() - record the attempt's result at its endpoint */
@@ -430,8 +431,7 @@
  * @x: the request
  * @status: HTTP status of the refusal by the version in force
  *
- * Return: whether the request was answered with a retry, since a newer version
- * is known.
+ * Return: whether the request was answered as behind.
  */
 bool
 entry_behind_refuse(struct entry *e, struct call_exchange *x, uint32_t status);
@@ -487,7 +487,7 @@
 
 /* entry.c */
 
-/** entry_call_ended() - a call has ended */
+/** entry_call_ended() - count a call as no longer in flight */
 void entry_call_ended(struct entry *e);
 
 #endif
--- a/packages/node/src/guard.c
+++ b/packages/node/src/guard.c
@@ -173,7 +173,7 @@
 	return listener_addr(g->listener);
 }
 
-/* Arguments of a call that another thread posts to the guard's thread. */
+/* Arguments of a task that another thread posts to the guard's thread. */
 struct guard_task {
 	struct guard *guard;
 	uint64_t deadline_ms;
--- a/packages/node/src/guard_answer.c
+++ b/packages/node/src/guard_answer.c
@@ -1,7 +1,7 @@
 /*
  * Answers of upstreams at the guard.  The whole body is retained while the
- * answer may have to be sent again; otherwise only the bytes that some entry
- * has not been sent yet.
+ * answer may have to be sent again; otherwise only the bytes that have
+ * not yet been sent to every entry.
  */
 #include <string.h>
 
--- a/packages/node/src/guard_crash.h
+++ b/packages/node/src/guard_crash.h
@@ -1,7 +1,7 @@
 /*
  * Detection of upstream crashes.  When running requests lose their connections,
- * a probe connects to the upstream: a process that has ended refuses the
- * connection, one that only closed some connections accepts it.
+ * a probe connects to the upstream: a process that has ended refuses
+ * this connection, a process that only closed some connections accepts it.
  *
  * An upstream that announced that it leaves does not count as crashed.  An
  * upstream that hangs is not detected, since its connections stay open.
--- a/packages/node/src/guard_http.c
+++ b/packages/node/src/guard_http.c
@@ -37,7 +37,7 @@
 	return NULL;
 }
 
-/* Whether the answer says that the upstream did not run the request. */
+/* Whether the answer reports that the upstream did not run the request. */
 static bool
 reports_not_run(const struct call_dialect *d, int code,
     const struct http_header *headers, uint32_t n)
@@ -85,8 +85,8 @@
 	return false;
 }
 
-/* A success that has no signature, or that has a content encoding, does not
- * come from the upstream. */
+/* A success that is unsigned or encoded is not the upstream's own, unaltered
+ * answer: it may have been altered on the way. */
 static bool
 is_invalid_answer(const struct guard_request *r, int code,
     const struct http_header *headers, uint32_t n)
--- a/packages/node/src/guard_open.c
+++ b/packages/node/src/guard_open.c
@@ -1,5 +1,5 @@
 /*
- * Arrival of an attempt: rejects duplicates and attempts that are too old,
+ * Arrival of an attempt: drops duplicates, refuses attempts that are too old,
  * creates the request and finds its upstream.
  */
 #include <string.h>
--- a/packages/node/src/guard_out.c
+++ b/packages/node/src/guard_out.c
@@ -145,8 +145,8 @@
 
 	memset(&m, 0, sizeof(m));
 	m.stream = stream;
-	/* An entry of an older build gets a refusal that it knows and that is
-	 * final too. */
+	/* An entry of an older build, which doesn't support this refusal,
+	 * gets another that is final too. */
 	m.refusal = (uint8_t)(refusal > gc->max_refusal ? REFUSAL_CALLER_LIMIT
 							: refusal);
 	m.retry_after_ms = (uint32_t)MIN(retry_after_ms, UINT32_MAX);
--- a/packages/node/src/guard_priv.h
+++ b/packages/node/src/guard_priv.h
@@ -61,7 +61,8 @@
  * @drain: state of this guard's drain
  * @tick: periodic timer: expires fates and advances the drain
  * @in_flight: number of unfinished requests, atomic for guard_in_flight()
- * @busy_conns: connections on which a stop would lose data, likewise
+ * @busy_conns: number of connections on which a stop would lose data, atomic
+ *	too
  * @n_serving: number of upstreams that accept requests, atomic for
  *	guard_is_serving()
  * @drain_requested: guard_drain() was called, atomic
@@ -119,7 +120,7 @@
  * @counts: answers since @counts_order was set; guarded by @counts_lock of
  *	the guard
  * @counts_order: number of the rollout that @counts belong to, 0 for none;
- *	likewise
+ *	guarded by the same lock
  */
 struct guard_upstream {
 	struct guard *guard;
@@ -141,7 +142,7 @@
  * @id: connection id
  * @host: host of the entry, for logs
  * @handshake_done: the entry has answered the hello
- * @max_refusal: largest refusal value that the entry understands
+ * @max_refusal: largest refusal value that the entry supports
  * @goodbye_sent: the entry was asked to send no more requests
  * @goodbye_acked: the entry has agreed to send no more requests
  * @age: upper bound on the age of received frames
@@ -260,7 +261,7 @@
  * @deadline_ms: earliest time at which the caller may have stopped waiting;
  *	the request does not start after it
  * @latest_deadline_ms: latest such time; a running call times out then,
- *	unless the entry, which knows the deadline better, cancels it earlier
+ *	unless the entry, which has the exact deadline, cancels it earlier
  * @target_ms: time after which the answer is worth less, 0 if unknown
  * @priority: 0 is the highest
  * @body_bytes: length of the body, -1 if unknown
@@ -434,7 +435,7 @@
 void guard_request_cancel(struct guard_request *r);
 
 /** guard_request_waiter_lost() - the connection of an entry that awaited the
- * answer was closed */
+ * answer was closed; @was_source: the body came on this connection */
 void guard_request_waiter_lost(struct guard_request *r, bool was_source);
 
 /** guard_request_free() - free the request; for GHashTable */
@@ -462,7 +463,8 @@
  * admission decides */
 void guard_upstream_run_queue(struct guard_upstream *u);
 
-/** guard_upstream_load() - load that answers report; @u may be NULL */
+/** guard_upstream_load() - get the load that is reported with answers; @u may
+ * be NULL */
 void guard_upstream_load(const struct guard_upstream *u, struct rec_load *load);
 
 /** guard_upstream_drain_all() - refuse all new requests from now on */
@@ -509,7 +511,7 @@
  * guard_out_new() - start sending an answer on a stream
  * @gc: the connection
  * @stream: number of the stream
- * @id: request that the entry sent or asked about
+ * @id: request that the entry sent, or whose fate it queried
  * @r: the request that produces the answer, or NULL
  * @a: the answer
  */
@@ -595,16 +597,6 @@
  */
 void guard_keyed_refresh_snapshot(struct guard *g);
 
-/* guard_version.c */
-
-/** guard_version_update() - record the version in force */
-void guard_version_update(struct guard *g);
-
-/** guard_version_accepts() - whether a request may run on this host although
- * its entry may have routed it by an older version */
-bool guard_version_accepts(
-    const struct guard_request *r, const struct msg_call_open *m);
-
 /** guard_keyed_submit() - submit a request that has a key */
 void guard_keyed_submit(struct guard_request *r);
 
@@ -621,6 +613,16 @@
 enum keyed_word
 guard_keyed_yield(struct guard *g, const struct msg_call_key_ask *m);
 
+/* guard_version.c */
+
+/** guard_version_update() - record the version in force */
+void guard_version_update(struct guard *g);
+
+/** guard_version_accepts() - whether a request may run on this host although
+ * its entry may have routed it by an older version */
+bool guard_version_accepts(
+    const struct guard_request *r, const struct msg_call_open *m);
+
 /* guard_ask.c */
 
 /** guard_key_query_start() - send a key query; @at is NULL if the address of
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -227,7 +227,7 @@
 	return r->state == REQUEST_QUEUED || r->state == REQUEST_AWAITING_KEY;
 }
 
-/* Rejects queued requests that may no longer run. */
+/* Refuses queued requests that may no longer run. */
 static void
 reject_queued(struct guard *g)
 {
@@ -323,10 +323,10 @@
 }
 
 /*
- * Suspects run one at a time, so that the next crash identifies the one that
- * causes it.  A second copy of the same request is refused as quarantined, so
- * that it runs nowhere; another suspect is refused with REFUSAL_WAIT and may
- * run at another upstream.
+ * Suspects run one at a time, so that the next crash identifies the
+ * suspect that causes it.  A second copy of the same request is refused as
+ * quarantined, so that it runs nowhere; another suspect is refused with
+ * REFUSAL_WAIT and may run at another upstream.
  */
 static bool
 refuse_beside_suspect(struct guard_request *r)
--- a/packages/node/src/guard_quarantine.h
+++ b/packages/node/src/guard_quarantine.h
@@ -52,7 +52,7 @@
 void guard_quarantine_clear(struct guard *g);
 
 /** guard_quarantine_tick() - update the exported entries, so that operators see
- * the current number of rejected calls */
+ * the current number of refused calls */
 void guard_quarantine_tick(struct guard *g);
 
 /** guard_quarantine_describe() - keep a description of @r for operators */
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -285,8 +285,9 @@
 
 /* Cancellation */
 
-/* Aborts the call of a running request.  If part of the request was sent, it
- * has failed, as the upstream may have run it; otherwise it is refused. */
+/* Aborts the call of a running request.  If a part of the request was sent, the
+ * request has failed, as the upstream may have run it; otherwise the request is
+ * refused. */
 static void
 abort_call(struct guard_request *r, enum refusal refusal)
 {
