--- a/packages/node/include/node/control.h
+++ b/packages/node/include/node/control.h
@@ -109,8 +109,8 @@
 /**
  * control_loop() - the control thread's loop
  *
- * The functions below may only be called in that loop, unless they say that any
- * thread may call them.
+ * The functions below may only be called in that loop, unless their
+ * description contains "any thread".
  */
 struct loop *control_loop(struct control *c);
 
--- a/packages/node/include/node/node.h
+++ b/packages/node/include/node/node.h
@@ -31,8 +31,10 @@
  * node_stop() - stop gracefully and free a node
  * @n: the node
  *
- * Announces the stop to peers, then answers new calls with not_run while calls
- * in flight finish.  Calls that are still running after drain_ms are aborted.
+ * New calls are still accepted for drain_notice_ms, then answered not_run while
+ * calls in flight finish.  The stop is announced to peers at the end of the
+ * notice, or earlier when no upstream here accepts requests.  Calls that are
+ * still running after drain_wait_ms() are aborted.
  */
 void node_stop(struct node *n);
 
--- a/packages/node/include/node/traffic_thread.h
+++ b/packages/node/include/node/traffic_thread.h
@@ -1,6 +1,6 @@
 /*
  * Traffic thread: one event loop for callers, entry and guard, so that a call
- * to an upstream of the own host stays in one thread.
+ * to an upstream of this host stays in one thread.
  */
 #ifndef NODE_TRAFFIC_THREAD_H
 #define NODE_TRAFFIC_THREAD_H
--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -229,7 +229,7 @@
 	    admin_error_json(st, message, remedy, 0));
 }
 
-/* Reads the full body; returns 0 when it is too large. */
+/* Reads the full body; returns 0 when the body is too large. */
 static int
 admin_read_body(struct mg_connection *conn, GString *body)
 {
--- a/packages/node/src/admin_bundles.c
+++ b/packages/node/src/admin_bundles.c
@@ -48,8 +48,8 @@
 	    !g_str_has_prefix(call->path, "bundles/"))
 		return;
 	st = bundle_parse(call->body->str, call->body->len, &call->bundle);
-	/* Parsing needs many times the size of the bundle.  Without this the
-	 * freed memory would remain in the allocator's arena. */
+	/* Parsing needs many times the size of the bundle.  Without this call
+	 * the freed memory would remain in the allocator's arena. */
 	(void)malloc_trim(0);
 	if (call->bundle->n_warnings > 0)
 		call->warnings = list_json(call->bundle->warnings);
--- a/packages/node/src/admin_status.c
+++ b/packages/node/src/admin_status.c
@@ -4,7 +4,7 @@
 #include "admin_priv.h"
 #include "net/loop.h"
 
-/* Size of the parameter's value. */
+/* Size of the value of the parameter "fleet". */
 #define FLAG_BYTES 8
 
 /* A request that waits for the progress reports of the data centres. */
--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -183,7 +183,8 @@
 	}
 }
 
-/* Logs when a version is complete before this node may serve calls. */
+/* Marks the snapshot outdated, since a version is complete; logs when this node
+ * may not serve calls yet. */
 static void
 control_log_held(struct control *c, const struct spread_action *a)
 {
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -130,7 +130,8 @@
 	return ok;
 }
 
-/* Refuses a configuration that is too large to be read. */
+/* Logs a change of the platform's status, and records a configuration that is
+ * too large to be read as refused. */
 static void
 check_status(struct control *c, enum status st)
 {
--- a/packages/node/src/control_json.c
+++ b/packages/node/src/control_json.c
@@ -112,7 +112,8 @@
 	return list;
 }
 
-/* Number of nodes of a data centre known to hold a version or a later one. */
+/* Number of nodes of a data centre known to hold a version or a later version.
+ */
 static uint32_t
 progress_holding(const struct spread_progress *p, uint64_t version)
 {
--- a/packages/node/src/control_keep.c
+++ b/packages/node/src/control_keep.c
@@ -41,7 +41,7 @@
 }
 
 /* Reads the texts, which may be missing: only the fingerprint is needed to
- * reject a request. */
+ * refuse a request. */
 static void
 read_texts(const json_t *o, struct quarantine_item *item)
 {
--- a/packages/node/src/control_news.c
+++ b/packages/node/src/control_news.c
@@ -1,5 +1,5 @@
 /*
- * The newest version that this node knows of: from the heads of peers, from the
+ * The newest version known on this node: from the heads of peers, from the
  * newest version at the platform that peers gossip, or from the last read of
  * this node's own feed.  The version may still be spreading, or may be unusable
  * on all nodes.
--- a/packages/node/src/control_priv.h
+++ b/packages/node/src/control_priv.h
@@ -163,7 +163,7 @@
 void control_refused_register(void);
 
 /** control_refused_record() - record that @version can't be used because of
- * @reason; 0 if its number is unknown */
+ * @reason; @version is 0 if the number is unknown */
 void
 control_refused_record(struct control *c, uint64_t version, const char *reason);
 
@@ -270,6 +270,8 @@
 /** control_find_next_ms() - when control_find_tick() is due next */
 uint64_t control_find_next_ms(const struct control *c);
 
+/* control_metrics.c */
+
 /** control_totals_register() - register the counters of spread and membership
  * as metrics */
 void control_totals_register(void);
@@ -278,6 +280,8 @@
  * metrics */
 void control_totals_copy(const struct control *c);
 
+/* control_settings.c */
+
 /**
  * control_membership_settings() - derive the settings of membership
  * @s: settings of the node
--- a/packages/node/src/control_rollout.c
+++ b/packages/node/src/control_rollout.c
@@ -187,7 +187,8 @@
 }
 
 /* An endpoint whose version is neither current nor the candidate takes no
- * requests: its guard rejects those of entries without the order. */
+ * requests: its guard refuses the requests of entries that don't have the
+ * order yet. */
 void
 control_rollout_set_own_state(struct control *c,
     const struct member_endpoint *e, struct guard_endpoint *info)
--- a/packages/node/src/control_rollout_orders.c
+++ b/packages/node/src/control_rollout_orders.c
@@ -55,8 +55,8 @@
 	control_pump(c);
 }
 
-/* Whether the stored order is newer than the one to be written, or is the same
- * in at least the same phase. */
+/* Whether the stored order is newer than @r, or is the same order in the same
+ * phase or a later phase, or is over. */
 static bool
 is_at_least(const struct rollout *stored, const struct rollout *r)
 {
@@ -142,8 +142,8 @@
 	    get_number(c->rollout->refused_orders, o->service) >= o->number;
 }
 
-/* Starts an order with no share of requests.  A refusal is written as an order
- * that was rolled back. */
+/* Records an order, with the usual share of requests: as running, as completed
+ * when it names the current version, or as rolled back when it is refused. */
 static void
 start_order(struct control *c, const struct feed_order *o, const char *from,
     enum rollout_phase phase, const char *reason)
@@ -248,7 +248,8 @@
 	control_rollout_tick(c);
 }
 
-/* Rows are read before an order is handled, since it may have ended already. */
+/* Rows are read before an order is handled, since the order may have ended
+ * already. */
 bool
 control_rollout_read_is_due(const struct control *c)
 {
--- a/packages/node/src/control_settings.c
+++ b/packages/node/src/control_settings.c
@@ -15,7 +15,7 @@
 
 /*
  * With a directory, nodes that start together find one another at once.  If no
- * node holds the table of hosts, a new one is therefore begun early, since
+ * node holds the table of hosts, a new table is therefore begun early, since
  * callers wait for it after a power loss of all hosts.  Partitions that began
  * separate tables find each other through the directory.
  */
--- a/packages/node/src/control_upstream.c
+++ b/packages/node/src/control_upstream.c
@@ -39,7 +39,7 @@
 }
 
 /* Rejects a heartbeat that doesn't name an upstream of this host: it may come
- * from a foreign process, which must not replace the current one. */
+ * from a foreign process, which must not replace the current process. */
 static enum status
 check_heartbeat(const struct control *c, const char *instance,
     const struct upstream_heartbeat *b)
--- a/packages/node/src/refused.h
+++ b/packages/node/src/refused.h
@@ -53,7 +53,7 @@
  * @min_ending_version: lowest version that ends the refusal when it comes in
  *	force
  * @readable: version that the platform delivered last and that could be read; 0
- *	for none, or if another one was refused since
+ *	for none, or if another version was refused since
  * @n_versions: versions refused since the process started
  * @n_unlogged: changes of this refusal that were not logged
  * @next_log_ms: monotonic time before which no change is logged
@@ -98,7 +98,7 @@
  * @reason: why the version can't be used
  *
  * A version that is reported after a later one changes nothing.  A version
- * without a number counts as later than all known ones.
+ * without a number counts as later than all known versions.
  */
 enum refused_change refused_record(struct refused *r, struct refused_time at,
     uint64_t version, uint64_t in_force, const char *reason);
@@ -110,8 +110,8 @@
  * refused_version_readable() - record that the platform's newest version could
  * be read
  * @r: the record
- * @version: its number; lower than the refused one if operators went back to an
- *	older version
+ * @version: number of that version; lower than the refused version if
+ *	operators went back to an older version
  * @in_force: version in force
  *
  * Ends the refusal only if @version is already in force; otherwise the version
--- a/packages/node/src/refused_row.h
+++ b/packages/node/src/refused_row.h
@@ -6,9 +6,10 @@
  * reader detects the refusal by itself, and with one writer per data centre
  * nodes that are partitioned from one another need not agree.  The first reader
  * writes the row when a refusal has lasted REFUSED_ROW_DELAY_MS, and again for
- * another version after REFUSED_ROW_REWRITE_MS.  It removes the row at the end,
- * even if it is no longer the first reader.  A node that becomes the first
- * reader meanwhile writes the same row again and removes it too.
+ * another version after REFUSED_ROW_REWRITE_MS.  The node that wrote the row
+ * removes it at the end, even if that node is no longer the first reader.  A
+ * node that becomes the first reader meanwhile writes the same row again and
+ * removes it too.
  */
 #ifndef NODE_REFUSED_ROW_H
 #define NODE_REFUSED_ROW_H
--- a/packages/node/src/snapshot_ref.c
+++ b/packages/node/src/snapshot_ref.c
@@ -10,7 +10,7 @@
 #include "node/snapshot_ref.h"
 
 /*
- * The thread sanitizer does not know that a grace period ends after the readers
+ * The thread sanitizer cannot detect that a grace period ends after the readers
  * that it waits for.  These two annotations declare that order.
  */
 #ifdef __SANITIZE_THREAD__
