--- a/packages/node/src/control.c
+++ b/packages/node/src/control.c
@@ -186,7 +186,7 @@
 /* Marks the snapshot outdated, since a version is complete; logs when this node
  * may not serve calls yet. */
 static void
-control_log_held(struct control *c, const struct spread_action *a)
+control_on_complete(struct control *c, const struct spread_action *a)
 {
 	if (!control_may_serve(c))
 		log_info("Version %" G_GUINT64_FORMAT
@@ -237,7 +237,7 @@
 		break;
 	case SPREAD_APPLY:
 		control_version_set_steps(c, a);
-		control_log_held(c, a);
+		control_on_complete(c, a);
 		break;
 	case SPREAD_READY:
 		log_info("This node may serve.");
--- a/packages/node/src/control_feed.c
+++ b/packages/node/src/control_feed.c
@@ -133,7 +133,7 @@
 /* Logs a change of the platform's status, and records a configuration that is
  * too large to be read as refused. */
 static void
-check_status(struct control *c, enum status st)
+record_status(struct control *c, enum status st)
 {
 	log_status(c, st);
 	if (st == STATUS_TOO_LARGE)
@@ -163,7 +163,7 @@
 	struct spread_read_end end = read_end_from(a);
 
 	c->feed_poll_pending = 0;
-	check_status(c, st);
+	record_status(c, st);
 	if (st == STATUS_OK)
 		spread_on_head_read_ended(c->spread, control_now(c), &end);
 	if (st != STATUS_OK)
@@ -207,7 +207,7 @@
 	struct control *c = arg;
 
 	c->feed_fetch_pending = 0;
-	check_status(c, st);
+	record_status(c, st);
 	if (st == STATUS_OK && !handle_answer(c, a))
 		st = STATUS_UNAVAILABLE;
 	/* The version delivered may be older than the head gossiped by peers.
--- a/packages/node/src/control_rollout_orders.c
+++ b/packages/node/src/control_rollout_orders.c
@@ -58,7 +58,7 @@
 /* Whether the stored order is newer than @r, or is the same order in the same
  * phase or a later phase, or is over. */
 static bool
-is_at_least(const struct rollout *stored, const struct rollout *r)
+is_up_to_date(const struct rollout *stored, const struct rollout *r)
 {
 	if (stored->order != r->order)
 		return stored->order > r->order;
@@ -89,7 +89,7 @@
 	    stored != NULL ? stored->rollout.order : 0,
 	    stored != NULL ? rollout_phase_name(stored->rollout.phase)
 			   : "none");
-	if (stored != NULL && is_at_least(&stored->rollout, &w->rollout)) {
+	if (stored != NULL && is_up_to_date(&stored->rollout, &w->rollout)) {
 		control_rollout_add(c, &stored->rollout);
 		end_write(w, true);
 	} else if (st == STATUS_CONFLICT && w->attempts < WRITE_ATTEMPTS_MAX) {
--- a/packages/node/src/guard_keyed.c
+++ b/packages/node/src/guard_keyed.c
@@ -13,7 +13,7 @@
 
 #include "guard_priv.h"
 
-#define BODY_SEED 6
+#define REQUEST_SEED 6
 #define KEYS_MAX 65536
 
 /* Endpoint changes reach all nodes within this many suspicion times. */
@@ -105,9 +105,9 @@
 
 /* Hash of the request; of an incomplete body, only the received part counts. */
 static uint64_t
-body_hash(const struct guard_request *r)
+request_hash(const struct guard_request *r)
 {
-	uint64_t h = hash64(r->method, strlen(r->method), BODY_SEED);
+	uint64_t h = hash64(r->method, strlen(r->method), REQUEST_SEED);
 	GList *l;
 	gsize len;
 	const void *data;
@@ -128,7 +128,7 @@
 	struct keyed_decision d;
 
 	guard_keyed_refresh_snapshot(g);
-	keyed_offer(r->upstream->keyed, &r->key, body_hash(r), &r->id,
+	keyed_offer(r->upstream->keyed, &r->key, request_hash(r), &r->id,
 	    loop_now_ms(g->loop), &d);
 	log_debug("%s: key verdict %s", r->upstream->info.service,
 	    keyed_verdict_name(d.verdict));
--- a/packages/node/src/guard_quarantine.c
+++ b/packages/node/src/guard_quarantine.c
@@ -229,7 +229,7 @@
 
 /* Refuses queued requests that may no longer run. */
 static void
-reject_queued(struct guard *g)
+refuse_queued(struct guard *g)
 {
 	GPtrArray *list = g_ptr_array_new();
 	struct guard_request *r;
@@ -258,14 +258,14 @@
 			break;
 		case QUARANTINE_EVENT_QUARANTINED:
 			publish_quarantined(g, &e.entry);
-			reject_queued(g);
+			refuse_queued(g);
 			break;
 		case QUARANTINE_EVENT_EXONERATED:
 			publish_exonerated(g, &e.entry);
 			break;
 		case QUARANTINE_EVENT_SUSPENDED:
 			log_suspended(g, &e.entry);
-			reject_queued(g);
+			refuse_queued(g);
 			break;
 		}
 	}
@@ -292,7 +292,7 @@
 	c.id = make_record_id(g);
 	memcpy(c.runs, runs, n_runs * sizeof(runs[0]));
 	quarantine_add_own_crash(g->quarantine.state, &c, now_ms(g));
-	reject_queued(g);
+	refuse_queued(g);
 	process_events(g);
 }
 
@@ -419,7 +419,7 @@
 	if (changed)
 		log_received(g, item, &f);
 	if (changed && item->kind == QUARANTINE_HELD)
-		reject_queued(g);
+		refuse_queued(g);
 }
 
 /* Arguments of do_apply_item(). */
@@ -435,7 +435,7 @@
 
 	if (task->item.kind == QUARANTINE_CRASH) {
 		apply_crash(task->guard, &task->item);
-		reject_queued(task->guard);
+		refuse_queued(task->guard);
 	} else
 		apply_hold_or_release(task->guard, &task->item);
 	process_events(task->guard);
--- a/packages/node/src/guard_request.c
+++ b/packages/node/src/guard_request.c
@@ -141,7 +141,7 @@
 guard_request_refuse(
     struct guard_request *r, enum refusal refusal, uint64_t retry_after_ms)
 {
-	bool ran = r->state == REQUEST_RUNNING;
+	bool was_running = r->state == REQUEST_RUNNING;
 
 	if (r->state == REQUEST_ENDED)
 		return;
@@ -149,14 +149,14 @@
 	guard_keyed_ended(r, false);
 	if (r->state == REQUEST_QUEUED)
 		(void)admission_cancel(r->upstream->admission, r->ticket);
-	if (ran && r->shed)
+	if (was_running && r->shed)
 		retry_after_ms = MAX(retry_after_ms, release_shed_slot(r));
-	else if (ran)
+	else if (was_running)
 		release_slot(r);
 	log_refusal(r, refusal, retry_after_ms);
 	refuse_outs(r, refusal, retry_after_ms);
 	end_request(r);
-	if (ran)
+	if (was_running)
 		guard_upstream_run_queue(r->upstream);
 }
 
