--- a/packages/ctl/include/ctl/client.h
+++ b/packages/ctl/include/ctl/client.h
@@ -34,25 +34,25 @@
 };
 
 /**
- * enum client_end - how a request ended
- * @CLIENT_ANSWERED: a node answered
- * @CLIENT_UNREACHED: no node could be reached; nothing was done
- * @CLIENT_LOST: a node may have taken it, but its answer didn't come
+ * enum client_outcome - how a request ended
+ * @CLIENT_RESPONDED: a node answered
+ * @CLIENT_UNREACHABLE: no node could be reached; nothing was done
+ * @CLIENT_NO_RESPONSE: a node may have taken it, but its answer didn't come
  */
-enum client_end {
-	CLIENT_ANSWERED = 0,
-	CLIENT_UNREACHED,
-	CLIENT_LOST,
+enum client_outcome {
+	CLIENT_RESPONDED = 0,
+	CLIENT_UNREACHABLE,
+	CLIENT_NO_RESPONSE,
 };
 
 /**
- * struct client_reply - an answer
- * @end: how the request ended
- * @code: HTTP status, 0 unless CLIENT_ANSWERED
+ * struct client_response - an answer
+ * @outcome: how the request ended
+ * @code: HTTP status, 0 unless CLIENT_RESPONDED
  * @json: the answer; made up in the API's form when none came
  */
-struct client_reply {
-	enum client_end end;
+struct client_response {
+	enum client_outcome outcome;
 	long code;
 	json_t *json;
 };
@@ -70,18 +70,19 @@
  * client_request() - send a request and wait for its answer
  * @c: the client
  * @req: the request
- * @reply: where the answer goes; free with client_reply_clear()
+ * @resp: where the answer goes; free with client_response_clear()
  */
 void client_request(struct client *c, const struct client_request *req,
-    struct client_reply *reply);
+    struct client_response *resp);
 
-/** client_reply_ok() - whether an answer says that all went well */
-int client_reply_ok(const struct client_reply *reply);
+/** client_response_ok() - whether an answer says that all went well */
+int client_response_ok(const struct client_response *resp);
 
-/** client_reply_kind() - kind of the error in an answer; "" when it has none */
-const char *client_reply_kind(const struct client_reply *reply);
+/** client_response_kind() - kind of the error in an answer; "" when it has none
+ */
+const char *client_response_kind(const struct client_response *resp);
 
-/** client_reply_clear() - free what an answer holds */
-void client_reply_clear(struct client_reply *reply);
+/** client_response_clear() - free what an answer holds */
+void client_response_clear(struct client_response *resp);
 
 #endif
--- a/packages/ctl/include/ctl/commands.h
+++ b/packages/ctl/include/ctl/commands.h
@@ -31,9 +31,9 @@
  * @name: its name
  * @operands: its operands, as help shows them
  * @doc: what it does
- * @least: least number of operands
- * @most: largest number of operands
- * @options: the option_groups that it takes
+ * @min_operands: least number of operands
+ * @max_operands: largest number of operands
+ * @option_groups: the option_groups that it takes
  * @timeout_ms: its timeout when none is given
  * @run: runs it; returns an enum exit_code
  */
@@ -41,9 +41,9 @@
 	const char *name;
 	const char *operands;
 	const char *doc;
-	uint32_t least;
-	uint32_t most;
-	uint32_t options;
+	uint32_t min_operands;
+	uint32_t max_operands;
+	uint32_t option_groups;
 	uint32_t timeout_ms;
 	int (*run)(struct ctl *ctl);
 };
--- a/packages/ctl/include/ctl/options.h
+++ b/packages/ctl/include/ctl/options.h
@@ -12,7 +12,7 @@
 struct command;
 
 /* An option with a number that was not given. */
-#define OPTION_NONE (-1)
+#define OPTION_UNSET (-1)
 
 /** enum option_group - options that only some commands take */
 enum option_group {
@@ -32,13 +32,13 @@
  * @json: whether answers are printed as JSON
  * @operator_name: who asks
  * @op: id of the operation, made up when it wasn't given
- * @fresh_op: whether @op was made up just now
+ * @op_is_generated: whether @op was made up just now
  * @note: why, or NULL
- * @parent: newest version that the operator has seen, or OPTION_NONE
- * @race_retries: new tries after a lost race, or OPTION_NONE
- * @limit: number of versions, or OPTION_NONE
- * @after_seq: seq told with an unknown outcome, or OPTION_NONE
- * @interval_ms: time between two questions of watch, or OPTION_NONE
+ * @parent: newest version that the operator has seen, or OPTION_UNSET
+ * @race_retries: new tries after a lost race, or OPTION_UNSET
+ * @limit: number of versions, or OPTION_UNSET
+ * @after_seq: seq told with an unknown outcome, or OPTION_UNSET
+ * @interval_ms: time between two questions of watch, or OPTION_UNSET
  * @timeout_ms: longest time that the command takes
  */
 struct options {
@@ -49,7 +49,7 @@
 	int json;
 	char *operator_name;
 	char *op;
-	int fresh_op;
+	int op_is_generated;
 	char *note;
 	int64_t parent;
 	int64_t race_retries;
--- a/packages/ctl/include/ctl/report.h
+++ b/packages/ctl/include/ctl/report.h
@@ -12,13 +12,13 @@
 void report_json(struct ctl *ctl, const json_t *json);
 
 /**
- * report_text() - a member of an object as text
+ * report_string() - a member of an object as text
  * @json: the object; NULL is allowed
  * @name: name of the member
  *
  * Return: the text, borrowed from @json, or "" when there is none.
  */
-const char *report_text(const json_t *json, const char *name);
+const char *report_string(const json_t *json, const char *name);
 
 /** report_fields() - print an object as lines "name: value" */
 void report_fields(struct ctl *ctl, const json_t *json);
@@ -33,11 +33,11 @@
 /**
  * report_failure() - print an error with kind, message and remedy
  * @ctl: the run
- * @reply: the answer that tells the error
+ * @resp: the answer that tells the error
  *
  * Return: the exit code for its kind.
  */
-int report_failure(struct ctl *ctl, const struct client_reply *reply);
+int report_failure(struct ctl *ctl, const struct client_response *resp);
 
 /**
  * report_error() - print an error found here
--- a/packages/ctl/src/change.c
+++ b/packages/ctl/src/change.c
@@ -12,7 +12,7 @@
 #include "ctl/exit_code.h"
 #include "ctl/report.h"
 
-#define SETTLE_INTERVAL_MS 500
+#define OUTCOME_POLL_INTERVAL_MS 500
 #define US_PER_MS 1000
 
 static void
@@ -33,7 +33,7 @@
 {
 	char *text;
 
-	if (v == OPTION_NONE)
+	if (v == OPTION_UNSET)
 		return;
 	text = g_strdup_printf("%lld", (long long)v);
 	append_query(path, name, text);
@@ -45,7 +45,7 @@
 {
 	append_query(path, "operator", o->operator_name);
 	append_query(path, "op", o->op);
-	if (o->fresh_op)
+	if (o->op_is_generated)
 		append_query(path, "fresh", "1");
 	append_query(path, "note", o->note);
 	append_number(path, "parent", o->parent);
@@ -54,64 +54,65 @@
 
 /* Whether a reply leaves open what became of the operation. */
 static int
-is_unknown(const struct client_reply *reply)
+is_outcome_unknown(const struct client_response *resp)
 {
-	const char *kind = client_reply_kind(reply);
+	const char *kind = client_response_kind(resp);
 
-	return reply->end == CLIENT_LOST || strcmp(kind, "unknown") == 0 ||
-	    strcmp(kind, "timeout") == 0;
+	return resp->outcome == CLIENT_NO_RESPONSE ||
+	    strcmp(kind, "unknown") == 0 || strcmp(kind, "timeout") == 0;
 }
 
 /* Ask once what became of the operation; 1 when that settles it. */
 static int
-ask_operation(struct ctl *ctl, json_int_t after_seq, struct client_reply *reply)
+query_outcome(
+    struct ctl *ctl, json_int_t after_seq, struct client_response *resp)
 {
 	GString *path = g_string_new("/v1/operations/");
 	struct client_request req = {
 	    .method = "GET", .deadline_ms = ctl->deadline_ms};
-	struct client_reply told;
-	int settled;
+	struct client_response found;
+	int resolved;
 
 	g_string_append(path, ctl->options->op);
 	if (after_seq > 0)
 		append_number(path, "after_seq", after_seq);
 	req.path = path->str;
-	client_request(ctl->client, &req, &told);
+	client_request(ctl->client, &req, &found);
 	g_string_free(path, TRUE);
 	/* "Not found" is sure only when the seq to pass was known. */
-	settled = client_reply_ok(&told) ||
+	resolved = client_response_ok(&found) ||
 	    (after_seq > 0 &&
-		strcmp(client_reply_kind(&told), "not_found") == 0);
-	if (settled) {
-		client_reply_clear(reply);
-		*reply = told;
+		strcmp(client_response_kind(&found), "not_found") == 0);
+	if (resolved) {
+		client_response_clear(resp);
+		*resp = found;
 	} else {
-		client_reply_clear(&told);
+		client_response_clear(&found);
 	}
-	return settled;
+	return resolved;
 }
 
 static void
-settle(struct ctl *ctl, struct client_reply *reply)
+resolve_outcome(struct ctl *ctl, struct client_response *resp)
 {
 	json_int_t after_seq;
 
 	after_seq =
-	    json_integer_value(json_object_get(reply->json, "after_seq"));
+	    json_integer_value(json_object_get(resp->json, "after_seq"));
 	(void)fprintf(ctl->err,
 	    "The outcome is not known yet; asking for operation %s.\n",
 	    ctl->options->op);
-	while (!ask_operation(ctl, after_seq, reply)) {
+	while (!query_outcome(ctl, after_seq, resp)) {
 		if (clock_left_ms(ctl->deadline_ms, clock_now_ms()) <=
-		    SETTLE_INTERVAL_MS)
+		    OUTCOME_POLL_INTERVAL_MS)
 			return;
-		g_usleep(SETTLE_INTERVAL_MS * US_PER_MS);
+		g_usleep(OUTCOME_POLL_INTERVAL_MS * US_PER_MS);
 	}
 }
 
 /* After settling, an operation that isn't found has certainly not run. */
 static int
-report_not_done(struct ctl *ctl)
+report_not_executed(struct ctl *ctl)
 {
 	return report_error(ctl, EXIT_CODE_UNAVAILABLE, "unavailable",
 	    "The operation was not done.", "Repeat the command.");
@@ -119,12 +120,12 @@
 
 /* An unknown outcome whatever the words of the reply are. */
 static int
-report_unknown(struct ctl *ctl, const struct client_reply *reply)
+report_unknown_outcome(struct ctl *ctl, const struct client_response *resp)
 {
-	json_t *error = json_object_get(reply->json, "error");
+	json_t *error = json_object_get(resp->json, "error");
 
 	(void)json_object_set_new(error, "kind", json_string("unknown"));
-	return report_failure(ctl, reply);
+	return report_failure(ctl, resp);
 }
 
 static int
@@ -135,28 +136,28 @@
 	    .body_len = body_len,
 	    .change = 1,
 	    .deadline_ms = ctl->deadline_ms};
-	struct client_reply reply;
-	int code, settled = 0;
+	struct client_response resp;
+	int code, resolved = 0;
 
 	append_options(path, ctl->options);
 	req.path = path->str;
 	(void)fprintf(ctl->err, "operation: %s\n", ctl->options->op);
-	client_request(ctl->client, &req, &reply);
-	if (is_unknown(&reply)) {
-		settle(ctl, &reply);
-		settled = 1;
+	client_request(ctl->client, &req, &resp);
+	if (is_outcome_unknown(&resp)) {
+		resolve_outcome(ctl, &resp);
+		resolved = 1;
 	}
-	if (client_reply_ok(&reply)) {
-		report_outcome(ctl, reply.json);
+	if (client_response_ok(&resp)) {
+		report_outcome(ctl, resp.json);
 		code = EXIT_CODE_OK;
-	} else if (is_unknown(&reply)) {
-		code = report_unknown(ctl, &reply);
-	} else if (settled) {
-		code = report_not_done(ctl);
+	} else if (is_outcome_unknown(&resp)) {
+		code = report_unknown_outcome(ctl, &resp);
+	} else if (resolved) {
+		code = report_not_executed(ctl);
 	} else {
-		code = report_failure(ctl, &reply);
+		code = report_failure(ctl, &resp);
 	}
-	client_reply_clear(&reply);
+	client_response_clear(&resp);
 	g_string_free(path, TRUE);
 	return code;
 }
--- a/packages/ctl/src/client.c
+++ b/packages/ctl/src/client.c
@@ -9,20 +9,20 @@
 #include "ctl/client.h"
 #include "proto/addr.h"
 
-#define CONNECT_MS 2000
+#define CONNECT_TIMEOUT_MS 2000
 /* Part of an attempt's time that is left for the node's answer. */
-#define ANSWER_SHARE 10
-#define DEADLINE_BYTES 48
-#define LEAST_MS 1000
-#define ANSWER_MAX_BYTES (64U << 20)
+#define RESPONSE_MARGIN_DIVISOR 10
+#define DEADLINE_HEADER_BYTES 48
+#define ATTEMPT_MIN_MS 1000
+#define RESPONSE_MAX_BYTES (64U << 20)
 #define URL_MAX_BYTES 4096
-#define CODE_OK 200
-#define CODE_REDIRECT 300
-#define CODE_UNAVAILABLE 503
+#define HTTP_OK 200
+#define HTTP_MULTIPLE_CHOICES 300
+#define HTTP_SERVICE_UNAVAILABLE 503
 
 struct client {
 	const GArray *nodes;
-	guint current;
+	guint current_node;
 };
 
 struct client *
@@ -41,22 +41,22 @@
 }
 
 static size_t
-on_body(char *data, size_t size, size_t n, void *arg)
+append_body(char *data, size_t size, size_t n, void *arg)
 {
 	GString *body = arg;
 
-	if (body->len + size * n > ANSWER_MAX_BYTES)
+	if (body->len + size * n > RESPONSE_MAX_BYTES)
 		return 0;
 	g_string_append_len(body, data, (gssize)(size * n));
 	return size * n;
 }
 
 /* An error in the API's form. */
-static json_t *made_up_error(const char *kind, const char *remedy,
+static json_t *error_json_new(const char *kind, const char *remedy,
     const char *fmt, ...) __attribute__((format(printf, 3, 4)));
 
 static json_t *
-made_up_error(const char *kind, const char *remedy, const char *fmt, ...)
+error_json_new(const char *kind, const char *remedy, const char *fmt, ...)
 {
 	char *message;
 	json_t *json;
@@ -85,7 +85,7 @@
 	(void)curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	(void)curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
 	(void)curl_easy_setopt(
-	    curl, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
+	    curl, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
 	(void)curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)attempt_ms);
 	(void)curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
 	if (strcmp(req->method, "DELETE") == 0)
@@ -102,7 +102,7 @@
 
 /* Whether any byte of the request can have left. */
 static int
-was_sent(CURL *curl)
+may_have_been_sent(CURL *curl)
 {
 	curl_off_t us = 0;
 
@@ -111,34 +111,35 @@
 }
 
 static void
-take_answer(CURL *curl, const char *node, const GString *body,
-    struct client_reply *reply)
+set_response(CURL *curl, const char *node, const GString *body,
+    struct client_response *resp)
 {
-	reply->end = CLIENT_ANSWERED;
-	(void)curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &reply->code);
-	reply->json = json_loadb(body->str, body->len, 0, NULL);
-	if (json_is_object(reply->json) || json_is_array(reply->json))
+	resp->outcome = CLIENT_RESPONDED;
+	(void)curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &resp->code);
+	resp->json = json_loadb(body->str, body->len, 0, NULL);
+	if (json_is_object(resp->json) || json_is_array(resp->json))
 		return;
-	json_decref(reply->json);
-	reply->json = made_up_error("unavailable",
+	json_decref(resp->json);
+	resp->json = error_json_new("unavailable",
 	    "Check that --node names the admin_port of a node.",
-	    "%s answered with status %ld and no JSON.", node, reply->code);
-	reply->code = 0;
-	reply->end = CLIENT_LOST;
+	    "%s answered with status %ld and no JSON.", node, resp->code);
+	resp->code = 0;
+	resp->outcome = CLIENT_NO_RESPONSE;
 }
 
 static void
-take_failure(
-    CURL *curl, const char *node, const char *why, struct client_reply *reply)
+set_failure(
+    CURL *curl, const char *node, const char *why, struct client_response *resp)
 {
-	reply->code = 0;
-	reply->end = was_sent(curl) ? CLIENT_LOST : CLIENT_UNREACHED;
-	if (reply->end == CLIENT_UNREACHED)
-		reply->json = made_up_error("unavailable",
+	resp->code = 0;
+	resp->outcome =
+	    may_have_been_sent(curl) ? CLIENT_NO_RESPONSE : CLIENT_UNREACHABLE;
+	if (resp->outcome == CLIENT_UNREACHABLE)
+		resp->json = error_json_new("unavailable",
 		    "Check that the node runs, or name another one by --node.",
 		    "%s can't be reached: %s.", node, why);
 	else
-		reply->json = made_up_error("unavailable",
+		resp->json = error_json_new("unavailable",
 		    "Ask again, or name another node by --node.",
 		    "%s took the request, but no answer came: %s.", node, why);
 }
@@ -147,16 +148,17 @@
 static struct curl_slist *
 append_deadline(struct curl_slist *headers, uint64_t attempt_ms)
 {
-	char text[DEADLINE_BYTES];
+	char text[DEADLINE_HEADER_BYTES];
 
 	(void)snprintf(text, sizeof(text), "Bramley-Deadline-Ms: %llu",
-	    (unsigned long long)(attempt_ms - attempt_ms / ANSWER_SHARE));
+	    (unsigned long long)(attempt_ms -
+		attempt_ms / RESPONSE_MARGIN_DIVISOR));
 	return curl_slist_append(headers, text);
 }
 
 static void
-attempt(const struct net_addr *addr, const struct client_request *req,
-    uint64_t attempt_ms, struct client_reply *reply)
+attempt_request(const struct net_addr *addr, const struct client_request *req,
+    uint64_t attempt_ms, struct client_response *resp)
 {
 	struct curl_slist *headers = NULL;
 	char error[CURL_ERROR_SIZE] = "";
@@ -171,13 +173,13 @@
 	headers = curl_slist_append(headers, "Expect:");
 	headers = append_deadline(headers, attempt_ms);
 	set_options(curl, req, url, attempt_ms, headers);
-	(void)curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+	(void)curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_body);
 	(void)curl_easy_setopt(curl, CURLOPT_WRITEDATA, body);
 	(void)curl_easy_setopt(curl, CURLOPT_ERRORBUFFER, error);
 	if (curl_easy_perform(curl) == CURLE_OK)
-		take_answer(curl, node, body, reply);
+		set_response(curl, node, body, resp);
 	else
-		take_failure(curl, node, error, reply);
+		set_failure(curl, node, error, resp);
 	curl_easy_cleanup(curl);
 	curl_slist_free_all(headers);
 	g_string_free(body, TRUE);
@@ -186,80 +188,82 @@
 
 /* Time for one attempt: a question leaves time for the other nodes. */
 static uint64_t
-attempt_time_ms(
+attempt_timeout_ms(
     const struct client_request *req, uint64_t left_ms, guint nodes_left)
 {
 	/* To libcurl a timeout of 0 is none. */
 	left_ms = MAX(left_ms, 1);
 	if (req->change)
 		return left_ms;
-	return MAX(left_ms / nodes_left, MIN(left_ms, LEAST_MS));
+	return MAX(left_ms / nodes_left, MIN(left_ms, ATTEMPT_MIN_MS));
 }
 
 /* Whether another node may be asked after this reply. */
 static int
-try_next(const struct client_request *req, const struct client_reply *reply)
+should_try_next(
+    const struct client_request *req, const struct client_response *resp)
 {
-	switch (reply->end) {
-	case CLIENT_UNREACHED:
+	switch (resp->outcome) {
+	case CLIENT_UNREACHABLE:
 		return 1;
-	case CLIENT_LOST:
+	case CLIENT_NO_RESPONSE:
 		return !req->change;
 	default:
-		return reply->code == CODE_UNAVAILABLE;
+		return resp->code == HTTP_SERVICE_UNAVAILABLE;
 	}
 }
 
 void
 client_request(struct client *c, const struct client_request *req,
-    struct client_reply *reply)
+    struct client_response *resp)
 {
 	const struct net_addr *addr;
-	struct client_reply last;
+	struct client_response last;
 	uint64_t left_ms;
 	guint i;
 
-	memset(reply, 0, sizeof(*reply));
+	memset(resp, 0, sizeof(*resp));
 	for (i = 0; i < c->nodes->len; i++) {
-		addr = &g_array_index(c->nodes, struct net_addr, c->current);
+		addr =
+		    &g_array_index(c->nodes, struct net_addr, c->current_node);
 		left_ms = clock_left_ms(req->deadline_ms, clock_now_ms());
 		if (i > 0 && left_ms == 0)
 			return;
-		attempt(addr, req,
-		    attempt_time_ms(req, left_ms, c->nodes->len - i), &last);
+		attempt_request(addr, req,
+		    attempt_timeout_ms(req, left_ms, c->nodes->len - i), &last);
 		/* A node's own word tells more than a node that is away. */
-		if (reply->json == NULL || last.end == CLIENT_ANSWERED) {
-			client_reply_clear(reply);
-			*reply = last;
+		if (resp->json == NULL || last.outcome == CLIENT_RESPONDED) {
+			client_response_clear(resp);
+			*resp = last;
 		} else {
-			client_reply_clear(&last);
+			client_response_clear(&last);
 		}
-		if (!try_next(req, &last))
+		if (!should_try_next(req, &last))
 			return;
-		c->current = (c->current + 1) % c->nodes->len;
+		c->current_node = (c->current_node + 1) % c->nodes->len;
 	}
 }
 
 int
-client_reply_ok(const struct client_reply *reply)
+client_response_ok(const struct client_response *resp)
 {
-	return reply->end == CLIENT_ANSWERED && reply->code >= CODE_OK &&
-	    reply->code < CODE_REDIRECT;
+	return resp->outcome == CLIENT_RESPONDED && resp->code >= HTTP_OK &&
+	    resp->code < HTTP_MULTIPLE_CHOICES;
 }
 
 const char *
-client_reply_kind(const struct client_reply *reply)
+client_response_kind(const struct client_response *resp)
 {
 	const char *kind;
 
 	kind = json_string_value(
-	    json_object_get(json_object_get(reply->json, "error"), "kind"));
+	    json_object_get(json_object_get(resp->json, "error"), "kind"));
 	return kind != NULL ? kind : "";
 }
 
 void
-client_reply_clear(struct client_reply *reply)
+client_response_clear(struct client_response *resp)
 {
-	json_decref(reply->json);
-	reply->json = NULL;
+	json_decref(resp->json);
+	resp->json = NULL;
 }
--- a/packages/ctl/src/options.c
+++ b/packages/ctl/src/options.c
@@ -9,9 +9,9 @@
 #include "proto/addr.h"
 
 /* Limits of the administration API. */
-#define OP_MAX 63
-#define OPERATOR_MAX 63
-#define NOTE_MAX 255
+#define OP_MAX_BYTES 63
+#define OPERATOR_MAX_BYTES 63
+#define NOTE_MAX_BYTES 255
 #define TIMEOUT_MAX_MS (24 * 3600 * 1000LL)
 #define OP_CHARACTERS \
 	"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_."
@@ -23,7 +23,7 @@
 	"timeout, 8 not found.\n"
 
 /* What GLib's parser fills in. */
-struct raw {
+struct raw_options {
 	char **nodes;
 	gboolean help;
 	gboolean version;
@@ -71,8 +71,8 @@
 
 /* Parse the options; what is left in @argv are the command and operands. */
 static int
-parse_raw(int *argc, char ***argv, struct options *o, struct raw *raw,
-    FILE *out, FILE *err)
+parse_options(int *argc, char ***argv, struct options *o,
+    struct raw_options *raw, FILE *out, FILE *err)
 {
 	const GOptionEntry entries[] = {
 	    {"node", 'n', 0, G_OPTION_ARG_STRING_ARRAY, &raw->nodes,
@@ -152,7 +152,7 @@
 check_command(struct options *o, int argc, char **argv, FILE *err)
 {
 	const struct command *cmd;
-	const char *near;
+	const char *suggestion;
 
 	if (argc < 2) {
 		usage_error(err, "No command is given.");
@@ -160,16 +160,18 @@
 	}
 	cmd = command_find(argv[1]);
 	if (cmd == NULL) {
-		near = command_nearest(argv[1]);
+		suggestion = command_nearest(argv[1]);
 		usage_error(err, "\"%s\" is no command%s%s%s.", argv[1],
-		    near != NULL ? "; did you mean " : "",
-		    near != NULL ? near : "", near != NULL ? "?" : "");
+		    suggestion != NULL ? "; did you mean " : "",
+		    suggestion != NULL ? suggestion : "",
+		    suggestion != NULL ? "?" : "");
 		return EXIT_CODE_USAGE;
 	}
 	o->command = cmd;
 	o->operands = g_strdupv(argv + 2);
 	o->n_operands = g_strv_length(o->operands);
-	if (o->n_operands >= cmd->least && o->n_operands <= cmd->most)
+	if (o->n_operands >= cmd->min_operands &&
+	    o->n_operands <= cmd->max_operands)
 		return -1;
 	usage_error(err, "Write it as: %s %s.", cmd->name, cmd->operands);
 	return EXIT_CODE_USAGE;
@@ -179,27 +181,27 @@
 struct option_rule {
 	const char *name;
 	uint32_t group;
-	int given;
+	int is_given;
 };
 
 static int
-check_groups(const struct options *o, FILE *err)
+check_option_groups(const struct options *o, FILE *err)
 {
 	const struct option_rule rules[] = {
 	    {"--operator", OPTION_CHANGE, o->operator_name != NULL},
 	    {"--op", OPTION_CHANGE, o->op != NULL},
 	    {"--note", OPTION_CHANGE, o->note != NULL},
-	    {"--parent", OPTION_PARENT, o->parent != OPTION_NONE},
-	    {"--race-retries", OPTION_PARENT, o->race_retries != OPTION_NONE},
-	    {"--limit", OPTION_LIMIT, o->limit != OPTION_NONE},
-	    {"--after-seq", OPTION_AFTER_SEQ, o->after_seq != OPTION_NONE},
-	    {"--interval-ms", OPTION_INTERVAL, o->interval_ms != OPTION_NONE},
+	    {"--parent", OPTION_PARENT, o->parent != OPTION_UNSET},
+	    {"--race-retries", OPTION_PARENT, o->race_retries != OPTION_UNSET},
+	    {"--limit", OPTION_LIMIT, o->limit != OPTION_UNSET},
+	    {"--after-seq", OPTION_AFTER_SEQ, o->after_seq != OPTION_UNSET},
+	    {"--interval-ms", OPTION_INTERVAL, o->interval_ms != OPTION_UNSET},
 	};
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rules); i++) {
-		if (!rules[i].given ||
-		    (o->command->options & rules[i].group) != 0)
+		if (!rules[i].is_given ||
+		    (o->command->option_groups & rules[i].group) != 0)
 			continue;
 		usage_error(err, "%s is no option of %s.", rules[i].name,
 		    o->command->name);
@@ -218,22 +220,22 @@
 }
 
 static int
-check_number(const char *name, int64_t v, int64_t least, FILE *err)
+check_number(const char *name, int64_t v, int64_t min, FILE *err)
 {
-	if (v == OPTION_NONE || v >= least)
+	if (v == OPTION_UNSET || v >= min)
 		return -1;
 	usage_error(
-	    err, "%s takes a number from %lld up.", name, (long long)least);
+	    err, "%s takes a number from %lld up.", name, (long long)min);
 	return EXIT_CODE_USAGE;
 }
 
 static int
 check_values(const struct options *o, FILE *err)
 {
-	if (check_text("--operator", o->operator_name, OPERATOR_MAX, err) >=
-		0 ||
-	    check_text("--op", o->op, OP_MAX, err) >= 0 ||
-	    check_text("--note", o->note, NOTE_MAX, err) >= 0 ||
+	if (check_text(
+		"--operator", o->operator_name, OPERATOR_MAX_BYTES, err) >= 0 ||
+	    check_text("--op", o->op, OP_MAX_BYTES, err) >= 0 ||
+	    check_text("--note", o->note, NOTE_MAX_BYTES, err) >= 0 ||
 	    check_number("--parent", o->parent, 0, err) >= 0 ||
 	    check_number("--race-retries", o->race_retries, 0, err) >= 0 ||
 	    check_number("--limit", o->limit, 1, err) >= 0 ||
@@ -245,7 +247,7 @@
 		    err, "--op takes A-Z, a-z, 0-9, \"-\", \"_\" and \".\".");
 		return EXIT_CODE_USAGE;
 	}
-	if (o->timeout_ms != OPTION_NONE &&
+	if (o->timeout_ms != OPTION_UNSET &&
 	    (o->timeout_ms < 1 || o->timeout_ms > TIMEOUT_MAX_MS)) {
 		usage_error(
 		    err, "--timeout-ms takes 1 to %lld.", TIMEOUT_MAX_MS);
@@ -258,25 +260,26 @@
 set_defaults(struct options *o)
 {
 	if (o->operator_name == NULL)
-		o->operator_name = g_strndup(g_get_user_name(), OPERATOR_MAX);
-	o->fresh_op = o->op == NULL;
-	if (o->fresh_op)
+		o->operator_name =
+		    g_strndup(g_get_user_name(), OPERATOR_MAX_BYTES);
+	o->op_is_generated = o->op == NULL;
+	if (o->op_is_generated)
 		o->op = g_uuid_string_random();
-	if (o->timeout_ms == OPTION_NONE)
+	if (o->timeout_ms == OPTION_UNSET)
 		o->timeout_ms = o->command->timeout_ms;
 }
 
 /* The checks in order; the first that fails is told. */
 static int
-check_all(
-    struct options *o, const struct raw *raw, int argc, char **argv, FILE *err)
+check_all(struct options *o, const struct raw_options *raw, int argc,
+    char **argv, FILE *err)
 {
 	int code = check_command(o, argc, argv, err);
 
 	if (code < 0)
 		code = check_nodes(o, raw->nodes, err);
 	if (code < 0)
-		code = check_groups(o, err);
+		code = check_option_groups(o, err);
 	if (code < 0)
 		code = check_values(o, err);
 	if (code < 0)
@@ -287,15 +290,15 @@
 int
 options_parse(int argc, char **argv, struct options *o, FILE *out, FILE *err)
 {
-	struct raw raw = {0};
+	struct raw_options raw = {0};
 	int code;
 
 	memset(o, 0, sizeof(*o));
 	o->nodes = g_array_new(FALSE, FALSE, sizeof(struct net_addr));
-	o->parent = o->race_retries = OPTION_NONE;
-	o->limit = o->after_seq = OPTION_NONE;
-	o->interval_ms = o->timeout_ms = OPTION_NONE;
-	code = parse_raw(&argc, &argv, o, &raw, out, err);
+	o->parent = o->race_retries = OPTION_UNSET;
+	o->limit = o->after_seq = OPTION_UNSET;
+	o->interval_ms = o->timeout_ms = OPTION_UNSET;
+	code = parse_options(&argc, &argv, o, &raw, out, err);
 	if (code < 0)
 		code = check_all(o, &raw, argc, argv, err);
 	g_strfreev(raw.nodes);
--- a/packages/ctl/src/query.c
+++ b/packages/ctl/src/query.c
@@ -15,26 +15,27 @@
 typedef void print_fn(struct ctl *ctl, const json_t *json);
 
 static int
-query_run(struct ctl *ctl, const struct client_request *ask, print_fn *print)
+query_run(
+    struct ctl *ctl, const struct client_request *template, print_fn *print)
 {
-	struct client_request req = *ask;
-	struct client_reply reply;
+	struct client_request req = *template;
+	struct client_response resp;
 	int code = EXIT_CODE_OK;
 
 	req.deadline_ms = ctl->deadline_ms;
-	client_request(ctl->client, &req, &reply);
-	if (!client_reply_ok(&reply))
-		code = report_failure(ctl, &reply);
+	client_request(ctl->client, &req, &resp);
+	if (!client_response_ok(&resp))
+		code = report_failure(ctl, &resp);
 	else if (ctl->options->json)
-		report_json(ctl, reply.json);
+		report_json(ctl, resp.json);
 	else
-		print(ctl, reply.json);
-	client_reply_clear(&reply);
+		print(ctl, resp.json);
+	client_response_clear(&resp);
 	return code;
 }
 
 static void
-print_any(struct ctl *ctl, const json_t *json)
+print_fields(struct ctl *ctl, const json_t *json)
 {
 	report_fields(ctl, json);
 }
@@ -51,7 +52,7 @@
 	    ctl, ctl->options->operands[0], &text, &req.body_len);
 	req.body = text;
 	if (code == EXIT_CODE_OK)
-		code = query_run(ctl, &req, print_any);
+		code = query_run(ctl, &req, print_fields);
 	g_free(text);
 	return code;
 }
@@ -67,26 +68,26 @@
 }
 
 static json_int_t
-number_of(const json_t *json, const char *name)
+integer_field(const json_t *json, const char *name)
 {
 	return json_integer_value(json_object_get(json, name));
 }
 
 static void
-print_refusal(struct ctl *ctl, const json_t *refused)
+print_refused(struct ctl *ctl, const json_t *refused)
 {
-	json_int_t nodes = number_of(refused, "nodes");
-	json_int_t version = number_of(refused, "version");
-	char when[TIME_BYTES];
+	json_int_t nodes = integer_field(refused, "nodes");
+	json_int_t version = integer_field(refused, "version");
+	char time_text[TIME_BYTES];
 
-	format_time(number_of(refused, "since_wall_ms"), when);
+	format_time(integer_field(refused, "since_wall_ms"), time_text);
 	if (version > 0)
 		(void)fprintf(ctl->out, "; version %lld", (long long)version);
 	else
 		(void)fputs("; a version that can't be read", ctl->out);
 	(void)fprintf(ctl->out, " is refused by %lld %s since %s: %s",
-	    (long long)nodes, nodes == 1 ? "node" : "nodes", when,
-	    report_text(refused, "reason"));
+	    (long long)nodes, nodes == 1 ? "node" : "nodes", time_text,
+	    report_string(refused, "reason"));
 }
 
 /* The fleet in one line, then this node. */
@@ -100,11 +101,11 @@
 	if (fleet != NULL) {
 		(void)fprintf(ctl->out,
 		    "version %lld in force at %lld of %lld nodes",
-		    (long long)number_of(json, "version"),
-		    (long long)number_of(fleet, "holding"),
-		    (long long)number_of(fleet, "nodes"));
+		    (long long)integer_field(json, "version"),
+		    (long long)integer_field(fleet, "holding"),
+		    (long long)integer_field(fleet, "nodes"));
 		if (json_is_object(refused))
-			print_refusal(ctl, refused);
+			print_refused(ctl, refused);
 		(void)fputc('\n', ctl->out);
 	}
 	(void)json_object_del(node, "fleet");
@@ -125,7 +126,7 @@
 print_history(struct ctl *ctl, const json_t *json)
 {
 	const json_t *list = json_object_get(json, "versions");
-	char when[TIME_BYTES];
+	char time_text[TIME_BYTES];
 	const json_t *v;
 	size_t i;
 
@@ -133,13 +134,13 @@
 	    "TIME", "OPERATOR", "OPERATION", "NOTE");
 	json_array_foreach((json_t *)list, i, v)
 	{
-		format_time(
-		    json_integer_value(json_object_get(v, "wall_ms")), when);
+		format_time(json_integer_value(json_object_get(v, "wall_ms")),
+		    time_text);
 		(void)fprintf(ctl->out, "%10lld  %-20s  %-16s  %-36s  %s\n",
 		    (long long)json_integer_value(
 			json_object_get(v, "version")),
-		    when, report_text(v, "operator"), report_text(v, "op"),
-		    report_text(v, "note"));
+		    time_text, report_string(v, "operator"),
+		    report_string(v, "op"), report_string(v, "note"));
 	}
 }
 
@@ -150,7 +151,7 @@
 	char *path = NULL;
 	int code;
 
-	if (ctl->options->limit != OPTION_NONE) {
+	if (ctl->options->limit != OPTION_UNSET) {
 		path = g_strdup_printf(
 		    "/v1/versions?limit=%lld", (long long)ctl->options->limit);
 		req.path = path;
@@ -174,7 +175,7 @@
 	int code;
 
 	op = g_uri_escape_string(ctl->options->operands[0], NULL, FALSE);
-	if (ctl->options->after_seq != OPTION_NONE)
+	if (ctl->options->after_seq != OPTION_UNSET)
 		path = g_strdup_printf("/v1/operations/%s?after_seq=%lld", op,
 		    (long long)ctl->options->after_seq);
 	else
@@ -199,10 +200,10 @@
 	{
 		(void)fprintf(ctl->out,
 		    "%-24s  %-10s  %-10s  %-11s  %7lld  %s\n",
-		    report_text(r, "service"), report_text(r, "from"),
-		    report_text(r, "to"), report_text(r, "phase"),
-		    (long long)number_of(r, "left_ms"),
-		    report_text(r, "reason"));
+		    report_string(r, "service"), report_string(r, "from"),
+		    report_string(r, "to"), report_string(r, "phase"),
+		    (long long)integer_field(r, "left_ms"),
+		    report_string(r, "reason"));
 	}
 }
 
@@ -218,7 +219,7 @@
 print_quarantine(struct ctl *ctl, const json_t *json)
 {
 	const json_t *list = json_object_get(json, "requests");
-	char when[TIME_BYTES];
+	char time_text[TIME_BYTES];
 	const json_t *r;
 	size_t i;
 
@@ -226,13 +227,13 @@
 	    "REQUEST", "SINCE", "CRASHES", "ASKED HERE", "CALLER", "ASKS");
 	json_array_foreach((json_t *)list, i, r)
 	{
-		format_time(number_of(r, "since_wall_ms"), when);
+		format_time(integer_field(r, "since_wall_ms"), time_text);
 		(void)fprintf(ctl->out,
 		    "%-33s  %-20s  %7lld  %10lld  %-20s  %s\n",
-		    report_text(r, "request"), when,
-		    (long long)number_of(r, "crashes"),
-		    (long long)number_of(r, "asked_here"),
-		    report_text(r, "caller"), report_text(r, "asks"));
+		    report_string(r, "request"), time_text,
+		    (long long)integer_field(r, "crashes"),
+		    (long long)integer_field(r, "asked_here"),
+		    report_string(r, "caller"), report_string(r, "asks"));
 	}
 }
 
@@ -251,7 +252,7 @@
 	    g_uri_escape_string(ctl->options->operands[0], NULL, FALSE);
 	char *path = g_strdup_printf("/v1/quarantine/%s", escaped);
 	struct client_request req = {.method = "DELETE", .path = path};
-	int code = query_run(ctl, &req, print_any);
+	int code = query_run(ctl, &req, print_fields);
 
 	g_free(path);
 	g_free(escaped);
--- a/packages/ctl/src/report.c
+++ b/packages/ctl/src/report.c
@@ -55,8 +55,8 @@
 	size_t i;
 
 	json_array_foreach((json_t *)list, i, w)(void)
-	    fprintf(ctl->err, "warning: %s: %s; %s\n", report_text(w, "path"),
-		report_text(w, "message"), report_text(w, "remedy"));
+	    fprintf(ctl->err, "warning: %s: %s; %s\n", report_string(w, "path"),
+		report_string(w, "message"), report_string(w, "remedy"));
 }
 
 void
@@ -64,7 +64,7 @@
 {
 	const char *inner, *name;
 	json_t *v, *w;
-	char *both;
+	char *qualified;
 
 	json_object_foreach((json_t *)json, name, v)
 	{
@@ -76,9 +76,9 @@
 		}
 		json_object_foreach(v, inner, w)
 		{
-			both = g_strconcat(name, ".", inner, NULL);
-			print_field(ctl, both, w);
-			g_free(both);
+			qualified = g_strconcat(name, ".", inner, NULL);
+			print_field(ctl, qualified, w);
+			g_free(qualified);
 		}
 	}
 	print_warnings(ctl, json);
@@ -108,7 +108,7 @@
 }
 
 const char *
-report_text(const json_t *json, const char *name)
+report_string(const json_t *json, const char *name)
 {
 	const char *text = json_string_value(json_object_get(json, name));
 
@@ -123,8 +123,8 @@
 	(void)fprintf(ctl->err,
 	    "  winner: version %lld, %s by %s in operation %s\n",
 	    (long long)json_integer_value(json_object_get(winner, "version")),
-	    halted ? "halted" : "signed off", report_text(winner, "operator"),
-	    report_text(winner, "op"));
+	    halted ? "halted" : "signed off", report_string(winner, "operator"),
+	    report_string(winner, "op"));
 }
 
 static void
@@ -134,13 +134,13 @@
 	size_t i;
 
 	json_array_foreach((json_t *)problems, i, p)(void)
-	    fprintf(ctl->err, "  %s: %s; %s\n", report_text(p, "path"),
-		report_text(p, "message"), report_text(p, "remedy"));
+	    fprintf(ctl->err, "  %s: %s; %s\n", report_string(p, "path"),
+		report_string(p, "message"), report_string(p, "remedy"));
 }
 
 /* How an unknown outcome is settled: the command to type. */
 static void
-print_settle(struct ctl *ctl, const json_t *json)
+print_resolution_hint(struct ctl *ctl, const json_t *json)
 {
 	json_int_t seq = json_integer_value(json_object_get(json, "after_seq"));
 
@@ -156,7 +156,7 @@
 }
 
 static int
-exit_code_of(const char *kind)
+exit_code_for_kind(const char *kind)
 {
 	size_t i;
 
@@ -167,24 +167,25 @@
 }
 
 int
-report_failure(struct ctl *ctl, const struct client_reply *reply)
+report_failure(struct ctl *ctl, const struct client_response *resp)
 {
-	const json_t *error = json_object_get(reply->json, "error");
-	const char *kind = client_reply_kind(reply);
-	const json_t *winner = json_object_get(reply->json, "winner");
-	int code = exit_code_of(kind);
+	const json_t *error = json_object_get(resp->json, "error");
+	const char *kind = client_response_kind(resp);
+	const json_t *winner = json_object_get(resp->json, "winner");
+	int code = exit_code_for_kind(kind);
 
 	if (ctl->options->json)
-		report_json(ctl, reply->json);
+		report_json(ctl, resp->json);
 	(void)fprintf(ctl->err, "bramleyctl: %s: %s\n",
-	    *kind != '\0' ? kind : "internal", report_text(error, "message"));
-	print_problems(ctl, json_object_get(reply->json, "problems"));
-	print_warnings(ctl, reply->json);
+	    *kind != '\0' ? kind : "internal", report_string(error, "message"));
+	print_problems(ctl, json_object_get(resp->json, "problems"));
+	print_warnings(ctl, resp->json);
 	if (winner != NULL)
 		print_winner(ctl, winner);
 	if (code == EXIT_CODE_UNKNOWN)
-		print_settle(ctl, reply->json);
-	(void)fprintf(ctl->err, "  remedy: %s\n", report_text(error, "remedy"));
+		print_resolution_hint(ctl, resp->json);
+	(void)fprintf(
+	    ctl->err, "  remedy: %s\n", report_string(error, "remedy"));
 	return code;
 }
 
@@ -192,11 +193,11 @@
 report_error(struct ctl *ctl, int code, const char *kind, const char *message,
     const char *remedy)
 {
-	struct client_reply reply = {.end = CLIENT_UNREACHED};
+	struct client_response resp = {.outcome = CLIENT_UNREACHABLE};
 
-	reply.json = json_pack("{s:{s:s,s:s,s:s}}", "error", "kind", kind,
+	resp.json = json_pack("{s:{s:s,s:s,s:s}}", "error", "kind", kind,
 	    "message", message, "remedy", remedy);
-	(void)report_failure(ctl, &reply);
-	client_reply_clear(&reply);
+	(void)report_failure(ctl, &resp);
+	client_response_clear(&resp);
 	return code;
 }
--- a/packages/ctl/src/watch.c
+++ b/packages/ctl/src/watch.c
@@ -10,29 +10,29 @@
 #include "ctl/exit_code.h"
 #include "ctl/report.h"
 
-#define WATCH_INTERVAL_MS 500
+#define WATCH_POLL_INTERVAL_MS 500
 #define US_PER_MS 1000
 #define MS_PER_SECOND 1000
 
 /* A data centre that told nothing for this long may be cut off. */
-#define SILENT_MS 5000
+#define SILENT_AFTER_MS 5000
 
 /* libcurl counts by another clock and may end a request so much earlier. */
-#define CLIENT_EARLY_MS 2
+#define CLIENT_TIMER_SKEW_MS 2
 
-/* A watch in progress; @line is what was printed last. */
+/* A watch in progress; @last_line is what was printed last. */
 struct watch {
 	struct ctl *ctl;
 	uint64_t version;
-	bool answered;
+	bool progress_seen;
 	json_int_t nodes;
 	json_int_t holding;
-	char *line;
+	char *last_line;
 	int last_code;
 };
 
 static json_int_t
-number_of(const json_t *json, const char *name)
+integer_field(const json_t *json, const char *name)
 {
 	return json_integer_value(json_object_get(json, name));
 }
@@ -40,13 +40,13 @@
 static void
 append_data_centre(GString *line, const char *name, const json_t *v)
 {
-	json_int_t silent_ms = number_of(v, "answered_ms_ago");
+	json_int_t silent_ms = integer_field(v, "answered_ms_ago");
 
 	g_string_append_printf(line, "%s%s %lld/%lld",
 	    line->str[line->len - 1] == '(' ? "" : ", ", name,
-	    (long long)number_of(v, "holding"),
-	    (long long)number_of(v, "nodes"));
-	if (silent_ms >= SILENT_MS)
+	    (long long)integer_field(v, "holding"),
+	    (long long)integer_field(v, "nodes"));
+	if (silent_ms >= SILENT_AFTER_MS)
 		g_string_append_printf(line, " silent for %lld s",
 		    (long long)(silent_ms / MS_PER_SECOND));
 }
@@ -73,18 +73,18 @@
 	const json_t *progress = json_object_get(json, "progress");
 	char *line;
 
-	w->nodes = number_of(progress, "nodes");
-	w->holding = number_of(progress, "holding");
+	w->nodes = integer_field(progress, "nodes");
+	w->holding = integer_field(progress, "holding");
 	line = progress_line(w, progress);
-	if (w->line == NULL || strcmp(line, w->line) != 0) {
+	if (w->last_line == NULL || strcmp(line, w->last_line) != 0) {
 		if (w->ctl->options->json)
 			report_json(w->ctl, json);
 		else
 			(void)fprintf(w->ctl->out, "%s\n", line);
 		(void)fflush(w->ctl->out);
 	}
-	g_free(w->line);
-	w->line = line;
+	g_free(w->last_line);
+	w->last_line = line;
 }
 
 /*
@@ -92,42 +92,43 @@
  * timeout cut off says nothing about the nodes.
  */
 static void
-note_failure(struct watch *w, const struct client_reply *reply)
+report_poll_failure(struct watch *w, const struct client_response *resp)
 {
-	const char *kind = client_reply_kind(reply);
+	const char *kind = client_response_kind(resp);
 
-	if (w->answered &&
-	    clock_now_ms() + CLIENT_EARLY_MS >= w->ctl->deadline_ms)
+	if (w->progress_seen &&
+	    clock_now_ms() + CLIENT_TIMER_SKEW_MS >= w->ctl->deadline_ms)
 		return;
-	if (w->line == NULL || strcmp(kind, w->line) != 0)
-		w->last_code = report_failure(w->ctl, reply);
-	g_free(w->line);
-	w->line = g_strdup(kind);
+	if (w->last_line == NULL || strcmp(kind, w->last_line) != 0)
+		w->last_code = report_failure(w->ctl, resp);
+	g_free(w->last_line);
+	w->last_line = g_strdup(kind);
 }
 
 static void
-ask(struct watch *w, const char *path, struct client_reply *reply)
+send_get(struct watch *w, const char *path, struct client_response *resp)
 {
 	struct client_request req = {
 	    .method = "GET", .path = path, .deadline_ms = w->ctl->deadline_ms};
 
-	client_request(w->ctl->client, &req, reply);
+	client_request(w->ctl->client, &req, resp);
 }
 
 /* Whether the version was withdrawn: then the roll goes no further. */
 static int
 is_halted(struct watch *w)
 {
-	struct client_reply reply;
+	struct client_response resp;
 	const json_t *head;
 	int halted = 0;
 
-	ask(w, "/v1/status", &reply);
-	head = json_object_get(reply.json, "head");
-	if (client_reply_ok(&reply) && head != NULL)
-		halted = (uint64_t)number_of(head, "version") >= w->version &&
-		    (uint64_t)number_of(head, "in_force") < w->version;
-	client_reply_clear(&reply);
+	send_get(w, "/v1/status", &resp);
+	head = json_object_get(resp.json, "head");
+	if (client_response_ok(&resp) && head != NULL)
+		halted =
+		    (uint64_t)integer_field(head, "version") >= w->version &&
+		    (uint64_t)integer_field(head, "in_force") < w->version;
+	client_response_clear(&resp);
 	return halted;
 }
 
@@ -135,25 +136,25 @@
 static int
 poll_once(struct watch *w)
 {
-	struct client_reply reply;
+	struct client_response resp;
 	char *path;
 	int code = -1;
 
 	path = g_strdup_printf(
 	    "/v1/versions/%llu", (unsigned long long)w->version);
-	ask(w, path, &reply);
-	if (client_reply_ok(&reply)) {
+	send_get(w, path, &resp);
+	if (client_response_ok(&resp)) {
 		w->last_code = EXIT_CODE_NOT_CONVERGED;
-		w->answered = true;
-		print_progress(w, reply.json);
+		w->progress_seen = true;
+		print_progress(w, resp.json);
 		if (w->nodes > 0 && w->holding >= w->nodes)
 			code = EXIT_CODE_OK;
-	} else if (strcmp(client_reply_kind(&reply), "not_found") == 0) {
-		code = report_failure(w->ctl, &reply);
+	} else if (strcmp(client_response_kind(&resp), "not_found") == 0) {
+		code = report_failure(w->ctl, &resp);
 	} else {
-		note_failure(w, &reply);
+		report_poll_failure(w, &resp);
 	}
-	client_reply_clear(&reply);
+	client_response_clear(&resp);
 	g_free(path);
 	return code;
 }
@@ -214,9 +215,9 @@
 		return report_error(ctl, EXIT_CODE_USAGE, "usage",
 		    "A version is a number from 1 up.",
 		    "List the versions with bramleyctl history.");
-	if (interval_ms == OPTION_NONE)
-		interval_ms = WATCH_INTERVAL_MS;
+	if (interval_ms == OPTION_UNSET)
+		interval_ms = WATCH_POLL_INTERVAL_MS;
 	code = watch_loop(&w, (uint64_t)interval_ms);
-	g_free(w.line);
+	g_free(w.last_line);
 	return code;
 }
--- a/packages/ctl/test/fake_node.c
+++ b/packages/ctl/test/fake_node.c
@@ -16,8 +16,8 @@
 
 struct fake_node {
 	struct mg_context *web;
-	const struct fake_answer *script;
-	int used[SCRIPT_MAX];
+	const struct fake_response *script;
+	int consumed[SCRIPT_MAX];
 	char address[32];
 	/* Not GMutex: ThreadSanitizer can't see into GLib. */
 	pthread_mutex_t lock;
@@ -25,10 +25,10 @@
 };
 
 /* The answer for a request; the last one that fits when all are used. */
-static const struct fake_answer *
-next_answer(struct fake_node *f, const char *request)
+static const struct fake_response *
+next_response(struct fake_node *f, const char *request)
 {
-	const struct fake_answer *a, *last = NULL;
+	const struct fake_response *a, *last = NULL;
 	int i;
 
 	for (i = 0; f->script != NULL && f->script[i].request != NULL; i++) {
@@ -36,8 +36,8 @@
 		if (!g_str_has_prefix(request, a->request))
 			continue;
 		last = a;
-		if (!f->used[i]) {
-			f->used[i] = 1;
+		if (!f->consumed[i]) {
+			f->consumed[i] = 1;
 			break;
 		}
 	}
@@ -71,17 +71,17 @@
 {
 	GString *body = g_string_new(NULL);
 	struct fake_node *f = arg;
-	const struct fake_answer *a;
+	const struct fake_response *a;
 	char *line;
 
 	line = request_line(conn);
 	read_body(conn, body);
 	(void)pthread_mutex_lock(&f->lock);
-	a = next_answer(f, line);
+	a = next_response(f, line);
 	g_string_append_printf(f->requests, "%s %s\n", line, body->str);
 	(void)pthread_mutex_unlock(&f->lock);
 	if (a != NULL && a->code < 0)
-		g_usleep(FAKE_LATE_MS * US_PER_MS);
+		g_usleep(FAKE_DELAY_MS * US_PER_MS);
 	if (a == NULL)
 		(void)mg_printf(conn,
 		    "HTTP/1.1 500 Not in the script\r\n"
@@ -117,11 +117,11 @@
 }
 
 void
-fake_node_play(struct fake_node *f, const struct fake_answer *script)
+fake_node_set_script(struct fake_node *f, const struct fake_response *script)
 {
 	(void)pthread_mutex_lock(&f->lock);
 	f->script = script;
-	memset(f->used, 0, sizeof(f->used));
+	memset(f->consumed, 0, sizeof(f->consumed));
 	(void)g_string_truncate(f->requests, 0);
 	(void)pthread_mutex_unlock(&f->lock);
 }
--- a/packages/ctl/test/fake_node.h
+++ b/packages/ctl/test/fake_node.h
@@ -8,18 +8,18 @@
 
 struct fake_node;
 
-/* Code of an answer that comes FAKE_LATE_MS late. */
-#define FAKE_LATE(code) (-(code))
-#define FAKE_LATE_MS 2000
+/* Code of an answer that comes FAKE_DELAY_MS late. */
+#define FAKE_DELAYED(code) (-(code))
+#define FAKE_DELAY_MS 2000
 
 /**
- * struct fake_answer - one answer of a script
+ * struct fake_response - one answer of a script
  * @request: method and start of the path with query that it is for
- * @code: HTTP status, or FAKE_LATE() of one; 0 closes the connection without
+ * @code: HTTP status, or FAKE_DELAYED() of one; 0 closes the connection without
  *	an answer
  * @body: body
  */
-struct fake_answer {
+struct fake_response {
 	const char *request;
 	int code;
 	const char *body;
@@ -29,12 +29,13 @@
 struct fake_node *fake_node_new(void);
 
 /**
- * fake_node_play() - take a script, and forget what came before
+ * fake_node_set_script() - take a script, and forget what came before
  * @f: the fake node
  * @script: answers, ended by one without request.  Each is given once and in
  *	order; the last one for a request is given from then on.
  */
-void fake_node_play(struct fake_node *f, const struct fake_answer *script);
+void
+fake_node_set_script(struct fake_node *f, const struct fake_response *script);
 
 /** fake_node_free() - stop a fake node; NULL is allowed */
 void fake_node_free(struct fake_node *f);
--- a/packages/ctl/test/test_ctl.c
+++ b/packages/ctl/test/test_ctl.c
@@ -17,10 +17,10 @@
 #define ARGS_MAX 24
 
 /* Where nobody listens. */
-#define NOBODY "127.0.0.1:1"
+#define UNUSED_ADDR "127.0.0.1:1"
 
 /* What a run printed. */
-struct run {
+struct ctl_output {
 	int code;
 	char *out;
 	char *err;
@@ -29,37 +29,37 @@
 };
 
 /* Run the command line @args; "@" stands for the fake node's address. */
-static struct run
+static struct ctl_output
 run_ctl(const struct fake_node *f, const char *args)
 {
-	char **words = g_strsplit(args, " ", ARGS_MAX);
+	char **parts = g_strsplit(args, " ", ARGS_MAX);
 	char name[] = "bramleyctl";
 	char *argv[ARGS_MAX + 1] = {name};
 	FILE *err, *out;
-	struct run r;
+	struct ctl_output r;
 	int n;
 
-	for (n = 1; words[n - 1] != NULL; n++)
-		argv[n] = strcmp(words[n - 1], "@") == 0
+	for (n = 1; parts[n - 1] != NULL; n++)
+		argv[n] = strcmp(parts[n - 1], "@") == 0
 		    ? (char *)fake_node_address(f)
-		    : words[n - 1];
+		    : parts[n - 1];
 	out = open_memstream(&r.out, &r.out_len);
 	err = open_memstream(&r.err, &r.err_len);
 	r.code = ctl_run(n, argv, out, err);
 	(void)fclose(out);
 	(void)fclose(err);
-	g_strfreev(words);
+	g_strfreev(parts);
 	return r;
 }
 
 static void
-run_clear(struct run *r)
+ctl_output_clear(struct ctl_output *r)
 {
 	free(r->out);
 	free(r->err);
 }
 
-#define assert_has(text, part)                                               \
+#define assert_contains(text, part)                                          \
 	ck_assert_msg(strstr((text), (part)) != NULL, "\"%s\" lacks \"%s\"", \
 	    (text), (part))
 
@@ -79,69 +79,71 @@
 struct usage_row {
 	const char *args;
 	int code;
-	const char *words;
+	const char *message;
 };
 
 static const struct usage_row usage_rows[] = {
     {"", EXIT_CODE_USAGE, "No command is given"},
     {"status", EXIT_CODE_USAGE, "add --node IP:PORT"},
     {"--node nowhere status", EXIT_CODE_USAGE, "no address with a port"},
-    {"--node " NOBODY " statsu", EXIT_CODE_USAGE, "did you mean status?"},
-    {"--node " NOBODY " frobnicate", EXIT_CODE_USAGE, "is no command."},
-    {"--node " NOBODY " status 7", EXIT_CODE_USAGE, "Write it as: status"},
-    {"--node " NOBODY " watch", EXIT_CODE_USAGE, "watch VERSION"},
-    {"--node " NOBODY " watch x", EXIT_CODE_USAGE, "number from 1 up"},
-    {"--node " NOBODY " halt 0", EXIT_CODE_USAGE, "number from 1 up"},
-    {"--node " NOBODY " status --op a", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " statsu", EXIT_CODE_USAGE, "did you mean status?"},
+    {"--node " UNUSED_ADDR " frobnicate", EXIT_CODE_USAGE, "is no command."},
+    {"--node " UNUSED_ADDR " status 7", EXIT_CODE_USAGE, "Write it as: status"},
+    {"--node " UNUSED_ADDR " watch", EXIT_CODE_USAGE, "watch VERSION"},
+    {"--node " UNUSED_ADDR " watch x", EXIT_CODE_USAGE, "number from 1 up"},
+    {"--node " UNUSED_ADDR " halt 0", EXIT_CODE_USAGE, "number from 1 up"},
+    {"--node " UNUSED_ADDR " status --op a", EXIT_CODE_USAGE,
 	"--op is no option of status"},
-    {"--node " NOBODY " halt 1 --parent 3", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " halt 1 --parent 3", EXIT_CODE_USAGE,
 	"--parent is no option of halt"},
-    {"--node " NOBODY " halt 1 --op a/b", EXIT_CODE_USAGE, "--op takes"},
-    {"--node " NOBODY " history --limit 0", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " halt 1 --op a/b", EXIT_CODE_USAGE, "--op takes"},
+    {"--node " UNUSED_ADDR " history --limit 0", EXIT_CODE_USAGE,
 	"--limit takes a number from 1"},
-    {"--node " NOBODY " status --timeout-ms 0", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " status --timeout-ms 0", EXIT_CODE_USAGE,
 	"--timeout-ms takes"},
-    {"--node " NOBODY " status --timeout-ms 86400001", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " status --timeout-ms 86400001", EXIT_CODE_USAGE,
 	"--timeout-ms takes"},
-    {"--node " NOBODY " halt 1 --op "
+    {"--node " UNUSED_ADDR " halt 1 --op "
      "0123456789012345678901234567890123456789012345678901234567890123",
 	EXIT_CODE_USAGE, "--op takes 1 to 63"},
-    {"--node " NOBODY " status --what", EXIT_CODE_USAGE, "Unknown option"},
-    {"--node " NOBODY " validate no/such/file", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " status --what", EXIT_CODE_USAGE, "Unknown option"},
+    {"--node " UNUSED_ADDR " validate no/such/file", EXIT_CODE_USAGE,
 	"Check the path"},
-    {"--node " NOBODY " sign-off no/such/file", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " sign-off no/such/file", EXIT_CODE_USAGE,
 	"Check the path"},
-    {"--node " NOBODY " status", EXIT_CODE_UNAVAILABLE, "can't be reached"},
-    {"--node " NOBODY " halt 1", EXIT_CODE_UNAVAILABLE, "can't be reached"},
-    {"--node " NOBODY " watch 1 --timeout-ms 200 --interval-ms 50",
+    {"--node " UNUSED_ADDR " status", EXIT_CODE_UNAVAILABLE,
+	"can't be reached"},
+    {"--node " UNUSED_ADDR " halt 1", EXIT_CODE_UNAVAILABLE,
+	"can't be reached"},
+    {"--node " UNUSED_ADDR " watch 1 --timeout-ms 200 --interval-ms 50",
 	EXIT_CODE_UNAVAILABLE, "can't be reached"},
 };
 
 START_TEST(usage)
 {
 	const struct usage_row *row = &usage_rows[_i];
-	struct run r = run_ctl(NULL, row->args);
+	struct ctl_output r = run_ctl(NULL, row->args);
 
 	ck_assert_msg(r.code == row->code, "\"%s\" ended with %d: %s",
 	    row->args, r.code, r.err);
-	assert_has(r.err, row->words);
-	run_clear(&r);
+	assert_contains(r.err, row->message);
+	ctl_output_clear(&r);
 }
 END_TEST
 
 START_TEST(help_and_version)
 {
-	struct run r = run_ctl(NULL, "--help");
+	struct ctl_output r = run_ctl(NULL, "--help");
 
 	ck_assert_int_eq(r.code, EXIT_CODE_OK);
-	assert_has(r.out, "sign-off  FILE");
-	assert_has(r.out, "6 unknown");
-	assert_has(r.out, "--timeout-ms");
-	run_clear(&r);
+	assert_contains(r.out, "sign-off  FILE");
+	assert_contains(r.out, "6 unknown");
+	assert_contains(r.out, "--timeout-ms");
+	ctl_output_clear(&r);
 	r = run_ctl(NULL, "--version");
 	ck_assert_int_eq(r.code, EXIT_CODE_OK);
-	assert_has(r.out, "bramleyctl " BRAMLEY_VERSION);
-	run_clear(&r);
+	assert_contains(r.out, "bramleyctl " BRAMLEY_VERSION);
+	ctl_output_clear(&r);
 }
 END_TEST
 
@@ -168,7 +170,7 @@
  */
 struct run_row {
 	const char *args;
-	struct fake_answer script[5];
+	struct fake_response script[5];
 	int code;
 	const char *out;
 	const char *err;
@@ -243,7 +245,7 @@
 	{{"POST /v1/versions", 503, ERROR("overloaded")}},
 	EXIT_CODE_UNAVAILABLE, "", "overloaded", ""},
     /* A node's own word tells more than that the next one is away. */
-    {"--node @ --node " NOBODY " halt 7 --op o1",
+    {"--node @ --node " UNUSED_ADDR " halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 503, ERROR("unavailable")}},
 	EXIT_CODE_UNAVAILABLE, "", "unavailable: What is wrong.", ""},
     {"--node @ halt 7 --op o1",
@@ -361,7 +363,7 @@
     /* An answer cut off by the timeout doesn't make the nodes unavailable. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 1500",
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
-	    {"GET /v1/versions/7", FAKE_LATE(200), PROGRESS("3", "0")},
+	    {"GET /v1/versions/7", FAKE_DELAYED(200), PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("7", "7")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "on 3 of 5 nodes at the timeout",
 	""},
@@ -391,7 +393,7 @@
     {"--node @ watch 7", {{"GET /v1/versions/7", 404, ERROR("not_found")}},
 	EXIT_CODE_NOT_FOUND, "", "not_found", ""},
     /* The first node is away: the next one is asked. */
-    {"--node " NOBODY " --node @ halt 7 --op o1",
+    {"--node " UNUSED_ADDR " --node @ halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 200, DONE}}, EXIT_CODE_OK, "version: 7\n",
 	"", ""},
 };
@@ -415,18 +417,18 @@
 	char **parts = g_strsplit(row->args, "$", 2);
 	char *args = g_strjoinv(path, parts);
 	char *requests;
-	struct run r;
+	struct ctl_output r;
 
-	fake_node_play(f, row->script);
+	fake_node_set_script(f, row->script);
 	r = run_ctl(f, args);
 	ck_assert_msg(r.code == row->code, "\"%s\" ended with %d: %s%s",
 	    row->args, r.code, r.out, r.err);
-	assert_has(r.out, row->out);
-	assert_has(r.err, row->err);
+	assert_contains(r.out, row->out);
+	assert_contains(r.err, row->err);
 	requests = fake_node_requests(f);
-	assert_has(requests, row->sent);
+	assert_contains(requests, row->sent);
 	ck_assert_int_le(changes_sent(requests), 1);
-	run_clear(&r);
+	ctl_output_clear(&r);
 	g_free(requests);
 	g_free(args);
 	g_strfreev(parts);
@@ -434,23 +436,23 @@
 
 /* No time left is no licence to wait for ever. */
 static void
-deadline_in_the_past(struct fake_node *f)
+expired_deadline_ends_request(struct fake_node *f)
 {
-	static const struct fake_answer late[] = {
-	    {"GET /v1/status", FAKE_LATE(200), "{}"}, {0}};
+	static const struct fake_response late[] = {
+	    {"GET /v1/status", FAKE_DELAYED(200), "{}"}, {0}};
 	GArray *nodes = g_array_new(FALSE, FALSE, sizeof(struct net_addr));
 	struct client_request req = {.method = "GET", .path = "/v1/status"};
 	struct client *c = client_new(nodes);
-	struct client_reply reply;
+	struct client_response resp;
 	struct net_addr addr;
 
-	fake_node_play(f, late);
+	fake_node_set_script(f, late);
 	ck_assert_int_eq(addr_parse(fake_node_address(f), &addr), STATUS_OK);
 	g_array_append_val(nodes, addr);
-	client_request(c, &req, &reply);
-	ck_assert_int_ne(reply.end, CLIENT_ANSWERED);
-	ck_assert_str_eq(client_reply_kind(&reply), "unavailable");
-	client_reply_clear(&reply);
+	client_request(c, &req, &resp);
+	ck_assert_int_ne(resp.outcome, CLIENT_RESPONDED);
+	ck_assert_str_eq(client_response_kind(&resp), "unavailable");
+	client_response_clear(&resp);
 	client_free(c);
 	g_array_unref(nodes);
 }
@@ -463,7 +465,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(run_rows); i++)
 		run_row(f, &run_rows[i], path);
-	deadline_in_the_past(f);
+	expired_deadline_ends_request(f);
 	(void)unlink(path);
 	g_free(path);
 	fake_node_free(f);
@@ -471,16 +473,16 @@
 END_TEST
 
 /* Two nodes: what the first one's answer means for the second. */
-struct pair_row {
+struct failover_row {
 	const char *args;
-	struct fake_answer first[2];
-	struct fake_answer second[2];
+	struct fake_response first[2];
+	struct fake_response second[2];
 	int code;
 	int second_asked;
 	int second_changes;
 };
 
-static const struct pair_row pair_rows[] = {
+static const struct failover_row failover_rows[] = {
     /* Nothing was done there, so the next node may do it. */
     {"halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 503, ERROR("unavailable")}},
@@ -496,14 +498,14 @@
 };
 
 static void
-run_pair(struct fake_node *first, struct fake_node *second,
-    const struct pair_row *row)
+run_failover(struct fake_node *first, struct fake_node *second,
+    const struct failover_row *row)
 {
 	char *args, *requests;
-	struct run r;
+	struct ctl_output r;
 
-	fake_node_play(first, row->first);
-	fake_node_play(second, row->second);
+	fake_node_set_script(first, row->first);
+	fake_node_set_script(second, row->second);
 	args = g_strdup_printf("--node %s --node %s %s",
 	    fake_node_address(first), fake_node_address(second), row->args);
 	r = run_ctl(NULL, args);
@@ -513,18 +515,18 @@
 	ck_assert_int_eq(*requests != '\0', row->second_asked);
 	ck_assert_int_eq(changes_sent(requests), row->second_changes);
 	g_free(requests);
-	run_clear(&r);
+	ctl_output_clear(&r);
 	g_free(args);
 }
 
-START_TEST(next_node)
+START_TEST(failover_to_next_node)
 {
 	struct fake_node *first = fake_node_new();
 	struct fake_node *second = fake_node_new();
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(pair_rows); i++)
-		run_pair(first, second, &pair_rows[i]);
+	for (i = 0; i < G_N_ELEMENTS(failover_rows); i++)
+		run_failover(first, second, &failover_rows[i]);
 	fake_node_free(first);
 	fake_node_free(second);
 }
@@ -540,7 +542,7 @@
 	tcase_add_loop_test(tc, usage, 0, (int)G_N_ELEMENTS(usage_rows));
 	tcase_add_test(tc, help_and_version);
 	tcase_add_test(tc, commands_against_a_node);
-	tcase_add_test(tc, next_node);
+	tcase_add_test(tc, failover_to_next_node);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
