--- a/packages/ctl/include/ctl/client.h
+++ b/packages/ctl/include/ctl/client.h
@@ -1,8 +1,8 @@
 /*
- * Client of the administration API, by libcurl.
+ * Client of the administration API, based on libcurl.
  *
- * The nodes are tried in order.  A request that changes something is never
- * sent to a second node once the first may have taken it.
+ * Nodes are tried in order.  A request that changes state is never sent to a
+ * second node once the first may have received it.
  */
 #ifndef CTL_CLIENT_H
 #define CTL_CLIENT_H
@@ -16,13 +16,13 @@
 struct client;
 
 /**
- * struct client_request - a request
+ * struct client_request - a request to the administration API
  * @method: "GET", "POST" or "DELETE"
- * @path: path with query
+ * @path: path and query string
  * @body: body, or NULL
- * @body_len: its length
- * @change: whether it changes something
- * @deadline_ms: monotonic time by which it ends
+ * @body_len: length of @body in bytes
+ * @change: whether the request changes state
+ * @deadline_ms: monotonic time at which the request times out
  */
 struct client_request {
 	const char *method;
@@ -35,9 +35,10 @@
 
 /**
  * enum client_outcome - how a request ended
- * @CLIENT_RESPONDED: a node answered
- * @CLIENT_UNREACHABLE: no node could be reached; nothing was done
- * @CLIENT_NO_RESPONSE: a node may have taken it, but its answer didn't come
+ * @CLIENT_RESPONDED: a node sent a response
+ * @CLIENT_UNREACHABLE: no node could be reached; nothing was executed
+ * @CLIENT_NO_RESPONSE: a node may have received the request, but no valid
+ *	response arrived
  */
 enum client_outcome {
 	CLIENT_RESPONDED = 0,
@@ -46,10 +47,11 @@
 };
 
 /**
- * struct client_response - an answer
+ * struct client_response - response to a request
  * @outcome: how the request ended
  * @code: HTTP status, 0 unless CLIENT_RESPONDED
- * @json: the answer; made up in the API's form when none came
+ * @json: body of the response; without one, an error object in the format of
+ *	the API that the client generates
  */
 struct client_response {
 	enum client_outcome outcome;
@@ -58,8 +60,8 @@
 };
 
 /**
- * client_new() - make a client
- * @nodes: struct net_addr of the nodes; must outlive the client
+ * client_new() - create a client
+ * @nodes: array of struct net_addr of the nodes; must outlive the client
  */
 struct client *client_new(const GArray *nodes);
 
@@ -67,22 +69,21 @@
 void client_free(struct client *c);
 
 /**
- * client_request() - send a request and wait for its answer
+ * client_request() - send a request and wait for its response
  * @c: the client
  * @req: the request
- * @resp: where the answer goes; free with client_response_clear()
+ * @resp: set to the response; free with client_response_clear()
  */
 void client_request(struct client *c, const struct client_request *req,
     struct client_response *resp);
 
-/** client_response_ok() - whether an answer says that all went well */
+/** client_response_ok() - whether a response has a 2xx status */
 int client_response_ok(const struct client_response *resp);
 
-/** client_response_kind() - kind of the error in an answer; "" when it has none
- */
+/** client_response_kind() - error kind of a response, "" if it has none */
 const char *client_response_kind(const struct client_response *resp);
 
-/** client_response_clear() - free what an answer holds */
+/** client_response_clear() - free the contents of a response */
 void client_response_clear(struct client_response *resp);
 
 #endif
--- a/packages/ctl/include/ctl/commands.h
+++ b/packages/ctl/include/ctl/commands.h
@@ -11,12 +11,12 @@
 #include "ctl/options.h"
 
 /**
- * struct ctl - a run of the program
- * @options: its command line
- * @client: client of the nodes
- * @deadline_ms: monotonic time by which the run ends
- * @out: where answers are printed
- * @err: where errors are printed
+ * struct ctl - one invocation of bramleyctl
+ * @options: parsed command line
+ * @client: client of the administration API
+ * @deadline_ms: monotonic time at which the command times out
+ * @out: stream for results
+ * @err: stream for errors and warnings
  */
 struct ctl {
 	const struct options *options;
@@ -27,15 +27,15 @@
 };
 
 /**
- * struct command - a command
- * @name: its name
- * @operands: its operands, as help shows them
- * @doc: what it does
- * @min_operands: least number of operands
- * @max_operands: largest number of operands
- * @option_groups: the option_groups that it takes
- * @timeout_ms: its timeout when none is given
- * @run: runs it; returns an enum exit_code
+ * struct command - a command of bramleyctl
+ * @name: name on the command line
+ * @operands: operands as shown by --help
+ * @doc: description shown by --help
+ * @min_operands: minimum number of operands
+ * @max_operands: maximum number of operands
+ * @option_groups: bitwise OR of the enum option_group values it accepts
+ * @timeout_ms: default of --timeout-ms
+ * @run: executes the command; returns an enum exit_code
  */
 struct command {
 	const char *name;
@@ -51,49 +51,49 @@
 extern const struct command commands[];
 extern const uint32_t n_commands;
 
-/** command_find() - the command of a name, or NULL */
+/** command_find() - command with this name, or NULL */
 const struct command *command_find(const char *name);
 
-/** command_nearest() - name of the command that was likely meant, or NULL */
+/** command_nearest() - name of the most similar command, or NULL */
 const char *command_nearest(const char *name);
 
-/** change_sign_off() - sign a bundle off */
+/** change_sign_off() - sign a bundle off as a new version */
 int change_sign_off(struct ctl *ctl);
 
-/** change_halt() - withdraw a version */
+/** change_halt() - halt the newest version */
 int change_halt(struct ctl *ctl);
 
-/** change_supersede() - make a new version of an older one's content */
+/** change_supersede() - create a new version from an older one or a bundle */
 int change_supersede(struct ctl *ctl);
 
-/** query_validate() - have a bundle checked */
+/** query_validate() - validate a bundle without signing it off */
 int query_validate(struct ctl *ctl);
 
-/** query_status() - show what a node holds */
+/** query_status() - print the status of a node and its view of the fleet */
 int query_status(struct ctl *ctl);
 
 /** query_history() - list the newest versions */
 int query_history(struct ctl *ctl);
 
-/** query_operation() - tell what became of an operation */
+/** query_operation() - print the outcome of an operation */
 int query_operation(struct ctl *ctl);
 
 /** query_rollouts() - list the newest rollout of each service */
 int query_rollouts(struct ctl *ctl);
 
-/** query_quarantine() - list requests that are no longer run */
+/** query_quarantine() - list quarantined requests, which are not run */
 int query_quarantine(struct ctl *ctl);
 
-/** query_release() - let one of them be run again */
+/** query_release() - release a request from quarantine */
 int query_release(struct ctl *ctl);
 
-/** watch_run() - wait until every node holds a version */
+/** watch_run() - wait until every node has applied a version */
 int watch_run(struct ctl *ctl);
 
 /**
- * ctl_run() - the whole program but for main()
+ * ctl_run() - parse a command line and execute its command
  * @argc: number of arguments
- * @argv: arguments
+ * @argv: arguments, with the program's name first
  * @out: standard output
  * @err: standard error
  *
--- a/packages/ctl/include/ctl/exit_code.h
+++ b/packages/ctl/include/ctl/exit_code.h
@@ -1,20 +1,22 @@
 /*
- * Exit codes of bramleyctl, which scripts rely on; see bramleyctl(1).
+ * Exit codes of bramleyctl.  Scripts depend on them; see bramleyctl(1).
  */
 #ifndef CTL_EXIT_CODE_H
 #define CTL_EXIT_CODE_H
 
 /**
  * enum exit_code - how a command ended
- * @EXIT_CODE_OK: done
- * @EXIT_CODE_INTERNAL: a defect, here or in the node
- * @EXIT_CODE_USAGE: the command line is wrong or a file can't be read
- * @EXIT_CODE_INVALID: the bundle or request was refused as wrong
- * @EXIT_CODE_CONFLICT: another operation was first; nothing was done
- * @EXIT_CODE_UNAVAILABLE: no node, or the platform; nothing was done
- * @EXIT_CODE_UNKNOWN: may or may not have been done
- * @EXIT_CODE_NOT_CONVERGED: not on all nodes before the timeout
- * @EXIT_CODE_NOT_FOUND: no such version or operation
+ * @EXIT_CODE_OK: success
+ * @EXIT_CODE_INTERNAL: a defect in bramleyctl or the node
+ * @EXIT_CODE_USAGE: invalid command line or unreadable file
+ * @EXIT_CODE_INVALID: the bundle or request was rejected as invalid
+ * @EXIT_CODE_CONFLICT: a concurrent operation won; nothing was executed
+ * @EXIT_CODE_UNAVAILABLE: no node, or not the platform, could be reached;
+ *	nothing was executed
+ * @EXIT_CODE_UNKNOWN: the operation may or may not have been executed
+ * @EXIT_CODE_NOT_CONVERGED: the version was halted, or was not on all nodes
+ *	before the timeout
+ * @EXIT_CODE_NOT_FOUND: the version, operation or request does not exist
  */
 enum exit_code {
 	EXIT_CODE_OK = 0,
--- a/packages/ctl/include/ctl/options.h
+++ b/packages/ctl/include/ctl/options.h
@@ -11,10 +11,10 @@
 
 struct command;
 
-/* An option with a number that was not given. */
+/* Value of a numeric option that is not on the command line. */
 #define OPTION_UNSET (-1)
 
-/** enum option_group - options that only some commands take */
+/** enum option_group - options that only some commands accept */
 enum option_group {
 	OPTION_CHANGE = 1 << 0,	   /* --operator, --op, --note */
 	OPTION_PARENT = 1 << 1,	   /* --parent, --race-retries */
@@ -24,22 +24,22 @@
 };
 
 /**
- * struct options - a command line
+ * struct options - parsed command line
  * @command: the command
- * @operands: what follows the command, NULL-terminated
+ * @operands: operands of the command, NULL-terminated
  * @n_operands: number of @operands
- * @nodes: struct net_addr of each --node, in order
- * @json: whether answers are printed as JSON
- * @operator_name: who asks
- * @op: id of the operation, made up when it wasn't given
- * @op_is_generated: whether @op was made up just now
- * @note: why, or NULL
+ * @nodes: array of struct net_addr, one for each --node, in order
+ * @json: whether results are printed as JSON
+ * @operator_name: name of the operator; default: the login name
+ * @op: operation id, generated if --op is absent
+ * @op_is_generated: whether @op was generated for this invocation
+ * @note: reason for the change, or NULL
  * @parent: newest version that the operator has seen, or OPTION_UNSET
- * @race_retries: new tries after a lost race, or OPTION_UNSET
- * @limit: number of versions, or OPTION_UNSET
- * @after_seq: seq told with an unknown outcome, or OPTION_UNSET
- * @interval_ms: time between two questions of watch, or OPTION_UNSET
- * @timeout_ms: longest time that the command takes
+ * @race_retries: retries after a lost race, or OPTION_UNSET
+ * @limit: maximum number of versions to list, or OPTION_UNSET
+ * @after_seq: after_seq from the error of an unknown outcome, or OPTION_UNSET
+ * @interval_ms: polling interval of watch, or OPTION_UNSET
+ * @timeout_ms: timeout of the whole command
  */
 struct options {
 	const struct command *command;
@@ -60,26 +60,26 @@
 };
 
 /**
- * options_parse() - read a command line
+ * options_parse() - parse and check a command line
  * @argc: number of arguments
  * @argv: arguments
- * @o: where the options go; free with options_clear() in any case
- * @out: where help and version are printed
- * @err: where errors are printed
+ * @o: set to the options; free with options_clear() even after an error
+ * @out: stream for --help and --version
+ * @err: stream for errors
  *
- * Return: -1 to go on, else the exit code.
+ * Return: -1 if the command is to be executed, else the exit code.
  */
 int
 options_parse(int argc, char **argv, struct options *o, FILE *out, FILE *err);
 
-/** options_clear() - free what the options hold */
+/** options_clear() - free the contents of the options */
 void options_clear(struct options *o);
 
 /**
- * options_version() - read a version number
+ * options_version() - parse a version number
  * @text: the operand
  *
- * Return: the number, 0 when it is none.
+ * Return: the number, or 0 if @text is not a version number.
  */
 uint64_t options_version(const char *text);
 
--- a/packages/ctl/include/ctl/report.h
+++ b/packages/ctl/include/ctl/report.h
@@ -1,51 +1,51 @@
 /*
- * What bramleyctl prints: answers to standard output, errors to standard
- * error.  With --json each answer, also of an error, is one line of JSON on
- * standard output.
+ * Output of bramleyctl: results on standard output, errors and warnings on
+ * standard error.  With --json each response, including errors, is also one
+ * line of JSON on standard output.
  */
 #ifndef CTL_REPORT_H
 #define CTL_REPORT_H
 
 #include "ctl/commands.h"
 
-/** report_json() - print an answer as one line of JSON */
+/** report_json() - print a response as one line of JSON */
 void report_json(struct ctl *ctl, const json_t *json);
 
 /**
- * report_string() - a member of an object as text
+ * report_string() - get a string member of a JSON object
  * @json: the object; NULL is allowed
  * @name: name of the member
  *
- * Return: the text, borrowed from @json, or "" when there is none.
+ * Return: the string, borrowed from @json, or "" if there is none.
  */
 const char *report_string(const json_t *json, const char *name);
 
-/** report_fields() - print an object as lines "name: value" */
+/** report_fields() - print each member of an object as "name: value" */
 void report_fields(struct ctl *ctl, const json_t *json);
 
 /**
  * report_outcome() - print the outcome of an operation
- * @ctl: the run
- * @json: the answer
+ * @ctl: the invocation
+ * @json: body of the response
  */
 void report_outcome(struct ctl *ctl, const json_t *json);
 
 /**
- * report_failure() - print an error with kind, message and remedy
- * @ctl: the run
- * @resp: the answer that tells the error
+ * report_failure() - print an error response: kind, message and remedy
+ * @ctl: the invocation
+ * @resp: the response
  *
- * Return: the exit code for its kind.
+ * Return: the exit code for the error kind.
  */
 int report_failure(struct ctl *ctl, const struct client_response *resp);
 
 /**
- * report_error() - print an error found here
- * @ctl: the run
+ * report_error() - print an error that bramleyctl itself detected
+ * @ctl: the invocation
  * @code: exit code
- * @kind: kind, as in the API
- * @message: what went wrong
- * @remedy: what to do
+ * @kind: error kind, as in the administration API
+ * @message: description of the error
+ * @remedy: instruction for the operator
  *
  * Return: @code.
  */
--- a/packages/ctl/src/bundle_file.c
+++ b/packages/ctl/src/bundle_file.c
@@ -1,5 +1,5 @@
 /*
- * Reading of bundle files.
+ * Reads bundle files.
  */
 #include "ctl/bundle_file.h"
 #include "ctl/exit_code.h"
--- a/packages/ctl/src/change.c
+++ b/packages/ctl/src/change.c
@@ -1,9 +1,9 @@
 /*
- * Commands that change something: sign-off, halt and supersede.
+ * Commands that change state: sign-off, halt and supersede.
  *
- * An outcome that isn't known, because an answer was lost on its way here or
- * between the node and the platform, is asked for by the operation's id until
- * the deadline.  The request itself is never sent a second time.
+ * The outcome of a change is unknown when a response is lost between the node
+ * and bramleyctl, or between the platform and the node.  The operation is then
+ * queried by its id until the deadline.  The change itself is never sent twice.
  */
 #include <string.h>
 
@@ -52,7 +52,7 @@
 	append_number(path, "race_retries", o->race_retries);
 }
 
-/* Whether a reply leaves open what became of the operation. */
+/* Whether a response leaves open if the operation was executed. */
 static int
 is_outcome_unknown(const struct client_response *resp)
 {
@@ -62,7 +62,10 @@
 	    strcmp(kind, "unknown") == 0 || strcmp(kind, "timeout") == 0;
 }
 
-/* Ask once what became of the operation; 1 when that settles it. */
+/*
+ * Query the operation once.  Returns 1 and replaces *resp when its outcome is
+ * known.
+ */
 static int
 query_outcome(
     struct ctl *ctl, json_int_t after_seq, struct client_response *resp)
@@ -79,7 +82,7 @@
 	req.path = path->str;
 	client_request(ctl->client, &req, &found);
 	g_string_free(path, TRUE);
-	/* "Not found" is sure only when the seq to pass was known. */
+	/* "Not found" is conclusive only if after_seq was sent. */
 	resolved = client_response_ok(&found) ||
 	    (after_seq > 0 &&
 		strcmp(client_response_kind(&found), "not_found") == 0);
@@ -110,7 +113,7 @@
 	}
 }
 
-/* After settling, an operation that isn't found has certainly not run. */
+/* An operation that a conclusive query did not find was not executed. */
 static int
 report_not_executed(struct ctl *ctl)
 {
@@ -118,7 +121,7 @@
 	    "The operation was not done.", "Repeat the command.");
 }
 
-/* An unknown outcome whatever the words of the reply are. */
+/* Report kind "unknown", whatever the error kind of the response. */
 static int
 report_unknown_outcome(struct ctl *ctl, const struct client_response *resp)
 {
@@ -178,7 +181,10 @@
 	return code;
 }
 
-/* Path of an action on the version in the first operand, or NULL. */
+/*
+ * Path of an action on the version in the first operand; NULL, with the error
+ * printed, if the operand is invalid.
+ */
 static GString *
 version_path(struct ctl *ctl, const char *action)
 {
--- a/packages/ctl/src/client.c
+++ b/packages/ctl/src/client.c
@@ -10,7 +10,7 @@
 #include "proto/addr.h"
 
 #define CONNECT_TIMEOUT_MS 2000
-/* Part of an attempt's time that is left for the node's answer. */
+/* Fraction (1/N) of an attempt reserved for the response to arrive. */
 #define RESPONSE_MARGIN_DIVISOR 10
 #define DEADLINE_HEADER_BYTES 48
 #define ATTEMPT_MIN_MS 1000
@@ -51,7 +51,7 @@
 	return size * n;
 }
 
-/* An error in the API's form. */
+/* An error object in the format of the administration API. */
 static json_t *error_json_new(const char *kind, const char *remedy,
     const char *fmt, ...) __attribute__((format(printf, 3, 4)));
 
@@ -72,8 +72,8 @@
 }
 
 /*
- * One connection for each attempt: libcurl would send a request again by
- * itself when a connection that it reuses breaks.
+ * Each attempt uses a new connection: libcurl resends a request on its own when
+ * a reused connection breaks.
  */
 static void
 set_options(CURL *curl, const struct client_request *req, const char *url,
@@ -100,7 +100,7 @@
 	    curl, CURLOPT_POSTFIELDS, req->body != NULL ? req->body : "");
 }
 
-/* Whether any byte of the request can have left. */
+/* Whether any byte of the request may have been sent. */
 static int
 may_have_been_sent(CURL *curl)
 {
@@ -144,7 +144,10 @@
 		    "%s took the request, but no answer came: %s.", node, why);
 }
 
-/* The node gives up a little earlier, so that its answer still comes. */
+/*
+ * The node's deadline is a little before the client's, so that its error
+ * response still arrives.
+ */
 static struct curl_slist *
 append_deadline(struct curl_slist *headers, uint64_t attempt_ms)
 {
@@ -186,19 +189,22 @@
 	g_free(url);
 }
 
-/* Time for one attempt: a question leaves time for the other nodes. */
+/*
+ * Timeout of one attempt.  A read leaves time for the remaining nodes; a change
+ * may use all of it, because it is not retried once it may have been sent.
+ */
 static uint64_t
 attempt_timeout_ms(
     const struct client_request *req, uint64_t left_ms, guint nodes_left)
 {
-	/* To libcurl a timeout of 0 is none. */
+	/* libcurl treats a timeout of 0 as no timeout. */
 	left_ms = MAX(left_ms, 1);
 	if (req->change)
 		return left_ms;
 	return MAX(left_ms / nodes_left, MIN(left_ms, ATTEMPT_MIN_MS));
 }
 
-/* Whether another node may be asked after this reply. */
+/* Whether the request may be sent to the next node after this response. */
 static int
 should_try_next(
     const struct client_request *req, const struct client_response *resp)
@@ -231,7 +237,7 @@
 			return;
 		attempt_request(addr, req,
 		    attempt_timeout_ms(req, left_ms, c->nodes->len - i), &last);
-		/* A node's own word tells more than a node that is away. */
+		/* Prefer the error of a node to that of an unreachable one. */
 		if (resp->json == NULL || last.outcome == CLIENT_RESPONDED) {
 			client_response_clear(resp);
 			*resp = last;
--- a/packages/ctl/src/commands.c
+++ b/packages/ctl/src/commands.c
@@ -1,5 +1,5 @@
 /*
- * Table of the commands, and the run of one.
+ * Table of commands, and execution of a command line.
  */
 #include <string.h>
 
@@ -9,7 +9,7 @@
 #include "ctl/commands.h"
 #include "proto/suggest.h"
 
-/* Longer than a node works on one operation. */
+/* Longer than the time a node spends on one operation. */
 #define REQUEST_TIMEOUT_MS 20000
 #define WATCH_TIMEOUT_MS 60000
 
--- a/packages/ctl/src/main.c
+++ b/packages/ctl/src/main.c
@@ -1,5 +1,5 @@
 /*
- * bramleyctl: the operators' command line.
+ * bramleyctl: command-line tool for operators.
  */
 #include <locale.h>
 
--- a/packages/ctl/src/options.c
+++ b/packages/ctl/src/options.c
@@ -1,5 +1,5 @@
 /*
- * Command line, by GLib's options.
+ * Command line parsing, based on GLib's option parser.
  */
 #include <string.h>
 
@@ -22,7 +22,7 @@
 	"outcome (tells how to\nsettle it), 7 not converged before the "  \
 	"timeout, 8 not found.\n"
 
-/* What GLib's parser fills in. */
+/* Options that GLib's parser stores and struct options does not hold. */
 struct raw_options {
 	char **nodes;
 	gboolean help;
@@ -69,7 +69,7 @@
 	g_free(summary);
 }
 
-/* Parse the options; what is left in @argv are the command and operands. */
+/* Parse the options; leaves the command and its operands in @argv. */
 static int
 parse_options(int *argc, char ***argv, struct options *o,
     struct raw_options *raw, FILE *out, FILE *err)
@@ -177,7 +177,7 @@
 	return EXIT_CODE_USAGE;
 }
 
-/* An option and the commands that take it. */
+/* An option and the group of commands that accept it. */
 struct option_rule {
 	const char *name;
 	uint32_t group;
@@ -269,7 +269,7 @@
 		o->timeout_ms = o->command->timeout_ms;
 }
 
-/* The checks in order; the first that fails is told. */
+/* Run all checks in order and report the first that fails. */
 static int
 check_all(struct options *o, const struct raw_options *raw, int argc,
     char **argv, FILE *err)
--- a/packages/ctl/src/query.c
+++ b/packages/ctl/src/query.c
@@ -1,6 +1,6 @@
 /*
- * Commands of one request: validate, status, history, operation, quarantine and
- * release.
+ * Commands that send a single request: validate, status, history, operation,
+ * rollouts, quarantine and release.
  */
 #include <time.h>
 
@@ -11,7 +11,7 @@
 #define MS_PER_SECOND 1000
 #define TIME_BYTES 32
 
-/* Prints a good answer as text. */
+/* Prints a successful response as text. */
 typedef void print_fn(struct ctl *ctl, const json_t *json);
 
 static int
@@ -90,7 +90,7 @@
 	    report_string(refused, "reason"));
 }
 
-/* The fleet in one line, then this node. */
+/* Print one line about the fleet, then the fields of this node. */
 static void
 print_status(struct ctl *ctl, const json_t *json)
 {
--- a/packages/ctl/src/report.c
+++ b/packages/ctl/src/report.c
@@ -1,12 +1,12 @@
 /*
- * What bramleyctl prints.
+ * Output of bramleyctl.
  */
 #include <string.h>
 
 #include "ctl/exit_code.h"
 #include "ctl/report.h"
 
-/* Exit code of each kind of error of the API. */
+/* Exit code for each error kind of the administration API. */
 struct kind_code {
 	const char *kind;
 	int code;
@@ -138,7 +138,7 @@
 		report_string(p, "message"), report_string(p, "remedy"));
 }
 
-/* How an unknown outcome is settled: the command to type. */
+/* Print the commands that resolve an unknown outcome. */
 static void
 print_resolution_hint(struct ctl *ctl, const json_t *json)
 {
--- a/packages/ctl/src/watch.c
+++ b/packages/ctl/src/watch.c
@@ -1,7 +1,7 @@
 /*
- * The command watch: asks how far a version has come until every node holds
- * it.  What goes wrong on the way is told once and asked again, since a roll
- * outlives a node or the platform being away.
+ * The command watch: polls the progress of a version until every node has
+ * applied it.  A failed poll is reported once and retried, because a roll
+ * continues while a node or the platform is unavailable.
  */
 #include <stdbool.h>
 #include <string.h>
@@ -14,13 +14,16 @@
 #define US_PER_MS 1000
 #define MS_PER_SECOND 1000
 
-/* A data centre that told nothing for this long may be cut off. */
+/* A data centre without a response for this long may be partitioned off. */
 #define SILENT_AFTER_MS 5000
 
-/* libcurl counts by another clock and may end a request so much earlier. */
+/* libcurl uses another clock and may time a request out this much early. */
 #define CLIENT_TIMER_SKEW_MS 2
 
-/* A watch in progress; @last_line is what was printed last. */
+/*
+ * A watch in progress; @last_line is the last progress line printed or, after
+ * a failed poll, the kind of its error.
+ */
 struct watch {
 	struct ctl *ctl;
 	uint64_t version;
@@ -88,8 +91,8 @@
 }
 
 /*
- * Tell an error, but the same kind only once in a row.  An answer that the
- * timeout cut off says nothing about the nodes.
+ * Report a failed poll, but an error of the same kind only once in a row.  A
+ * response that the timeout of watch cut off is not a failure of the nodes.
  */
 static void
 report_poll_failure(struct watch *w, const struct client_response *resp)
@@ -114,7 +117,7 @@
 	client_request(w->ctl->client, &req, resp);
 }
 
-/* Whether the version was withdrawn: then the roll goes no further. */
+/* Whether the version was halted, which ends its roll. */
 static int
 is_halted(struct watch *w)
 {
@@ -132,7 +135,7 @@
 	return halted;
 }
 
-/* Ask once; the exit code when the watch ends with it, else -1. */
+/* Poll once; returns the exit code if the watch ends, else -1. */
 static int
 poll_once(struct watch *w)
 {
--- a/packages/ctl/test/fake_node.c
+++ b/packages/ctl/test/fake_node.c
@@ -1,5 +1,5 @@
 /*
- * A fake node, by CivetWeb.
+ * Fake node, based on CivetWeb.
  */
 #include <pthread.h>
 #include <stdio.h>
@@ -19,12 +19,15 @@
 	const struct fake_response *script;
 	int consumed[SCRIPT_MAX];
 	char address[32];
-	/* Not GMutex: ThreadSanitizer can't see into GLib. */
+	/* Not GMutex: ThreadSanitizer does not instrument GLib. */
 	pthread_mutex_t lock;
 	GString *requests;
 };
 
-/* The answer for a request; the last one that fits when all are used. */
+/*
+ * The first unused response for a request; when all are used, the last one that
+ * matches.
+ */
 static const struct fake_response *
 next_response(struct fake_node *f, const char *request)
 {
@@ -93,7 +96,7 @@
 		    abs(a->code), strlen(a->body), a->body);
 	g_free(line);
 	g_string_free(body, TRUE);
-	/* Any code above 0 says that the request was dealt with. */
+	/* For CivetWeb a value above 0 means that the request was handled. */
 	return 200;
 }
 
--- a/packages/ctl/test/fake_node.h
+++ b/packages/ctl/test/fake_node.h
@@ -1,5 +1,6 @@
 /*
- * A fake node: answers the administration API from a script.
+ * Fake node: an HTTP server that plays scripted responses of the
+ * administration API.
  */
 #ifndef CTL_TEST_FAKE_NODE_H
 #define CTL_TEST_FAKE_NODE_H
@@ -8,16 +9,16 @@
 
 struct fake_node;
 
-/* Code of an answer that comes FAKE_DELAY_MS late. */
+/* Code of a response that is delayed by FAKE_DELAY_MS. */
 #define FAKE_DELAYED(code) (-(code))
 #define FAKE_DELAY_MS 2000
 
 /**
- * struct fake_response - one answer of a script
- * @request: method and start of the path with query that it is for
+ * struct fake_response - one response of a script
+ * @request: method and path prefix of the requests it applies to
  * @code: HTTP status, or FAKE_DELAYED() of one; 0 closes the connection without
- *	an answer
- * @body: body
+ *	a response
+ * @body: body of the response
  */
 struct fake_response {
 	const char *request;
@@ -29,10 +30,10 @@
 struct fake_node *fake_node_new(void);
 
 /**
- * fake_node_set_script() - take a script, and forget what came before
+ * fake_node_set_script() - set the script and clear the recorded requests
  * @f: the fake node
- * @script: answers, ended by one without request.  Each is given once and in
- *	order; the last one for a request is given from then on.
+ * @script: responses, terminated by an entry without a request.  Each is sent
+ *	once, in order; the last match for a request is then repeated.
  */
 void
 fake_node_set_script(struct fake_node *f, const struct fake_response *script);
@@ -40,13 +41,13 @@
 /** fake_node_free() - stop a fake node; NULL is allowed */
 void fake_node_free(struct fake_node *f);
 
-/** fake_node_address() - its "ip:port" */
+/** fake_node_address() - "ip:port" of a fake node */
 const char *fake_node_address(const struct fake_node *f);
 
 /**
- * fake_node_requests() - requests that came, one a line, with body
+ * fake_node_requests() - requests received so far, one per line, with body
  *
- * Return: a text that the caller frees with g_free().
+ * Return: a string; free with g_free().
  */
 char *fake_node_requests(struct fake_node *f);
 
--- a/packages/ctl/test/test_ctl.c
+++ b/packages/ctl/test/test_ctl.c
@@ -1,5 +1,6 @@
 /*
- * bramleyctl against fake nodes: exit codes, words, and what is sent.
+ * Tests of bramleyctl against fake nodes: exit codes, output and the requests
+ * sent.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,10 +17,10 @@
 
 #define ARGS_MAX 24
 
-/* Where nobody listens. */
+/* An address without a listener. */
 #define UNUSED_ADDR "127.0.0.1:1"
 
-/* What a run printed. */
+/* Exit code and output of one invocation. */
 struct ctl_output {
 	int code;
 	char *out;
@@ -28,7 +29,8 @@
 	size_t err_len;
 };
 
-/* Run the command line @args; "@" stands for the fake node's address. */
+/* Execute the command line @args; "@" is replaced by the fake node's address.
+ */
 static struct ctl_output
 run_ctl(const struct fake_node *f, const char *args)
 {
@@ -63,7 +65,7 @@
 	ck_assert_msg(strstr((text), (part)) != NULL, "\"%s\" lacks \"%s\"", \
 	    (text), (part))
 
-/* A bundle file of this process; remove it in the end. */
+/* Create a bundle file; the caller removes it. */
 static char *
 bundle_path(void)
 {
@@ -75,7 +77,7 @@
 	return path;
 }
 
-/* Command lines that never reach a node: exit code, and words of the error. */
+/* Command lines that never reach a node: exit code and part of the error. */
 struct usage_row {
 	const char *args;
 	int code;
@@ -165,8 +167,8 @@
 	"\"version\":" version ",\"in_force\":" in_force "}}"
 
 /*
- * A command against a script: the exit code, words of its output and of its
- * errors, and words of the requests.  "$" is a bundle file.
+ * A command against a script: exit code, and substrings of its output, of its
+ * errors and of the requests it sent.  "$" is replaced by a bundle file.
  */
 struct run_row {
 	const char *args;
@@ -244,7 +246,7 @@
     {"--node @ sign-off $ --op o1",
 	{{"POST /v1/versions", 503, ERROR("overloaded")}},
 	EXIT_CODE_UNAVAILABLE, "", "overloaded", ""},
-    /* A node's own word tells more than that the next one is away. */
+    /* A node's error takes precedence over an unreachable next node. */
     {"--node @ --node " UNUSED_ADDR " halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 503, ERROR("unavailable")}},
 	EXIT_CODE_UNAVAILABLE, "", "unavailable: What is wrong.", ""},
@@ -252,7 +254,7 @@
 	{{"POST /v1/versions/7/halt", 504, ERROR("timeout")},
 	    {"GET /v1/operations/o1", 200, DONE}},
 	EXIT_CODE_OK, "version: 7\n", "asking for operation o1", ""},
-    /* A lost answer is settled by the operation's id, never sent again. */
+    /* After a lost response the operation is queried, not sent again. */
     {"--node @ halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 0, ""},
 	    {"GET /v1/operations/o1", 503, ERROR("unavailable")},
@@ -354,13 +356,13 @@
 	"version 7: 3 of 5 nodes (grandahus 3/3, vallasalur 0/2 silent for "
 	"9 s)\nversion 7: 5 of 5 nodes",
 	"", ""},
-    /* Time for the first answer beside other work, with a sanitizer too. */
+    /* Long enough for the first response on a busy machine with sanitizers. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 1500",
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("7", "7")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "on 3 of 5 nodes at the timeout",
 	""},
-    /* An answer cut off by the timeout doesn't make the nodes unavailable. */
+    /* A response cut off by the timeout is not reported as unavailable. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 1500",
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
 	    {"GET /v1/versions/7", FAKE_DELAYED(200), PROGRESS("3", "0")},
@@ -371,12 +373,12 @@
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("7", "6")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "was halted", ""},
-    /* The node's head is behind: that is no halt. */
+    /* A node whose head lags behind does not mean that a halt occurred. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 200",
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("6", "6")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "at the timeout", ""},
-    /* A node that knows of nobody yet has not seen the roll end. */
+    /* Progress of 0 of 0 nodes is not convergence. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 200",
 	{{"GET /v1/versions/7", 200,
 	     "{\"progress\":{\"nodes\":0,\"holding\":0}}"},
@@ -392,13 +394,13 @@
 	"\"holding\":5,", "", ""},
     {"--node @ watch 7", {{"GET /v1/versions/7", 404, ERROR("not_found")}},
 	EXIT_CODE_NOT_FOUND, "", "not_found", ""},
-    /* The first node is away: the next one is asked. */
+    /* The first node is unreachable: the request goes to the next one. */
     {"--node " UNUSED_ADDR " --node @ halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 200, DONE}}, EXIT_CODE_OK, "version: 7\n",
 	"", ""},
 };
 
-/* How often a change was sent. */
+/* Number of changes among the recorded requests. */
 static int
 changes_sent(const char *requests)
 {
@@ -434,7 +436,7 @@
 	g_strfreev(parts);
 }
 
-/* No time left is no licence to wait for ever. */
+/* A deadline in the past must end the request, not disable its timeout. */
 static void
 expired_deadline_ends_request(struct fake_node *f)
 {
@@ -472,7 +474,7 @@
 }
 END_TEST
 
-/* Two nodes: what the first one's answer means for the second. */
+/* Two nodes: how the response of the first decides about the second. */
 struct failover_row {
 	const char *args;
 	struct fake_response first[2];
@@ -483,16 +485,17 @@
 };
 
 static const struct failover_row failover_rows[] = {
-    /* Nothing was done there, so the next node may do it. */
+    /* The first node executed nothing, so the next one may be sent the change.
+     */
     {"halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 503, ERROR("unavailable")}},
 	{{"POST /v1/versions/7/halt", 200, DONE}}, EXIT_CODE_OK, 1, 1},
-    /* It may have been done there, so the next one is only asked. */
+    /* The first node may have executed it, so the next one is only queried. */
     {"halt 7 --op o1", {{"POST /v1/versions/7/halt", 0, ""}},
 	{{"GET /v1/operations/o1", 200, DONE}}, EXIT_CODE_OK, 1, 0},
     {"status", {{"GET /v1/status", 0, ""}},
 	{{"GET /v1/status", 200, HEAD("7", "7")}}, EXIT_CODE_OK, 1, 0},
-    /* A conflict is an answer. */
+    /* A conflict is final. */
     {"halt 7 --op o1", {{"POST /v1/versions/7/halt", 409, ERROR("conflict")}},
 	{{"POST /v1/versions/7/halt", 200, DONE}}, EXIT_CODE_CONFLICT, 0, 0},
 };
