--- a/packages/ctl/src/change.c
+++ b/packages/ctl/src/change.c
@@ -103,7 +103,7 @@
 	after_seq =
 	    json_integer_value(json_object_get(resp->json, "after_seq"));
 	(void)fprintf(ctl->err,
-	    "The outcome is not known yet; asking for operation %s.\n",
+	    "The outcome is not known yet; querying operation %s.\n",
 	    ctl->options->op);
 	while (!query_outcome(ctl, after_seq, resp)) {
 		if (clock_left_ms(ctl->deadline_ms, clock_now_ms()) <=
@@ -118,7 +118,7 @@
 report_not_executed(struct ctl *ctl)
 {
 	return report_error(ctl, EXIT_CODE_UNAVAILABLE, "unavailable",
-	    "The operation was not done.", "Repeat the command.");
+	    "The operation was not executed.", "Repeat the command.");
 }
 
 /* Report kind "unknown", whatever the error kind of the response. */
@@ -193,7 +193,7 @@
 
 	if (version == 0) {
 		(void)report_error(ctl, EXIT_CODE_USAGE, "usage",
-		    "A version is a number from 1 up.",
+		    "A version must be a positive integer.",
 		    "List the versions with bramleyctl history.");
 		return NULL;
 	}
--- a/packages/ctl/src/client.c
+++ b/packages/ctl/src/client.c
@@ -121,8 +121,9 @@
 		return;
 	json_decref(resp->json);
 	resp->json = error_json_new("unavailable",
-	    "Check that --node names the admin_port of a node.",
-	    "%s answered with status %ld and no JSON.", node, resp->code);
+	    "Check that --node specifies the admin_port of a node.",
+	    "%s sent a response with status %ld that is not JSON.", node,
+	    resp->code);
 	resp->code = 0;
 	resp->outcome = CLIENT_NO_RESPONSE;
 }
@@ -136,12 +137,15 @@
 	    may_have_been_sent(curl) ? CLIENT_NO_RESPONSE : CLIENT_UNREACHABLE;
 	if (resp->outcome == CLIENT_UNREACHABLE)
 		resp->json = error_json_new("unavailable",
-		    "Check that the node runs, or name another one by --node.",
+		    "Check that the node is running, or specify another one "
+		    "with --node.",
 		    "%s can't be reached: %s.", node, why);
 	else
 		resp->json = error_json_new("unavailable",
-		    "Ask again, or name another node by --node.",
-		    "%s took the request, but no answer came: %s.", node, why);
+		    "Try again, or specify another node with --node.",
+		    "%s may have received the request but sent no response: "
+		    "%s.",
+		    node, why);
 }
 
 /*
--- a/packages/ctl/src/options.c
+++ b/packages/ctl/src/options.c
@@ -16,10 +16,10 @@
 #define OP_CHARACTERS \
 	"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_."
 
-#define EXIT_CODES_HELP                                                   \
-	"Exit codes: 0 done, 1 internal, 2 usage, 3 invalid bundle or "   \
-	"request,\n4 conflict (tells who won), 5 unavailable, 6 unknown " \
-	"outcome (tells how to\nsettle it), 7 not converged before the "  \
+#define EXIT_CODES_HELP                                                       \
+	"Exit codes: 0 done, 1 internal, 2 usage, 3 invalid bundle or "       \
+	"request,\n4 conflict (prints the winner), 5 unavailable, 6 unknown " \
+	"outcome (prints how to\nsettle it), 7 not converged before the "     \
 	"timeout, 8 not found.\n"
 
 /* Options that GLib's parser stores and struct options does not hold. */
@@ -76,35 +76,33 @@
 {
 	const GOptionEntry entries[] = {
 	    {"node", 'n', 0, G_OPTION_ARG_STRING_ARRAY, &raw->nodes,
-		"Administration address of a node; repeat it for nodes to "
-		"try next",
+		"Administration address of a node; repeat for nodes to "
+		"fall back to",
 		"IP:PORT"},
 	    {"json", 'j', 0, G_OPTION_ARG_NONE, &o->json,
-		"Print answers as lines of JSON", NULL},
+		"Print results as lines of JSON", NULL},
 	    {"timeout-ms", 't', 0, G_OPTION_ARG_INT64, &o->timeout_ms,
-		"Longest time that the command takes (20000; watch 60000)",
-		"MS"},
+		"Timeout of the command (20000; watch 60000)", "MS"},
 	    {"operator", 0, 0, G_OPTION_ARG_STRING, &o->operator_name,
-		"Who asks (the login name)", "NAME"},
+		"Name of the operator (the login name)", "NAME"},
 	    {"op", 0, 0, G_OPTION_ARG_STRING, &o->op,
-		"Id of the operation (made up); the same id never runs twice",
+		"Operation id (generated); an id is never executed twice",
 		"ID"},
 	    {"note", 0, 0, G_OPTION_ARG_STRING, &o->note, "Why", "TEXT"},
 	    {"parent", 0, 0, G_OPTION_ARG_INT64, &o->parent,
-		"Newest version that you have seen; another one is a conflict",
-		"VERSION"},
+		"Expected newest version; any other is a conflict", "VERSION"},
 	    {"race-retries", 0, 0, G_OPTION_ARG_INT64, &o->race_retries,
-		"Without --parent: new tries after a lost race", "N"},
+		"Without --parent: retries after a lost race", "N"},
 	    {"limit", 0, 0, G_OPTION_ARG_INT64, &o->limit,
-		"Number of versions listed", "N"},
+		"Maximum number of versions to list", "N"},
 	    {"after-seq", 0, 0, G_OPTION_ARG_INT64, &o->after_seq,
-		"Number told with an unknown outcome", "SEQ"},
+		"Value printed with an unknown outcome", "SEQ"},
 	    {"interval-ms", 0, 0, G_OPTION_ARG_INT64, &o->interval_ms,
-		"Time between two questions of watch (500)", "MS"},
+		"Polling interval of watch (500)", "MS"},
 	    {"help", 'h', 0, G_OPTION_ARG_NONE, &raw->help, "Print this help",
 		NULL},
 	    {"version", 'V', 0, G_OPTION_ARG_NONE, &raw->version,
-		"Print the release", NULL},
+		"Print the version of bramleyctl", NULL},
 	    {0},
 	};
 	GOptionContext *ctx = g_option_context_new("COMMAND [OPERAND...]");
@@ -135,7 +133,7 @@
 	uint32_t i;
 
 	if (nodes == NULL) {
-		usage_error(err, "No node is given; add --node IP:PORT.");
+		usage_error(err, "No node was specified; add --node IP:PORT.");
 		return EXIT_CODE_USAGE;
 	}
 	for (i = 0; nodes[i] != NULL; i++) {
@@ -155,13 +153,13 @@
 	const char *suggestion;
 
 	if (argc < 2) {
-		usage_error(err, "No command is given.");
+		usage_error(err, "No command was specified.");
 		return EXIT_CODE_USAGE;
 	}
 	cmd = command_find(argv[1]);
 	if (cmd == NULL) {
 		suggestion = command_nearest(argv[1]);
-		usage_error(err, "\"%s\" is no command%s%s%s.", argv[1],
+		usage_error(err, "\"%s\" is not a command%s%s%s.", argv[1],
 		    suggestion != NULL ? "; did you mean " : "",
 		    suggestion != NULL ? suggestion : "",
 		    suggestion != NULL ? "?" : "");
@@ -173,7 +171,7 @@
 	if (o->n_operands >= cmd->min_operands &&
 	    o->n_operands <= cmd->max_operands)
 		return -1;
-	usage_error(err, "Write it as: %s %s.", cmd->name, cmd->operands);
+	usage_error(err, "Usage: %s %s.", cmd->name, cmd->operands);
 	return EXIT_CODE_USAGE;
 }
 
@@ -203,7 +201,7 @@
 		if (!rules[i].is_given ||
 		    (o->command->option_groups & rules[i].group) != 0)
 			continue;
-		usage_error(err, "%s is no option of %s.", rules[i].name,
+		usage_error(err, "%s is not an option of %s.", rules[i].name,
 		    o->command->name);
 		return EXIT_CODE_USAGE;
 	}
@@ -215,7 +213,7 @@
 {
 	if (text == NULL || (strlen(text) > 0 && strlen(text) <= max))
 		return -1;
-	usage_error(err, "%s takes 1 to %zu bytes of text.", name, max);
+	usage_error(err, "%s must be 1 to %zu bytes long.", name, max);
 	return EXIT_CODE_USAGE;
 }
 
@@ -224,8 +222,8 @@
 {
 	if (v == OPTION_UNSET || v >= min)
 		return -1;
-	usage_error(
-	    err, "%s takes a number from %lld up.", name, (long long)min);
+	usage_error(err, "%s must be an integer of at least %lld.", name,
+	    (long long)min);
 	return EXIT_CODE_USAGE;
 }
 
@@ -243,14 +241,15 @@
 	    check_number("--interval-ms", o->interval_ms, 1, err) >= 0)
 		return EXIT_CODE_USAGE;
 	if (o->op != NULL && strspn(o->op, OP_CHARACTERS) != strlen(o->op)) {
-		usage_error(
-		    err, "--op takes A-Z, a-z, 0-9, \"-\", \"_\" and \".\".");
+		usage_error(err,
+		    "--op may contain only A-Z, a-z, 0-9, \"-\", \"_\" and "
+		    "\".\".");
 		return EXIT_CODE_USAGE;
 	}
 	if (o->timeout_ms != OPTION_UNSET &&
 	    (o->timeout_ms < 1 || o->timeout_ms > TIMEOUT_MAX_MS)) {
-		usage_error(
-		    err, "--timeout-ms takes 1 to %lld.", TIMEOUT_MAX_MS);
+		usage_error(err, "--timeout-ms must be from 1 to %lld.",
+		    TIMEOUT_MAX_MS);
 		return EXIT_CODE_USAGE;
 	}
 	return -1;
--- a/packages/ctl/src/report.c
+++ b/packages/ctl/src/report.c
@@ -102,8 +102,9 @@
 			print_field(ctl, names[i], v);
 	}
 	if (json_is_true(json_object_get(json, "repeated")))
-		(void)fputs(
-		    "It was done before by this operation.\n", ctl->out);
+		(void)fputs("It was already executed by an earlier request "
+			    "with this id.\n",
+		    ctl->out);
 	print_warnings(ctl, json);
 }
 
--- a/packages/ctl/src/watch.c
+++ b/packages/ctl/src/watch.c
@@ -184,7 +184,7 @@
 report_halted(struct watch *w)
 {
 	return report_error(w->ctl, EXIT_CODE_NOT_CONVERGED, "not_converged",
-	    "The version was halted and goes no further.",
+	    "The version was halted and is not applied to further nodes.",
 	    "Sign a corrected version off; bramleyctl status shows what is "
 	    "in force.");
 }
@@ -216,7 +216,7 @@
 	w.version = options_version(ctl->options->operands[0]);
 	if (w.version == 0)
 		return report_error(ctl, EXIT_CODE_USAGE, "usage",
-		    "A version is a number from 1 up.",
+		    "A version must be a positive integer.",
 		    "List the versions with bramleyctl history.");
 	if (interval_ms == OPTION_UNSET)
 		interval_ms = WATCH_POLL_INTERVAL_MS;
