--- a/packages/standins/include/standins/announcer.h
+++ b/packages/standins/include/standins/announcer.h
@@ -42,7 +42,7 @@
  * announcer_start() - announce ANNOUNCE_STARTING and go on renewing
  * @o: options; strings are copied
  *
- * A node that does not answer is tried again until announcer_leave().
+ * A node that does not answer is tried again until announcer_withdraw().
  * Return: the announcer, which has a thread of its own.
  */
 struct announcer *announcer_start(const struct announcer_options *o);
@@ -62,7 +62,7 @@
 /** announcer_pause() - stop (1) or go on (0) renewing, so that leases lapse */
 void announcer_pause(struct announcer *a, int paused);
 
-/** announcer_leave() - withdraw the announcement, stop and free */
-void announcer_leave(struct announcer *a);
+/** announcer_withdraw() - withdraw the announcement, stop and free */
+void announcer_withdraw(struct announcer *a);
 
 #endif
--- a/packages/standins/include/standins/pattern.h
+++ b/packages/standins/include/standins/pattern.h
@@ -12,7 +12,7 @@
 /** struct pattern - place in a stream; seed 0, place 0 is its start */
 struct pattern {
 	uint64_t seed;
-	uint64_t at_bytes;
+	uint64_t offset_bytes;
 };
 
 /** pattern_seed() - seed for a test id */
--- a/packages/standins/include/standins/rate.h
+++ b/packages/standins/include/standins/rate.h
@@ -9,13 +9,13 @@
 /**
  * struct rate - a token bucket that holds one second's worth
  * @per_s: tokens that come in a second
- * @tokens_us: tokens held, times 1,000,000
- * @filled_us: monotonic time of the last filling
+ * @microtokens: tokens held, times 1,000,000
+ * @refilled_us: monotonic time of the last filling
  */
 struct rate {
 	uint32_t per_s;
-	uint64_t tokens_us;
-	uint64_t filled_us;
+	uint64_t microtokens;
+	uint64_t refilled_us;
 };
 
 /** rate_set() - set the rate and fill the bucket */
--- a/packages/standins/include/standins/reply.h
+++ b/packages/standins/include/standins/reply.h
@@ -44,14 +44,14 @@
 GString *reply_line(const struct reply *r);
 
 /**
- * struct reply_want - what a caller expects of its answer
+ * struct reply_expected - what a caller expects of its answer
  * @test_id: its test id
  * @key: its key or ""; the answer to another call with it is its own too
  * @body_bytes: length of the body that it sent
  * @body_hash: its XXH64
  * @pad_bytes: number of pattern bytes that it asked for
  */
-struct reply_want {
+struct reply_expected {
 	const char *test_id;
 	const char *key;
 	uint64_t body_bytes;
@@ -62,13 +62,13 @@
 /**
  * struct reply_reader - an answer being read
  * @line: the line so far
- * @line_done: whether its end was seen
+ * @line_complete: whether its end was seen
  * @pad_bytes: pattern bytes so far
  * @pad_hash: their hash so far
  */
 struct reply_reader {
 	GString *line;
-	int line_done;
+	int line_complete;
 	uint64_t pad_bytes;
 	XXH64_state_t *pad_hash;
 };
@@ -92,7 +92,7 @@
  *
  * Return: ANSWER_OK, ANSWER_NOT_OWN or ANSWER_NOT_WHOLE.
  */
-enum answer_check
-reply_reader_check(const struct reply_reader *r, const struct reply_want *w);
+enum answer_check reply_reader_check(
+    const struct reply_reader *r, const struct reply_expected *w);
 
 #endif
--- a/packages/standins/include/standins/rows.h
+++ b/packages/standins/include/standins/rows.h
@@ -31,11 +31,11 @@
 };
 
 /**
- * struct rows_answer - outcome of an operation
+ * struct rows_response - outcome of an operation
  * @code: HTTP status
  * @body: JSON answer; owned by the receiver
  */
-struct rows_answer {
+struct rows_response {
 	int code;
 	json_t *body;
 };
@@ -56,34 +56,34 @@
 enum rows_op rows_op_parse(const char *target);
 
 /**
- * rows_cost() - capacity that a request takes
+ * rows_capacity() - capacity that a request takes
  * @op: the operation
  * @req: the request
  *
  * Return: the number of rows it reads or writes, at least 1.
  */
-uint32_t rows_cost(enum rows_op op, const json_t *req);
+uint32_t rows_capacity(enum rows_op op, const json_t *req);
 
 /**
  * rows_apply() - run one request
  * @t: the table
  * @op: the operation
  * @req: the request; NULL when it was no JSON
- * @ans: where the answer goes
+ * @resp: where the answer goes
  *
  * A transaction takes effect whole or not at all.
  */
 void rows_apply(struct rows *t, enum rows_op op, const json_t *req,
-    struct rows_answer *ans);
+    struct rows_response *resp);
 
 /**
  * rows_error() - an error as the protocol publishes it
  * @code: HTTP status
  * @kind: name such as "ValidationException"
  * @message: text
- * @ans: where the answer goes
+ * @resp: where the answer goes
  */
-void rows_error(
-    int code, const char *kind, const char *message, struct rows_answer *ans);
+void rows_error(int code, const char *kind, const char *message,
+    struct rows_response *resp);
 
 #endif
--- a/packages/standins/include/standins/runs.h
+++ b/packages/standins/include/standins/runs.h
@@ -80,12 +80,12 @@
 uint64_t runs_of_key(const struct runs *r, const char *key);
 
 /**
- * runs_each_test_id() - call a function for each test id that was run
+ * runs_foreach_test_id() - call a function for each test id that was run
  * @r: the counts
  * @fn: the function
  * @arg: passed to @fn
  */
-void runs_each_test_id(const struct runs *r,
+void runs_foreach_test_id(const struct runs *r,
     void (*fn)(const char *test_id, uint64_t n, void *arg), void *arg);
 
 #endif
--- a/packages/standins/include/standins/schedule.h
+++ b/packages/standins/include/standins/schedule.h
@@ -47,11 +47,11 @@
 };
 
 /**
- * schedule_make() - work out a schedule
+ * schedule_new() - work out a schedule
  * @s: what to schedule
  *
  * Return: a new array of struct arrival in the order of time.
  */
-GArray *schedule_make(const struct schedule_spec *s);
+GArray *schedule_new(const struct schedule_spec *s);
 
 #endif
--- a/packages/standins/include/standins/web.h
+++ b/packages/standins/include/standins/web.h
@@ -47,12 +47,12 @@
 void web_stop(struct web_server *w);
 
 /**
- * web_nth() - number of the request on its connection
+ * web_request_number() - number of the request on its connection
  * @conn: the connection
  *
  * Return: 1 for the first request of a connection, 2 for the next, ...
  */
-uint32_t web_nth(const struct mg_connection *conn);
+uint32_t web_request_number(const struct mg_connection *conn);
 
 /**
  * web_read() - read the next piece of a request's body
@@ -66,10 +66,10 @@
 int web_read(struct mg_connection *conn, void *buf, size_t cap);
 
 /**
- * web_expect() - send "100 Continue" when the request asks for it
+ * web_send_continue() - send "100 Continue" when the request asks for it
  * @conn: the connection
  */
-void web_expect(struct mg_connection *conn);
+void web_send_continue(struct mg_connection *conn);
 
 /**
  * web_body() - read a whole body
@@ -83,7 +83,7 @@
 web_body(struct mg_connection *conn, size_t max_bytes, GByteArray *out);
 
 /**
- * web_answer() - send an answer with its body in one write
+ * web_respond() - send an answer with its body in one write
  * @conn: the connection
  * @code: HTTP status
  * @type: content type
@@ -91,19 +91,20 @@
  * @data: first byte of the body
  * @len: its length in bytes
  */
-void web_answer(struct mg_connection *conn, int code, const char *type,
+void web_respond(struct mg_connection *conn, int code, const char *type,
     const char *headers, const void *data, size_t len);
 
 /**
- * web_head() - send the start of an answer whose body follows by mg_write()
+ * web_respond_head() - send the start of an answer whose body follows by
+ * mg_write()
  * @conn: the connection
  * @type: content type
  * @len: length of the whole body in bytes
  * @data: first bytes of the body
  * @data_len: how many
  */
-void web_head(struct mg_connection *conn, const char *type, uint64_t len,
-    const void *data, size_t data_len);
+void web_respond_head(struct mg_connection *conn, const char *type,
+    uint64_t len, const void *data, size_t data_len);
 
 /**
  * web_answer_json() - send a JSON answer
@@ -123,8 +124,9 @@
  */
 void web_json_u32(const json_t *j, const char *name, uint32_t *out);
 
-/** web_drop() - end the request with no answer and close the connection */
-void web_drop(struct mg_connection *conn);
+/** web_drop_connection() - end the request with no answer and close the
+ * connection */
+void web_drop_connection(struct mg_connection *conn);
 
 /**
  * web_query_u64() - a number from the query string
--- a/packages/standins/src/announcer.c
+++ b/packages/standins/src/announcer.c
@@ -12,10 +12,10 @@
 #include "standins/announcer.h"
 
 #define ANNOUNCER_TIMEOUT_MS 2000L
-#define ANNOUNCER_AGAIN_MS 200
+#define ANNOUNCER_RETRY_MS 200
 #define ANNOUNCER_RENEWALS_PER_LEASE 3
-#define ANNOUNCER_OK_LEAST 200
-#define ANNOUNCER_OK_MOST 299
+#define HTTP_SUCCESS_MIN 200
+#define HTTP_SUCCESS_MAX 299
 
 struct announcer {
 	pthread_t thread;
@@ -23,9 +23,9 @@
 	pthread_cond_t changed;
 	enum announce_state state;
 	uint64_t state_seq; /* number of the state */
-	uint64_t taken_seq; /* last one that the node has taken */
+	uint64_t acked_seq; /* last one that the node has taken */
 	int paused;
-	int leaving;
+	int stopping;
 	char *url;
 	char *source;
 	uint16_t port;
@@ -42,7 +42,7 @@
 }
 
 static size_t
-announcer_ignore(char *data, size_t size, size_t n, void *arg)
+announcer_discard_body(char *data, size_t size, size_t n, void *arg)
 {
 	(void)data;
 	(void)arg;
@@ -62,14 +62,14 @@
 	curl_easy_setopt(c, CURLOPT_INTERFACE, a->source);
 	curl_easy_setopt(c, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, ANNOUNCER_TIMEOUT_MS);
-	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, announcer_ignore);
+	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, announcer_discard_body);
 	if (body != NULL)
 		curl_easy_setopt(c, CURLOPT_POSTFIELDS, body);
 	rc = curl_easy_perform(c);
 	curl_easy_getinfo(c, CURLINFO_RESPONSE_CODE, &code);
 	curl_easy_cleanup(c);
-	return rc == CURLE_OK && code >= ANNOUNCER_OK_LEAST &&
-	    code <= ANNOUNCER_OK_MOST;
+	return rc == CURLE_OK && code >= HTTP_SUCCESS_MIN &&
+	    code <= HTTP_SUCCESS_MAX;
 }
 
 static int
@@ -88,29 +88,29 @@
 announcer_wait(struct announcer *a, uint64_t wait_ms)
 {
 	struct timespec ts;
-	uint64_t until_ms = clock_now_ms() + wait_ms;
+	uint64_t deadline_ms = clock_now_ms() + wait_ms;
 
-	ts.tv_sec = (time_t)(until_ms / 1000);
-	ts.tv_nsec = (long)(until_ms % 1000) * 1000000L;
+	ts.tv_sec = (time_t)(deadline_ms / 1000);
+	ts.tv_nsec = (long)(deadline_ms % 1000) * 1000000L;
 	(void)pthread_cond_timedwait(&a->changed, &a->lock, &ts);
 }
 
 /* Announce once, called and left under the lock; how long to wait then. */
 static uint64_t
-announcer_round(struct announcer *a)
+announcer_announce(struct announcer *a)
 {
 	enum announce_state s = a->state;
-	int taken;
+	int acked;
 	uint64_t seq = a->state_seq;
 
 	if (a->paused)
 		return a->lease_ms;
 	pthread_mutex_unlock(&a->lock);
-	taken = announcer_put(a, s);
+	acked = announcer_put(a, s);
 	pthread_mutex_lock(&a->lock);
-	if (!taken)
-		return ANNOUNCER_AGAIN_MS;
-	a->taken_seq = seq;
+	if (!acked)
+		return ANNOUNCER_RETRY_MS;
+	a->acked_seq = seq;
 	pthread_cond_broadcast(&a->changed);
 	return a->lease_ms / ANNOUNCER_RENEWALS_PER_LEASE;
 }
@@ -122,10 +122,10 @@
 	uint64_t seq, wait_ms;
 
 	pthread_mutex_lock(&a->lock);
-	while (!a->leaving) {
+	while (!a->stopping) {
 		seq = a->state_seq;
-		wait_ms = announcer_round(a);
-		if (!a->leaving && seq == a->state_seq)
+		wait_ms = announcer_announce(a);
+		if (!a->stopping && seq == a->state_seq)
 			announcer_wait(a, wait_ms);
 	}
 	pthread_mutex_unlock(&a->lock);
@@ -158,18 +158,18 @@
 enum status
 announcer_set(struct announcer *a, enum announce_state s, uint32_t wait_ms)
 {
-	int taken;
-	uint64_t seq, until_ms = clock_now_ms() + wait_ms;
+	int acked;
+	uint64_t seq, deadline_ms = clock_now_ms() + wait_ms;
 
 	pthread_mutex_lock(&a->lock);
 	a->state = s;
 	seq = ++a->state_seq;
 	pthread_cond_broadcast(&a->changed);
-	while (a->taken_seq < seq && clock_now_ms() < until_ms)
-		announcer_wait(a, clock_left_ms(until_ms, clock_now_ms()));
-	taken = a->taken_seq >= seq;
+	while (a->acked_seq < seq && clock_now_ms() < deadline_ms)
+		announcer_wait(a, clock_left_ms(deadline_ms, clock_now_ms()));
+	acked = a->acked_seq >= seq;
 	pthread_mutex_unlock(&a->lock);
-	return taken ? STATUS_OK
+	return acked ? STATUS_OK
 		     : status_set(STATUS_TIMEOUT,
 			   "the node has not taken the state; it is still "
 			   "being announced.");
@@ -186,12 +186,12 @@
 }
 
 void
-announcer_leave(struct announcer *a)
+announcer_withdraw(struct announcer *a)
 {
 	if (a == NULL)
 		return;
 	pthread_mutex_lock(&a->lock);
-	a->leaving = 1;
+	a->stopping = 1;
 	pthread_cond_broadcast(&a->changed);
 	pthread_mutex_unlock(&a->lock);
 	pthread_join(a->thread, NULL);
--- a/packages/standins/src/load.c
+++ b/packages/standins/src/load.c
@@ -10,17 +10,17 @@
 #include "load_defs.h"
 
 /* Time for all threads to start before the first call. */
-#define LOAD_LEAD_US 20000
+#define LOAD_START_DELAY_US 20000
 
 static void *
-load_thread(void *arg)
+run_worker(void *arg)
 {
 	load_worker_run(arg);
 	return NULL;
 }
 
 static void
-load_raise_file_limit(void)
+raise_open_files_limit(void)
 {
 	struct rlimit r;
 
@@ -37,15 +37,15 @@
 	pthread_t *threads = g_new0(pthread_t, o->threads);
 	struct load_worker **workers = g_new0(struct load_worker *, o->threads);
 	uint32_t i;
-	uint64_t start_us = clock_now_us() + LOAD_LEAD_US;
+	uint64_t start_us = clock_now_us() + LOAD_START_DELAY_US;
 
-	load_raise_file_limit();
+	raise_open_files_limit();
 	out->outcomes = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	out->late_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	out->no_retry_after = 0;
 	for (i = 0; i < o->threads; i++) {
 		workers[i] = load_worker_new(o, schedule, i, start_us);
-		pthread_create(&threads[i], NULL, load_thread, workers[i]);
+		pthread_create(&threads[i], NULL, run_worker, workers[i]);
 	}
 	for (i = 0; i < o->threads; i++) {
 		pthread_join(threads[i], NULL);
--- a/packages/standins/src/load_call.c
+++ b/packages/standins/src/load_call.c
@@ -8,14 +8,14 @@
 
 #include "load_defs.h"
 
-#define CALL_STATUS_OK 200
-#define CALL_STATUS_UNAVAILABLE 503
+#define HTTP_OK 200
+#define HTTP_SERVICE_UNAVAILABLE 503
 
 static size_t
-call_send_body(char *buf, size_t size, size_t n, void *arg)
+call_read_body(char *buf, size_t size, size_t n, void *arg)
 {
 	struct load_call *c = arg;
-	uint64_t left = c->body_bytes - c->body.at_bytes;
+	uint64_t left = c->body_bytes - c->body.offset_bytes;
 	size_t len = (size_t)MIN(left, size * n);
 
 	pattern_fill(&c->body, buf, len);
@@ -23,7 +23,7 @@
 }
 
 static size_t
-call_take_body(char *data, size_t size, size_t n, void *arg)
+call_on_body(char *data, size_t size, size_t n, void *arg)
 {
 	struct load_call *c = arg;
 
@@ -61,7 +61,7 @@
 }
 
 static size_t
-call_take_header(char *line, size_t size, size_t n, void *arg)
+call_on_header(char *line, size_t size, size_t n, void *arg)
 {
 	const char *v;
 	struct load_call *c = arg;
@@ -87,11 +87,11 @@
 	curl_easy_setopt(e, CURLOPT_PRIVATE, c);
 	curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, (long)o->timeout_ms);
-	curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, call_take_body);
+	curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, call_on_body);
 	curl_easy_setopt(e, CURLOPT_WRITEDATA, c);
-	curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, call_take_header);
+	curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, call_on_header);
 	curl_easy_setopt(e, CURLOPT_HEADERDATA, c);
-	curl_easy_setopt(e, CURLOPT_READFUNCTION, call_send_body);
+	curl_easy_setopt(e, CURLOPT_READFUNCTION, call_read_body);
 	curl_easy_setopt(e, CURLOPT_READDATA, c);
 	if (o->from != NULL)
 		curl_easy_setopt(e, CURLOPT_INTERFACE, o->from);
@@ -108,7 +108,7 @@
 }
 
 static void
-call_header(struct load_call *c, const char *name, const char *value)
+call_append_header(struct load_call *c, const char *name, const char *value)
 {
 	char *line = g_strdup_printf("%s: %s", name, value);
 
@@ -117,25 +117,25 @@
 }
 
 static void
-call_headers(struct load_call *c)
+call_set_headers(struct load_call *c)
 {
 	char text[16];
 
 	curl_slist_free_all(c->headers);
 	c->headers = NULL;
-	call_header(c, "X-Test-Id", c->outcome.test_id);
+	call_append_header(c, "X-Test-Id", c->outcome.test_id);
 	if (c->outcome.key[0] != '\0')
-		call_header(c, "Idempotency-Key", c->outcome.key);
+		call_append_header(c, "Idempotency-Key", c->outcome.key);
 	if (c->opt->deadline_ms > 0) {
 		(void)g_snprintf(text, sizeof(text), "%u", c->opt->deadline_ms);
-		call_header(c, "Bramley-Deadline-Ms", text);
+		call_append_header(c, "Bramley-Deadline-Ms", text);
 	}
 	c->headers = curl_slist_append(c->headers, "Expect:");
 	curl_easy_setopt(c->easy, CURLOPT_HTTPHEADER, c->headers);
 }
 
 static void
-call_url(struct load_call *c)
+call_set_url(struct load_call *c)
 {
 	char url[LOAD_URL_BYTES];
 	const char *path = c->opt->paths[c->outcome.kind];
@@ -163,25 +163,25 @@
 void
 load_call_prepare(struct load_call *c)
 {
-	long own = c->outcome.kind != CALL_LOOKUP;
+	long is_write = c->outcome.kind != CALL_LOOKUP;
 
 	c->fate = LOAD_FATE_ABSENT;
 	c->retry_after = 0;
-	c->body_bytes = own ? c->opt->body_bytes[c->outcome.kind] : 0;
+	c->body_bytes = is_write ? c->opt->body_bytes[c->outcome.kind] : 0;
 	c->body.seed = call_body_seed(c);
-	c->body.at_bytes = 0;
+	c->body.offset_bytes = 0;
 	reply_reader_reset(&c->reply);
-	call_url(c);
-	call_headers(c);
-	if (own) {
+	call_set_url(c);
+	call_set_headers(c);
+	if (is_write) {
 		curl_easy_setopt(c->easy, CURLOPT_POST, 1L);
 		curl_easy_setopt(c->easy, CURLOPT_POSTFIELDSIZE_LARGE,
 		    (curl_off_t)c->body_bytes);
 	} else {
 		curl_easy_setopt(c->easy, CURLOPT_HTTPGET, 1L);
 	}
-	curl_easy_setopt(c->easy, CURLOPT_FRESH_CONNECT, own);
-	curl_easy_setopt(c->easy, CURLOPT_FORBID_REUSE, own);
+	curl_easy_setopt(c->easy, CURLOPT_FRESH_CONNECT, is_write);
+	curl_easy_setopt(c->easy, CURLOPT_FORBID_REUSE, is_write);
 }
 
 /*
@@ -198,16 +198,16 @@
 }
 
 static enum told
-told_by_upstream(const struct load_call *c)
+fate_from_upstream(const struct load_call *c)
 {
-	if (c->outcome.status == CALL_STATUS_UNAVAILABLE &&
+	if (c->outcome.status == HTTP_SERVICE_UNAVAILABLE &&
 	    c->fate == LOAD_FATE_NOT_RUN)
 		return TOLD_NOT_RUN;
 	return TOLD_DONE;
 }
 
 static enum told
-told_by_node(const struct load_call *c)
+fate_from_node(const struct load_call *c)
 {
 	switch (c->fate) {
 	case LOAD_FATE_DONE:
@@ -222,16 +222,16 @@
 }
 
 static enum answer_check
-call_check(const struct load_call *c)
+call_check_response(const struct load_call *c)
 {
 	const struct outcome *o = &c->outcome;
-	struct reply_want w = {o->test_id, o->key, c->body_bytes,
+	struct reply_expected w = {o->test_id, o->key, c->body_bytes,
 	    pattern_hash(c->body.seed, c->body_bytes),
 	    o->kind == CALL_LOOKUP ? c->opt->answer_bytes : 0};
 
 	if (!c->opt->direct && c->fate == LOAD_FATE_ABSENT)
 		return ANSWER_NO_FATE;
-	if (o->told != TOLD_DONE || o->status != CALL_STATUS_OK)
+	if (o->told != TOLD_DONE || o->status != HTTP_OK)
 		return ANSWER_NONE;
 	return reply_reader_check(&c->reply, &w);
 }
@@ -249,6 +249,6 @@
 		o->check = status == 0 ? ANSWER_NONE : ANSWER_CUT;
 		return;
 	}
-	o->told = c->opt->direct ? told_by_upstream(c) : told_by_node(c);
-	o->check = call_check(c);
+	o->told = c->opt->direct ? fate_from_upstream(c) : fate_from_node(c);
+	o->check = call_check_response(c);
 }
--- a/packages/standins/src/load_worker.c
+++ b/packages/standins/src/load_worker.c
@@ -14,8 +14,8 @@
 #include "base/clock.h"
 #include "load_defs.h"
 
-#define WORKER_EVENTS 64
-#define WORKER_STATUS_UNAVAILABLE 503
+#define WORKER_EVENTS_MAX 64
+#define HTTP_SERVICE_UNAVAILABLE 503
 
 struct load_worker {
 	const struct load_options *opt;
@@ -24,10 +24,10 @@
 	uint64_t start_us;
 	CURLM *multi;
 	int epoll_fd;
-	int arrival_fd; /* timer of the next arrival */
-	int curl_fd;	/* timer of libcurl */
+	int arrival_timer_fd; /* timer of the next arrival */
+	int curl_timer_fd;    /* timer of libcurl */
 	uint32_t in_flight;
-	GPtrArray *idle; /* calls to be used again */
+	GPtrArray *idle_calls; /* calls to be used again */
 	GArray *outcomes;
 	GArray *late_us;
 	uint64_t no_retry_after;
@@ -35,7 +35,7 @@
 
 /* Let a timer fire once at a monotonic time; 0 stops it. */
 static void
-timer_set_us(int fd, uint64_t at_us)
+timer_arm(int fd, uint64_t at_us)
 {
 	struct itimerspec t;
 
@@ -56,24 +56,26 @@
 	(void)epoll_ctl(w->epoll_fd, op, fd, &ev);
 }
 
-/* libcurl: watch a socket; @known is set once it is in the epoll set. */
+/* libcurl: watch a socket; @registered is set once it is in the epoll set. */
 static int
-worker_on_socket(CURL *easy, curl_socket_t fd, int what, void *arg, void *known)
+worker_on_socket(
+    CURL *easy, curl_socket_t fd, int poll_events, void *arg, void *registered)
 {
 	struct load_worker *w = arg;
 	uint32_t events = 0;
 
 	(void)easy;
-	if (what == CURL_POLL_REMOVE) {
+	if (poll_events == CURL_POLL_REMOVE) {
 		epoll_set(w, EPOLL_CTL_DEL, fd, 0);
 		curl_multi_assign(w->multi, fd, NULL);
 		return 0;
 	}
-	if (what & CURL_POLL_IN)
+	if (poll_events & CURL_POLL_IN)
 		events |= EPOLLIN;
-	if (what & CURL_POLL_OUT)
+	if (poll_events & CURL_POLL_OUT)
 		events |= EPOLLOUT;
-	epoll_set(w, known == NULL ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, fd, events);
+	epoll_set(
+	    w, registered == NULL ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, fd, events);
 	curl_multi_assign(w->multi, fd, w);
 	return 0;
 }
@@ -85,15 +87,15 @@
 
 	(void)multi;
 	if (timeout_ms < 0)
-		timer_set_us(w->curl_fd, 0);
+		timer_arm(w->curl_timer_fd, 0);
 	else
-		timer_set_us(
-		    w->curl_fd, clock_now_us() + (uint64_t)timeout_ms * 1000);
+		timer_arm(w->curl_timer_fd,
+		    clock_now_us() + (uint64_t)timeout_ms * 1000);
 	return 0;
 }
 
 static int
-timer_new(const struct load_worker *w)
+timer_create_fd(const struct load_worker *w)
 {
 	int fd = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
 
@@ -113,9 +115,9 @@
 	w->start_us = start_us;
 	w->multi = curl_multi_init();
 	w->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
-	w->arrival_fd = timer_new(w);
-	w->curl_fd = timer_new(w);
-	w->idle = g_ptr_array_new();
+	w->arrival_timer_fd = timer_create_fd(w);
+	w->curl_timer_fd = timer_create_fd(w);
+	w->idle_calls = g_ptr_array_new();
 	w->outcomes = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	w->late_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	curl_multi_setopt(w->multi, CURLMOPT_SOCKETFUNCTION, worker_on_socket);
@@ -127,10 +129,11 @@
 }
 
 static struct load_call *
-worker_call(struct load_worker *w)
+worker_get_call(struct load_worker *w)
 {
-	if (w->idle->len > 0)
-		return g_ptr_array_steal_index_fast(w->idle, w->idle->len - 1);
+	if (w->idle_calls->len > 0)
+		return g_ptr_array_steal_index_fast(
+		    w->idle_calls, w->idle_calls->len - 1);
 	return load_call_new(w->opt);
 }
 
@@ -145,7 +148,7 @@
 static void
 worker_start(struct load_worker *w, const struct arrival *a, guint index)
 {
-	struct load_call *c = worker_call(w);
+	struct load_call *c = worker_get_call(w);
 	struct outcome *o = &c->outcome;
 	uint64_t late_us = clock_now_us() - w->start_us - a->at_us;
 
@@ -165,14 +168,14 @@
 
 /* Start every call whose time has come; set the timer for the next. */
 static void
-worker_arrivals(struct load_worker *w)
+worker_start_due_calls(struct load_worker *w)
 {
 	const struct arrival *a;
 
 	while (w->next < w->schedule->len) {
 		a = &g_array_index(w->schedule, struct arrival, w->next);
 		if (w->start_us + a->at_us > clock_now_us()) {
-			timer_set_us(w->arrival_fd, w->start_us + a->at_us);
+			timer_arm(w->arrival_timer_fd, w->start_us + a->at_us);
 			return;
 		}
 		worker_start(w, a, w->next);
@@ -197,7 +200,7 @@
 }
 
 static void
-worker_done(struct load_worker *w, CURL *easy, CURLcode rc)
+worker_complete_call(struct load_worker *w, CURL *easy, CURLcode rc)
 {
 	struct load_call *c;
 	struct outcome *o;
@@ -209,35 +212,37 @@
 	curl_multi_remove_handle(w->multi, easy);
 	w->in_flight--;
 	g_array_append_vals(w->outcomes, o, 1);
-	if (o->status == WORKER_STATUS_UNAVAILABLE && !c->retry_after)
+	if (o->status == HTTP_SERVICE_UNAVAILABLE && !c->retry_after)
 		w->no_retry_after++;
 	if (!worker_repeat(w, c))
-		g_ptr_array_add(w->idle, c);
+		g_ptr_array_add(w->idle_calls, c);
 }
 
 static void
-worker_finished(struct load_worker *w)
+worker_handle_completions(struct load_worker *w)
 {
 	CURLMsg *m;
-	int left;
+	int messages_left;
 
-	while ((m = curl_multi_info_read(w->multi, &left)) != NULL)
+	while ((m = curl_multi_info_read(w->multi, &messages_left)) != NULL)
 		if (m->msg == CURLMSG_DONE)
-			worker_done(w, m->easy_handle, m->data.result);
+			worker_complete_call(w, m->easy_handle, m->data.result);
 }
 
 static void
-worker_event(struct load_worker *w, const struct epoll_event *ev)
+worker_handle_event(struct load_worker *w, const struct epoll_event *ev)
 {
 	int flags = 0, running;
-	uint64_t fired;
+	uint64_t expirations;
 
-	if (ev->data.fd == w->arrival_fd) {
-		(void)!read(w->arrival_fd, &fired, sizeof(fired));
+	if (ev->data.fd == w->arrival_timer_fd) {
+		(void)!read(
+		    w->arrival_timer_fd, &expirations, sizeof(expirations));
 		return;
 	}
-	if (ev->data.fd == w->curl_fd) {
-		(void)!read(w->curl_fd, &fired, sizeof(fired));
+	if (ev->data.fd == w->curl_timer_fd) {
+		(void)!read(
+		    w->curl_timer_fd, &expirations, sizeof(expirations));
 		curl_multi_socket_action(
 		    w->multi, CURL_SOCKET_TIMEOUT, 0, &running);
 		return;
@@ -255,18 +260,18 @@
 load_worker_run(struct load_worker *w)
 {
 	int i, n;
-	struct epoll_event events[WORKER_EVENTS];
+	struct epoll_event events[WORKER_EVENTS_MAX];
 
 	for (;;) {
-		worker_arrivals(w);
+		worker_start_due_calls(w);
 		if (w->in_flight == 0 && w->next >= w->schedule->len)
 			break;
-		n = epoll_wait(w->epoll_fd, events, WORKER_EVENTS, -1);
+		n = epoll_wait(w->epoll_fd, events, WORKER_EVENTS_MAX, -1);
 		for (i = 0; i < n; i++) {
-			worker_event(w, &events[i]);
-			worker_arrivals(w);
+			worker_handle_event(w, &events[i]);
+			worker_start_due_calls(w);
 		}
-		worker_finished(w);
+		worker_handle_completions(w);
 	}
 }
 
@@ -278,14 +283,14 @@
 	g_array_append_vals(out->outcomes, w->outcomes->data, w->outcomes->len);
 	g_array_append_vals(out->late_us, w->late_us->data, w->late_us->len);
 	out->no_retry_after += w->no_retry_after;
-	for (i = 0; i < w->idle->len; i++)
-		load_call_free(g_ptr_array_index(w->idle, i));
+	for (i = 0; i < w->idle_calls->len; i++)
+		load_call_free(g_ptr_array_index(w->idle_calls, i));
 	curl_multi_cleanup(w->multi);
-	g_ptr_array_unref(w->idle);
+	g_ptr_array_unref(w->idle_calls);
 	g_array_unref(w->outcomes);
 	g_array_unref(w->late_us);
-	(void)close(w->arrival_fd);
-	(void)close(w->curl_fd);
+	(void)close(w->arrival_timer_fd);
+	(void)close(w->curl_timer_fd);
 	(void)close(w->epoll_fd);
 	g_free(w);
 }
--- a/packages/standins/src/main_check.c
+++ b/packages/standins/src/main_check.c
@@ -17,21 +17,21 @@
 #define CHECK_TIMEOUT_MS 10000L
 
 static void
-fail(void)
+exit_with_error(void)
 {
 	(void)fprintf(stderr, "%s\n", status_message());
 	exit(CHECK_EXIT_USAGE);
 }
 
 static size_t
-append(char *data, size_t size, size_t n, void *arg)
+append_body(char *data, size_t size, size_t n, void *arg)
 {
 	g_string_append_len(arg, data, (gssize)(size * n));
 	return size * n;
 }
 
 static enum status
-ask_upstream(const char *upstream, struct runs *r)
+fetch_runs(const char *upstream, struct runs *r)
 {
 	char *url = g_strdup_printf("http://%s/standin/runs", upstream);
 	CURL *c = curl_easy_init();
@@ -42,7 +42,7 @@
 
 	curl_easy_setopt(c, CURLOPT_URL, url);
 	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, CHECK_TIMEOUT_MS);
-	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, append);
+	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, text);
 	rc = curl_easy_perform(c);
 	curl_easy_cleanup(c);
@@ -59,13 +59,13 @@
 }
 
 static void
-print_violations(const GArray *found)
+print_violations(const GArray *violations)
 {
 	const struct violation *v;
 	guint i;
 
-	for (i = 0; i < found->len; i++) {
-		v = &g_array_index(found, struct violation, i);
+	for (i = 0; i < violations->len; i++) {
+		v = &g_array_index(violations, struct violation, i);
 		(void)printf("violation %s: %s told %s, %lu runs\n",
 		    run_rule_name(v->rule), v->id, told_name(v->told),
 		    (unsigned long)v->runs);
@@ -85,28 +85,28 @@
 		"Upstream to ask what it ran; may be repeated", "IP:PORT"},
 	    G_OPTION_ENTRY_NULL};
 	GArray *calls = g_array_new(FALSE, FALSE, sizeof(struct outcome));
-	GArray *found;
+	GArray *violations;
 	guint n;
 	struct runs *r;
 
 	program_options(&argc, &argv, entries,
 	    "Holds what callers were told against what upstreams ran.");
 	if (runs_new("", NULL, &r) != STATUS_OK)
-		fail();
+		exit_with_error();
 	for (p = outcomes; p != NULL && *p != NULL; p++)
 		if (outcomes_read(*p, calls) != STATUS_OK)
-			fail();
+			exit_with_error();
 	for (p = journals; p != NULL && *p != NULL; p++)
 		if (runs_read_journal(r, *p) != STATUS_OK)
-			fail();
+			exit_with_error();
 	for (p = upstreams; p != NULL && *p != NULL; p++)
-		if (ask_upstream(*p, r) != STATUS_OK)
-			fail();
-	found = run_check(calls, r);
-	print_violations(found);
-	n = found->len;
+		if (fetch_runs(*p, r) != STATUS_OK)
+			exit_with_error();
+	violations = run_check(calls, r);
+	print_violations(violations);
+	n = violations->len;
 	(void)printf("%u calls, %u violations\n", calls->len, n);
-	g_array_unref(found);
+	g_array_unref(violations);
 	g_array_unref(calls);
 	runs_free(r);
 	g_strfreev(outcomes);
--- a/packages/standins/src/main_load.c
+++ b/packages/standins/src/main_load.c
@@ -51,7 +51,7 @@
 };
 
 static void
-arguments_read(int argc, char **argv, struct arguments *a)
+arguments_parse(int argc, char **argv, struct arguments *a)
 {
 	const GOptionEntry entries[] = {
 	    {"node", 0, 0, G_OPTION_ARG_STRING_ARRAY, &a->nodes,
@@ -114,7 +114,7 @@
 }
 
 static void
-arguments_complete(struct arguments *a)
+arguments_set_defaults(struct arguments *a)
 {
 	set_default(&a->mix, "80:15:5");
 	set_default(&a->paths[CALL_LOOKUP], "/search");
@@ -139,7 +139,7 @@
 }
 
 static void
-usage(const char *message)
+exit_usage(const char *message)
 {
 	(void)fprintf(stderr, "%s; see --help.\n", message);
 	exit(LOAD_EXIT_USAGE);
@@ -152,19 +152,20 @@
 	int k;
 
 	if (g_strv_length(part) != CALL_KINDS)
-		usage("--mix needs three weights parted by colons");
+		exit_usage("--mix needs three weights parted by colons");
 	for (k = 0; k < CALL_KINDS; k++)
 		mix[k] = (uint32_t)g_ascii_strtoull(part[k], NULL, 10);
 	g_strfreev(part);
 }
 
 static void
-make_schedule_spec(const struct arguments *a, struct schedule_spec *s)
+schedule_spec_init(const struct arguments *a, struct schedule_spec *s)
 {
 	if (a->nodes == NULL)
-		usage("name a node by --node IP:PORT");
+		exit_usage("name a node by --node IP:PORT");
 	if (a->rate <= 0 || a->duration_s <= 0 || a->threads < 1)
-		usage("--rate, --duration-s and --threads must be above 0");
+		exit_usage(
+		    "--rate, --duration-s and --threads must be above 0");
 	s->seed = (uint64_t)a->seed;
 	s->rate = a->rate;
 	s->duration_us = (uint64_t)(a->duration_s * (double)LOAD_SECOND_US);
@@ -175,7 +176,7 @@
 }
 
 static void
-make_load_options(const struct arguments *a, struct load_options *o)
+load_options_init(const struct arguments *a, struct load_options *o)
 {
 	int k;
 
@@ -223,12 +224,12 @@
 	struct load_result r;
 	struct schedule_spec s;
 
-	arguments_read(argc, argv, &a);
-	arguments_complete(&a);
-	make_schedule_spec(&a, &s);
-	make_load_options(&a, &o);
+	arguments_parse(argc, argv, &a);
+	arguments_set_defaults(&a);
+	schedule_spec_init(&a, &s);
+	load_options_init(&a, &o);
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	schedule = schedule_make(&s);
+	schedule = schedule_new(&s);
 	load_run(&o, schedule, &r);
 	if (a.outcomes != NULL)
 		ok = write_outcomes(a.outcomes, r.outcomes);
--- a/packages/standins/src/main_upstream.c
+++ b/packages/standins/src/main_upstream.c
@@ -34,7 +34,7 @@
 };
 
 static void
-arguments_read(int argc, char **argv, struct arguments *a)
+arguments_parse(int argc, char **argv, struct arguments *a)
 {
 	const GOptionEntry entries[] = {
 	    {"address", 0, 0, G_OPTION_ARG_STRING, &a->address,
@@ -93,7 +93,7 @@
 
 	program_block_signals();
 	memset(&a, 0, sizeof(a));
-	arguments_read(argc, argv, &a);
+	arguments_parse(argc, argv, &a);
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	memset(&o, 0, sizeof(o));
 	o.address = a.address == NULL ? "127.0.0.1" : a.address;
--- a/packages/standins/src/pattern.c
+++ b/packages/standins/src/pattern.c
@@ -8,11 +8,11 @@
 
 #include "standins/pattern.h"
 
-#define PATTERN_WORD 8
-#define PATTERN_PIECE_BYTES 65536
+#define PATTERN_WORD_BYTES 8
+#define PATTERN_CHUNK_BYTES 65536
 /* A double holds 53 bits. */
-#define PATTERN_SHARE_BITS 53
-#define PATTERN_SHARE_SHIFT (64 - PATTERN_SHARE_BITS)
+#define PATTERN_FRACTION_BITS 53
+#define PATTERN_FRACTION_SHIFT (64 - PATTERN_FRACTION_BITS)
 
 /* splitmix64 of Steele, Lea and Flood, as a function of the place. */
 static uint64_t
@@ -39,13 +39,14 @@
 	uint8_t *out = buf;
 
 	while (len > 0) {
-		word = pattern_word(p->seed, p->at_bytes / PATTERN_WORD);
-		skip = p->at_bytes % PATTERN_WORD;
-		n = MIN(PATTERN_WORD - skip, len);
+		word =
+		    pattern_word(p->seed, p->offset_bytes / PATTERN_WORD_BYTES);
+		skip = p->offset_bytes % PATTERN_WORD_BYTES;
+		n = MIN(PATTERN_WORD_BYTES - skip, len);
 		memcpy(out, (uint8_t *)&word + skip, n);
 		out += n;
 		len -= n;
-		p->at_bytes += n;
+		p->offset_bytes += n;
 	}
 }
 
@@ -56,11 +57,11 @@
 	XXH64_hash_t h;
 	XXH64_state_t *st = XXH64_createState();
 	size_t n;
-	uint8_t *buf = g_malloc(PATTERN_PIECE_BYTES);
+	uint8_t *buf = g_malloc(PATTERN_CHUNK_BYTES);
 
 	XXH64_reset(st, 0);
 	while (len > 0) {
-		n = (size_t)MIN(len, PATTERN_PIECE_BYTES);
+		n = (size_t)MIN(len, PATTERN_CHUNK_BYTES);
 		pattern_fill(&p, buf, n);
 		XXH64_update(st, buf, n);
 		len -= n;
@@ -74,6 +75,6 @@
 double
 pattern_share(uint64_t seed, uint64_t n)
 {
-	return (double)(pattern_word(seed, n) >> PATTERN_SHARE_SHIFT) /
-	    (double)(1ULL << PATTERN_SHARE_BITS);
+	return (double)(pattern_word(seed, n) >> PATTERN_FRACTION_SHIFT) /
+	    (double)(1ULL << PATTERN_FRACTION_BITS);
 }
--- a/packages/standins/src/platform.c
+++ b/packages/standins/src/platform.c
@@ -48,35 +48,35 @@
 };
 
 /* What becomes of a request before it is run. */
-enum gate {
-	GATE_PASS,
-	GATE_OUTAGE,
-	GATE_THROTTLED,
+enum admission {
+	ADMISSION_PASS,
+	ADMISSION_OUTAGE,
+	ADMISSION_THROTTLED,
 };
 
-static enum gate
-platform_gate(struct platform *p, uint32_t reads, uint32_t writes)
+static enum admission
+platform_admit(struct platform *p, uint32_t reads, uint32_t writes)
 {
 	uint64_t now_us = clock_now_us();
 
 	p->stats.requests++;
 	if (p->knobs.outage) {
 		p->stats.failed++;
-		return GATE_OUTAGE;
+		return ADMISSION_OUTAGE;
 	}
 	if ((reads > 0 && !rate_take(&p->reads, reads, now_us)) ||
 	    (writes > 0 && !rate_take(&p->writes, writes, now_us))) {
 		p->stats.rejected++;
-		return GATE_THROTTLED;
+		return ADMISSION_THROTTLED;
 	}
 	p->stats.reads += reads;
 	p->stats.writes += writes;
-	return GATE_PASS;
+	return ADMISSION_PASS;
 }
 
 /* Whether the answer to a write that took effect is to be lost. */
 static int
-platform_loses(struct platform *p)
+platform_loses_response(struct platform *p)
 {
 	if (p->knobs.lose_answers == 0)
 		return 0;
@@ -98,42 +98,42 @@
 }
 
 static void
-table_refuse(enum gate g, struct rows_answer *ans)
+table_reject(enum admission adm, struct rows_response *resp)
 {
-	if (g == GATE_OUTAGE)
+	if (adm == ADMISSION_OUTAGE)
 		rows_error(500, "InternalServerError",
-		    "The request processing has failed", ans);
+		    "The request processing has failed", resp);
 	else
 		rows_error(400, "ProvisionedThroughputExceededException",
-		    "The level of configured throughput was exceeded", ans);
+		    "The level of configured throughput was exceeded", resp);
 }
 
 static void
 platform_table(struct platform *p, struct mg_connection *conn, GByteArray *body)
 {
-	enum gate g;
+	enum admission adm;
 	enum rows_op op = rows_op_parse(mg_get_header(conn, "X-Amz-Target"));
 	int lose = 0, write = op == ROWS_OP_TRANSACT_WRITE;
 	json_t *req = json_loadb((char *)body->data, body->len, 0, NULL);
-	struct rows_answer ans;
-	uint32_t cost = rows_cost(op, req);
+	struct rows_response resp;
+	uint32_t cost = rows_capacity(op, req);
 
 	pthread_mutex_lock(&p->lock);
-	g = platform_gate(p, write ? 0 : cost, write ? cost : 0);
-	if (g == GATE_PASS) {
-		rows_apply(p->rows, op, req, &ans);
-		lose = write && ans.code == 200 && platform_loses(p);
+	adm = platform_admit(p, write ? 0 : cost, write ? cost : 0);
+	if (adm == ADMISSION_PASS) {
+		rows_apply(p->rows, op, req, &resp);
+		lose = write && resp.code == 200 && platform_loses_response(p);
 	} else {
-		table_refuse(g, &ans);
+		table_reject(adm, &resp);
 	}
 	pthread_mutex_unlock(&p->lock);
 	json_decref(req);
 	if (lose) {
-		json_decref(ans.body);
-		web_drop(conn);
+		json_decref(resp.body);
+		web_drop_connection(conn);
 		return;
 	}
-	web_answer_json(conn, ans.code, NULL, ans.body);
+	web_answer_json(conn, resp.code, NULL, resp.body);
 }
 
 static void
@@ -146,16 +146,16 @@
 	    "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n"
 	    "<Error><Code>%s</Code><Message>%s</Message></Error>",
 	    kind, kind);
-	web_answer(conn, code, "application/xml", NULL, text, (size_t)n);
+	web_respond(conn, code, "application/xml", NULL, text, (size_t)n);
 }
 
 static int
-object_refused(struct mg_connection *conn, enum gate g)
+object_reject(struct mg_connection *conn, enum admission adm)
 {
-	if (g == GATE_PASS)
+	if (adm == ADMISSION_PASS)
 		return 0;
-	object_error(
-	    conn, 503, g == GATE_OUTAGE ? "ServiceUnavailable" : "SlowDown");
+	object_error(conn, 503,
+	    adm == ADMISSION_OUTAGE ? "ServiceUnavailable" : "SlowDown");
 	return 1;
 }
 
@@ -163,57 +163,57 @@
 platform_put(struct platform *p, struct mg_connection *conn, const char *key,
     GByteArray *body)
 {
-	const char *cond = mg_get_header(conn, "If-None-Match");
-	enum gate g;
+	const char *if_none_match = mg_get_header(conn, "If-None-Match");
+	enum admission adm;
 	enum objects_result res = OBJECTS_OK;
 	GBytes *data;
 	int lose = 0;
 
-	if (cond != NULL && strcmp(cond, "*") != 0) {
+	if (if_none_match != NULL && strcmp(if_none_match, "*") != 0) {
 		object_error(conn, 501, "NotImplemented");
 		return;
 	}
 	data = g_bytes_new(body->data, body->len);
 	pthread_mutex_lock(&p->lock);
-	g = platform_gate(p, 0, 1);
-	if (g == GATE_PASS) {
-		res = objects_put(p->objects, key, data, cond != NULL);
-		lose = res == OBJECTS_OK && platform_loses(p);
+	adm = platform_admit(p, 0, 1);
+	if (adm == ADMISSION_PASS) {
+		res = objects_put(p->objects, key, data, if_none_match != NULL);
+		lose = res == OBJECTS_OK && platform_loses_response(p);
 	}
 	pthread_mutex_unlock(&p->lock);
 	g_bytes_unref(data);
 	if (lose)
-		web_drop(conn);
-	else if (object_refused(conn, g))
+		web_drop_connection(conn);
+	else if (object_reject(conn, adm))
 		return;
 	else if (res == OBJECTS_EXISTS)
 		object_error(conn, 412, "PreconditionFailed");
 	else
-		web_answer(conn, 200, "application/xml", NULL, "", 0);
+		web_respond(conn, 200, "application/xml", NULL, "", 0);
 }
 
 static void
 platform_get(struct platform *p, struct mg_connection *conn, const char *key)
 {
-	enum gate g;
+	enum admission adm;
 	enum objects_result res = OBJECTS_NO_KEY;
 	gconstpointer data;
 	GBytes *found = NULL;
 	gsize len;
 
 	pthread_mutex_lock(&p->lock);
-	g = platform_gate(p, 1, 0);
-	if (g == GATE_PASS)
+	adm = platform_admit(p, 1, 0);
+	if (adm == ADMISSION_PASS)
 		res = objects_get(p->objects, key, &found);
 	pthread_mutex_unlock(&p->lock);
-	if (object_refused(conn, g))
+	if (object_reject(conn, adm))
 		return;
 	if (res == OBJECTS_NO_KEY) {
 		object_error(conn, 404, "NoSuchKey");
 		return;
 	}
 	data = g_bytes_get_data(found, &len);
-	web_answer(conn, 200, "application/octet-stream", NULL, data, len);
+	web_respond(conn, 200, "application/octet-stream", NULL, data, len);
 	g_bytes_unref(found);
 }
 
@@ -293,7 +293,7 @@
 	struct platform *p = arg;
 
 	if (web_body(conn, PLATFORM_BODY_MAX_BYTES, body) != STATUS_OK) {
-		web_drop(conn);
+		web_drop_connection(conn);
 	} else if (strcmp(uri, "/standin/knobs") == 0 && post) {
 		platform_set_knobs(p, conn, body);
 	} else if (strcmp(uri, "/standin/stats") == 0) {
--- a/packages/standins/src/reply.c
+++ b/packages/standins/src/reply.c
@@ -15,7 +15,7 @@
 #define REPLY_HASH_BYTES 17
 
 static void
-hash_text(uint64_t h, char text[REPLY_HASH_BYTES])
+format_hash(uint64_t h, char text[REPLY_HASH_BYTES])
 {
 	(void)g_snprintf(
 	    text, REPLY_HASH_BYTES, "%016" G_GINT64_MODIFIER "x", h);
@@ -29,7 +29,7 @@
 	GString *line;
 	json_t *j;
 
-	hash_text(r->body_hash, hash);
+	format_hash(r->body_hash, hash);
 	j = json_pack("{s:s,s:s,s:s,s:I,s:I,s:s,s:I}", "host", r->host,
 	    "test_id", r->test_id, "key", r->key, "run", (json_int_t)r->run,
 	    "body_bytes", (json_int_t)r->body_bytes, "body_xxh64", hash,
@@ -54,7 +54,7 @@
 reply_reader_reset(struct reply_reader *r)
 {
 	g_string_truncate(r->line, 0);
-	r->line_done = 0;
+	r->line_complete = 0;
 	r->pad_bytes = 0;
 	XXH64_reset(r->pad_hash, 0);
 }
@@ -72,12 +72,12 @@
 	const char *end;
 	size_t n;
 
-	if (!r->line_done) {
+	if (!r->line_complete) {
 		end = memchr(data, '\n', len);
 		n = end == NULL ? len : (size_t)(end - (const char *)data) + 1;
 		if (r->line->len < REPLY_LINE_MAX_BYTES)
 			g_string_append_len(r->line, data, (gssize)n);
-		r->line_done = end != NULL;
+		r->line_complete = end != NULL;
 		data = (const char *)data + n;
 		len -= n;
 	}
@@ -94,7 +94,7 @@
 }
 
 static int
-reply_is_own(const json_t *j, const struct reply_want *w)
+reply_matches_call(const json_t *j, const struct reply_expected *w)
 {
 	const char *id = json_string_value(json_object_get(j, "test_id"));
 	const char *key = json_string_value(json_object_get(j, "key"));
@@ -105,13 +105,13 @@
 }
 
 static int
-reply_is_whole(
-    const struct reply_reader *r, const json_t *j, const struct reply_want *w)
+reply_is_intact(const struct reply_reader *r, const json_t *j,
+    const struct reply_expected *w)
 {
 	char hash[REPLY_HASH_BYTES];
 	const char *id = json_string_value(json_object_get(j, "test_id"));
 
-	hash_text(w->body_hash, hash);
+	format_hash(w->body_hash, hash);
 	if (reply_u64(j, "body_bytes") != w->body_bytes ||
 	    g_strcmp0(
 		json_string_value(json_object_get(j, "body_xxh64")), hash) != 0)
@@ -124,17 +124,17 @@
 }
 
 enum answer_check
-reply_reader_check(const struct reply_reader *r, const struct reply_want *w)
+reply_reader_check(const struct reply_reader *r, const struct reply_expected *w)
 {
-	enum answer_check res;
+	enum answer_check check;
 	json_t *j = json_loadb(r->line->str, r->line->len, 0, NULL);
 
-	if (!r->line_done || !json_is_object(j))
-		res = ANSWER_NOT_WHOLE;
-	else if (!reply_is_own(j, w))
-		res = ANSWER_NOT_OWN;
+	if (!r->line_complete || !json_is_object(j))
+		check = ANSWER_NOT_WHOLE;
+	else if (!reply_matches_call(j, w))
+		check = ANSWER_NOT_OWN;
 	else
-		res = reply_is_whole(r, j, w) ? ANSWER_OK : ANSWER_NOT_WHOLE;
+		check = reply_is_intact(r, j, w) ? ANSWER_OK : ANSWER_NOT_WHOLE;
 	json_decref(j);
-	return res;
+	return check;
 }
--- a/packages/standins/src/rows.c
+++ b/packages/standins/src/rows.c
@@ -8,17 +8,17 @@
 
 #include "standins/rows.h"
 
-#define ROWS_TARGET "DynamoDB_20120810."
-#define ROWS_NS "com.amazonaws.dynamodb.v20120810#"
+#define ROWS_TARGET_PREFIX "DynamoDB_20120810."
+#define ROWS_ERROR_PREFIX "com.amazonaws.dynamodb.v20120810#"
 #define ROWS_OK 200
-#define ROWS_BAD 400
+#define ROWS_BAD_REQUEST 400
 
 struct rows {
 	GHashTable *by_key;
 };
 
 /* Checks of a request answer NULL when all is well, else the fault. */
-#define ROWS_FINE NULL
+#define ROWS_NO_ERROR NULL
 
 static void
 row_free(gpointer p)
@@ -56,9 +56,9 @@
 {
 	const char *name;
 
-	if (target == NULL || !g_str_has_prefix(target, ROWS_TARGET))
+	if (target == NULL || !g_str_has_prefix(target, ROWS_TARGET_PREFIX))
 		return ROWS_OP_UNKNOWN;
-	name = target + strlen(ROWS_TARGET);
+	name = target + strlen(ROWS_TARGET_PREFIX);
 	if (strcmp(name, "GetItem") == 0)
 		return ROWS_OP_GET;
 	if (strcmp(name, "BatchGetItem") == 0)
@@ -77,7 +77,7 @@
 }
 
 uint32_t
-rows_cost(enum rows_op op, const json_t *req)
+rows_capacity(enum rows_op op, const json_t *req)
 {
 	size_t n = 1;
 
@@ -90,17 +90,17 @@
 
 void
 rows_error(
-    int code, const char *kind, const char *message, struct rows_answer *ans)
+    int code, const char *kind, const char *message, struct rows_response *resp)
 {
-	ans->code = code;
-	ans->body = json_pack("{s:o,s:s}", "__type",
-	    json_sprintf(ROWS_NS "%s", kind), "message", message);
+	resp->code = code;
+	resp->body = json_pack("{s:o,s:s}", "__type",
+	    json_sprintf(ROWS_ERROR_PREFIX "%s", kind), "message", message);
 }
 
 static void
-rows_invalid(const char *message, struct rows_answer *ans)
+rows_invalid(const char *message, struct rows_response *resp)
 {
-	rows_error(ROWS_BAD, "ValidationException", message, ans);
+	rows_error(ROWS_BAD_REQUEST, "ValidationException", message, resp);
 }
 
 /* The key's text, or NULL when the value is no {"pk": {"S": text}}. */
@@ -155,7 +155,7 @@
 }
 
 static const char *
-item_fault(json_t *item)
+item_error(json_t *item)
 {
 	const char *name;
 	json_t *v;
@@ -173,47 +173,46 @@
 	}
 	if (size > ROWS_ITEM_MAX_BYTES)
 		return "Item size has exceeded the maximum allowed size";
-	return ROWS_FINE;
+	return ROWS_NO_ERROR;
 }
 
 static const char *
-table_fault(const json_t *holder)
+table_error(const json_t *req)
 {
-	const char *name =
-	    json_string_value(json_object_get(holder, "TableName"));
+	const char *name = json_string_value(json_object_get(req, "TableName"));
 
 	if (name == NULL || strcmp(name, ROWS_TABLE) != 0)
 		return "Requested resource not found: no such table";
-	return ROWS_FINE;
+	return ROWS_NO_ERROR;
 }
 
 static void
-rows_get(struct rows *t, const json_t *req, struct rows_answer *ans)
+rows_get(struct rows *t, const json_t *req, struct rows_response *resp)
 {
 	const char *key = row_key(json_object_get(req, "Key"));
 	json_t *item;
 
 	if (key == NULL) {
-		rows_invalid("The provided key element does not match", ans);
+		rows_invalid("The provided key element does not match", resp);
 		return;
 	}
-	if (table_fault(req) != ROWS_FINE) {
-		rows_error(ROWS_BAD, "ResourceNotFoundException",
-		    table_fault(req), ans);
+	if (table_error(req) != ROWS_NO_ERROR) {
+		rows_error(ROWS_BAD_REQUEST, "ResourceNotFoundException",
+		    table_error(req), resp);
 		return;
 	}
 	item = g_hash_table_lookup(t->by_key, key);
-	ans->code = ROWS_OK;
-	ans->body = json_object();
+	resp->code = ROWS_OK;
+	resp->body = json_object();
 	if (item != NULL)
-		json_object_set(ans->body, "Item", item);
+		json_object_set(resp->body, "Item", item);
 }
 
 static const char *
-batch_fault(json_t *keys)
+batch_error(json_t *keys)
 {
 	GHashTable *seen;
-	const char *fault = ROWS_FINE;
+	const char *error = ROWS_NO_ERROR;
 	const char *key;
 	json_t *k;
 	size_t i;
@@ -227,25 +226,25 @@
 	{
 		key = row_key(k);
 		if (key == NULL)
-			fault = "The provided key element does not match";
+			error = "The provided key element does not match";
 		else if (!g_hash_table_add(seen, (gpointer)key))
-			fault = "Provided list of item keys has duplicates";
+			error = "Provided list of item keys has duplicates";
 	}
 	g_hash_table_destroy(seen);
-	return fault;
+	return error;
 }
 
 static void
-rows_batch_get(struct rows *t, const json_t *req, struct rows_answer *ans)
+rows_batch_get(struct rows *t, const json_t *req, struct rows_response *resp)
 {
-	const char *fault;
+	const char *error;
 	json_t *found, *item, *k;
 	json_t *keys = rows_batch_keys(req);
 	size_t i;
 
-	fault = batch_fault(keys);
-	if (fault != ROWS_FINE) {
-		rows_invalid(fault, ans);
+	error = batch_error(keys);
+	if (error != ROWS_NO_ERROR) {
+		rows_invalid(error, resp);
 		return;
 	}
 	found = json_array();
@@ -255,22 +254,22 @@
 		if (item != NULL)
 			json_array_append(found, item);
 	}
-	ans->code = ROWS_OK;
-	ans->body = json_pack("{s:{s:o},s:{}}", "Responses", ROWS_TABLE, found,
+	resp->code = ROWS_OK;
+	resp->body = json_pack("{s:{s:o},s:{}}", "Responses", ROWS_TABLE, found,
 	    "UnprocessedKeys");
 }
 
 /* The only conditions: attribute_not_exists(pk), and #c = :c. */
 static int
-condition_absent(const char *expr)
+is_not_exists_condition(const char *expr)
 {
 	return strcmp(expr, "attribute_not_exists(" ROWS_KEY ")") == 0;
 }
 
 /* Attribute name and wanted value of "#c = :c"; 0 when it is no such one. */
 static int
-condition_equal(
-    const json_t *put, const char *expr, const char **name, const json_t **want)
+parse_equals_condition(const json_t *put, const char *expr, const char **name,
+    const json_t **expected)
 {
 	char **part = g_strsplit(expr, " = ", 2);
 	int ok = 0;
@@ -279,104 +278,105 @@
 	    part[1][0] == ':') {
 		*name = json_string_value(json_object_get(
 		    json_object_get(put, "ExpressionAttributeNames"), part[0]));
-		*want = json_object_get(
+		*expected = json_object_get(
 		    json_object_get(put, "ExpressionAttributeValues"), part[1]);
-		ok = *name != NULL && value_valid(*want);
+		ok = *name != NULL && value_valid(*expected);
 	}
 	g_strfreev(part);
 	return ok;
 }
 
 static const char *
-put_fault(const json_t *put)
+put_error(const json_t *put)
 {
-	const char *expr, *fault, *name;
-	const json_t *want;
+	const char *expr, *error, *name;
+	const json_t *expected;
 
 	if (!json_is_object(put))
 		return "TransactItems can only contain Put";
-	fault = table_fault(put);
-	if (fault != ROWS_FINE)
-		return fault;
-	fault = item_fault(json_object_get(put, "Item"));
-	if (fault != ROWS_FINE)
-		return fault;
+	error = table_error(put);
+	if (error != ROWS_NO_ERROR)
+		return error;
+	error = item_error(json_object_get(put, "Item"));
+	if (error != ROWS_NO_ERROR)
+		return error;
 	expr = json_string_value(json_object_get(put, "ConditionExpression"));
 	if (expr == NULL) {
 		if (json_object_get(put, "ConditionExpression") != NULL)
 			return "Invalid ConditionExpression";
-		return ROWS_FINE;
+		return ROWS_NO_ERROR;
 	}
-	if (condition_absent(expr) || condition_equal(put, expr, &name, &want))
-		return ROWS_FINE;
+	if (is_not_exists_condition(expr) ||
+	    parse_equals_condition(put, expr, &name, &expected))
+		return ROWS_NO_ERROR;
 	return "Invalid ConditionExpression";
 }
 
 static int
-put_allowed(const struct rows *t, const json_t *put)
+put_condition_holds(const struct rows *t, const json_t *put)
 {
 	const char *expr =
 	    json_string_value(json_object_get(put, "ConditionExpression"));
 	const char *name;
-	const json_t *old, *want;
+	const json_t *current, *expected;
 
 	if (expr == NULL)
 		return 1;
-	old = g_hash_table_lookup(
+	current = g_hash_table_lookup(
 	    t->by_key, row_key(json_object_get(put, "Item")));
-	if (condition_absent(expr))
-		return old == NULL;
-	if (!condition_equal(put, expr, &name, &want))
+	if (is_not_exists_condition(expr))
+		return current == NULL;
+	if (!parse_equals_condition(put, expr, &name, &expected))
 		return 0;
-	return json_equal(json_object_get(old, name), want);
+	return json_equal(json_object_get(current, name), expected);
 }
 
 static const char *
-transaction_fault(json_t *list)
+transaction_error(json_t *list)
 {
 	GHashTable *seen;
-	const char *fault = ROWS_FINE;
-	json_t *one, *put;
+	const char *error = ROWS_NO_ERROR;
+	json_t *entry, *put;
 	size_t i;
 
 	if (json_array_size(list) == 0 ||
 	    json_array_size(list) > ROWS_BATCH_MAX)
 		return "TransactItems must hold 1 to 100 items";
 	seen = g_hash_table_new(g_str_hash, g_str_equal);
-	json_array_foreach(list, i, one)
+	json_array_foreach(list, i, entry)
 	{
-		put = json_object_get(one, "Put");
-		fault = put_fault(put);
-		if (fault != ROWS_FINE)
+		put = json_object_get(entry, "Put");
+		error = put_error(put);
+		if (error != ROWS_NO_ERROR)
 			break;
 		if (!g_hash_table_add(seen,
 			(gpointer)row_key(json_object_get(put, "Item")))) {
-			fault = "Transaction request cannot include multiple "
+			error = "Transaction request cannot include multiple "
 				"operations on one item";
 			break;
 		}
 	}
 	g_hash_table_destroy(seen);
-	return fault;
+	return error;
 }
 
 /* Reasons for each item; *refused tells whether one was not allowed. */
 static json_t *
-transaction_reasons(const struct rows *t, json_t *list, int *refused)
+transaction_reasons(const struct rows *t, json_t *list, int *cancelled)
 {
-	json_t *one, *reasons;
+	json_t *entry, *reasons;
 	size_t i;
 
-	*refused = 0;
+	*cancelled = 0;
 	reasons = json_array();
-	json_array_foreach(list, i, one)
+	json_array_foreach(list, i, entry)
 	{
-		if (put_allowed(t, json_object_get(one, "Put"))) {
+		if (put_condition_holds(t, json_object_get(entry, "Put"))) {
 			json_array_append_new(
 			    reasons, json_pack("{s:s}", "Code", "None"));
 			continue;
 		}
-		*refused = 1;
+		*cancelled = 1;
 		json_array_append_new(reasons,
 		    json_pack("{s:s,s:s}", "Code", "ConditionalCheckFailed",
 			"Message", "The conditional request failed"));
@@ -385,59 +385,60 @@
 }
 
 static void
-rows_transact_write(struct rows *t, const json_t *req, struct rows_answer *ans)
+rows_transact_write(
+    struct rows *t, const json_t *req, struct rows_response *resp)
 {
-	const char *fault;
-	int refused;
-	json_t *item, *one, *reasons;
+	const char *error;
+	int cancelled;
+	json_t *item, *entry, *reasons;
 	json_t *list = json_object_get(req, "TransactItems");
 	size_t i;
 
-	fault = transaction_fault(list);
-	if (fault != ROWS_FINE) {
-		rows_invalid(fault, ans);
+	error = transaction_error(list);
+	if (error != ROWS_NO_ERROR) {
+		rows_invalid(error, resp);
 		return;
 	}
-	reasons = transaction_reasons(t, list, &refused);
-	if (refused) {
-		rows_error(ROWS_BAD, "TransactionCanceledException",
-		    "Transaction cancelled, see CancellationReasons", ans);
-		json_object_set_new(ans->body, "CancellationReasons", reasons);
+	reasons = transaction_reasons(t, list, &cancelled);
+	if (cancelled) {
+		rows_error(ROWS_BAD_REQUEST, "TransactionCanceledException",
+		    "Transaction cancelled, see CancellationReasons", resp);
+		json_object_set_new(resp->body, "CancellationReasons", reasons);
 		return;
 	}
 	json_decref(reasons);
-	json_array_foreach(list, i, one)
+	json_array_foreach(list, i, entry)
 	{
-		item = json_object_get(json_object_get(one, "Put"), "Item");
+		item = json_object_get(json_object_get(entry, "Put"), "Item");
 		g_hash_table_replace(
 		    t->by_key, g_strdup(row_key(item)), json_deep_copy(item));
 	}
-	ans->code = ROWS_OK;
-	ans->body = json_object();
+	resp->code = ROWS_OK;
+	resp->body = json_object();
 }
 
 void
-rows_apply(
-    struct rows *t, enum rows_op op, const json_t *req, struct rows_answer *ans)
+rows_apply(struct rows *t, enum rows_op op, const json_t *req,
+    struct rows_response *resp)
 {
 	if (!json_is_object(req)) {
-		rows_error(ROWS_BAD, "SerializationException",
-		    "The request is no JSON object", ans);
+		rows_error(ROWS_BAD_REQUEST, "SerializationException",
+		    "The request is no JSON object", resp);
 		return;
 	}
 	switch (op) {
 	case ROWS_OP_GET:
-		rows_get(t, req, ans);
+		rows_get(t, req, resp);
 		break;
 	case ROWS_OP_BATCH_GET:
-		rows_batch_get(t, req, ans);
+		rows_batch_get(t, req, resp);
 		break;
 	case ROWS_OP_TRANSACT_WRITE:
-		rows_transact_write(t, req, ans);
+		rows_transact_write(t, req, resp);
 		break;
 	case ROWS_OP_UNKNOWN:
-		rows_error(ROWS_BAD, "UnknownOperationException",
-		    "The operation is not of the subset", ans);
+		rows_error(ROWS_BAD_REQUEST, "UnknownOperationException",
+		    "The operation is not of the subset", resp);
 		break;
 	}
 }
--- a/packages/standins/src/run_check.c
+++ b/packages/standins/src/run_check.c
@@ -19,7 +19,7 @@
 
 struct check {
 	const struct runs *runs;
-	GArray *found;
+	GArray *violations;
 	GHashTable *test_ids; /* of the calls */
 	GHashTable *keys;     /* key -> struct key_calls */
 };
@@ -31,26 +31,26 @@
 }
 
 static void
-check_found(struct check *c, enum run_rule rule, const char *id, enum told told,
-    uint64_t runs)
+check_add_violation(struct check *c, enum run_rule rule, const char *id,
+    enum told told, uint64_t runs)
 {
 	struct violation v = {rule, "", told, runs};
 
 	g_strlcpy(v.id, id, sizeof(v.id));
-	g_array_append_val(c->found, v);
+	g_array_append_val(c->violations, v);
 }
 
 static void
-check_answer(struct check *c, const struct outcome *o)
+check_response(struct check *c, const struct outcome *o)
 {
 	if (o->check == ANSWER_NOT_OWN || o->check == ANSWER_NOT_WHOLE ||
 	    o->check == ANSWER_NO_FATE)
-		check_found(c, RULE_ANSWER, o->test_id, o->told,
+		check_add_violation(c, RULE_BAD_RESPONSE, o->test_id, o->told,
 		    runs_of_test_id(c->runs, o->test_id));
 }
 
 static int
-told_not_run(enum told t)
+reported_not_run(enum told t)
 {
 	return t == TOLD_NOT_RUN || t == TOLD_NOT_SENT;
 }
@@ -61,15 +61,18 @@
 	int keyed = o->key[0] != '\0';
 	uint64_t n = runs_of_test_id(c->runs, o->test_id);
 
-	check_answer(c, o);
+	check_response(c, o);
 	if (!g_hash_table_add(c->test_ids, (gpointer)o->test_id))
-		check_found(c, RULE_DOUBLE_CALL, o->test_id, o->told, n);
-	if (told_not_run(o->told) && n > 0)
-		check_found(c, RULE_NOT_RUN_BUT_RAN, o->test_id, o->told, n);
+		check_add_violation(
+		    c, RULE_DUPLICATE_CALL, o->test_id, o->told, n);
+	if (reported_not_run(o->told) && n > 0)
+		check_add_violation(
+		    c, RULE_NOT_RUN_BUT_RAN, o->test_id, o->told, n);
 	if (o->told == TOLD_DONE && n == 0 && !keyed)
-		check_found(c, RULE_DONE_BUT_NOT_RUN, o->test_id, o->told, n);
+		check_add_violation(
+		    c, RULE_DONE_BUT_NOT_RUN, o->test_id, o->told, n);
 	if (o->kind != CALL_LOOKUP && n > 1)
-		check_found(c, RULE_RAN_TWICE, o->test_id, o->told, n);
+		check_add_violation(c, RULE_RAN_TWICE, o->test_id, o->told, n);
 }
 
 static void
@@ -87,7 +90,7 @@
 	}
 	if (o->told == TOLD_DONE)
 		k->any_done = 1;
-	if (!told_not_run(o->told))
+	if (!reported_not_run(o->told))
 		k->all_known_not_run = 0;
 }
 
@@ -97,21 +100,24 @@
 	uint64_t n = runs_of_key(c->runs, key);
 
 	if (n > 1)
-		check_found(c, RULE_KEY_RAN_TWICE, key,
+		check_add_violation(c, RULE_KEY_RAN_TWICE, key,
 		    k->any_done ? TOLD_DONE : TOLD_UNKNOWN, n);
 	if (k->any_done && n == 0)
-		check_found(c, RULE_DONE_BUT_NOT_RUN, key, TOLD_DONE, n);
+		check_add_violation(
+		    c, RULE_DONE_BUT_NOT_RUN, key, TOLD_DONE, n);
 	if (k->all_known_not_run && n > 0)
-		check_found(c, RULE_NOT_RUN_BUT_RAN, key, TOLD_NOT_RUN, n);
+		check_add_violation(
+		    c, RULE_NOT_RUN_BUT_RAN, key, TOLD_NOT_RUN, n);
 }
 
 static void
-check_stray(const char *test_id, uint64_t n, void *arg)
+check_run_without_call(const char *test_id, uint64_t n, void *arg)
 {
 	struct check *c = arg;
 
 	if (!g_hash_table_contains(c->test_ids, test_id))
-		check_found(c, RULE_STRAY_RUN, test_id, TOLD_NOT_SENT, n);
+		check_add_violation(
+		    c, RULE_RUN_WITHOUT_CALL, test_id, TOLD_NOT_SENT, n);
 }
 
 GArray *
@@ -124,7 +130,7 @@
 	struct check c;
 
 	c.runs = r;
-	c.found = g_array_new(FALSE, FALSE, sizeof(struct violation));
+	c.violations = g_array_new(FALSE, FALSE, sizeof(struct violation));
 	c.test_ids = g_hash_table_new(g_str_hash, g_str_equal);
 	c.keys = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	for (i = 0; i < calls->len; i++) {
@@ -135,8 +141,8 @@
 	g_hash_table_iter_init(&it, c.keys);
 	while (g_hash_table_iter_next(&it, &key, &k))
 		check_key(&c, key, k);
-	runs_each_test_id(r, check_stray, &c);
+	runs_foreach_test_id(r, check_run_without_call, &c);
 	g_hash_table_destroy(c.test_ids);
 	g_hash_table_destroy(c.keys);
-	return c.found;
+	return c.violations;
 }
--- a/packages/standins/src/runs.c
+++ b/packages/standins/src/runs.c
@@ -16,19 +16,19 @@
 #define JOURNAL_MODE 0644
 #define JOURNAL_FIELDS 5
 
-enum run_name {
+enum run_id_kind {
 	RUN_TEST_ID,
 	RUN_REQUEST_ID,
 	RUN_KEY,
-	RUN_NAMES,
+	RUN_ID_KINDS,
 };
 
-static const char *const name_fields[RUN_NAMES] = {
+static const char *const id_fields[RUN_ID_KINDS] = {
     "by_test_id", "by_request_id", "by_key"};
 
 struct runs {
-	pthread_mutex_t lock;	   /* guards the counts */
-	GHashTable *by[RUN_NAMES]; /* name -> number of runs */
+	pthread_mutex_t lock;		  /* guards the counts */
+	GHashTable *counts[RUN_ID_KINDS]; /* name -> number of runs */
 	uint64_t total;
 	char *host;
 	int journal_fd;
@@ -49,8 +49,8 @@
 	}
 	r = g_new0(struct runs, 1);
 	pthread_mutex_init(&r->lock, NULL);
-	for (i = 0; i < RUN_NAMES; i++)
-		r->by[i] = g_hash_table_new_full(
+	for (i = 0; i < RUN_ID_KINDS; i++)
+		r->counts[i] = g_hash_table_new_full(
 		    g_str_hash, g_str_equal, g_free, NULL);
 	r->host = g_strdup(host);
 	r->journal_fd = fd;
@@ -67,21 +67,21 @@
 		return;
 	if (r->journal_fd != -1)
 		(void)close(r->journal_fd);
-	for (i = 0; i < RUN_NAMES; i++)
-		g_hash_table_destroy(r->by[i]);
+	for (i = 0; i < RUN_ID_KINDS; i++)
+		g_hash_table_destroy(r->counts[i]);
 	pthread_mutex_destroy(&r->lock);
 	g_free(r->host);
 	g_free(r);
 }
 
 static int
-name_given(const char *name)
+id_is_set(const char *name)
 {
 	return name != NULL && name[0] != '\0' && strcmp(name, "-") != 0;
 }
 
 static uint64_t
-count_of(GHashTable *t, const char *name)
+count_get(GHashTable *t, const char *name)
 {
 	return GPOINTER_TO_SIZE(g_hash_table_lookup(t, name));
 }
@@ -89,18 +89,18 @@
 static void
 count_add(GHashTable *t, const char *name, uint64_t n)
 {
-	if (name_given(name))
-		g_hash_table_replace(
-		    t, g_strdup(name), GSIZE_TO_POINTER(count_of(t, name) + n));
+	if (id_is_set(name))
+		g_hash_table_replace(t, g_strdup(name),
+		    GSIZE_TO_POINTER(count_get(t, name) + n));
 }
 
 static void
 journal_write(const struct runs *r, const struct run_ids *ids, uint64_t now_ms)
 {
 	char *line = g_strdup_printf("%s\t%s\t%s\t%s\t%" G_GUINT64_FORMAT "\n",
-	    name_given(ids->test_id) ? ids->test_id : "-",
-	    name_given(ids->request_id) ? ids->request_id : "-",
-	    name_given(ids->key) ? ids->key : "-", r->host, now_ms);
+	    id_is_set(ids->test_id) ? ids->test_id : "-",
+	    id_is_set(ids->request_id) ? ids->request_id : "-",
+	    id_is_set(ids->key) ? ids->key : "-", r->host, now_ms);
 
 	if (write(r->journal_fd, line, strlen(line)) == -1)
 		(void)fprintf(stderr, "can't write the journal: %m.\n");
@@ -113,9 +113,9 @@
 	uint64_t n;
 
 	pthread_mutex_lock(&r->lock);
-	count_add(r->by[RUN_TEST_ID], ids->test_id, 1);
-	count_add(r->by[RUN_REQUEST_ID], ids->request_id, 1);
-	count_add(r->by[RUN_KEY], ids->key, 1);
+	count_add(r->counts[RUN_TEST_ID], ids->test_id, 1);
+	count_add(r->counts[RUN_REQUEST_ID], ids->request_id, 1);
+	count_add(r->counts[RUN_KEY], ids->key, 1);
 	n = ++r->total;
 	pthread_mutex_unlock(&r->lock);
 	return n;
@@ -151,8 +151,8 @@
 
 	pthread_mutex_lock(&r->lock);
 	json_object_set_new(j, "total", json_integer((json_int_t)r->total));
-	for (i = 0; i < RUN_NAMES; i++)
-		json_object_set_new(j, name_fields[i], counts_json(r->by[i]));
+	for (i = 0; i < RUN_ID_KINDS; i++)
+		json_object_set_new(j, id_fields[i], counts_json(r->counts[i]));
 	pthread_mutex_unlock(&r->lock);
 	return j;
 }
@@ -164,18 +164,18 @@
 	char **f = g_strsplit(line, "\t", JOURNAL_FIELDS);
 	struct run_ids ids = {NULL, NULL, NULL};
 	unsigned int n = g_strv_length(f);
-	int whole = n == JOURNAL_FIELDS && f[4][0] != '\0';
+	int complete = n == JOURNAL_FIELDS && f[4][0] != '\0';
 
 	if (n >= 2)
 		ids.test_id = f[0];
-	if (whole) {
+	if (complete) {
 		ids.request_id = f[1];
 		ids.key = f[2];
 	}
 	if (n >= 2)
 		(void)runs_count(r, &ids);
 	g_strfreev(f);
-	return whole;
+	return complete;
 }
 
 enum status
@@ -183,25 +183,25 @@
 {
 	char *line = NULL;
 	FILE *f = fopen(path, "r");
-	int whole = 1;
+	int complete = 1;
 	size_t cap = 0;
-	uint64_t cut_line = 0, n = 0;
+	uint64_t truncated_line = 0, n = 0;
 
 	if (f == NULL)
 		return status_set(STATUS_IO, "can't read %s: %m.", path);
 	while (getline(&line, &cap, f) > 0) {
 		n++;
-		if (!whole)
-			cut_line = n - 1;
-		whole = journal_parse(r, g_strchomp(line));
+		if (!complete)
+			truncated_line = n - 1;
+		complete = journal_parse(r, g_strchomp(line));
 	}
 	free(line);
 	(void)fclose(f);
-	if (cut_line != 0)
+	if (truncated_line != 0)
 		return status_set(STATUS_INVALID,
 		    "line %lu of %s is no run; give a journal written by "
 		    "standin_upstream.",
-		    (unsigned long)cut_line, path);
+		    (unsigned long)truncated_line, path);
 	return STATUS_OK;
 }
 
@@ -217,9 +217,10 @@
 		    "these are no runs; ask an upstream's /standin/runs.");
 	pthread_mutex_lock(&r->lock);
 	r->total += (uint64_t)json_integer_value(json_object_get(j, "total"));
-	for (i = 0; i < RUN_NAMES; i++)
-		json_object_foreach(json_object_get(j, name_fields[i]), name, v)
-		    count_add(r->by[i], name, (uint64_t)json_integer_value(v));
+	for (i = 0; i < RUN_ID_KINDS; i++)
+		json_object_foreach(json_object_get(j, id_fields[i]), name, v)
+		    count_add(
+			r->counts[i], name, (uint64_t)json_integer_value(v));
 	pthread_mutex_unlock(&r->lock);
 	return STATUS_OK;
 }
@@ -227,23 +228,23 @@
 uint64_t
 runs_of_test_id(const struct runs *r, const char *test_id)
 {
-	return count_of(r->by[RUN_TEST_ID], test_id);
+	return count_get(r->counts[RUN_TEST_ID], test_id);
 }
 
 uint64_t
 runs_of_key(const struct runs *r, const char *key)
 {
-	return count_of(r->by[RUN_KEY], key);
+	return count_get(r->counts[RUN_KEY], key);
 }
 
 void
-runs_each_test_id(const struct runs *r,
+runs_foreach_test_id(const struct runs *r,
     void (*fn)(const char *test_id, uint64_t n, void *arg), void *arg)
 {
 	gpointer n, name;
 	GHashTableIter it;
 
-	g_hash_table_iter_init(&it, r->by[RUN_TEST_ID]);
+	g_hash_table_iter_init(&it, r->counts[RUN_TEST_ID]);
 	while (g_hash_table_iter_next(&it, &name, &n))
 		fn(name, GPOINTER_TO_SIZE(n), arg);
 }
--- a/packages/standins/src/schedule.c
+++ b/packages/standins/src/schedule.c
@@ -15,39 +15,39 @@
 choose_kind(GRand *rnd, const uint32_t mix[CALL_KINDS])
 {
 	int k;
-	uint32_t at, sum = 0;
+	uint32_t pick, sum = 0;
 
 	for (k = 0; k < CALL_KINDS; k++)
 		sum += mix[k];
 	if (sum == 0)
 		return CALL_LOOKUP;
-	at = (uint32_t)g_rand_int_range(rnd, 0, (gint32)sum);
-	for (k = 0; at >= mix[k]; k++)
-		at -= mix[k];
+	pick = (uint32_t)g_rand_int_range(rnd, 0, (gint32)sum);
+	for (k = 0; pick >= mix[k]; k++)
+		pick -= mix[k];
 	return (enum call_kind)k;
 }
 
 static int
-chance(GRand *rnd, uint32_t percent)
+random_percent(GRand *rnd, uint32_t percent)
 {
 	return (uint32_t)g_rand_int_range(rnd, 0, SCHEDULE_PERCENT) < percent;
 }
 
 /* The second call under a key goes to another node when there is one. */
 static void
-append_twin(GArray *list, const struct arrival *first, uint32_t nodes)
+append_twin(GArray *schedule, const struct arrival *first, uint32_t nodes)
 {
 	struct arrival twin = *first;
 
 	twin.node = (first->node + 1) % nodes;
-	g_array_append_val(list, twin);
+	g_array_append_val(schedule, twin);
 }
 
 GArray *
-schedule_make(const struct schedule_spec *s)
+schedule_new(const struct schedule_spec *s)
 {
 	double at_us = 0;
-	GArray *list = g_array_new(FALSE, FALSE, sizeof(struct arrival));
+	GArray *schedule = g_array_new(FALSE, FALSE, sizeof(struct arrival));
 	GRand *rnd = g_rand_new_with_seed((guint32)s->seed);
 	struct arrival a;
 	uint32_t keys = 0;
@@ -61,12 +61,13 @@
 		a.at_us = (uint64_t)at_us;
 		a.kind = choose_kind(rnd, s->mix);
 		a.node = (uint32_t)g_rand_int_range(rnd, 0, (gint32)s->nodes);
-		if (a.kind == CALL_BOOKING && chance(rnd, s->keyed_percent))
+		if (a.kind == CALL_BOOKING &&
+		    random_percent(rnd, s->keyed_percent))
 			a.key = ++keys;
-		g_array_append_val(list, a);
-		if (a.key != 0 && chance(rnd, s->twin_percent))
-			append_twin(list, &a, s->nodes);
+		g_array_append_val(schedule, a);
+		if (a.key != 0 && random_percent(rnd, s->twin_percent))
+			append_twin(schedule, &a, s->nodes);
 	}
 	g_rand_free(rnd);
-	return list;
+	return schedule;
 }
--- a/packages/standins/src/summary.c
+++ b/packages/standins/src/summary.c
@@ -9,7 +9,7 @@
 
 #include "standins/summary.h"
 
-#define SUMMARY_SECOND_US 1e6
+#define SUMMARY_US_PER_SECOND 1e6
 
 static gint
 compare_u64(gconstpointer a, gconstpointer b)
@@ -54,7 +54,7 @@
 
 /* Latencies of the calls told done, of one kind or (CALL_KINDS) of all. */
 static GArray *
-done_latencies(const GArray *outcomes, enum call_kind kind)
+latencies_of_done(const GArray *outcomes, enum call_kind kind)
 {
 	const struct outcome *o;
 	GArray *us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -72,7 +72,7 @@
 static json_t *
 kind_latency_json(const GArray *outcomes, enum call_kind kind)
 {
-	GArray *us = done_latencies(outcomes, kind);
+	GArray *us = latencies_of_done(outcomes, kind);
 	json_t *j = latency_json(us);
 
 	g_array_unref(us);
@@ -83,7 +83,7 @@
 static void
 add_quantiles(json_t *j, const GArray *outcomes)
 {
-	GArray *us = done_latencies(outcomes, CALL_KINDS);
+	GArray *us = latencies_of_done(outcomes, CALL_KINDS);
 	struct latency l;
 
 	summary_latency(us, &l);
@@ -94,7 +94,7 @@
 }
 
 static void
-count(json_t *j, const char *name)
+increment(json_t *j, const char *name)
 {
 	json_object_set_new(j, name,
 	    json_integer(json_integer_value(json_object_get(j, name)) + 1));
@@ -113,18 +113,18 @@
 	    "no_answer", 0, "wrong_answers", 0, "no_fate", 0);
 	for (i = 0; i < outcomes->len; i++) {
 		o = &g_array_index(outcomes, struct outcome, i);
-		count(j, "sent");
-		count(j, told_name(o->told));
+		increment(j, "sent");
+		increment(j, told_name(o->told));
 		if (o->status == 0 && o->told == TOLD_UNKNOWN)
-			count(j, "no_answer");
+			increment(j, "no_answer");
 		if (o->check == ANSWER_CUT)
-			count(j, "cut");
+			increment(j, "cut");
 		if (o->check == ANSWER_NO_FATE)
-			count(j, "no_fate");
+			increment(j, "no_fate");
 		if (o->check == ANSWER_NOT_OWN || o->check == ANSWER_NOT_WHOLE)
-			count(j, "wrong_answers");
+			increment(j, "wrong_answers");
 		(void)g_snprintf(status, sizeof(status), "%d", o->status);
-		count(statuses, status);
+		increment(statuses, status);
 	}
 	json_object_set_new(j, "statuses", statuses);
 	return j;
@@ -140,7 +140,7 @@
 
 	done = (double)json_integer_value(json_object_get(j, "done"));
 	json_object_set_new(j, "goodput_per_s",
-	    json_real(done * SUMMARY_SECOND_US / (double)duration_us));
+	    json_real(done * SUMMARY_US_PER_SECOND / (double)duration_us));
 	json_object_set_new(
 	    j, "no_retry_after", json_integer((json_int_t)r->no_retry_after));
 	json_object_set_new(j, "late_us", latency_json(r->late_us));
--- a/packages/standins/src/upstream.c
+++ b/packages/standins/src/upstream.c
@@ -15,7 +15,7 @@
 #define UPSTREAM_KNOBS_MAX_BYTES 65536
 #define UPSTREAM_ANNOUNCE_WAIT_MS 3000
 /* A call that the node sent just before it took the drain can still come. */
-#define UPSTREAM_QUIET_MS 200
+#define UPSTREAM_IDLE_MS 200
 #define UPSTREAM_POLL_MS 10
 
 static void
@@ -28,7 +28,7 @@
 }
 
 static void
-knobs_take(struct upstream_knobs *k, const json_t *j)
+knobs_update(struct upstream_knobs *k, const json_t *j)
 {
 	const json_t *v;
 
@@ -82,7 +82,7 @@
 	}
 	pthread_mutex_lock(&u->lock);
 	was_drain = u->knobs.drain;
-	knobs_take(&u->knobs, j);
+	knobs_update(&u->knobs, j);
 	drain = u->knobs.drain;
 	paused = u->knobs.pause_lease;
 	pthread_mutex_unlock(&u->lock);
@@ -101,7 +101,7 @@
 	int ok;
 
 	pthread_mutex_lock(&u->lock);
-	ok = upstream_serving(u, clock_now_ms());
+	ok = upstream_is_serving(u, clock_now_ms());
 	if (strcmp(u->knobs.lie_health, "ok") == 0)
 		ok = 1;
 	else if (strcmp(u->knobs.lie_health, "ill") == 0)
@@ -117,8 +117,8 @@
 	int64_t load;
 
 	pthread_mutex_lock(&u->lock);
-	load = u->knobs.lie_load == UPSTREAM_LOAD_TRUE ? u->in_flight
-						       : u->knobs.lie_load;
+	load = u->knobs.lie_load == UPSTREAM_LOAD_ACTUAL ? u->in_flight
+							 : u->knobs.lie_load;
 	pthread_mutex_unlock(&u->lock);
 	web_answer_json(conn, 200, NULL,
 	    json_pack("{s:I,s:I}", "in_flight", (json_int_t)load, "slots",
@@ -170,7 +170,7 @@
  * leaves before.  The node has to hear of the start first.
  */
 static void *
-upstream_starter(void *arg)
+upstream_announce_start(void *arg)
 {
 	int ready;
 	struct timespec ts;
@@ -203,7 +203,7 @@
 	pthread_condattr_destroy(&attr);
 	u->knobs.slow_factor = 1.0;
 	u->knobs.work_ms_mean = o->work_ms_mean;
-	u->knobs.lie_load = UPSTREAM_LOAD_TRUE;
+	u->knobs.lie_load = UPSTREAM_LOAD_ACTUAL;
 	u->ready_ms = clock_now_ms() + o->cold_start_ms;
 	u->draining_ms = DEADLINE_NEVER;
 }
@@ -237,7 +237,7 @@
 	}
 	if (o->node != NULL) {
 		u->announcer = announcer_start(&ao);
-		pthread_create(&u->starter, NULL, upstream_starter, u);
+		pthread_create(&u->starter, NULL, upstream_announce_start, u);
 	}
 	*out = u;
 	return STATUS_OK;
@@ -257,22 +257,22 @@
 enum status
 upstream_drain(struct upstream *u, uint32_t wait_ms)
 {
-	uint64_t now_ms, quiet_ms, until_ms;
+	uint64_t now_ms, idle_deadline_ms, deadline_ms;
 
 	pthread_mutex_lock(&u->lock);
 	u->knobs.drain = 1;
 	pthread_mutex_unlock(&u->lock);
 	upstream_announce(u, ANNOUNCE_DRAINING);
 	now_ms = clock_now_ms();
-	until_ms = now_ms + wait_ms;
-	quiet_ms = now_ms + UPSTREAM_QUIET_MS;
-	while (now_ms < quiet_ms && now_ms < until_ms) {
+	deadline_ms = now_ms + wait_ms;
+	idle_deadline_ms = now_ms + UPSTREAM_IDLE_MS;
+	while (now_ms < idle_deadline_ms && now_ms < deadline_ms) {
 		g_usleep(UPSTREAM_POLL_MS * 1000UL);
 		now_ms = clock_now_ms();
 		if (upstream_in_flight(u) > 0)
-			quiet_ms = now_ms + UPSTREAM_QUIET_MS;
+			idle_deadline_ms = now_ms + UPSTREAM_IDLE_MS;
 	}
-	if (now_ms < quiet_ms)
+	if (now_ms < idle_deadline_ms)
 		return status_set(STATUS_TIMEOUT,
 		    "calls still ran when the time to drain was over; "
 		    "give it longer.");
@@ -290,7 +290,7 @@
 	pthread_mutex_unlock(&u->lock);
 	if (u->announcer != NULL) {
 		pthread_join(u->starter, NULL);
-		announcer_leave(u->announcer);
+		announcer_withdraw(u->announcer);
 	}
 	web_stop(u->web);
 	upstream_free(u);
--- a/packages/standins/src/upstream_call.c
+++ b/packages/standins/src/upstream_call.c
@@ -14,12 +14,12 @@
 #include "standins/reply.h"
 #include "upstream_defs.h"
 
-#define CALL_PIECE_BYTES 65536
+#define CALL_CHUNK_BYTES 65536
 #define CALL_HANG_POLL_MS 20
-#define CALL_WARM_FACTOR 3.0
-#define CALL_WORK_MOST_MEANS 10.0
+#define CALL_COLD_EXTRA_FACTOR 3.0
+#define CALL_WORK_MAX_MEANS 10.0
 /* Exit code of a process that a call has ended. */
-#define CALL_CRASH_CODE 70
+#define CALL_CRASH_EXIT_CODE 70
 #define CALL_FATE_NOT_RUN "Bramley-Fate: not_run\r\n"
 
 /* A call on its way through the upstream. */
@@ -30,11 +30,11 @@
 	uint64_t body_hash;
 	uint64_t run;
 	uint64_t start_ms;
-	int drop; /* close the connection instead of answering */
+	int close_unanswered; /* close the connection instead of answering */
 };
 
 int
-upstream_serving(const struct upstream *u, uint64_t now_ms)
+upstream_is_serving(const struct upstream *u, uint64_t now_ms)
 {
 	return !u->knobs.shed && now_ms >= u->ready_ms;
 }
@@ -48,12 +48,12 @@
 }
 
 static int
-slot_take(struct upstream *u, const struct call *c)
+slot_acquire(struct upstream *u, const struct call *c)
 {
 	int ok;
 
 	pthread_mutex_lock(&u->lock);
-	ok = upstream_serving(u, clock_now_ms()) && !call_expired(c) &&
+	ok = upstream_is_serving(u, clock_now_ms()) && !call_expired(c) &&
 	    u->in_flight < u->opt.slots;
 	if (ok)
 		u->in_flight++;
@@ -74,16 +74,16 @@
 
 /* Read the whole body; 0 when it broke off. */
 static int
-call_read(struct call *c)
+call_read_body(struct call *c)
 {
 	int n;
 	long long len = mg_get_request_info(c->conn)->content_length;
 	XXH64_state_t *st = XXH64_createState();
-	uint8_t *buf = g_malloc(CALL_PIECE_BYTES);
+	uint8_t *buf = g_malloc(CALL_CHUNK_BYTES);
 
 	XXH64_reset(st, 0);
-	web_expect(c->conn);
-	while ((n = web_read(c->conn, buf, CALL_PIECE_BYTES)) > 0) {
+	web_send_continue(c->conn);
+	while ((n = web_read(c->conn, buf, CALL_CHUNK_BYTES)) > 0) {
 		XXH64_update(st, buf, (size_t)n);
 		c->body_bytes += (uint64_t)n;
 	}
@@ -94,7 +94,7 @@
 }
 
 static int
-knob_use(uint32_t *left)
+knob_consume(uint32_t *left)
 {
 	if (*left == 0)
 		return 0;
@@ -104,7 +104,7 @@
 
 /* Count the run, before its work, and decide whether to answer it. */
 static void
-call_begin(struct upstream *u, struct call *c)
+call_record_run(struct upstream *u, struct call *c)
 {
 	int post =
 	    strcmp(mg_get_request_info(c->conn)->request_method, "POST") == 0;
@@ -112,12 +112,12 @@
 	c->start_ms = clock_now_ms();
 	c->run = runs_add(u->runs, &c->ids, c->start_ms);
 	pthread_mutex_lock(&u->lock);
-	if (post && web_nth(c->conn) > 1 &&
-	    knob_use(&u->knobs.close_kept_alive))
-		c->drop = 1;
-	else if (knob_use(&u->knobs.close_after_run))
-		c->drop = 1;
-	if (c->drop)
+	if (post && web_request_number(c->conn) > 1 &&
+	    knob_consume(&u->knobs.close_kept_alive))
+		c->close_unanswered = 1;
+	else if (knob_consume(&u->knobs.close_after_run))
+		c->close_unanswered = 1;
+	if (c->close_unanswered)
 		u->stats.unanswered++;
 	if (c->start_ms >= u->draining_ms) {
 		u->stats.after_drain++;
@@ -132,14 +132,15 @@
 {
 	double factor = u->knobs.slow_factor;
 	double share = pattern_share(u->ready_ms, c->run);
-	double work = MIN(-log(1.0 - share), CALL_WORK_MOST_MEANS);
-	uint64_t warm_ms = u->ready_ms + u->opt.warm_up_ms;
+	double work = MIN(-log(1.0 - share), CALL_WORK_MAX_MEANS);
+	uint64_t warm_at_ms = u->ready_ms + u->opt.warm_up_ms;
 
 	if (u->knobs.work_ms_exact != 0)
 		return u->knobs.work_ms_exact;
-	if (c->start_ms < warm_ms)
+	if (c->start_ms < warm_at_ms)
 		factor *= 1.0 +
-		    CALL_WARM_FACTOR * (double)(warm_ms - c->start_ms) /
+		    CALL_COLD_EXTRA_FACTOR *
+			(double)(warm_at_ms - c->start_ms) /
 			(double)u->opt.warm_up_ms;
 	return work * u->knobs.work_ms_mean * factor;
 }
@@ -165,14 +166,14 @@
 }
 
 static void
-call_answer_pad(struct call *c, uint64_t pad_bytes)
+call_send_padding(struct call *c, uint64_t pad_bytes)
 {
 	size_t n;
 	struct pattern p = {pattern_seed(c->ids.test_id), 0};
-	uint8_t *buf = g_malloc(CALL_PIECE_BYTES);
+	uint8_t *buf = g_malloc(CALL_CHUNK_BYTES);
 
 	while (pad_bytes > 0) {
-		n = (size_t)MIN(pad_bytes, CALL_PIECE_BYTES);
+		n = (size_t)MIN(pad_bytes, CALL_CHUNK_BYTES);
 		pattern_fill(&p, buf, n);
 		if (mg_write(c->conn, buf, n) <= 0)
 			break;
@@ -182,7 +183,7 @@
 }
 
 static void
-call_answer(struct upstream *u, struct call *c)
+call_respond(struct upstream *u, struct call *c)
 {
 	GString *line;
 	uint64_t pad = web_query_u64(c->conn, "answer_bytes", 0);
@@ -190,10 +191,10 @@
 	    c->body_bytes, c->body_hash, pad};
 
 	line = reply_line(&r);
-	web_head(c->conn, "application/octet-stream", line->len + pad,
+	web_respond_head(c->conn, "application/octet-stream", line->len + pad,
 	    line->str, line->len);
 	g_string_free(line, TRUE);
-	call_answer_pad(c, pad);
+	call_send_padding(c, pad);
 }
 
 static const char *
@@ -214,25 +215,25 @@
 	c.ids.test_id = header_or_empty(conn, "X-Test-Id");
 	c.ids.request_id = header_or_empty(conn, "Bramley-Request-Id");
 	c.ids.key = header_or_empty(conn, "Idempotency-Key");
-	if (!slot_take(u, &c)) {
+	if (!slot_acquire(u, &c)) {
 		web_answer_json(conn, 503, CALL_FATE_NOT_RUN, json_object());
 		return;
 	}
-	if (!call_read(&c)) {
+	if (!call_read_body(&c)) {
 		pthread_mutex_lock(&u->lock);
 		u->stats.broken++;
 		pthread_mutex_unlock(&u->lock);
-		web_drop(conn);
+		web_drop_connection(conn);
 		slot_release(u);
 		return;
 	}
-	call_begin(u, &c);
+	call_record_run(u, &c);
 	call_work(u, &c);
 	if (web_query_u64(conn, "crash", 0) != 0)
-		_exit(CALL_CRASH_CODE);
-	if (c.drop)
-		web_drop(conn);
+		_exit(CALL_CRASH_EXIT_CODE);
+	if (c.close_unanswered)
+		web_drop_connection(conn);
 	else
-		call_answer(u, &c);
+		call_respond(u, &c);
 	slot_release(u);
 }
--- a/packages/standins/src/upstream_defs.h
+++ b/packages/standins/src/upstream_defs.h
@@ -13,7 +13,7 @@
 #include "standins/web.h"
 
 #define UPSTREAM_LIE_BYTES 8
-#define UPSTREAM_LOAD_TRUE (-1)
+#define UPSTREAM_LOAD_ACTUAL (-1)
 
 /* Settable faults; see upstream.h. */
 struct upstream_knobs {
@@ -58,6 +58,6 @@
 void upstream_call(struct upstream *u, struct mg_connection *conn);
 
 /* Whether calls are taken now; under the lock. */
-int upstream_serving(const struct upstream *u, uint64_t now_ms);
+int upstream_is_serving(const struct upstream *u, uint64_t now_ms);
 
 #endif
--- a/packages/standins/src/web.c
+++ b/packages/standins/src/web.c
@@ -63,16 +63,17 @@
 enum status
 web_start(const struct web_options *o, struct web_server **out)
 {
-	char keep[16], ports[64], threads[16];
+	char keep_alive_ms[16], ports[64], threads[16];
 	const char *options[] = {"listening_ports", ports, "num_threads",
-	    threads, "enable_keep_alive", "yes", "keep_alive_timeout_ms", keep,
-	    "tcp_nodelay", "1", NULL};
+	    threads, "enable_keep_alive", "yes", "keep_alive_timeout_ms",
+	    keep_alive_ms, "tcp_nodelay", "1", NULL};
 	struct mg_callbacks cb;
 	struct web_server *w;
 
 	(void)snprintf(ports, sizeof(ports), "%s:%u", o->address, o->port);
 	(void)snprintf(threads, sizeof(threads), "%d", o->threads);
-	(void)snprintf(keep, sizeof(keep), "%u", o->keep_alive_ms);
+	(void)snprintf(
+	    keep_alive_ms, sizeof(keep_alive_ms), "%u", o->keep_alive_ms);
 	memset(&cb, 0, sizeof(cb));
 	cb.begin_request = web_begin_request;
 	cb.init_connection = web_init_connection;
@@ -101,7 +102,7 @@
 }
 
 uint32_t
-web_nth(const struct mg_connection *conn)
+web_request_number(const struct mg_connection *conn)
 {
 	const struct web_conn *wc = mg_get_user_connection_data(conn);
 
@@ -109,7 +110,7 @@
 }
 
 void
-web_expect(struct mg_connection *conn)
+web_send_continue(struct mg_connection *conn)
 {
 	const char *v = mg_get_header(conn, "Expect");
 
@@ -135,7 +136,7 @@
 		return status_set(STATUS_TOO_LARGE,
 		    "a body of %lld bytes is too large; send at most %zu.", len,
 		    max_bytes);
-	web_expect(conn);
+	web_send_continue(conn);
 	while ((n = web_read(conn, buf, sizeof(buf))) > 0) {
 		if (out->len + (size_t)n > max_bytes)
 			return status_set(STATUS_TOO_LARGE,
@@ -150,7 +151,7 @@
 }
 
 void
-web_answer(struct mg_connection *conn, int code, const char *type,
+web_respond(struct mg_connection *conn, int code, const char *type,
     const char *headers, const void *data, size_t len)
 {
 	GString *s = g_string_sized_new(len + WEB_HEAD_BYTES);
@@ -167,7 +168,7 @@
 }
 
 void
-web_head(struct mg_connection *conn, const char *type, uint64_t len,
+web_respond_head(struct mg_connection *conn, const char *type, uint64_t len,
     const void *data, size_t data_len)
 {
 	GString *s = g_string_sized_new(data_len + WEB_HEAD_BYTES);
@@ -187,7 +188,7 @@
 {
 	char *text = json_dumps(j, JSON_COMPACT);
 
-	web_answer(conn, code, "application/json", headers,
+	web_respond(conn, code, "application/json", headers,
 	    text == NULL ? "{}" : text, text == NULL ? 2 : strlen(text));
 	free(text);
 	json_decref(j);
@@ -203,7 +204,7 @@
 }
 
 void
-web_drop(struct mg_connection *conn)
+web_drop_connection(struct mg_connection *conn)
 {
 	mg_disable_connection_keep_alive(conn);
 }
--- a/packages/standins/test/test_load.c
+++ b/packages/standins/test/test_load.c
@@ -23,13 +23,13 @@
     .twin_percent = 100,
 };
 
-START_TEST(schedule_is_fixed_by_its_seed)
+START_TEST(schedule_is_determined_by_its_seed)
 {
-	GArray *a = schedule_make(&spec), *b = schedule_make(&spec), *c;
+	GArray *a = schedule_new(&spec), *b = schedule_new(&spec), *c;
 	struct schedule_spec other = spec;
 
 	other.seed = 8;
-	c = schedule_make(&other);
+	c = schedule_new(&other);
 	ck_assert_uint_eq(a->len, b->len);
 	ck_assert_mem_eq(a->data, b->data, a->len * sizeof(struct arrival));
 	ck_assert(a->len != c->len ||
@@ -43,7 +43,7 @@
 START_TEST(schedule_keeps_rate_mix_and_twins)
 {
 	const struct arrival *x, *prev = NULL;
-	GArray *list = schedule_make(&spec);
+	GArray *list = schedule_new(&spec);
 	guint i, kinds[CALL_KINDS] = {0}, twins = 0;
 
 	for (i = 0; i < list->len; i++) {
@@ -68,7 +68,7 @@
 }
 END_TEST
 
-START_TEST(latency_is_by_nearest_rank)
+START_TEST(latency_uses_nearest_rank)
 {
 	GArray *us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	struct latency l;
@@ -89,7 +89,8 @@
 END_TEST
 
 static void
-add(GArray *list, enum told told, enum answer_check check, int status)
+append_outcome(
+    GArray *list, enum told told, enum answer_check check, int status)
 {
 	struct outcome o = {"t", "", CALL_LOOKUP, told, check, status, 9, 0};
 
@@ -103,11 +104,11 @@
 
 	r.outcomes = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	r.late_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	add(r.outcomes, TOLD_DONE, ANSWER_OK, 200);
-	add(r.outcomes, TOLD_DONE, ANSWER_NOT_OWN, 200);
-	add(r.outcomes, TOLD_NOT_RUN, ANSWER_NONE, 503);
-	add(r.outcomes, TOLD_UNKNOWN, ANSWER_NONE, 0);
-	add(r.outcomes, TOLD_UNKNOWN, ANSWER_CUT, 200);
+	append_outcome(r.outcomes, TOLD_DONE, ANSWER_OK, 200);
+	append_outcome(r.outcomes, TOLD_DONE, ANSWER_NOT_OWN, 200);
+	append_outcome(r.outcomes, TOLD_NOT_RUN, ANSWER_NONE, 503);
+	append_outcome(r.outcomes, TOLD_UNKNOWN, ANSWER_NONE, 0);
+	append_outcome(r.outcomes, TOLD_UNKNOWN, ANSWER_CUT, 200);
 	j = summary_json(&r, SECOND_US / 2);
 	ck_assert_int_eq(json_integer_value(json_object_get(j, "sent")), 5);
 	ck_assert_int_eq(json_integer_value(json_object_get(j, "done")), 2);
@@ -129,9 +130,9 @@
 	Suite *s = suite_create("load");
 	TCase *tc = tcase_create("load");
 
-	tcase_add_test(tc, schedule_is_fixed_by_its_seed);
+	tcase_add_test(tc, schedule_is_determined_by_its_seed);
 	tcase_add_test(tc, schedule_keeps_rate_mix_and_twins);
-	tcase_add_test(tc, latency_is_by_nearest_rank);
+	tcase_add_test(tc, latency_uses_nearest_rank);
 	tcase_add_test(tc, summary_counts_each_outcome);
 	suite_add_tcase(s, tc);
 	return test_run(s);
--- a/packages/standins/test/test_platform.c
+++ b/packages/standins/test/test_platform.c
@@ -20,8 +20,8 @@
 #define PUT(key, seq, cond)                                                  \
 	"{\"Put\":{\"TableName\":\"bramley\",\"Item\":{\"pk\":{\"S\":\"" key \
 	"\"},\"seq\":{\"N\":\"" seq "\"}}" cond "}}"
-#define ABSENT ",\"ConditionExpression\":\"attribute_not_exists(pk)\""
-#define SEQ_IS(seq)                                      \
+#define NOT_EXISTS ",\"ConditionExpression\":\"attribute_not_exists(pk)\""
+#define SEQ_EQUALS(seq)                                  \
 	",\"ConditionExpression\":\"#c = :c\","          \
 	"\"ExpressionAttributeNames\":{\"#c\":\"seq\"}," \
 	"\"ExpressionAttributeValues\":{\":c\":{\"N\":\"" seq "\"}}"
@@ -31,9 +31,9 @@
 #define BATCH(keys) "{\"RequestItems\":{\"bramley\":{\"Keys\":[" keys "]}}}"
 #define KEY(key) "{\"pk\":{\"S\":\"" key "\"}}"
 
-#define CANCELLED \
+#define TYPE_CANCELLED \
 	"com.amazonaws.dynamodb.v20120810#TransactionCanceledException"
-#define INVALID "com.amazonaws.dynamodb.v20120810#ValidationException"
+#define TYPE_INVALID "com.amazonaws.dynamodb.v20120810#ValidationException"
 
 /* One request, the HTTP status and the error type (or NULL) it must give. */
 struct step {
@@ -45,37 +45,38 @@
 };
 
 static const struct step steps[] = {
-    {"first", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("head", "1", ABSENT)), 200,
+    {"first", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("head", "1", NOT_EXISTS)), 200,
 	NULL},
-    {"exists", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("head", "1", ABSENT)), 400,
-	CANCELLED},
-    {"lost race", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("head", "2", SEQ_IS("9"))),
-	400, CANCELLED},
-    {"no such row", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("x", "2", SEQ_IS("1"))),
-	400, CANCELLED},
+    {"exists", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("head", "1", NOT_EXISTS)), 400,
+	TYPE_CANCELLED},
+    {"lost race", ROWS_OP_TRANSACT_WRITE,
+	WRITE(PUT("head", "2", SEQ_EQUALS("9"))), 400, TYPE_CANCELLED},
+    {"no such row", ROWS_OP_TRANSACT_WRITE,
+	WRITE(PUT("x", "2", SEQ_EQUALS("1"))), 400, TYPE_CANCELLED},
     {"whole or not at all", ROWS_OP_TRANSACT_WRITE,
-	WRITE(PUT("v1", "1", ABSENT) "," PUT("head", "2", SEQ_IS("7"))), 400,
-	CANCELLED},
+	WRITE(PUT("v1", "1", NOT_EXISTS) "," PUT("head", "2", SEQ_EQUALS("7"))),
+	400, TYPE_CANCELLED},
     {"nothing of it", ROWS_OP_TRANSACT_WRITE,
-	WRITE(PUT("v1", "1", ABSENT) "," PUT("head", "2", SEQ_IS("1"))), 200,
-	NULL},
+	WRITE(PUT("v1", "1", NOT_EXISTS) "," PUT("head", "2", SEQ_EQUALS("1"))),
+	200, NULL},
     {"one row twice", ROWS_OP_TRANSACT_WRITE,
-	WRITE(PUT("a", "1", "") "," PUT("a", "2", "")), 400, INVALID},
-    {"empty", ROWS_OP_TRANSACT_WRITE, WRITE(""), 400, INVALID},
+	WRITE(PUT("a", "1", "") "," PUT("a", "2", "")), 400, TYPE_INVALID},
+    {"empty", ROWS_OP_TRANSACT_WRITE, WRITE(""), 400, TYPE_INVALID},
     {"other condition", ROWS_OP_TRANSACT_WRITE,
 	WRITE(PUT("a", "1", ",\"ConditionExpression\":\"seq > :c\"")), 400,
-	INVALID},
+	TYPE_INVALID},
     {"condition no text", ROWS_OP_TRANSACT_WRITE,
-	WRITE(PUT("a", "1", ",\"ConditionExpression\":1")), 400, INVALID},
+	WRITE(PUT("a", "1", ",\"ConditionExpression\":1")), 400, TYPE_INVALID},
     {"bad number", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("a", "1x", "")), 400,
-	INVALID},
-    {"no key", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("", "1", "")), 400, INVALID},
+	TYPE_INVALID},
+    {"no key", ROWS_OP_TRANSACT_WRITE, WRITE(PUT("", "1", "")), 400,
+	TYPE_INVALID},
     {"get", ROWS_OP_GET, GET("head"), 200, NULL},
     {"get nothing", ROWS_OP_GET, GET("none"), 200, NULL},
     {"batch", ROWS_OP_BATCH_GET, BATCH(KEY("head") "," KEY("v1")), 200, NULL},
     {"batch doubled", ROWS_OP_BATCH_GET, BATCH(KEY("v1") "," KEY("v1")), 400,
-	INVALID},
-    {"batch empty", ROWS_OP_BATCH_GET, BATCH(""), 400, INVALID},
+	TYPE_INVALID},
+    {"batch empty", ROWS_OP_BATCH_GET, BATCH(""), 400, TYPE_INVALID},
     {"no json", ROWS_OP_GET, "nonsense", 400,
 	"com.amazonaws.dynamodb.v20120810#SerializationException"},
     {"unknown", ROWS_OP_UNKNOWN, "{}", 400,
@@ -83,12 +84,12 @@
 };
 
 static void
-apply(
-    struct rows *t, enum rows_op op, const char *text, struct rows_answer *ans)
+apply(struct rows *t, enum rows_op op, const char *text,
+    struct rows_response *resp)
 {
 	json_t *req = json_loads(text, 0, NULL);
 
-	rows_apply(t, op, req, ans);
+	rows_apply(t, op, req, resp);
 	json_decref(req);
 }
 
@@ -98,71 +99,72 @@
 	const char *type;
 	size_t i;
 	struct rows *t = rows_new();
-	struct rows_answer ans;
+	struct rows_response resp;
 
 	for (i = 0; i < G_N_ELEMENTS(steps); i++) {
 		s = &steps[i];
-		apply(t, s->op, s->request, &ans);
-		type = json_string_value(json_object_get(ans.body, "__type"));
+		apply(t, s->op, s->request, &resp);
+		type = json_string_value(json_object_get(resp.body, "__type"));
 		ck_assert_msg(
-		    ans.code == s->code, "%s: %d", s->label, ans.code);
+		    resp.code == s->code, "%s: %d", s->label, resp.code);
 		ck_assert_msg(
 		    g_strcmp0(type, s->type) == 0, "%s: %s", s->label, type);
-		json_decref(ans.body);
+		json_decref(resp.body);
 	}
 	ck_assert_uint_eq(rows_count(t), 2);
 	rows_free(t);
 }
 END_TEST
 
-START_TEST(table_gives_back_what_was_written)
+START_TEST(table_returns_written_rows)
 {
 	struct rows *t = rows_new();
-	struct rows_answer ans;
+	struct rows_response resp;
 	json_t *item;
 
-	apply(
-	    t, ROWS_OP_TRANSACT_WRITE, WRITE(PUT("head", "41", ABSENT)), &ans);
-	json_decref(ans.body);
-	apply(t, ROWS_OP_GET, GET("head"), &ans);
-	item = json_object_get(ans.body, "Item");
+	apply(t, ROWS_OP_TRANSACT_WRITE, WRITE(PUT("head", "41", NOT_EXISTS)),
+	    &resp);
+	json_decref(resp.body);
+	apply(t, ROWS_OP_GET, GET("head"), &resp);
+	item = json_object_get(resp.body, "Item");
 	ck_assert_str_eq(json_string_value(json_object_get(
 			     json_object_get(item, "seq"), "N")),
 	    "41");
-	json_decref(ans.body);
-	apply(t, ROWS_OP_GET, GET("none"), &ans);
-	ck_assert_ptr_null(json_object_get(ans.body, "Item"));
-	json_decref(ans.body);
-	apply(t, ROWS_OP_BATCH_GET, BATCH(KEY("none") "," KEY("head")), &ans);
-	item =
-	    json_object_get(json_object_get(ans.body, "Responses"), ROWS_TABLE);
+	json_decref(resp.body);
+	apply(t, ROWS_OP_GET, GET("none"), &resp);
+	ck_assert_ptr_null(json_object_get(resp.body, "Item"));
+	json_decref(resp.body);
+	apply(t, ROWS_OP_BATCH_GET, BATCH(KEY("none") "," KEY("head")), &resp);
+	item = json_object_get(
+	    json_object_get(resp.body, "Responses"), ROWS_TABLE);
 	ck_assert_uint_eq(json_array_size(item), 1);
-	json_decref(ans.body);
+	json_decref(resp.body);
 	rows_free(t);
 }
 END_TEST
 
-START_TEST(cancelled_transaction_tells_which_row)
+START_TEST(cancelled_transaction_names_the_row)
 {
 	struct rows *t = rows_new();
-	struct rows_answer ans;
+	struct rows_response resp;
 	json_t *reasons;
 
 	apply(t, ROWS_OP_TRANSACT_WRITE,
-	    WRITE(PUT("a", "1", ABSENT) "," PUT("b", "1", SEQ_IS("1"))), &ans);
-	reasons = json_object_get(ans.body, "CancellationReasons");
+	    WRITE(PUT("a", "1", NOT_EXISTS) "," PUT("b", "1", SEQ_EQUALS("1"))),
+	    &resp);
+	reasons = json_object_get(resp.body, "CancellationReasons");
 	ck_assert_str_eq(json_string_value(json_object_get(
 			     json_array_get(reasons, 0), "Code")),
 	    "None");
 	ck_assert_str_eq(json_string_value(json_object_get(
 			     json_array_get(reasons, 1), "Code")),
 	    "ConditionalCheckFailed");
-	json_decref(ans.body);
+	json_decref(resp.body);
 	rows_free(t);
 }
 END_TEST
 
-START_TEST(object_is_put_once)
+START_TEST(conditional_put_fails_if_the_object_exists)
 {
 	GBytes *a = g_bytes_new("a", 1), *b = g_bytes_new("bcd", 3), *got;
 	struct objects *o = objects_new();
@@ -182,7 +184,7 @@
 }
 END_TEST
 
-START_TEST(rate_gives_its_rate)
+START_TEST(bucket_limits_the_rate)
 {
 	int taken = 0;
 	struct rate r;
@@ -206,10 +208,10 @@
 	TCase *tc = tcase_create("platform");
 
 	tcase_add_test(tc, table_steps_in_order);
-	tcase_add_test(tc, table_gives_back_what_was_written);
-	tcase_add_test(tc, cancelled_transaction_tells_which_row);
-	tcase_add_test(tc, object_is_put_once);
-	tcase_add_test(tc, rate_gives_its_rate);
+	tcase_add_test(tc, table_returns_written_rows);
+	tcase_add_test(tc, cancelled_transaction_names_the_row);
+	tcase_add_test(tc, conditional_put_fails_if_the_object_exists);
+	tcase_add_test(tc, bucket_limits_the_rate);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/standins/test/test_run_check.c
+++ b/packages/standins/test/test_run_check.c
@@ -21,24 +21,24 @@
 #include "test_run.h"
 
 #define RULE_NONE RULE_COUNT
-#define PLANT_CALLS 2
+#define CASE_CALLS 2
 
 /* Up to two calls a and b, the runs counted of each, and what is to be found.
  */
-struct plant {
+struct check_case {
 	const char *label;
 	enum call_kind kind;
 	const char *key;
-	enum told told[PLANT_CALLS];
+	enum told told[CASE_CALLS];
 	int n_calls;
-	int runs[PLANT_CALLS];
+	int runs[CASE_CALLS];
 	enum answer_check check;
 	enum run_rule found;
 };
 
-static const char *const ids[PLANT_CALLS] = {"a", "b"};
+static const char *const ids[CASE_CALLS] = {"a", "b"};
 
-static const struct plant plants[] = {
+static const struct check_case check_cases[] = {
     {"done, ran once", CALL_BOOKING, "", {TOLD_DONE}, 1, {1}, ANSWER_OK,
 	RULE_NONE},
     {"unknown, ran", CALL_BOOKING, "", {TOLD_UNKNOWN}, 1, {1}, ANSWER_NONE,
@@ -62,13 +62,13 @@
     {"unknown, ran twice", CALL_UPLOAD, "", {TOLD_UNKNOWN}, 1, {2}, ANSWER_NONE,
 	RULE_RAN_TWICE},
     {"another's answer", CALL_LOOKUP, "", {TOLD_DONE}, 1, {1}, ANSWER_NOT_OWN,
-	RULE_ANSWER},
+	RULE_BAD_RESPONSE},
     {"part of an answer", CALL_LOOKUP, "", {TOLD_DONE}, 1, {1},
-	ANSWER_NOT_WHOLE, RULE_ANSWER},
+	ANSWER_NOT_WHOLE, RULE_BAD_RESPONSE},
     {"no fate told", CALL_BOOKING, "", {TOLD_UNKNOWN}, 1, {0}, ANSWER_NO_FATE,
-	RULE_ANSWER},
+	RULE_BAD_RESPONSE},
     {"run without a call", CALL_BOOKING, "", {TOLD_DONE}, 1, {1, 1}, ANSWER_OK,
-	RULE_STRAY_RUN},
+	RULE_RUN_WITHOUT_CALL},
     {"key: repeat got the first's answer", CALL_BOOKING, "k",
 	{TOLD_DONE, TOLD_DONE}, 2, {1, 0}, ANSWER_OK, RULE_NONE},
     {"key: unknown, then done", CALL_BOOKING, "k", {TOLD_UNKNOWN, TOLD_DONE}, 2,
@@ -82,13 +82,13 @@
 };
 
 static void
-plant_make(const struct plant *p, GArray *calls, struct runs *r)
+check_case_fill(const struct check_case *p, GArray *calls, struct runs *r)
 {
 	int i, n;
 	struct outcome o;
 	struct run_ids names = {NULL, "r", NULL};
 
-	for (i = 0; i < p->n_calls && i < PLANT_CALLS; i++) {
+	for (i = 0; i < p->n_calls && i < CASE_CALLS; i++) {
 		memset(&o, 0, sizeof(o));
 		g_strlcpy(o.test_id, ids[i], sizeof(o.test_id));
 		g_strlcpy(o.key, p->key, sizeof(o.key));
@@ -97,7 +97,7 @@
 		o.check = p->check;
 		g_array_append_val(calls, o);
 	}
-	for (i = 0; i < PLANT_CALLS; i++) {
+	for (i = 0; i < CASE_CALLS; i++) {
 		names.test_id = ids[i];
 		names.key = p->key;
 		for (n = 0; n < p->runs[i]; n++)
@@ -105,15 +105,15 @@
 	}
 }
 
-START_TEST(checker_finds_what_is_planted)
+START_TEST(checker_finds_only_the_violation)
 {
-	const struct plant *p = &plants[_i];
+	const struct check_case *p = &check_cases[_i];
 	GArray *calls = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	GArray *found;
 	struct runs *r;
 
 	ck_assert_int_eq(runs_new("h", NULL, &r), STATUS_OK);
-	plant_make(p, calls, r);
+	check_case_fill(p, calls, r);
 	found = run_check(calls, r);
 	if (p->found == RULE_NONE) {
 		ck_assert_msg(found->len == 0, "%s: %s", p->label,
@@ -139,13 +139,13 @@
 	struct runs *r;
 
 	ck_assert_int_eq(runs_new("h", NULL, &r), STATUS_OK);
-	plant_make(&plants[0], calls, r);
+	check_case_fill(&check_cases[0], calls, r);
 	o = g_array_index(calls, struct outcome, 0);
 	g_array_append_val(calls, o);
 	found = run_check(calls, r);
 	ck_assert_uint_eq(found->len, 1);
-	ck_assert_int_eq(
-	    g_array_index(found, struct violation, 0).rule, RULE_DOUBLE_CALL);
+	ck_assert_int_eq(g_array_index(found, struct violation, 0).rule,
+	    RULE_DUPLICATE_CALL);
 	g_array_unref(found);
 	g_array_unref(calls);
 	runs_free(r);
@@ -163,11 +163,11 @@
 	return path;
 }
 
-START_TEST(outcomes_come_back_from_the_file)
+START_TEST(outcomes_survive_a_file_round_trip)
 {
 	char *path = temp_file();
 	FILE *f = fopen(path, "w");
-	GArray *back = g_array_new(FALSE, FALSE, sizeof(struct outcome));
+	GArray *copy = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	struct outcome o = {
 	    "t1", "k1", CALL_UPLOAD, TOLD_UNKNOWN, ANSWER_CUT, 504, 123, 456};
 
@@ -175,28 +175,28 @@
 	o.key[0] = '\0';
 	outcomes_write(f, &o);
 	(void)fclose(f);
-	ck_assert_int_eq(outcomes_read(path, back), STATUS_OK);
-	ck_assert_uint_eq(back->len, 2);
+	ck_assert_int_eq(outcomes_read(path, copy), STATUS_OK);
+	ck_assert_uint_eq(copy->len, 2);
 	ck_assert_mem_eq(
-	    &g_array_index(back, struct outcome, 1), &o, sizeof(o.test_id));
+	    &g_array_index(copy, struct outcome, 1), &o, sizeof(o.test_id));
 	ck_assert_int_eq(
-	    g_array_index(back, struct outcome, 0).told, TOLD_UNKNOWN);
-	ck_assert_str_eq(g_array_index(back, struct outcome, 0).key, "k1");
-	ck_assert_str_eq(g_array_index(back, struct outcome, 1).key, "");
+	    g_array_index(copy, struct outcome, 0).told, TOLD_UNKNOWN);
+	ck_assert_str_eq(g_array_index(copy, struct outcome, 0).key, "k1");
+	ck_assert_str_eq(g_array_index(copy, struct outcome, 1).key, "");
 	ck_assert(
 	    g_file_set_contents(path, "t1\tlookup\t-\tmaybe\n", -1, NULL));
-	ck_assert_int_eq(outcomes_read(path, back), STATUS_INVALID);
+	ck_assert_int_eq(outcomes_read(path, copy), STATUS_INVALID);
 	(void)g_unlink(path);
 	g_free(path);
-	g_array_unref(back);
+	g_array_unref(copy);
 }
 END_TEST
 
-START_TEST(journal_keeps_runs_of_a_killed_upstream)
+START_TEST(truncated_journal_is_read)
 {
 	char *path = temp_file();
 	struct run_ids names = {"t1", "r1", "k1"};
-	struct runs *r, *back;
+	struct runs *r, *copy;
 	FILE *f;
 
 	ck_assert_int_eq(runs_new("h", path, &r), STATUS_OK);
@@ -207,94 +207,94 @@
 	f = fopen(path, "a");
 	(void)fputs("t2\tr", f); /* cut off by the kill */
 	(void)fclose(f);
-	ck_assert_int_eq(runs_new("h", NULL, &back), STATUS_OK);
-	ck_assert_int_eq(runs_read_journal(back, path), STATUS_OK);
-	ck_assert_uint_eq(runs_of_test_id(back, "t1"), 2);
-	ck_assert_uint_eq(runs_of_key(back, "k1"), 1);
-	ck_assert_uint_eq(runs_of_test_id(back, "t2"), 1);
-	runs_free(back);
+	ck_assert_int_eq(runs_new("h", NULL, &copy), STATUS_OK);
+	ck_assert_int_eq(runs_read_journal(copy, path), STATUS_OK);
+	ck_assert_uint_eq(runs_of_test_id(copy, "t1"), 2);
+	ck_assert_uint_eq(runs_of_key(copy, "k1"), 1);
+	ck_assert_uint_eq(runs_of_test_id(copy, "t2"), 1);
+	runs_free(copy);
 	(void)g_unlink(path);
 	g_free(path);
 }
 END_TEST
 
-START_TEST(runs_come_back_from_json)
+START_TEST(runs_survive_a_json_round_trip)
 {
 	json_t *j;
 	struct run_ids names = {"t1", "r1", "k1"};
-	struct runs *r, *back;
+	struct runs *r, *copy;
 
 	ck_assert_int_eq(runs_new("h", NULL, &r), STATUS_OK);
 	(void)runs_add(r, &names, 7);
 	j = runs_json(r);
-	ck_assert_int_eq(runs_new("h", NULL, &back), STATUS_OK);
-	ck_assert_int_eq(runs_read_json(back, j), STATUS_OK);
-	ck_assert_int_eq(runs_read_json(back, j), STATUS_OK);
-	ck_assert_uint_eq(runs_of_test_id(back, "t1"), 2);
-	ck_assert_uint_eq(runs_of_key(back, "k1"), 2);
+	ck_assert_int_eq(runs_new("h", NULL, &copy), STATUS_OK);
+	ck_assert_int_eq(runs_read_json(copy, j), STATUS_OK);
+	ck_assert_int_eq(runs_read_json(copy, j), STATUS_OK);
+	ck_assert_uint_eq(runs_of_test_id(copy, "t1"), 2);
+	ck_assert_uint_eq(runs_of_key(copy, "k1"), 2);
 	json_decref(j);
 	j = json_array();
-	ck_assert_int_eq(runs_read_json(back, j), STATUS_INVALID);
+	ck_assert_int_eq(runs_read_json(copy, j), STATUS_INVALID);
 	json_decref(j);
 	runs_free(r);
-	runs_free(back);
+	runs_free(copy);
 }
 END_TEST
 
 /* Changes made to a good answer, and what the check must say of each. */
 enum {
-	SPOIL_NOTHING,
-	SPOIL_OTHER_ID,
-	SPOIL_OTHER_ID_SAME_KEY,
-	SPOIL_SHORT,
-	SPOIL_SWAPPED,
-	SPOIL_BODY,
-	SPOIL_KINDS,
+	DAMAGE_NONE,
+	DAMAGE_OTHER_ID,
+	DAMAGE_OTHER_ID_SAME_KEY,
+	DAMAGE_TRUNCATED,
+	DAMAGE_SWAPPED,
+	DAMAGE_BODY_HASH,
+	DAMAGE_KINDS,
 };
 
-static const enum answer_check spoil_want[SPOIL_KINDS] = {ANSWER_OK,
+static const enum answer_check damage_results[DAMAGE_KINDS] = {ANSWER_OK,
     ANSWER_NOT_OWN, ANSWER_OK, ANSWER_NOT_WHOLE, ANSWER_NOT_WHOLE,
     ANSWER_NOT_WHOLE};
 
-#define SPOIL_PAD_BYTES 1000
-#define SPOIL_BLOCK_BYTES 64
+#define DAMAGE_PAD_BYTES 1000
+#define DAMAGE_BLOCK_BYTES 64
 
-START_TEST(answer_check_finds_what_is_spoilt)
+START_TEST(response_check_detects_damage)
 {
-	char pad[SPOIL_PAD_BYTES], swap[SPOIL_BLOCK_BYTES];
+	char pad[DAMAGE_PAD_BYTES], swap[DAMAGE_BLOCK_BYTES];
 	GString *line;
 	size_t pad_len = sizeof(pad);
 	struct pattern p = {pattern_seed("t1"), 0};
-	struct reply r = {"h", "t1", "k1", 1, 5, 99, SPOIL_PAD_BYTES};
+	struct reply r = {"h", "t1", "k1", 1, 5, 99, DAMAGE_PAD_BYTES};
 	struct reply_reader rd;
-	struct reply_want w = {"t1", "", 5, 99, SPOIL_PAD_BYTES};
+	struct reply_expected w = {"t1", "", 5, 99, DAMAGE_PAD_BYTES};
 
 	pattern_fill(&p, pad, sizeof(pad));
-	if (_i == SPOIL_OTHER_ID || _i == SPOIL_OTHER_ID_SAME_KEY)
+	if (_i == DAMAGE_OTHER_ID || _i == DAMAGE_OTHER_ID_SAME_KEY)
 		w.test_id = "t2";
-	if (_i == SPOIL_OTHER_ID_SAME_KEY)
+	if (_i == DAMAGE_OTHER_ID_SAME_KEY)
 		w.key = "k1";
-	if (_i == SPOIL_SHORT)
+	if (_i == DAMAGE_TRUNCATED)
 		pad_len -= 1;
-	if (_i == SPOIL_SWAPPED) {
+	if (_i == DAMAGE_SWAPPED) {
 		memcpy(swap, pad, sizeof(swap));
 		memcpy(pad, pad + sizeof(swap), sizeof(swap));
 		memcpy(pad + sizeof(swap), swap, sizeof(swap));
 	}
-	if (_i == SPOIL_BODY)
+	if (_i == DAMAGE_BODY_HASH)
 		w.body_hash = 98;
 	line = reply_line(&r);
 	reply_reader_init(&rd);
 	reply_reader_feed(&rd, line->str, 3);
 	reply_reader_feed(&rd, line->str + 3, line->len - 3);
 	reply_reader_feed(&rd, pad, pad_len);
-	ck_assert_int_eq(reply_reader_check(&rd, &w), spoil_want[_i]);
+	ck_assert_int_eq(reply_reader_check(&rd, &w), damage_results[_i]);
 	reply_reader_clear(&rd);
 	g_string_free(line, TRUE);
 }
 END_TEST
 
-START_TEST(pattern_does_not_depend_on_pieces)
+START_TEST(pattern_does_not_depend_on_chunks)
 {
 	struct pattern a = {42, 0}, b = {42, 0};
 	uint8_t whole[100], parts[100];
@@ -314,14 +314,13 @@
 	TCase *tc = tcase_create("run_check");
 
 	tcase_add_loop_test(
-	    tc, checker_finds_what_is_planted, 0, G_N_ELEMENTS(plants));
+	    tc, checker_finds_only_the_violation, 0, G_N_ELEMENTS(check_cases));
 	tcase_add_test(tc, checker_finds_a_call_listed_twice);
-	tcase_add_test(tc, outcomes_come_back_from_the_file);
-	tcase_add_test(tc, journal_keeps_runs_of_a_killed_upstream);
-	tcase_add_test(tc, runs_come_back_from_json);
-	tcase_add_loop_test(
-	    tc, answer_check_finds_what_is_spoilt, 0, SPOIL_KINDS);
-	tcase_add_test(tc, pattern_does_not_depend_on_pieces);
+	tcase_add_test(tc, outcomes_survive_a_file_round_trip);
+	tcase_add_test(tc, truncated_journal_is_read);
+	tcase_add_test(tc, runs_survive_a_json_round_trip);
+	tcase_add_loop_test(tc, response_check_detects_damage, 0, DAMAGE_KINDS);
+	tcase_add_test(tc, pattern_does_not_depend_on_chunks);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
