--- a/packages/standins/include/standins/outcomes.h
+++ b/packages/standins/include/standins/outcomes.h
@@ -27,40 +27,40 @@
 };
 
 /**
- * enum told - what the caller was told
- * @TOLD_DONE: the request was run
- * @TOLD_NOT_RUN: the request was not and will not be run
- * @TOLD_UNKNOWN: whether it was run is not known; also when no answer came
- * @TOLD_NOT_SENT: no connection came about, so nothing was sent
- * @TOLD_KINDS: number of them
+ * enum reported_fate - what the caller was told
+ * @REPORTED_DONE: the request was run
+ * @REPORTED_NOT_RUN: the request was not and will not be run
+ * @REPORTED_UNKNOWN: whether it was run is not known; also when no answer came
+ * @REPORTED_NOT_SENT: no connection came about, so nothing was sent
+ * @REPORTED_COUNT: number of them
  */
-enum told {
-	TOLD_DONE,
-	TOLD_NOT_RUN,
-	TOLD_UNKNOWN,
-	TOLD_NOT_SENT,
-	TOLD_KINDS,
+enum reported_fate {
+	REPORTED_DONE,
+	REPORTED_NOT_RUN,
+	REPORTED_UNKNOWN,
+	REPORTED_NOT_SENT,
+	REPORTED_COUNT,
 };
 
 /**
- * enum answer_check - whether an answer was whole and the caller's own
- * @ANSWER_NONE: there was no answer to check (none came, or no run told)
- * @ANSWER_OK: whole and its own
- * @ANSWER_CUT: the connection broke after the answer had begun; the caller
+ * enum response_check - whether an answer was whole and the caller's own
+ * @RESPONSE_NONE: there was no answer to check (none came, or no run told)
+ * @RESPONSE_OK: whole and its own
+ * @RESPONSE_CUT: the connection broke after the answer had begun; the caller
  *	knows that it is not whole
- * @ANSWER_NOT_OWN: the answer to another call
- * @ANSWER_NOT_WHOLE: a length or hash differs
- * @ANSWER_NO_FATE: a node answered without saying the fate
- * @ANSWER_KINDS: number of them
+ * @RESPONSE_NOT_OWN: the answer to another call
+ * @RESPONSE_NOT_WHOLE: a length or hash differs
+ * @RESPONSE_NO_FATE: a node answered without saying the fate
+ * @RESPONSE_CHECKS: number of them
  */
-enum answer_check {
-	ANSWER_NONE,
-	ANSWER_OK,
-	ANSWER_CUT,
-	ANSWER_NOT_OWN,
-	ANSWER_NOT_WHOLE,
-	ANSWER_NO_FATE,
-	ANSWER_KINDS,
+enum response_check {
+	RESPONSE_NONE,
+	RESPONSE_OK,
+	RESPONSE_CUT,
+	RESPONSE_NOT_OWN,
+	RESPONSE_NOT_WHOLE,
+	RESPONSE_NO_FATE,
+	RESPONSE_CHECKS,
 };
 
 /**
@@ -68,7 +68,7 @@
  * @test_id: X-Test-Id of the call
  * @key: Idempotency-Key or an empty string
  * @kind: what was asked
- * @told: what the caller was told
+ * @reported: what the caller was told
  * @check: check of the answer
  * @status: HTTP status; 0 when no answer came
  * @latency_us: from the scheduled time to the last byte of the answer
@@ -78,8 +78,8 @@
 	char test_id[OUTCOMES_ID_BYTES];
 	char key[OUTCOMES_ID_BYTES];
 	enum call_kind kind;
-	enum told told;
-	enum answer_check check;
+	enum reported_fate reported;
+	enum response_check check;
 	int status;
 	uint64_t latency_us;
 	uint64_t sent_us;
@@ -88,12 +88,13 @@
 /** call_kind_name() - "lookup", "booking" or "upload" */
 const char *call_kind_name(enum call_kind k);
 
-/** told_name() - "done", "not_run", "unknown" or "not_sent" */
-const char *told_name(enum told t);
+/** reported_fate_name() - "done", "not_run", "unknown" or "not_sent" */
+const char *reported_fate_name(enum reported_fate t);
 
-/** answer_check_name() - "none", "ok", "cut", "not_own", "not_whole", "no_fate"
+/** response_check_name() - "none", "ok", "cut", "not_own", "not_whole",
+ * "no_fate"
  */
-const char *answer_check_name(enum answer_check c);
+const char *response_check_name(enum response_check c);
 
 /** outcomes_write() - append a record to an open file */
 void outcomes_write(FILE *f, const struct outcome *o);
--- a/packages/standins/include/standins/pattern.h
+++ b/packages/standins/include/standins/pattern.h
@@ -34,10 +34,10 @@
 uint64_t pattern_hash(uint64_t seed, uint64_t len);
 
 /**
- * pattern_share() - a number from 0 up to, not including, 1
+ * pattern_fraction() - a number from 0 up to, not including, 1
  * @seed: seed
  * @n: the same seed and @n give the same number
  */
-double pattern_share(uint64_t seed, uint64_t n);
+double pattern_fraction(uint64_t seed, uint64_t n);
 
 #endif
--- a/packages/standins/include/standins/reply.h
+++ b/packages/standins/include/standins/reply.h
@@ -90,9 +90,9 @@
  * @r: the reader
  * @w: what the caller expects
  *
- * Return: ANSWER_OK, ANSWER_NOT_OWN or ANSWER_NOT_WHOLE.
+ * Return: RESPONSE_OK, RESPONSE_NOT_OWN or RESPONSE_NOT_WHOLE.
  */
-enum answer_check reply_reader_check(
+enum response_check reply_reader_check(
     const struct reply_reader *r, const struct reply_expected *w);
 
 #endif
--- a/packages/standins/include/standins/run_check.h
+++ b/packages/standins/include/standins/run_check.h
@@ -33,13 +33,13 @@
  * struct violation - one rule broken by one call
  * @rule: the rule
  * @id: test id or idempotency key
- * @told: what the caller was told (not for a stray run)
+ * @reported: what the caller was told (not for a stray run)
  * @runs: number of runs
  */
 struct violation {
 	enum run_rule rule;
 	char id[OUTCOMES_ID_BYTES];
-	enum told told;
+	enum reported_fate reported;
 	uint64_t runs;
 };
 
--- a/packages/standins/include/standins/web.h
+++ b/packages/standins/include/standins/web.h
@@ -72,7 +72,7 @@
 void web_send_continue(struct mg_connection *conn);
 
 /**
- * web_body() - read a whole body
+ * web_read_body() - read a whole body
  * @conn: the connection
  * @max_bytes: largest body taken
  * @out: emptied, then filled
@@ -80,7 +80,7 @@
  * Return: STATUS_OK, STATUS_TOO_LARGE, or STATUS_IO when it broke off.
  */
 enum status
-web_body(struct mg_connection *conn, size_t max_bytes, GByteArray *out);
+web_read_body(struct mg_connection *conn, size_t max_bytes, GByteArray *out);
 
 /**
  * web_respond() - send an answer with its body in one write
@@ -107,13 +107,13 @@
     uint64_t len, const void *data, size_t data_len);
 
 /**
- * web_answer_json() - send a JSON answer
+ * web_respond_json() - send a JSON answer
  * @conn: the connection
  * @code: HTTP status
  * @headers: further header lines or NULL
  * @j: the value; the reference is taken
  */
-void web_answer_json(
+void web_respond_json(
     struct mg_connection *conn, int code, const char *headers, json_t *j);
 
 /**
--- a/packages/standins/src/load_call.c
+++ b/packages/standins/src/load_call.c
@@ -197,31 +197,31 @@
 	return sent_bytes == 0;
 }
 
-static enum told
+static enum reported_fate
 fate_from_upstream(const struct load_call *c)
 {
 	if (c->outcome.status == HTTP_SERVICE_UNAVAILABLE &&
 	    c->fate == LOAD_FATE_NOT_RUN)
-		return TOLD_NOT_RUN;
-	return TOLD_DONE;
+		return REPORTED_NOT_RUN;
+	return REPORTED_DONE;
 }
 
-static enum told
+static enum reported_fate
 fate_from_node(const struct load_call *c)
 {
 	switch (c->fate) {
 	case LOAD_FATE_DONE:
-		return TOLD_DONE;
+		return REPORTED_DONE;
 	case LOAD_FATE_NOT_RUN:
-		return TOLD_NOT_RUN;
+		return REPORTED_NOT_RUN;
 	case LOAD_FATE_UNKNOWN:
 	case LOAD_FATE_ABSENT:
 		break;
 	}
-	return TOLD_UNKNOWN;
+	return REPORTED_UNKNOWN;
 }
 
-static enum answer_check
+static enum response_check
 call_check_response(const struct load_call *c)
 {
 	const struct outcome *o = &c->outcome;
@@ -230,9 +230,9 @@
 	    o->kind == CALL_LOOKUP ? c->opt->answer_bytes : 0};
 
 	if (!c->opt->direct && c->fate == LOAD_FATE_ABSENT)
-		return ANSWER_NO_FATE;
-	if (o->told != TOLD_DONE || o->status != HTTP_OK)
-		return ANSWER_NONE;
+		return RESPONSE_NO_FATE;
+	if (o->reported != REPORTED_DONE || o->status != HTTP_OK)
+		return RESPONSE_NONE;
 	return reply_reader_check(&c->reply, &w);
 }
 
@@ -245,10 +245,12 @@
 	curl_easy_getinfo(c->easy, CURLINFO_RESPONSE_CODE, &status);
 	o->status = (int)status;
 	if (rc != CURLE_OK) {
-		o->told = call_not_sent(c) ? TOLD_NOT_SENT : TOLD_UNKNOWN;
-		o->check = status == 0 ? ANSWER_NONE : ANSWER_CUT;
+		o->reported =
+		    call_not_sent(c) ? REPORTED_NOT_SENT : REPORTED_UNKNOWN;
+		o->check = status == 0 ? RESPONSE_NONE : RESPONSE_CUT;
 		return;
 	}
-	o->told = c->opt->direct ? fate_from_upstream(c) : fate_from_node(c);
+	o->reported =
+	    c->opt->direct ? fate_from_upstream(c) : fate_from_node(c);
 	o->check = call_check_response(c);
 }
--- a/packages/standins/src/load_worker.c
+++ b/packages/standins/src/load_worker.c
@@ -189,7 +189,7 @@
 {
 	struct outcome *o = &c->outcome;
 
-	if (c->repeats_left == 0 || o->told != TOLD_UNKNOWN)
+	if (c->repeats_left == 0 || o->reported != REPORTED_UNKNOWN)
 		return 0;
 	c->repeats_left--;
 	c->node = (c->node + 1) % w->opt->n_nodes;
--- a/packages/standins/src/main_check.c
+++ b/packages/standins/src/main_check.c
@@ -67,8 +67,8 @@
 	for (i = 0; i < violations->len; i++) {
 		v = &g_array_index(violations, struct violation, i);
 		(void)printf("violation %s: %s told %s, %lu runs\n",
-		    run_rule_name(v->rule), v->id, told_name(v->told),
-		    (unsigned long)v->runs);
+		    run_rule_name(v->rule), v->id,
+		    reported_fate_name(v->reported), (unsigned long)v->runs);
 	}
 }
 
--- a/packages/standins/src/outcomes.c
+++ b/packages/standins/src/outcomes.c
@@ -13,9 +13,9 @@
 
 static const char *const kind_names[CALL_KINDS] = {
     "lookup", "booking", "upload"};
-static const char *const told_names[TOLD_KINDS] = {
+static const char *const reported_fate_names[REPORTED_COUNT] = {
     "done", "not_run", "unknown", "not_sent"};
-static const char *const check_names[ANSWER_KINDS] = {
+static const char *const check_names[RESPONSE_CHECKS] = {
     "none", "ok", "cut", "not_own", "not_whole", "no_fate"};
 
 const char *
@@ -25,13 +25,13 @@
 }
 
 const char *
-told_name(enum told t)
+reported_fate_name(enum reported_fate t)
 {
-	return told_names[t];
+	return reported_fate_names[t];
 }
 
 const char *
-answer_check_name(enum answer_check c)
+response_check_name(enum response_check c)
 {
 	return check_names[c];
 }
@@ -41,7 +41,7 @@
 {
 	(void)fprintf(f, "%s\t%s\t%s\t%s\t%d\t%s\t%lu\t%lu\n", o->test_id,
 	    kind_names[o->kind], o->key[0] == '\0' ? "-" : o->key,
-	    told_names[o->told], o->status, check_names[o->check],
+	    reported_fate_names[o->reported], o->status, check_names[o->check],
 	    (unsigned long)o->latency_us, (unsigned long)o->sent_us);
 }
 
@@ -61,27 +61,28 @@
 outcome_parse(const char *line, struct outcome *o)
 {
 	char **f = g_strsplit(line, "\t", OUTCOMES_FIELDS);
-	int check = -1, kind = -1, told = -1;
+	int check = -1, kind = -1, reported = -1;
 
 	memset(o, 0, sizeof(*o));
 	if (g_strv_length(f) == OUTCOMES_FIELDS) {
 		kind = name_index(kind_names, CALL_KINDS, f[1]);
-		told = name_index(told_names, TOLD_KINDS, f[3]);
-		check = name_index(check_names, ANSWER_KINDS, f[5]);
+		reported =
+		    name_index(reported_fate_names, REPORTED_COUNT, f[3]);
+		check = name_index(check_names, RESPONSE_CHECKS, f[5]);
 	}
-	if (kind >= 0 && told >= 0 && check >= 0) {
+	if (kind >= 0 && reported >= 0 && check >= 0) {
 		g_strlcpy(o->test_id, f[0], sizeof(o->test_id));
 		if (strcmp(f[2], "-") != 0)
 			g_strlcpy(o->key, f[2], sizeof(o->key));
 		o->kind = (enum call_kind)kind;
-		o->told = (enum told)told;
-		o->check = (enum answer_check)check;
+		o->reported = (enum reported_fate)reported;
+		o->check = (enum response_check)check;
 		o->status = (int)g_ascii_strtoll(f[4], NULL, 10);
 		o->latency_us = g_ascii_strtoull(f[6], NULL, 10);
 		o->sent_us = g_ascii_strtoull(f[7], NULL, 10);
 	}
 	g_strfreev(f);
-	return kind >= 0 && told >= 0 && check >= 0;
+	return kind >= 0 && reported >= 0 && check >= 0;
 }
 
 enum status
--- a/packages/standins/src/pattern.c
+++ b/packages/standins/src/pattern.c
@@ -73,7 +73,7 @@
 }
 
 double
-pattern_share(uint64_t seed, uint64_t n)
+pattern_fraction(uint64_t seed, uint64_t n)
 {
 	return (double)(pattern_word(seed, n) >> PATTERN_FRACTION_SHIFT) /
 	    (double)(1ULL << PATTERN_FRACTION_BITS);
--- a/packages/standins/src/platform.c
+++ b/packages/standins/src/platform.c
@@ -133,7 +133,7 @@
 		web_drop_connection(conn);
 		return;
 	}
-	web_answer_json(conn, resp.code, NULL, resp.body);
+	web_respond_json(conn, resp.code, NULL, resp.body);
 }
 
 static void
@@ -246,7 +246,7 @@
 
 	if (!json_is_object(j)) {
 		json_decref(j);
-		web_answer_json(conn, 400, NULL,
+		web_respond_json(conn, 400, NULL,
 		    json_pack("{s:s}", "error", "send a JSON object of knobs"));
 		return;
 	}
@@ -261,7 +261,7 @@
 	rate_set(&p->writes, k->writes_per_s, now_us);
 	pthread_mutex_unlock(&p->lock);
 	json_decref(j);
-	web_answer_json(conn, 200, NULL, json_object());
+	web_respond_json(conn, 200, NULL, json_object());
 }
 
 static json_t *
@@ -292,12 +292,12 @@
 	int post = strcmp(info->request_method, "POST") == 0;
 	struct platform *p = arg;
 
-	if (web_body(conn, PLATFORM_BODY_MAX_BYTES, body) != STATUS_OK) {
+	if (web_read_body(conn, PLATFORM_BODY_MAX_BYTES, body) != STATUS_OK) {
 		web_drop_connection(conn);
 	} else if (strcmp(uri, "/standin/knobs") == 0 && post) {
 		platform_set_knobs(p, conn, body);
 	} else if (strcmp(uri, "/standin/stats") == 0) {
-		web_answer_json(conn, 200, NULL, platform_stats_json(p));
+		web_respond_json(conn, 200, NULL, platform_stats_json(p));
 	} else {
 		platform_delay(p);
 		if (strcmp(uri, "/") == 0 && post)
--- a/packages/standins/src/reply.c
+++ b/packages/standins/src/reply.c
@@ -123,18 +123,19 @@
 	    pattern_hash(pattern_seed(id), w->pad_bytes);
 }
 
-enum answer_check
+enum response_check
 reply_reader_check(const struct reply_reader *r, const struct reply_expected *w)
 {
-	enum answer_check check;
+	enum response_check check;
 	json_t *j = json_loadb(r->line->str, r->line->len, 0, NULL);
 
 	if (!r->line_complete || !json_is_object(j))
-		check = ANSWER_NOT_WHOLE;
+		check = RESPONSE_NOT_WHOLE;
 	else if (!reply_matches_call(j, w))
-		check = ANSWER_NOT_OWN;
+		check = RESPONSE_NOT_OWN;
 	else
-		check = reply_is_intact(r, j, w) ? ANSWER_OK : ANSWER_NOT_WHOLE;
+		check =
+		    reply_is_intact(r, j, w) ? RESPONSE_OK : RESPONSE_NOT_WHOLE;
 	json_decref(j);
 	return check;
 }
--- a/packages/standins/src/run_check.c
+++ b/packages/standins/src/run_check.c
@@ -32,9 +32,9 @@
 
 static void
 check_add_violation(struct check *c, enum run_rule rule, const char *id,
-    enum told told, uint64_t runs)
+    enum reported_fate reported, uint64_t runs)
 {
-	struct violation v = {rule, "", told, runs};
+	struct violation v = {rule, "", reported, runs};
 
 	g_strlcpy(v.id, id, sizeof(v.id));
 	g_array_append_val(c->violations, v);
@@ -43,16 +43,16 @@
 static void
 check_response(struct check *c, const struct outcome *o)
 {
-	if (o->check == ANSWER_NOT_OWN || o->check == ANSWER_NOT_WHOLE ||
-	    o->check == ANSWER_NO_FATE)
-		check_add_violation(c, RULE_BAD_RESPONSE, o->test_id, o->told,
-		    runs_of_test_id(c->runs, o->test_id));
+	if (o->check == RESPONSE_NOT_OWN || o->check == RESPONSE_NOT_WHOLE ||
+	    o->check == RESPONSE_NO_FATE)
+		check_add_violation(c, RULE_BAD_RESPONSE, o->test_id,
+		    o->reported, runs_of_test_id(c->runs, o->test_id));
 }
 
 static int
-reported_not_run(enum told t)
+reported_not_run(enum reported_fate t)
 {
-	return t == TOLD_NOT_RUN || t == TOLD_NOT_SENT;
+	return t == REPORTED_NOT_RUN || t == REPORTED_NOT_SENT;
 }
 
 static void
@@ -64,15 +64,16 @@
 	check_response(c, o);
 	if (!g_hash_table_add(c->test_ids, (gpointer)o->test_id))
 		check_add_violation(
-		    c, RULE_DUPLICATE_CALL, o->test_id, o->told, n);
-	if (reported_not_run(o->told) && n > 0)
+		    c, RULE_DUPLICATE_CALL, o->test_id, o->reported, n);
+	if (reported_not_run(o->reported) && n > 0)
 		check_add_violation(
-		    c, RULE_NOT_RUN_BUT_RAN, o->test_id, o->told, n);
-	if (o->told == TOLD_DONE && n == 0 && !keyed)
+		    c, RULE_NOT_RUN_BUT_RAN, o->test_id, o->reported, n);
+	if (o->reported == REPORTED_DONE && n == 0 && !keyed)
 		check_add_violation(
-		    c, RULE_DONE_BUT_NOT_RUN, o->test_id, o->told, n);
+		    c, RULE_DONE_BUT_NOT_RUN, o->test_id, o->reported, n);
 	if (o->kind != CALL_LOOKUP && n > 1)
-		check_add_violation(c, RULE_RAN_TWICE, o->test_id, o->told, n);
+		check_add_violation(
+		    c, RULE_RAN_TWICE, o->test_id, o->reported, n);
 }
 
 static void
@@ -88,9 +89,9 @@
 		k->all_known_not_run = 1;
 		g_hash_table_insert(c->keys, (gpointer)o->key, k);
 	}
-	if (o->told == TOLD_DONE)
+	if (o->reported == REPORTED_DONE)
 		k->any_done = 1;
-	if (!reported_not_run(o->told))
+	if (!reported_not_run(o->reported))
 		k->all_known_not_run = 0;
 }
 
@@ -101,13 +102,13 @@
 
 	if (n > 1)
 		check_add_violation(c, RULE_KEY_RAN_TWICE, key,
-		    k->any_done ? TOLD_DONE : TOLD_UNKNOWN, n);
+		    k->any_done ? REPORTED_DONE : REPORTED_UNKNOWN, n);
 	if (k->any_done && n == 0)
 		check_add_violation(
-		    c, RULE_DONE_BUT_NOT_RUN, key, TOLD_DONE, n);
+		    c, RULE_DONE_BUT_NOT_RUN, key, REPORTED_DONE, n);
 	if (k->all_known_not_run && n > 0)
 		check_add_violation(
-		    c, RULE_NOT_RUN_BUT_RAN, key, TOLD_NOT_RUN, n);
+		    c, RULE_NOT_RUN_BUT_RAN, key, REPORTED_NOT_RUN, n);
 }
 
 static void
@@ -117,7 +118,7 @@
 
 	if (!g_hash_table_contains(c->test_ids, test_id))
 		check_add_violation(
-		    c, RULE_RUN_WITHOUT_CALL, test_id, TOLD_NOT_SENT, n);
+		    c, RULE_RUN_WITHOUT_CALL, test_id, REPORTED_NOT_SENT, n);
 }
 
 GArray *
--- a/packages/standins/src/summary.c
+++ b/packages/standins/src/summary.c
@@ -62,7 +62,7 @@
 
 	for (i = 0; i < outcomes->len; i++) {
 		o = &g_array_index(outcomes, struct outcome, i);
-		if (o->told == TOLD_DONE &&
+		if (o->reported == REPORTED_DONE &&
 		    (kind == CALL_KINDS || kind == o->kind))
 			g_array_append_val(us, o->latency_us);
 	}
@@ -114,14 +114,15 @@
 	for (i = 0; i < outcomes->len; i++) {
 		o = &g_array_index(outcomes, struct outcome, i);
 		increment(j, "sent");
-		increment(j, told_name(o->told));
-		if (o->status == 0 && o->told == TOLD_UNKNOWN)
+		increment(j, reported_fate_name(o->reported));
+		if (o->status == 0 && o->reported == REPORTED_UNKNOWN)
 			increment(j, "no_answer");
-		if (o->check == ANSWER_CUT)
+		if (o->check == RESPONSE_CUT)
 			increment(j, "cut");
-		if (o->check == ANSWER_NO_FATE)
+		if (o->check == RESPONSE_NO_FATE)
 			increment(j, "no_fate");
-		if (o->check == ANSWER_NOT_OWN || o->check == ANSWER_NOT_WHOLE)
+		if (o->check == RESPONSE_NOT_OWN ||
+		    o->check == RESPONSE_NOT_WHOLE)
 			increment(j, "wrong_answers");
 		(void)g_snprintf(status, sizeof(status), "%d", o->status);
 		increment(statuses, status);
--- a/packages/standins/src/upstream.c
+++ b/packages/standins/src/upstream.c
@@ -71,12 +71,12 @@
 	int drain, paused, was_drain;
 	json_t *j = NULL;
 
-	if (web_body(conn, UPSTREAM_KNOBS_MAX_BYTES, body) == STATUS_OK)
+	if (web_read_body(conn, UPSTREAM_KNOBS_MAX_BYTES, body) == STATUS_OK)
 		j = json_loadb((char *)body->data, body->len, 0, NULL);
 	g_byte_array_unref(body);
 	if (!json_is_object(j)) {
 		json_decref(j);
-		web_answer_json(conn, 400, NULL,
+		web_respond_json(conn, 400, NULL,
 		    json_pack("{s:s}", "error", "send a JSON object of knobs"));
 		return;
 	}
@@ -92,7 +92,7 @@
 		upstream_announce(
 		    u, drain ? ANNOUNCE_DRAINING : ANNOUNCE_READY);
 	json_decref(j);
-	web_answer_json(conn, 200, NULL, json_object());
+	web_respond_json(conn, 200, NULL, json_object());
 }
 
 static void
@@ -107,7 +107,7 @@
 	else if (strcmp(u->knobs.lie_health, "ill") == 0)
 		ok = 0;
 	pthread_mutex_unlock(&u->lock);
-	web_answer_json(conn, ok ? 200 : 503, NULL,
+	web_respond_json(conn, ok ? 200 : 503, NULL,
 	    json_pack("{s:s}", "health", ok ? "ok" : "ill"));
 }
 
@@ -120,7 +120,7 @@
 	load = u->knobs.lie_load == UPSTREAM_LOAD_ACTUAL ? u->in_flight
 							 : u->knobs.lie_load;
 	pthread_mutex_unlock(&u->lock);
-	web_answer_json(conn, 200, NULL,
+	web_respond_json(conn, 200, NULL,
 	    json_pack("{s:I,s:I}", "in_flight", (json_int_t)load, "slots",
 		(json_int_t)u->opt.slots));
 }
@@ -144,7 +144,7 @@
 	    j, "after_drain", json_integer((json_int_t)s.after_drain));
 	json_object_set_new(j, "after_drain_max_ms",
 	    json_integer((json_int_t)s.after_drain_max_ms));
-	web_answer_json(conn, 200, NULL, j);
+	web_respond_json(conn, 200, NULL, j);
 }
 
 static void
--- a/packages/standins/src/upstream_call.c
+++ b/packages/standins/src/upstream_call.c
@@ -131,7 +131,7 @@
 call_work_ms(const struct upstream *u, const struct call *c)
 {
 	double factor = u->knobs.slow_factor;
-	double share = pattern_share(u->ready_ms, c->run);
+	double share = pattern_fraction(u->ready_ms, c->run);
 	double work = MIN(-log(1.0 - share), CALL_WORK_MAX_MEANS);
 	uint64_t warm_at_ms = u->ready_ms + u->opt.warm_up_ms;
 
@@ -216,7 +216,7 @@
 	c.ids.request_id = header_or_empty(conn, "Bramley-Request-Id");
 	c.ids.key = header_or_empty(conn, "Idempotency-Key");
 	if (!slot_acquire(u, &c)) {
-		web_answer_json(conn, 503, CALL_FATE_NOT_RUN, json_object());
+		web_respond_json(conn, 503, CALL_FATE_NOT_RUN, json_object());
 		return;
 	}
 	if (!call_read_body(&c)) {
--- a/packages/standins/src/web.c
+++ b/packages/standins/src/web.c
@@ -125,7 +125,7 @@
 }
 
 enum status
-web_body(struct mg_connection *conn, size_t max_bytes, GByteArray *out)
+web_read_body(struct mg_connection *conn, size_t max_bytes, GByteArray *out)
 {
 	uint8_t buf[WEB_READ_BYTES];
 	int n;
@@ -183,7 +183,7 @@
 }
 
 void
-web_answer_json(
+web_respond_json(
     struct mg_connection *conn, int code, const char *headers, json_t *j)
 {
 	char *text = json_dumps(j, JSON_COMPACT);
--- a/packages/standins/test/test_load.c
+++ b/packages/standins/test/test_load.c
@@ -89,10 +89,11 @@
 END_TEST
 
 static void
-append_outcome(
-    GArray *list, enum told told, enum answer_check check, int status)
+append_outcome(GArray *list, enum reported_fate reported,
+    enum response_check check, int status)
 {
-	struct outcome o = {"t", "", CALL_LOOKUP, told, check, status, 9, 0};
+	struct outcome o = {
+	    "t", "", CALL_LOOKUP, reported, check, status, 9, 0};
 
 	g_array_append_val(list, o);
 }
@@ -104,11 +105,11 @@
 
 	r.outcomes = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	r.late_us = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	append_outcome(r.outcomes, TOLD_DONE, ANSWER_OK, 200);
-	append_outcome(r.outcomes, TOLD_DONE, ANSWER_NOT_OWN, 200);
-	append_outcome(r.outcomes, TOLD_NOT_RUN, ANSWER_NONE, 503);
-	append_outcome(r.outcomes, TOLD_UNKNOWN, ANSWER_NONE, 0);
-	append_outcome(r.outcomes, TOLD_UNKNOWN, ANSWER_CUT, 200);
+	append_outcome(r.outcomes, REPORTED_DONE, RESPONSE_OK, 200);
+	append_outcome(r.outcomes, REPORTED_DONE, RESPONSE_NOT_OWN, 200);
+	append_outcome(r.outcomes, REPORTED_NOT_RUN, RESPONSE_NONE, 503);
+	append_outcome(r.outcomes, REPORTED_UNKNOWN, RESPONSE_NONE, 0);
+	append_outcome(r.outcomes, REPORTED_UNKNOWN, RESPONSE_CUT, 200);
 	j = summary_json(&r, SECOND_US / 2);
 	ck_assert_int_eq(json_integer_value(json_object_get(j, "sent")), 5);
 	ck_assert_int_eq(json_integer_value(json_object_get(j, "done")), 2);
--- a/packages/standins/test/test_run_check.c
+++ b/packages/standins/test/test_run_check.c
@@ -29,56 +29,56 @@
 	const char *label;
 	enum call_kind kind;
 	const char *key;
-	enum told told[CASE_CALLS];
+	enum reported_fate reported[CASE_CALLS];
 	int n_calls;
 	int runs[CASE_CALLS];
-	enum answer_check check;
+	enum response_check check;
 	enum run_rule found;
 };
 
 static const char *const ids[CASE_CALLS] = {"a", "b"};
 
 static const struct check_case check_cases[] = {
-    {"done, ran once", CALL_BOOKING, "", {TOLD_DONE}, 1, {1}, ANSWER_OK,
+    {"done, ran once", CALL_BOOKING, "", {REPORTED_DONE}, 1, {1}, RESPONSE_OK,
 	RULE_NONE},
-    {"unknown, ran", CALL_BOOKING, "", {TOLD_UNKNOWN}, 1, {1}, ANSWER_NONE,
+    {"unknown, ran", CALL_BOOKING, "", {REPORTED_UNKNOWN}, 1, {1},
+	RESPONSE_NONE, RULE_NONE},
+    {"unknown, not run", CALL_UPLOAD, "", {REPORTED_UNKNOWN}, 1, {0},
+	RESPONSE_CUT, RULE_NONE},
+    {"not run", CALL_BOOKING, "", {REPORTED_NOT_RUN}, 1, {0}, RESPONSE_NONE,
 	RULE_NONE},
-    {"unknown, not run", CALL_UPLOAD, "", {TOLD_UNKNOWN}, 1, {0}, ANSWER_CUT,
+    {"lookup ran twice", CALL_LOOKUP, "", {REPORTED_DONE}, 1, {2}, RESPONSE_OK,
 	RULE_NONE},
-    {"not run", CALL_BOOKING, "", {TOLD_NOT_RUN}, 1, {0}, ANSWER_NONE,
-	RULE_NONE},
-    {"lookup ran twice", CALL_LOOKUP, "", {TOLD_DONE}, 1, {2}, ANSWER_OK,
-	RULE_NONE},
-    {"not_run but ran", CALL_BOOKING, "", {TOLD_NOT_RUN}, 1, {1}, ANSWER_NONE,
+    {"not_run but ran", CALL_BOOKING, "", {REPORTED_NOT_RUN}, 1, {1},
+	RESPONSE_NONE, RULE_NOT_RUN_BUT_RAN},
+    {"lookup too", CALL_LOOKUP, "", {REPORTED_NOT_RUN}, 1, {1}, RESPONSE_NONE,
 	RULE_NOT_RUN_BUT_RAN},
-    {"lookup too", CALL_LOOKUP, "", {TOLD_NOT_RUN}, 1, {1}, ANSWER_NONE,
-	RULE_NOT_RUN_BUT_RAN},
-    {"never sent but ran", CALL_BOOKING, "", {TOLD_NOT_SENT}, 1, {1},
-	ANSWER_NONE, RULE_NOT_RUN_BUT_RAN},
-    {"done but no run", CALL_LOOKUP, "", {TOLD_DONE}, 1, {0}, ANSWER_OK,
+    {"never sent but ran", CALL_BOOKING, "", {REPORTED_NOT_SENT}, 1, {1},
+	RESPONSE_NONE, RULE_NOT_RUN_BUT_RAN},
+    {"done but no run", CALL_LOOKUP, "", {REPORTED_DONE}, 1, {0}, RESPONSE_OK,
 	RULE_DONE_BUT_NOT_RUN},
-    {"done, ran twice", CALL_BOOKING, "", {TOLD_DONE}, 1, {2}, ANSWER_OK,
-	RULE_RAN_TWICE},
-    {"unknown, ran twice", CALL_UPLOAD, "", {TOLD_UNKNOWN}, 1, {2}, ANSWER_NONE,
+    {"done, ran twice", CALL_BOOKING, "", {REPORTED_DONE}, 1, {2}, RESPONSE_OK,
 	RULE_RAN_TWICE},
-    {"another's answer", CALL_LOOKUP, "", {TOLD_DONE}, 1, {1}, ANSWER_NOT_OWN,
-	RULE_BAD_RESPONSE},
-    {"part of an answer", CALL_LOOKUP, "", {TOLD_DONE}, 1, {1},
-	ANSWER_NOT_WHOLE, RULE_BAD_RESPONSE},
-    {"no fate told", CALL_BOOKING, "", {TOLD_UNKNOWN}, 1, {0}, ANSWER_NO_FATE,
-	RULE_BAD_RESPONSE},
-    {"run without a call", CALL_BOOKING, "", {TOLD_DONE}, 1, {1, 1}, ANSWER_OK,
-	RULE_RUN_WITHOUT_CALL},
+    {"unknown, ran twice", CALL_UPLOAD, "", {REPORTED_UNKNOWN}, 1, {2},
+	RESPONSE_NONE, RULE_RAN_TWICE},
+    {"another's answer", CALL_LOOKUP, "", {REPORTED_DONE}, 1, {1},
+	RESPONSE_NOT_OWN, RULE_BAD_RESPONSE},
+    {"part of an answer", CALL_LOOKUP, "", {REPORTED_DONE}, 1, {1},
+	RESPONSE_NOT_WHOLE, RULE_BAD_RESPONSE},
+    {"no fate told", CALL_BOOKING, "", {REPORTED_UNKNOWN}, 1, {0},
+	RESPONSE_NO_FATE, RULE_BAD_RESPONSE},
+    {"run without a call", CALL_BOOKING, "", {REPORTED_DONE}, 1, {1, 1},
+	RESPONSE_OK, RULE_RUN_WITHOUT_CALL},
     {"key: repeat got the first's answer", CALL_BOOKING, "k",
-	{TOLD_DONE, TOLD_DONE}, 2, {1, 0}, ANSWER_OK, RULE_NONE},
-    {"key: unknown, then done", CALL_BOOKING, "k", {TOLD_UNKNOWN, TOLD_DONE}, 2,
-	{0, 1}, ANSWER_NONE, RULE_NONE},
-    {"key: both ran", CALL_BOOKING, "k", {TOLD_UNKNOWN, TOLD_DONE}, 2, {1, 1},
-	ANSWER_NONE, RULE_KEY_RAN_TWICE},
-    {"key: done, none ran", CALL_BOOKING, "k", {TOLD_DONE, TOLD_DONE}, 2,
-	{0, 0}, ANSWER_NONE, RULE_DONE_BUT_NOT_RUN},
-    {"key: not_run, then done", CALL_BOOKING, "k", {TOLD_NOT_RUN, TOLD_DONE}, 2,
-	{0, 1}, ANSWER_NONE, RULE_NONE},
+	{REPORTED_DONE, REPORTED_DONE}, 2, {1, 0}, RESPONSE_OK, RULE_NONE},
+    {"key: unknown, then done", CALL_BOOKING, "k",
+	{REPORTED_UNKNOWN, REPORTED_DONE}, 2, {0, 1}, RESPONSE_NONE, RULE_NONE},
+    {"key: both ran", CALL_BOOKING, "k", {REPORTED_UNKNOWN, REPORTED_DONE}, 2,
+	{1, 1}, RESPONSE_NONE, RULE_KEY_RAN_TWICE},
+    {"key: done, none ran", CALL_BOOKING, "k", {REPORTED_DONE, REPORTED_DONE},
+	2, {0, 0}, RESPONSE_NONE, RULE_DONE_BUT_NOT_RUN},
+    {"key: not_run, then done", CALL_BOOKING, "k",
+	{REPORTED_NOT_RUN, REPORTED_DONE}, 2, {0, 1}, RESPONSE_NONE, RULE_NONE},
 };
 
 static void
@@ -93,7 +93,7 @@
 		g_strlcpy(o.test_id, ids[i], sizeof(o.test_id));
 		g_strlcpy(o.key, p->key, sizeof(o.key));
 		o.kind = p->kind;
-		o.told = p->told[i];
+		o.reported = p->reported[i];
 		o.check = p->check;
 		g_array_append_val(calls, o);
 	}
@@ -168,8 +168,8 @@
 	char *path = temp_file();
 	FILE *f = fopen(path, "w");
 	GArray *copy = g_array_new(FALSE, FALSE, sizeof(struct outcome));
-	struct outcome o = {
-	    "t1", "k1", CALL_UPLOAD, TOLD_UNKNOWN, ANSWER_CUT, 504, 123, 456};
+	struct outcome o = {"t1", "k1", CALL_UPLOAD, REPORTED_UNKNOWN,
+	    RESPONSE_CUT, 504, 123, 456};
 
 	outcomes_write(f, &o);
 	o.key[0] = '\0';
@@ -180,7 +180,7 @@
 	ck_assert_mem_eq(
 	    &g_array_index(copy, struct outcome, 1), &o, sizeof(o.test_id));
 	ck_assert_int_eq(
-	    g_array_index(copy, struct outcome, 0).told, TOLD_UNKNOWN);
+	    g_array_index(copy, struct outcome, 0).reported, REPORTED_UNKNOWN);
 	ck_assert_str_eq(g_array_index(copy, struct outcome, 0).key, "k1");
 	ck_assert_str_eq(g_array_index(copy, struct outcome, 1).key, "");
 	ck_assert(
@@ -252,9 +252,9 @@
 	DAMAGE_KINDS,
 };
 
-static const enum answer_check damage_results[DAMAGE_KINDS] = {ANSWER_OK,
-    ANSWER_NOT_OWN, ANSWER_OK, ANSWER_NOT_WHOLE, ANSWER_NOT_WHOLE,
-    ANSWER_NOT_WHOLE};
+static const enum response_check damage_results[DAMAGE_KINDS] = {RESPONSE_OK,
+    RESPONSE_NOT_OWN, RESPONSE_OK, RESPONSE_NOT_WHOLE, RESPONSE_NOT_WHOLE,
+    RESPONSE_NOT_WHOLE};
 
 #define DAMAGE_PAD_BYTES 1000
 #define DAMAGE_BLOCK_BYTES 64
--- a/test/functional/calls.c
+++ b/test/functional/calls.c
@@ -105,16 +105,17 @@
 count(struct calls_counts *c, const struct outcome *o)
 {
 	c->sent++;
-	c->done += o->told == TOLD_DONE;
-	c->done_of_kind[o->kind] += o->told == TOLD_DONE;
-	c->not_run += o->told == TOLD_NOT_RUN;
-	c->not_sent += o->told == TOLD_NOT_SENT;
-	c->unknown += o->told == TOLD_UNKNOWN && o->key[0] == '\0';
-	c->keyed_unknown += o->told == TOLD_UNKNOWN && o->key[0] != '\0';
-	c->no_answer += o->told == TOLD_UNKNOWN && o->status == 0;
-	c->cut += o->check == ANSWER_CUT;
-	c->bad_answers += o->check == ANSWER_NOT_OWN ||
-	    o->check == ANSWER_NOT_WHOLE || o->check == ANSWER_NO_FATE;
+	c->done += o->reported == REPORTED_DONE;
+	c->done_of_kind[o->kind] += o->reported == REPORTED_DONE;
+	c->not_run += o->reported == REPORTED_NOT_RUN;
+	c->not_sent += o->reported == REPORTED_NOT_SENT;
+	c->unknown += o->reported == REPORTED_UNKNOWN && o->key[0] == '\0';
+	c->keyed_unknown +=
+	    o->reported == REPORTED_UNKNOWN && o->key[0] != '\0';
+	c->no_answer += o->reported == REPORTED_UNKNOWN && o->status == 0;
+	c->cut += o->check == RESPONSE_CUT;
+	c->bad_answers += o->check == RESPONSE_NOT_OWN ||
+	    o->check == RESPONSE_NOT_WHOLE || o->check == RESPONSE_NO_FATE;
 }
 
 static uint64_t
@@ -127,7 +128,7 @@
 
 	for (i = 0; i < calls->len; i++) {
 		o = &g_array_index(calls, struct outcome, i);
-		if (o->told == TOLD_NOT_RUN)
+		if (o->reported == REPORTED_NOT_RUN)
 			g_array_append_val(us, o->latency_us);
 	}
 	summary_latency(us, &l);
--- a/test/functional/deployment_watch.c
+++ b/test/functional/deployment_watch.c
@@ -203,7 +203,7 @@
 print_violation(const struct violation *v)
 {
 	(void)printf("violation %s: %s told %s, %lu runs\n",
-	    run_rule_name(v->rule), v->id, told_name(v->told),
+	    run_rule_name(v->rule), v->id, reported_fate_name(v->reported),
 	    (unsigned long)v->runs);
 }
 
--- a/test/functional/test_call_stop_grace.c
+++ b/test/functional/test_call_stop_grace.c
@@ -149,7 +149,7 @@
 		h = deployment_host(d, sc->from + i);
 		process_signal(h->node, SIGTERM);
 		if (sc->gap_ms > 0)
-			g_usleep((gulong)(pattern_share(seed, i) *
+			g_usleep((gulong)(pattern_fraction(seed, i) *
 			    (double)sc->gap_ms * G_TIME_SPAN_MILLISECOND));
 	}
 }
--- a/test/functional/test_call_unanswered.c
+++ b/test/functional/test_call_unanswered.c
@@ -119,8 +119,8 @@
 note_done(FILE *f, const char *test_id)
 {
 	struct outcome o = {.kind = CALL_BOOKING,
-	    .told = TOLD_DONE,
-	    .check = ANSWER_OK,
+	    .reported = REPORTED_DONE,
+	    .check = RESPONSE_OK,
 	    .status = HTTP_OK};
 
 	(void)g_strlcpy(o.test_id, test_id, sizeof(o.test_id));
--- a/test/functional/test_harness.c
+++ b/test/functional/test_harness.c
@@ -351,7 +351,7 @@
 	json_t *j;
 	struct fake_node *n = arg;
 
-	(void)web_body(conn, 4096, body);
+	(void)web_read_body(conn, 4096, body);
 	j = json_loadb((char *)body->data, body->len, 0, NULL);
 	if (strcmp(mg_get_request_info(conn)->request_method, "PUT") == 0)
 		g_strlcpy(state, json_string_value(json_object_get(j, "state")),
@@ -365,7 +365,7 @@
 	pthread_mutex_unlock(&n->lock);
 	json_decref(j);
 	g_byte_array_unref(body);
-	web_answer_json(conn, 200, NULL, json_object());
+	web_respond_json(conn, 200, NULL, json_object());
 }
 
 static int
