--- a/packages/standins/include/standins/announcer.h
+++ b/packages/standins/include/standins/announcer.h
@@ -1,5 +1,5 @@
 /*
- * Announcements of the stand-in upstream to the node of its own host.
+ * Announces the stand-in upstream to the node on its own host.
  */
 #ifndef STANDINS_ANNOUNCER_H
 #define STANDINS_ANNOUNCER_H
@@ -8,7 +8,7 @@
 
 #include "base/status.h"
 
-/** enum announce_state - what an upstream says of itself */
+/** enum announce_state - state that an upstream announces */
 enum announce_state {
 	ANNOUNCE_STARTING,
 	ANNOUNCE_READY,
@@ -16,13 +16,13 @@
 };
 
 /**
- * struct announcer_options - what is announced and where
+ * struct announcer_options - content and destination of announcements
  * @node: "ip:port" of the node's administration API
- * @address: own IPv4 address, which announcements are sent from
+ * @address: IPv4 address of the upstream and source of announcements
  * @service: name of the service
  * @port: port that the upstream listens on
- * @slots: how many calls it runs at once
- * @lease_ms: lease asked for; renewed when a third of it has passed
+ * @slots: maximum number of concurrent calls
+ * @lease_ms: requested lease; renewed after a third of it
  */
 struct announcer_options {
 	const char *node;
@@ -39,11 +39,12 @@
 const char *announce_state_name(enum announce_state s);
 
 /**
- * announcer_start() - announce ANNOUNCE_STARTING and go on renewing
+ * announcer_start() - announce ANNOUNCE_STARTING and keep renewing the lease
  * @o: options; strings are copied
  *
- * A node that does not answer is tried again until announcer_withdraw().
- * Return: the announcer, which has a thread of its own.
+ * Announcements to a node that does not respond are retried until
+ * announcer_withdraw().
+ * Return: the announcer, which runs a thread of its own.
  */
 struct announcer *announcer_start(const struct announcer_options *o);
 
@@ -51,15 +52,16 @@
  * announcer_set() - announce a state
  * @a: the announcer
  * @s: the state
- * @wait_ms: how long to wait until the node has taken it
+ * @wait_ms: maximum time to wait for the node's acknowledgement
  *
- * Return: STATUS_OK when the node has taken it, else STATUS_TIMEOUT: it is
- * still being announced.
+ * Return: STATUS_OK if the node acknowledged the state, else STATUS_TIMEOUT;
+ * announcing then continues in the background.
  */
 enum status
 announcer_set(struct announcer *a, enum announce_state s, uint32_t wait_ms);
 
-/** announcer_pause() - stop (1) or go on (0) renewing, so that leases lapse */
+/** announcer_pause() - pause (1) or resume (0) renewal; a paused lease expires
+ */
 void announcer_pause(struct announcer *a, int paused);
 
 /** announcer_withdraw() - withdraw the announcement, stop and free */
--- a/packages/standins/include/standins/load.h
+++ b/packages/standins/include/standins/load.h
@@ -1,10 +1,10 @@
 /*
- * Load generator: makes the calls of a schedule at their times, whatever
- * becomes of earlier ones, and records what each caller was told.
+ * Open-loop load generator: starts the calls of a schedule at their times,
+ * independently of earlier calls, and records the fate reported to each caller.
  *
- * Latency counts from the scheduled time.  Lookups reuse connections;
- * bookings and uploads each open their own, since libcurl sends a request
- * again by itself when a reused connection closes before an answer.
+ * Latency is measured from the scheduled time.  Lookups reuse connections;
+ * bookings and uploads open a new one each, because libcurl resends a request
+ * on its own when a reused connection closes before a response.
  */
 #ifndef STANDINS_LOAD_H
 #define STANDINS_LOAD_H
@@ -17,22 +17,22 @@
 #include "standins/schedule.h"
 
 /**
- * struct load_options - how a schedule is run
+ * struct load_options - parameters of a load run
  * @nodes: "ip:port" of each node (or upstream)
- * @n_nodes: number of them
- * @direct: whether they are upstreams, which tell no fate but "not_run"
- * @run_id: start of every test id; must differ between runs that share
+ * @n_nodes: number of @nodes
+ * @direct: whether @nodes are upstreams, which report no fate but "not_run"
+ * @run_id: prefix of every test id; must differ between runs that share
  *	upstreams
  * @paths: path of each kind of call
- * @body_bytes: body length of each kind; lookups send none
- * @answer_bytes: pattern bytes asked for in answers to lookups
- * @timeout_ms: when a caller gives up
- * @deadline_ms: Bramley-Deadline-Ms header, or 0 for none
- * @repeats: how often a keyed booking that was told unknown is sent again,
- *	each time through the next node
- * @threads: number of threads
- * @connections: most idle connections that a thread keeps
- * @from: address that calls are sent from, or NULL
+ * @body_bytes: length of the request body of each kind; lookups send none
+ * @answer_bytes: pattern bytes requested in responses to lookups
+ * @timeout_ms: timeout of a call
+ * @deadline_ms: value of the Bramley-Deadline-Ms header, or 0 for none
+ * @repeats: maximum number of times a keyed booking with unknown fate is
+ *	repeated, each time through the next node
+ * @threads: number of worker threads
+ * @connections: maximum number of idle connections per thread
+ * @from: source address of calls, or NULL
  */
 struct load_options {
 	const char *const *nodes;
@@ -51,10 +51,11 @@
 };
 
 /**
- * struct load_result - what came of a run
- * @outcomes: array of struct outcome, in no order
- * @late_us: array of uint64_t: how late each call was sent, in microseconds
- * @no_retry_after: number of answers with status 503 and no Retry-After
+ * struct load_result - result of a load run
+ * @outcomes: array of struct outcome, unordered
+ * @late_us: array of uint64_t: delay of each call after its scheduled time, in
+ *	microseconds
+ * @no_retry_after: number of responses with status 503 and no Retry-After
  */
 struct load_result {
 	GArray *outcomes;
@@ -63,15 +64,15 @@
 };
 
 /**
- * load_run() - make the calls of a schedule
+ * load_run() - make the calls of a schedule and wait for all of them
  * @o: options
  * @schedule: array of struct arrival
- * @out: where the result goes; arrays are owned by the caller
+ * @out: set to the result; free with load_result_clear()
  */
 void load_run(const struct load_options *o, const GArray *schedule,
     struct load_result *out);
 
-/** load_result_clear() - free what a result holds */
+/** load_result_clear() - free the contents of a result */
 void load_result_clear(struct load_result *r);
 
 #endif
--- a/packages/standins/include/standins/objects.h
+++ b/packages/standins/include/standins/objects.h
@@ -1,7 +1,7 @@
 /*
- * The object store of the stand-in platform: a path-style subset of the S3
- * REST protocol in memory.  One bucket "bramley".  Not thread-safe; the
- * caller holds a lock.
+ * In-memory object store of the stand-in platform, behind a subset of the S3
+ * REST protocol with path-style requests.  It has one bucket, "bramley".  Not
+ * thread-safe; the caller holds a lock.
  */
 #ifndef STANDINS_OBJECTS_H
 #define STANDINS_OBJECTS_H
@@ -22,7 +22,7 @@
 	OBJECTS_EXISTS,
 };
 
-/** objects_new() - an empty store */
+/** objects_new() - create an empty store */
 struct objects *objects_new(void);
 
 /** objects_free() - free a store and its objects */
@@ -37,9 +37,9 @@
 /**
  * objects_put() - store an object
  * @o: the store
- * @key: its key; copied
- * @data: its content; a reference is kept
- * @if_none_match: refuse when the key exists ("If-None-Match: *")
+ * @key: key of the object; copied
+ * @data: content of the object; a reference is kept
+ * @if_none_match: fail if the key exists ("If-None-Match: *")
  *
  * Return: OBJECTS_OK or OBJECTS_EXISTS.
  */
@@ -49,8 +49,8 @@
 /**
  * objects_get() - read an object
  * @o: the store
- * @key: its key
- * @data: where a reference to its content goes
+ * @key: key of the object
+ * @data: set to a new reference to the content
  *
  * Return: OBJECTS_OK or OBJECTS_NO_KEY.
  */
--- a/packages/standins/include/standins/outcomes.h
+++ b/packages/standins/include/standins/outcomes.h
@@ -1,10 +1,11 @@
 /*
- * What callers were told: one record for each call, kept by the load
- * generator and read by the checker.
+ * Outcomes of calls as seen by callers: one record for each call, written by
+ * the load generator and read by the checker.
  *
- * In a file each record is a line of fields parted by tabs:
- * test id, kind, key or "-", told, HTTP status, answer check, latency in
- * microseconds, time sent in microseconds since the start.
+ * In a file each record is a line of tab-separated fields: test id, kind, key
+ * or
+ * "-", reported fate, HTTP status, response check, latency in microseconds,
+ * time sent in microseconds since the start.
  */
 #ifndef STANDINS_OUTCOMES_H
 #define STANDINS_OUTCOMES_H
@@ -18,7 +19,7 @@
 
 #define OUTCOMES_ID_BYTES 64
 
-/** enum call_kind - what a call asks for; only lookups are idempotent */
+/** enum call_kind - kind of a call; only lookups are idempotent */
 enum call_kind {
 	CALL_LOOKUP,
 	CALL_BOOKING,
@@ -27,12 +28,12 @@
 };
 
 /**
- * enum reported_fate - what the caller was told
+ * enum reported_fate - fate of a call as reported to its caller
  * @REPORTED_DONE: the request was run
- * @REPORTED_NOT_RUN: the request was not and will not be run
- * @REPORTED_UNKNOWN: whether it was run is not known; also when no answer came
- * @REPORTED_NOT_SENT: no connection came about, so nothing was sent
- * @REPORTED_COUNT: number of them
+ * @REPORTED_NOT_RUN: the request was not run and will not be run
+ * @REPORTED_UNKNOWN: the request may have been run; also without a response
+ * @REPORTED_NOT_SENT: no connection was established, so nothing was sent
+ * @REPORTED_COUNT: number of values
  */
 enum reported_fate {
 	REPORTED_DONE,
@@ -43,15 +44,15 @@
 };
 
 /**
- * enum response_check - whether an answer was whole and the caller's own
- * @RESPONSE_NONE: there was no answer to check (none came, or no run told)
- * @RESPONSE_OK: whole and its own
- * @RESPONSE_CUT: the connection broke after the answer had begun; the caller
- *	knows that it is not whole
- * @RESPONSE_NOT_OWN: the answer to another call
+ * enum response_check - whether a response is intact and belongs to the call
+ * @RESPONSE_NONE: nothing to check: no response, or none that reports a run
+ * @RESPONSE_OK: intact and of this call
+ * @RESPONSE_CUT: the connection broke during the response, so that the caller
+ *	can detect the truncation
+ * @RESPONSE_NOT_OWN: response to another call
  * @RESPONSE_NOT_WHOLE: a length or hash differs
- * @RESPONSE_NO_FATE: a node answered without saying the fate
- * @RESPONSE_CHECKS: number of them
+ * @RESPONSE_NO_FATE: response of a node without a Bramley-Fate header
+ * @RESPONSE_CHECKS: number of values
  */
 enum response_check {
 	RESPONSE_NONE,
@@ -64,14 +65,14 @@
 };
 
 /**
- * struct outcome - one call
+ * struct outcome - outcome of one call
  * @test_id: X-Test-Id of the call
  * @key: Idempotency-Key or an empty string
- * @kind: what was asked
- * @reported: what the caller was told
- * @check: check of the answer
- * @status: HTTP status; 0 when no answer came
- * @latency_us: from the scheduled time to the last byte of the answer
+ * @kind: kind of the call
+ * @reported: fate reported to the caller
+ * @check: result of the response check
+ * @status: HTTP status; 0 without a response
+ * @latency_us: from the scheduled time to the last byte of the response
  * @sent_us: scheduled time since the start of the run
  */
 struct outcome {
@@ -96,15 +97,16 @@
  */
 const char *response_check_name(enum response_check c);
 
-/** outcomes_write() - append a record to an open file */
+/** outcomes_write() - append a record to a file */
 void outcomes_write(FILE *f, const struct outcome *o);
 
 /**
  * outcomes_read() - read a file of records
- * @path: the file
- * @out: array of struct outcome; appended to
+ * @path: path of the file
+ * @out: array of struct outcome; records are appended
  *
- * Return: STATUS_OK, STATUS_IO, or STATUS_INVALID with the line's number.
+ * Return: STATUS_OK, STATUS_IO if the file can't be read, or STATUS_INVALID
+ * with the number of the first invalid line in the message.
  */
 enum status outcomes_read(const char *path, GArray *out);
 
--- a/packages/standins/include/standins/platform.h
+++ b/packages/standins/include/standins/platform.h
@@ -1,11 +1,11 @@
 /*
  * The stand-in platform: table service and object store on one port, with
- * knobs for faults.
+ * fault injection.
  *
  *	POST /                    table service (DynamoDB JSON)
  *	PUT, GET /bramley/<key>   object store (S3)
- *	POST /standin/knobs       set knobs; absent ones keep their value
- *	GET /standin/stats        counts
+ *	POST /standin/knobs       set fault knobs; absent ones keep their value
+ *	GET /standin/stats        statistics
  */
 #ifndef STANDINS_PLATFORM_H
 #define STANDINS_PLATFORM_H
@@ -14,7 +14,7 @@
 
 #include "base/status.h"
 
-/* Default limits, as the users' platform has them. */
+/* Default limits, those of the users' platform, in rows or objects. */
 #define PLATFORM_READS_PER_S 2000
 #define PLATFORM_WRITES_PER_S 500
 
@@ -25,9 +25,9 @@
  * @address: IPv4 address to listen on
  * @port: TCP port
  * @threads: number of worker threads
- * @out: where the platform goes
+ * @out: set to the platform
  *
- * Return: STATUS_OK, or STATUS_IO when the port can't be listened on.
+ * Return: STATUS_OK, or STATUS_IO if listening on the port fails.
  */
 enum status platform_start(
     const char *address, uint16_t port, int threads, struct platform **out);
--- a/packages/standins/include/standins/program.h
+++ b/packages/standins/include/standins/program.h
@@ -1,5 +1,5 @@
 /*
- * What the programs of the stand-ins share: waiting for a signal to stop.
+ * Code that the programs of the stand-ins share: command line and signals.
  */
 #ifndef STANDINS_PROGRAM_H
 #define STANDINS_PROGRAM_H
@@ -8,17 +8,18 @@
 
 /**
  * program_options() - parse the command line
- * @argc: as given to main
- * @argv: as given to main
+ * @argc: argument of main()
+ * @argv: argument of main()
  * @entries: GLib options
- * @summary: what the program is for
+ * @summary: purpose of the program, shown by --help
  *
- * Prints the fault and ends the program with status 2 when it is wrong.
+ * If the command line is invalid, prints the error and exits with status 2.
  */
 void program_options(
     int *argc, char ***argv, const GOptionEntry *entries, const char *summary);
 
-/** program_block_signals() - call first in main, before threads start */
+/** program_block_signals() - block SIGTERM and SIGINT; call before threads
+ * start */
 void program_block_signals(void);
 
 /** program_wait_for_stop() - wait for SIGTERM or SIGINT */
--- a/packages/standins/include/standins/rate.h
+++ b/packages/standins/include/standins/rate.h
@@ -1,5 +1,5 @@
 /*
- * Token bucket, for the stand-in platform's limits on reads and writes.
+ * Token bucket for the stand-in platform's limits on reads and writes.
  */
 #ifndef STANDINS_RATE_H
 #define STANDINS_RATE_H
@@ -7,10 +7,10 @@
 #include <stdint.h>
 
 /**
- * struct rate - a token bucket that holds one second's worth
- * @per_s: tokens that come in a second
- * @microtokens: tokens held, times 1,000,000
- * @refilled_us: monotonic time of the last filling
+ * struct rate - token bucket whose capacity is one second of its rate
+ * @per_s: tokens added per second
+ * @microtokens: tokens available, times 1,000,000
+ * @refilled_us: monotonic time of the last refill
  */
 struct rate {
 	uint32_t per_s;
@@ -27,7 +27,8 @@
  * @n: number of tokens
  * @now_us: monotonic time
  *
- * Return: 1 when they were taken, 0 when there are too few: none is taken.
+ * Return: 1 if the tokens were taken; 0 if there are too few, and then none is
+ * taken.
  */
 int rate_take(struct rate *r, uint32_t n, uint64_t now_us);
 
--- a/packages/standins/include/standins/reply.h
+++ b/packages/standins/include/standins/reply.h
@@ -1,7 +1,8 @@
 /*
- * Answer of the stand-in upstream: a line of JSON that names the call and
- * describes the body that arrived, then as many pattern bytes as were asked
- * for.  The load generator checks that an answer is whole and its own.
+ * Response body of the stand-in upstream: a line of JSON that identifies the
+ * call and describes the received body, followed by the requested number of
+ * pattern bytes.  The load generator checks that a response is intact and
+ * belongs to the call.
  */
 #ifndef STANDINS_REPLY_H
 #define STANDINS_REPLY_H
@@ -16,13 +17,13 @@
 #include "standins/outcomes.h"
 
 /**
- * struct reply - what the line says
+ * struct reply - content of the JSON line
  * @host: host of the upstream
  * @test_id: X-Test-Id of the call that was run
- * @key: its Idempotency-Key or ""
+ * @key: Idempotency-Key of the call, or ""
  * @run: number of the run at this upstream
- * @body_bytes: length of the body that arrived
- * @body_hash: its XXH64
+ * @body_bytes: length of the received body
+ * @body_hash: XXH64 of the received body
  * @pad_bytes: number of pattern bytes that follow the line
  */
 struct reply {
@@ -36,20 +37,21 @@
 };
 
 /**
- * reply_line() - the line, ended by a newline
- * @r: what it says
+ * reply_line() - format the JSON line, terminated by a newline
+ * @r: content of the line
  *
  * Return: a new string.  The pattern after it has the seed of @r->test_id.
  */
 GString *reply_line(const struct reply *r);
 
 /**
- * struct reply_expected - what a caller expects of its answer
- * @test_id: its test id
- * @key: its key or ""; the answer to another call with it is its own too
- * @body_bytes: length of the body that it sent
- * @body_hash: its XXH64
- * @pad_bytes: number of pattern bytes that it asked for
+ * struct reply_expected - expected content of the response to a call
+ * @test_id: test id of the call
+ * @key: key of the call or ""; a response to another call with the same key is
+ *	accepted too
+ * @body_bytes: length of the body sent
+ * @body_hash: XXH64 of the body sent
+ * @pad_bytes: number of pattern bytes requested
  */
 struct reply_expected {
 	const char *test_id;
@@ -60,11 +62,11 @@
 };
 
 /**
- * struct reply_reader - an answer being read
- * @line: the line so far
- * @line_complete: whether its end was seen
- * @pad_bytes: pattern bytes so far
- * @pad_hash: their hash so far
+ * struct reply_reader - incremental reader of a response
+ * @line: JSON line received so far
+ * @line_complete: whether the newline was received
+ * @pad_bytes: number of pattern bytes received so far
+ * @pad_hash: hash of the pattern bytes received so far
  */
 struct reply_reader {
 	GString *line;
@@ -73,22 +75,22 @@
 	XXH64_state_t *pad_hash;
 };
 
-/** reply_reader_init() - start to read an answer */
+/** reply_reader_init() - initialize a reader; free with reply_reader_clear() */
 void reply_reader_init(struct reply_reader *r);
 
-/** reply_reader_reset() - start to read the next answer */
+/** reply_reader_reset() - prepare a reader for the next response */
 void reply_reader_reset(struct reply_reader *r);
 
-/** reply_reader_clear() - free what a reader holds */
+/** reply_reader_clear() - free the contents of a reader */
 void reply_reader_clear(struct reply_reader *r);
 
-/** reply_reader_feed() - the next bytes of the answer's body */
+/** reply_reader_feed() - process the next bytes of the response body */
 void reply_reader_feed(struct reply_reader *r, const void *data, size_t len);
 
 /**
- * reply_reader_check() - check the answer at its end
+ * reply_reader_check() - check the response after its end
  * @r: the reader
- * @w: what the caller expects
+ * @w: expected content
  *
  * Return: RESPONSE_OK, RESPONSE_NOT_OWN or RESPONSE_NOT_WHOLE.
  */
--- a/packages/standins/include/standins/rows.h
+++ b/packages/standins/include/standins/rows.h
@@ -1,6 +1,6 @@
 /*
- * The table of the stand-in platform: a subset of the DynamoDB JSON protocol
- * in memory.  One table "bramley" with the key attribute "pk".  Not
+ * In-memory table service of the stand-in platform, a subset of the DynamoDB
+ * JSON protocol.  It has one table, "bramley", with the key attribute "pk". Not
  * thread-safe; the caller holds a lock.
  */
 #ifndef STANDINS_ROWS_H
@@ -21,7 +21,7 @@
 struct rows;
 
 /**
- * enum rows_op - operations of the subset
+ * enum rows_op - supported operations
  */
 enum rows_op {
 	ROWS_OP_GET,
@@ -31,16 +31,16 @@
 };
 
 /**
- * struct rows_response - outcome of an operation
+ * struct rows_response - response to an operation
  * @code: HTTP status
- * @body: JSON answer; owned by the receiver
+ * @body: JSON body; owned by the caller
  */
 struct rows_response {
 	int code;
 	json_t *body;
 };
 
-/** rows_new() - an empty table */
+/** rows_new() - create an empty table */
 struct rows *rows_new(void);
 
 /** rows_free() - free a table and its rows */
@@ -51,37 +51,37 @@
 
 /**
  * rows_op_parse() - operation named by the X-Amz-Target header
- * @target: the header's value, or NULL
+ * @target: value of the header, or NULL
  */
 enum rows_op rows_op_parse(const char *target);
 
 /**
- * rows_capacity() - capacity that a request takes
+ * rows_capacity() - capacity units that a request consumes
  * @op: the operation
  * @req: the request
  *
- * Return: the number of rows it reads or writes, at least 1.
+ * Return: the number of rows that the request reads or writes, at least 1.
  */
 uint32_t rows_capacity(enum rows_op op, const json_t *req);
 
 /**
- * rows_apply() - run one request
+ * rows_apply() - execute a request
  * @t: the table
  * @op: the operation
- * @req: the request; NULL when it was no JSON
- * @resp: where the answer goes
+ * @req: the request; NULL if it is not JSON
+ * @resp: set to the response
  *
- * A transaction takes effect whole or not at all.
+ * Transactions are atomic.
  */
 void rows_apply(struct rows *t, enum rows_op op, const json_t *req,
     struct rows_response *resp);
 
 /**
- * rows_error() - an error as the protocol publishes it
+ * rows_error() - create an error response of the published protocol
  * @code: HTTP status
- * @kind: name such as "ValidationException"
- * @message: text
- * @resp: where the answer goes
+ * @kind: error type, such as "ValidationException"
+ * @message: text of the error
+ * @resp: set to the response
  */
 void rows_error(int code, const char *kind, const char *message,
     struct rows_response *resp);
--- a/packages/standins/include/standins/run_check.h
+++ b/packages/standins/include/standins/run_check.h
@@ -1,11 +1,12 @@
 /*
- * Checker: what callers were told against what upstreams ran.
+ * Checks fates reported to callers against the runs at upstreams.
  *
- * It holds of each call: told not_run (or never sent) means no run; told
- * done means a run, and exactly one unless it was a lookup; told unknown
- * means at most one run unless it was a lookup; the answer was whole and the
- * caller's own; and no run without a call.  Calls with one idempotency key
- * count together: at most one run, and exactly one when any was told done.
+ * Rules for each call: reported not_run (or never sent) means no run; reported
+ * done means a run, and exactly one unless the call is a lookup; reported
+ * unknown means at most one run unless the call is a lookup; the response is
+ * intact and belongs to the call.  There is no run without a call.  Calls with
+ * the same idempotency key count together: at most one run, and exactly one if
+ * any of them was reported done.
  */
 #ifndef STANDINS_RUN_CHECK_H
 #define STANDINS_RUN_CHECK_H
@@ -17,7 +18,7 @@
 #include "standins/outcomes.h"
 #include "standins/runs.h"
 
-/** enum run_rule - what a violation broke */
+/** enum run_rule - rule that a violation breaks */
 enum run_rule {
 	RULE_NOT_RUN_BUT_RAN,
 	RULE_DONE_BUT_NOT_RUN,
@@ -30,10 +31,11 @@
 };
 
 /**
- * struct violation - one rule broken by one call
+ * struct violation - violation of a rule by a call
  * @rule: the rule
  * @id: test id or idempotency key
- * @reported: what the caller was told (not for a stray run)
+ * @reported: fate reported to the caller; meaningless for
+ *	RULE_RUN_WITHOUT_CALL
  * @runs: number of runs
  */
 struct violation {
@@ -43,15 +45,15 @@
 	uint64_t runs;
 };
 
-/** run_rule_name() - short name of a rule */
+/** run_rule_name() - name of a rule as printed by check_runs */
 const char *run_rule_name(enum run_rule r);
 
 /**
- * run_check() - hold calls against runs
+ * run_check() - check calls against runs
  * @calls: array of struct outcome
- * @r: the runs of all upstreams
+ * @r: runs of all upstreams
  *
- * Return: a new array of struct violation, empty when all is well.
+ * Return: a new array of struct violation, empty if all rules hold.
  */
 GArray *run_check(const GArray *calls, const struct runs *r);
 
--- a/packages/standins/include/standins/runs.h
+++ b/packages/standins/include/standins/runs.h
@@ -1,8 +1,9 @@
 /*
- * What upstreams ran: counts per test id, request id and idempotency key.
- * A journal in a file keeps them when the upstream is killed: one line for
- * each run, written when the run starts, before any of its work: test id,
- * request id, key, host, monotonic milliseconds; "-" where there is none.
+ * Counts of runs at upstreams, by test id, request id and idempotency key.
+ *
+ * A journal file preserves them when the upstream is killed.  It has one line
+ * for each run, written before the work of the run starts: test id, request id,
+ * key, host and monotonic time in milliseconds; "-" stands for an absent id.
  */
 #ifndef STANDINS_RUNS_H
 #define STANDINS_RUNS_H
@@ -15,7 +16,7 @@
 #include "base/status.h"
 
 /**
- * struct run_ids - names of one run; NULL or "" where there is none
+ * struct run_ids - ids of one run; NULL or "" if absent
  * @test_id: X-Test-Id header
  * @request_id: Bramley-Request-Id header
  * @key: Idempotency-Key header
@@ -29,12 +30,12 @@
 struct runs;
 
 /**
- * runs_new() - no runs yet
+ * runs_new() - create counts of zero runs
  * @host: name of the host, for the journal; copied
- * @journal: path of the journal, appended to, or NULL
- * @out: where the counts go
+ * @journal: path of the journal, which is appended to, or NULL
+ * @out: set to the counts
  *
- * Return: STATUS_OK, or STATUS_IO when the journal can't be written.
+ * Return: STATUS_OK, or STATUS_IO if the journal can't be opened.
  */
 enum status runs_new(const char *host, const char *journal, struct runs **out);
 
@@ -42,12 +43,12 @@
 void runs_free(struct runs *r);
 
 /**
- * runs_add() - count a run; thread-safe
+ * runs_add() - count a run and write it to the journal; thread-safe
  * @r: the counts
- * @ids: its names
+ * @ids: ids of the run
  * @now_ms: monotonic time
  *
- * Return: the number of runs so far, this one included.
+ * Return: the number of runs so far, including this one.
  */
 uint64_t runs_add(struct runs *r, const struct run_ids *ids, uint64_t now_ms);
 
@@ -55,19 +56,20 @@
 json_t *runs_json(struct runs *r);
 
 /**
- * runs_read_journal() - add a journal's runs to the counts; host is ignored
+ * runs_read_journal() - add the runs of a journal to the counts
  * @r: the counts
- * @path: the file
+ * @path: path of the journal
  *
- * A last line that was cut off by a kill counts when its test id is whole.
+ * Hosts are ignored.  A last line truncated by a kill counts if its test id is
+ * complete.
  * Return: STATUS_OK, STATUS_IO or STATUS_INVALID.
  */
 enum status runs_read_journal(struct runs *r, const char *path);
 
 /**
- * runs_read_json() - add the counts of an answer to GET /standin/runs
+ * runs_read_json() - add the counts of a response to GET /standin/runs
  * @r: the counts
- * @j: the JSON value
+ * @j: body of the response
  *
  * Return: STATUS_OK or STATUS_INVALID.
  */
@@ -80,7 +82,7 @@
 uint64_t runs_of_key(const struct runs *r, const char *key);
 
 /**
- * runs_foreach_test_id() - call a function for each test id that was run
+ * runs_foreach_test_id() - call a function for each test id with a run
  * @r: the counts
  * @fn: the function
  * @arg: passed to @fn
--- a/packages/standins/include/standins/schedule.h
+++ b/packages/standins/include/standins/schedule.h
@@ -1,6 +1,6 @@
 /*
- * Arrival schedule of the load generator: a Poisson stream worked out before
- * the run from a seed, so that slow answers don't thin the load.
+ * Arrival schedule of the load generator: a Poisson process computed from a
+ * seed before the run, so that slow responses do not reduce the load.
  */
 #ifndef STANDINS_SCHEDULE_H
 #define STANDINS_SCHEDULE_H
@@ -12,15 +12,15 @@
 #include "standins/outcomes.h"
 
 /**
- * struct schedule_spec - what to schedule
- * @seed: seed of the stream
- * @rate: calls a second
+ * struct schedule_spec - parameters of a schedule
+ * @seed: seed of the random numbers
+ * @rate: calls per second
  * @duration_us: length of the run
  * @mix: weight of each kind of call
- * @nodes: number of nodes that calls are spread over
- * @keyed_percent: share of the bookings that carry an idempotency key
- * @twin_percent: share of the keyed bookings that are sent through two nodes
- *	at once under one key
+ * @nodes: number of nodes that calls are distributed over
+ * @keyed_percent: percentage of bookings with an idempotency key
+ * @twin_percent: percentage of keyed bookings sent twice at the same time,
+ *	through two nodes with the same key
  */
 struct schedule_spec {
 	uint64_t seed;
@@ -33,11 +33,11 @@
 };
 
 /**
- * struct arrival - one call to be made
- * @at_us: when, since the start of the run
- * @kind: what is asked
- * @node: index of the node that it is sent to
- * @key: number of its idempotency key, or 0 for none
+ * struct arrival - a scheduled call
+ * @at_us: scheduled time since the start of the run
+ * @kind: kind of the call
+ * @node: index of the node that the call is sent to
+ * @key: number of the idempotency key, or 0 for none
  */
 struct arrival {
 	uint64_t at_us;
@@ -47,10 +47,10 @@
 };
 
 /**
- * schedule_new() - work out a schedule
- * @s: what to schedule
+ * schedule_new() - compute a schedule
+ * @s: parameters
  *
- * Return: a new array of struct arrival in the order of time.
+ * Return: a new array of struct arrival, sorted by time.
  */
 GArray *schedule_new(const struct schedule_spec *s);
 
--- a/packages/standins/src/announcer.c
+++ b/packages/standins/src/announcer.c
@@ -1,5 +1,5 @@
 /*
- * Announcements of the stand-in upstream.
+ * Announces the stand-in upstream to its node and renews the lease.
  */
 #include <pthread.h>
 #include <string.h>
@@ -19,11 +19,11 @@
 
 struct announcer {
 	pthread_t thread;
-	pthread_mutex_t lock; /* guards all up to the options */
+	pthread_mutex_t lock; /* protects the fields up to @url */
 	pthread_cond_t changed;
 	enum announce_state state;
-	uint64_t state_seq; /* number of the state */
-	uint64_t acked_seq; /* last one that the node has taken */
+	uint64_t state_seq; /* incremented with each change */
+	uint64_t acked_seq; /* last state_seq that the node acked */
 	int paused;
 	int stopping;
 	char *url;
@@ -49,7 +49,7 @@
 	return size * n;
 }
 
-/* One request to the node; whether it was taken. */
+/* Send a request to the node; returns whether it responded with 2xx. */
 static int
 announcer_send(const struct announcer *a, const char *method, const char *body)
 {
@@ -83,7 +83,7 @@
 	return announcer_send(a, "PUT", body);
 }
 
-/* Wait under the lock until something changes or the time has passed. */
+/* Wait for @changed or the timeout; call with the lock held. */
 static void
 announcer_wait(struct announcer *a, uint64_t wait_ms)
 {
@@ -95,7 +95,10 @@
 	(void)pthread_cond_timedwait(&a->changed, &a->lock, &ts);
 }
 
-/* Announce once, called and left under the lock; how long to wait then. */
+/*
+ * Announce the state once.  Call with the lock held; it is released during the
+ * request.  Returns the time until the next announcement in milliseconds.
+ */
 static uint64_t
 announcer_announce(struct announcer *a)
 {
--- a/packages/standins/src/load.c
+++ b/packages/standins/src/load.c
@@ -1,5 +1,5 @@
 /*
- * Load generator: shares a schedule out among threads.
+ * Load generator: distributes a schedule over worker threads.
  */
 #include <pthread.h>
 #include <sys/resource.h>
@@ -9,7 +9,7 @@
 #include "base/clock.h"
 #include "load_defs.h"
 
-/* Time for all threads to start before the first call. */
+/* Delay of the first call, so that all threads have started by then. */
 #define LOAD_START_DELAY_US 20000
 
 static void *
--- a/packages/standins/src/load_call.c
+++ b/packages/standins/src/load_call.c
@@ -1,5 +1,5 @@
 /*
- * One call of the load generator, by libcurl.
+ * One call of the load generator, made with libcurl.
  */
 #include <string.h>
 
@@ -31,7 +31,7 @@
 	return size * n;
 }
 
-/* The value of a header line when it has this name, else NULL. */
+/* The value of a header line with this name, else NULL. */
 static const char *
 header_value(const char *line, size_t len, const char *name)
 {
@@ -151,7 +151,7 @@
 	curl_easy_setopt(c->easy, CURLOPT_URL, url);
 }
 
-/* Calls under one key send one body. */
+/* Calls with the same key send the same body. */
 static uint64_t
 call_body_seed(const struct load_call *c)
 {
@@ -185,8 +185,9 @@
 }
 
 /*
- * Whether nothing was sent.  The error can't tell: libcurl sends a lookup
- * again when its reused connection closes, so "refused" may be the second try.
+ * Whether nothing was sent.  The error code does not show that: libcurl resends
+ * a lookup when its reused connection closes, so "refused" may belong to the
+ * second attempt.
  */
 static int
 call_not_sent(const struct load_call *c)
--- a/packages/standins/src/load_defs.h
+++ b/packages/standins/src/load_defs.h
@@ -1,5 +1,5 @@
 /*
- * One call in flight of the load generator, and the worker that makes it.
+ * Calls and worker threads of the load generator.
  */
 #ifndef STANDINS_LOAD_DEFS_H
 #define STANDINS_LOAD_DEFS_H
@@ -15,7 +15,7 @@
 
 #define LOAD_URL_BYTES 512
 
-/* Fate header of an answer. */
+/* Value of the Bramley-Fate header of a response. */
 enum load_fate {
 	LOAD_FATE_ABSENT,
 	LOAD_FATE_DONE,
@@ -23,7 +23,7 @@
 	LOAD_FATE_UNKNOWN,
 };
 
-/* A call; kept with its easy handle and used again for later calls. */
+/* A call with its libcurl handle; reused for later calls. */
 struct load_call {
 	CURL *easy;
 	const struct load_options *opt;
@@ -33,29 +33,30 @@
 	uint32_t repeats_left;
 	enum load_fate fate;
 	int retry_after;
-	struct pattern body; /* place in the body being sent */
+	struct pattern body; /* position in the request body */
 	uint64_t body_bytes;
 	struct reply_reader reply;
 };
 
 /*
- * A call with its own easy handle; load_call_free() frees it.
+ * Allocate a call with a libcurl handle; free with load_call_free().
  */
 struct load_call *load_call_new(const struct load_options *o);
 void load_call_free(struct load_call *c);
 
-/* Set the handle up for one call; c->outcome names it, c->node gets it. */
+/* Set up the handle for the call in c->outcome, to be sent to c->node. */
 void load_call_prepare(struct load_call *c);
 
-/* Judge the answer at the end of the transfer; fills c->outcome. */
+/* Check the response after the transfer has ended; sets fields of c->outcome.
+ */
 void load_call_finish(struct load_call *c, CURLcode rc);
 
-/* Run one thread's share of a schedule. */
+/* Worker for the arrivals @first, @first + o->threads, ... of a schedule. */
 struct load_worker;
 struct load_worker *load_worker_new(const struct load_options *o,
     const GArray *schedule, uint32_t first, uint64_t start_us);
 void load_worker_run(struct load_worker *w);
-/* Move what was recorded to the result, and free. */
+/* Append the records to the result and free the worker. */
 void load_worker_free(struct load_worker *w, struct load_result *out);
 
 #endif
--- a/packages/standins/src/load_worker.c
+++ b/packages/standins/src/load_worker.c
@@ -1,5 +1,5 @@
 /*
- * One thread of the load generator: an epoll loop that starts calls at their
+ * Worker thread of the load generator: an epoll loop that starts calls at their
  * scheduled times and drives libcurl.
  */
 #include <stdio.h>
@@ -24,16 +24,16 @@
 	uint64_t start_us;
 	CURLM *multi;
 	int epoll_fd;
-	int arrival_timer_fd; /* timer of the next arrival */
-	int curl_timer_fd;    /* timer of libcurl */
+	int arrival_timer_fd; /* expires at the next arrival */
+	int curl_timer_fd;    /* expires at the timeout of libcurl */
 	uint32_t in_flight;
-	GPtrArray *idle_calls; /* calls to be used again */
+	GPtrArray *idle_calls; /* finished calls, kept for reuse */
 	GArray *outcomes;
 	GArray *late_us;
 	uint64_t no_retry_after;
 };
 
-/* Let a timer fire once at a monotonic time; 0 stops it. */
+/* Arm a one-shot timer for a monotonic time; 0 disarms it. */
 static void
 timer_arm(int fd, uint64_t at_us)
 {
@@ -56,7 +56,8 @@
 	(void)epoll_ctl(w->epoll_fd, op, fd, &ev);
 }
 
-/* libcurl: watch a socket; @registered is set once it is in the epoll set. */
+/* libcurl callback; @registered is non-NULL if the socket is in the epoll set.
+ */
 static int
 worker_on_socket(
     CURL *easy, curl_socket_t fd, int poll_events, void *arg, void *registered)
@@ -166,7 +167,7 @@
 	worker_send(w, c);
 }
 
-/* Start every call whose time has come; set the timer for the next. */
+/* Start all calls that are due and arm the timer for the next one. */
 static void
 worker_start_due_calls(struct load_worker *w)
 {
@@ -183,7 +184,7 @@
 	}
 }
 
-/* A keyed call told unknown goes again, under its key, to the next node. */
+/* Repeat a keyed call with unknown fate at the next node, with the same key. */
 static int
 worker_repeat(struct load_worker *w, struct load_call *c)
 {
--- a/packages/standins/src/main_check.c
+++ b/packages/standins/src/main_check.c
@@ -1,6 +1,6 @@
 /*
- * check_runs: holds what callers were told (files of load_gen --outcomes)
- * against what upstreams ran (their journals, or asked of them).
+ * check_runs: checks the fates reported to callers (files written by load_gen
+ * --outcomes) against the runs at upstreams (their journals or /standin/runs).
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/packages/standins/src/main_load.c
+++ b/packages/standins/src/main_load.c
@@ -1,5 +1,5 @@
 /*
- * load_gen: open-loop load on nodes, or on upstreams as a baseline.
+ * load_gen: generates open-loop load on nodes, or on upstreams as a baseline.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/packages/standins/src/main_platform.c
+++ b/packages/standins/src/main_platform.c
@@ -1,6 +1,6 @@
 /*
- * standin_platform: table service and object store in memory, for tests and
- * the demonstration.
+ * standin_platform: in-memory table service and object store, for tests and the
+ * demonstration.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,9 +10,11 @@
 #include "standins/platform.h"
 #include "standins/program.h"
 
-/* Connections that went silent hold one each for as long as they are kept, 60
- * s: 200 of them in the test of silent connections, where 64 threads were all
- * held and nobody was answered any more on a busy machine. */
+/*
+ * A connection that goes silent holds a thread until its idle timeout of 60 s.
+ * The test of silent connections leaves 200 of them: on a busy machine they
+ * held all of 64 threads, and no request got a response any more.
+ */
 #define PLATFORM_THREADS 512
 
 int
--- a/packages/standins/src/main_upstream.c
+++ b/packages/standins/src/main_upstream.c
@@ -1,5 +1,5 @@
 /*
- * standin_upstream: an upstream that counts what it runs, for tests and the
+ * standin_upstream: an upstream that counts its runs, for tests and the
  * demonstration.
  */
 #include <stdio.h>
--- a/packages/standins/src/objects.c
+++ b/packages/standins/src/objects.c
@@ -1,5 +1,5 @@
 /*
- * The object store of the stand-in platform, in memory.
+ * In-memory object store of the stand-in platform.
  */
 #include <glib.h>
 
--- a/packages/standins/src/outcomes.c
+++ b/packages/standins/src/outcomes.c
@@ -1,5 +1,5 @@
 /*
- * What callers were told: records and their file.
+ * Records of call outcomes and their file format.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -45,7 +45,7 @@
 	    (unsigned long)o->latency_us, (unsigned long)o->sent_us);
 }
 
-/* Index of a name, or -1. */
+/* Index of a name, or -1 if it is unknown. */
 static int
 name_index(const char *const *names, int n, const char *name)
 {
--- a/packages/standins/src/pattern.c
+++ b/packages/standins/src/pattern.c
@@ -1,5 +1,5 @@
 /*
- * Test bytes that depend on their place.
+ * Test data in which each byte depends on its offset.
  */
 #include <string.h>
 
@@ -10,11 +10,11 @@
 
 #define PATTERN_WORD_BYTES 8
 #define PATTERN_CHUNK_BYTES 65536
-/* A double holds 53 bits. */
+/* The significand of a double has 53 bits. */
 #define PATTERN_FRACTION_BITS 53
 #define PATTERN_FRACTION_SHIFT (64 - PATTERN_FRACTION_BITS)
 
-/* splitmix64 of Steele, Lea and Flood, as a function of the place. */
+/* splitmix64 of Steele, Lea and Flood, as a function of the word's index. */
 static uint64_t
 pattern_word(uint64_t seed, uint64_t n)
 {
--- a/packages/standins/src/platform.c
+++ b/packages/standins/src/platform.c
@@ -1,5 +1,5 @@
 /*
- * The stand-in platform.
+ * HTTP front end of the stand-in platform: admission, faults and dispatch.
  */
 #include <pthread.h>
 #include <string.h>
@@ -26,7 +26,10 @@
 	uint32_t writes_per_s;
 };
 
-/* Rows and objects read and written; requests turned away; answers lost. */
+/*
+ * Reads and writes count rows and objects.  Rejected requests were throttled,
+ * failed ones met an outage; a lost answer is a response not sent on purpose.
+ */
 struct platform_stats {
 	uint64_t requests;
 	uint64_t reads;
@@ -38,7 +41,7 @@
 
 struct platform {
 	struct web_server *web;
-	pthread_mutex_t lock; /* guards all below */
+	pthread_mutex_t lock; /* protects all fields below */
 	struct rows *rows;
 	struct objects *objects;
 	struct rate reads;
@@ -47,7 +50,7 @@
 	struct platform_stats stats;
 };
 
-/* What becomes of a request before it is run. */
+/* Decision on a request before it is executed. */
 enum admission {
 	ADMISSION_PASS,
 	ADMISSION_OUTAGE,
@@ -74,7 +77,7 @@
 	return ADMISSION_PASS;
 }
 
-/* Whether the answer to a write that took effect is to be lost. */
+/* Whether to lose the response to a write that was executed. */
 static int
 platform_loses_response(struct platform *p)
 {
--- a/packages/standins/src/program.c
+++ b/packages/standins/src/program.c
@@ -1,5 +1,5 @@
 /*
- * What the programs of the stand-ins share.
+ * Code that the programs of the stand-ins share.
  */
 #include <pthread.h>
 #include <signal.h>
--- a/packages/standins/src/reply.c
+++ b/packages/standins/src/reply.c
@@ -1,5 +1,5 @@
 /*
- * Answer of the stand-in upstream.
+ * Response body of the stand-in upstream.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/packages/standins/src/rows.c
+++ b/packages/standins/src/rows.c
@@ -1,5 +1,5 @@
 /*
- * The table of the stand-in platform.
+ * Table service of the stand-in platform.
  */
 #include <string.h>
 
@@ -17,7 +17,7 @@
 	GHashTable *by_key;
 };
 
-/* Checks of a request answer NULL when all is well, else the fault. */
+/* Request checks return ROWS_NO_ERROR or the text of the error. */
 #define ROWS_NO_ERROR NULL
 
 static void
@@ -103,7 +103,7 @@
 	rows_error(ROWS_BAD_REQUEST, "ValidationException", message, resp);
 }
 
-/* The key's text, or NULL when the value is no {"pk": {"S": text}}. */
+/* The key, or NULL if the item has no {"pk": {"S": text}}. */
 static const char *
 row_key(const json_t *item)
 {
@@ -135,7 +135,7 @@
 	return len % 4 == 0 && len - n <= 2 && strspn(s + n, "=") == len - n;
 }
 
-/* An attribute value is an object of one type and its text. */
+/* An attribute value is an object with one member: type -> text. */
 static int
 value_valid(const json_t *v)
 {
@@ -259,14 +259,17 @@
 	    "UnprocessedKeys");
 }
 
-/* The only conditions: attribute_not_exists(pk), and #c = :c. */
+/* Two conditions are supported: attribute_not_exists(pk) and #c = :c. */
 static int
 is_not_exists_condition(const char *expr)
 {
 	return strcmp(expr, "attribute_not_exists(" ROWS_KEY ")") == 0;
 }
 
-/* Attribute name and wanted value of "#c = :c"; 0 when it is no such one. */
+/*
+ * Parse "#c = :c" into attribute name and expected value; 0 for any other
+ * expression.
+ */
 static int
 parse_equals_condition(const json_t *put, const char *expr, const char **name,
     const json_t **expected)
@@ -360,7 +363,7 @@
 	return error;
 }
 
-/* Reasons for each item; *refused tells whether one was not allowed. */
+/* One reason per item; sets *cancelled if a condition does not hold. */
 static json_t *
 transaction_reasons(const struct rows *t, json_t *list, int *cancelled)
 {
--- a/packages/standins/src/run_check.c
+++ b/packages/standins/src/run_check.c
@@ -1,5 +1,5 @@
 /*
- * Checker: what callers were told against what upstreams ran.
+ * Checks fates reported to callers against the runs at upstreams.
  */
 #include <string.h>
 
@@ -11,7 +11,7 @@
     "done_but_not_run", "ran_twice", "key_ran_twice", "answer", "stray_run",
     "double_call"};
 
-/* Calls that share an idempotency key. */
+/* Summary of the calls that share an idempotency key. */
 struct key_calls {
 	int any_done;
 	int all_known_not_run;
@@ -20,7 +20,7 @@
 struct check {
 	const struct runs *runs;
 	GArray *violations;
-	GHashTable *test_ids; /* of the calls */
+	GHashTable *test_ids; /* test ids of all calls */
 	GHashTable *keys;     /* key -> struct key_calls */
 };
 
--- a/packages/standins/src/runs.c
+++ b/packages/standins/src/runs.c
@@ -1,5 +1,5 @@
 /*
- * What upstreams ran: counts and their journal.
+ * Counts of the runs at upstreams, and their journal.
  */
 #include <fcntl.h>
 #include <pthread.h>
@@ -27,8 +27,8 @@
     "by_test_id", "by_request_id", "by_key"};
 
 struct runs {
-	pthread_mutex_t lock;		  /* guards the counts */
-	GHashTable *counts[RUN_ID_KINDS]; /* name -> number of runs */
+	pthread_mutex_t lock;		  /* protects the counts */
+	GHashTable *counts[RUN_ID_KINDS]; /* id -> number of runs */
 	uint64_t total;
 	char *host;
 	int journal_fd;
@@ -157,7 +157,10 @@
 	return j;
 }
 
-/* A kill can cut the last line; a run counts once its test id is whole. */
+/*
+ * Parse one line; returns whether it is complete.  A kill may truncate the last
+ * line: its run counts if the test id is complete.
+ */
 static int
 journal_parse(struct runs *r, char *line)
 {
--- a/packages/standins/src/schedule.c
+++ b/packages/standins/src/schedule.c
@@ -33,7 +33,7 @@
 	return (uint32_t)g_rand_int_range(rnd, 0, SCHEDULE_PERCENT) < percent;
 }
 
-/* The second call under a key goes to another node when there is one. */
+/* Append a duplicate under the same key, to another node if there is one. */
 static void
 append_twin(GArray *schedule, const struct arrival *first, uint32_t nodes)
 {
--- a/packages/standins/src/summary.c
+++ b/packages/standins/src/summary.c
@@ -19,7 +19,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Nearest rank: the least value that @share of all are not above. */
+/* Nearest rank: smallest value that per_mille/1000 of all do not exceed. */
 static uint64_t
 quantile(const GArray *us, uint64_t per_mille)
 {
@@ -52,7 +52,7 @@
 	    (json_int_t)l.p999_us, "max", (json_int_t)l.max_us);
 }
 
-/* Latencies of the calls told done, of one kind or (CALL_KINDS) of all. */
+/* Latencies of calls reported done, of one kind or, with CALL_KINDS, of all. */
 static GArray *
 latencies_of_done(const GArray *outcomes, enum call_kind kind)
 {
@@ -79,7 +79,7 @@
 	return j;
 }
 
-/* Quantiles over all calls told done stand at the top. */
+/* Add the quantiles over all calls reported done at the top level. */
 static void
 add_quantiles(json_t *j, const GArray *outcomes)
 {
--- a/packages/standins/src/upstream.c
+++ b/packages/standins/src/upstream.c
@@ -1,5 +1,5 @@
 /*
- * The stand-in upstream: start, drain, stop, hints and knobs.
+ * The stand-in upstream: start, drain, stop, health and load hints, knobs.
  */
 #include <string.h>
 #include <time.h>
@@ -14,7 +14,7 @@
 #define UPSTREAM_KEEP_ALIVE_MS 60000
 #define UPSTREAM_KNOBS_MAX_BYTES 65536
 #define UPSTREAM_ANNOUNCE_WAIT_MS 3000
-/* A call that the node sent just before it took the drain can still come. */
+/* Calls that the node sent just before it acked draining may still arrive. */
 #define UPSTREAM_IDLE_MS 200
 #define UPSTREAM_POLL_MS 10
 
@@ -52,7 +52,7 @@
 		    k->lie_health, json_string_value(v), sizeof(k->lie_health));
 }
 
-/* Announce a state and note when the node has taken a drain. */
+/* Announce a state and record when the node acked draining. */
 static void
 upstream_announce(struct upstream *u, enum announce_state s)
 {
@@ -166,8 +166,9 @@
 }
 
 /*
- * Announce "starting", and "ready" when the cold start is over, unless it
- * leaves before.  The node has to hear of the start first.
+ * Announce "starting" and, after the cold start, "ready", unless the upstream
+ * stops or drains before.  "starting" is announced first, so that the node
+ * sees the start.
  */
 static void *
 upstream_announce_start(void *arg)
--- a/packages/standins/src/upstream_call.c
+++ b/packages/standins/src/upstream_call.c
@@ -1,5 +1,6 @@
 /*
- * Calls of the stand-in upstream: slot, body, run, work, answer.
+ * Call handling of the stand-in upstream: acquire a slot, read the body, record
+ * the run, work, respond.
  */
 #include <math.h>
 #include <string.h>
@@ -18,11 +19,11 @@
 #define CALL_HANG_POLL_MS 20
 #define CALL_COLD_EXTRA_FACTOR 3.0
 #define CALL_WORK_MAX_MEANS 10.0
-/* Exit code of a process that a call has ended. */
+/* Exit code after a call with ?crash=1. */
 #define CALL_CRASH_EXIT_CODE 70
 #define CALL_FATE_NOT_RUN "Bramley-Fate: not_run\r\n"
 
-/* A call on its way through the upstream. */
+/* A call in progress. */
 struct call {
 	struct mg_connection *conn;
 	struct run_ids ids;
@@ -30,7 +31,7 @@
 	uint64_t body_hash;
 	uint64_t run;
 	uint64_t start_ms;
-	int close_unanswered; /* close the connection instead of answering */
+	int close_unanswered; /* close the connection without a response */
 };
 
 int
@@ -72,7 +73,7 @@
 	pthread_mutex_unlock(&u->lock);
 }
 
-/* Read the whole body; 0 when it broke off. */
+/* Read the whole request body; 0 if the connection broke before its end. */
 static int
 call_read_body(struct call *c)
 {
@@ -102,7 +103,7 @@
 	return 1;
 }
 
-/* Count the run, before its work, and decide whether to answer it. */
+/* Record the run before its work and decide whether it gets a response. */
 static void
 call_record_run(struct upstream *u, struct call *c)
 {
@@ -126,7 +127,10 @@
 	pthread_mutex_unlock(&u->lock);
 }
 
-/* Time of one call's work, exponential about the mean. */
+/*
+ * Time that a call takes: exponentially distributed, and longer during the
+ * warm-up, unless work_ms_exact is set.
+ */
 static double
 call_work_ms(const struct upstream *u, const struct call *c)
 {
--- a/packages/standins/src/upstream_defs.h
+++ b/packages/standins/src/upstream_defs.h
@@ -1,5 +1,5 @@
 /*
- * State of the stand-in upstream, shared by its calls and its control.
+ * State of the stand-in upstream, shared by call handling and control.
  */
 #ifndef STANDINS_UPSTREAM_DEFS_H
 #define STANDINS_UPSTREAM_DEFS_H
@@ -15,7 +15,7 @@
 #define UPSTREAM_LIE_BYTES 8
 #define UPSTREAM_LOAD_ACTUAL (-1)
 
-/* Settable faults; see upstream.h. */
+/* Faults that tests inject through /standin/knobs; see upstream.h. */
 struct upstream_knobs {
 	int shed;
 	int hang;
@@ -23,7 +23,7 @@
 	int pause_lease;
 	double slow_factor;
 	uint32_t work_ms_mean;
-	uint32_t work_ms_exact; /* of each call, 0: about the mean */
+	uint32_t work_ms_exact; /* of each call; 0: random about the mean */
 	char lie_health[UPSTREAM_LIE_BYTES];
 	int64_t lie_load;
 	uint32_t close_after_run;
@@ -31,11 +31,11 @@
 };
 
 struct upstream_stats {
-	uint64_t shed;	      /* turned away, not run */
-	uint64_t broken;      /* bodies that broke off, not run */
-	uint64_t unanswered;  /* run, connection closed with no answer */
-	uint64_t after_drain; /* runs begun after draining was announced */
-	uint64_t after_drain_max_ms; /* the latest of them */
+	uint64_t shed;		     /* rejected, not run */
+	uint64_t broken;	     /* truncated request bodies, not run */
+	uint64_t unanswered;	     /* run, closed without a response */
+	uint64_t after_drain;	     /* runs started after draining was acked */
+	uint64_t after_drain_max_ms; /* delay of the most recent one */
 };
 
 struct upstream {
@@ -44,20 +44,20 @@
 	struct announcer *announcer; /* NULL without a node */
 	struct runs *runs;
 	pthread_t starter;    /* announces "ready" after the cold start */
-	pthread_mutex_t lock; /* guards all below */
+	pthread_mutex_t lock; /* protects all fields below */
 	pthread_cond_t changed;
 	struct upstream_knobs knobs;
 	struct upstream_stats stats;
 	uint32_t in_flight;
 	uint64_t ready_ms;    /* when the cold start ends */
-	uint64_t draining_ms; /* when draining was taken; DEADLINE_NEVER */
+	uint64_t draining_ms; /* when draining was acked, or DEADLINE_NEVER */
 	int stopping;
 };
 
-/* Serve one call. */
+/* Handle one call from slot to response. */
 void upstream_call(struct upstream *u, struct mg_connection *conn);
 
-/* Whether calls are taken now; under the lock. */
+/* Whether calls are accepted now; call with the lock held. */
 int upstream_is_serving(const struct upstream *u, uint64_t now_ms);
 
 #endif
--- a/packages/standins/src/web.c
+++ b/packages/standins/src/web.c
@@ -1,5 +1,5 @@
 /*
- * HTTP server of the stand-ins, by CivetWeb.
+ * HTTP server of the stand-ins, based on CivetWeb.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 #define WEB_HEAD_BYTES 1024
 #define WEB_READ_BYTES 65536
 
-/* conn_data of a connection: number of requests so far. */
+/* User data of a connection: number of requests so far. */
 struct web_conn {
 	uint32_t requests;
 };
@@ -33,7 +33,10 @@
 	return 0;
 }
 
-/* CivetWeb forgets the data before it calls connection_closed. */
+/*
+ * Not connection_closed: CivetWeb clears the user data before it calls that
+ * one.
+ */
 static void
 web_connection_close(const struct mg_connection *conn)
 {
--- a/packages/standins/test/test_load.c
+++ b/packages/standins/test/test_load.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the load generator's schedule and summary.
+ * Tests of the schedule and the summary of the load generator.
  */
 #include <string.h>
 
--- a/packages/standins/test/test_platform.c
+++ b/packages/standins/test/test_platform.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the stand-in platform: table, object store, limits.
+ * Tests of the stand-in platform: table service, object store, rate limits.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,7 +16,7 @@
 
 #define SECOND_US 1000000ULL
 
-/* A Put of {"pk": key, "seq": seq} with a condition that may be NULL. */
+/* A Put of {"pk": key, "seq": seq}; @cond is a condition or "". */
 #define PUT(key, seq, cond)                                                  \
 	"{\"Put\":{\"TableName\":\"bramley\",\"Item\":{\"pk\":{\"S\":\"" key \
 	"\"},\"seq\":{\"N\":\"" seq "\"}}" cond "}}"
@@ -35,7 +35,7 @@
 	"com.amazonaws.dynamodb.v20120810#TransactionCanceledException"
 #define TYPE_INVALID "com.amazonaws.dynamodb.v20120810#ValidationException"
 
-/* One request, the HTTP status and the error type (or NULL) it must give. */
+/* A request, and the HTTP status and error type (or NULL) it must return. */
 struct step {
 	const char *label;
 	enum rows_op op;
--- a/packages/standins/test/test_run_check.c
+++ b/packages/standins/test/test_run_check.c
@@ -1,6 +1,6 @@
 /*
- * Tests of the checker: it finds each planted violation and nothing else.
- * Tests of the files that it reads, and of the check of an answer.
+ * Tests of the checker, which must find each violation in a set of calls and
+ * runs and nothing else; of the files that it reads; and of the response check.
  */
 #include <fcntl.h>
 #include <stdio.h>
@@ -23,8 +23,7 @@
 #define RULE_NONE RULE_COUNT
 #define CASE_CALLS 2
 
-/* Up to two calls a and b, the runs counted of each, and what is to be found.
- */
+/* Up to two calls a and b, the number of runs of each, and the violation. */
 struct check_case {
 	const char *label;
 	enum call_kind kind;
@@ -205,7 +204,7 @@
 	(void)runs_add(r, &names, 8);
 	runs_free(r);
 	f = fopen(path, "a");
-	(void)fputs("t2\tr", f); /* cut off by the kill */
+	(void)fputs("t2\tr", f); /* truncated by a kill */
 	(void)fclose(f);
 	ck_assert_int_eq(runs_new("h", NULL, &copy), STATUS_OK);
 	ck_assert_int_eq(runs_read_journal(copy, path), STATUS_OK);
@@ -241,7 +240,7 @@
 }
 END_TEST
 
-/* Changes made to a good answer, and what the check must say of each. */
+/* Damage done to a valid response, and the result that the check must give. */
 enum {
 	DAMAGE_NONE,
 	DAMAGE_OTHER_ID,
