--- a/packages/standins/src/announcer.c
+++ b/packages/standins/src/announcer.c
@@ -174,8 +174,8 @@
 	pthread_mutex_unlock(&a->lock);
 	return acked ? STATUS_OK
 		     : status_set(STATUS_TIMEOUT,
-			   "the node has not taken the state; it is still "
-			   "being announced.");
+			   "the node has not acknowledged the state; "
+			   "announcing continues.");
 }
 
 void
--- a/packages/standins/src/main_check.c
+++ b/packages/standins/src/main_check.c
@@ -49,7 +49,7 @@
 	j = json_loadb(text->str, text->len, 0, NULL);
 	if (rc != CURLE_OK)
 		st = status_set(STATUS_UNAVAILABLE,
-		    "no answer from %s; give its journal.", url);
+		    "no response from %s; use its journal instead.", url);
 	else
 		st = runs_read_json(r, j);
 	json_decref(j);
@@ -66,7 +66,7 @@
 
 	for (i = 0; i < violations->len; i++) {
 		v = &g_array_index(violations, struct violation, i);
-		(void)printf("violation %s: %s told %s, %lu runs\n",
+		(void)printf("violation %s: %s reported %s, %lu runs\n",
 		    run_rule_name(v->rule), v->id,
 		    reported_fate_name(v->reported), (unsigned long)v->runs);
 	}
@@ -78,11 +78,11 @@
 	char **journals = NULL, **outcomes = NULL, **upstreams = NULL, **p;
 	const GOptionEntry entries[] = {
 	    {"outcomes", 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &outcomes,
-		"What callers were told; may be repeated", "FILE"},
+		"Outcomes written by load_gen; may be repeated", "FILE"},
 	    {"journal", 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &journals,
-		"What an upstream ran; may be repeated", "FILE"},
+		"Journal of an upstream; may be repeated", "FILE"},
 	    {"upstream", 0, 0, G_OPTION_ARG_STRING_ARRAY, &upstreams,
-		"Upstream to ask what it ran; may be repeated", "IP:PORT"},
+		"Upstream to fetch runs from; may be repeated", "IP:PORT"},
 	    G_OPTION_ENTRY_NULL};
 	GArray *calls = g_array_new(FALSE, FALSE, sizeof(struct outcome));
 	GArray *violations;
@@ -90,7 +90,8 @@
 	struct runs *r;
 
 	program_options(&argc, &argv, entries,
-	    "Holds what callers were told against what upstreams ran.");
+	    "Checks fates reported to callers against the runs at "
+	    "upstreams.");
 	if (runs_new("", NULL, &r) != STATUS_OK)
 		exit_with_error();
 	for (p = outcomes; p != NULL && *p != NULL; p++)
--- a/packages/standins/src/main_load.c
+++ b/packages/standins/src/main_load.c
@@ -58,10 +58,10 @@
 		"Node that calls are sent to; may be repeated", "IP:PORT"},
 	    {"direct", 0, 0, G_OPTION_ARG_NONE, &a->direct,
 		"The nodes are upstreams (baseline)", NULL},
-	    {"rate", 0, 0, G_OPTION_ARG_DOUBLE, &a->rate, "Calls a second",
+	    {"rate", 0, 0, G_OPTION_ARG_DOUBLE, &a->rate, "Calls per second",
 		"N"},
 	    {"duration-s", 0, 0, G_OPTION_ARG_DOUBLE, &a->duration_s,
-		"How long calls are sent", "S"},
+		"Time during which calls are sent", "S"},
 	    {"mix", 0, 0, G_OPTION_ARG_STRING, &a->mix,
 		"Weights of lookups, bookings and uploads (80:15:5)", "L:B:U"},
 	    {"path-lookup", 0, 0, G_OPTION_ARG_STRING, &a->paths[CALL_LOOKUP],
@@ -71,39 +71,43 @@
 	    {"path-upload", 0, 0, G_OPTION_ARG_STRING, &a->paths[CALL_UPLOAD],
 		"Path of uploads (/documents)", "PATH"},
 	    {"answer-bytes", 0, 0, G_OPTION_ARG_INT64, &a->answer_bytes,
-		"Bytes asked for in answers to lookups (0)", "N"},
+		"Bytes requested in responses to lookups (0)", "N"},
 	    {"booking-bytes", 0, 0, G_OPTION_ARG_INT64, &a->booking_bytes,
-		"Body of a booking (200)", "N"},
+		"Request body bytes of a booking (200)", "N"},
 	    {"upload-bytes", 0, 0, G_OPTION_ARG_INT64, &a->upload_bytes,
-		"Body of an upload (65536)", "N"},
+		"Request body bytes of an upload (65536)", "N"},
 	    {"timeout-ms", 0, 0, G_OPTION_ARG_INT, &a->timeout_ms,
-		"When a caller gives up (10000)", "MS"},
+		"Timeout of a call (10000)", "MS"},
 	    {"deadline-ms", 0, 0, G_OPTION_ARG_INT, &a->deadline_ms,
-		"Deadline told to the node (none)", "MS"},
+		"Deadline sent to the node (none)", "MS"},
 	    {"keyed", 0, 0, G_OPTION_ARG_INT, &a->keyed,
-		"Share of bookings with an Idempotency-Key (0)", "PERCENT"},
+		"Percentage of bookings with an Idempotency-Key (0)",
+		"PERCENT"},
 	    {"twins", 0, 0, G_OPTION_ARG_INT, &a->twins,
-		"Share of these sent through two nodes at once (0)", "PERCENT"},
+		"Percentage of these sent through two nodes at once (0)",
+		"PERCENT"},
 	    {"repeats", 0, 0, G_OPTION_ARG_INT, &a->repeats,
-		"How often a keyed booking told unknown is repeated (0)", "N"},
+		"Maximum repeats of a keyed booking with unknown fate (0)",
+		"N"},
 	    {"seed", 0, 0, G_OPTION_ARG_INT, &a->seed,
 		"Seed of the schedule (1)", "N"},
 	    {"run-id", 0, 0, G_OPTION_ARG_STRING, &a->run_id,
-		"Start of every test id (the seed)", "NAME"},
+		"Prefix of every test id (\"s\" and the seed)", "NAME"},
 	    {"threads", 0, 0, G_OPTION_ARG_INT, &a->threads, "Threads (2)",
 		"N"},
 	    {"connections", 0, 0, G_OPTION_ARG_INT, &a->connections,
 		"Idle connections kept by a thread (64)", "N"},
 	    {"from", 0, 0, G_OPTION_ARG_STRING, &a->from,
-		"Address that calls are sent from", "IP"},
+		"Source address of calls", "IP"},
 	    {"outcomes", 0, 0, G_OPTION_ARG_FILENAME, &a->outcomes,
-		"File for what each caller was told", "FILE"},
+		"File for the outcome of each call", "FILE"},
 	    {"json", 0, 0, G_OPTION_ARG_NONE, &a->json,
 		"Print the summary as JSON", NULL},
 	    G_OPTION_ENTRY_NULL};
 
 	program_options(&argc, &argv, entries,
-	    "Open-loop load. Latency counts from the scheduled time.");
+	    "Generates open-loop load. Latency is measured from the "
+	    "scheduled time.");
 }
 
 static void
@@ -152,7 +156,7 @@
 	int k;
 
 	if (g_strv_length(part) != CALL_KINDS)
-		exit_usage("--mix needs three weights parted by colons");
+		exit_usage("--mix needs three weights separated by colons");
 	for (k = 0; k < CALL_KINDS; k++)
 		mix[k] = (uint32_t)g_ascii_strtoull(part[k], NULL, 10);
 	g_strfreev(part);
@@ -162,7 +166,7 @@
 schedule_spec_init(const struct arguments *a, struct schedule_spec *s)
 {
 	if (a->nodes == NULL)
-		exit_usage("name a node by --node IP:PORT");
+		exit_usage("specify a node with --node IP:PORT");
 	if (a->rate <= 0 || a->duration_s <= 0 || a->threads < 1)
 		exit_usage(
 		    "--rate, --duration-s and --threads must be above 0");
--- a/packages/standins/src/outcomes.c
+++ b/packages/standins/src/outcomes.c
@@ -103,7 +103,7 @@
 			g_array_append_val(out, o);
 		else
 			st = status_set(STATUS_INVALID,
-			    "line %lu of %s is no call; give a file "
+			    "line %lu of %s is not a call outcome; use a file "
 			    "written by load_gen --outcomes.",
 			    (unsigned long)n, path);
 	}
--- a/packages/standins/src/runs.c
+++ b/packages/standins/src/runs.c
@@ -202,7 +202,7 @@
 	(void)fclose(f);
 	if (truncated_line != 0)
 		return status_set(STATUS_INVALID,
-		    "line %lu of %s is no run; give a journal written by "
+		    "line %lu of %s is not a run; use a journal written by "
 		    "standin_upstream.",
 		    (unsigned long)truncated_line, path);
 	return STATUS_OK;
@@ -217,7 +217,8 @@
 
 	if (!json_is_integer(json_object_get(j, "total")))
 		return status_set(STATUS_INVALID,
-		    "these are no runs; ask an upstream's /standin/runs.");
+		    "this JSON holds no counts of runs; fetch /standin/runs "
+		    "of an upstream.");
 	pthread_mutex_lock(&r->lock);
 	r->total += (uint64_t)json_integer_value(json_object_get(j, "total"));
 	for (i = 0; i < RUN_ID_KINDS; i++)
--- a/packages/standins/src/upstream.c
+++ b/packages/standins/src/upstream.c
@@ -275,8 +275,8 @@
 	}
 	if (now_ms < idle_deadline_ms)
 		return status_set(STATUS_TIMEOUT,
-		    "calls still ran when the time to drain was over; "
-		    "give it longer.");
+		    "calls were still running at the end of the drain time; "
+		    "increase --drain-ms.");
 	return STATUS_OK;
 }
 
--- a/packages/standins/src/web.c
+++ b/packages/standins/src/web.c
@@ -148,8 +148,9 @@
 		g_byte_array_append(out, buf, (guint)n);
 	}
 	if (n < 0 || (len >= 0 && out->len != (unsigned long long)len))
-		return status_set(
-		    STATUS_IO, "the body broke off; send the request again.");
+		return status_set(STATUS_IO,
+		    "the connection broke before the end of the body; send the "
+		    "request again.");
 	return STATUS_OK;
 }
 
