--- a/tools/check.sh
+++ b/tools/check.sh
@@ -11,13 +11,13 @@
 passed=0
 failed=0
 failures=""
-now="start"
+current_step="start"
 
 # An early end says where, and never looks like a pass.
 at_exit() {
 	status=$?
-	[ "$now" = "end" ] && exit $status
-	echo "check.sh ended early in step \"$now\", status $status"
+	[ "$current_step" = "end" ] && exit $status
+	echo "check.sh ended early in step \"$current_step\", status $status"
 	echo "$passed passed, $((failed + 1)) failed"
 	exit 1
 }
@@ -38,7 +38,7 @@
 
 step() {	# step NAME COMMAND...: one check, its output shown on failure
 	name=$1
-	now=$name
+	current_step=$name
 	shift
 	"$@" >"$OUT/$name.log" 2>&1
 	status=$?
@@ -46,15 +46,15 @@
 	[ $status -eq 0 ] || tail -n 60 "$OUT/$name.log"
 }
 
-sources() {
+c_sources() {
 	git ls-files --cached --others --exclude-standard '*.[ch]'
 }
 
-format_clean() {
-	sources | xargs clang-format --dry-run --Werror
+check_format() {
+	c_sources | xargs clang-format --dry-run --Werror
 }
 
-generated_clean() {
+check_generated() {
 	python3 tools/gen_messages.py --check &&
 	    python3 tools/gen_settings.py --check
 }
@@ -66,17 +66,17 @@
 
 # One file a run: with several, clang-tidy 14 takes each va_list after the
 # first file for uninitialized.
-lint_clean() {
-	sources | grep '\.c$' | grep -v '/gen/' |
+check_lint() {
+	c_sources | grep '\.c$' | grep -v '/gen/' |
 	    xargs -P "$JOBS" -n 1 clang-tidy -p build/plain --quiet
 }
 
-# tests DIR LABEL JOBS [ctest arguments]: each test program is one check.
+# run_tests DIR LABEL JOBS [ctest arguments]: each test program is one check.
 # A test named in KNOWN-RED.txt is run and printed, but passed over.
-tests() {
+run_tests() {
 	dir=$1
 	label=$2
-	now="tests $dir $label"
+	current_step="tests $dir $label"
 	jobs=$3
 	shift 3
 	log="$OUT/tests-$(basename "$dir")-$label.log"
@@ -89,7 +89,7 @@
 		Passed*) status=0 ;;
 		*) status=1 ;;
 		esac
-		if [ $status -ne 0 ] && known_red "$name"; then
+		if [ $status -ne 0 ] && is_known_red "$name"; then
 			echo "KNOWN RED: $name ($(basename "$dir"))"
 			continue
 		fi
@@ -100,31 +100,31 @@
 	return 0
 }
 
-known_red() {
+is_known_red() {
 	[ -f KNOWN-RED.txt ] && grep -q "^$1[ :,]" KNOWN-RED.txt
 }
 
 mkdir -p "$OUT" || exit 1
-step format format_clean
-step generated generated_clean
+step format check_format
+step generated check_generated
 step build-plain build build/plain "" all
 step build-address build build/address address unit_tests
 step build-thread build build/thread thread threaded_tests
-step lint lint_clean
-tests build/plain unit "$JOBS"
-tests build/plain functional "$FUNCTIONAL_JOBS"
+step lint check_lint
+run_tests build/plain unit "$JOBS"
+run_tests build/plain functional "$FUNCTIONAL_JOBS"
 # Sanitized code is several times slower, so are check's limits on a test;
 # GLib's slice allocator would hide what the sanitizers look for.
 export CK_TIMEOUT_MULTIPLIER=8
 export G_SLICE=always-malloc
-tests build/address unit "$JOBS"
-tests build/thread threaded "$JOBS"
+run_tests build/address unit "$JOBS"
+run_tests build/thread threaded "$JOBS"
 
 if [ -s KNOWN-RED.txt ]; then
 	echo "Known red, passed over:"
 	cat KNOWN-RED.txt
 fi
-now="end"
+current_step="end"
 [ -z "$failures" ] || echo "Failed:$failures"
 echo "$passed passed, $failed failed"
 [ "$failed" -eq 0 ]
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -18,9 +18,9 @@
 import time
 import urllib.request
 
-START_S = 20
-STOP_S = 30
-ROLL_MS = 20000
+START_TIMEOUT_S = 20
+STOP_TIMEOUT_S = 30
+CONVERGENCE_TIMEOUT_MS = 20000
 RATE = 300
 DURATION_S = 5
 
@@ -40,7 +40,7 @@
 SLOTS = 12
 
 
-class Failed(Exception):
+class DemoError(Exception):
     """The demonstration can't go on; the message says why."""
 
 
@@ -80,12 +80,12 @@
         for entry in self.running:
             if entry[0] == name:
                 entry[1].send_signal(signal.SIGTERM)
-                code = entry[1].wait(STOP_S)
+                code = entry[1].wait(STOP_TIMEOUT_S)
                 self.running.remove(entry)
                 return code
-        raise Failed(f"{name} does not run")
+        raise DemoError(f"{name} does not run")
 
-    def end(self):
+    def kill_all(self):
         for _, p in self.running:
             p.kill()
             p.wait()
@@ -103,7 +103,7 @@
         self.ports = {p: free_port(self.address) for p in ports}
         self.upstream_port = free_port(self.address)
 
-    def at(self, port):
+    def address_of(self, port):
         return f"{self.address}:{self.ports[port]}"
 
     def settings(self, platform, seeds):
@@ -131,17 +131,17 @@
         self.platform = f"127.0.0.1:{free_port('127.0.0.1')}"
         self.summary = []
 
-    def say(self, text):
+    def log(self, text):
         print(text, flush=True)
 
     def bramleyctl(self, *args, timeout_s=60):
-        command = [self.ctl, "--node", self.hosts[0].at("admin_port"),
+        command = [self.ctl, "--node", self.hosts[0].address_of("admin_port"),
                    "--json", *args]
         r = subprocess.run(command, capture_output=True, text=True,
                            timeout=timeout_s, check=False)
         if r.returncode != 0:
-            raise Failed(f"bramleyctl {' '.join(args)} ended with "
-                         f"{r.returncode}: {r.stdout}{r.stderr}")
+            raise DemoError(f"bramleyctl {' '.join(args)} ended with "
+                            f"{r.returncode}: {r.stdout}{r.stderr}")
         lines = [line for line in r.stdout.splitlines() if line.strip()]
         try:
             return json.loads(r.stdout)
@@ -149,15 +149,15 @@
             return json.loads(lines[-1])
 
     def wait_for(self, what, check):
-        until = time.monotonic() + START_S
-        while time.monotonic() < until:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
                 if check():
                     return
             except OSError:
                 pass
             time.sleep(0.02)
-        raise Failed(f"{what} did not come in {START_S} s")
+        raise DemoError(f"{what} did not come in {START_TIMEOUT_S} s")
 
     def start_platform(self):
         address, port = self.platform.split(":")
@@ -168,7 +168,7 @@
             f"http://{self.platform}/standin/stats"))
 
     def start_nodes(self):
-        seeds = [h.at("peer_port") for h in self.hosts[:3]]
+        seeds = [h.address_of("peer_port") for h in self.hosts[:3]]
         for h in self.hosts:
             path = os.path.join(self.directory, h.name + ".json")
             with open(path, "w", encoding="utf-8") as f:
@@ -176,7 +176,7 @@
             self.processes.start(h.name, self.node, "--settings", path)
         for h in self.hosts:
             self.wait_for(h.name, lambda h=h: json.loads(http_get(
-                f"http://{h.at('admin_port')}/v1/status")
+                f"http://{h.address_of('admin_port')}/v1/status")
             )["members_live"] == len(self.hosts))
 
     def start_upstreams(self):
@@ -185,42 +185,44 @@
                 "upstream-" + h.name, f"{self.standins}/standin_upstream",
                 "--address", h.address, "--port", str(h.upstream_port),
                 "--host", h.name, "--service", h.service, "--slots",
-                str(SLOTS), "--node", h.at("admin_port"))
+                str(SLOTS), "--node", h.address_of("admin_port"))
         self.wait_for("the endpoints", lambda: all(json.loads(http_get(
-            f"http://{h.at('admin_port')}/v1/status")
+            f"http://{h.address_of('admin_port')}/v1/status")
         )["endpoints"] == len(self.hosts) for h in self.hosts))
 
     def metrics(self, host):
-        return http_get(f"http://{host.at('admin_port')}/metrics")
+        return http_get(f"http://{host.address_of('admin_port')}/metrics")
 
     def sign_off(self, bundle, note):
         """Signs off and watches; returns version and convergence in ms."""
         signed = self.bramleyctl(
             "sign-off", bundle, "--operator", "demo", "--note", note)
         version = signed["version"]
-        self.bramleyctl("watch", str(version), "--timeout-ms", str(ROLL_MS))
-        shown = json.loads(http_get(
-            f"http://{self.hosts[0].at('admin_port')}/v1/versions/{version}"))
+        self.bramleyctl("watch", str(version), "--timeout-ms",
+                        str(CONVERGENCE_TIMEOUT_MS))
+        details = json.loads(http_get(
+            f"http://{self.hosts[0].address_of('admin_port')}"
+            f"/v1/versions/{version}"))
         texts = [self.metrics(h) for h in self.hosts]
-        behind = [h.name for h, t in zip(self.hosts, texts)
-                  if metric(t, "bramley_version") < version]
-        if behind:
-            raise Failed(f"watch saw version {version} everywhere, but "
-                         f"{behind} hold an older one")
+        stale = [h.name for h, t in zip(self.hosts, texts)
+                 if metric(t, "bramley_version") < version]
+        if stale:
+            raise DemoError(f"watch saw version {version} everywhere, but "
+                            f"{stale} hold an older one")
         applied = [metric(t, "bramley_version_applied_wall_ms")
                    for t in texts]
-        return version, max(applied) - shown["record"]["wall_ms"]
+        return version, max(applied) - details["record"]["wall_ms"]
 
     def load(self, *args):
         command = [f"{self.standins}/load_gen", "--json", *args]
         r = subprocess.run(command, capture_output=True, text=True,
                            timeout=120, check=False)
         if r.returncode != 0:
-            raise Failed(f"load_gen ended with {r.returncode}: {r.stderr}")
+            raise DemoError(f"load_gen ended with {r.returncode}: {r.stderr}")
         return json.loads(r.stdout)
 
     def run(self):
-        self.say("Starting a platform, ten nodes and ten upstreams.")
+        self.log("Starting a platform, ten nodes and ten upstreams.")
         self.start_platform()
         self.start_nodes()
         self.start_upstreams()
@@ -230,21 +232,21 @@
                             f"{len(self.hosts)} nodes ran it")
         for h in self.hosts:
             self.wait_for(h.name, lambda h=h: http_get(
-                f"http://{h.at('admin_port')}/v1/health"))
+                f"http://{h.address_of('admin_port')}/v1/health"))
         self.measure_calls()
         self.supersede_under_load()
-        self.control_bytes()
+        self.measure_control_traffic()
         self.stop_all()
-        self.say("\nSummary")
+        self.log("\nSummary")
         for line in self.summary:
-            self.say("  " + line)
+            self.log("  " + line)
 
     def measure_calls(self):
         """Lookups, bookings and uploads through another data centre."""
         # The caller's node holds a document store in vallasalur.
-        entry = self.hosts[9].at("caller_port")
+        entry = self.hosts[9].address_of("caller_port")
         upstream = self.hosts[0]
-        self.say(f"Calls through {self.hosts[9].name} in vallasalur.")
+        self.log(f"Calls through {self.hosts[9].name} in vallasalur.")
         direct = self.load(
             "--direct", "--node", f"{upstream.address}:"
             f"{upstream.upstream_port}", "--rate", str(RATE),
@@ -268,26 +270,26 @@
             f"{r['not_run']} not run, {r['unknown']} unknown, "
             f"{r['wrong_answers']} wrong answers")
         if r["done"] != r["sent"] or r["wrong_answers"] != 0:
-            raise Failed(f"{what}: not all calls were answered well: {r}")
+            raise DemoError(f"{what}: not all calls were answered well: {r}")
 
     def supersede_under_load(self):
-        self.say("Superseding while calls go on.")
+        self.log("Superseding while calls go on.")
         load = subprocess.Popen(
             [f"{self.standins}/load_gen", "--json", "--node",
-             self.hosts[9].at("caller_port"), "--rate", str(RATE),
+             self.hosts[9].address_of("caller_port"), "--rate", str(RATE),
              "--duration-s", str(DURATION_S), "--mix", "8:1:1"],
             stdout=subprocess.PIPE, text=True)
         times = []
         for note in ("second", "third", "fourth"):
             time.sleep(0.3)
-            _, ms = self.sign_off(self.changed_bundle(note), note)
+            _, ms = self.sign_off(self.modified_bundle(note), note)
             times.append(ms)
         out, _ = load.communicate(timeout=60)
         self.check_calls("calls during three rolls", json.loads(out))
         self.summary.append("convergence of superseding versions: " +
                             ", ".join(f"{ms:.0f} ms" for ms in times))
 
-    def changed_bundle(self, note):
+    def modified_bundle(self, note):
         with open("examples/registry.json", encoding="utf-8") as f:
             bundle = json.load(f)
         bundle["services"][0]["timeout_ms"] += len(note)
@@ -296,7 +298,7 @@
             json.dump(bundle, f)
         return path
 
-    def control_bytes(self):
+    def measure_control_traffic(self):
         names = ("bramley_control_sent_bytes_total",
                  "bramley_control_received_bytes_total")
 
@@ -314,13 +316,13 @@
             f"(sent and received, without IP headers)")
 
     def stop_all(self):
-        self.say("Stopping every upstream and node gracefully.")
+        self.log("Stopping every upstream and node gracefully.")
         names = ["upstream-" + h.name for h in self.hosts]
         names += [h.name for h in self.hosts]
         codes = {n: self.processes.stop(n) for n in names}
         bad = {n: c for n, c in codes.items() if c != 0}
         if bad:
-            raise Failed(f"ended with another code than 0: {bad}")
+            raise DemoError(f"ended with another code than 0: {bad}")
         self.processes.stop("platform")
         self.summary.append(f"{len(codes)} processes stopped with code 0")
 
@@ -336,11 +338,11 @@
         demo = Demo(args.build, directory)
         try:
             demo.run()
-        except (Failed, OSError, subprocess.SubprocessError) as e:
+        except (DemoError, OSError, subprocess.SubprocessError) as e:
             print(f"FAILED: {e}", file=sys.stderr)
             return 1
         finally:
-            demo.processes.end()
+            demo.processes.kill_all()
     return 0
 
 
