--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# A thin front to CMake.  `make demo` runs the main job, `make check` the tests.
+# Thin wrapper around CMake.  `make demo` runs the demonstration, `make check` all
+# checks.
 BUILD ?= build/plain
 
 all: setup
--- a/cmake/bramley.cmake
+++ b/cmake/bramley.cmake
@@ -1,4 +1,5 @@
-# Helpers shared by every package: libraries, warnings, sanitizers, tests.
+# Build settings and functions shared by all packages: libraries, warnings,
+# sanitizers and tests.
 find_package(PkgConfig REQUIRED)
 find_package(Threads REQUIRED)
 pkg_check_modules(GLIB REQUIRED IMPORTED_TARGET glib-2.0)
@@ -27,8 +28,9 @@
 	add_link_options(-fsanitize=thread)
 endif()
 
-# bramley_package(NAME LIBS lib...): a static library of packages/NAME/src.
-# Packages among LIBS must be there already: the arrows point one way.
+# bramley_package(NAME LIBS lib...): add a static library built from
+# packages/NAME/src.  Packages in LIBS must already be defined, which keeps the
+# dependencies free of cycles.
 function(bramley_package name)
 	cmake_parse_arguments(ARG "" "" "LIBS" ${ARGN})
 	foreach(lib ${ARG_LIBS})
@@ -47,11 +49,12 @@
 	    PkgConfig::GLIB Threads::Threads m)
 endfunction()
 
-# Packages whose tests start threads; the thread sanitizer's build runs only
-# these, since decisions are single-threaded by design.
+# Packages whose tests start threads.  The build with the thread sanitizer runs
+# only these tests, because the packages that make decisions are single-threaded
+# by design.
 set(BRAMLEY_THREADED "packages/(base|net|store|node|ctl|standins)/")
 
-# How every test program ends.
+# Runs the suite of a test program and returns its exit status.
 add_library(bramley_test_run STATIC
     ${PROJECT_SOURCE_DIR}/test/support/test_run.c)
 target_include_directories(bramley_test_run PUBLIC
@@ -61,8 +64,9 @@
 add_custom_target(unit_tests)
 add_custom_target(threaded_tests)
 
-# bramley_test(NAME SOURCES file... LIBS lib...): one `check` program, which
-# ctest runs with the label "unit" unless LABEL says otherwise.
+# bramley_test(NAME SOURCES file... LIBS lib... [LABEL label] [TIMEOUT seconds]):
+# add a test program based on the check library and register it with ctest, by
+# default with the label "unit" and a timeout of 120 s.
 function(bramley_test name)
 	cmake_parse_arguments(ARG "" "LABEL;TIMEOUT" "SOURCES;LIBS" ${ARGN})
 	if(NOT ARG_LABEL)
@@ -86,7 +90,8 @@
 	    TIMEOUT ${ARG_TIMEOUT})
 endfunction()
 
-# bramley_bench(NAME SOURCES file... LIBS lib...): built, never run by ctest.
+# bramley_bench(NAME SOURCES file... LIBS lib...): add a benchmark program, which
+# ctest does not run.
 function(bramley_bench name)
 	cmake_parse_arguments(ARG "" "" "SOURCES;LIBS" ${ARGN})
 	add_executable(${name} ${ARG_SOURCES})
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# The whole verdict: format, generated code, lint, and the tests of the plain
-# and the sanitized builds.  Ends with "N passed, N failed".
+# Runs all checks: format, generated code, lint, and the tests of the plain and
+# the sanitized builds.  The last line is "N passed, N failed".
 set -u
 cd "$(dirname "$0")/.." || exit 1
 
 JOBS=$(nproc)
-# Process-level tests share the machine: few at once keeps them honest.
+# Functional tests start many processes; more at once would distort their timing.
 FUNCTIONAL_JOBS=2
 OUT=build/check
 passed=0
@@ -13,7 +13,8 @@
 failures=""
 current_step="start"
 
-# An early end says where, and never looks like a pass.
+# On an early exit, print the current step and count it as failed, so that the
+# exit is never taken for a pass.
 at_exit() {
 	status=$?
 	[ "$current_step" = "end" ] && exit $status
@@ -25,7 +26,7 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-record() {	# record NAME STATUS
+record() {	# record NAME STATUS: count and print the result of a check
 	if [ "$2" -eq 0 ]; then
 		passed=$((passed + 1))
 		echo "ok: $1"
@@ -36,7 +37,7 @@
 	fi
 }
 
-step() {	# step NAME COMMAND...: one check, its output shown on failure
+step() {	# step NAME COMMAND...: run a check, print its log if it fails
 	name=$1
 	current_step=$name
 	shift
@@ -64,15 +65,15 @@
 	    cmake --build "$1" -j "$JOBS" --target "$3"
 }
 
-# One file a run: with several, clang-tidy 14 takes each va_list after the
-# first file for uninitialized.
+# One file per run: with several files, clang-tidy 14 reports each va_list after
+# the first file as uninitialized.
 check_lint() {
 	c_sources | grep '\.c$' | grep -v '/gen/' |
 	    xargs -P "$JOBS" -n 1 clang-tidy -p build/plain --quiet
 }
 
 # run_tests DIR LABEL JOBS [ctest arguments]: each test program is one check.
-# A test named in KNOWN-RED.txt is run and printed, but passed over.
+# If a test listed in KNOWN-RED.txt fails, it is printed but not counted.
 run_tests() {
 	dir=$1
 	label=$2
@@ -113,8 +114,9 @@
 step lint check_lint
 run_tests build/plain unit "$JOBS"
 run_tests build/plain functional "$FUNCTIONAL_JOBS"
-# Sanitized code is several times slower, so are check's limits on a test;
-# GLib's slice allocator would hide what the sanitizers look for.
+# Sanitized code is several times slower, so the test timeouts of the check
+# library are multiplied.  GLib's slice allocator would hide memory errors from
+# the sanitizers.
 export CK_TIMEOUT_MULTIPLIER=8
 export G_SLICE=always-malloc
 run_tests build/address unit "$JOBS"
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""The main job, end to end, as separate processes on loopback.
+"""Demonstration of the main use case with separate processes on loopback.
 
 Starts the registry's three data centres (ten hosts, each with a node and a
 stand-in upstream) and a stand-in platform, signs a bundle off, sends calls
-through a node of another data centre, supersedes while calls go on, stops
-everything gracefully and prints what was measured.  It ends what it started.
+through a node of another data centre, supersedes the version during calls,
+stops all processes gracefully and prints the measurements.  Processes that are
+still running at the end are killed.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 RATE = 300
 DURATION_S = 5
 
-# Data centre, service, slots: the registry's endpoints of today.
+# Data centre and service of each of the registry's endpoints.
 HOSTS = [
     ("grandahus", "public-search"),
     ("hofdasalur", "public-search"),
@@ -41,7 +42,7 @@
 
 
 class DemoError(Exception):
-    """The demonstration can't go on; the message says why."""
+    """The demonstration failed; the message gives the reason."""
 
 
 def free_port(address):
@@ -63,7 +64,7 @@
 
 
 class Processes:
-    """Every process started here, so that all of them end."""
+    """All processes of the demonstration, so that none is left running."""
 
     def __init__(self, directory):
         self.directory = directory
@@ -76,7 +77,7 @@
         return p
 
     def stop(self, name):
-        """Ends one process gracefully; returns its exit code."""
+        """Stop a process with SIGTERM; returns its exit code."""
         for entry in self.running:
             if entry[0] == name:
                 entry[1].send_signal(signal.SIGTERM)
@@ -92,7 +93,7 @@
 
 
 class Host:
-    """One host: a node and its upstream, with an address of its own."""
+    """A host with its own address, a node and an upstream."""
 
     def __init__(self, index, data_centre, service):
         self.name = f"host-{index + 1}"
@@ -194,7 +195,10 @@
         return http_get(f"http://{host.address_of('admin_port')}/metrics")
 
     def sign_off(self, bundle, note):
-        """Signs off and watches; returns version and convergence in ms."""
+        """Sign a bundle off and wait until all nodes have applied it.
+
+        Returns the version and the convergence time in milliseconds.
+        """
         signed = self.bramleyctl(
             "sign-off", bundle, "--operator", "demo", "--note", note)
         version = signed["version"]
@@ -242,8 +246,8 @@
             self.log("  " + line)
 
     def measure_calls(self):
-        """Lookups, bookings and uploads through another data centre."""
-        # The caller's node holds a document store in vallasalur.
+        """Measure lookups, bookings and uploads through another data centre."""
+        # The caller uses the node of a document store in vallasalur.
         entry = self.hosts[9].address_of("caller_port")
         upstream = self.hosts[0]
         self.log(f"Calls through {self.hosts[9].name} in vallasalur.")
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs what the build and the checks need, when it is missing.
+# Installs the packages that the build and the checks need, if any is missing.
 set -eu
 
 PACKAGES="gcc make cmake pkg-config clang-format clang-tidy python3 git check
