--- a/cmake/bramley.cmake
+++ b/cmake/bramley.cmake
@@ -36,7 +36,8 @@
 	foreach(lib ${ARG_LIBS})
 		if(lib MATCHES "^bramley_" AND NOT TARGET ${lib})
 			message(FATAL_ERROR "Package ${name} links to ${lib}, "
-			    "which is not below it; see PACKAGES.")
+			    "which is not defined before it; see PACKAGES in "
+			    "CMakeLists.txt.")
 		endif()
 	endforeach()
 	file(GLOB_RECURSE sources CONFIGURE_DEPENDS
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -84,7 +84,7 @@
                 code = entry[1].wait(STOP_TIMEOUT_S)
                 self.running.remove(entry)
                 return code
-        raise DemoError(f"{name} does not run")
+        raise DemoError(f"{name} is not running")
 
     def kill_all(self):
         for _, p in self.running:
@@ -158,7 +158,7 @@
             except OSError:
                 pass
             time.sleep(0.02)
-        raise DemoError(f"{what} did not come in {START_TIMEOUT_S} s")
+        raise DemoError(f"{what} was not ready within {START_TIMEOUT_S} s")
 
     def start_platform(self):
         address, port = self.platform.split(":")
@@ -233,7 +233,7 @@
         version, ms = self.sign_off("examples/registry.json", "first")
         self.summary.append(f"convergence of version {version}: {ms:.0f} ms "
                             f"from sign-off until the last of "
-                            f"{len(self.hosts)} nodes ran it")
+                            f"{len(self.hosts)} nodes applied it")
         for h in self.hosts:
             self.wait_for(h.name, lambda h=h: http_get(
                 f"http://{h.address_of('admin_port')}/v1/health"))
@@ -274,10 +274,10 @@
             f"{r['not_run']} not run, {r['unknown']} unknown, "
             f"{r['wrong_answers']} wrong answers")
         if r["done"] != r["sent"] or r["wrong_answers"] != 0:
-            raise DemoError(f"{what}: not all calls were answered well: {r}")
+            raise DemoError(f"{what}: not all calls succeeded: {r}")
 
     def supersede_under_load(self):
-        self.log("Superseding while calls go on.")
+        self.log("Superseding the version during calls.")
         load = subprocess.Popen(
             [f"{self.standins}/load_gen", "--json", "--node",
              self.hosts[9].address_of("caller_port"), "--rate", str(RATE),
@@ -289,7 +289,7 @@
             _, ms = self.sign_off(self.modified_bundle(note), note)
             times.append(ms)
         out, _ = load.communicate(timeout=60)
-        self.check_calls("calls during three rolls", json.loads(out))
+        self.check_calls("calls during three new versions", json.loads(out))
         self.summary.append("convergence of superseding versions: " +
                             ", ".join(f"{ms:.0f} ms" for ms in times))
 
@@ -315,8 +315,8 @@
         after = total()
         rates = [(b - a) / 3 for a, b in zip(before, after)]
         self.summary.append(
-            f"control bytes for a node at rest: mean "
-            f"{sum(rates) / len(rates):.0f} B/s, most {max(rates):.0f} B/s "
+            f"control traffic of an idle node: mean "
+            f"{sum(rates) / len(rates):.0f} B/s, maximum {max(rates):.0f} B/s "
             f"(sent and received, without IP headers)")
 
     def stop_all(self):
@@ -326,7 +326,7 @@
         codes = {n: self.processes.stop(n) for n in names}
         bad = {n: c for n, c in codes.items() if c != 0}
         if bad:
-            raise DemoError(f"ended with another code than 0: {bad}")
+            raise DemoError(f"exit code other than 0: {bad}")
         self.processes.stop("platform")
         self.summary.append(f"{len(codes)} processes stopped with code 0")
 
@@ -334,7 +334,8 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("build", help="build directory")
-    parser.add_argument("--keep", metavar="DIR", help="keep logs there")
+    parser.add_argument("--keep", metavar="DIR",
+                        help="directory for the logs, which are then kept")
     args = parser.parse_args()
     with tempfile.TemporaryDirectory() as scratch:
         directory = args.keep or scratch
