--- a/packages/standins/src/load_call.c
+++ b/packages/standins/src/load_call.c
@@ -12,7 +12,7 @@
 #define HTTP_SERVICE_UNAVAILABLE 503
 
 static size_t
-call_read_body(char *buf, size_t size, size_t n, void *arg)
+call_supply_body(char *buf, size_t size, size_t n, void *arg)
 {
 	struct load_call *c = arg;
 	uint64_t left = c->body_bytes - c->body.offset_bytes;
@@ -91,7 +91,7 @@
 	curl_easy_setopt(e, CURLOPT_WRITEDATA, c);
 	curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, call_on_header);
 	curl_easy_setopt(e, CURLOPT_HEADERDATA, c);
-	curl_easy_setopt(e, CURLOPT_READFUNCTION, call_read_body);
+	curl_easy_setopt(e, CURLOPT_READFUNCTION, call_supply_body);
 	curl_easy_setopt(e, CURLOPT_READDATA, c);
 	if (o->from != NULL)
 		curl_easy_setopt(e, CURLOPT_INTERFACE, o->from);
--- a/packages/standins/src/platform.c
+++ b/packages/standins/src/platform.c
@@ -116,22 +116,24 @@
 {
 	enum admission adm;
 	enum rows_op op = rows_op_parse(mg_get_header(conn, "X-Amz-Target"));
-	int lose = 0, write = op == ROWS_OP_TRANSACT_WRITE;
+	int lose_response = 0, is_write = op == ROWS_OP_TRANSACT_WRITE;
 	json_t *req = json_loadb((char *)body->data, body->len, 0, NULL);
 	struct rows_response resp;
-	uint32_t cost = rows_capacity(op, req);
+	uint32_t capacity = rows_capacity(op, req);
 
 	pthread_mutex_lock(&p->lock);
-	adm = platform_admit(p, write ? 0 : cost, write ? cost : 0);
+	adm =
+	    platform_admit(p, is_write ? 0 : capacity, is_write ? capacity : 0);
 	if (adm == ADMISSION_PASS) {
 		rows_apply(p->rows, op, req, &resp);
-		lose = write && resp.code == 200 && platform_loses_response(p);
+		lose_response =
+		    is_write && resp.code == 200 && platform_loses_response(p);
 	} else {
 		table_reject(adm, &resp);
 	}
 	pthread_mutex_unlock(&p->lock);
 	json_decref(req);
-	if (lose) {
+	if (lose_response) {
 		json_decref(resp.body);
 		web_drop_connection(conn);
 		return;
@@ -170,7 +172,7 @@
 	enum admission adm;
 	enum objects_result res = OBJECTS_OK;
 	GBytes *data;
-	int lose = 0;
+	int lose_response = 0;
 
 	if (if_none_match != NULL && strcmp(if_none_match, "*") != 0) {
 		object_error(conn, 501, "NotImplemented");
@@ -181,11 +183,11 @@
 	adm = platform_admit(p, 0, 1);
 	if (adm == ADMISSION_PASS) {
 		res = objects_put(p->objects, key, data, if_none_match != NULL);
-		lose = res == OBJECTS_OK && platform_loses_response(p);
+		lose_response = res == OBJECTS_OK && platform_loses_response(p);
 	}
 	pthread_mutex_unlock(&p->lock);
 	g_bytes_unref(data);
-	if (lose)
+	if (lose_response)
 		web_drop_connection(conn);
 	else if (object_reject(conn, adm))
 		return;
@@ -292,18 +294,18 @@
 	const struct mg_request_info *info = mg_get_request_info(conn);
 	const char *uri = info->request_uri;
 	GByteArray *body = g_byte_array_new();
-	int post = strcmp(info->request_method, "POST") == 0;
+	int is_post = strcmp(info->request_method, "POST") == 0;
 	struct platform *p = arg;
 
 	if (web_read_body(conn, PLATFORM_BODY_MAX_BYTES, body) != STATUS_OK) {
 		web_drop_connection(conn);
-	} else if (strcmp(uri, "/standin/knobs") == 0 && post) {
+	} else if (strcmp(uri, "/standin/knobs") == 0 && is_post) {
 		platform_set_knobs(p, conn, body);
 	} else if (strcmp(uri, "/standin/stats") == 0) {
 		web_respond_json(conn, 200, NULL, platform_stats_json(p));
 	} else {
 		platform_delay(p);
-		if (strcmp(uri, "/") == 0 && post)
+		if (strcmp(uri, "/") == 0 && is_post)
 			platform_table(p, conn, body);
 		else
 			platform_object(p, conn, body);
--- a/packages/standins/src/rows.c
+++ b/packages/standins/src/rows.c
@@ -261,9 +261,9 @@
 
 /* Two conditions are supported: attribute_not_exists(pk) and #c = :c. */
 static int
-is_not_exists_condition(const char *expr)
+is_not_exists_condition(const char *condition)
 {
-	return strcmp(expr, "attribute_not_exists(" ROWS_KEY ")") == 0;
+	return strcmp(condition, "attribute_not_exists(" ROWS_KEY ")") == 0;
 }
 
 /*
@@ -271,10 +271,10 @@
  * expression.
  */
 static int
-parse_equals_condition(const json_t *put, const char *expr, const char **name,
-    const json_t **expected)
+parse_equals_condition(const json_t *put, const char *condition,
+    const char **name, const json_t **expected)
 {
-	char **part = g_strsplit(expr, " = ", 2);
+	char **part = g_strsplit(condition, " = ", 2);
 	int ok = 0;
 
 	if (part[0] != NULL && part[1] != NULL && part[0][0] == '#' &&
@@ -292,7 +292,7 @@
 static const char *
 put_error(const json_t *put)
 {
-	const char *expr, *error, *name;
+	const char *condition, *error, *name;
 	const json_t *expected;
 
 	if (!json_is_object(put))
@@ -303,14 +303,15 @@
 	error = item_error(json_object_get(put, "Item"));
 	if (error != ROWS_NO_ERROR)
 		return error;
-	expr = json_string_value(json_object_get(put, "ConditionExpression"));
-	if (expr == NULL) {
+	condition =
+	    json_string_value(json_object_get(put, "ConditionExpression"));
+	if (condition == NULL) {
 		if (json_object_get(put, "ConditionExpression") != NULL)
 			return "Invalid ConditionExpression";
 		return ROWS_NO_ERROR;
 	}
-	if (is_not_exists_condition(expr) ||
-	    parse_equals_condition(put, expr, &name, &expected))
+	if (is_not_exists_condition(condition) ||
+	    parse_equals_condition(put, condition, &name, &expected))
 		return ROWS_NO_ERROR;
 	return "Invalid ConditionExpression";
 }
@@ -318,18 +319,18 @@
 static int
 put_condition_holds(const struct rows *t, const json_t *put)
 {
-	const char *expr =
+	const char *condition =
 	    json_string_value(json_object_get(put, "ConditionExpression"));
 	const char *name;
 	const json_t *current, *expected;
 
-	if (expr == NULL)
+	if (condition == NULL)
 		return 1;
 	current = g_hash_table_lookup(
 	    t->by_key, row_key(json_object_get(put, "Item")));
-	if (is_not_exists_condition(expr))
+	if (is_not_exists_condition(condition))
 		return current == NULL;
-	if (!parse_equals_condition(put, expr, &name, &expected))
+	if (!parse_equals_condition(put, condition, &name, &expected))
 		return 0;
 	return json_equal(json_object_get(current, name), expected);
 }
--- a/packages/standins/src/schedule.c
+++ b/packages/standins/src/schedule.c
@@ -35,12 +35,12 @@
 
 /* Append a duplicate under the same key, to another node if there is one. */
 static void
-append_twin(GArray *schedule, const struct arrival *first, uint32_t nodes)
+append_duplicate(GArray *schedule, const struct arrival *first, uint32_t nodes)
 {
-	struct arrival twin = *first;
+	struct arrival duplicate = *first;
 
-	twin.node = (first->node + 1) % nodes;
-	g_array_append_val(schedule, twin);
+	duplicate.node = (first->node + 1) % nodes;
+	g_array_append_val(schedule, duplicate);
 }
 
 GArray *
@@ -66,7 +66,7 @@
 			a.key = ++keys;
 		g_array_append_val(schedule, a);
 		if (a.key != 0 && random_percent(rnd, s->twin_percent))
-			append_twin(schedule, &a, s->nodes);
+			append_duplicate(schedule, &a, s->nodes);
 	}
 	g_rand_free(rnd);
 	return schedule;
--- a/packages/standins/src/upstream_call.c
+++ b/packages/standins/src/upstream_call.c
@@ -107,13 +107,13 @@
 static void
 call_record_run(struct upstream *u, struct call *c)
 {
-	int post =
+	int is_post =
 	    strcmp(mg_get_request_info(c->conn)->request_method, "POST") == 0;
 
 	c->start_ms = clock_now_ms();
 	c->run = runs_add(u->runs, &c->ids, c->start_ms);
 	pthread_mutex_lock(&u->lock);
-	if (post && web_request_number(c->conn) > 1 &&
+	if (is_post && web_request_number(c->conn) > 1 &&
 	    knob_consume(&u->knobs.close_kept_alive))
 		c->close_unanswered = 1;
 	else if (knob_consume(&u->knobs.close_after_run))
@@ -135,8 +135,8 @@
 call_work_ms(const struct upstream *u, const struct call *c)
 {
 	double factor = u->knobs.slow_factor;
-	double share = pattern_fraction(u->ready_ms, c->run);
-	double work = MIN(-log(1.0 - share), CALL_WORK_MAX_MEANS);
+	double fraction = pattern_fraction(u->ready_ms, c->run);
+	double work_means = MIN(-log(1.0 - fraction), CALL_WORK_MAX_MEANS);
 	uint64_t warm_at_ms = u->ready_ms + u->opt.warm_up_ms;
 
 	if (u->knobs.work_ms_exact != 0)
@@ -146,7 +146,7 @@
 		    CALL_COLD_EXTRA_FACTOR *
 			(double)(warm_at_ms - c->start_ms) /
 			(double)u->opt.warm_up_ms;
-	return work * u->knobs.work_ms_mean * factor;
+	return work_means * u->knobs.work_ms_mean * factor;
 }
 
 static void
