--- a/packages/ctl/include/ctl/client.h
+++ b/packages/ctl/include/ctl/client.h
@@ -1,8 +1,8 @@
 /*
  * Client of the administration API, based on libcurl.
  *
- * Nodes are tried in order.  A request that changes state is never sent to a
- * second node once the first may have received it.
+ * Nodes are tried in order.  A request that changes state is not sent to a
+ * second node if the first may have executed it.
  */
 #ifndef CTL_CLIENT_H
 #define CTL_CLIENT_H
--- a/packages/ctl/src/change.c
+++ b/packages/ctl/src/change.c
@@ -3,7 +3,8 @@
  *
  * The outcome of a change is unknown when a response is lost between the node
  * and bramleyctl, or between the platform and the node.  The operation is then
- * queried by its id until the deadline.  The change itself is never sent twice.
+ * queried by its id until the deadline.  While its outcome is unknown the
+ * change is not sent again.
  */
 #include <string.h>
 
@@ -62,10 +63,7 @@
 	    strcmp(kind, "unknown") == 0 || strcmp(kind, "timeout") == 0;
 }
 
-/*
- * Query the operation once.  Returns 1 and replaces *resp when its outcome is
- * known.
- */
+/* Query the operation once; 1 if its outcome is known and now in *resp. */
 static int
 query_outcome(
     struct ctl *ctl, json_int_t after_seq, struct client_response *resp)
--- a/packages/ctl/src/client.c
+++ b/packages/ctl/src/client.c
@@ -194,8 +194,8 @@
 }
 
 /*
- * Timeout of one attempt.  A read leaves time for the remaining nodes; a change
- * may use all of it, because it is not retried once it may have been sent.
+ * Timeout of one attempt.  A read leaves time for the remaining nodes.  A
+ * change may use all of it, because no other node may be tried after a timeout.
  */
 static uint64_t
 attempt_timeout_ms(
--- a/packages/ctl/test/fake_node.c
+++ b/packages/ctl/test/fake_node.c
@@ -24,10 +24,7 @@
 	GString *requests;
 };
 
-/*
- * The first unused response for a request; when all are used, the last one that
- * matches.
- */
+/* The first unused response for a request; if none is left, the last match. */
 static const struct fake_response *
 next_response(struct fake_node *f, const char *request)
 {
--- a/packages/ctl/test/test_ctl.c
+++ b/packages/ctl/test/test_ctl.c
@@ -1,6 +1,5 @@
 /*
- * Tests of bramleyctl against fake nodes: exit codes, output and the requests
- * sent.
+ * Tests of bramleyctl against fake nodes: exit codes, output, sent requests.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/packages/standins/include/standins/outcomes.h
+++ b/packages/standins/include/standins/outcomes.h
@@ -3,8 +3,7 @@
  * the load generator and read by the checker.
  *
  * In a file each record is a line of tab-separated fields: test id, kind, key
- * or
- * "-", reported fate, HTTP status, response check, latency in microseconds,
+ * or "-", reported fate, HTTP status, response check, latency in microseconds,
  * time sent in microseconds since the start.
  */
 #ifndef STANDINS_OUTCOMES_H
@@ -92,7 +91,8 @@
 /** reported_fate_name() - "done", "not_run", "unknown" or "not_sent" */
 const char *reported_fate_name(enum reported_fate t);
 
-/** response_check_name() - "none", "ok", "cut", "not_own", "not_whole",
+/**
+ * response_check_name() - "none", "ok", "cut", "not_own", "not_whole" or
  * "no_fate"
  */
 const char *response_check_name(enum response_check c);
--- a/packages/standins/include/standins/web.h
+++ b/packages/standins/include/standins/web.h
@@ -96,8 +96,7 @@
     const char *headers, const void *data, size_t len);
 
 /**
- * web_respond_head() - send the head of a 200 response and the start of its
- * body
+ * web_respond_head() - send the head of a 200 response and start its body
  * @conn: the connection
  * @type: content type
  * @len: length of the whole body in bytes
--- a/packages/standins/src/load_defs.h
+++ b/packages/standins/src/load_defs.h
@@ -38,17 +38,14 @@
 	struct reply_reader reply;
 };
 
-/*
- * Allocate a call with a libcurl handle; free with load_call_free().
- */
+/* Allocate a call with a libcurl handle; free with load_call_free(). */
 struct load_call *load_call_new(const struct load_options *o);
 void load_call_free(struct load_call *c);
 
 /* Set up the handle for the call in c->outcome, to be sent to c->node. */
 void load_call_prepare(struct load_call *c);
 
-/* Check the response after the transfer has ended; sets fields of c->outcome.
- */
+/* Check the response after the end of the transfer; updates c->outcome. */
 void load_call_finish(struct load_call *c, CURLcode rc);
 
 /* Worker for the arrivals @first, @first + o->threads, ... of a schedule. */
--- a/packages/standins/src/upstream_defs.h
+++ b/packages/standins/src/upstream_defs.h
@@ -35,7 +35,7 @@
 	uint64_t broken;	     /* truncated request bodies, not run */
 	uint64_t unanswered;	     /* run, closed without a response */
 	uint64_t after_drain;	     /* runs started after draining was acked */
-	uint64_t after_drain_max_ms; /* delay of the most recent one */
+	uint64_t after_drain_max_ms; /* from the ack to the latest of them */
 };
 
 struct upstream {
--- a/packages/standins/src/web.c
+++ b/packages/standins/src/web.c
@@ -33,10 +33,7 @@
 	return 0;
 }
 
-/*
- * Not connection_closed: CivetWeb clears the user data before it calls that
- * one.
- */
+/* Not connection_closed: CivetWeb clears the user data before that callback. */
 static void
 web_connection_close(const struct mg_connection *conn)
 {
