--- a/packages/ctl/include/ctl/client.h
+++ b/packages/ctl/include/ctl/client.h
@@ -1,8 +1,8 @@
 /*
- * Client of the administration API, by libcurl.
+ * Client of the administration API, based on libcurl.
  *
- * The nodes are tried in order.  A request that changes something is never
- * sent to a second node once the first may have taken it.
+ * Nodes are tried in order.  A request that changes state is not sent to a
+ * second node if the first may have executed it.
  */
 #ifndef CTL_CLIENT_H
 #define CTL_CLIENT_H
@@ -16,13 +16,13 @@
 struct client;
 
 /**
- * struct client_request - a request
+ * struct client_request - a request to the administration API
  * @method: "GET", "POST" or "DELETE"
- * @path: path with query
+ * @path: path and query string
  * @body: body, or NULL
- * @body_len: its length
- * @change: whether it changes something
- * @deadline_ms: monotonic time by which it ends
+ * @body_len: length of @body in bytes
+ * @change: whether the request changes state
+ * @deadline_ms: monotonic time at which the request times out
  */
 struct client_request {
 	const char *method;
@@ -34,32 +34,34 @@
 };
 
 /**
- * enum client_end - how a request ended
- * @CLIENT_ANSWERED: a node answered
- * @CLIENT_UNREACHED: no node could be reached; nothing was done
- * @CLIENT_LOST: a node may have taken it, but its answer didn't come
+ * enum client_outcome - how a request ended
+ * @CLIENT_RESPONDED: a node sent a response
+ * @CLIENT_UNREACHABLE: no node could be reached; nothing was executed
+ * @CLIENT_NO_RESPONSE: a node may have received the request, but no valid
+ *	response arrived
  */
-enum client_end {
-	CLIENT_ANSWERED = 0,
-	CLIENT_UNREACHED,
-	CLIENT_LOST,
+enum client_outcome {
+	CLIENT_RESPONDED = 0,
+	CLIENT_UNREACHABLE,
+	CLIENT_NO_RESPONSE,
 };
 
 /**
- * struct client_reply - an answer
- * @end: how the request ended
- * @code: HTTP status, 0 unless CLIENT_ANSWERED
- * @json: the answer; made up in the API's form when none came
+ * struct client_response - response to a request
+ * @outcome: how the request ended
+ * @code: HTTP status, 0 unless CLIENT_RESPONDED
+ * @json: body of the response; without one, an error object in the format of
+ *	the API that the client generates
  */
-struct client_reply {
-	enum client_end end;
+struct client_response {
+	enum client_outcome outcome;
 	long code;
 	json_t *json;
 };
 
 /**
- * client_new() - make a client
- * @nodes: struct net_addr of the nodes; must outlive the client
+ * client_new() - create a client
+ * @nodes: array of struct net_addr of the nodes; must outlive the client
  */
 struct client *client_new(const GArray *nodes);
 
@@ -67,21 +69,21 @@
 void client_free(struct client *c);
 
 /**
- * client_request() - send a request and wait for its answer
+ * client_request() - send a request and wait for its response
  * @c: the client
  * @req: the request
- * @reply: where the answer goes; free with client_reply_clear()
+ * @resp: set to the response; free with client_response_clear()
  */
 void client_request(struct client *c, const struct client_request *req,
-    struct client_reply *reply);
+    struct client_response *resp);
 
-/** client_reply_ok() - whether an answer says that all went well */
-int client_reply_ok(const struct client_reply *reply);
+/** client_response_ok() - whether a response has a 2xx status */
+int client_response_ok(const struct client_response *resp);
 
-/** client_reply_kind() - kind of the error in an answer; "" when it has none */
-const char *client_reply_kind(const struct client_reply *reply);
+/** client_response_kind() - error kind of a response, "" if it has none */
+const char *client_response_kind(const struct client_response *resp);
 
-/** client_reply_clear() - free what an answer holds */
-void client_reply_clear(struct client_reply *reply);
+/** client_response_clear() - free the contents of a response */
+void client_response_clear(struct client_response *resp);
 
 #endif
--- a/packages/ctl/src/commands.c
+++ b/packages/ctl/src/commands.c
@@ -1,5 +1,5 @@
 /*
- * Table of the commands, and the run of one.
+ * Table of commands, and execution of a command line.
  */
 #include <string.h>
 
@@ -9,33 +9,33 @@
 #include "ctl/commands.h"
 #include "proto/suggest.h"
 
-/* Longer than a node works on one operation. */
+/* Longer than the time a node spends on one operation. */
 #define REQUEST_TIMEOUT_MS 20000
 #define WATCH_TIMEOUT_MS 60000
 
 const struct command commands[] = {
-    {"validate", "FILE", "Have a bundle checked without signing it off", 1, 1,
-	0, REQUEST_TIMEOUT_MS, query_validate},
+    {"validate", "FILE", "Validate a bundle without signing it off", 1, 1, 0,
+	REQUEST_TIMEOUT_MS, query_validate},
     {"sign-off", "FILE", "Sign a bundle off as a new version", 1, 1,
 	OPTION_CHANGE | OPTION_PARENT, REQUEST_TIMEOUT_MS, change_sign_off},
-    {"watch", "VERSION", "Wait until every node holds a version", 1, 1,
+    {"watch", "VERSION", "Wait until every node has applied a version", 1, 1,
 	OPTION_INTERVAL, WATCH_TIMEOUT_MS, watch_run},
-    {"halt", "VERSION", "Withdraw the newest version", 1, 1, OPTION_CHANGE,
+    {"halt", "VERSION", "Halt the newest version", 1, 1, OPTION_CHANGE,
 	REQUEST_TIMEOUT_MS, change_halt},
     {"supersede", "VERSION [FILE]",
-	"Make a new version of VERSION's content, or of a bundle", 1, 2,
+	"Create a new version from VERSION's content, or from a bundle", 1, 2,
 	OPTION_CHANGE | OPTION_PARENT, REQUEST_TIMEOUT_MS, change_supersede},
-    {"status", "", "Show what a node holds", 0, 0, 0, REQUEST_TIMEOUT_MS,
-	query_status},
+    {"status", "", "Show the status of a node and of the fleet", 0, 0, 0,
+	REQUEST_TIMEOUT_MS, query_status},
     {"history", "", "List the newest versions", 0, 0, OPTION_LIMIT,
 	REQUEST_TIMEOUT_MS, query_history},
-    {"quarantine", "", "List requests that upstreams crash of", 0, 0, 0,
-	REQUEST_TIMEOUT_MS, query_quarantine},
-    {"release", "REQUEST", "Let such a request be run again", 1, 1, 0,
+    {"quarantine", "", "List requests quarantined for crashing upstreams", 0, 0,
+	0, REQUEST_TIMEOUT_MS, query_quarantine},
+    {"release", "REQUEST", "Release a request from quarantine", 1, 1, 0,
 	REQUEST_TIMEOUT_MS, query_release},
-    {"rollouts", "", "List rollouts of services' software", 0, 0, 0,
+    {"rollouts", "", "List rollouts of service software", 0, 0, 0,
 	REQUEST_TIMEOUT_MS, query_rollouts},
-    {"operation", "OP", "Tell what became of an operation", 1, 1,
+    {"operation", "OP", "Show the outcome of an operation", 1, 1,
 	OPTION_AFTER_SEQ, REQUEST_TIMEOUT_MS, query_operation},
 };
 
--- a/packages/ctl/test/test_ctl.c
+++ b/packages/ctl/test/test_ctl.c
@@ -1,5 +1,5 @@
 /*
- * bramleyctl against fake nodes: exit codes, words, and what is sent.
+ * Tests of bramleyctl against fake nodes: exit codes, output, sent requests.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,11 +16,11 @@
 
 #define ARGS_MAX 24
 
-/* Where nobody listens. */
-#define NOBODY "127.0.0.1:1"
+/* An address without a listener. */
+#define UNUSED_ADDR "127.0.0.1:1"
 
-/* What a run printed. */
-struct run {
+/* Exit code and output of one invocation. */
+struct ctl_output {
 	int code;
 	char *out;
 	char *err;
@@ -28,42 +28,43 @@
 	size_t err_len;
 };
 
-/* Run the command line @args; "@" stands for the fake node's address. */
-static struct run
+/* Execute the command line @args; "@" is replaced by the fake node's address.
+ */
+static struct ctl_output
 run_ctl(const struct fake_node *f, const char *args)
 {
-	char **words = g_strsplit(args, " ", ARGS_MAX);
+	char **parts = g_strsplit(args, " ", ARGS_MAX);
 	char name[] = "bramleyctl";
 	char *argv[ARGS_MAX + 1] = {name};
 	FILE *err, *out;
-	struct run r;
+	struct ctl_output r;
 	int n;
 
-	for (n = 1; words[n - 1] != NULL; n++)
-		argv[n] = strcmp(words[n - 1], "@") == 0
+	for (n = 1; parts[n - 1] != NULL; n++)
+		argv[n] = strcmp(parts[n - 1], "@") == 0
 		    ? (char *)fake_node_address(f)
-		    : words[n - 1];
+		    : parts[n - 1];
 	out = open_memstream(&r.out, &r.out_len);
 	err = open_memstream(&r.err, &r.err_len);
 	r.code = ctl_run(n, argv, out, err);
 	(void)fclose(out);
 	(void)fclose(err);
-	g_strfreev(words);
+	g_strfreev(parts);
 	return r;
 }
 
 static void
-run_clear(struct run *r)
+ctl_output_clear(struct ctl_output *r)
 {
 	free(r->out);
 	free(r->err);
 }
 
-#define assert_has(text, part)                                               \
+#define assert_contains(text, part)                                          \
 	ck_assert_msg(strstr((text), (part)) != NULL, "\"%s\" lacks \"%s\"", \
 	    (text), (part))
 
-/* A bundle file of this process; remove it in the end. */
+/* Create a bundle file; the caller removes it. */
 static char *
 bundle_path(void)
 {
@@ -75,73 +76,78 @@
 	return path;
 }
 
-/* Command lines that never reach a node: exit code, and words of the error. */
+/* Command lines that never reach a node: exit code and part of the error. */
 struct usage_row {
 	const char *args;
 	int code;
-	const char *words;
+	const char *message;
 };
 
 static const struct usage_row usage_rows[] = {
-    {"", EXIT_CODE_USAGE, "No command is given"},
-    {"status", EXIT_CODE_USAGE, "add --node IP:PORT"},
+    {"", EXIT_CODE_USAGE, "No command was specified"},
+    {"status", EXIT_CODE_USAGE, "No node was specified; add --node IP:PORT"},
     {"--node nowhere status", EXIT_CODE_USAGE, "no address with a port"},
-    {"--node " NOBODY " statsu", EXIT_CODE_USAGE, "did you mean status?"},
-    {"--node " NOBODY " frobnicate", EXIT_CODE_USAGE, "is no command."},
-    {"--node " NOBODY " status 7", EXIT_CODE_USAGE, "Write it as: status"},
-    {"--node " NOBODY " watch", EXIT_CODE_USAGE, "watch VERSION"},
-    {"--node " NOBODY " watch x", EXIT_CODE_USAGE, "number from 1 up"},
-    {"--node " NOBODY " halt 0", EXIT_CODE_USAGE, "number from 1 up"},
-    {"--node " NOBODY " status --op a", EXIT_CODE_USAGE,
-	"--op is no option of status"},
-    {"--node " NOBODY " halt 1 --parent 3", EXIT_CODE_USAGE,
-	"--parent is no option of halt"},
-    {"--node " NOBODY " halt 1 --op a/b", EXIT_CODE_USAGE, "--op takes"},
-    {"--node " NOBODY " history --limit 0", EXIT_CODE_USAGE,
-	"--limit takes a number from 1"},
-    {"--node " NOBODY " status --timeout-ms 0", EXIT_CODE_USAGE,
-	"--timeout-ms takes"},
-    {"--node " NOBODY " status --timeout-ms 86400001", EXIT_CODE_USAGE,
-	"--timeout-ms takes"},
-    {"--node " NOBODY " halt 1 --op "
+    {"--node " UNUSED_ADDR " statsu", EXIT_CODE_USAGE, "did you mean status?"},
+    {"--node " UNUSED_ADDR " frobnicate", EXIT_CODE_USAGE, "is not a command."},
+    {"--node " UNUSED_ADDR " status 7", EXIT_CODE_USAGE, "Usage: status"},
+    {"--node " UNUSED_ADDR " watch", EXIT_CODE_USAGE, "watch VERSION"},
+    {"--node " UNUSED_ADDR " watch x", EXIT_CODE_USAGE,
+	"must be a positive integer"},
+    {"--node " UNUSED_ADDR " halt 0", EXIT_CODE_USAGE,
+	"must be a positive integer"},
+    {"--node " UNUSED_ADDR " status --op a", EXIT_CODE_USAGE,
+	"--op is not an option of status"},
+    {"--node " UNUSED_ADDR " halt 1 --parent 3", EXIT_CODE_USAGE,
+	"--parent is not an option of halt"},
+    {"--node " UNUSED_ADDR " halt 1 --op a/b", EXIT_CODE_USAGE,
+	"--op may contain only"},
+    {"--node " UNUSED_ADDR " history --limit 0", EXIT_CODE_USAGE,
+	"--limit must be an integer of at least 1"},
+    {"--node " UNUSED_ADDR " status --timeout-ms 0", EXIT_CODE_USAGE,
+	"--timeout-ms must be from 1 to"},
+    {"--node " UNUSED_ADDR " status --timeout-ms 86400001", EXIT_CODE_USAGE,
+	"--timeout-ms must be from 1 to"},
+    {"--node " UNUSED_ADDR " halt 1 --op "
      "0123456789012345678901234567890123456789012345678901234567890123",
-	EXIT_CODE_USAGE, "--op takes 1 to 63"},
-    {"--node " NOBODY " status --what", EXIT_CODE_USAGE, "Unknown option"},
-    {"--node " NOBODY " validate no/such/file", EXIT_CODE_USAGE,
+	EXIT_CODE_USAGE, "--op must be 1 to 63 bytes"},
+    {"--node " UNUSED_ADDR " status --what", EXIT_CODE_USAGE, "Unknown option"},
+    {"--node " UNUSED_ADDR " validate no/such/file", EXIT_CODE_USAGE,
 	"Check the path"},
-    {"--node " NOBODY " sign-off no/such/file", EXIT_CODE_USAGE,
+    {"--node " UNUSED_ADDR " sign-off no/such/file", EXIT_CODE_USAGE,
 	"Check the path"},
-    {"--node " NOBODY " status", EXIT_CODE_UNAVAILABLE, "can't be reached"},
-    {"--node " NOBODY " halt 1", EXIT_CODE_UNAVAILABLE, "can't be reached"},
-    {"--node " NOBODY " watch 1 --timeout-ms 200 --interval-ms 50",
+    {"--node " UNUSED_ADDR " status", EXIT_CODE_UNAVAILABLE,
+	"can't be reached"},
+    {"--node " UNUSED_ADDR " halt 1", EXIT_CODE_UNAVAILABLE,
+	"can't be reached"},
+    {"--node " UNUSED_ADDR " watch 1 --timeout-ms 200 --interval-ms 50",
 	EXIT_CODE_UNAVAILABLE, "can't be reached"},
 };
 
 START_TEST(usage)
 {
 	const struct usage_row *row = &usage_rows[_i];
-	struct run r = run_ctl(NULL, row->args);
+	struct ctl_output r = run_ctl(NULL, row->args);
 
 	ck_assert_msg(r.code == row->code, "\"%s\" ended with %d: %s",
 	    row->args, r.code, r.err);
-	assert_has(r.err, row->words);
-	run_clear(&r);
+	assert_contains(r.err, row->message);
+	ctl_output_clear(&r);
 }
 END_TEST
 
 START_TEST(help_and_version)
 {
-	struct run r = run_ctl(NULL, "--help");
+	struct ctl_output r = run_ctl(NULL, "--help");
 
 	ck_assert_int_eq(r.code, EXIT_CODE_OK);
-	assert_has(r.out, "sign-off  FILE");
-	assert_has(r.out, "6 unknown");
-	assert_has(r.out, "--timeout-ms");
-	run_clear(&r);
+	assert_contains(r.out, "sign-off  FILE");
+	assert_contains(r.out, "6 unknown");
+	assert_contains(r.out, "--timeout-ms");
+	ctl_output_clear(&r);
 	r = run_ctl(NULL, "--version");
 	ck_assert_int_eq(r.code, EXIT_CODE_OK);
-	assert_has(r.out, "bramleyctl " BRAMLEY_VERSION);
-	run_clear(&r);
+	assert_contains(r.out, "bramleyctl " BRAMLEY_VERSION);
+	ctl_output_clear(&r);
 }
 END_TEST
 
@@ -163,12 +169,12 @@
 	"\"version\":" version ",\"in_force\":" in_force "}}"
 
 /*
- * A command against a script: the exit code, words of its output and of its
- * errors, and words of the requests.  "$" is a bundle file.
+ * A command against a script: exit code, and substrings of its output, of its
+ * errors and of the requests it sent.  "$" is replaced by a bundle file.
  */
 struct run_row {
 	const char *args;
-	struct fake_answer script[5];
+	struct fake_response script[5];
 	int code;
 	const char *out;
 	const char *err;
@@ -242,20 +248,20 @@
     {"--node @ sign-off $ --op o1",
 	{{"POST /v1/versions", 503, ERROR("overloaded")}},
 	EXIT_CODE_UNAVAILABLE, "", "overloaded", ""},
-    /* A node's own word tells more than that the next one is away. */
-    {"--node @ --node " NOBODY " halt 7 --op o1",
+    /* A node's error takes precedence over an unreachable next node. */
+    {"--node @ --node " UNUSED_ADDR " halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 503, ERROR("unavailable")}},
 	EXIT_CODE_UNAVAILABLE, "", "unavailable: What is wrong.", ""},
     {"--node @ halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 504, ERROR("timeout")},
 	    {"GET /v1/operations/o1", 200, DONE}},
-	EXIT_CODE_OK, "version: 7\n", "asking for operation o1", ""},
-    /* A lost answer is settled by the operation's id, never sent again. */
+	EXIT_CODE_OK, "version: 7\n", "querying operation o1", ""},
+    /* After a lost response the operation is queried, not sent again. */
     {"--node @ halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 0, ""},
 	    {"GET /v1/operations/o1", 503, ERROR("unavailable")},
 	    {"GET /v1/operations/o1", 200, DONE}},
-	EXIT_CODE_OK, "version: 7\n", "asking for operation o1",
+	EXIT_CODE_OK, "version: 7\n", "querying operation o1",
 	"GET /v1/operations/o1 \nGET /v1/operations/o1 \n"},
     {"--node @ halt 7 --op o1 --timeout-ms 300",
 	{{"POST /v1/versions/7/halt", 0, ""},
@@ -273,11 +279,11 @@
 	     "{\"error\":{\"kind\":\"unknown\",\"message\":\"Lost.\","
 	     "\"remedy\":\"Ask.\"},\"after_seq\":12}"},
 	    {"GET /v1/operations/o1?after_seq=12", 404, ERROR("not_found")}},
-	EXIT_CODE_UNAVAILABLE, "", "The operation was not done.", ""},
+	EXIT_CODE_UNAVAILABLE, "", "The operation was not executed.", ""},
     {"--node @ halt 7 --op o1 --timeout-ms 300",
 	{{"POST /v1/versions/7/halt", 502, "<html>"},
 	    {"GET /v1/operations/o1", 404, ERROR("not_found")}},
-	EXIT_CODE_UNKNOWN, "", "no JSON", ""},
+	EXIT_CODE_UNKNOWN, "", "is not JSON", ""},
     {"--node @ operation o1 --after-seq 4",
 	{{"GET /v1/operations/o1?after_seq=4", 200, DONE}}, EXIT_CODE_OK,
 	"state: done\n", "", ""},
@@ -313,7 +319,7 @@
 	EXIT_CODE_OK,
 	"; a version that can't be read is refused by 1 node since", "", ""},
     {"--node @ status", {{"GET /v1/status", 200, "not JSON"}},
-	EXIT_CODE_UNAVAILABLE, "", "Check that --node names the admin_port",
+	EXIT_CODE_UNAVAILABLE, "", "Check that --node specifies the admin_port",
 	""},
     {"--node @ history --limit 2",
 	{{"GET /v1/versions", 200,
@@ -352,16 +358,16 @@
 	"version 7: 3 of 5 nodes (grandahus 3/3, vallasalur 0/2 silent for "
 	"9 s)\nversion 7: 5 of 5 nodes",
 	"", ""},
-    /* Time for the first answer beside other work, with a sanitizer too. */
+    /* Long enough for the first response on a busy machine with sanitizers. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 1500",
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("7", "7")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "on 3 of 5 nodes at the timeout",
 	""},
-    /* An answer cut off by the timeout doesn't make the nodes unavailable. */
+    /* A response cut off by the timeout is not reported as unavailable. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 1500",
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
-	    {"GET /v1/versions/7", FAKE_LATE(200), PROGRESS("3", "0")},
+	    {"GET /v1/versions/7", FAKE_DELAYED(200), PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("7", "7")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "on 3 of 5 nodes at the timeout",
 	""},
@@ -369,12 +375,12 @@
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("7", "6")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "was halted", ""},
-    /* The node's head is behind: that is no halt. */
+    /* A node whose head lags behind does not mean that a halt occurred. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 200",
 	{{"GET /v1/versions/7", 200, PROGRESS("3", "0")},
 	    {"GET /v1/status", 200, HEAD("6", "6")}},
 	EXIT_CODE_NOT_CONVERGED, "3 of 5", "at the timeout", ""},
-    /* A node that knows of nobody yet has not seen the roll end. */
+    /* Progress of 0 of 0 nodes is not convergence. */
     {"--node @ watch 7 --interval-ms 10 --timeout-ms 200",
 	{{"GET /v1/versions/7", 200,
 	     "{\"progress\":{\"nodes\":0,\"holding\":0}}"},
@@ -390,13 +396,13 @@
 	"\"holding\":5,", "", ""},
     {"--node @ watch 7", {{"GET /v1/versions/7", 404, ERROR("not_found")}},
 	EXIT_CODE_NOT_FOUND, "", "not_found", ""},
-    /* The first node is away: the next one is asked. */
-    {"--node " NOBODY " --node @ halt 7 --op o1",
+    /* The first node is unreachable: the request goes to the next one. */
+    {"--node " UNUSED_ADDR " --node @ halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 200, DONE}}, EXIT_CODE_OK, "version: 7\n",
 	"", ""},
 };
 
-/* How often a change was sent. */
+/* Number of changes among the recorded requests. */
 static int
 changes_sent(const char *requests)
 {
@@ -415,42 +421,42 @@
 	char **parts = g_strsplit(row->args, "$", 2);
 	char *args = g_strjoinv(path, parts);
 	char *requests;
-	struct run r;
+	struct ctl_output r;
 
-	fake_node_play(f, row->script);
+	fake_node_set_script(f, row->script);
 	r = run_ctl(f, args);
 	ck_assert_msg(r.code == row->code, "\"%s\" ended with %d: %s%s",
 	    row->args, r.code, r.out, r.err);
-	assert_has(r.out, row->out);
-	assert_has(r.err, row->err);
+	assert_contains(r.out, row->out);
+	assert_contains(r.err, row->err);
 	requests = fake_node_requests(f);
-	assert_has(requests, row->sent);
+	assert_contains(requests, row->sent);
 	ck_assert_int_le(changes_sent(requests), 1);
-	run_clear(&r);
+	ctl_output_clear(&r);
 	g_free(requests);
 	g_free(args);
 	g_strfreev(parts);
 }
 
-/* No time left is no licence to wait for ever. */
+/* A deadline in the past must end the request, not disable its timeout. */
 static void
-deadline_in_the_past(struct fake_node *f)
+expired_deadline_ends_request(struct fake_node *f)
 {
-	static const struct fake_answer late[] = {
-	    {"GET /v1/status", FAKE_LATE(200), "{}"}, {0}};
+	static const struct fake_response late[] = {
+	    {"GET /v1/status", FAKE_DELAYED(200), "{}"}, {0}};
 	GArray *nodes = g_array_new(FALSE, FALSE, sizeof(struct net_addr));
 	struct client_request req = {.method = "GET", .path = "/v1/status"};
 	struct client *c = client_new(nodes);
-	struct client_reply reply;
+	struct client_response resp;
 	struct net_addr addr;
 
-	fake_node_play(f, late);
+	fake_node_set_script(f, late);
 	ck_assert_int_eq(addr_parse(fake_node_address(f), &addr), STATUS_OK);
 	g_array_append_val(nodes, addr);
-	client_request(c, &req, &reply);
-	ck_assert_int_ne(reply.end, CLIENT_ANSWERED);
-	ck_assert_str_eq(client_reply_kind(&reply), "unavailable");
-	client_reply_clear(&reply);
+	client_request(c, &req, &resp);
+	ck_assert_int_ne(resp.outcome, CLIENT_RESPONDED);
+	ck_assert_str_eq(client_response_kind(&resp), "unavailable");
+	client_response_clear(&resp);
 	client_free(c);
 	g_array_unref(nodes);
 }
@@ -463,47 +469,48 @@
 
 	for (i = 0; i < G_N_ELEMENTS(run_rows); i++)
 		run_row(f, &run_rows[i], path);
-	deadline_in_the_past(f);
+	expired_deadline_ends_request(f);
 	(void)unlink(path);
 	g_free(path);
 	fake_node_free(f);
 }
 END_TEST
 
-/* Two nodes: what the first one's answer means for the second. */
-struct pair_row {
+/* Two nodes: how the response of the first decides about the second. */
+struct failover_row {
 	const char *args;
-	struct fake_answer first[2];
-	struct fake_answer second[2];
+	struct fake_response first[2];
+	struct fake_response second[2];
 	int code;
 	int second_asked;
 	int second_changes;
 };
 
-static const struct pair_row pair_rows[] = {
-    /* Nothing was done there, so the next node may do it. */
+static const struct failover_row failover_rows[] = {
+    /* The first node executed nothing, so the next one may be sent the change.
+     */
     {"halt 7 --op o1",
 	{{"POST /v1/versions/7/halt", 503, ERROR("unavailable")}},
 	{{"POST /v1/versions/7/halt", 200, DONE}}, EXIT_CODE_OK, 1, 1},
-    /* It may have been done there, so the next one is only asked. */
+    /* The first node may have executed it, so the next one is only queried. */
     {"halt 7 --op o1", {{"POST /v1/versions/7/halt", 0, ""}},
 	{{"GET /v1/operations/o1", 200, DONE}}, EXIT_CODE_OK, 1, 0},
     {"status", {{"GET /v1/status", 0, ""}},
 	{{"GET /v1/status", 200, HEAD("7", "7")}}, EXIT_CODE_OK, 1, 0},
-    /* A conflict is an answer. */
+    /* A conflict is final. */
     {"halt 7 --op o1", {{"POST /v1/versions/7/halt", 409, ERROR("conflict")}},
 	{{"POST /v1/versions/7/halt", 200, DONE}}, EXIT_CODE_CONFLICT, 0, 0},
 };
 
 static void
-run_pair(struct fake_node *first, struct fake_node *second,
-    const struct pair_row *row)
+run_failover(struct fake_node *first, struct fake_node *second,
+    const struct failover_row *row)
 {
 	char *args, *requests;
-	struct run r;
+	struct ctl_output r;
 
-	fake_node_play(first, row->first);
-	fake_node_play(second, row->second);
+	fake_node_set_script(first, row->first);
+	fake_node_set_script(second, row->second);
 	args = g_strdup_printf("--node %s --node %s %s",
 	    fake_node_address(first), fake_node_address(second), row->args);
 	r = run_ctl(NULL, args);
@@ -513,18 +520,18 @@
 	ck_assert_int_eq(*requests != '\0', row->second_asked);
 	ck_assert_int_eq(changes_sent(requests), row->second_changes);
 	g_free(requests);
-	run_clear(&r);
+	ctl_output_clear(&r);
 	g_free(args);
 }
 
-START_TEST(next_node)
+START_TEST(failover_to_next_node)
 {
 	struct fake_node *first = fake_node_new();
 	struct fake_node *second = fake_node_new();
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(pair_rows); i++)
-		run_pair(first, second, &pair_rows[i]);
+	for (i = 0; i < G_N_ELEMENTS(failover_rows); i++)
+		run_failover(first, second, &failover_rows[i]);
 	fake_node_free(first);
 	fake_node_free(second);
 }
@@ -540,7 +547,7 @@
 	tcase_add_loop_test(tc, usage, 0, (int)G_N_ELEMENTS(usage_rows));
 	tcase_add_test(tc, help_and_version);
 	tcase_add_test(tc, commands_against_a_node);
-	tcase_add_test(tc, next_node);
+	tcase_add_test(tc, failover_to_next_node);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/standins/include/standins/outcomes.h
+++ b/packages/standins/include/standins/outcomes.h
@@ -1,10 +1,10 @@
 /*
- * What callers were told: one record for each call, kept by the load
- * generator and read by the checker.
+ * Outcomes of calls as seen by callers: one record for each call, written by
+ * the load generator and read by the checker.
  *
- * In a file each record is a line of fields parted by tabs:
- * test id, kind, key or "-", told, HTTP status, answer check, latency in
- * microseconds, time sent in microseconds since the start.
+ * In a file each record is a line of tab-separated fields: test id, kind, key
+ * or "-", reported fate, HTTP status, response check, latency in microseconds,
+ * time sent in microseconds since the start.
  */
 #ifndef STANDINS_OUTCOMES_H
 #define STANDINS_OUTCOMES_H
@@ -18,7 +18,7 @@
 
 #define OUTCOMES_ID_BYTES 64
 
-/** enum call_kind - what a call asks for; only lookups are idempotent */
+/** enum call_kind - kind of a call; only lookups are idempotent */
 enum call_kind {
 	CALL_LOOKUP,
 	CALL_BOOKING,
@@ -27,59 +27,59 @@
 };
 
 /**
- * enum told - what the caller was told
- * @TOLD_DONE: the request was run
- * @TOLD_NOT_RUN: the request was not and will not be run
- * @TOLD_UNKNOWN: whether it was run is not known; also when no answer came
- * @TOLD_NOT_SENT: no connection came about, so nothing was sent
- * @TOLD_KINDS: number of them
+ * enum reported_fate - fate of a call as reported to its caller
+ * @REPORTED_DONE: the request was run
+ * @REPORTED_NOT_RUN: the request was not run and will not be run
+ * @REPORTED_UNKNOWN: the request may have been run; also without a response
+ * @REPORTED_NOT_SENT: no connection was established, so nothing was sent
+ * @REPORTED_COUNT: number of values
  */
-enum told {
-	TOLD_DONE,
-	TOLD_NOT_RUN,
-	TOLD_UNKNOWN,
-	TOLD_NOT_SENT,
-	TOLD_KINDS,
+enum reported_fate {
+	REPORTED_DONE,
+	REPORTED_NOT_RUN,
+	REPORTED_UNKNOWN,
+	REPORTED_NOT_SENT,
+	REPORTED_COUNT,
 };
 
 /**
- * enum answer_check - whether an answer was whole and the caller's own
- * @ANSWER_NONE: there was no answer to check (none came, or no run told)
- * @ANSWER_OK: whole and its own
- * @ANSWER_CUT: the connection broke after the answer had begun; the caller
- *	knows that it is not whole
- * @ANSWER_NOT_OWN: the answer to another call
- * @ANSWER_NOT_WHOLE: a length or hash differs
- * @ANSWER_NO_FATE: a node answered without saying the fate
- * @ANSWER_KINDS: number of them
+ * enum response_check - whether a response is intact and belongs to the call
+ * @RESPONSE_NONE: nothing to check: no response, or none that reports a run
+ * @RESPONSE_OK: intact and of this call
+ * @RESPONSE_CUT: the connection broke during the response, so that the caller
+ *	can detect the truncation
+ * @RESPONSE_NOT_OWN: response to another call
+ * @RESPONSE_NOT_WHOLE: a length or hash differs
+ * @RESPONSE_NO_FATE: response of a node without a Bramley-Fate header
+ * @RESPONSE_CHECKS: number of values
  */
-enum answer_check {
-	ANSWER_NONE,
-	ANSWER_OK,
-	ANSWER_CUT,
-	ANSWER_NOT_OWN,
-	ANSWER_NOT_WHOLE,
-	ANSWER_NO_FATE,
-	ANSWER_KINDS,
+enum response_check {
+	RESPONSE_NONE,
+	RESPONSE_OK,
+	RESPONSE_CUT,
+	RESPONSE_NOT_OWN,
+	RESPONSE_NOT_WHOLE,
+	RESPONSE_NO_FATE,
+	RESPONSE_CHECKS,
 };
 
 /**
- * struct outcome - one call
+ * struct outcome - outcome of one call
  * @test_id: X-Test-Id of the call
  * @key: Idempotency-Key or an empty string
- * @kind: what was asked
- * @told: what the caller was told
- * @check: check of the answer
- * @status: HTTP status; 0 when no answer came
- * @latency_us: from the scheduled time to the last byte of the answer
+ * @kind: kind of the call
+ * @reported: fate reported to the caller
+ * @check: result of the response check
+ * @status: HTTP status; 0 without a response
+ * @latency_us: from the scheduled time to the last byte of the response
  * @sent_us: scheduled time since the start of the run
  */
 struct outcome {
 	char test_id[OUTCOMES_ID_BYTES];
 	char key[OUTCOMES_ID_BYTES];
 	enum call_kind kind;
-	enum told told;
-	enum answer_check check;
+	enum reported_fate reported;
+	enum response_check check;
 	int status;
 	uint64_t latency_us;
 	uint64_t sent_us;
@@ -88,22 +88,25 @@
 /** call_kind_name() - "lookup", "booking" or "upload" */
 const char *call_kind_name(enum call_kind k);
 
-/** told_name() - "done", "not_run", "unknown" or "not_sent" */
-const char *told_name(enum told t);
+/** reported_fate_name() - "done", "not_run", "unknown" or "not_sent" */
+const char *reported_fate_name(enum reported_fate t);
 
-/** answer_check_name() - "none", "ok", "cut", "not_own", "not_whole", "no_fate"
+/**
+ * response_check_name() - "none", "ok", "cut", "not_own", "not_whole" or
+ * "no_fate"
  */
-const char *answer_check_name(enum answer_check c);
+const char *response_check_name(enum response_check c);
 
-/** outcomes_write() - append a record to an open file */
+/** outcomes_write() - append a record to a file */
 void outcomes_write(FILE *f, const struct outcome *o);
 
 /**
  * outcomes_read() - read a file of records
- * @path: the file
- * @out: array of struct outcome; appended to
+ * @path: path of the file
+ * @out: array of struct outcome; records are appended
  *
- * Return: STATUS_OK, STATUS_IO, or STATUS_INVALID with the line's number.
+ * Return: STATUS_OK, STATUS_IO if the file can't be read, or STATUS_INVALID
+ * with the number of the first invalid line in the message.
  */
 enum status outcomes_read(const char *path, GArray *out);
 
--- a/packages/standins/src/main_load.c
+++ b/packages/standins/src/main_load.c
@@ -1,5 +1,5 @@
 /*
- * load_gen: open-loop load on nodes, or on upstreams as a baseline.
+ * load_gen: generates open-loop load on nodes, or on upstreams as a baseline.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -51,17 +51,17 @@
 };
 
 static void
-arguments_read(int argc, char **argv, struct arguments *a)
+arguments_parse(int argc, char **argv, struct arguments *a)
 {
 	const GOptionEntry entries[] = {
 	    {"node", 0, 0, G_OPTION_ARG_STRING_ARRAY, &a->nodes,
 		"Node that calls are sent to; may be repeated", "IP:PORT"},
 	    {"direct", 0, 0, G_OPTION_ARG_NONE, &a->direct,
 		"The nodes are upstreams (baseline)", NULL},
-	    {"rate", 0, 0, G_OPTION_ARG_DOUBLE, &a->rate, "Calls a second",
+	    {"rate", 0, 0, G_OPTION_ARG_DOUBLE, &a->rate, "Calls per second",
 		"N"},
 	    {"duration-s", 0, 0, G_OPTION_ARG_DOUBLE, &a->duration_s,
-		"How long calls are sent", "S"},
+		"Time during which calls are sent", "S"},
 	    {"mix", 0, 0, G_OPTION_ARG_STRING, &a->mix,
 		"Weights of lookups, bookings and uploads (80:15:5)", "L:B:U"},
 	    {"path-lookup", 0, 0, G_OPTION_ARG_STRING, &a->paths[CALL_LOOKUP],
@@ -71,39 +71,43 @@
 	    {"path-upload", 0, 0, G_OPTION_ARG_STRING, &a->paths[CALL_UPLOAD],
 		"Path of uploads (/documents)", "PATH"},
 	    {"answer-bytes", 0, 0, G_OPTION_ARG_INT64, &a->answer_bytes,
-		"Bytes asked for in answers to lookups (0)", "N"},
+		"Bytes requested in responses to lookups (0)", "N"},
 	    {"booking-bytes", 0, 0, G_OPTION_ARG_INT64, &a->booking_bytes,
-		"Body of a booking (200)", "N"},
+		"Request body bytes of a booking (200)", "N"},
 	    {"upload-bytes", 0, 0, G_OPTION_ARG_INT64, &a->upload_bytes,
-		"Body of an upload (65536)", "N"},
+		"Request body bytes of an upload (65536)", "N"},
 	    {"timeout-ms", 0, 0, G_OPTION_ARG_INT, &a->timeout_ms,
-		"When a caller gives up (10000)", "MS"},
+		"Timeout of a call (10000)", "MS"},
 	    {"deadline-ms", 0, 0, G_OPTION_ARG_INT, &a->deadline_ms,
-		"Deadline told to the node (none)", "MS"},
+		"Deadline sent to the node (none)", "MS"},
 	    {"keyed", 0, 0, G_OPTION_ARG_INT, &a->keyed,
-		"Share of bookings with an Idempotency-Key (0)", "PERCENT"},
+		"Percentage of bookings with an Idempotency-Key (0)",
+		"PERCENT"},
 	    {"twins", 0, 0, G_OPTION_ARG_INT, &a->twins,
-		"Share of these sent through two nodes at once (0)", "PERCENT"},
+		"Percentage of these sent through two nodes at once (0)",
+		"PERCENT"},
 	    {"repeats", 0, 0, G_OPTION_ARG_INT, &a->repeats,
-		"How often a keyed booking told unknown is repeated (0)", "N"},
+		"Maximum repeats of a keyed booking with unknown fate (0)",
+		"N"},
 	    {"seed", 0, 0, G_OPTION_ARG_INT, &a->seed,
 		"Seed of the schedule (1)", "N"},
 	    {"run-id", 0, 0, G_OPTION_ARG_STRING, &a->run_id,
-		"Start of every test id (the seed)", "NAME"},
+		"Prefix of every test id (\"s\" and the seed)", "NAME"},
 	    {"threads", 0, 0, G_OPTION_ARG_INT, &a->threads, "Threads (2)",
 		"N"},
 	    {"connections", 0, 0, G_OPTION_ARG_INT, &a->connections,
 		"Idle connections kept by a thread (64)", "N"},
 	    {"from", 0, 0, G_OPTION_ARG_STRING, &a->from,
-		"Address that calls are sent from", "IP"},
+		"Source address of calls", "IP"},
 	    {"outcomes", 0, 0, G_OPTION_ARG_FILENAME, &a->outcomes,
-		"File for what each caller was told", "FILE"},
+		"File for the outcome of each call", "FILE"},
 	    {"json", 0, 0, G_OPTION_ARG_NONE, &a->json,
 		"Print the summary as JSON", NULL},
 	    G_OPTION_ENTRY_NULL};
 
 	program_options(&argc, &argv, entries,
-	    "Open-loop load. Latency counts from the scheduled time.");
+	    "Generates open-loop load. Latency is measured from the "
+	    "scheduled time.");
 }
 
 static void
@@ -114,7 +118,7 @@
 }
 
 static void
-arguments_complete(struct arguments *a)
+arguments_set_defaults(struct arguments *a)
 {
 	set_default(&a->mix, "80:15:5");
 	set_default(&a->paths[CALL_LOOKUP], "/search");
@@ -139,7 +143,7 @@
 }
 
 static void
-usage(const char *message)
+exit_usage(const char *message)
 {
 	(void)fprintf(stderr, "%s; see --help.\n", message);
 	exit(LOAD_EXIT_USAGE);
@@ -152,19 +156,20 @@
 	int k;
 
 	if (g_strv_length(part) != CALL_KINDS)
-		usage("--mix needs three weights parted by colons");
+		exit_usage("--mix needs three weights separated by colons");
 	for (k = 0; k < CALL_KINDS; k++)
 		mix[k] = (uint32_t)g_ascii_strtoull(part[k], NULL, 10);
 	g_strfreev(part);
 }
 
 static void
-make_schedule_spec(const struct arguments *a, struct schedule_spec *s)
+schedule_spec_init(const struct arguments *a, struct schedule_spec *s)
 {
 	if (a->nodes == NULL)
-		usage("name a node by --node IP:PORT");
+		exit_usage("specify a node with --node IP:PORT");
 	if (a->rate <= 0 || a->duration_s <= 0 || a->threads < 1)
-		usage("--rate, --duration-s and --threads must be above 0");
+		exit_usage(
+		    "--rate, --duration-s and --threads must be above 0");
 	s->seed = (uint64_t)a->seed;
 	s->rate = a->rate;
 	s->duration_us = (uint64_t)(a->duration_s * (double)LOAD_SECOND_US);
@@ -175,7 +180,7 @@
 }
 
 static void
-make_load_options(const struct arguments *a, struct load_options *o)
+load_options_init(const struct arguments *a, struct load_options *o)
 {
 	int k;
 
@@ -223,12 +228,12 @@
 	struct load_result r;
 	struct schedule_spec s;
 
-	arguments_read(argc, argv, &a);
-	arguments_complete(&a);
-	make_schedule_spec(&a, &s);
-	make_load_options(&a, &o);
+	arguments_parse(argc, argv, &a);
+	arguments_set_defaults(&a);
+	schedule_spec_init(&a, &s);
+	load_options_init(&a, &o);
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	schedule = schedule_make(&s);
+	schedule = schedule_new(&s);
 	load_run(&o, schedule, &r);
 	if (a.outcomes != NULL)
 		ok = write_outcomes(a.outcomes, r.outcomes);
--- a/packages/standins/src/main_upstream.c
+++ b/packages/standins/src/main_upstream.c
@@ -1,5 +1,5 @@
 /*
- * standin_upstream: an upstream that counts what it runs, for tests and the
+ * standin_upstream: an upstream that counts its runs, for tests and the
  * demonstration.
  */
 #include <stdio.h>
@@ -34,7 +34,7 @@
 };
 
 static void
-arguments_read(int argc, char **argv, struct arguments *a)
+arguments_parse(int argc, char **argv, struct arguments *a)
 {
 	const GOptionEntry entries[] = {
 	    {"address", 0, 0, G_OPTION_ARG_STRING, &a->address,
@@ -42,27 +42,27 @@
 	    {"port", 0, 0, G_OPTION_ARG_INT, &a->port, "Port to listen on",
 		"N"},
 	    {"host", 0, 0, G_OPTION_ARG_STRING, &a->host,
-		"Name of the host, given in answers", "NAME"},
+		"Name of the host, sent in responses", "NAME"},
 	    {"service", 0, 0, G_OPTION_ARG_STRING, &a->service,
 		"Name of the service", "NAME"},
 	    {"slots", 0, 0, G_OPTION_ARG_INT, &a->slots,
-		"Calls run at once; more are shed (12)", "N"},
+		"Maximum concurrent calls; further ones are shed (12)", "N"},
 	    {"threads", 0, 0, G_OPTION_ARG_INT, &a->threads,
 		"Worker threads; each open connection holds one (64)", "N"},
 	    {"work-ms-mean", 0, 0, G_OPTION_ARG_INT, &a->work_ms_mean,
 		"Mean time that a call takes (0)", "MS"},
 	    {"cold-start-ms", 0, 0, G_OPTION_ARG_INT, &a->cold_start_ms,
-		"Time from the start until calls are taken (0)", "MS"},
+		"Time from the start until calls are accepted (0)", "MS"},
 	    {"warm-up-ms", 0, 0, G_OPTION_ARG_INT, &a->warm_up_ms,
-		"Time after that in which calls are slower (0)", "MS"},
+		"Time after that during which calls take longer (0)", "MS"},
 	    {"node", 0, 0, G_OPTION_ARG_STRING, &a->node,
 		"Administration API of the node to announce to", "IP:PORT"},
 	    {"lease-ms", 0, 0, G_OPTION_ARG_INT, &a->lease_ms,
-		"Lease asked of the node (3000)", "MS"},
+		"Lease requested from the node (3000)", "MS"},
 	    {"drain-ms", 0, 0, G_OPTION_ARG_INT, &a->drain_ms,
-		"Most time given to what runs at the end (60000)", "MS"},
+		"Maximum time for calls in progress at the end (60000)", "MS"},
 	    {"journal", 0, 0, G_OPTION_ARG_FILENAME, &a->journal,
-		"File that each run is written to before its work", "FILE"},
+		"Journal that each run is written to before its work", "FILE"},
 	    G_OPTION_ENTRY_NULL};
 
 	a->slots = UPSTREAM_SLOTS;
@@ -93,7 +93,7 @@
 
 	program_block_signals();
 	memset(&a, 0, sizeof(a));
-	arguments_read(argc, argv, &a);
+	arguments_parse(argc, argv, &a);
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	memset(&o, 0, sizeof(o));
 	o.address = a.address == NULL ? "127.0.0.1" : a.address;
--- a/packages/standins/src/web.c
+++ b/packages/standins/src/web.c
@@ -1,5 +1,5 @@
 /*
- * HTTP server of the stand-ins, by CivetWeb.
+ * HTTP server of the stand-ins, based on CivetWeb.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 #define WEB_HEAD_BYTES 1024
 #define WEB_READ_BYTES 65536
 
-/* conn_data of a connection: number of requests so far. */
+/* User data of a connection: number of requests so far. */
 struct web_conn {
 	uint32_t requests;
 };
@@ -33,7 +33,7 @@
 	return 0;
 }
 
-/* CivetWeb forgets the data before it calls connection_closed. */
+/* Not connection_closed: CivetWeb clears the user data before that callback. */
 static void
 web_connection_close(const struct mg_connection *conn)
 {
@@ -63,16 +63,17 @@
 enum status
 web_start(const struct web_options *o, struct web_server **out)
 {
-	char keep[16], ports[64], threads[16];
+	char keep_alive_ms[16], ports[64], threads[16];
 	const char *options[] = {"listening_ports", ports, "num_threads",
-	    threads, "enable_keep_alive", "yes", "keep_alive_timeout_ms", keep,
-	    "tcp_nodelay", "1", NULL};
+	    threads, "enable_keep_alive", "yes", "keep_alive_timeout_ms",
+	    keep_alive_ms, "tcp_nodelay", "1", NULL};
 	struct mg_callbacks cb;
 	struct web_server *w;
 
 	(void)snprintf(ports, sizeof(ports), "%s:%u", o->address, o->port);
 	(void)snprintf(threads, sizeof(threads), "%d", o->threads);
-	(void)snprintf(keep, sizeof(keep), "%u", o->keep_alive_ms);
+	(void)snprintf(
+	    keep_alive_ms, sizeof(keep_alive_ms), "%u", o->keep_alive_ms);
 	memset(&cb, 0, sizeof(cb));
 	cb.begin_request = web_begin_request;
 	cb.init_connection = web_init_connection;
@@ -101,7 +102,7 @@
 }
 
 uint32_t
-web_nth(const struct mg_connection *conn)
+web_request_number(const struct mg_connection *conn)
 {
 	const struct web_conn *wc = mg_get_user_connection_data(conn);
 
@@ -109,7 +110,7 @@
 }
 
 void
-web_expect(struct mg_connection *conn)
+web_send_continue(struct mg_connection *conn)
 {
 	const char *v = mg_get_header(conn, "Expect");
 
@@ -124,7 +125,7 @@
 }
 
 enum status
-web_body(struct mg_connection *conn, size_t max_bytes, GByteArray *out)
+web_read_body(struct mg_connection *conn, size_t max_bytes, GByteArray *out)
 {
 	uint8_t buf[WEB_READ_BYTES];
 	int n;
@@ -135,7 +136,7 @@
 		return status_set(STATUS_TOO_LARGE,
 		    "a body of %lld bytes is too large; send at most %zu.", len,
 		    max_bytes);
-	web_expect(conn);
+	web_send_continue(conn);
 	while ((n = web_read(conn, buf, sizeof(buf))) > 0) {
 		if (out->len + (size_t)n > max_bytes)
 			return status_set(STATUS_TOO_LARGE,
@@ -144,13 +145,14 @@
 		g_byte_array_append(out, buf, (guint)n);
 	}
 	if (n < 0 || (len >= 0 && out->len != (unsigned long long)len))
-		return status_set(
-		    STATUS_IO, "the body broke off; send the request again.");
+		return status_set(STATUS_IO,
+		    "the connection broke before the end of the body; send the "
+		    "request again.");
 	return STATUS_OK;
 }
 
 void
-web_answer(struct mg_connection *conn, int code, const char *type,
+web_respond(struct mg_connection *conn, int code, const char *type,
     const char *headers, const void *data, size_t len)
 {
 	GString *s = g_string_sized_new(len + WEB_HEAD_BYTES);
@@ -167,7 +169,7 @@
 }
 
 void
-web_head(struct mg_connection *conn, const char *type, uint64_t len,
+web_respond_head(struct mg_connection *conn, const char *type, uint64_t len,
     const void *data, size_t data_len)
 {
 	GString *s = g_string_sized_new(data_len + WEB_HEAD_BYTES);
@@ -182,12 +184,12 @@
 }
 
 void
-web_answer_json(
+web_respond_json(
     struct mg_connection *conn, int code, const char *headers, json_t *j)
 {
 	char *text = json_dumps(j, JSON_COMPACT);
 
-	web_answer(conn, code, "application/json", headers,
+	web_respond(conn, code, "application/json", headers,
 	    text == NULL ? "{}" : text, text == NULL ? 2 : strlen(text));
 	free(text);
 	json_decref(j);
@@ -203,7 +205,7 @@
 }
 
 void
-web_drop(struct mg_connection *conn)
+web_drop_connection(struct mg_connection *conn)
 {
 	mg_disable_connection_keep_alive(conn);
 }
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,23 +1,24 @@
 #!/bin/sh
-# The whole verdict: format, generated code, lint, and the tests of the plain
-# and the sanitized builds.  Ends with "N passed, N failed".
+# Runs all checks: format, generated code, lint, and the tests of the plain and
+# the sanitized builds.  The last line is "N passed, N failed".
 set -u
 cd "$(dirname "$0")/.." || exit 1
 
 JOBS=$(nproc)
-# Process-level tests share the machine: few at once keeps them honest.
+# Functional tests start many processes; more at once would distort their timing.
 FUNCTIONAL_JOBS=2
 OUT=build/check
 passed=0
 failed=0
 failures=""
-now="start"
+current_step="start"
 
-# An early end says where, and never looks like a pass.
+# On an early exit, print the current step and count it as failed, so that the
+# exit is never taken for a pass.
 at_exit() {
 	status=$?
-	[ "$now" = "end" ] && exit $status
-	echo "check.sh ended early in step \"$now\", status $status"
+	[ "$current_step" = "end" ] && exit $status
+	echo "check.sh ended early in step \"$current_step\", status $status"
 	echo "$passed passed, $((failed + 1)) failed"
 	exit 1
 }
@@ -25,7 +26,7 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-record() {	# record NAME STATUS
+record() {	# record NAME STATUS: count and print the result of a check
 	if [ "$2" -eq 0 ]; then
 		passed=$((passed + 1))
 		echo "ok: $1"
@@ -36,9 +37,9 @@
 	fi
 }
 
-step() {	# step NAME COMMAND...: one check, its output shown on failure
+step() {	# step NAME COMMAND...: run a check, print its log if it fails
 	name=$1
-	now=$name
+	current_step=$name
 	shift
 	"$@" >"$OUT/$name.log" 2>&1
 	status=$?
@@ -46,15 +47,15 @@
 	[ $status -eq 0 ] || tail -n 60 "$OUT/$name.log"
 }
 
-sources() {
+c_sources() {
 	git ls-files --cached --others --exclude-standard '*.[ch]'
 }
 
-format_clean() {
-	sources | xargs clang-format --dry-run --Werror
+check_format() {
+	c_sources | xargs clang-format --dry-run --Werror
 }
 
-generated_clean() {
+check_generated() {
 	python3 tools/gen_messages.py --check &&
 	    python3 tools/gen_settings.py --check
 }
@@ -64,19 +65,19 @@
 	    cmake --build "$1" -j "$JOBS" --target "$3"
 }
 
-# One file a run: with several, clang-tidy 14 takes each va_list after the
-# first file for uninitialized.
-lint_clean() {
-	sources | grep '\.c$' | grep -v '/gen/' |
+# One file per run: with several files, clang-tidy 14 reports each va_list after
+# the first file as uninitialized.
+check_lint() {
+	c_sources | grep '\.c$' | grep -v '/gen/' |
 	    xargs -P "$JOBS" -n 1 clang-tidy -p build/plain --quiet
 }
 
-# tests DIR LABEL JOBS [ctest arguments]: each test program is one check.
-# A test named in KNOWN-RED.txt is run and printed, but passed over.
-tests() {
+# run_tests DIR LABEL JOBS [ctest arguments]: each test program is one check.
+# If a test listed in KNOWN-RED.txt fails, it is printed but not counted.
+run_tests() {
 	dir=$1
 	label=$2
-	now="tests $dir $label"
+	current_step="tests $dir $label"
 	jobs=$3
 	shift 3
 	log="$OUT/tests-$(basename "$dir")-$label.log"
@@ -89,7 +90,7 @@
 		Passed*) status=0 ;;
 		*) status=1 ;;
 		esac
-		if [ $status -ne 0 ] && known_red "$name"; then
+		if [ $status -ne 0 ] && is_known_red "$name"; then
 			echo "KNOWN RED: $name ($(basename "$dir"))"
 			continue
 		fi
@@ -100,31 +101,32 @@
 	return 0
 }
 
-known_red() {
+is_known_red() {
 	[ -f KNOWN-RED.txt ] && grep -q "^$1[ :,]" KNOWN-RED.txt
 }
 
 mkdir -p "$OUT" || exit 1
-step format format_clean
-step generated generated_clean
+step format check_format
+step generated check_generated
 step build-plain build build/plain "" all
 step build-address build build/address address unit_tests
 step build-thread build build/thread thread threaded_tests
-step lint lint_clean
-tests build/plain unit "$JOBS"
-tests build/plain functional "$FUNCTIONAL_JOBS"
-# Sanitized code is several times slower, so are check's limits on a test;
-# GLib's slice allocator would hide what the sanitizers look for.
+step lint check_lint
+run_tests build/plain unit "$JOBS"
+run_tests build/plain functional "$FUNCTIONAL_JOBS"
+# Sanitized code is several times slower, so the test timeouts of the check
+# library are multiplied.  GLib's slice allocator would hide memory errors from
+# the sanitizers.
 export CK_TIMEOUT_MULTIPLIER=8
 export G_SLICE=always-malloc
-tests build/address unit "$JOBS"
-tests build/thread threaded "$JOBS"
+run_tests build/address unit "$JOBS"
+run_tests build/thread threaded "$JOBS"
 
 if [ -s KNOWN-RED.txt ]; then
 	echo "Known red, passed over:"
 	cat KNOWN-RED.txt
 fi
-now="end"
+current_step="end"
 [ -z "$failures" ] || echo "Failed:$failures"
 echo "$passed passed, $failed failed"
 [ "$failed" -eq 0 ]
