--- a/test/quarantine/fleet.c
+++ b/test/quarantine/fleet.c
@@ -12,15 +12,15 @@
 #define PORT 7000
 /* Times up to which events can be planned. */
 #define HORIZON_MS 120000
-#define RUN_DELAY_MS 2
+#define FORWARD_DELAY_MS 2
 #define NAME_BYTES 16
 #define PERCENT 100
 
 enum event_kind {
 	EVENT_TICK = 0,
 	EVENT_DATAGRAM,
-	EVENT_END,
-	EVENT_FOUND,
+	EVENT_CRASH,
+	EVENT_CRASH_DETECTED,
 };
 
 /**
@@ -30,7 +30,7 @@
  * @from: EVENT_DATAGRAM: sent by
  * @type: EVENT_DATAGRAM: its type
  * @body: EVENT_DATAGRAM: its body
- * @starts: the host's process that it is for
+ * @incarnation: the host's process that it is for
  * @crash: EVENT_END, EVENT_FOUND: what ran
  */
 struct event {
@@ -39,7 +39,7 @@
 	uint32_t from;
 	uint8_t type;
 	GByteArray *body;
-	uint32_t starts;
+	uint32_t incarnation;
 	struct crash *crash;
 };
 
@@ -59,30 +59,30 @@
 
 	e->kind = kind;
 	e->to = to->number;
-	e->starts = to->starts;
+	e->incarnation = to->incarnation;
 	return e;
 }
 
 static void
-plan(struct fleet *f, uint64_t at_ms, struct event *e)
+schedule_event(struct fleet *f, uint64_t at_ms, struct event *e)
 {
-	GPtrArray *moment;
+	GPtrArray *due;
 
 	at_ms = MAX(at_ms, f->now_ms + 1);
-	if (at_ms >= f->moments->len) {
+	if (at_ms >= f->schedule->len) {
 		event_free(e);
 		return;
 	}
-	moment = g_ptr_array_index(f->moments, at_ms);
-	if (moment == NULL) {
-		moment = g_ptr_array_new();
-		f->moments->pdata[at_ms] = moment;
+	due = g_ptr_array_index(f->schedule, at_ms);
+	if (due == NULL) {
+		due = g_ptr_array_new();
+		f->schedule->pdata[at_ms] = due;
 	}
-	g_ptr_array_add(moment, e);
+	g_ptr_array_add(due, e);
 }
 
 static uint32_t
-below(struct fleet *f, uint32_t n)
+random_below(struct fleet *f, uint32_t n)
 {
 	return (uint32_t)g_rand_int_range(f->rand, 0, (gint32)n);
 }
@@ -91,7 +91,7 @@
 random_peer(struct quarantine_peers *p, struct net_addr *out)
 {
 	struct fleet_node *n = (struct fleet_node *)p;
-	uint32_t other = below(n->fleet, n->fleet->n - 1);
+	uint32_t other = random_below(n->fleet, n->fleet->n - 1);
 
 	other += other >= n->number;
 	out->ip = FIRST_IP + other;
@@ -110,9 +110,10 @@
 	n->tick_ms = 0;
 	n->news =
 	    quarantine_news_new(name, &n->peers, n->out, n->fleet->now_ms);
-	n->quarantine = quarantine_new(
-	    n->number + (uint64_t)n->starts * n->fleet->n, n->fleet->now_ms);
-	n->starts++;
+	n->quarantine =
+	    quarantine_new(n->number + (uint64_t)n->incarnation * n->fleet->n,
+		n->fleet->now_ms);
+	n->incarnation++;
 }
 
 static void
@@ -132,12 +133,12 @@
 	f->n = n;
 	f->upstreams = upstreams;
 	f->delay_ms = 5;
-	f->found_ms = FLEET_FOUND_MS;
+	f->detect_delay_ms = FLEET_DETECT_DELAY_MS;
 	f->ranks_suspects = true;
 	f->rand = g_rand_new_with_seed(seed);
 	f->runs = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	f->moments = g_ptr_array_new();
-	g_ptr_array_set_size(f->moments, HORIZON_MS);
+	f->schedule = g_ptr_array_new();
+	g_ptr_array_set_size(f->schedule, HORIZON_MS);
 	f->nodes = g_new0(struct fleet_node, n);
 	for (i = 0; i < n; i++) {
 		f->nodes[i].fleet = f;
@@ -150,18 +151,18 @@
 void
 fleet_free(struct fleet *f)
 {
-	GPtrArray *moment;
+	GPtrArray *due;
 	guint i, j;
 
-	for (i = 0; i < f->moments->len; i++) {
-		moment = g_ptr_array_index(f->moments, i);
-		if (moment == NULL)
+	for (i = 0; i < f->schedule->len; i++) {
+		due = g_ptr_array_index(f->schedule, i);
+		if (due == NULL)
 			continue;
-		for (j = 0; j < moment->len; j++)
-			event_free(moment->pdata[j]);
-		g_ptr_array_unref(moment);
+		for (j = 0; j < due->len; j++)
+			event_free(due->pdata[j]);
+		g_ptr_array_unref(due);
 	}
-	g_ptr_array_unref(f->moments);
+	g_ptr_array_unref(f->schedule);
 	for (i = 0; i < f->n; i++)
 		node_clear(&f->nodes[i]);
 	g_free(f->nodes);
@@ -175,19 +176,19 @@
 static uint64_t
 next_id(struct fleet_node *n)
 {
-	return ((uint64_t)n->number + 1) << 32 | (uint64_t)n->starts << 24 |
-	    ++n->last_id;
+	return ((uint64_t)n->number + 1) << 32 |
+	    (uint64_t)n->incarnation << 24 | ++n->last_id;
 }
 
 static void
-add_print(struct quarantine_item *item, const struct fingerprint *f)
+add_fingerprint(struct quarantine_item *item, const struct fingerprint *f)
 {
 	item->prints[item->n_prints].content = f->content;
 	item->prints[item->n_prints++].caller = f->caller;
 }
 
 static void
-tell(struct fleet_node *n, const struct quarantine_event *e)
+publish_event(struct fleet_node *n, const struct quarantine_event *e)
 {
 	static const enum quarantine_kind kinds[] = {
 	    QUARANTINE_CRASH, QUARANTINE_HELD, QUARANTINE_ANSWERED, 0};
@@ -201,17 +202,17 @@
 		item.id = e->crash.id;
 		item.at_ms = e->crash.at_ms;
 		for (i = 0; i < e->crash.n_runs; i++)
-			add_print(&item, &e->crash.runs[i]);
+			add_fingerprint(&item, &e->crash.runs[i]);
 	} else {
 		item.id = next_id(n);
 		item.at_ms = e->entry.since_ms;
-		add_print(&item, &e->entry.print);
+		add_fingerprint(&item, &e->entry.print);
 	}
 	quarantine_news_add(n->news, &item, n->fleet->now_ms);
 }
 
 static void
-take(struct fleet_node *n, const struct quarantine_item *item)
+apply_record(struct fleet_node *n, const struct quarantine_item *item)
 {
 	struct crash c = {.id = item->id, .at_ms = item->at_ms};
 	struct fingerprint f;
@@ -236,25 +237,27 @@
 /* Events */
 
 static void
-send_one(struct fleet_node *n, const struct outbox_item *item)
+send_datagram(struct fleet_node *n, const struct outbox_item *item)
 {
 	struct fleet *f = n->fleet;
 	struct fleet_node *to = &f->nodes[item->to.ip - FIRST_IP];
 	struct event *e;
 
-	if (to->cut != n->cut || below(f, PERCENT) < f->loss_percent)
+	if (to->partitioned != n->partitioned ||
+	    random_below(f, PERCENT) < f->loss_percent)
 		return;
 	e = event_new(EVENT_DATAGRAM, to);
 	e->from = n->number;
 	e->type = (uint8_t)item->type;
 	e->body = g_byte_array_ref(item->body);
-	plan(f,
-	    f->now_ms + n->slow_ms + to->slow_ms + 1 + below(f, f->delay_ms),
+	schedule_event(f,
+	    f->now_ms + n->extra_delay_ms + to->extra_delay_ms + 1 +
+		random_below(f, f->delay_ms),
 	    e);
 }
 
 static void
-pump(struct fleet_node *n)
+node_process(struct fleet_node *n)
 {
 	struct fleet *f = n->fleet;
 	struct outbox_item *out;
@@ -264,13 +267,13 @@
 
 	quarantine_news_tick(n->news, f->now_ms);
 	while (quarantine_news_pop(n->news, &item))
-		take(n, &item);
+		apply_record(n, &item);
 	quarantine_tick(n->quarantine, f->now_ms);
 	while (quarantine_pop(n->quarantine, &qe))
-		tell(n, &qe);
+		publish_event(n, &qe);
 	quarantine_news_tick(n->news, f->now_ms);
 	while ((out = outbox_pop(n->out)) != NULL) {
-		send_one(n, out);
+		send_datagram(n, out);
 		outbox_item_free(out);
 	}
 	next_ms = MIN(quarantine_wake_ms(n->quarantine),
@@ -280,94 +283,95 @@
 		return;
 	n->tick_ms = next_ms;
 	if (next_ms != DEADLINE_NEVER)
-		plan(f, next_ms, event_new(EVENT_TICK, n));
+		schedule_event(f, next_ms, event_new(EVENT_TICK, n));
 }
 
 static void
-on_end(struct fleet_node *n, struct event *e)
+on_upstream_crash(struct fleet_node *n, struct event *e)
 {
-	struct event *found;
+	struct event *detected;
 
 	if (n->up_ms > n->fleet->now_ms)
 		return;
-	n->up_ms = n->fleet->now_ms + FLEET_DOWN_MS;
-	found = event_new(EVENT_FOUND, n);
-	found->crash = e->crash;
+	n->up_ms = n->fleet->now_ms + FLEET_RESTART_DELAY_MS;
+	detected = event_new(EVENT_CRASH_DETECTED, n);
+	detected->crash = e->crash;
 	e->crash = NULL;
-	plan(n->fleet, n->fleet->now_ms + n->fleet->found_ms + n->slow_ms,
-	    found);
+	schedule_event(n->fleet,
+	    n->fleet->now_ms + n->fleet->detect_delay_ms + n->extra_delay_ms,
+	    detected);
 }
 
 static void
-happen(struct fleet *f, struct event *e)
+handle_event(struct fleet *f, struct event *e)
 {
 	struct fleet_node *n = &f->nodes[e->to];
 	struct net_addr from = {FIRST_IP + e->from, PORT};
 
-	if (e->kind == EVENT_END) {
-		on_end(n, e);
+	if (e->kind == EVENT_CRASH) {
+		on_upstream_crash(n, e);
 		return;
 	}
-	if (e->starts != n->starts ||
+	if (e->incarnation != n->incarnation ||
 	    (e->kind == EVENT_TICK && f->now_ms != n->tick_ms))
 		return;
 	if (e->kind == EVENT_DATAGRAM)
 		quarantine_news_receive(n->news, f->now_ms, &from, e->type,
 		    e->body->data, e->body->len);
-	if (e->kind == EVENT_FOUND) {
+	if (e->kind == EVENT_CRASH_DETECTED) {
 		e->crash->id = next_id(n);
 		e->crash->at_ms = f->now_ms;
 		quarantine_add_own_crash(n->quarantine, e->crash, f->now_ms);
 	}
-	pump(n);
+	node_process(n);
 }
 
 void
 fleet_run(struct fleet *f, uint64_t until_ms)
 {
-	GPtrArray *moment;
+	GPtrArray *due;
 	guint i;
 
 	if (f->now_ms == 0)
 		for (i = 0; i < f->n; i++)
-			pump(&f->nodes[i]);
+			node_process(&f->nodes[i]);
 	for (; f->now_ms < until_ms; f->now_ms++) {
-		moment = g_ptr_array_index(f->moments, f->now_ms);
-		if (moment == NULL)
+		due = g_ptr_array_index(f->schedule, f->now_ms);
+		if (due == NULL)
 			continue;
-		for (i = 0; i < moment->len; i++) {
-			happen(f, moment->pdata[i]);
-			event_free(moment->pdata[i]);
+		for (i = 0; i < due->len; i++) {
+			handle_event(f, due->pdata[i]);
+			event_free(due->pdata[i]);
 		}
-		g_ptr_array_unref(moment);
-		f->moments->pdata[f->now_ms] = NULL;
+		g_ptr_array_unref(due);
+		f->schedule->pdata[f->now_ms] = NULL;
 	}
 }
 
 static bool
-holds(struct fleet_node *n, const struct fingerprint *print)
+is_quarantined(struct fleet_node *n, const struct fingerprint *print)
 {
 	return quarantine_check(n->quarantine, print) != NULL;
 }
 
 static void
-plan_end(struct fleet *f, uint32_t host, uint64_t at_ms,
+schedule_crash(struct fleet *f, uint32_t host, uint64_t at_ms,
     const struct fingerprint *runs, uint32_t n)
 {
-	struct event *e = event_new(EVENT_END, &f->nodes[host]);
+	struct event *e = event_new(EVENT_CRASH, &f->nodes[host]);
 
 	e->crash = g_new0(struct crash, 1);
 	e->crash->n_runs = n;
 	if (n > 0)
 		memcpy(e->crash->runs, runs, n * sizeof(runs[0]));
-	plan(f, at_ms, e);
+	schedule_event(f, at_ms, e);
 }
 
 void
 fleet_crash(
     struct fleet *f, uint32_t host, const struct fingerprint *runs, uint32_t n)
 {
-	plan_end(f, host, f->now_ms + 1, runs, n);
+	schedule_crash(f, host, f->now_ms + 1, runs, n);
 }
 
 static enum suspicion
@@ -380,7 +384,7 @@
 
 /* The upstream that runs and ranks first for a request. */
 static uint32_t
-first_ranked(struct fleet *f, const struct fingerprint *print)
+highest_ranked(struct fleet *f, const struct fingerprint *print)
 {
 	uint64_t best = 0, rank;
 	uint32_t i, host = 0;
@@ -396,32 +400,35 @@
 }
 
 static bool
-refuses(struct fleet_node *n, const struct fingerprint *print)
+rejects(struct fleet_node *n, const struct fingerprint *print)
 {
-	return holds(n, print) || suspicion_at(n, print) == SUSPICION_UNDECIDED;
+	return is_quarantined(n, print) ||
+	    suspicion_at(n, print) == SUSPICION_UNDECIDED;
 }
 
 void
-fleet_ask(struct fleet *f, uint32_t entry, const struct fingerprint *print)
+fleet_send_request(
+    struct fleet *f, uint32_t entry, const struct fingerprint *print)
 {
-	uint32_t host = below(f, f->upstreams);
-	struct fingerprint all[FLEET_BESIDE_MAX + 1];
+	uint32_t host = random_below(f, f->upstreams);
+	struct fingerprint all[FLEET_CONCURRENT_MAX + 1];
 	struct fleet_node *n;
 
 	if (suspicion_at(&f->nodes[entry], print) == SUSPICION_SUSPECT)
-		host = first_ranked(f, print);
+		host = highest_ranked(f, print);
 	n = &f->nodes[host];
-	if (refuses(&f->nodes[entry], print) || refuses(n, print)) {
-		f->refused++;
+	if (rejects(&f->nodes[entry], print) || rejects(n, print)) {
+		f->rejected++;
 		return;
 	}
 	if (n->up_ms > f->now_ms)
 		return;
 	g_array_append_val(f->runs, f->now_ms);
 	all[0] = *print;
-	memcpy(all + 1, f->beside, f->n_beside * sizeof(all[0]));
-	plan_end(f, host, f->now_ms + RUN_DELAY_MS + FLEET_CRASH_AFTER_MS, all,
-	    f->n_beside + 1);
+	memcpy(all + 1, f->concurrent, f->n_concurrent * sizeof(all[0]));
+	schedule_crash(f, host,
+	    f->now_ms + FORWARD_DELAY_MS + FLEET_CRASH_DELAY_MS, all,
+	    f->n_concurrent + 1);
 }
 
 void
@@ -429,21 +436,21 @@
 {
 	node_clear(&f->nodes[host]);
 	node_init(&f->nodes[host]);
-	pump(&f->nodes[host]);
+	node_process(&f->nodes[host]);
 }
 
 uint32_t
-fleet_holding(const struct fleet *f, const struct fingerprint *print)
+fleet_count_quarantining(const struct fleet *f, const struct fingerprint *print)
 {
 	uint32_t i, n = 0;
 
 	for (i = 0; i < f->n; i++)
-		n += holds(&f->nodes[i], print);
+		n += is_quarantined(&f->nodes[i], print);
 	return n;
 }
 
 uint32_t
-fleet_runs_after(const struct fleet *f, uint64_t from_ms)
+fleet_count_runs_after(const struct fleet *f, uint64_t from_ms)
 {
 	uint32_t i, n = 0;
 
--- a/test/quarantine/fleet.h
+++ b/test/quarantine/fleet.h
@@ -16,14 +16,14 @@
 #include "traffic/quarantine.h"
 
 /* A crasher runs so long before its upstream ends. */
-#define FLEET_CRASH_AFTER_MS 100
+#define FLEET_CRASH_DELAY_MS 100
 /* From the end of an upstream until its guard has found it out: once all its
  * requests have ended, or at the latest. */
-#define FLEET_FOUND_MS 10
-#define FLEET_FOUND_LATE_MS 100
+#define FLEET_DETECT_DELAY_MS 10
+#define FLEET_DETECT_DELAY_MAX_MS 100
 /* From its end to its next start. */
-#define FLEET_DOWN_MS 2000
-#define FLEET_BESIDE_MAX 16
+#define FLEET_RESTART_DELAY_MS 2000
+#define FLEET_CONCURRENT_MAX 16
 
 struct fleet;
 
@@ -37,9 +37,9 @@
  * @out: its datagrams
  * @tick_ms: when it is woken next
  * @up_ms: when its upstream is up again
- * @slow_ms: how much later it does everything
- * @cut: it reaches and is reached by other cut ones only
- * @starts: processes of the node so far
+ * @extra_delay_ms: how much later it does everything
+ * @partitioned: it reaches and is reached by other cut ones only
+ * @incarnation: processes of the node so far
  * @last_id: number of its last record
  */
 struct fleet_node {
@@ -51,9 +51,9 @@
 	struct outbox *out;
 	uint64_t tick_ms;
 	uint64_t up_ms;
-	uint32_t slow_ms;
-	bool cut;
-	uint32_t starts;
+	uint32_t extra_delay_ms;
+	bool partitioned;
+	uint32_t incarnation;
 	uint64_t last_id;
 };
 
@@ -65,14 +65,15 @@
  * @upstreams: hosts with an upstream of the service: the first ones
  * @loss_percent: datagrams that are lost
  * @delay_ms: a datagram takes 1 to so long
- * @found_ms: from the end of an upstream until its guard has found it out
+ * @detect_delay_ms: from the end of an upstream until its guard has found it
+ * out
  * @ranks_suspects: suspects go to the upstream that they rank first
- * @beside: requests that run wherever a crasher does, and are not answered
- * @n_beside: number of @beside
+ * @concurrent: requests that run wherever a crasher does, and are not answered
+ * @n_concurrent: number of @concurrent
  * @runs: times at which a crasher began to run
- * @refused: requests that were refused
+ * @rejected: requests that were refused
  * @rand: chance
- * @moments: events of each millisecond
+ * @schedule: events of each millisecond
  */
 struct fleet {
 	uint64_t now_ms;
@@ -81,14 +82,14 @@
 	uint32_t upstreams;
 	uint32_t loss_percent;
 	uint32_t delay_ms;
-	uint32_t found_ms;
+	uint32_t detect_delay_ms;
 	bool ranks_suspects;
-	struct fingerprint beside[FLEET_BESIDE_MAX];
-	uint32_t n_beside;
+	struct fingerprint concurrent[FLEET_CONCURRENT_MAX];
+	uint32_t n_concurrent;
 	GArray *runs;
-	uint32_t refused;
+	uint32_t rejected;
 	GRand *rand;
-	GPtrArray *moments;
+	GPtrArray *schedule;
 };
 
 /** fleet_new() - @n hosts, @upstreams of them with an upstream of the service
@@ -98,10 +99,10 @@
 /** fleet_free() - free it */
 void fleet_free(struct fleet *f);
 
-/** fleet_ask() - a caller sends a request to host @entry, now; if it isn't held
- * off it runs at an upstream by chance, which ends of it */
-void
-fleet_ask(struct fleet *f, uint32_t entry, const struct fingerprint *print);
+/** fleet_send_request() - a caller sends a request to host @entry, now; if it
+ * isn't held off it runs at an upstream by chance, which ends of it */
+void fleet_send_request(
+    struct fleet *f, uint32_t entry, const struct fingerprint *print);
 
 /** fleet_crash() - the upstream of a host ends now, while @n requests run */
 void fleet_crash(
@@ -113,10 +114,11 @@
 /** fleet_run() - let time pass until @until_ms */
 void fleet_run(struct fleet *f, uint64_t until_ms);
 
-/** fleet_holding() - hosts that hold a request off */
-uint32_t fleet_holding(const struct fleet *f, const struct fingerprint *print);
+/** fleet_count_quarantining() - hosts that hold a request off */
+uint32_t fleet_count_quarantining(
+    const struct fleet *f, const struct fingerprint *print);
 
-/** fleet_runs_after() - runs of crashers that began after @from_ms */
-uint32_t fleet_runs_after(const struct fleet *f, uint64_t from_ms);
+/** fleet_count_runs_after() - runs of crashers that began after @from_ms */
+uint32_t fleet_count_runs_after(const struct fleet *f, uint64_t from_ms);
 
 #endif
