--- a/test/quarantine/fleet.c
+++ b/test/quarantine/fleet.c
@@ -1,5 +1,5 @@
 /*
- * A fleet in virtual time.
+ * Discrete-event simulation of a fleet of nodes in virtual time.
  */
 #include "fleet.h"
 
@@ -10,7 +10,7 @@
 
 #define FIRST_IP UINT32_C(0x0a000001)
 #define PORT 7000
-/* Times up to which events can be planned. */
+/* End of the simulation; events scheduled at or after it are dropped. */
 #define HORIZON_MS 120000
 #define FORWARD_DELAY_MS 2
 #define NAME_BYTES 16
@@ -24,14 +24,15 @@
 };
 
 /**
- * struct event - something that happens
- * @kind: what
- * @to: at which host
- * @from: EVENT_DATAGRAM: sent by
- * @type: EVENT_DATAGRAM: its type
- * @body: EVENT_DATAGRAM: its body
- * @incarnation: the host's process that it is for
- * @crash: EVENT_END, EVENT_FOUND: what ran
+ * struct event - scheduled event
+ * @kind: kind of event
+ * @to: number of the host where it takes place
+ * @from: EVENT_DATAGRAM: number of the sending host
+ * @type: EVENT_DATAGRAM: message type
+ * @body: EVENT_DATAGRAM: message body
+ * @incarnation: incarnation of the target's node; except for EVENT_CRASH, the
+ *	event is dropped if the node has been restarted since
+ * @crash: EVENT_CRASH, EVENT_CRASH_DETECTED: requests in flight at the crash
  */
 struct event {
 	enum event_kind kind;
@@ -171,7 +172,7 @@
 	g_free(f);
 }
 
-/* Records, as the shells of the product make them */
+/* Conversion between quarantine events and gossip records, as in the daemons */
 
 static uint64_t
 next_id(struct fleet_node *n)
@@ -382,7 +383,7 @@
 	return quarantine_suspicion(n->quarantine, print, n->fleet->now_ms);
 }
 
-/* The upstream that runs and ranks first for a request. */
+/* Returns the running upstream with the highest rendezvous hash (HRW). */
 static uint32_t
 highest_ranked(struct fleet *f, const struct fingerprint *print)
 {
--- a/test/quarantine/fleet.h
+++ b/test/quarantine/fleet.h
@@ -1,7 +1,8 @@
 /*
- * A fleet in virtual time: many nodes' decisions about requests that crash
- * upstreams, the datagrams between them, and upstreams that crash and start
- * again.  It knows delay, loss, slow nodes, a cut, restarts, and no more.
+ * Simulation of a fleet in virtual time: the quarantine decisions of many nodes
+ * about requests that crash upstreams, the datagrams between the nodes, and
+ * upstreams that crash and restart.  The only faults modelled are delay, packet
+ * loss, slow nodes, one network partition and node restarts.
  */
 #ifndef QUARANTINE_FLEET_H
 #define QUARANTINE_FLEET_H
@@ -15,32 +16,32 @@
 #include "spread/quarantine_news.h"
 #include "traffic/quarantine.h"
 
-/* A crasher runs so long before its upstream ends. */
+/* Time that a crashing request runs before its upstream exits. */
 #define FLEET_CRASH_DELAY_MS 100
-/* From the end of an upstream until its guard has found it out: once all its
- * requests have ended, or at the latest. */
+/* Time from the exit of an upstream until its guard detects the crash: when all
+ * its requests have ended, and the upper bound. */
 #define FLEET_DETECT_DELAY_MS 10
 #define FLEET_DETECT_DELAY_MAX_MS 100
-/* From its end to its next start. */
+/* Time from the exit of an upstream to its next start. */
 #define FLEET_RESTART_DELAY_MS 2000
 #define FLEET_CONCURRENT_MAX 16
 
 struct fleet;
 
 /**
- * struct fleet_node - a host
- * @peers: finds another host, by chance
+ * struct fleet_node - host with its node and its upstream
+ * @peers: selects a random other host
  * @fleet: the fleet
- * @number: its number
- * @news: what it passes on
- * @quarantine: what it decides
- * @out: its datagrams
- * @tick_ms: when it is woken next
- * @up_ms: when its upstream is up again
- * @extra_delay_ms: how much later it does everything
- * @partitioned: it reaches and is reached by other cut ones only
- * @incarnation: processes of the node so far
- * @last_id: number of its last record
+ * @number: index in the fleet's nodes
+ * @news: gossip of quarantine records
+ * @quarantine: quarantine decisions
+ * @out: datagrams to send
+ * @tick_ms: time of the next scheduled tick
+ * @up_ms: time at which the upstream is up again
+ * @extra_delay_ms: delay added to the node's datagrams and crash detection
+ * @partitioned: the node exchanges datagrams only with other partitioned nodes
+ * @incarnation: number of times that the node was started
+ * @last_id: sequence number of the node's last record
  */
 struct fleet_node {
 	struct quarantine_peers peers;
@@ -58,22 +59,25 @@
 };
 
 /**
- * struct fleet - the fleet
- * @now_ms: time
+ * struct fleet - simulated fleet
+ * @now_ms: virtual time
  * @nodes: the hosts
- * @n: their number
- * @upstreams: hosts with an upstream of the service: the first ones
- * @loss_percent: datagrams that are lost
- * @delay_ms: a datagram takes 1 to so long
- * @detect_delay_ms: from the end of an upstream until its guard has found it
- * out
- * @ranks_suspects: suspects go to the upstream that they rank first
- * @concurrent: requests that run wherever a crasher does, and are not answered
+ * @n: number of @nodes
+ * @upstreams: number of hosts with an upstream of the service; these are the
+ *	first of @nodes
+ * @loss_percent: percentage of datagrams that are lost
+ * @delay_ms: maximum delay of a datagram; the minimum is 1 ms
+ * @detect_delay_ms: time from the exit of an upstream until its guard detects
+ *	the crash
+ * @ranks_suspects: suspect requests go to their highest-ranked upstream instead
+ *	of a random one
+ * @concurrent: requests that run, unanswered, on every upstream that runs a
+ *	crashing request
  * @n_concurrent: number of @concurrent
- * @runs: times at which a crasher began to run
- * @rejected: requests that were refused
- * @rand: chance
- * @schedule: events of each millisecond
+ * @runs: times at which a crashing request began to run
+ * @rejected: number of requests rejected by an entry or a guard
+ * @rand: random number generator
+ * @schedule: events by millisecond; NULL where there are none
  */
 struct fleet {
 	uint64_t now_ms;
@@ -92,33 +96,34 @@
 	GPtrArray *schedule;
 };
 
-/** fleet_new() - @n hosts, @upstreams of them with an upstream of the service
- */
+/** fleet_new() - create @n hosts, the first @upstreams of them with an upstream
+ * of the service */
 struct fleet *fleet_new(uint32_t n, uint32_t upstreams, uint32_t seed);
 
-/** fleet_free() - free it */
+/** fleet_free() - free a fleet */
 void fleet_free(struct fleet *f);
 
-/** fleet_send_request() - a caller sends a request to host @entry, now; if it
- * isn't held off it runs at an upstream by chance, which ends of it */
+/** fleet_send_request() - send a crashing request to host @entry; unless a node
+ * rejects the request, an upstream runs it and crashes */
 void fleet_send_request(
     struct fleet *f, uint32_t entry, const struct fingerprint *print);
 
-/** fleet_crash() - the upstream of a host ends now, while @n requests run */
+/** fleet_crash() - crash the upstream of a host with @n requests in flight */
 void fleet_crash(
     struct fleet *f, uint32_t host, const struct fingerprint *runs, uint32_t n);
 
-/** fleet_restart() - the node of a host starts anew and knows nothing */
+/** fleet_restart() - restart the node of a host, with empty state */
 void fleet_restart(struct fleet *f, uint32_t host);
 
-/** fleet_run() - let time pass until @until_ms */
+/** fleet_run() - advance virtual time to @until_ms */
 void fleet_run(struct fleet *f, uint64_t until_ms);
 
-/** fleet_count_quarantining() - hosts that hold a request off */
+/** fleet_count_quarantining() - count the hosts that quarantine a request */
 uint32_t fleet_count_quarantining(
     const struct fleet *f, const struct fingerprint *print);
 
-/** fleet_count_runs_after() - runs of crashers that began after @from_ms */
+/** fleet_count_runs_after() - count the runs of crashing requests that began
+ * after @from_ms */
 uint32_t fleet_count_runs_after(const struct fleet *f, uint64_t from_ms);
 
 #endif
--- a/test/quarantine/test_quarantine_fleet.c
+++ b/test/quarantine/test_quarantine_fleet.c
@@ -1,9 +1,9 @@
 /*
- * A request that crashes upstreams, asked for everywhere, in fleets of every
- * size: how many upstreams it ends, how long until all nodes hold it off, and
- * what that costs them.
+ * Tests of the quarantine in fleets of several sizes: how many upstreams a
+ * crashing request that arrives at every host takes down, how long until all
+ * nodes quarantine the request, and how many bytes each node sends for that.
  *
- * BRAMLEY_HOSTS=22000 plays one more size, which takes some minutes.
+ * BRAMLEY_HOSTS=22000 adds a fleet of that size, which takes some minutes.
  */
 #include <stdio.h>
 
@@ -15,22 +15,24 @@
 
 #define SEED 7
 #define START_MS 2000
-/* Nodes that are in touch for so long hold a request off after the third end.
+/* All connected nodes quarantine a request within this time of its third crash.
  */
 #define CONVERGENCE_MS 3000
 #define LATE_RUNS_MAX 3
-/* Bytes a second that a node may spend for control. */
+/* Limit of a node's control traffic. */
 #define CONTROL_BYTES_PER_S 6000
 #define MS_PER_S 1000
 #define REQUEST_INTERVAL_MS 20
 #define REQUEST_PERIOD_MS 15000
 #define BURST_REQUESTS 50
-/* Requests that run beside a crasher, and how long their callers wait. */
+/* Requests that run concurrently with a crashing one, the content of the first
+ * of them, and the time after which their callers give up. */
 #define CONCURRENT_REQUESTS 10
 #define CONCURRENT_CONTENT_FIRST 100
 #define CALLER_TIMEOUT_MS 8000
-/* Those that run before the first crash is known, one every ASK_EVERY_MS while
- * it runs and for a few hops of its news, and QUARANTINE_CRASHES. */
+/* Upper bound of the crashes: the requests, one every REQUEST_INTERVAL_MS, that
+ * start before the first crash is detected and its record has been gossiped
+ * over a few hops (50 ms), and then QUARANTINE_CRASHES. */
 #define CRASHES_MAX                                            \
 	((FLEET_CRASH_DELAY_MS + FLEET_DETECT_DELAY_MS + 50) / \
 		REQUEST_INTERVAL_MS +                          \
@@ -40,11 +42,11 @@
 static const struct fingerprint crasher = {1, 1};
 
 /**
- * struct outcome - what came of it
- * @crashes: runs, each of which ended an upstream
- * @late_runs: runs later than STABLE_MS after the third
- * @converged_ms: from the third run until all nodes hold it off
- * @bytes: most bytes that a node has sent
+ * struct outcome - measurements of one simulation
+ * @crashes: runs of the crashing request, each of which crashed an upstream
+ * @late_runs: runs later than CONVERGENCE_MS after the third
+ * @converged_ms: time from the third run until all nodes quarantine the request
+ * @bytes: maximum number of bytes sent by one node
  */
 struct outcome {
 	uint32_t crashes;
@@ -80,8 +82,8 @@
 	    f, (uint32_t)g_rand_int_range(f->rand, 0, (gint32)f->n), &crasher);
 }
 
-/* Asked for by @at_once callers at a moment, and then every ASK_EVERY_MS, each
- * time at a host by chance. */
+/* Sends @at_once crashing requests at START_MS and then one every
+ * REQUEST_INTERVAL_MS, each to a random host. */
 static struct outcome
 run_load(struct fleet *f, uint32_t at_once)
 {
@@ -143,8 +145,9 @@
 }
 END_TEST
 
-/* A request that crashes upstreams takes down no more of them in a large fleet
- * than in a small one, beside what runs before the first crash is known. */
+/* Ranking suspects bounds the number of upstreams that a crashing request takes
+ * down, independent of the size of the fleet, apart from the requests that run
+ * before the first crash is detected. */
 START_TEST(ranking_suspects_bounds_crashes_at_any_fleet_size)
 {
 	uint32_t n = sizes[_i];
@@ -208,9 +211,10 @@
 	}
 }
 
-/* All upstreams of a service but one are down at a time, and the same callers'
- * requests wait for the next one: they run in each crash until their callers
- * give up, and others come. */
+/* All upstreams of a service but one are down at any time, so waiting requests
+ * are retried on the next one.  They are in flight at each crash until their
+ * callers time out and other requests replace them, and must neither be
+ * quarantined themselves nor keep the crashing request out of quarantine. */
 START_TEST(requests_waiting_for_an_upstream_do_not_hide_the_crasher)
 {
 	struct fleet *f = fleet_new(12, 4, SEED + (uint32_t)_i);
@@ -280,7 +284,8 @@
 }
 END_TEST
 
-/* One after the other, until nobody is left that has seen it. */
+/* Restarts all nodes one after the other, so that in the end no running node
+ * has seen the crashes itself. */
 START_TEST(restarted_nodes_receive_the_quarantine)
 {
 	struct fleet *f = fleet_new(60, 20, SEED);
@@ -301,9 +306,10 @@
 }
 END_TEST
 
-/* Hundreds of upstreams end in a second, each under ten requests that are tried
- * again elsewhere, and one that all of them run and had answered: nobody is
- * quarantined, and what nodes send stays bounded. */
+/* Hundreds of upstreams crash within a second, each with eleven requests in
+ * flight: ten that are retried elsewhere and one that runs on all upstreams and
+ * had been answered before.  No request is quarantined, and the control traffic
+ * stays below its limit. */
 START_TEST(hundreds_of_crashes_in_a_second_quarantine_nothing)
 {
 	struct fingerprint runs[11] = {{2, 1}};
