--- a/test/quarantine/test_quarantine_fleet.c
+++ b/test/quarantine/test_quarantine_fleet.c
@@ -113,8 +113,9 @@
 {
 	struct outcome o = run_load(f, at_once);
 
-	(void)printf("%s, %u hosts: %u ended, %u of them late, all hold it off "
-		     "after %lu ms, %lu bytes a node at most\n",
+	(void)printf(
+	    "%s, %u hosts: %u crashes, %u of them late, quarantined on "
+	    "all nodes after %lu ms, at most %lu bytes per node\n",
 	    what, f->n, o.crashes, o.late_runs, (unsigned long)o.converged_ms,
 	    (unsigned long)o.bytes);
 	(void)fflush(stdout);
@@ -132,7 +133,7 @@
 {
 	uint32_t n = sizes[_i];
 
-	check_outcome("sent now and then", fleet_new(n, (n + 2) / 3, SEED), 1);
+	check_outcome("periodic requests", fleet_new(n, (n + 2) / 3, SEED), 1);
 }
 END_TEST
 
@@ -140,7 +141,7 @@
 {
 	uint32_t n = sizes[_i];
 
-	check_outcome("sent by 50 at once", fleet_new(n, (n + 2) / 3, SEED),
+	check_outcome("burst of 50 requests", fleet_new(n, (n + 2) / 3, SEED),
 	    BURST_REQUESTS);
 }
 END_TEST
@@ -159,8 +160,10 @@
 	unranked->ranks_suspects = false;
 	before = run_load(unranked, 1);
 	after = run_load(ranked, 1);
-	(void)printf("%u hosts: %u ended, %u with suspects ranked; refused %u "
-		     "and %u; held after %lu and %lu ms; %lu and %lu bytes\n",
+	(void)printf("%u hosts, without and with suspect ranking: %u and %u "
+		     "crashes; %u and %u requests rejected; quarantined on all "
+		     "nodes after %lu and %lu ms; at most %lu and %lu bytes "
+		     "per node\n",
 	    n, before.crashes, after.crashes, unranked->rejected,
 	    ranked->rejected, (unsigned long)before.converged_ms,
 	    (unsigned long)after.converged_ms, (unsigned long)before.bytes,
@@ -181,7 +184,7 @@
 	if (hosts == NULL)
 		return;
 	n = (uint32_t)g_ascii_strtoull(hosts, NULL, 10);
-	check_outcome("sent now and then", fleet_new(n, (n + 2) / 3, SEED), 1);
+	check_outcome("periodic requests", fleet_new(n, (n + 2) / 3, SEED), 1);
 }
 END_TEST
 
@@ -194,7 +197,7 @@
 	f->delay_ms = 150;
 	for (i = 0; i < f->n; i += 10)
 		f->nodes[i].extra_delay_ms = 200;
-	check_outcome("slow nodes, loss and delay", f, 5);
+	check_outcome("slow nodes, packet loss and delay", f, 5);
 }
 END_TEST
 
@@ -228,8 +231,9 @@
 		send_to_random_host(f);
 		fleet_run(f, f->now_ms + 200);
 	}
-	(void)printf("collapsed service: %u ended, %u of them late, %u of 12 "
-		     "hold it off\n",
+	(void)printf(
+	    "collapsed service: %u crashes, %u of them late, quarantined "
+	    "on %u of 12 hosts\n",
 	    f->runs->len,
 	    fleet_count_runs_after(f, third_crash_ms(f) + CONVERGENCE_MS),
 	    fleet_count_quarantining(f, &crasher));
@@ -335,7 +339,8 @@
 			held += !quarantine_is_empty(f->nodes[i].quarantine);
 	}
 	ck_assert_uint_eq(held, 0);
-	(void)printf("300 ends in a second: %lu bytes a node at most in 10 s\n",
+	(void)printf(
+	    "300 crashes in a second: at most %lu bytes per node in 10 s\n",
 	    (unsigned long)max_bytes_sent(f));
 	(void)fflush(stdout);
 	ck_assert_uint_lt(
