--- a/test/rollout/fleet_check.c
+++ b/test/rollout/fleet_check.c
@@ -7,13 +7,13 @@
 
 #include <glib.h>
 
-#define SHARE 0.1
-#define SLACK 50
-#define LATE_MS 2500
+#define EXPOSED_SHARE 0.1
+#define EXPOSED_EXTRA 50
+#define LAST_EXPOSURE_MAX_MS 2500
 
 /* More seeds by hand: BRAMLEY_SEEDS. */
 static uint32_t
-seeds(void)
+n_seeds(void)
 {
 	const char *text = g_getenv("BRAMLEY_SEEDS");
 
@@ -21,47 +21,48 @@
 }
 
 static void
-check_bad(const struct fleet_plan *p, const struct fleet_result *r)
+check_bad(const struct fleet_config *p, const struct fleet_result *r)
 {
-	double allowed = SHARE * r->requests + SLACK;
+	double allowed = EXPOSED_SHARE * r->requests + EXPOSED_EXTRA;
 
 	ck_assert_msg(r->exposed <= allowed / 2,
 	    "fault %d trouble %d hosts %u rate %u seed %u: %u of %u exposed",
-	    p->fault, p->trouble, p->n_hosts, p->per_s, p->seed, r->exposed,
-	    r->requests);
-	ck_assert_msg(r->late_ms <= LATE_MS,
+	    p->fault, p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
+	    r->exposed, r->requests);
+	ck_assert_msg(r->last_exposure_ms <= LAST_EXPOSURE_MAX_MS,
 	    "fault %d trouble %d hosts %u rate %u seed %u: %u ms after the "
 	    "50th bad answer",
-	    p->fault, p->trouble, p->n_hosts, p->per_s, p->seed,
-	    (unsigned)r->late_ms);
+	    p->fault, p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
+	    (unsigned)r->last_exposure_ms);
 	ck_assert_msg(r->completed_ms == 0,
 	    "fault %d trouble %d hosts %u rate %u seed %u: completed", p->fault,
-	    p->trouble, p->n_hosts, p->per_s, p->seed);
+	    p->disturbance, p->n_hosts, p->requests_per_s, p->seed);
 }
 
 static void
-check_good(const struct fleet_plan *p, const struct fleet_result *r)
+check_good(const struct fleet_config *p, const struct fleet_result *r)
 {
 	ck_assert_msg(r->completed_ms != 0 && r->completed_ms <= p->duration_ms,
 	    "trouble %d hosts %u rate %u seed %u: completed %u rolled back %u",
-	    p->trouble, p->n_hosts, p->per_s, p->seed,
+	    p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
 	    (unsigned)r->completed_ms, (unsigned)r->rolled_back_ms);
-	ck_assert_msg(r->old_after == 0,
+	ck_assert_msg(r->old_requests_after == 0,
 	    "trouble %d hosts %u rate %u seed %u: the old version got %u "
 	    "requests after its end",
-	    p->trouble, p->n_hosts, p->per_s, p->seed, r->old_after);
+	    p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
+	    r->old_requests_after);
 }
 
 void
-fleet_check(struct fleet_plan *p)
+fleet_check(struct fleet_config *p)
 {
 	struct fleet_result r;
 	uint32_t s;
 
-	for (s = 0; s < seeds(); s++) {
+	for (s = 0; s < n_seeds(); s++) {
 		p->seed = 100 + s;
-		fleet_play(p, &r);
-		if (p->fault == FLEET_GOOD)
+		fleet_simulate(p, &r);
+		if (p->fault == FLEET_FAULT_NONE)
 			check_good(p, &r);
 		else
 			check_bad(p, &r);
--- a/test/rollout/fleet_check.h
+++ b/test/rollout/fleet_check.h
@@ -14,6 +14,6 @@
 #define FLEET_DURATION_MS 5000
 
 /** fleet_check() - play @p with two seeds, or with BRAMLEY_SEEDS of them */
-void fleet_check(struct fleet_plan *p);
+void fleet_check(struct fleet_config *p);
 
 #endif
--- a/test/rollout/test_rollout_fleet.c
+++ b/test/rollout/test_rollout_fleet.c
@@ -16,8 +16,8 @@
 
 START_TEST(a_good_version_is_completed_in_time)
 {
-	struct fleet_plan p = {.n_hosts = sizes[_i / 2],
-	    .per_s = rates[_i % 2],
+	struct fleet_config p = {.n_hosts = sizes[_i / 2],
+	    .requests_per_s = rates[_i % 2],
 	    .duration_ms = FLEET_DURATION_MS};
 
 	fleet_check(&p);
@@ -26,38 +26,39 @@
 
 START_TEST(a_bad_version_is_rolled_back)
 {
-	struct fleet_plan p = {.n_hosts = sizes[_i / 2],
-	    .per_s = rates[_i % 2],
+	struct fleet_config p = {.n_hosts = sizes[_i / 2],
+	    .requests_per_s = rates[_i % 2],
 	    .duration_ms = FLEET_DURATION_MS};
 
-	for (p.fault = FLEET_FAILS; p.fault <= FLEET_FAILS_LATER; p.fault++)
+	for (p.fault = FLEET_FAULT_ERRORS; p.fault <= FLEET_FAULT_ERRORS_LATER;
+	     p.fault++)
 		fleet_check(&p);
 }
 END_TEST
 
 /* One endpoint of the new version that is ill by itself, or old ones that are,
  * say nothing of the version. */
-START_TEST(trouble_is_not_held_against_a_good_version)
+START_TEST(a_good_version_is_completed_despite_disturbances)
 {
-	struct fleet_plan p = {.n_hosts = 91,
-	    .per_s = 700,
+	struct fleet_config p = {.n_hosts = 91,
+	    .requests_per_s = 700,
 	    .duration_ms = FLEET_DURATION_MS,
-	    .trouble = (enum fleet_trouble)_i};
+	    .disturbance = (enum fleet_disturbance)_i};
 
 	fleet_check(&p);
 }
 END_TEST
 
-START_TEST(a_bad_version_is_found_beside_trouble)
+START_TEST(a_bad_version_is_rolled_back_despite_disturbances)
 {
-	struct fleet_plan p = {.n_hosts = 91,
-	    .per_s = 700,
+	struct fleet_config p = {.n_hosts = 91,
+	    .requests_per_s = 700,
 	    .duration_ms = FLEET_DURATION_MS,
-	    .trouble = (enum fleet_trouble)_i};
+	    .disturbance = (enum fleet_disturbance)_i};
 
-	p.fault = FLEET_FAILS;
+	p.fault = FLEET_FAULT_ERRORS;
 	fleet_check(&p);
-	p.fault = FLEET_FAILS_LATER;
+	p.fault = FLEET_FAULT_ERRORS_LATER;
 	fleet_check(&p);
 }
 END_TEST
@@ -71,10 +72,12 @@
 	tcase_set_timeout(tc, 60);
 	tcase_add_loop_test(tc, a_good_version_is_completed_in_time, 0, 6);
 	tcase_add_loop_test(tc, a_bad_version_is_rolled_back, 0, 6);
-	tcase_add_loop_test(tc, trouble_is_not_held_against_a_good_version,
-	    FLEET_GREY_OLD, FLEET_TROUBLES);
-	tcase_add_loop_test(tc, a_bad_version_is_found_beside_trouble,
-	    FLEET_CALM, FLEET_TROUBLES);
+	tcase_add_loop_test(tc,
+	    a_good_version_is_completed_despite_disturbances,
+	    FLEET_DISTURBANCE_OLD_ERRORS, FLEET_DISTURBANCE_COUNT);
+	tcase_add_loop_test(tc,
+	    a_bad_version_is_rolled_back_despite_disturbances,
+	    FLEET_DISTURBANCE_NONE, FLEET_DISTURBANCE_COUNT);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/test/rollout/test_rollout_sparse.c
+++ b/test/rollout/test_rollout_sparse.c
@@ -14,8 +14,8 @@
 
 START_TEST(a_good_version_with_few_requests_is_completed)
 {
-	struct fleet_plan p = {.n_hosts = sizes[_i / 2],
-	    .per_s = rates[_i % 2],
+	struct fleet_config p = {.n_hosts = sizes[_i / 2],
+	    .requests_per_s = rates[_i % 2],
 	    .duration_ms = FLEET_DURATION_MS};
 
 	fleet_check(&p);
@@ -24,11 +24,12 @@
 
 START_TEST(a_bad_version_with_few_requests_is_rolled_back)
 {
-	struct fleet_plan p = {.n_hosts = sizes[_i / 2],
-	    .per_s = rates[_i % 2],
+	struct fleet_config p = {.n_hosts = sizes[_i / 2],
+	    .requests_per_s = rates[_i % 2],
 	    .duration_ms = FLEET_DURATION_MS};
 
-	for (p.fault = FLEET_FAILS; p.fault <= FLEET_FAILS_LATER; p.fault++)
+	for (p.fault = FLEET_FAULT_ERRORS; p.fault <= FLEET_FAULT_ERRORS_LATER;
+	     p.fault++)
 		fleet_check(&p);
 }
 END_TEST
