--- a/test/rollout/fleet.c
+++ b/test/rollout/fleet.c
@@ -1,5 +1,5 @@
 /*
- * A fleet in virtual time.
+ * Time-stepped simulation of a rollout in a fleet of nodes.
  */
 #include "fleet.h"
 
@@ -31,7 +31,25 @@
 #define NEW_START_SPAN_MS 2200
 #define MILLI 1000
 
-/** struct node - a host with its node and its endpoint */
+/**
+ * struct node - host with its node and, on some hosts, an endpoint
+ * @host: host name
+ * @is_new: the endpoint runs the new version
+ * @stopped: the host has stopped for good
+ * @partitioned: the node exchanges datagrams only with other partitioned nodes
+ * @fallback_writer: the node writes outcomes that no other node has written
+ * @start_ms: time at which the host and its endpoint are up
+ * @speed: factor of the endpoint's speed; 1.0 is the median
+ * @n_in_flight: requests that the endpoint runs
+ * @n_received: datagrams received
+ * @counted_order: order that @counts belongs to, 0 for none
+ * @counts: responses of the endpoint since the order
+ * @orders: rollout orders that the node knows of
+ * @news: gossip of rollout orders
+ * @watch: rollout decisions of the node
+ * @out: datagrams to send
+ * @canary: canary routing of the node's entry
+ */
 struct node {
 	char host[32];
 	bool is_new;
@@ -51,14 +69,27 @@
 	struct canary canary;
 };
 
-/** struct datagram - a datagram on its way */
+/**
+ * struct datagram - datagram in transit
+ * @from: index of the sending node
+ * @to: index of the receiving node
+ * @item: type and body
+ */
 struct datagram {
 	uint32_t from;
 	uint32_t to;
 	struct outbox_item *item;
 };
 
-/** struct request - a request at an endpoint */
+/**
+ * struct request - request in flight at an endpoint
+ * @end_ms: time of its response
+ * @start_ms: time at which the endpoint received it
+ * @node: index of the endpoint's node
+ * @route: route of the request
+ * @failed: the response is an error
+ * @bad: the response is an error or slow because of the version's fault
+ */
 struct request {
 	uint64_t end_ms;
 	uint64_t start_ms;
@@ -68,7 +99,22 @@
 	bool bad;
 };
 
-/** struct fleet - a run */
+/**
+ * struct fleet - one simulation
+ * @config: parameters
+ * @result: measurements
+ * @random: random number generator
+ * @nodes: nodes on old hosts, followed by those on hosts added for the rollout
+ * @n_nodes: number of @nodes
+ * @n_old: number of endpoints of the old version
+ * @slots: requests that an endpoint runs without queueing
+ * @now_ms: virtual time
+ * @in_transit: struct datagram, in the order of sending
+ * @in_flight: struct request
+ * @has_row: the platform's store has a row of the order
+ * @row: the row in the store
+ * @bad_50_ms: time of the 50th bad response of the new version, 0 before
+ */
 struct fleet {
 	const struct fleet_config *config;
 	struct fleet_result *result;
@@ -147,7 +193,8 @@
 	}
 }
 
-/* Old endpoints are on the first hosts, new ones on the added hosts. */
+/* Endpoints of the old version run on the first hosts, those of the new version
+ * on the hosts added for the rollout. */
 static bool
 has_endpoint(const struct fleet *f, uint32_t i)
 {
@@ -160,7 +207,7 @@
 	return n->is_new ? "v2" : "v1";
 }
 
-/* What a node believes */
+/* Routing, from the state that a node has received */
 
 static const char *
 current_version(struct fleet *f, struct node *n)
@@ -194,7 +241,8 @@
 	    ((*l)->start_ms < (*r)->start_ms);
 }
 
-/* The first @limit new endpoints that started, but for the one excluded. */
+/* Returns a random one of the first @limit new endpoints that started, the
+ * excluded one left out, or NULL. */
 static struct node *
 pick_new(struct fleet *f, uint32_t limit, const char *excluded)
 {
@@ -356,7 +404,7 @@
 	}
 }
 
-/* Messages */
+/* Datagrams */
 
 static bool
 datagram_arrives(struct fleet *f, const struct node *a, const struct node *b)
@@ -410,7 +458,7 @@
 	}
 }
 
-/* The platform */
+/* The platform's store */
 
 static bool
 store_is_unavailable(const struct fleet *f)
@@ -545,7 +593,7 @@
 	send_datagrams(f, i);
 }
 
-/* Troubles */
+/* Disturbances */
 
 static void
 restart_all_nodes(struct fleet *f)
@@ -580,7 +628,8 @@
 	case FLEET_DISTURBANCE_POWER_LOSS:
 		if (at_ms == 2600)
 			restart_all_nodes(f);
-		/* Readers have the row again a moment later. */
+		/* Nodes read the row from the store again after they
+		 * restarted. */
 		if (at_ms == 2800 && f->has_row)
 			(void)rollout_news_add(
 			    f->nodes[0].news, &f->row, f->now_ms);
--- a/test/rollout/fleet.h
+++ b/test/rollout/fleet.h
@@ -1,7 +1,8 @@
 /*
- * A fleet in virtual time with one service whose software is rolled out: the
- * real decisions of each node, messages that take time and get lost, requests,
- * endpoints with slots, and the platform's row.
+ * Simulation of a rollout of one service in a fleet, in virtual time: the
+ * production decision code of each node, datagrams with delay and packet loss,
+ * requests, endpoints with a limited number of slots, and the row of the order
+ * in the platform's store.
  */
 #ifndef TEST_ROLLOUT_FLEET_H
 #define TEST_ROLLOUT_FLEET_H
@@ -9,7 +10,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** enum fleet_fault - what a bad version does */
+/**
+ * enum fleet_fault - fault of the new version
+ * @FLEET_FAULT_NONE: none, the version is good
+ * @FLEET_FAULT_ERRORS: 40 percent of the responses are errors
+ * @FLEET_FAULT_SLOW: responses take five times as long
+ * @FLEET_FAULT_ERRORS_LATER: errors, beginning a fifth of the order's time
+ *	after the earliest start of a new endpoint
+ * @FLEET_FAULT_ERRORS_UNDER_LOAD: errors while a quarter of the endpoint's
+ *	slots or more are in use
+ * @FLEET_FAULT_ERRORS_ON_ROUTE: errors on one of three routes
+ * @FLEET_FAULT_COUNT: number of faults
+ */
 enum fleet_fault {
 	FLEET_FAULT_NONE = 0,
 	FLEET_FAULT_ERRORS,
@@ -20,7 +32,26 @@
 	FLEET_FAULT_COUNT,
 };
 
-/** enum fleet_trouble - what happens beside it */
+/**
+ * enum fleet_disturbance - condition of the fleet, independent of the version
+ * @FLEET_DISTURBANCE_NONE: none
+ * @FLEET_DISTURBANCE_OLD_ERRORS: grey failure: every seventh old endpoint
+ *	returns 45 percent errors
+ * @FLEET_DISTURBANCE_NEW_ERRORS: grey failure: the new endpoint that started
+ *	first returns 45 percent errors
+ * @FLEET_DISTURBANCE_OLD_SLOW: every sixth old endpoint is five times slower
+ * @FLEET_DISTURBANCE_ERROR_BURST: 15 percent errors everywhere for 2.5 s
+ * @FLEET_DISTURBANCE_PACKET_LOSS: 10 percent of the datagrams are lost
+ * @FLEET_DISTURBANCE_CANARY_HOST_STOPS: the host of the first new endpoint,
+ *	whose node decides about the rollout, stops
+ * @FLEET_DISTURBANCE_STORE_UNAVAILABLE: writes to the platform's store fail for
+ *	half of the order's time
+ * @FLEET_DISTURBANCE_PARTITION: a data centre, every third node, is partitioned
+ *	for 2 s
+ * @FLEET_DISTURBANCE_POWER_LOSS: all nodes restart at once and requests in
+ *	flight are lost; the row is read again 200 ms later
+ * @FLEET_DISTURBANCE_COUNT: number of disturbances
+ */
 enum fleet_disturbance {
 	FLEET_DISTURBANCE_NONE = 0,
 	FLEET_DISTURBANCE_OLD_ERRORS,
@@ -36,13 +67,13 @@
 };
 
 /**
- * struct fleet_plan - one run
- * @n_hosts: hosts before the rollout
- * @requests_per_s: requests of the service a second
- * @duration_ms: time of the order
- * @fault: what the new version does
- * @disturbance: what happens beside it
- * @seed: of all randomness
+ * struct fleet_config - parameters of one simulation
+ * @n_hosts: number of hosts before the rollout
+ * @requests_per_s: rate of requests to the service
+ * @duration_ms: time from the order to its deadline
+ * @fault: fault of the new version
+ * @disturbance: condition of the fleet
+ * @seed: seed of the random number generator
  */
 struct fleet_config {
 	uint32_t n_hosts;
@@ -54,17 +85,18 @@
 };
 
 /**
- * struct fleet_result - what came of it
- * @requests: requests between the order and its deadline
- * @exposed: those of them that the new version got
- * @bad: bad answers of the new version in all
- * @last_exposure_ms: time from its 50th bad answer to the last request that it
- *got; 0 when there were fewer
- * @completed_ms: when the order was written as completed, 0 for never
- * @rolled_back_ms: when it was written as rolled back, 0 for never
- * @old_requests_after: requests that the old version got after it was written
- *as completed
- * @max_datagrams: datagrams that one node got in the time of the order
+ * struct fleet_result - measurements of one simulation
+ * @requests: requests sent between the order and its deadline
+ * @exposed: those of them that were routed to the new version
+ * @bad: total of bad responses of the new version
+ * @last_exposure_ms: time from the 50th bad response to the last request routed
+ *	to the new version; 0 if there were fewer bad responses
+ * @completed_ms: time from the order to the write of its completion, 0 if never
+ * @rolled_back_ms: time from the order to the write of its rollback, 0 if never
+ * @old_requests_after: requests routed to the old version after the order was
+ *	written as completed
+ * @max_datagrams: maximum number of datagrams received by one node over the
+ *	whole simulation
  */
 struct fleet_result {
 	uint32_t requests;
@@ -77,7 +109,8 @@
 	uint32_t max_datagrams;
 };
 
-/** fleet_simulate() - play a run; times in the result count from the order */
+/** fleet_simulate() - run one simulation; times in @result count from the
+ * order */
 void
 fleet_simulate(const struct fleet_config *config, struct fleet_result *result);
 
--- a/test/rollout/fleet_check.c
+++ b/test/rollout/fleet_check.c
@@ -1,5 +1,5 @@
 /*
- * What must hold of a rollout in a fleet.
+ * Assertions about a rollout in a fleet.
  */
 #include "fleet_check.h"
 
@@ -11,7 +11,7 @@
 #define EXPOSED_EXTRA 50
 #define LAST_EXPOSURE_MAX_MS 2500
 
-/* More seeds by hand: BRAMLEY_SEEDS. */
+/* BRAMLEY_SEEDS sets the number of seeds of a manual run. */
 static uint32_t
 n_seeds(void)
 {
--- a/test/rollout/test_rollout_fleet.c
+++ b/test/rollout/test_rollout_fleet.c
@@ -1,8 +1,8 @@
 /*
- * Tests of rollouts in a whole fleet, with good versions and bad ones, beside
- * troubles that must not be held against a good one.  Services with few
- * requests are the subject of test_rollout_sparse, versions that are bad only
- * now and then that of test_rollout_hidden.
+ * Tests of rollouts in a whole fleet, of good versions and bad ones, under
+ * disturbances that must not get a good version rolled back.  Services with few
+ * requests are the subject of test_rollout_sparse, versions with an
+ * intermittent fault that of test_rollout_hidden.
  */
 #include <check.h>
 
@@ -36,8 +36,8 @@
 }
 END_TEST
 
-/* One endpoint of the new version that is ill by itself, or old ones that are,
- * say nothing of the version. */
+/* Errors of a single new endpoint, or of old endpoints, are no evidence against
+ * the new version. */
 START_TEST(a_good_version_is_completed_despite_disturbances)
 {
 	struct fleet_config p = {.n_hosts = 91,
--- a/test/rollout/test_rollout_hidden.c
+++ b/test/rollout/test_rollout_hidden.c
@@ -1,6 +1,6 @@
 /*
- * Tests of rollouts of versions that are bad only under load or on one of three
- * routes, or slow, beside troubles of the fleet.
+ * Tests of rollouts of versions that are slow, or fail only under load or on
+ * one of three routes, under disturbances of the fleet.
  */
 #include <check.h>
 
--- a/test/rollout/test_rollout_sparse.c
+++ b/test/rollout/test_rollout_sparse.c
@@ -1,6 +1,7 @@
 /*
- * Tests of rollouts of services with few requests: an order of 5 s sees 100 of
- * them, or 1,000, and a version must be told from those it may get of them.
+ * Tests of rollouts of services with few requests: 100 or 1,000 of them in an
+ * order of 5 s, so that the verdict on a version rests on its small share of
+ * these.
  */
 #include <check.h>
 
