--- a/test/rollout/fleet_check.c
+++ b/test/rollout/fleet_check.c
@@ -26,29 +26,31 @@
 	double allowed = EXPOSED_SHARE * r->requests + EXPOSED_EXTRA;
 
 	ck_assert_msg(r->exposed <= allowed / 2,
-	    "fault %d trouble %d hosts %u rate %u seed %u: %u of %u exposed",
+	    "fault %d disturbance %d hosts %u rate %u seed %u: %u of %u "
+	    "exposed",
 	    p->fault, p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
 	    r->exposed, r->requests);
 	ck_assert_msg(r->last_exposure_ms <= LAST_EXPOSURE_MAX_MS,
-	    "fault %d trouble %d hosts %u rate %u seed %u: %u ms after the "
-	    "50th bad answer",
+	    "fault %d disturbance %d hosts %u rate %u seed %u: %u ms after the "
+	    "50th bad response",
 	    p->fault, p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
 	    (unsigned)r->last_exposure_ms);
 	ck_assert_msg(r->completed_ms == 0,
-	    "fault %d trouble %d hosts %u rate %u seed %u: completed", p->fault,
-	    p->disturbance, p->n_hosts, p->requests_per_s, p->seed);
+	    "fault %d disturbance %d hosts %u rate %u seed %u: completed",
+	    p->fault, p->disturbance, p->n_hosts, p->requests_per_s, p->seed);
 }
 
 static void
 check_good(const struct fleet_config *p, const struct fleet_result *r)
 {
 	ck_assert_msg(r->completed_ms != 0 && r->completed_ms <= p->duration_ms,
-	    "trouble %d hosts %u rate %u seed %u: completed %u rolled back %u",
+	    "disturbance %d hosts %u rate %u seed %u: completed after %u ms, "
+	    "rolled back after %u ms (0: never)",
 	    p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
 	    (unsigned)r->completed_ms, (unsigned)r->rolled_back_ms);
 	ck_assert_msg(r->old_requests_after == 0,
-	    "trouble %d hosts %u rate %u seed %u: the old version got %u "
-	    "requests after its end",
+	    "disturbance %d hosts %u rate %u seed %u: the old version got %u "
+	    "requests after the completion",
 	    p->disturbance, p->n_hosts, p->requests_per_s, p->seed,
 	    r->old_requests_after);
 }
