--- a/test/capacity/bench_herd.c
+++ b/test/capacity/bench_herd.c
@@ -14,11 +14,11 @@
 
 #include "world.h"
 
-#define WARM_MS 600000
+#define START_TIMEOUT_MS 600000
 #define SETTLE_MS 20000
 #define DOWN_MS 60000
-#define LIMIT_MS 300000
-#define STEP_MS 20
+#define READY_TIMEOUT_MS 300000
+#define POLL_MS 20
 #define KB 1000.0
 
 static int
@@ -33,7 +33,7 @@
 }
 
 static uint64_t
-sum(const uint64_t *by_class)
+sum_classes(const uint64_t *by_class)
 {
 	uint64_t total = 0;
 	uint32_t i;
@@ -61,15 +61,15 @@
 static void
 report(const struct world *w, uint32_t n, uint64_t ms)
 {
-	uint64_t in = 0, most_in = 0, most_out = 0, bytes;
+	uint64_t received = 0, max_received = 0, max_sent = 0, bytes;
 	uint32_t i;
 
 	for (i = 0; i < w->n_nodes; i++) {
-		most_out = MAX(most_out, sum(w->nodes[i].bytes.sent));
-		bytes = sum(w->nodes[i].bytes.received);
+		max_sent = MAX(max_sent, sum_classes(w->nodes[i].bytes.sent));
+		bytes = sum_classes(w->nodes[i].bytes.received);
 		if (i < n)
-			in += bytes;
-		most_in = MAX(most_in, bytes);
+			received += bytes;
+		max_received = MAX(max_received, bytes);
 	}
 	printf(
 	    "%5u of %5u nodes start, %u data centres, %u services: all serve "
@@ -78,16 +78,16 @@
 	    " in a second; a starting node received %.0f KB (most %.0f), a "
 	    "node sent %.0f KB at most; violations %u\n",
 	    n, w->n_nodes, w->config.data_centres, w->config.services, ms,
-	    w->platform.reads, w->platform.peak, (double)in / n / KB,
-	    (double)most_in / KB, (double)most_out / KB,
-	    checker_count(w->checker));
+	    w->platform.reads, w->platform.peak_reads_per_s,
+	    (double)received / n / KB, (double)max_received / KB,
+	    (double)max_sent / KB, checker_n_violations(w->checker));
 }
 
 int
 main(int argc, char **argv)
 {
 	struct world_config config;
-	uint64_t began_ms;
+	uint64_t start_ms;
 	struct world *w;
 	uint32_t n;
 
@@ -101,15 +101,15 @@
 	config.nodes = (uint32_t)strtoul(argv[2], NULL, 10);
 	config.services = (uint32_t)strtoul(argv[3], NULL, 10);
 	w = world_new(&config);
-	if (!world_warm(w, WARM_MS))
+	if (!world_start_all(w, START_TIMEOUT_MS))
 		printf("not all nodes came up\n");
 	world_run(w, SETTLE_MS);
 	n = argc > 4 ? w->n_nodes : config.nodes;
 	restart(w, n);
-	began_ms = world_now_ms(w);
-	while (!all_ready(w) && world_now_ms(w) < began_ms + LIMIT_MS)
-		world_run(w, STEP_MS);
-	report(w, n, world_now_ms(w) - began_ms);
+	start_ms = world_now_ms(w);
+	while (!all_ready(w) && world_now_ms(w) < start_ms + READY_TIMEOUT_MS)
+		world_run(w, POLL_MS);
+	report(w, n, world_now_ms(w) - start_ms);
 	world_free(w);
 	return EXIT_SUCCESS;
 }
--- a/test/driver/bench_spread.c
+++ b/test/driver/bench_spread.c
@@ -13,9 +13,9 @@
 #include "world.h"
 
 #define DAY_S 86400
-#define WARM_MS 600000
+#define START_TIMEOUT_MS 600000
 #define SETTLE_MS 5000
-#define TAIL_MS 20000
+#define CONVERGENCE_MS 20000
 
 /**
  * struct bench - one run
@@ -26,28 +26,28 @@
  * @per_day: sign-offs a day, evenly by chance
  * @burst: sign-offs in the first minute instead
  * @changes: services that change in each
- * @hint: whether the signing node spreads at once
- * @whole: whether pulls ask for the whole bundle instead of changes
+ * @notify_signer: whether the signing node spreads at once
+ * @full_pulls: whether pulls ask for the whole bundle instead of changes
  * @verbose: whether traffic is shown by class
  * @rng: when and where versions are signed off
- * @first: first version that counts
- * @at_us: when the last sign-off came
+ * @first_version: first version that counts
+ * @end_us: when the last sign-off came
  */
 struct bench {
-	struct world *w;
+	struct world *world;
 	struct world_config config;
 	char name[16];
 	uint32_t seconds;
 	uint32_t per_day;
 	uint32_t burst;
 	uint32_t changes;
-	uint32_t hint;
-	uint32_t whole;
+	uint32_t notify_signer;
+	uint32_t full_pulls;
 	uint32_t verbose;
 	GRand *rng;
-	uint64_t first;
+	uint64_t first_version;
 	uint64_t end_us;
-	struct spread_profile over;
+	struct spread_profile overrides;
 };
 
 /* An option that is a number. */
@@ -57,9 +57,9 @@
 };
 
 static int
-bench_number(struct bench *b, const char *name, uint32_t value)
+bench_set_number(struct bench *b, const char *name, uint32_t value)
 {
-	struct spread_profile *p = &b->over;
+	struct spread_profile *p = &b->overrides;
 	const struct bench_option options[] = {
 	    {"dcs", &b->config.data_centres},
 	    {"nodes", &b->config.nodes},
@@ -68,7 +68,7 @@
 	    {"per_day", &b->per_day},
 	    {"burst", &b->burst},
 	    {"changes", &b->changes},
-	    {"hint", &b->hint},
+	    {"hint", &b->notify_signer},
 	    {"verbose", &b->verbose},
 	    {"poll", &b->config.naive_poll_ms},
 	    {"probe", &b->config.probe_ms},
@@ -83,7 +83,7 @@
 	    {"entropy", &p->anti_entropy_ms},
 	    {"keepers", &p->keepers},
 	    {"progress", &p->progress_ms},
-	    {"whole", &b->whole},
+	    {"whole", &b->full_pulls},
 	};
 	uint32_t i;
 
@@ -94,7 +94,7 @@
 		}
 	}
 	if (strcmp(name, "far_us") == 0)
-		b->config.far_us = value;
+		b->config.remote_delay_us = value;
 	else if (strcmp(name, "seed") == 0)
 		b->config.seed = value;
 	else
@@ -104,10 +104,10 @@
 
 /* Numbers of the profile that an option named replace its own. */
 static void
-bench_profile(struct bench *b)
+bench_set_profile(struct bench *b)
 {
 	const struct spread_profile *p;
-	const uint32_t *over;
+	const uint32_t *overrides;
 	uint32_t *to;
 	size_t i;
 
@@ -117,33 +117,33 @@
 		p = spread_profile_registry();
 	}
 	b->config.profile = *p;
-	over = (const uint32_t *)&b->over;
+	overrides = (const uint32_t *)&b->overrides;
 	to = (uint32_t *)&b->config.profile;
-	for (i = 0; i < sizeof(*p) / sizeof(*over); i++)
-		if (over[i] != UINT32_MAX)
-			to[i] = over[i];
+	for (i = 0; i < sizeof(*p) / sizeof(*overrides); i++)
+		if (overrides[i] != UINT32_MAX)
+			to[i] = overrides[i];
 }
 
 static void
 bench_sign(void *arg)
 {
 	struct bench *b = arg;
-	struct world *w = b->w;
+	struct world *w = b->world;
 	uint64_t version;
 	double gap_s;
 
 	if (w->queue.now_us >= b->end_us)
 		return;
 	version = world_sign(w,
-	    b->hint ? g_rand_int(b->rng) % w->n_nodes : WORLD_NOBODY,
+	    b->notify_signer ? g_rand_int(b->rng) % w->n_nodes : WORLD_NO_NODE,
 	    b->changes);
-	if (b->first == 0)
-		b->first = version;
+	if (b->first_version == 0)
+		b->first_version = version;
 	if (b->burst > 0)
 		gap_s = 60.0 / b->burst;
 	else
 		gap_s = -log(1 - g_rand_double(b->rng)) * DAY_S / b->per_day;
-	world_at(w, (uint64_t)(gap_s * 1000), bench_sign, b);
+	world_schedule(w, (uint64_t)(gap_s * 1000), bench_sign, b);
 }
 
 static uint64_t
@@ -158,7 +158,7 @@
 }
 
 static gint
-bench_order(gconstpointer a, gconstpointer b)
+bench_compare(gconstpointer a, gconstpointer b)
 {
 	uint64_t x = *(const uint64_t *)a;
 	uint64_t y = *(const uint64_t *)b;
@@ -168,7 +168,7 @@
 
 /* Quantile of sorted times. */
 static double
-bench_at(const GArray *times, double q)
+bench_quantile(const GArray *times, double q)
 {
 	uint32_t i;
 
@@ -187,23 +187,23 @@
 	GArray *times;
 
 	times = g_array_new(FALSE, FALSE, sizeof(us));
-	for (i = b->first; i < b->w->measure.version_us->len; i++) {
-		v = ledger_version(b->w->ledger, i);
-		us = g_array_index(b->w->measure.version_us, uint64_t, i) -
+	for (i = b->first_version; i < b->world->measure.version_us->len; i++) {
+		v = ledger_version(b->world->ledger, i);
+		us = g_array_index(b->world->measure.version_us, uint64_t, i) -
 		    v->signed_us;
 		g_array_append_val(times, us);
 	}
-	g_array_sort(times, bench_order);
-	*p50 = bench_at(times, 0.5);
-	*p99 = bench_at(times, 0.99);
-	*max = bench_at(times, 1);
+	g_array_sort(times, bench_compare);
+	*p50 = bench_quantile(times, 0.5);
+	*p99 = bench_quantile(times, 0.99);
+	*max = bench_quantile(times, 1);
 	g_array_unref(times);
 }
 
 static void
 bench_classes(const struct bench *b, double seconds)
 {
-	const struct world *w = b->w;
+	const struct world *w = b->world;
 	uint64_t sent[MEASURE_CLASSES] = {0};
 	uint32_t i, j;
 
@@ -222,14 +222,14 @@
 static void
 bench_counters(const struct bench *b, double seconds)
 {
-	const struct world *w = b->w;
+	const struct world *w = b->world;
 	struct spread_stats sum = {0};
 	const uint64_t *from;
 	uint64_t *to;
 	uint32_t i, j;
 
 	for (i = 0; i < w->n_nodes && w->config.kind == WORLD_SPREAD; i++) {
-		from = (const uint64_t *)spread_stats(w->nodes[i].s);
+		from = (const uint64_t *)spread_stats(w->nodes[i].spread);
 		to = (uint64_t *)&sum;
 		for (j = 0; j < sizeof(sum) / sizeof(*to); j++)
 			to[j] += from[j];
@@ -251,18 +251,19 @@
 static void
 bench_report(const struct bench *b, double seconds)
 {
-	const struct world *w = b->w;
+	const struct world *w = b->world;
 	double p50, p99, max, mean;
-	uint64_t sent, received, most;
+	uint64_t sent, received, max_bytes;
 	uint32_t i;
 
-	sent = received = most = 0;
+	sent = received = max_bytes = 0;
 	for (i = 0; i < w->n_nodes; i++) {
 		const struct measure_bytes *m = &w->nodes[i].bytes;
 
 		sent += bench_sum(m->sent);
 		received += bench_sum(m->received);
-		most = MAX(most, bench_sum(m->sent) + bench_sum(m->received));
+		max_bytes =
+		    MAX(max_bytes, bench_sum(m->sent) + bench_sum(m->received));
 	}
 	mean = (double)(sent + received) / seconds / w->n_nodes;
 	bench_versions(b, &p50, &p99, &max);
@@ -270,13 +271,14 @@
 	       "%7.0f %7.0f | %7.1f %5" G_GUINT64_FORMAT " | %s %u\n",
 	    b->name, w->n_nodes, w->config.data_centres,
 	    b->burst > 0 ? b->burst * 1440 : b->per_day,
-	    (uint32_t)(w->measure.version_us->len - b->first),
+	    (uint32_t)(w->measure.version_us->len - b->first_version),
 	    measure_quantile_ms(&w->measure, 0.5),
 	    measure_quantile_ms(&w->measure, 0.99),
 	    measure_quantile_ms(&w->measure, 1), p50 / 1000, p99 / 1000,
-	    max / 1000, mean, (double)most / seconds,
-	    (double)w->platform.reads / seconds, w->platform.peak,
-	    world_even(w) ? "even" : "UNEVEN", checker_count(w->checker));
+	    max / 1000, mean, (double)max_bytes / seconds,
+	    (double)w->platform.reads / seconds, w->platform.peak_reads_per_s,
+	    world_converged(w) ? "even" : "UNEVEN",
+	    checker_n_violations(w->checker));
 	if (b->verbose) {
 		bench_classes(b, seconds);
 		bench_counters(b, seconds);
@@ -291,17 +293,18 @@
 	uint32_t i;
 
 	b->rng = g_rand_new_with_seed((guint32)b->config.seed);
-	w = b->w = world_new(&b->config);
-	for (i = 0; b->whole && i < w->n_nodes; i++)
-		w->nodes[i].tamper = TAMPER_WHOLE;
-	if (!world_warm(w, WARM_MS))
-		printf("not all nodes came up in %u s\n", WARM_MS / 1000);
+	w = b->world = world_new(&b->config);
+	for (i = 0; b->full_pulls && i < w->n_nodes; i++)
+		w->nodes[i].tamper = TAMPER_FULL_PULL;
+	if (!world_start_all(w, START_TIMEOUT_MS))
+		printf(
+		    "not all nodes came up in %u s\n", START_TIMEOUT_MS / 1000);
 	if (b->verbose)
 		printf("    up after %.1f s, %" G_GUINT64_FORMAT
 		       " reads of the platform, at most %" G_GUINT64_FORMAT
 		       " in a second\n",
 		    (double)w->queue.now_us / 1e6 - 1000, w->platform.reads,
-		    w->platform.peak);
+		    w->platform.peak_reads_per_s);
 	world_run(w, SETTLE_MS);
 	for (i = 0; i < w->n_nodes; i++)
 		memset(&w->nodes[i].bytes, 0, sizeof(w->nodes[i].bytes));
@@ -312,14 +315,15 @@
 	bench_sign(b);
 	world_run(w, b->seconds * 1000);
 	bench_report(b, (double)(w->queue.now_us - from_us) / 1e6);
-	(void)world_run_until_even(w, TAIL_MS);
+	(void)world_run_until_converged(w, CONVERGENCE_MS);
 	for (i = 0; i < w->n_nodes; i++)
 		checker_final(
 		    w->checker, w->nodes[i].host, w->nodes[i].version);
-	if (checker_count(w->checker) > 0 || !world_even(w))
-		printf("    %u violations: %s; %s\n", checker_count(w->checker),
-		    checker_first(w->checker),
-		    world_even(w) ? "even" : "not even in the end");
+	if (checker_n_violations(w->checker) > 0 || !world_converged(w))
+		printf("    %u violations: %s; %s\n",
+		    checker_n_violations(w->checker),
+		    checker_first_violation(w->checker),
+		    world_converged(w) ? "even" : "not even in the end");
 	world_free(w);
 	g_rand_free(b->rng);
 }
@@ -332,7 +336,7 @@
 	int i;
 
 	memset(&b, 0, sizeof(b));
-	memset(&b.over, 0xff, sizeof(b.over));
+	memset(&b.overrides, 0xff, sizeof(b.overrides));
 	world_config_init(&b.config, 1);
 	b.config.check = 0;
 	b.config.preload = 1;
@@ -340,7 +344,7 @@
 	b.seconds = 300;
 	b.per_day = 57000;
 	b.changes = 1;
-	b.hint = 1;
+	b.notify_signer = 1;
 	strcpy(b.name, "registry");
 	for (i = 1; i < argc; i++) {
 		value = strchr(argv[i], '=');
@@ -354,11 +358,11 @@
 		*value++ = '\0';
 		if (strcmp(argv[i], "profile") == 0)
 			g_strlcpy(b.name, value, sizeof(b.name));
-		else if (!bench_number(
+		else if (!bench_set_number(
 			     &b, argv[i], (uint32_t)strtoul(value, NULL, 10)))
 			printf("unknown option %s\n", argv[i]);
 	}
-	bench_profile(&b);
+	bench_set_profile(&b);
 	bench_run(&b);
 	return EXIT_SUCCESS;
 }
--- a/test/driver/checker.c
+++ b/test/driver/checker.c
@@ -15,9 +15,9 @@
 
 	ck = g_new0(struct checker, 1);
 	ck->ledger = ledger;
-	ck->held =
+	ck->max_version =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	ck->process =
+	ck->process_version =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	ck->violations = g_ptr_array_new_with_free_func(g_free);
 	return ck;
@@ -28,17 +28,17 @@
 {
 	if (ck == NULL)
 		return;
-	g_hash_table_destroy(ck->held);
-	g_hash_table_destroy(ck->process);
+	g_hash_table_destroy(ck->max_version);
+	g_hash_table_destroy(ck->process_version);
 	g_ptr_array_unref(ck->violations);
 	g_free(ck);
 }
 
-static void checker_say(struct checker *ck, const char *fmt, ...)
+static void checker_report(struct checker *ck, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
 static void
-checker_say(struct checker *ck, const char *fmt, ...)
+checker_report(struct checker *ck, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -48,7 +48,7 @@
 }
 
 static uint64_t *
-checker_slot(GHashTable *table, const char *host)
+checker_version_of(GHashTable *table, const char *host)
 {
 	uint64_t *slot;
 
@@ -63,7 +63,7 @@
 void
 checker_started(struct checker *ck, const char *host)
 {
-	*checker_slot(ck->process, host) = 0;
+	*checker_version_of(ck->process_version, host) = 0;
 }
 
 void
@@ -80,7 +80,7 @@
 
 	v = ledger_version(ck->ledger, catalog_version(c));
 	if (v == NULL) {
-		checker_say(ck, "%s holds a version never signed off", host);
+		checker_report(ck, "%s holds a version never signed off", host);
 		return;
 	}
 	list = g_array_new(FALSE, TRUE, sizeof(ref));
@@ -97,14 +97,14 @@
 			hash_digest(data, len, &digest);
 		}
 		if (!hash_digest_equal(&digest, &sc->digest))
-			checker_say(ck, "%s lacks the content of %s", host,
+			checker_report(ck, "%s lacks the content of %s", host,
 			    sc->section);
 	}
 	g_bytes_unref(section_list_encode(list, &root));
 	g_array_unref(list);
 	if (!hash_digest_equal(&root, &v->root) ||
 	    !hash_digest_equal(&root, catalog_root(c)))
-		checker_say(ck,
+		checker_report(ck,
 		    "%s holds version %" G_GUINT64_FORMAT " in part", host,
 		    v->version);
 }
@@ -116,15 +116,17 @@
 	uint32_t i;
 
 	if (snapshot_check(s) != STATUS_OK)
-		checker_say(ck, "%s has an unsound snapshot: %s", host,
+		checker_report(ck, "%s has an unsound snapshot: %s", host,
 		    status_message());
 	if (s->version != catalog_version(c) ||
 	    s->n_services != catalog_n_services(c))
-		checker_say(ck, "%s has the snapshot of another version", host);
+		checker_report(
+		    ck, "%s has the snapshot of another version", host);
 	for (i = 0; i < s->n_services; i++)
 		if (catalog_find(c, s->services[i].config->name) == NULL)
-			checker_say(ck, "%s routes to a service it lacks: %s",
-			    host, s->services[i].config->name);
+			checker_report(ck,
+			    "%s routes to a service it lacks: %s", host,
+			    s->services[i].config->name);
 }
 
 void
@@ -132,39 +134,39 @@
     const struct catalog *c, int serving)
 {
 	const struct ledger_version *v;
-	uint64_t *held, *process;
+	uint64_t *max_version, *process_version;
 	uint64_t version;
 
 	version = catalog_version(c);
-	held = checker_slot(ck->held, host);
-	process = checker_slot(ck->process, host);
-	if (version <= *process || (serving && version < *held))
-		checker_say(ck,
+	max_version = checker_version_of(ck->max_version, host);
+	process_version = checker_version_of(ck->process_version, host);
+	if (version <= *process_version || (serving && version < *max_version))
+		checker_report(ck,
 		    "%s went from version %" G_GUINT64_FORMAT
 		    " to version %" G_GUINT64_FORMAT,
-		    host, MAX(*process, *held), version);
+		    host, MAX(*process_version, *max_version), version);
 	v = ledger_version(ck->ledger, version);
 	if (v != NULL && v->halted_us > 0 &&
-	    now_us > v->halted_us + CHECKER_HALT_US && *held < version)
-		checker_say(ck,
+	    now_us > v->halted_us + CHECKER_HALT_US && *max_version < version)
+		checker_report(ck,
 		    "%s took up version %" G_GUINT64_FORMAT
 		    " long after it was halted",
 		    host, version);
-	*process = version;
-	*held = MAX(*held, version);
+	*process_version = version;
+	*max_version = MAX(*max_version, version);
 }
 
 void
 checker_ready(struct checker *ck, const char *host, uint64_t version)
 {
-	uint64_t held;
+	uint64_t max_version;
 
-	held = *checker_slot(ck->held, host);
-	if (version < held)
-		checker_say(ck,
+	max_version = *checker_version_of(ck->max_version, host);
+	if (version < max_version)
+		checker_report(ck,
 		    "%s serves version %" G_GUINT64_FORMAT
 		    " after it held %" G_GUINT64_FORMAT,
-		    host, version, held);
+		    host, version, max_version);
 }
 
 void
@@ -176,25 +178,25 @@
 	in_force = ck->ledger->head.in_force;
 	v = ledger_version(ck->ledger, version);
 	if (version < in_force)
-		checker_say(ck,
+		checker_report(ck,
 		    "%s stayed at version %" G_GUINT64_FORMAT
 		    " although %" G_GUINT64_FORMAT " is in force",
 		    host, version, in_force);
 	else if (version > in_force && (v == NULL || v->halted_us == 0))
-		checker_say(ck,
+		checker_report(ck,
 		    "%s holds version %" G_GUINT64_FORMAT
 		    " that is not in force",
 		    host, version);
 }
 
 uint32_t
-checker_count(const struct checker *ck)
+checker_n_violations(const struct checker *ck)
 {
 	return ck->violations->len;
 }
 
 const char *
-checker_first(const struct checker *ck)
+checker_first_violation(const struct checker *ck)
 {
 	if (ck->violations->len == 0)
 		return "none";
--- a/test/driver/checker.h
+++ b/test/driver/checker.h
@@ -30,14 +30,14 @@
 /**
  * struct checker - what is known of the hosts
  * @ledger: versions signed off; borrowed
- * @held: name of a host to the highest version that it held, boxed
- * @process: the same for the process that runs on it now
+ * @max_version: name of a host to the highest version that it held, boxed
+ * @process_version: the same for the process that runs on it now
  * @violations: what did not hold, as text
  */
 struct checker {
 	const struct ledger *ledger;
-	GHashTable *held;
-	GHashTable *process;
+	GHashTable *max_version;
+	GHashTable *process_version;
 	GPtrArray *violations;
 };
 
@@ -75,10 +75,10 @@
 /** checker_final() - a node in reach holds @version at the end */
 void checker_final(struct checker *ck, const char *host, uint64_t version);
 
-/** checker_count() - number of violations */
-uint32_t checker_count(const struct checker *ck);
+/** checker_n_violations() - number of violations */
+uint32_t checker_n_violations(const struct checker *ck);
 
-/** checker_first() - the first violation, or "none" */
-const char *checker_first(const struct checker *ck);
+/** checker_first_violation() - the first violation, or "none" */
+const char *checker_first_violation(const struct checker *ck);
 
 #endif
--- a/test/driver/follow.c
+++ b/test/driver/follow.c
@@ -8,7 +8,7 @@
 #include "world.h"
 
 /* The shell's timeout besides the time that a read waits. */
-#define TIMEOUT_MS 1500
+#define READ_TIMEOUT_MS 1500
 
 /**
  * struct follow_wait - a read under way
@@ -16,101 +16,101 @@
  * @generation: process that asked
  * @action: what it asked for
  * @id: its number
- * @seen: number of the newest change that it knows
- * @found: number of the newest change that its answer tells
+ * @known_seq: number of the newest change that it knows
+ * @answer_seq: number of the newest change that its answer tells
  * @st: how it ends
  * @lost: it is never answered
  */
-struct follow_wait {
+struct follow_request {
 	uint64_t id;
 	struct node *node;
 	uint32_t generation;
 	struct spread_action action;
-	uint64_t seen;
-	uint64_t found;
+	uint64_t known_seq;
+	uint64_t answer_seq;
 	enum status st;
 	int lost;
 };
 
 /** struct follow_timer - a read that waits, and how it ends if it still does */
 struct follow_timer {
-	struct world *w;
+	struct world *world;
 	uint64_t id;
 	enum status st;
 };
 
-static void give(void *arg);
+static void deliver(void *arg);
 
 void
 follow_start(struct node *n)
 {
 	n->feed_seq = 0;
-	n->following = 0;
-	memset(&n->given, 0, sizeof(n->given));
-	spread_set_long_poll(n->s, FOLLOW_WAIT_MS);
+	n->head_read_pending = 0;
+	memset(&n->feed_head, 0, sizeof(n->feed_head));
+	spread_set_long_poll(n->spread, FOLLOW_WAIT_MS);
 }
 
 static int
-is_alive(const struct follow_wait *r)
+is_current(const struct follow_request *read)
 {
-	return r->node->up && r->node->generation == r->generation;
+	return read->node->up && read->node->generation == read->generation;
 }
 
 /* The answer leaves now. */
 static void
-end(struct follow_wait *r, enum status st)
+complete(struct follow_request *read, enum status st)
 {
-	struct world *w = r->node->w;
+	struct world *w = read->node->world;
 
-	r->st = st;
-	r->found = w->ledger->head.seq;
-	g_queue_remove(&w->follows, r);
+	read->st = st;
+	read->answer_seq = w->ledger->head.seq;
+	g_queue_remove(&w->pending_reads, read);
 	queue_add(&w->queue, w->queue.now_us + w->platform.delay_ms * US_PER_MS,
-	    give, r, g_free);
+	    deliver, read, g_free);
 }
 
-static struct follow_wait *
-find(const struct world *w, uint64_t id)
+static struct follow_request *
+find_read(const struct world *w, uint64_t id)
 {
-	struct follow_wait *r;
+	struct follow_request *read;
 	GList *l;
 
-	for (l = w->follows.head; l != NULL; l = l->next) {
-		r = l->data;
-		if (r->id == id)
-			return r;
+	for (l = w->pending_reads.head; l != NULL; l = l->next) {
+		read = l->data;
+		if (read->id == id)
+			return read;
 	}
 	return NULL;
 }
 
 static void
-on_time(void *arg)
+on_timer(void *arg)
 {
 	struct follow_timer *t = arg;
-	struct follow_wait *r = find(t->w, t->id);
+	struct follow_request *read = find_read(t->world, t->id);
 
-	if (r != NULL && (!r->lost || t->st != STATUS_OK))
-		end(r, t->st);
+	if (read != NULL && (!read->lost || t->st != STATUS_OK))
+		complete(read, t->st);
 	g_free(t);
 }
 
 static void
-end_after(const struct follow_wait *r, uint64_t ms, enum status st)
+complete_after(const struct follow_request *read, uint64_t ms, enum status st)
 {
-	struct world *w = r->node->w;
+	struct world *w = read->node->world;
 	struct follow_timer *t = g_new(struct follow_timer, 1);
 
-	t->w = w;
-	t->id = r->id;
+	t->world = w;
+	t->id = read->id;
 	t->st = st;
 	queue_add(
-	    &w->queue, w->queue.now_us + ms * US_PER_MS, on_time, t, g_free);
+	    &w->queue, w->queue.now_us + ms * US_PER_MS, on_timer, t, g_free);
 }
 
 static void
-give_version(struct node *n, uint64_t found)
+deliver_version(struct node *n, uint64_t answer_seq)
 {
-	const struct ledger *l = n->w->ledger;
+	const struct ledger *l = n->world->ledger;
 	const struct ledger_version *v = ledger_version(l, l->head.in_force);
 	GBytes **contents = g_new(GBytes *, v->list->len);
 	uint32_t i;
@@ -118,170 +118,172 @@
 	for (i = 0; i < v->list->len; i++)
 		contents[i] = ledger_object(l,
 		    &g_array_index(v->list, struct rec_section_ref, i).digest);
-	n->feed_seq = MAX(n->feed_seq, found);
-	n->given = l->head;
-	n->given.root = v->root;
-	spread_on_full_version(n->s, world_now_ms(n->w), &n->given, v->list,
-	    contents, v->list->len);
+	n->feed_seq = MAX(n->feed_seq, answer_seq);
+	n->feed_head = l->head;
+	n->feed_head.root = v->root;
+	spread_on_full_version(n->spread, world_now_ms(n->world), &n->feed_head,
+	    v->list, contents, v->list->len);
 	g_free(contents);
 }
 
 static void
-give_head(struct node *n, const struct follow_wait *r)
+deliver_head(struct node *n, const struct follow_request *read)
 {
-	struct spread_read_end read_end = {.ok = r->st == STATUS_OK};
-	uint64_t now_ms = world_now_ms(n->w);
-	int known = n->given.seq != 0;
+	struct spread_read_end read_end = {.ok = read->st == STATUS_OK};
+	uint64_t now_ms = world_now_ms(n->world);
+	int known = n->feed_head.seq != 0;
 
-	n->following = 0;
-	read_end.has_row = r->found > r->seen;
-	read_end.position = r->found;
+	n->head_read_pending = 0;
+	read_end.has_row = read->answer_seq > read->known_seq;
+	read_end.position = read->answer_seq;
 	if (!read_end.ok) {
-		spread_on_head(n->s, now_ms, r->st, NULL);
+		spread_on_head(n->spread, now_ms, read->st, NULL);
 		return;
 	}
-	spread_on_head_read_ended(n->s, now_ms, &read_end);
+	spread_on_head_read_ended(n->spread, now_ms, &read_end);
 	if (read_end.has_row)
-		give_version(n, r->found);
+		deliver_version(n, read->answer_seq);
 	else
-		spread_on_head(n->s, now_ms,
+		spread_on_head(n->spread, now_ms,
 		    known ? STATUS_OK : STATUS_NOT_FOUND,
-		    known ? &n->given : NULL);
+		    known ? &n->feed_head : NULL);
 }
 
 static void
-give_probe(struct node *n, const struct follow_wait *r)
+deliver_probe(struct node *n, const struct follow_request *read)
 {
-	struct spread_read_end read_end = {.ok = r->st == STATUS_OK};
+	struct spread_read_end read_end = {.ok = read->st == STATUS_OK};
 
-	read_end.has_row = r->found > r->seen;
+	read_end.has_row = read->answer_seq > read->known_seq;
 	if (read_end.ok && read_end.has_row)
-		give_version(n, r->found);
-	spread_on_probe_ended(n->s, world_now_ms(n->w), &read_end);
+		deliver_version(n, read->answer_seq);
+	spread_on_probe_ended(n->spread, world_now_ms(n->world), &read_end);
 }
 
 static void
-give_versions(struct node *n, const struct follow_wait *r)
+deliver_versions(struct node *n, const struct follow_request *read)
 {
-	if (r->st == STATUS_OK && n->w->ledger->head.seq != 0)
-		give_version(n, r->found);
+	if (read->st == STATUS_OK && n->world->ledger->head.seq != 0)
+		deliver_version(n, read->answer_seq);
 	spread_on_versions(
-	    n->s, world_now_ms(n->w), STATUS_UNAVAILABLE, NULL, 0);
+	    n->spread, world_now_ms(n->world), STATUS_UNAVAILABLE, NULL, 0);
 }
 
 static void
-give(void *arg)
+deliver(void *arg)
 {
-	struct follow_wait *r = arg;
-	struct node *n = r->node;
+	struct follow_request *read = arg;
+	struct node *n = read->node;
 
-	if (is_alive(r) && n->frozen_us > n->w->queue.now_us) {
-		queue_add(&n->w->queue, n->frozen_us, give, r, g_free);
+	if (is_current(read) && n->frozen_us > n->world->queue.now_us) {
+		queue_add(
+		    &n->world->queue, n->frozen_us, deliver, read, g_free);
 		return;
 	}
-	if (is_alive(r)) {
-		if (r->action.kind == SPREAD_READ_HEAD)
-			give_head(n, r);
-		else if (r->action.kind == SPREAD_PROBE_HEAD)
-			give_probe(n, r);
+	if (is_current(read)) {
+		if (read->action.kind == SPREAD_READ_HEAD)
+			deliver_head(n, read);
+		else if (read->action.kind == SPREAD_PROBE_HEAD)
+			deliver_probe(n, read);
 		else
-			give_versions(n, r);
-		world_pump(n);
+			deliver_versions(n, read);
+		world_dispatch(n);
 	}
-	g_free(r);
+	g_free(read);
 }
 
 /* What the platform makes of a read that reached it. */
 static void
-admit(struct follow_wait *r)
+admit(struct follow_request *read)
 {
-	struct node *n = r->node;
-	uint64_t wait_ms = r->action.wait_ms;
+	struct node *n = read->node;
+	uint64_t wait_ms = read->action.wait_ms;
 
-	end_after(r, wait_ms + TIMEOUT_MS, STATUS_TIMEOUT);
-	r->lost = n->access == FOLLOW_SILENT;
-	if (r->lost)
+	complete_after(read, wait_ms + READ_TIMEOUT_MS, STATUS_TIMEOUT);
+	read->lost = n->access == FOLLOW_NO_RESPONSE;
+	if (read->lost)
 		return;
-	if (n->access == FOLLOW_REFUSED || !platform_admit(n->w, 1))
-		end(r, STATUS_UNAVAILABLE);
-	else if (r->seen == 0 || n->w->ledger->head.seq > r->seen)
-		end(r, STATUS_OK);
+	if (n->access == FOLLOW_REJECTED || !platform_admit(n->world, 1))
+		complete(read, STATUS_UNAVAILABLE);
+	else if (read->known_seq == 0 ||
+	    n->world->ledger->head.seq > read->known_seq)
+		complete(read, STATUS_OK);
 	else
-		end_after(r, wait_ms, STATUS_OK);
+		complete_after(read, wait_ms, STATUS_OK);
 }
 
 void
 follow_read(struct node *n, const struct spread_action *a)
 {
-	struct follow_wait *r = g_new0(struct follow_wait, 1);
+	struct follow_request *read = g_new0(struct follow_request, 1);
 
-	r->id = ++n->w->next_follow;
-	r->node = n;
-	r->generation = n->generation;
-	r->action = *a;
+	read->id = ++n->world->last_read_id;
+	read->node = n;
+	read->generation = n->generation;
+	read->action = *a;
 	if (a->kind == SPREAD_READ_HEAD)
 		n->feed_seq = MAX(n->feed_seq, a->from);
-	r->seen = n->feed_seq;
+	read->known_seq = n->feed_seq;
 	if (a->kind == SPREAD_PROBE_HEAD && a->skip_next)
-		r->seen++;
+		read->known_seq++;
 	if (a->kind == SPREAD_READ_VERSIONS)
-		r->seen = 0;
-	g_queue_push_tail(&n->w->follows, r);
+		read->known_seq = 0;
+	g_queue_push_tail(&n->world->pending_reads, read);
 	if (a->kind == SPREAD_READ_HEAD)
-		n->following = 1;
-	if (a->kind == SPREAD_READ_VERSIONS && n->following)
-		end(r, STATUS_UNAVAILABLE);
+		n->head_read_pending = 1;
+	if (a->kind == SPREAD_READ_VERSIONS && n->head_read_pending)
+		complete(read, STATUS_UNAVAILABLE);
 	else
-		admit(r);
+		admit(read);
 }
 
 void
 follow_changed(struct world *w)
 {
-	struct follow_wait *r;
+	struct follow_request *read;
 	GList *l, *next;
 
-	for (l = w->follows.head; l != NULL; l = next) {
+	for (l = w->pending_reads.head; l != NULL; l = next) {
 		next = l->next;
-		r = l->data;
-		if (!r->lost && w->ledger->head.seq > r->seen)
-			end(r, STATUS_OK);
+		read = l->data;
+		if (!read->lost && w->ledger->head.seq > read->known_seq)
+			complete(read, STATUS_OK);
 	}
 }
 
 void
-follow_allow(struct world *w, uint32_t node, enum follow_access access)
+follow_set_access(struct world *w, uint32_t node, enum follow_access access)
 {
-	struct follow_wait *r;
+	struct follow_request *read;
 	GList *l, *next;
 
 	w->nodes[node].access = access;
-	for (l = w->follows.head; l != NULL; l = next) {
+	for (l = w->pending_reads.head; l != NULL; l = next) {
 		next = l->next;
-		r = l->data;
-		if (r->node->id != node)
+		read = l->data;
+		if (read->node->id != node)
 			continue;
-		if (access == FOLLOW_REFUSED)
-			end(r, STATUS_UNAVAILABLE);
-		else if (access == FOLLOW_SILENT)
-			r->lost = 1;
+		if (access == FOLLOW_REJECTED)
+			complete(read, STATUS_UNAVAILABLE);
+		else if (access == FOLLOW_NO_RESPONSE)
+			read->lost = 1;
 	}
 }
 
 void
-follow_sever(struct world *w)
+follow_drop_pending(struct world *w)
 {
-	struct follow_wait *r;
+	struct follow_request *read;
 	GList *l;
 
-	for (l = w->follows.head; l != NULL; l = l->next) {
-		r = l->data;
-		r->lost = 1;
+	for (l = w->pending_reads.head; l != NULL; l = l->next) {
+		read = l->data;
+		read->lost = 1;
 	}
 }
 
 void
 follow_clear(struct world *w)
 {
-	g_queue_clear_full(&w->follows, g_free);
+	g_queue_clear_full(&w->pending_reads, g_free);
 }
--- a/test/driver/follow.h
+++ b/test/driver/follow.h
@@ -19,8 +19,8 @@
 /** enum follow_access - what becomes of a node's reads */
 enum follow_access {
 	FOLLOW_SERVED = 0,
-	FOLLOW_REFUSED, /* they fail at once, those that wait too */
-	FOLLOW_SILENT,	/* they are never answered */
+	FOLLOW_REJECTED,    /* they fail at once, those that wait too */
+	FOLLOW_NO_RESPONSE, /* they are never answered */
 };
 
 /** follow_start() - a node's process has started */
@@ -32,11 +32,12 @@
 /** follow_changed() - a version was accepted: reads that wait are answered */
 void follow_changed(struct world *w);
 
-/** follow_allow() - set what becomes of a node's reads from now on */
-void follow_allow(struct world *w, uint32_t node, enum follow_access access);
+/** follow_set_access() - set what becomes of a node's reads from now on */
+void
+follow_set_access(struct world *w, uint32_t node, enum follow_access access);
 
-/** follow_sever() - reads that wait are never answered; new ones are */
-void follow_sever(struct world *w);
+/** follow_drop_pending() - reads that wait are never answered; new ones are */
+void follow_drop_pending(struct world *w);
 
 /** follow_clear() - forget the reads that wait */
 void follow_clear(struct world *w);
--- a/test/driver/ledger.c
+++ b/test/driver/ledger.c
@@ -8,12 +8,12 @@
 #include "config/section.h"
 
 /* One change in so many adds or takes away a service. */
-#define REMOVE_ONE_IN 8
+#define REMOVE_ODDS 8
 
 #define ROUTES 2
 
 static guint
-digest_key(gconstpointer key)
+digest_hash(gconstpointer key)
 {
 	guint h;
 
@@ -22,7 +22,7 @@
 }
 
 static gboolean
-digest_same(gconstpointer a, gconstpointer b)
+digest_equal(gconstpointer a, gconstpointer b)
 {
 	return hash_digest_equal(a, b);
 }
@@ -46,7 +46,7 @@
 	l = g_new0(struct ledger, 1);
 	l->versions = g_ptr_array_new_with_free_func(ledger_version_free);
 	l->objects = g_hash_table_new_full(
-	    digest_key, digest_same, g_free, (GDestroyNotify)g_bytes_unref);
+	    digest_hash, digest_equal, g_free, (GDestroyNotify)g_bytes_unref);
 	l->rng = g_rand_new_with_seed(seed);
 	l->services = services;
 	return l;
@@ -77,7 +77,7 @@
 
 /* Make a new content for a service and store it. */
 static void
-ledger_section(struct ledger *l, const char *service, struct digest *digest)
+ledger_add_section(struct ledger *l, const char *service, struct digest *digest)
 {
 	struct rec_section_route routes[ROUTES];
 	struct msg_section msg;
@@ -127,16 +127,16 @@
 {
 	const struct ledger_version *last;
 	struct ledger_version *v;
-	GArray *none;
+	GArray *empty;
 
 	last = ledger_last(l);
 	v = g_new0(struct ledger_version, 1);
 	v->version = l->versions->len + 1;
 	v->list = list;
 	v->signed_us = now_us;
-	none = g_array_new(FALSE, FALSE, sizeof(struct rec_section_ref));
-	v->changes = section_changes(last != NULL ? last->list : none, list);
-	g_array_unref(none);
+	empty = g_array_new(FALSE, FALSE, sizeof(struct rec_section_ref));
+	v->changes = section_changes(last != NULL ? last->list : empty, list);
+	g_array_unref(empty);
 	ledger_store(l, section_list_encode(list, NULL), &v->root);
 	g_ptr_array_add(l->versions, v);
 	l->head.seq++;
@@ -158,7 +158,7 @@
 	for (i = 0; i < l->services; i++) {
 		memset(&ref, 0, sizeof(ref));
 		ledger_service_name(i, ref.section, sizeof(ref.section));
-		ledger_section(l, ref.section, &ref.digest);
+		ledger_add_section(l, ref.section, &ref.digest);
 		g_array_append_val(list, ref);
 	}
 	return list;
@@ -183,10 +183,10 @@
 			g_array_index(list, struct rec_section_ref, i).section,
 			c.section) == 0;
 	if (present && list->len > 1 &&
-	    g_rand_int_range(l->rng, 0, REMOVE_ONE_IN) == 0)
+	    g_rand_int_range(l->rng, 0, REMOVE_ODDS) == 0)
 		c.removed = true;
 	else
-		ledger_section(l, c.section, &c.digest);
+		ledger_add_section(l, c.section, &c.digest);
 	changed = section_list_apply(list, &c, 1);
 	g_array_unref(list);
 	return changed;
@@ -221,19 +221,19 @@
 ledger_halt(struct ledger *l, uint64_t now_us)
 {
 	struct ledger_version *v;
-	uint64_t back;
+	uint64_t previous;
 
 	v = ledger_version(l, l->head.version);
 	v->halted_us = now_us;
-	back = v->version - 1;
-	while (back > 0 && ledger_version(l, back)->halted_us > 0)
-		back--;
+	previous = v->version - 1;
+	while (previous > 0 && ledger_version(l, previous)->halted_us > 0)
+		previous--;
 	l->head.seq++;
-	l->head.in_force = back;
+	l->head.in_force = previous;
 	l->head.state = HEAD_HALTED;
 	memset(&l->head.root, 0, sizeof(l->head.root));
-	if (back > 0)
-		l->head.root = ledger_version(l, back)->root;
+	if (previous > 0)
+		l->head.root = ledger_version(l, previous)->root;
 }
 
 struct ledger_version *
--- a/test/driver/links.c
+++ b/test/driver/links.c
@@ -9,19 +9,19 @@
 #include "tamper.h"
 
 /* A connection that carried nothing for so long was closed by the shell. */
-#define IDLE_US (60 * US_PER_S)
+#define IDLE_TIMEOUT_US (60 * US_PER_S)
 
 /* Segments without data that open and close a connection. */
-#define OPEN_SENT 2
-#define OPEN_RECEIVED 1
-#define CLOSE_EACH 2
+#define HANDSHAKE_SENT 2
+#define HANDSHAKE_RECEIVED 1
+#define CLOSE_SEGMENTS 2
 
 /* What the loss of a segment costs a connection. */
-#define RESEND_US (200 * US_PER_MS)
+#define RETRANSMIT_US (200 * US_PER_MS)
 
 /* A message on its way. */
 struct packet {
-	struct world *w;
+	struct world *world;
 	uint32_t from;
 	uint32_t to;
 	uint64_t conn;
@@ -30,7 +30,7 @@
 };
 
 /* News on its way that a connection broke. */
-struct broken {
+struct conn_reset {
 	struct node *node;
 	uint32_t generation;
 	struct net_addr peer;
@@ -58,7 +58,7 @@
 {
 	uint64_t us;
 
-	us = from == to ? w->config.near_us : w->config.far_us;
+	us = from == to ? w->config.local_delay_us : w->config.remote_delay_us;
 	if (w->config.jitter_us > 0)
 		us += g_rand_int(w->rng) % w->config.jitter_us;
 	return us;
@@ -81,7 +81,7 @@
 	struct packet *p;
 
 	p = g_new(struct packet, 1);
-	p->w = n->w;
+	p->world = n->world;
 	p->from = n->id;
 	p->to = to;
 	p->conn = conn;
@@ -91,67 +91,69 @@
 }
 
 static void
-packet_give(struct packet *p, struct node *n)
+packet_deliver(struct packet *p, struct node *n)
 {
 	const struct net_addr *from;
 	uint64_t now_ms;
 
-	from = &p->w->nodes[p->from].addr;
-	now_ms = world_now_ms(p->w);
+	from = &p->world->nodes[p->from].addr;
+	now_ms = world_now_ms(p->world);
 	if (membership_handles((uint8_t)p->type))
-		membership_receive(n->m, now_ms, from, p->conn,
+		membership_receive(n->membership, now_ms, from, p->conn,
 		    (uint8_t)p->type, p->body->data, p->body->len);
 	else if (p->conn == 0)
-		spread_on_datagram(n->s, now_ms, from, (uint8_t)p->type,
+		spread_on_datagram(n->spread, now_ms, from, (uint8_t)p->type,
 		    p->body->data, p->body->len);
 	else
-		spread_on_frame(n->s, now_ms, from, p->conn, (uint8_t)p->type,
-		    p->body->data, p->body->len);
-	world_pump(n);
+		spread_on_frame(n->spread, now_ms, from, p->conn,
+		    (uint8_t)p->type, p->body->data, p->body->len);
+	world_dispatch(n);
 }
 
 static void
-broken_give(void *arg)
+conn_reset_deliver(void *arg)
 {
-	struct broken *b;
+	struct conn_reset *b;
 	struct node *n;
 
 	b = arg;
 	n = b->node;
-	if (n->up && n->frozen_us > n->w->queue.now_us) {
-		queue_add(&n->w->queue, n->frozen_us, broken_give, b, g_free);
+	if (n->up && n->frozen_us > n->world->queue.now_us) {
+		queue_add(&n->world->queue, n->frozen_us, conn_reset_deliver, b,
+		    g_free);
 		return;
 	}
 	if (n->up && n->generation == b->generation) {
-		membership_unreachable(n->m, world_now_ms(n->w), &b->peer);
-		spread_on_closed(n->s, world_now_ms(n->w), &b->peer);
-		world_pump(n);
+		membership_unreachable(
+		    n->membership, world_now_ms(n->world), &b->peer);
+		spread_on_closed(n->spread, world_now_ms(n->world), &b->peer);
+		world_dispatch(n);
 	}
 	g_free(b);
 }
 
 /* Tell one end that its connection to the other is gone. */
 static void
-links_broke(struct node *n, const struct node *peer, uint64_t us)
+links_schedule_reset(struct node *n, const struct node *peer, uint64_t us)
 {
-	struct broken *b;
+	struct conn_reset *b;
 
-	if (!n->up || n->s == NULL)
+	if (!n->up || n->spread == NULL)
 		return;
-	b = g_new(struct broken, 1);
+	b = g_new(struct conn_reset, 1);
 	b->node = n;
 	b->generation = n->generation;
 	b->peer = peer->addr;
-	queue_add(
-	    &n->w->queue, n->w->queue.now_us + us, broken_give, b, g_free);
+	queue_add(&n->world->queue, n->world->queue.now_us + us,
+	    conn_reset_deliver, b, g_free);
 }
 
 static void
-links_forget(struct world *w, struct conn *c)
+links_remove(struct world *w, struct conn *c)
 {
 	uint64_t pair;
 
-	pair = (uint64_t)c->dialler << 32 | c->target;
+	pair = (uint64_t)c->initiator << 32 | c->acceptor;
 	if (g_hash_table_lookup(w->pairs, &pair) == c)
 		g_hash_table_remove(w->pairs, &pair);
 	g_hash_table_remove(w->conns, &c->id);
@@ -165,26 +167,27 @@
 	struct node *n;
 
 	p = arg;
-	n = &p->w->nodes[p->to];
-	if (n->up && n->frozen_us > p->w->queue.now_us) {
-		queue_add(
-		    &p->w->queue, n->frozen_us, packet_arrive, p, packet_free);
+	n = &p->world->nodes[p->to];
+	if (n->up && n->frozen_us > p->world->queue.now_us) {
+		queue_add(&p->world->queue, n->frozen_us, packet_arrive, p,
+		    packet_free);
 		return;
 	}
 	c = NULL;
 	if (p->conn != 0)
-		c = g_hash_table_lookup(p->w->conns, &p->conn);
-	if (n->up && n->s != NULL && (p->conn == 0 || c != NULL)) {
+		c = g_hash_table_lookup(p->world->conns, &p->conn);
+	if (n->up && n->spread != NULL && (p->conn == 0 || c != NULL)) {
 		if (p->conn != 0)
 			n->bytes.received[measure_class_of(p->type)] +=
 			    measure_frame_bytes(p->body->len);
 		else
 			n->bytes.received[measure_class_of(p->type)] +=
 			    measure_datagram_bytes(p->body->len);
-		packet_give(p, n);
+		packet_deliver(p, n);
 	} else if (c != NULL && !n->up) {
-		links_broke(&p->w->nodes[p->from], n, p->w->config.near_us);
-		links_forget(p->w, c);
+		links_schedule_reset(&p->world->nodes[p->from], n,
+		    p->world->config.local_delay_us);
+		links_remove(p->world, c);
 	}
 	packet_free(p);
 }
@@ -205,7 +208,7 @@
 }
 
 static int
-links_chance(struct world *w, double share)
+links_random(struct world *w, double share)
 {
 	return share > 0 && g_rand_double(w->rng) < share;
 }
@@ -217,18 +220,19 @@
 	struct node *to;
 	uint64_t us;
 
-	w = n->w;
+	w = n->world;
 	n->bytes.sent[measure_class_of((uint8_t)item->type)] +=
 	    measure_datagram_bytes(item->body->len);
 	to = links_find(w, &item->to);
-	if (to == NULL || world_is_cut(w, n->data_centre, to->data_centre) ||
-	    links_chance(w, w->config.loss))
+	if (to == NULL ||
+	    world_is_partitioned(w, n->data_centre, to->data_centre) ||
+	    links_random(w, w->config.loss_rate))
 		return;
 	us = links_delay_us(w, n->data_centre, to->data_centre);
-	if (links_chance(w, w->config.late))
-		us += w->config.late_us;
+	if (links_random(w, w->config.delayed_rate))
+		us += w->config.extra_delay_us;
 	links_queue(w, packet_new(n, to->id, 0, item), w->queue.now_us + us);
-	if (!links_chance(w, w->config.twice))
+	if (!links_random(w, w->config.duplicate_rate))
 		return;
 	us = links_delay_us(w, n->data_centre, to->data_centre);
 	links_queue(
@@ -236,52 +240,52 @@
 }
 
 static void
-links_count_open(struct node *n, struct node *to)
+links_count_handshake(struct node *n, struct node *to)
 {
-	n->bytes.sent[MEASURE_DIALS] +=
-	    (OPEN_SENT + CLOSE_EACH) * TCP_HEADER_BYTES;
-	n->bytes.received[MEASURE_DIALS] +=
-	    (OPEN_RECEIVED + CLOSE_EACH) * TCP_HEADER_BYTES;
-	to->bytes.sent[MEASURE_DIALS] +=
-	    (OPEN_RECEIVED + CLOSE_EACH) * TCP_HEADER_BYTES;
-	to->bytes.received[MEASURE_DIALS] +=
-	    (OPEN_SENT + CLOSE_EACH) * TCP_HEADER_BYTES;
+	n->bytes.sent[MEASURE_CONNECTIONS] +=
+	    (HANDSHAKE_SENT + CLOSE_SEGMENTS) * TCP_HEADER_BYTES;
+	n->bytes.received[MEASURE_CONNECTIONS] +=
+	    (HANDSHAKE_RECEIVED + CLOSE_SEGMENTS) * TCP_HEADER_BYTES;
+	to->bytes.sent[MEASURE_CONNECTIONS] +=
+	    (HANDSHAKE_RECEIVED + CLOSE_SEGMENTS) * TCP_HEADER_BYTES;
+	to->bytes.received[MEASURE_CONNECTIONS] +=
+	    (HANDSHAKE_SENT + CLOSE_SEGMENTS) * TCP_HEADER_BYTES;
 }
 
 /* The connection that a node dials to another one, made if there is none. */
 static struct conn *
-links_dial(struct node *n, struct node *to, int *fresh)
+links_connect(struct node *n, struct node *to, int *is_new)
 {
 	struct world *w;
 	struct conn *c;
 	uint64_t pair;
 
-	w = n->w;
-	*fresh = 0;
+	w = n->world;
+	*is_new = 0;
 	pair = (uint64_t)n->id << 32 | to->id;
 	c = g_hash_table_lookup(w->pairs, &pair);
-	if (c != NULL && w->queue.now_us - c->used_us < IDLE_US)
+	if (c != NULL && w->queue.now_us - c->last_used_us < IDLE_TIMEOUT_US)
 		return c;
 	if (c != NULL)
-		links_forget(w, c);
-	if (world_is_cut(w, n->data_centre, to->data_centre) ||
-	    world_is_cut(w, to->data_centre, n->data_centre))
+		links_remove(w, c);
+	if (world_is_partitioned(w, n->data_centre, to->data_centre) ||
+	    world_is_partitioned(w, to->data_centre, n->data_centre))
 		return NULL;
 	if (!to->up) {
-		links_broke(n, to,
+		links_schedule_reset(n, to,
 		    2 * links_delay_us(w, n->data_centre, to->data_centre));
 		return NULL;
 	}
-	*fresh = 1;
+	*is_new = 1;
 	c = g_new0(struct conn, 1);
 	c->id = w->next_conn++;
-	c->dialler = n->id;
-	c->target = to->id;
+	c->initiator = n->id;
+	c->acceptor = to->id;
 	c->generations[0] = n->generation;
 	c->generations[1] = to->generation;
 	g_hash_table_insert(w->conns, &c->id, c);
 	g_hash_table_insert(w->pairs, g_memdup2(&pair, sizeof(pair)), c);
-	links_count_open(n, to);
+	links_count_handshake(n, to);
 	return c;
 }
 
@@ -292,33 +296,33 @@
 	struct node *to;
 	struct conn *c;
 	uint64_t at_us;
-	int fresh, back;
+	int is_new, reverse;
 
-	w = n->w;
-	fresh = 0;
+	w = n->world;
+	is_new = 0;
 	c = NULL;
 	if (item->conn != 0)
 		c = g_hash_table_lookup(w->conns, &item->conn);
 	else if ((to = links_find(w, &item->to)) != NULL)
-		c = links_dial(n, to, &fresh);
+		c = links_connect(n, to, &is_new);
 	if (c == NULL)
 		return;
-	back = c->target == n->id;
-	to = &w->nodes[back ? c->dialler : c->target];
+	reverse = c->acceptor == n->id;
+	to = &w->nodes[reverse ? c->initiator : c->acceptor];
 	n->bytes.sent[measure_class_of((uint8_t)item->type)] +=
 	    measure_frame_bytes(item->body->len);
-	c->used_us = w->queue.now_us;
-	if (world_is_cut(w, n->data_centre, to->data_centre))
-		c->silent = 1;
-	if (c->silent)
+	c->last_used_us = w->queue.now_us;
+	if (world_is_partitioned(w, n->data_centre, to->data_centre))
+		c->stalled = 1;
+	if (c->stalled)
 		return;
 	at_us = w->queue.now_us;
-	at_us += (fresh ? 3 : 1) *
+	at_us += (is_new ? 3 : 1) *
 	    links_delay_us(w, n->data_centre, to->data_centre);
-	if (links_chance(w, w->config.loss))
-		at_us += RESEND_US;
-	at_us = MAX(at_us, c->last_us[back]);
-	c->last_us[back] = at_us;
+	if (links_random(w, w->config.loss_rate))
+		at_us += RETRANSMIT_US;
+	at_us = MAX(at_us, c->last_arrival_us[reverse]);
+	c->last_arrival_us[reverse] = at_us;
 	links_queue(w, packet_new(n, to->id, c->id, item), at_us);
 }
 
@@ -330,26 +334,26 @@
 	uint64_t pair;
 
 	if (item->conn != 0) {
-		c = g_hash_table_lookup(n->w->conns, &item->conn);
+		c = g_hash_table_lookup(n->world->conns, &item->conn);
 	} else {
-		to = links_find(n->w, &item->to);
+		to = links_find(n->world, &item->to);
 		if (to == NULL)
 			return;
 		pair = (uint64_t)n->id << 32 | to->id;
-		c = g_hash_table_lookup(n->w->pairs, &pair);
+		c = g_hash_table_lookup(n->world->pairs, &pair);
 	}
 	if (c != NULL)
-		links_forget(n->w, c);
+		links_remove(n->world, c);
 }
 
 void
 links_send(struct node *n, struct outbox_item *item)
 {
-	if (item->kind == OUTBOX_FRAME && preload_answer(n, item)) {
+	if (item->kind == OUTBOX_FRAME && preload_respond(n, item)) {
 		outbox_item_free(item);
 		return;
 	}
-	if (n->tamper == TAMPER_WHOLE && item->type == MSG_PULL)
+	if (n->tamper == TAMPER_FULL_PULL && item->type == MSG_PULL)
 		tamper_pull(item);
 	if (n->tamper != TAMPER_NONE && item->type == MSG_DELTA)
 		tamper_delta(n, item);
@@ -365,30 +369,32 @@
 }
 
 void
-links_died(struct node *n)
+links_reset_all(struct node *n)
 {
 	struct world *w;
 	struct node *other;
 	GHashTableIter it;
 	struct conn *c;
-	GPtrArray *gone;
+	GPtrArray *affected;
 	gpointer value;
 	uint32_t i;
 
-	w = n->w;
-	gone = g_ptr_array_new();
+	w = n->world;
+	affected = g_ptr_array_new();
 	g_hash_table_iter_init(&it, w->conns);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		c = value;
-		if (c->dialler == n->id || c->target == n->id)
-			g_ptr_array_add(gone, c);
+		if (c->initiator == n->id || c->acceptor == n->id)
+			g_ptr_array_add(affected, c);
 	}
-	for (i = 0; i < gone->len; i++) {
-		c = gone->pdata[i];
-		other = &w->nodes[c->target == n->id ? c->dialler : c->target];
-		if (!c->silent)
-			links_broke(other, n, w->config.near_us);
-		links_forget(w, c);
+	for (i = 0; i < affected->len; i++) {
+		c = affected->pdata[i];
+		other = &w->nodes[c->acceptor == n->id ? c->initiator
+						       : c->acceptor];
+		if (!c->stalled)
+			links_schedule_reset(
+			    other, n, w->config.local_delay_us);
+		links_remove(w, c);
 	}
-	g_ptr_array_unref(gone);
+	g_ptr_array_unref(affected);
 }
--- a/test/driver/links.h
+++ b/test/driver/links.h
@@ -9,21 +9,21 @@
 /**
  * struct conn - a connection
  * @id: its number
- * @dialler: node that dialled
- * @target: node that accepted
+ * @initiator: node that dialled
+ * @acceptor: node that accepted
  * @generations: processes at both ends
- * @silent: frames vanish
- * @used_us: when it last carried a frame
- * @last_us: when the last frame arrives, in each direction
+ * @stalled: frames vanish
+ * @last_used_us: when it last carried a frame
+ * @last_arrival_us: when the last frame arrives, in each direction
  */
 struct conn {
 	uint64_t id;
-	uint32_t dialler;
-	uint32_t target;
+	uint32_t initiator;
+	uint32_t acceptor;
 	uint32_t generations[2];
-	int silent;
-	uint64_t used_us;
-	uint64_t last_us[2];
+	int stalled;
+	uint64_t last_used_us;
+	uint64_t last_arrival_us[2];
 };
 
 /** links_init() - no connections */
@@ -35,8 +35,8 @@
 /** links_send() - send an item of a node's outbox; takes it over */
 void links_send(struct node *n, struct outbox_item *item);
 
-/** links_died() - a node's process was killed: its connections break */
-void links_died(struct node *n);
+/** links_reset_all() - a node's process was killed: its connections break */
+void links_reset_all(struct node *n);
 
 /** links_delay_us() - random one-way delay between two data centres */
 uint64_t links_delay_us(struct world *w, uint32_t from, uint32_t to);
--- a/test/driver/measure.c
+++ b/test/driver/measure.c
@@ -10,7 +10,7 @@
 void
 measure_init(struct measure *m)
 {
-	m->node_ms = g_new0(uint32_t, MEASURE_MS_MAX + 1);
+	m->apply_ms = g_new0(uint32_t, MEASURE_MS_MAX + 1);
 	m->n = 0;
 	m->version_us = g_array_new(FALSE, TRUE, sizeof(uint64_t));
 	m->from = 0;
@@ -19,20 +19,21 @@
 void
 measure_clear(struct measure *m)
 {
-	g_free(m->node_ms);
+	g_free(m->apply_ms);
 	g_array_unref(m->version_us);
 }
 
 void
 measure_reset(struct measure *m, uint64_t from)
 {
-	memset(m->node_ms, 0, sizeof(uint32_t) * (MEASURE_MS_MAX + 1));
+	memset(m->apply_ms, 0, sizeof(uint32_t) * (MEASURE_MS_MAX + 1));
 	m->n = 0;
 	m->from = from;
 }
 
 void
-measure_held(struct measure *m, uint64_t version, uint64_t now_us, uint64_t us)
+measure_applied(
+    struct measure *m, uint64_t version, uint64_t now_us, uint64_t us)
 {
 	uint64_t ms;
 
@@ -42,7 +43,7 @@
 	if (version < m->from)
 		return;
 	ms = us / 1000;
-	m->node_ms[MIN(ms, MEASURE_MS_MAX)]++;
+	m->apply_ms[MIN(ms, MEASURE_MS_MAX)]++;
 	m->n++;
 }
 
@@ -55,7 +56,7 @@
 	want = (uint64_t)(q * (double)m->n);
 	seen = 0;
 	for (ms = 0; ms < MEASURE_MS_MAX; ms++) {
-		seen += m->node_ms[ms];
+		seen += m->apply_ms[ms];
 		if (seen > want || (seen == m->n && seen > 0))
 			break;
 	}
--- a/test/driver/measure.h
+++ b/test/driver/measure.h
@@ -15,7 +15,7 @@
 	MEASURE_PULLS,
 	MEASURE_FLOORS,
 	MEASURE_PROGRESS,
-	MEASURE_DIALS,
+	MEASURE_CONNECTIONS,
 	MEASURE_SOURCE,
 	MEASURE_CLASSES,
 };
@@ -40,13 +40,13 @@
 
 /**
  * struct measure - convergence
- * @node_ms: how long a node took to hold a version, by milliseconds
+ * @apply_ms: how long a node took to hold a version, by milliseconds
  * @n: number of those
  * @version_us: when the last node held a version, by version
  * @from: first version that counts
  */
 struct measure {
-	uint32_t *node_ms;
+	uint32_t *apply_ms;
 	uint64_t n;
 	GArray *version_us;
 	uint64_t from;
@@ -61,9 +61,9 @@
 /** measure_reset() - count anew, from version @from on */
 void measure_reset(struct measure *m, uint64_t from);
 
-/** measure_held() - a node came to hold @version, @us after its sign-off */
-void
-measure_held(struct measure *m, uint64_t version, uint64_t now_us, uint64_t us);
+/** measure_applied() - a node came to hold @version, @us after its sign-off */
+void measure_applied(
+    struct measure *m, uint64_t version, uint64_t now_us, uint64_t us);
 
 /** measure_quantile_ms() - quantile @q of the nodes' times */
 uint32_t measure_quantile_ms(const struct measure *m, double q);
--- a/test/driver/naive.c
+++ b/test/driver/naive.c
@@ -8,8 +8,8 @@
 #include "links.h"
 
 #define REQUEST_BYTES (400 + TCP_HEADER_BYTES)
-#define ANSWER_BYTES (250 + TCP_HEADER_BYTES)
-#define READS 2
+#define RESPONSE_BYTES (250 + TCP_HEADER_BYTES)
+#define READS_PER_POLL 2
 
 /* A poll that is due, or its answer. */
 struct naive_poll {
@@ -21,7 +21,7 @@
 static void naive_poll(void *arg);
 
 static void
-naive_later(struct node *n, queue_fn *fn, uint64_t us, uint64_t version)
+naive_schedule(struct node *n, queue_fn *fn, uint64_t us, uint64_t version)
 {
 	struct naive_poll *p;
 
@@ -29,7 +29,7 @@
 	p->node = n;
 	p->generation = n->generation;
 	p->version = version;
-	queue_add(&n->w->queue, n->w->queue.now_us + us, fn, p, g_free);
+	queue_add(&n->world->queue, n->world->queue.now_us + us, fn, p, g_free);
 }
 
 static void
@@ -43,22 +43,22 @@
 	gsize len;
 
 	if (catalog_stage_begin_full(
-		n->c, v->version, &v->root, v->list, &stage) != STATUS_OK)
+		n->catalog, v->version, &v->root, v->list, &stage) != STATUS_OK)
 		return;
 	missing = catalog_stage_missing(stage, 0);
 	for (i = 0; i < missing->len; i++) {
-		object = ledger_object(
-		    n->w->ledger, &g_array_index(missing, struct digest, i));
+		object = ledger_object(n->world->ledger,
+		    &g_array_index(missing, struct digest, i));
 		data = g_bytes_get_data(object, &len);
 		(void)catalog_stage_add(stage, data, len);
 	}
 	g_array_unref(missing);
-	(void)catalog_commit(n->c, stage);
+	(void)catalog_commit(n->catalog, stage);
 	catalog_stage_free(stage);
 }
 
 static void
-naive_take(void *arg)
+naive_on_response(void *arg)
 {
 	const struct ledger_version *v;
 	struct naive_poll *p;
@@ -66,13 +66,13 @@
 
 	p = arg;
 	n = p->node;
-	v = ledger_version(n->w->ledger, p->version);
+	v = ledger_version(n->world->ledger, p->version);
 	if (n->up && n->generation == p->generation && v != NULL) {
 		n->bytes.received[MEASURE_SOURCE] +=
-		    ANSWER_BYTES + ledger_bundle_bytes(n->w->ledger, v);
-		if (v->version > catalog_version(n->c))
+		    RESPONSE_BYTES + ledger_bundle_bytes(n->world->ledger, v);
+		if (v->version > catalog_version(n->catalog))
 			naive_apply(n, v);
-		world_pump(n);
+		world_dispatch(n);
 	}
 	g_free(p);
 }
@@ -87,20 +87,20 @@
 
 	p = arg;
 	n = p->node;
-	w = n->w;
+	w = n->world;
 	if (!n->up || n->generation != p->generation) {
 		g_free(p);
 		return;
 	}
 	ms = w->config.naive_poll_ms;
-	naive_later(
+	naive_schedule(
 	    n, naive_poll, US_PER_MS * (ms / 2 + g_rand_int(w->rng) % ms), 0);
-	n->bytes.sent[MEASURE_SOURCE] += READS * REQUEST_BYTES;
-	n->bytes.received[MEASURE_SOURCE] += ANSWER_BYTES;
-	if (!world_is_cut(w, n->data_centre, world_platform(w)) &&
-	    platform_admit(w, READS))
-		naive_later(n, naive_take, w->platform.delay_ms * US_PER_MS,
-		    w->ledger->head.in_force);
+	n->bytes.sent[MEASURE_SOURCE] += READS_PER_POLL * REQUEST_BYTES;
+	n->bytes.received[MEASURE_SOURCE] += RESPONSE_BYTES;
+	if (!world_is_partitioned(w, n->data_centre, world_platform_index(w)) &&
+	    platform_admit(w, READS_PER_POLL))
+		naive_schedule(n, naive_on_response,
+		    w->platform.delay_ms * US_PER_MS, w->ledger->head.in_force);
 	g_free(p);
 }
 
@@ -109,6 +109,7 @@
 {
 	uint32_t ms;
 
-	ms = n->w->config.naive_poll_ms;
-	naive_later(n, naive_poll, US_PER_MS * (g_rand_int(n->w->rng) % ms), 0);
+	ms = n->world->config.naive_poll_ms;
+	naive_schedule(
+	    n, naive_poll, US_PER_MS * (g_rand_int(n->world->rng) % ms), 0);
 }
--- a/test/driver/node.c
+++ b/test/driver/node.c
@@ -33,11 +33,11 @@
 	if (n->up && n->generation == t->generation &&
 	    n->timer_us == t->at_us) {
 		n->timer_us = UINT64_MAX;
-		if (n->frozen_us <= n->w->queue.now_us) {
-			membership_tick(n->m, world_now_ms(n->w));
-			spread_tick(n->s, world_now_ms(n->w));
+		if (n->frozen_us <= n->world->queue.now_us) {
+			membership_tick(n->membership, world_now_ms(n->world));
+			spread_tick(n->spread, world_now_ms(n->world));
 		}
-		world_pump(n);
+		world_dispatch(n);
 	}
 	g_free(t);
 }
@@ -48,9 +48,9 @@
 	struct node_tick *t;
 	uint64_t ms, us;
 
-	ms = MIN(membership_next_ms(n->m), spread_next_ms(n->s));
+	ms = MIN(membership_next_ms(n->membership), spread_next_ms(n->spread));
 	us = ms > UINT64_MAX / US_PER_MS ? UINT64_MAX : ms * US_PER_MS;
-	us = MAX(us, MAX(n->frozen_us, n->w->queue.now_us));
+	us = MAX(us, MAX(n->frozen_us, n->world->queue.now_us));
 	if (us >= n->timer_us)
 		return;
 	n->timer_us = us;
@@ -58,7 +58,7 @@
 	t->node = n;
 	t->generation = n->generation;
 	t->at_us = us;
-	queue_add(&n->w->queue, us, node_tick, t, g_free);
+	queue_add(&n->world->queue, us, node_tick, t, g_free);
 }
 
 static void
@@ -68,15 +68,15 @@
 
 	if (n->endpoints == NULL)
 		return;
-	s = snapshot_compile(n->c, n->endpoints);
-	checker_snapshot(n->w->checker, n->host, n->c, s);
+	s = snapshot_compile(n->catalog, n->endpoints);
+	checker_snapshot(n->world->checker, n->host, n->catalog, s);
 	snapshot_unref(n->snapshot);
 	n->snapshot = s;
 }
 
 /* Endpoints that membership knows of a host, as the daemon's shell does it. */
 static void
-node_take_member(struct node *n, const char *host)
+node_update_endpoints(struct node *n, const char *host)
 {
 	struct endpoint list[MEMBER_ENDPOINTS_MAX];
 	const struct member *m;
@@ -86,7 +86,7 @@
 		return;
 	memset(list, 0, sizeof(list));
 	count = 0;
-	m = membership_find(n->m, host);
+	m = membership_find(n->membership, host);
 	for (i = 0; m != NULL && member_is_live(m) && i < m->n_endpoints; i++) {
 		if (m->endpoints[i].state == ENDPOINT_LEFT)
 			continue;
@@ -109,27 +109,28 @@
 	struct world *w;
 	uint64_t i;
 
-	w = n->w;
-	checker_applied(w->checker, w->queue.now_us, n->host, n->c, n->ready);
+	w = n->world;
+	checker_applied(
+	    w->checker, w->queue.now_us, n->host, n->catalog, n->ready);
 	if (w->config.check)
-		checker_content(w->checker, n->host, n->c);
+		checker_content(w->checker, n->host, n->catalog);
 	node_compile(n);
-	for (i = n->version + 1; i <= catalog_version(n->c); i++) {
+	for (i = n->version + 1; i <= catalog_version(n->catalog); i++) {
 		v = ledger_version(w->ledger, i);
 		if (v != NULL && v->halted_us == 0)
-			measure_held(&w->measure, i, w->queue.now_us,
+			measure_applied(&w->measure, i, w->queue.now_us,
 			    w->queue.now_us - v->signed_us);
 	}
-	n->version = catalog_version(n->c);
+	n->version = catalog_version(n->catalog);
 }
 
 static void
-node_membership(struct node *n, const struct membership_action *a)
+node_on_membership(struct node *n, const struct membership_action *a)
 {
 	struct rec_head head;
 
 	if (a->kind == MEMBERSHIP_CHANGED)
-		node_take_member(n, a->host);
+		node_update_endpoints(n, a->host);
 	if (a->kind != MEMBERSHIP_PEER_HEAD || a->head.seq == 0)
 		return;
 	memset(&head, 0, sizeof(head));
@@ -137,17 +138,18 @@
 	head.version = a->head.version;
 	head.in_force = a->head.in_force;
 	head.state = a->head.state == HEAD_HALTED ? HEAD_HALTED : HEAD_ROLLING;
-	spread_on_gossip_head(n->s, world_now_ms(n->w), &a->addr, &head);
+	spread_on_gossip_head(
+	    n->spread, world_now_ms(n->world), &a->addr, &head);
 }
 
 static void
-node_act(struct node *n, const struct spread_action *a)
+node_execute(struct node *n, const struct spread_action *a)
 {
 	switch (a->kind) {
 	case SPREAD_READ_HEAD:
 	case SPREAD_READ_VERSIONS:
 	case SPREAD_READ_OBJECT:
-		if (n->w->config.follow)
+		if (n->world->config.follow)
 			follow_read(n, a);
 		else
 			platform_read(n, a);
@@ -156,12 +158,13 @@
 		node_applied(n);
 		break;
 	case SPREAD_PROBE_HEAD:
-		if (n->w->config.follow)
+		if (n->world->config.follow)
 			follow_read(n, a);
 		break;
 	case SPREAD_READY:
 		n->ready = 1;
-		checker_ready(n->w->checker, n->host, catalog_version(n->c));
+		checker_ready(
+		    n->world->checker, n->host, catalog_version(n->catalog));
 		break;
 	case SPREAD_PEER_TIMED_OUT:
 	case SPREAD_PEER_BANNED:
@@ -173,38 +176,38 @@
 }
 
 void
-world_pump(struct node *n)
+world_dispatch(struct node *n)
 {
 	struct membership_action ma;
 	struct spread_action sa;
 	struct outbox_item *item;
 
-	if (n->w->config.kind == WORLD_NAIVE) {
-		if (catalog_version(n->c) > n->version)
+	if (n->world->config.kind == WORLD_NAIVE) {
+		if (catalog_version(n->catalog) > n->version)
 			node_applied(n);
 		n->ready = n->version > 0;
 		return;
 	}
-	while (membership_pop(n->m, &ma))
-		node_membership(n, &ma);
-	while (spread_pop(n->s, &sa))
-		node_act(n, &sa);
-	while ((item = outbox_pop(n->m_out)) != NULL)
+	while (membership_pop(n->membership, &ma))
+		node_on_membership(n, &ma);
+	while (spread_pop(n->spread, &sa))
+		node_execute(n, &sa);
+	while ((item = outbox_pop(n->membership_out)) != NULL)
 		links_send(n, item);
-	while ((item = outbox_pop(spread_outbox(n->s))) != NULL)
+	while ((item = outbox_pop(spread_outbox(n->spread))) != NULL)
 		links_send(n, item);
 	node_schedule(n);
 }
 
 static void
-node_join(struct node *n, uint64_t seed)
+node_create_membership(struct node *n, uint64_t seed)
 {
 	struct net_addr seeds[SEED_DATA_CENTRES * SEEDS_EACH];
 	struct membership_settings s;
 	struct world *w;
 	uint32_t i, j;
 
-	w = n->w;
+	w = n->world;
 	membership_settings_init(&s);
 	g_strlcpy(s.host, n->host, sizeof(s.host));
 	g_snprintf(
@@ -220,23 +223,24 @@
 	for (i = 0; i < MIN(SEED_DATA_CENTRES, w->config.data_centres); i++)
 		for (j = 0; j < MIN(SEEDS_EACH, w->config.nodes); j++)
 			seeds[s.n_seeds++] =
-			    w->nodes[world_index(w, i, j)].addr;
-	n->m_out = outbox_new();
-	n->m = membership_new(
-	    &s, world_now_ms(w), world_now_ms(w), seed, n->m_out);
+			    w->nodes[world_node_index(w, i, j)].addr;
+	n->membership_out = outbox_new();
+	n->membership = membership_new(
+	    &s, world_now_ms(w), world_now_ms(w), seed, n->membership_out);
 }
 
 static void
-node_spread(struct node *n, uint64_t seed)
+node_create_spread(struct node *n, uint64_t seed)
 {
 	struct spread_config config;
 
-	config.profile = n->w->config.profile;
+	config.profile = n->world->config.profile;
 	config.host = n->host;
-	config.data_centre = membership_self(n->m)->data_centre;
+	config.data_centre = membership_self(n->membership)->data_centre;
 	config.seed = seed;
-	n->s = spread_new(&config, n->m, n->c, world_now_ms(n->w));
-	if (n->w->config.follow)
+	n->spread = spread_new(
+	    &config, n->membership, n->catalog, world_now_ms(n->world));
+	if (n->world->config.follow)
 		follow_start(n);
 }
 
@@ -255,7 +259,7 @@
 	n->frozen_us = 0;
 	n->version = 0;
 	n->ready = 0;
-	n->c = catalog_new(0);
+	n->catalog = catalog_new(0);
 	checker_started(w->checker, n->host);
 	if (w->config.kind == WORLD_NAIVE) {
 		naive_start(n);
@@ -264,9 +268,9 @@
 	if (w->config.check)
 		n->endpoints = endpoint_set_new();
 	seed = (uint64_t)g_rand_int(w->rng) << 32 | g_rand_int(w->rng);
-	node_join(n, seed);
-	node_spread(n, seed + 1);
-	world_pump(n);
+	node_create_membership(n, seed);
+	node_create_spread(n, seed + 1);
+	world_dispatch(n);
 }
 
 void
@@ -278,19 +282,19 @@
 	if (!n->up)
 		return;
 	n->up = 0;
-	links_died(n);
-	spread_free(n->s);
-	membership_free(n->m);
-	outbox_free(n->m_out);
+	links_reset_all(n);
+	spread_free(n->spread);
+	membership_free(n->membership);
+	outbox_free(n->membership_out);
 	snapshot_unref(n->snapshot);
 	endpoint_set_free(n->endpoints);
-	catalog_free(n->c);
-	n->s = NULL;
-	n->m = NULL;
-	n->m_out = NULL;
+	catalog_free(n->catalog);
+	n->spread = NULL;
+	n->membership = NULL;
+	n->membership_out = NULL;
 	n->snapshot = NULL;
 	n->endpoints = NULL;
-	n->c = NULL;
+	n->catalog = NULL;
 }
 
 void
--- a/test/driver/platform.h
+++ b/test/driver/platform.h
@@ -19,10 +19,10 @@
  * @reads_per_s: reads allowed, above which it throttles
  * @budget: reads left
  * @reads: reads that came in
- * @refused: reads that failed or were throttled
+ * @rejected: reads that failed or were throttled
  * @second: the second that is counted
- * @in_second: reads in it
- * @peak: most reads in one second
+ * @reads_in_second: reads in it
+ * @peak_reads_per_s: most reads in one second
  */
 struct platform {
 	int outage;
@@ -30,17 +30,18 @@
 	uint32_t reads_per_s;
 	struct budget budget;
 	uint64_t reads;
-	uint64_t refused;
+	uint64_t rejected;
 	uint64_t second;
-	uint64_t in_second;
-	uint64_t peak;
+	uint64_t reads_in_second;
+	uint64_t peak_reads_per_s;
 };
 
 /** platform_init() - up, answering in 5 ms, 2,000 reads a second */
 void platform_init(struct platform *p);
 
-/** platform_limit() - allow another number of reads a second */
-void platform_limit(struct platform *p, uint64_t now_ms, uint32_t reads_per_s);
+/** platform_set_limit() - allow another number of reads a second */
+void
+platform_set_limit(struct platform *p, uint64_t now_ms, uint32_t reads_per_s);
 
 /** platform_reset() - start counting anew */
 void platform_reset(struct platform *p);
--- a/test/driver/preload.c
+++ b/test/driver/preload.c
@@ -20,7 +20,7 @@
 {
 	const struct member *m;
 
-	m = membership_self(n->m);
+	m = membership_self(n->membership);
 	g_strlcpy(row->host, m->host, sizeof(row->host));
 	g_strlcpy(row->data_centre, m->data_centre, sizeof(row->data_centre));
 	row->ip = m->address.ip;
@@ -32,7 +32,7 @@
 }
 
 void
-preload_make(struct world *w)
+preload_record(struct world *w)
 {
 	struct msg_join_table msg;
 	struct rec_member *rows;
@@ -68,7 +68,7 @@
 }
 
 static void
-preload_give(void *arg)
+preload_deliver(void *arg)
 {
 	struct preload_part *p;
 	struct node *n;
@@ -76,21 +76,21 @@
 	p = arg;
 	n = p->node;
 	if (n->up) {
-		membership_receive(n->m, world_now_ms(n->w), &p->from, 1,
-		    MSG_JOIN_TABLE, p->body->data, p->body->len);
-		world_pump(n);
+		membership_receive(n->membership, world_now_ms(n->world),
+		    &p->from, 1, MSG_JOIN_TABLE, p->body->data, p->body->len);
+		world_dispatch(n);
 	}
 	g_byte_array_unref(p->body);
 	g_free(p);
 }
 
 int
-preload_answer(struct node *n, const struct outbox_item *item)
+preload_respond(struct node *n, const struct outbox_item *item)
 {
 	struct preload_part *p;
 	struct msg_join msg;
 
-	if (n->w->preload == NULL || item->type != MSG_JOIN ||
+	if (n->world->preload == NULL || item->type != MSG_JOIN ||
 	    msg_join_decode(item->body->data, item->body->len, &msg) !=
 		STATUS_OK)
 		return 0;
@@ -98,9 +98,9 @@
 	p->node = n;
 	p->from = item->to;
 	p->body = g_byte_array_ref(
-	    n->w->preload->pdata[msg.cursor % n->w->preload->len]);
-	queue_add(&n->w->queue, n->w->queue.now_us + US_PER_MS, preload_give, p,
-	    NULL);
+	    n->world->preload->pdata[msg.cursor % n->world->preload->len]);
+	queue_add(&n->world->queue, n->world->queue.now_us + US_PER_MS,
+	    preload_deliver, p, NULL);
 	msg_join_clear(&msg);
 	return 1;
 }
--- a/test/driver/preload.h
+++ b/test/driver/preload.h
@@ -7,13 +7,13 @@
 
 #include "world.h"
 
-/** preload_make() - take down the records of all nodes that are up */
-void preload_make(struct world *w);
+/** preload_record() - take down the records of all nodes that are up */
+void preload_record(struct world *w);
 
 /** preload_clear() - from now on nodes join as usual */
 void preload_clear(struct world *w);
 
-/** preload_answer() - answer a node's join; 0 if there is no preload */
-int preload_answer(struct node *n, const struct outbox_item *item);
+/** preload_respond() - answer a node's join; 0 if there is no preload */
+int preload_respond(struct node *n, const struct outbox_item *item);
 
 #endif
--- a/test/driver/queue.c
+++ b/test/driver/queue.c
@@ -21,14 +21,14 @@
 
 	for (i = 0; i < q->items->len; i++) {
 		item = ITEM(q, i);
-		if (item->drop != NULL)
-			item->drop(item->arg);
+		if (item->free_arg != NULL)
+			item->free_arg(item->arg);
 	}
 	g_array_unref(q->items);
 }
 
 static int
-queue_before(const struct queue *q, uint32_t a, uint32_t b)
+queue_is_before(const struct queue *q, uint32_t a, uint32_t b)
 {
 	const struct queue_item *x, *y;
 
@@ -51,7 +51,7 @@
 
 void
 queue_add(struct queue *q, uint64_t at_us, queue_fn *fn, void *arg,
-    GDestroyNotify drop)
+    GDestroyNotify free_arg)
 {
 	struct queue_item item;
 	uint32_t i;
@@ -60,26 +60,26 @@
 	item.order = q->order++;
 	item.fn = fn;
 	item.arg = arg;
-	item.drop = drop;
+	item.free_arg = free_arg;
 	g_array_append_val(q->items, item);
 	for (i = q->items->len - 1; i > 0; i = (i - 1) / 2) {
-		if (!queue_before(q, i, (i - 1) / 2))
+		if (!queue_is_before(q, i, (i - 1) / 2))
 			break;
 		queue_swap(q, i, (i - 1) / 2);
 	}
 }
 
 static void
-queue_sink(struct queue *q)
+queue_sift_down(struct queue *q)
 {
 	uint32_t i, child;
 
 	for (i = 0; 2 * i + 1 < q->items->len; i = child) {
 		child = 2 * i + 1;
 		if (child + 1 < q->items->len &&
-		    queue_before(q, child + 1, child))
+		    queue_is_before(q, child + 1, child))
 			child++;
-		if (!queue_before(q, child, i))
+		if (!queue_is_before(q, child, i))
 			break;
 		queue_swap(q, child, i);
 	}
@@ -96,7 +96,7 @@
 	}
 	item = *ITEM(q, 0);
 	g_array_remove_index_fast(q->items, 0);
-	queue_sink(q);
+	queue_sift_down(q);
 	q->now_us = item.at_us;
 	item.fn(item.arg);
 	return 1;
--- a/test/driver/queue.h
+++ b/test/driver/queue.h
@@ -17,14 +17,14 @@
  * @order: items of the same time happen in this order
  * @fn: what
  * @arg: argument
- * @drop: frees @arg if the queue is freed first
+ * @free_arg: frees @arg if the queue is freed first
  */
 struct queue_item {
 	uint64_t at_us;
 	uint64_t order;
 	queue_fn *fn;
 	void *arg;
-	GDestroyNotify drop;
+	GDestroyNotify free_arg;
 };
 
 /**
@@ -47,7 +47,7 @@
 
 /** queue_add() - have @fn called at @at_us, or now if that is past */
 void queue_add(struct queue *q, uint64_t at_us, queue_fn *fn, void *arg,
-    GDestroyNotify drop);
+    GDestroyNotify free_arg);
 
 /**
  * queue_step() - let the next item happen
--- a/test/driver/scenario.c
+++ b/test/driver/scenario.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 
 struct world *
-scenario_up(const struct world_config *config)
+scenario_start(const struct world_config *config)
 {
 	struct world *w;
 
 	w = world_new(config);
-	ck_assert_msg(world_warm(w, SCENARIO_WARM_MS),
+	ck_assert_msg(world_start_all(w, SCENARIO_START_MS),
 	    "seed %" G_GUINT64_FORMAT ": not all nodes came up", config->seed);
 	return w;
 }
@@ -23,11 +23,11 @@
 	struct world_config config;
 
 	world_config_init(&config, seed);
-	return scenario_up(&config);
+	return scenario_start(&config);
 }
 
 static const struct node *
-scenario_behind(const struct world *w)
+find_lagging_node(const struct world *w)
 {
 	const struct node *n;
 	uint32_t i;
@@ -42,28 +42,29 @@
 }
 
 void
-scenario_end(struct world *w)
+scenario_finish(struct world *w)
 {
-	const struct node *behind;
+	const struct node *lagging;
 	uint32_t i;
 
-	if (!world_run_until_even(w, SCENARIO_EVEN_MS)) {
-		behind = scenario_behind(w);
+	if (!world_run_until_converged(w, SCENARIO_CONVERGENCE_MS)) {
+		lagging = find_lagging_node(w);
 		ck_abort_msg("seed %" G_GUINT64_FORMAT
 			     ": %s holds %" G_GUINT64_FORMAT
 			     ", floor %" G_GUINT64_FORMAT
 			     ", ready %d, in force %" G_GUINT64_FORMAT,
-		    w->config.seed, behind->host, behind->version,
-		    behind->s != NULL ? spread_floor(behind->s) : 0,
-		    behind->ready, w->ledger->head.in_force);
+		    w->config.seed, lagging->host, lagging->version,
+		    lagging->spread != NULL ? spread_floor(lagging->spread) : 0,
+		    lagging->ready, w->ledger->head.in_force);
 	}
 	for (i = 0; i < w->n_nodes; i++)
 		if (w->nodes[i].up)
 			checker_final(
 			    w->checker, w->nodes[i].host, w->nodes[i].version);
-	ck_assert_msg(checker_count(w->checker) == 0,
+	ck_assert_msg(checker_n_violations(w->checker) == 0,
 	    "seed %" G_GUINT64_FORMAT ": %u violations: %s", w->config.seed,
-	    checker_count(w->checker), checker_first(w->checker));
+	    checker_n_violations(w->checker),
+	    checker_first_violation(w->checker));
 	world_free(w);
 }
 
--- a/test/driver/scenario.h
+++ b/test/driver/scenario.h
@@ -9,8 +9,8 @@
 #include "world.h"
 
 /* Longest time for a small world to come up, and to become even again. */
-#define SCENARIO_WARM_MS 60000
-#define SCENARIO_EVEN_MS 60000
+#define SCENARIO_START_MS 60000
+#define SCENARIO_CONVERGENCE_MS 60000
 
 /* Seeds that a scenario is run with. */
 #define SCENARIO_SEEDS 6
@@ -18,13 +18,14 @@
 /** scenario_new() - a small world in which all nodes are up */
 struct world *scenario_new(uint64_t seed);
 
-/** scenario_up() - a world of a given make in which all nodes are up */
-struct world *scenario_up(const struct world_config *config);
+/** scenario_start() - a world of a given make in which all nodes are up */
+struct world *scenario_start(const struct world_config *config);
 
 /**
- * scenario_end() - all nodes become even, nothing was violated; free the world
+ * scenario_finish() - all nodes become even, nothing was violated; free the
+ * world
  */
-void scenario_end(struct world *w);
+void scenario_finish(struct world *w);
 
 /** scenario_roll() - sign-offs by random live nodes, every @every_ms for @ms */
 void scenario_roll(struct world *w, uint64_t ms, uint64_t every_ms);
--- a/test/driver/tamper.c
+++ b/test/driver/tamper.c
@@ -6,7 +6,8 @@
 #include <string.h>
 
 static void
-tamper_content(struct rec_section_data *sections, uint32_t n, GBytes **keep)
+tamper_content(
+    struct rec_section_data *sections, uint32_t n, GBytes **replacement)
 {
 	uint8_t *copy;
 
@@ -14,7 +15,7 @@
 		return;
 	copy = g_memdup2(sections[0].data, sections[0].data_len);
 	copy[sections[0].data_len / 2] ^= 0x10;
-	*keep = g_bytes_new_take(copy, sections[0].data_len);
+	*replacement = g_bytes_new_take(copy, sections[0].data_len);
 	sections[0].data = copy;
 }
 
@@ -27,7 +28,7 @@
 		msg->root.bytes[0] ^= 1;
 	if (msg->n_changes == 0)
 		return;
-	if (n->tamper == TAMPER_DROP)
+	if (n->tamper == TAMPER_OMIT)
 		msg->n_changes--;
 	if (n->tamper == TAMPER_DIGEST)
 		msg->changes[0].digest.bytes[5] ^= 1;
@@ -47,7 +48,7 @@
 }
 
 static void
-tamper_cut(struct outbox_item *item)
+tamper_truncate(struct outbox_item *item)
 {
 	if (item->body->len > 1)
 		g_byte_array_set_size(item->body, item->body->len / 2);
@@ -71,18 +72,18 @@
 {
 	struct msg_delta msg;
 	GByteArray *body;
-	GBytes *keep;
+	GBytes *replacement;
 
-	if (n->tamper == TAMPER_BYTES) {
-		tamper_cut(item);
+	if (n->tamper == TAMPER_TRUNCATE) {
+		tamper_truncate(item);
 		return;
 	}
-	keep = NULL;
+	replacement = NULL;
 	if (msg_delta_decode(item->body->data, item->body->len, &msg) !=
 	    STATUS_OK)
 		return;
 	if (n->tamper == TAMPER_CONTENT)
-		tamper_content(msg.sections, msg.n_sections, &keep);
+		tamper_content(msg.sections, msg.n_sections, &replacement);
 	else
 		tamper_changes(n, &msg);
 	body = g_byte_array_new();
@@ -90,8 +91,8 @@
 	msg_delta_clear(&msg);
 	g_byte_array_unref(item->body);
 	item->body = body;
-	if (keep != NULL)
-		g_bytes_unref(keep);
+	if (replacement != NULL)
+		g_bytes_unref(replacement);
 }
 
 void
@@ -99,22 +100,22 @@
 {
 	struct msg_sections msg;
 	GByteArray *body;
-	GBytes *keep;
+	GBytes *replacement;
 
-	if (n->tamper == TAMPER_BYTES)
-		tamper_cut(item);
+	if (n->tamper == TAMPER_TRUNCATE)
+		tamper_truncate(item);
 	if (n->tamper != TAMPER_CONTENT)
 		return;
-	keep = NULL;
+	replacement = NULL;
 	if (msg_sections_decode(item->body->data, item->body->len, &msg) !=
 	    STATUS_OK)
 		return;
-	tamper_content(msg.sections, msg.n_sections, &keep);
+	tamper_content(msg.sections, msg.n_sections, &replacement);
 	body = g_byte_array_new();
 	msg_sections_encode(&msg, body);
 	msg_sections_clear(&msg);
 	g_byte_array_unref(item->body);
 	item->body = body;
-	if (keep != NULL)
-		g_bytes_unref(keep);
+	if (replacement != NULL)
+		g_bytes_unref(replacement);
 }
--- a/test/driver/test_checker.c
+++ b/test/driver/test_checker.c
@@ -7,52 +7,53 @@
 #include "scenario.h"
 
 static void
-caught(struct world *w, const char *what)
+assert_violation(struct world *w, const char *what)
 {
-	ck_assert_msg(checker_count(w->checker) > 0, "nothing was caught");
-	ck_assert_msg(strstr(checker_first(w->checker), what) != NULL, "%s",
-	    checker_first(w->checker));
+	ck_assert_msg(
+	    checker_n_violations(w->checker) > 0, "nothing was caught");
+	ck_assert_msg(strstr(checker_first_violation(w->checker), what) != NULL,
+	    "%s", checker_first_violation(w->checker));
 	world_free(w);
 }
 
-START_TEST(test_clean)
+START_TEST(test_no_violation)
 {
 	struct world *w;
 
 	w = scenario_new((uint64_t)_i + 1);
 	scenario_roll(w, 3000, 500);
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
-START_TEST(test_backwards)
+START_TEST(test_version_decreases)
 {
 	struct world *w;
 
 	w = scenario_new(1);
 	world_sign(w, 0, 1);
-	ck_assert(world_run_until_even(w, 5000));
-	checker_applied(
-	    w->checker, w->queue.now_us, "host-00-0001", w->nodes[1].c, 1);
-	caught(w, "went from version");
+	ck_assert(world_run_until_converged(w, 5000));
+	checker_applied(w->checker, w->queue.now_us, "host-00-0001",
+	    w->nodes[1].catalog, 1);
+	assert_violation(w, "went from version");
 }
 END_TEST
 
-START_TEST(test_backwards_after_restart)
+START_TEST(test_version_decreases_after_restart)
 {
 	struct world *w;
 
 	w = scenario_new(1);
 	world_sign(w, 0, 1);
-	ck_assert(world_run_until_even(w, 5000));
+	ck_assert(world_run_until_converged(w, 5000));
 	checker_started(w->checker, "host-00-0001");
 	checker_ready(w->checker, "host-00-0001", 1);
-	caught(w, "after it held");
+	assert_violation(w, "after it held");
 }
 END_TEST
 
 /* A node holds the version's number with another version's content. */
-START_TEST(test_in_part)
+START_TEST(test_partial_version)
 {
 	struct catalog_stage *stage;
 	const struct ledger_version *v;
@@ -82,18 +83,18 @@
 	catalog_stage_free(stage);
 	checker_content(w->checker, "host-00-0000", c);
 	catalog_free(c);
-	caught(w, "in part");
+	assert_violation(w, "in part");
 }
 END_TEST
 
-START_TEST(test_never_signed)
+START_TEST(test_version_never_signed_off)
 {
 	struct world *w;
 
 	w = scenario_new(1);
 	g_ptr_array_set_size(w->ledger->versions, 0);
-	checker_content(w->checker, "host-00-0000", w->nodes[0].c);
-	caught(w, "never signed off");
+	checker_content(w->checker, "host-00-0000", w->nodes[0].catalog);
+	assert_violation(w, "never signed off");
 }
 END_TEST
 
@@ -107,46 +108,46 @@
 	s = w->nodes[0].snapshot;
 	ck_assert_uint_gt(s->n_services, 1);
 	s->n_services--;
-	checker_snapshot(w->checker, "host-00-0000", w->nodes[0].c, s);
+	checker_snapshot(w->checker, "host-00-0000", w->nodes[0].catalog, s);
 	s->n_services++;
-	ck_assert_uint_gt(checker_count(w->checker), 0);
+	ck_assert_uint_gt(checker_n_violations(w->checker), 0);
 	world_free(w);
 }
 END_TEST
 
-START_TEST(test_halted_taken_up)
+START_TEST(test_halted_version_applied)
 {
 	struct world *w;
 
 	w = scenario_new(1);
 	world_sign(w, 0, 1);
-	ck_assert(world_run_until_even(w, 5000));
+	ck_assert(world_run_until_converged(w, 5000));
 	world_halt(w, 0);
 	world_run(w, 10000);
-	checker_applied(
-	    w->checker, w->queue.now_us, "another-host", w->nodes[1].c, 1);
-	caught(w, "long after it was halted");
+	checker_applied(w->checker, w->queue.now_us, "another-host",
+	    w->nodes[1].catalog, 1);
+	assert_violation(w, "long after it was halted");
 }
 END_TEST
 
-START_TEST(test_left_behind)
+START_TEST(test_outdated_at_the_end)
 {
 	struct world *w;
 
 	w = scenario_new(1);
-	world_sign(w, WORLD_NOBODY, 1);
+	world_sign(w, WORLD_NO_NODE, 1);
 	checker_final(w->checker, "host-00-0000", 1);
-	caught(w, "stayed at version");
+	assert_violation(w, "stayed at version");
 }
 END_TEST
 
-START_TEST(test_reverted)
+START_TEST(test_not_in_force_at_the_end)
 {
 	struct world *w;
 
 	w = scenario_new(1);
 	checker_final(w->checker, "host-00-0000", 7);
-	caught(w, "not in force");
+	assert_violation(w, "not in force");
 }
 END_TEST
 
@@ -177,15 +178,15 @@
 
 	suite = suite_create("checker");
 	tc = tcase_create("checker");
-	tcase_add_loop_test(tc, test_clean, 0, SCENARIO_SEEDS);
-	tcase_add_test(tc, test_backwards);
-	tcase_add_test(tc, test_backwards_after_restart);
-	tcase_add_test(tc, test_in_part);
-	tcase_add_test(tc, test_never_signed);
+	tcase_add_loop_test(tc, test_no_violation, 0, SCENARIO_SEEDS);
+	tcase_add_test(tc, test_version_decreases);
+	tcase_add_test(tc, test_version_decreases_after_restart);
+	tcase_add_test(tc, test_partial_version);
+	tcase_add_test(tc, test_version_never_signed_off);
 	tcase_add_test(tc, test_route_without_service);
-	tcase_add_test(tc, test_halted_taken_up);
-	tcase_add_test(tc, test_left_behind);
-	tcase_add_test(tc, test_reverted);
+	tcase_add_test(tc, test_halted_version_applied);
+	tcase_add_test(tc, test_outdated_at_the_end);
+	tcase_add_test(tc, test_not_in_force_at_the_end);
 	tcase_add_test(tc, test_deterministic);
 	suite_add_tcase(suite, tc);
 	return scenario_main(suite);
--- a/test/driver/test_cuts.c
+++ b/test/driver/test_cuts.c
@@ -7,10 +7,10 @@
 static const struct {
 	int platform_out; /* it cannot ask the platform */
 	int platform_in;  /* it does not hear the platform's answers */
-	int sisters_out;  /* it is not heard by the others */
-	int sisters_in;	  /* it does not hear the others */
-	int follows;	  /* it follows the versions all the same */
-} cuts[] = {
+	int peers_out;	  /* it is not heard by the others */
+	int peers_in;	  /* it does not hear the others */
+	int converges;	  /* it follows the versions all the same */
+} partitions[] = {
     {1, 1, 0, 0, 1},
     {0, 1, 0, 0, 1},
     {0, 0, 1, 1, 1},
@@ -22,33 +22,33 @@
 };
 
 static void
-cut(struct world *w, int i, int on)
+set_partition(struct world *w, int i, int enabled)
 {
 	uint32_t p, dc;
 
-	p = world_platform(w);
-	world_cut(w, 0, p, on && cuts[i].platform_out);
-	world_cut(w, p, 0, on && cuts[i].platform_in);
+	p = world_platform_index(w);
+	world_partition(w, 0, p, enabled && partitions[i].platform_out);
+	world_partition(w, p, 0, enabled && partitions[i].platform_in);
 	for (dc = 1; dc < w->config.data_centres; dc++) {
-		world_cut(w, 0, dc, on && cuts[i].sisters_out);
-		world_cut(w, dc, 0, on && cuts[i].sisters_in);
+		world_partition(w, 0, dc, enabled && partitions[i].peers_out);
+		world_partition(w, dc, 0, enabled && partitions[i].peers_in);
 	}
 }
 
 static uint64_t
-lowest(const struct world *w, uint32_t data_centre)
+lowest_version(const struct world *w, uint32_t data_centre)
 {
 	uint64_t version;
 	uint32_t i;
 
 	version = UINT64_MAX;
 	for (i = 0; i < w->config.nodes; i++)
-		version = MIN(
-		    version, w->nodes[world_index(w, data_centre, i)].version);
+		version = MIN(version,
+		    w->nodes[world_node_index(w, data_centre, i)].version);
 	return version;
 }
 
-START_TEST(test_cut)
+START_TEST(test_partition)
 {
 	struct world *w;
 	uint64_t seed, last;
@@ -56,25 +56,25 @@
 
 	for (seed = 1; seed <= SCENARIO_SEEDS; seed++) {
 		w = scenario_new(seed);
-		cut(w, _i, 1);
+		set_partition(w, _i, 1);
 		world_run(w, 5000);
 		last = 0;
 		for (i = 0; i < 20; i++) {
-			last = world_sign(w, world_index(w, 1, i % 6), 1);
+			last = world_sign(w, world_node_index(w, 1, i % 6), 1);
 			world_run(w, 1000);
 		}
 		world_run(w, 15000);
-		ck_assert_uint_eq(lowest(w, 1), last);
-		ck_assert_uint_eq(lowest(w, 2), last);
-		if (cuts[_i].follows)
-			ck_assert_msg(lowest(w, 0) == last,
+		ck_assert_uint_eq(lowest_version(w, 1), last);
+		ck_assert_uint_eq(lowest_version(w, 2), last);
+		if (partitions[_i].converges)
+			ck_assert_msg(lowest_version(w, 0) == last,
 			    "seed %" G_GUINT64_FORMAT
 			    ": stayed at %" G_GUINT64_FORMAT
 			    " of %" G_GUINT64_FORMAT,
-			    seed, lowest(w, 0), last);
+			    seed, lowest_version(w, 0), last);
 		ck_assert(w->nodes[0].ready);
-		cut(w, _i, 0);
-		scenario_end(w);
+		set_partition(w, _i, 0);
+		scenario_finish(w);
 	}
 }
 END_TEST
@@ -91,7 +91,7 @@
     {0, 5, 2},
 };
 
-START_TEST(test_platform)
+START_TEST(test_platform_faults)
 {
 	struct world *w;
 	uint64_t seed;
@@ -106,19 +106,19 @@
 			world_sign(w, node, 2);
 			w->platform.outage = faults[_i].outage;
 			w->platform.delay_ms = faults[_i].delay_ms;
-			platform_limit(&w->platform, world_now_ms(w),
+			platform_set_limit(&w->platform, world_now_ms(w),
 			    faults[_i].reads_per_s);
 			world_run(w, 6000);
-			ck_assert_msg(world_even(w),
+			ck_assert_msg(world_converged(w),
 			    "seed %" G_GUINT64_FORMAT " step %u", seed, i);
 		}
-		scenario_end(w);
+		scenario_finish(w);
 	}
 }
 END_TEST
 
 /* The signing node dies at once: readers find the version when they can. */
-START_TEST(test_platform_only)
+START_TEST(test_signing_node_stops)
 {
 	struct world *w;
 	uint32_t i;
@@ -126,31 +126,31 @@
 	w = scenario_new((uint64_t)_i + 1);
 	w->platform.outage = 1;
 	for (i = 0; i < 5; i++)
-		world_sign(w, WORLD_NOBODY, 2);
+		world_sign(w, WORLD_NO_NODE, 2);
 	world_run(w, 60000);
 	ck_assert_uint_eq(w->nodes[0].version, 1);
 	w->platform.outage = 0;
-	ck_assert(world_run_until_even(w, 15000));
-	scenario_end(w);
+	ck_assert(world_run_until_converged(w, 15000));
+	scenario_finish(w);
 }
 END_TEST
 
 /* More versions than anybody keeps the changes of pass during a cut. */
-START_TEST(test_far_behind)
+START_TEST(test_changes_no_longer_kept)
 {
 	struct world *w;
 	uint32_t i;
 
 	w = scenario_new((uint64_t)_i + 1);
-	cut(w, 5, 1);
+	set_partition(w, 5, 1);
 	for (i = 0; i < 200; i++) {
-		world_sign(w, world_index(w, 1, 0), 2);
+		world_sign(w, world_node_index(w, 1, 0), 2);
 		world_run(w, 400);
 	}
 	ck_assert_uint_eq(w->nodes[0].version, 1);
-	cut(w, 5, 0);
-	ck_assert(world_run_until_even(w, 20000));
-	scenario_end(w);
+	set_partition(w, 5, 0);
+	ck_assert(world_run_until_converged(w, 20000));
+	scenario_finish(w);
 }
 END_TEST
 
@@ -163,10 +163,10 @@
 	suite = suite_create("cuts");
 	tc = tcase_create("cuts");
 	tcase_set_timeout(tc, 60);
-	tcase_add_loop_test(tc, test_cut, 0, G_N_ELEMENTS(cuts));
-	tcase_add_loop_test(tc, test_platform, 0, G_N_ELEMENTS(faults));
-	tcase_add_loop_test(tc, test_platform_only, 0, SCENARIO_SEEDS);
-	tcase_add_loop_test(tc, test_far_behind, 0, 3);
+	tcase_add_loop_test(tc, test_partition, 0, G_N_ELEMENTS(partitions));
+	tcase_add_loop_test(tc, test_platform_faults, 0, G_N_ELEMENTS(faults));
+	tcase_add_loop_test(tc, test_signing_node_stops, 0, SCENARIO_SEEDS);
+	tcase_add_loop_test(tc, test_changes_no_longer_kept, 0, 3);
 	suite_add_tcase(suite, tc);
 	return scenario_main(suite);
 }
--- a/test/driver/test_halts.c
+++ b/test/driver/test_halts.c
@@ -4,7 +4,7 @@
 #include "scenario.h"
 
 static uint32_t
-holding(const struct world *w, uint64_t version)
+count_holding(const struct world *w, uint64_t version)
 {
 	uint32_t i, n;
 
@@ -26,47 +26,48 @@
 
 	for (seed = 1; seed <= SCENARIO_SEEDS; seed++) {
 		world_config_init(&config, seed);
-		config.near_us = 5000;
-		config.far_us = 20000;
-		w = scenario_up(&config);
+		config.local_delay_us = 5000;
+		config.remote_delay_us = 20000;
+		w = scenario_start(&config);
 		bad = world_sign(w, 0, 2);
 		world_run(w, (uint64_t)_i * 7);
 		world_halt(w, 7);
 		world_run(w, 5000);
-		before = holding(w, bad);
-		ck_assert_uint_eq(before + holding(w, bad - 1), w->n_nodes);
+		before = count_holding(w, bad);
+		ck_assert_uint_eq(
+		    before + count_holding(w, bad - 1), w->n_nodes);
 		world_run(w, 60000);
-		ck_assert_uint_eq(holding(w, bad), before);
+		ck_assert_uint_eq(count_holding(w, bad), before);
 		world_supersede(w, 9, bad - 1);
-		scenario_end(w);
+		scenario_finish(w);
 	}
 }
 END_TEST
 
 /* A host that holds a halted version is restarted: it comes back with it. */
-START_TEST(test_halted_and_restarted)
+START_TEST(test_restart_after_halt)
 {
 	struct world *w;
 	uint64_t bad;
 
 	w = scenario_new((uint64_t)_i + 1);
 	bad = world_sign(w, 0, 2);
-	ck_assert(world_run_until_even(w, 5000));
+	ck_assert(world_run_until_converged(w, 5000));
 	world_halt(w, 3);
 	world_run(w, 2000);
 	world_kill(w, 5);
 	world_run(w, 1000);
 	world_start(w, 5);
-	ck_assert(world_run_until_even(w, 20000));
+	ck_assert(world_run_until_converged(w, 20000));
 	ck_assert_uint_eq(w->nodes[5].version, bad);
 	world_sign(w, 2, 1);
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
 /* So does each host of a data centre, whichever of them read the platform: what
  * it has in force is older. */
-START_TEST(test_halted_and_restarted_one_by_one)
+START_TEST(test_restart_of_a_data_centre_after_halt)
 {
 	struct world *w;
 	uint64_t bad;
@@ -74,47 +75,47 @@
 
 	w = scenario_new((uint64_t)_i + 1);
 	bad = world_sign(w, 0, 2);
-	ck_assert(world_run_until_even(w, 5000));
+	ck_assert(world_run_until_converged(w, 5000));
 	world_halt(w, 3);
 	world_run(w, 2000);
 	for (i = 0; i < w->config.nodes; i++) {
 		world_kill(w, i);
 		world_run(w, 3000);
 		world_start(w, i);
-		ck_assert(world_run_until_even(w, 20000));
+		ck_assert(world_run_until_converged(w, 20000));
 		ck_assert_msg(w->nodes[i].version == bad,
 		    "seed %d: %s came back with %" G_GUINT64_FORMAT, _i + 1,
 		    w->nodes[i].host, w->nodes[i].version);
 	}
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
 /* Sign-offs, halts and supersedes one after the other, some by nodes that do
  * not get to spreading them. */
-START_TEST(test_mixed)
+START_TEST(test_mixed_operations)
 {
 	struct world *w;
 	uint64_t head;
-	uint32_t i, node, what;
+	uint32_t i, node, operation;
 
 	w = scenario_new((uint64_t)_i + 1);
 	for (i = 0; i < 40; i++) {
 		node = g_rand_int(w->rng) % w->n_nodes;
 		if (g_rand_int(w->rng) % 4 == 0)
-			node = WORLD_NOBODY;
-		what = g_rand_int(w->rng) % 5;
+			node = WORLD_NO_NODE;
+		operation = g_rand_int(w->rng) % 5;
 		head = w->ledger->head.version;
-		if (what == 0 && w->ledger->head.state == HEAD_ROLLING &&
+		if (operation == 0 && w->ledger->head.state == HEAD_ROLLING &&
 		    head > 1)
 			world_halt(w, node);
-		else if (what == 1 && head > 3)
+		else if (operation == 1 && head > 3)
 			world_supersede(w, node, head - 2);
 		else
-			world_sign(w, node, 1 + what);
+			world_sign(w, node, 1 + operation);
 		world_run(w, g_rand_int(w->rng) % 800);
 	}
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
@@ -128,10 +129,10 @@
 	tc = tcase_create("halts");
 	tcase_set_timeout(tc, 60);
 	tcase_add_loop_test(tc, test_halt_during_roll, 0, 8);
-	tcase_add_loop_test(tc, test_halted_and_restarted, 0, SCENARIO_SEEDS);
-	tcase_add_loop_test(
-	    tc, test_halted_and_restarted_one_by_one, 0, 2 * SCENARIO_SEEDS);
-	tcase_add_loop_test(tc, test_mixed, 0, 2 * SCENARIO_SEEDS);
+	tcase_add_loop_test(tc, test_restart_after_halt, 0, SCENARIO_SEEDS);
+	tcase_add_loop_test(tc, test_restart_of_a_data_centre_after_halt, 0,
+	    2 * SCENARIO_SEEDS);
+	tcase_add_loop_test(tc, test_mixed_operations, 0, 2 * SCENARIO_SEEDS);
 	suite_add_tcase(suite, tc);
 	return scenario_main(suite);
 }
--- a/test/driver/test_messages.c
+++ b/test/driver/test_messages.c
@@ -5,10 +5,10 @@
 
 /* A row for each kind of bad link. */
 static const struct {
-	double loss;
-	double twice;
-	double late;
-	uint64_t late_us;
+	double loss_rate;
+	double duplicate_rate;
+	double delayed_rate;
+	uint64_t extra_delay_us;
 	uint64_t jitter_us;
 } links[] = {
     {0, 0, 0, 0, 200},
@@ -26,45 +26,46 @@
 
 	for (seed = 1; seed <= SCENARIO_SEEDS; seed++) {
 		world_config_init(&config, seed);
-		config.loss = links[_i].loss;
-		config.twice = links[_i].twice;
-		config.late = links[_i].late;
-		config.late_us = links[_i].late_us;
+		config.loss_rate = links[_i].loss_rate;
+		config.duplicate_rate = links[_i].duplicate_rate;
+		config.delayed_rate = links[_i].delayed_rate;
+		config.extra_delay_us = links[_i].extra_delay_us;
 		config.jitter_us = links[_i].jitter_us;
-		w = scenario_up(&config);
+		w = scenario_start(&config);
 		scenario_roll(w, 10000, 300);
-		scenario_end(w);
+		scenario_finish(w);
 	}
 }
 END_TEST
 
 /* Whatever a faulty peer serves, nothing of it is taken up, the peer is
  * blamed, and the versions come from others. */
-START_TEST(test_tampered)
+START_TEST(test_tampered_content)
 {
 	struct world *w;
-	uint64_t seed, blamed;
+	uint64_t seed, n_blamed;
 	uint32_t i;
 
-	blamed = 0;
+	n_blamed = 0;
 	for (seed = 1; seed <= SCENARIO_SEEDS; seed++) {
 		w = scenario_new(seed);
 		for (i = 0; i < w->config.nodes; i++)
-			w->nodes[world_index(w, 0, i)].tamper =
+			w->nodes[world_node_index(w, 0, i)].tamper =
 			    (enum world_tamper)_i;
 		scenario_roll(w, 8000, 500);
 		for (i = 0; i < w->n_nodes; i++)
-			blamed += spread_stats(w->nodes[i].s)->peers_blamed;
-		scenario_end(w);
+			n_blamed +=
+			    spread_stats(w->nodes[i].spread)->peers_blamed;
+		scenario_finish(w);
 	}
-	if (_i != TAMPER_BYTES)
-		ck_assert_uint_gt(blamed, 0);
+	if (_i != TAMPER_TRUNCATE)
+		ck_assert_uint_gt(n_blamed, 0);
 }
 END_TEST
 
 /* All connections go silent for good in the middle of transfers, while new
  * ones work. */
-START_TEST(test_silent)
+START_TEST(test_stalled_connections)
 {
 	struct world_config config;
 	struct world *w;
@@ -74,19 +75,19 @@
 	world_config_init(&config, (uint64_t)_i + 1);
 	config.services = 200;
 	config.profile.reply_bytes = 2048;
-	w = scenario_up(&config);
+	w = scenario_start(&config);
 	timed_out = 0;
 	for (round = 0; round < 5; round++) {
 		world_sign(w, g_rand_int(w->rng) % w->n_nodes, 100);
 		world_run(w, 4);
-		world_silence(w);
+		world_stall_connections(w);
 		world_run(w, 3000);
-		ck_assert(world_even(w));
+		ck_assert(world_converged(w));
 	}
 	for (i = 0; i < w->n_nodes; i++)
-		timed_out += spread_stats(w->nodes[i].s)->pulls_timed_out;
+		timed_out += spread_stats(w->nodes[i].spread)->pulls_timed_out;
 	ck_assert_uint_gt(timed_out, 0);
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
@@ -99,8 +100,9 @@
 	suite = suite_create("messages");
 	tc = tcase_create("messages");
 	tcase_add_loop_test(tc, test_bad_links, 0, G_N_ELEMENTS(links));
-	tcase_add_loop_test(tc, test_tampered, TAMPER_NONE + 1, TAMPER_COUNT);
-	tcase_add_loop_test(tc, test_silent, 0, SCENARIO_SEEDS);
+	tcase_add_loop_test(
+	    tc, test_tampered_content, TAMPER_NONE + 1, TAMPER_COUNT);
+	tcase_add_loop_test(tc, test_stalled_connections, 0, SCENARIO_SEEDS);
 	suite_add_tcase(suite, tc);
 	return scenario_main(suite);
 }
--- a/test/driver/test_reading.c
+++ b/test/driver/test_reading.c
@@ -14,15 +14,15 @@
 
 /* The operators' bound on the smallest deployments, less the time for large
  * versions on slow links and for compiling, which this driver doesn't have. */
-#define BOUND_MS 2000
-#define ROOM_MS 500
+#define APPLY_LIMIT_MS 2000
+#define APPLY_MARGIN_MS 500
 
 /* The trouble begins so long before the change, or as it is accepted. */
-#define BEFORE_MS 3000
-#define STEP_MS 250
+#define LEAD_MAX_MS 3000
+#define LEAD_STEP_MS 250
 
-#define TROUBLE_MS 12000
-#define AWAY_MS 20000
+#define FAULT_DURATION_MS 12000
+#define OUTAGE_MAX_MS 20000
 #define READERS 2
 
 /* Changed services: more than a datagram holds. */
@@ -57,21 +57,21 @@
 } sizes[] = {{3, 4}, {1, 12}, {3, 25}};
 
 /** enum trouble - what happens to the readers */
-enum trouble {
-	NONE = 0,
-	REFUSED,
-	SILENT,
-	KILLED,
-	FROZEN,
-	SEVERED,
+enum reader_fault {
+	FAULT_NONE = 0,
+	FAULT_REJECTED,
+	FAULT_NO_RESPONSE,
+	FAULT_KILLED,
+	FAULT_FROZEN,
+	FAULT_STALLED,
 };
 
-static const char *const names[] = {
+static const char *const fault_names[] = {
     "well", "refused", "silent", "killed", "frozen", "severed"};
 
 /* By hand, with BRAMLEY_SEEDS, more of them. */
 static uint64_t
-seeds(void)
+n_seeds(void)
 {
 	const char *text = getenv("BRAMLEY_SEEDS");
 
@@ -79,59 +79,59 @@
 }
 
 static void
-strike(struct world *w, uint32_t node, enum trouble t)
+inject_fault(struct world *w, uint32_t node, enum reader_fault t)
 {
 	switch (t) {
-	case NONE:
+	case FAULT_NONE:
 		break;
-	case REFUSED:
-		follow_allow(w, node, FOLLOW_REFUSED);
+	case FAULT_REJECTED:
+		follow_set_access(w, node, FOLLOW_REJECTED);
 		break;
-	case SILENT:
-		follow_allow(w, node, FOLLOW_SILENT);
+	case FAULT_NO_RESPONSE:
+		follow_set_access(w, node, FOLLOW_NO_RESPONSE);
 		break;
-	case KILLED:
+	case FAULT_KILLED:
 		world_kill(w, node);
 		break;
 	default:
-		world_freeze(w, node, TROUBLE_MS);
+		world_freeze(w, node, FAULT_DURATION_MS);
 		break;
 	}
 }
 
 static void
-strike_readers(struct world *w, enum trouble t)
+inject_reader_faults(struct world *w, enum reader_fault t)
 {
 	uint32_t i;
 
 	/* All open connections go silent; new ones work. */
-	if (t == SEVERED) {
-		follow_sever(w);
-		world_silence(w);
+	if (t == FAULT_STALLED) {
+		follow_drop_pending(w);
+		world_stall_connections(w);
 		return;
 	}
 
 	for (i = 0; i < w->n_nodes; i++)
-		if (spread_is_reader(w->nodes[i].s))
-			strike(w, i, t);
+		if (spread_is_reader(w->nodes[i].spread))
+			inject_fault(w, i, t);
 }
 
 static int
-is_well(const struct world *w, const struct node *n)
+is_healthy(const struct world *w, const struct node *n)
 {
 	return n->up && n->frozen_us <= w->queue.now_us;
 }
 
 /* Time until all hosts that are well hold a version; at most TROUBLE_MS. */
 static uint64_t
-last_holds_ms(struct world *w, uint64_t version)
+time_to_apply_ms(struct world *w, uint64_t version)
 {
 	uint64_t ms;
 	uint32_t i;
 
-	for (ms = 0; ms < TROUBLE_MS; ms += 10) {
+	for (ms = 0; ms < FAULT_DURATION_MS; ms += 10) {
 		for (i = 0; i < w->n_nodes; i++)
-			if (is_well(w, &w->nodes[i]) &&
+			if (is_healthy(w, &w->nodes[i]) &&
 			    w->nodes[i].version < version)
 				break;
 		if (i == w->n_nodes)
@@ -142,108 +142,109 @@
 }
 
 static uint64_t
-play(const struct world_config *config, enum trouble t, uint64_t before_ms)
+run_change(
+    const struct world_config *config, enum reader_fault t, uint64_t lead_ms)
 {
-	struct world *w = scenario_up(config);
+	struct world *w = scenario_start(config);
 	uint64_t ms;
 
 	/* Some changes, so that the readers are not all as they started. */
 	world_run(w, 3000 + config->seed * 137);
-	(void)world_sign(w, WORLD_NOBODY, 1);
+	(void)world_sign(w, WORLD_NO_NODE, 1);
 	world_run(w, 4000);
-	strike_readers(w, t);
-	world_run(w, before_ms);
-	ms = last_holds_ms(w, world_sign(w, WORLD_NOBODY, CHANGES));
+	inject_reader_faults(w, t);
+	world_run(w, lead_ms);
+	ms = time_to_apply_ms(w, world_sign(w, WORLD_NO_NODE, CHANGES));
 	world_free(w);
 	return ms;
 }
 
 /** struct tally - how long the plays of a test took */
-struct tally {
-	uint64_t bound_ms;
-	uint32_t plays;
-	uint64_t worst_ms;
-	uint32_t late;
+struct summary {
+	uint64_t limit_ms;
+	uint32_t runs;
+	uint64_t max_ms;
+	uint32_t n_late;
 };
 
 static void
-tally_add(struct tally *t, uint64_t ms)
+summary_add(struct summary *t, uint64_t ms)
 {
-	t->plays++;
-	t->worst_ms = MAX(t->worst_ms, ms);
-	t->late += ms > t->bound_ms ? 1 : 0;
+	t->runs++;
+	t->max_ms = MAX(t->max_ms, ms);
+	t->n_late += ms > t->limit_ms ? 1 : 0;
 }
 
 static void
-tally_check(const struct tally *t, const char *what, uint32_t hosts)
+summary_check(const struct summary *t, const char *what, uint32_t hosts)
 {
 	printf("%s, %u hosts: %u plays, worst %u ms, %u late\n", what, hosts,
-	    t->plays, (unsigned int)t->worst_ms, t->late);
+	    t->runs, (unsigned int)t->max_ms, t->n_late);
 	(void)fflush(stdout);
-	ck_assert_uint_eq(t->late, 0);
+	ck_assert_uint_eq(t->n_late, 0);
 }
 
 static void
-play_all(enum trouble t, uint32_t size)
+run_all(enum reader_fault t, uint32_t size)
 {
 	uint32_t data_centres = sizes[size].data_centres;
 	uint32_t nodes = sizes[size].nodes;
-	struct tally tally = {.bound_ms = BOUND_MS - ROOM_MS};
+	struct summary summary = {.limit_ms = APPLY_LIMIT_MS - APPLY_MARGIN_MS};
 	struct world_config config;
-	uint64_t seed, before_ms;
+	uint64_t seed, lead_ms;
 
-	for (seed = 1; seed <= seeds(); seed++) {
+	for (seed = 1; seed <= n_seeds(); seed++) {
 		configure(&config, data_centres, nodes, seed);
-		for (before_ms = 0; before_ms <= BEFORE_MS;
-		     before_ms += STEP_MS)
-			tally_add(&tally, play(&config, t, before_ms));
+		for (lead_ms = 0; lead_ms <= LEAD_MAX_MS;
+		     lead_ms += LEAD_STEP_MS)
+			summary_add(&summary, run_change(&config, t, lead_ms));
 	}
-	tally_check(&tally, names[t], data_centres * nodes);
+	summary_check(&summary, fault_names[t], data_centres * nodes);
 }
 
-START_TEST(readers_that_are_well_are_in_time)
+START_TEST(healthy_readers_apply_a_change_in_time)
 {
-	play_all(NONE, (uint32_t)_i);
+	run_all(FAULT_NONE, (uint32_t)_i);
 }
 END_TEST
 
-START_TEST(readers_that_the_platform_refuses_are_replaced)
+START_TEST(rejected_readers_are_replaced)
 {
-	play_all(REFUSED, (uint32_t)_i);
+	run_all(FAULT_REJECTED, (uint32_t)_i);
 }
 END_TEST
 
-START_TEST(readers_that_the_platform_does_not_answer_are_replaced)
+START_TEST(readers_without_a_response_are_replaced)
 {
-	play_all(SILENT, (uint32_t)_i);
+	run_all(FAULT_NO_RESPONSE, (uint32_t)_i);
 }
 END_TEST
 
-START_TEST(readers_that_are_killed_are_replaced)
+START_TEST(killed_readers_are_replaced)
 {
-	play_all(KILLED, (uint32_t)_i);
+	run_all(FAULT_KILLED, (uint32_t)_i);
 }
 END_TEST
 
-START_TEST(connections_that_go_silent_hold_nothing_up)
+START_TEST(stalled_connections_delay_no_change)
 {
-	play_all(SEVERED, (uint32_t)_i);
+	run_all(FAULT_STALLED, (uint32_t)_i);
 }
 END_TEST
 
 /* Serves one or two hosts of each data centre only, whichever they are. */
 static void
-strike_most(struct world *w, const struct world_config *config,
+serve_few(struct world *w, const struct world_config *config,
     enum follow_access access)
 {
 	GRand *rng = g_rand_new_with_seed((guint32)config->seed);
 	uint32_t i, base, n = config->nodes;
 
 	for (i = 0; i < w->n_nodes; i++)
-		follow_allow(w, i, access);
+		follow_set_access(w, i, access);
 	for (base = 0; base < w->n_nodes; base += n)
 		for (i = 0; i < 2; i++)
-			follow_allow(w,
+			follow_set_access(w,
 			    base +
 				(uint32_t)g_rand_int_range(rng, 0, (gint32)n),
 			    FOLLOW_SERVED);
@@ -251,94 +252,94 @@
 }
 
 static uint64_t
-play_most(const struct world_config *config, enum follow_access access,
-    uint64_t before_ms)
+run_few_served(const struct world_config *config, enum follow_access access,
+    uint64_t lead_ms)
 {
-	struct world *w = scenario_up(config);
+	struct world *w = scenario_start(config);
 	uint64_t ms;
 
 	world_run(w, 5000);
-	strike_most(w, config, access);
-	world_run(w, before_ms);
-	ms = last_holds_ms(w, world_sign(w, WORLD_NOBODY, CHANGES));
+	serve_few(w, config, access);
+	world_run(w, lead_ms);
+	ms = time_to_apply_ms(w, world_sign(w, WORLD_NO_NODE, CHANGES));
 	world_free(w);
 	return ms;
 }
 
 /* A platform that answers one or two hosts of a data centre, most often none of
  * those that read or stand by. */
-START_TEST(the_few_that_are_answered_read_for_all)
+START_TEST(the_few_served_nodes_read_for_all)
 {
 	static const enum follow_access access[] = {
-	    FOLLOW_REFUSED, FOLLOW_SILENT};
-	struct tally tally = {.bound_ms = BOUND_MS};
+	    FOLLOW_REJECTED, FOLLOW_NO_RESPONSE};
+	struct summary summary = {.limit_ms = APPLY_LIMIT_MS};
 	struct world_config config;
-	uint64_t seed, before_ms;
+	uint64_t seed, lead_ms;
 
-	for (seed = 1; seed <= 4 * seeds(); seed++) {
+	for (seed = 1; seed <= 4 * n_seeds(); seed++) {
 		configure(&config, 3, 25, seed);
-		for (before_ms = 0; before_ms <= BEFORE_MS;
-		     before_ms += 2 * STEP_MS)
-			tally_add(
-			    &tally, play_most(&config, access[_i], before_ms));
+		for (lead_ms = 0; lead_ms <= LEAD_MAX_MS;
+		     lead_ms += 2 * LEAD_STEP_MS)
+			summary_add(&summary,
+			    run_few_served(&config, access[_i], lead_ms));
 	}
-	tally_check(&tally, _i == 0 ? "most refused" : "most silent", 75);
+	summary_check(&summary, _i == 0 ? "most refused" : "most silent", 75);
 }
 END_TEST
 
 /* The platform is away for all, and a change is accepted as it comes back. */
 static uint64_t
-play_return(const struct world_config *config, enum follow_access access,
-    uint64_t away_ms)
+run_outage_end(const struct world_config *config, enum follow_access access,
+    uint64_t outage_ms)
 {
-	struct world *w = scenario_up(config);
+	struct world *w = scenario_start(config);
 	uint64_t ms;
 	uint32_t i;
 
 	world_run(w, 5000);
 	for (i = 0; i < w->n_nodes; i++)
-		follow_allow(w, i, access);
-	world_run(w, away_ms);
+		follow_set_access(w, i, access);
+	world_run(w, outage_ms);
 	for (i = 0; i < w->n_nodes; i++)
-		follow_allow(w, i, FOLLOW_SERVED);
-	ms = last_holds_ms(w, world_sign(w, WORLD_NOBODY, 1));
+		follow_set_access(w, i, FOLLOW_SERVED);
+	ms = time_to_apply_ms(w, world_sign(w, WORLD_NO_NODE, 1));
 	world_free(w);
 	return ms;
 }
 
-START_TEST(a_platform_that_is_back_is_read_in_time)
+START_TEST(a_change_at_the_end_of_an_outage_is_applied_in_time)
 {
 	static const enum follow_access access[] = {
-	    FOLLOW_REFUSED, FOLLOW_SILENT};
-	struct tally tally = {.bound_ms = BOUND_MS - ROOM_MS};
+	    FOLLOW_REJECTED, FOLLOW_NO_RESPONSE};
+	struct summary summary = {.limit_ms = APPLY_LIMIT_MS - APPLY_MARGIN_MS};
 	struct world_config config;
-	uint64_t seed, away_ms;
+	uint64_t seed, outage_ms;
 
-	for (seed = 1; seed <= 2 * seeds(); seed++) {
+	for (seed = 1; seed <= 2 * n_seeds(); seed++) {
 		configure(&config, 3, 4, seed);
-		for (away_ms = 1000; away_ms <= AWAY_MS; away_ms += 1500)
-			tally_add(
-			    &tally, play_return(&config, access[_i], away_ms));
+		for (outage_ms = 1000; outage_ms <= OUTAGE_MAX_MS;
+		     outage_ms += 1500)
+			summary_add(&summary,
+			    run_outage_end(&config, access[_i], outage_ms));
 	}
-	tally_check(&tally, _i == 0 ? "away, refused" : "away, silent", 12);
+	summary_check(&summary, _i == 0 ? "away, refused" : "away, silent", 12);
 }
 END_TEST
 
-START_TEST(readers_that_are_frozen_are_replaced)
+START_TEST(frozen_readers_are_replaced)
 {
-	play_all(FROZEN, (uint32_t)_i);
+	run_all(FAULT_FROZEN, (uint32_t)_i);
 }
 END_TEST
 
 int
 main(void)
 {
-	const TTest *const tests[] = {readers_that_are_well_are_in_time,
-	    readers_that_the_platform_refuses_are_replaced,
-	    readers_that_the_platform_does_not_answer_are_replaced,
-	    readers_that_are_killed_are_replaced,
-	    readers_that_are_frozen_are_replaced,
-	    connections_that_go_silent_hold_nothing_up};
+	const TTest *const tests[] = {healthy_readers_apply_a_change_in_time,
+	    rejected_readers_are_replaced,
+	    readers_without_a_response_are_replaced,
+	    killed_readers_are_replaced, frozen_readers_are_replaced,
+	    stalled_connections_delay_no_change};
 	Suite *s = suite_create("reading");
 	TCase *tc = tcase_create("reading");
 	int i;
@@ -346,8 +347,9 @@
 	tcase_set_timeout(tc, 60);
 	for (i = 0; i < (int)G_N_ELEMENTS(tests); i++)
 		tcase_add_loop_test(tc, tests[i], 0, (int)G_N_ELEMENTS(sizes));
-	tcase_add_loop_test(tc, a_platform_that_is_back_is_read_in_time, 0, 2);
-	tcase_add_loop_test(tc, the_few_that_are_answered_read_for_all, 0, 2);
+	tcase_add_loop_test(
+	    tc, a_change_at_the_end_of_an_outage_is_applied_in_time, 0, 2);
+	tcase_add_loop_test(tc, the_few_served_nodes_read_for_all, 0, 2);
 	suite_add_tcase(s, tc);
 	return scenario_main(s);
 }
--- a/test/driver/test_restarts.c
+++ b/test/driver/test_restarts.c
@@ -5,10 +5,10 @@
 #include "scenario.h"
 
 /* Share of the platform's 2,000 reads a second that herds may take. */
-#define HERD_READS_PER_S 500
+#define MASS_RESTART_READS_PER_S 500
 
 static void
-kill_and_start(struct world *w, uint32_t node, uint64_t down_ms)
+restart(struct world *w, uint32_t node, uint64_t down_ms)
 {
 	world_kill(w, node);
 	world_run(w, down_ms);
@@ -18,7 +18,7 @@
 /* A host is the only one that held a version; nobody can read the platform.
  * It is restarted, and must not serve the version before. */
 static struct world *
-floor_world(uint64_t seed, uint32_t keepers)
+restart_last_holder(uint64_t seed, uint32_t keepers)
 {
 	struct world_config config;
 	struct world *w;
@@ -28,12 +28,12 @@
 	config.profile.relay_fanout = 0;
 	config.profile.keepers = keepers;
 	config.probe_ms = 5000;
-	w = scenario_up(&config);
+	w = scenario_start(&config);
 	w->platform.outage = 1;
 	world_sign(w, 0, 2);
 	while (w->nodes[0].version < 2)
 		world_run(w, 1);
-	kill_and_start(w, 0, 20);
+	restart(w, 0, 20);
 	world_run(w, 10000);
 	return w;
 }
@@ -42,17 +42,17 @@
 {
 	struct world *w;
 
-	w = floor_world((uint64_t)_i + 1, 3);
+	w = restart_last_holder((uint64_t)_i + 1, 3);
 	ck_assert_int_eq(w->nodes[0].ready, 0);
-	ck_assert_uint_eq(spread_floor(w->nodes[0].s), 2);
+	ck_assert_uint_eq(spread_floor(w->nodes[0].spread), 2);
 	w->platform.outage = 0;
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
 /* The same without keepers in the own data centre and none elsewhere: the
  * checker sees the host go back. */
-START_TEST(test_floor_needed)
+START_TEST(test_version_decreases_without_floor)
 {
 	struct world_config config;
 	struct world *w;
@@ -62,48 +62,48 @@
 	config.profile.fanout = 0;
 	config.profile.keepers = 0;
 	config.probe_ms = 5000;
-	w = scenario_up(&config);
+	w = scenario_start(&config);
 	w->platform.outage = 1;
 	world_sign(w, 0, 2);
 	while (w->nodes[0].version < 2)
 		world_run(w, 1);
-	kill_and_start(w, 0, 20);
+	restart(w, 0, 20);
 	world_run(w, 10000);
-	ck_assert_uint_gt(checker_count(w->checker), 0);
+	ck_assert_uint_gt(checker_n_violations(w->checker), 0);
 	world_free(w);
 }
 END_TEST
 
 static void
-limit_catalogs(struct world *w, uint64_t max_bytes)
+set_catalog_limits(struct world *w, uint64_t max_bytes)
 {
 	uint32_t i;
 
 	for (i = 0; i < w->n_nodes; i++)
-		w->nodes[i].c->max_bytes = max_bytes;
+		w->nodes[i].catalog->max_bytes = max_bytes;
 }
 
 /* A version that no host can put together, and nobody can read the platform:
  * a host that is restarted then serves what the others do. */
-START_TEST(test_no_floor_of_a_refused_version)
+START_TEST(test_refused_version_sets_no_floor)
 {
 	struct world *w;
 	uint32_t i;
 
 	w = scenario_new((uint64_t)_i + 1);
-	limit_catalogs(w, 1);
+	set_catalog_limits(w, 1);
 	world_sign(w, 0, 40);
 	world_run(w, 10000);
 	for (i = 0; i < w->n_nodes; i++)
 		ck_assert_uint_eq(w->nodes[i].version, 1);
 	w->platform.outage = 1;
-	kill_and_start(w, 0, 20);
+	restart(w, 0, 20);
 	world_run(w, 60000);
-	ck_assert_uint_eq(spread_floor(w->nodes[0].s), 1);
+	ck_assert_uint_eq(spread_floor(w->nodes[0].spread), 1);
 	ck_assert_int_eq(w->nodes[0].ready, 1);
 	w->platform.outage = 0;
-	limit_catalogs(w, CATALOG_DEFAULT_BYTES);
-	scenario_end(w);
+	set_catalog_limits(w, CATALOG_DEFAULT_BYTES);
+	scenario_finish(w);
 }
 END_TEST
 
@@ -118,10 +118,10 @@
 		world_sign(w, g_rand_int(w->rng) % w->n_nodes, 2);
 		world_run(w, g_rand_int(w->rng) % 60);
 		node = g_rand_int(w->rng) % w->n_nodes;
-		kill_and_start(w, node, g_rand_int(w->rng) % 500);
+		restart(w, node, g_rand_int(w->rng) % 500);
 		world_run(w, g_rand_int(w->rng) % 300);
 	}
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
@@ -135,19 +135,19 @@
 	world_config_init(&config, (uint64_t)_i + 1);
 	config.services = 300;
 	config.profile.reply_bytes = 1024;
-	w = scenario_up(&config);
+	w = scenario_start(&config);
 	for (i = 0; i < 10; i++) {
 		world_sign(w, 1, 200);
 		world_run(w, 5 + (uint64_t)i);
-		kill_and_start(w, 2 + i % 4, 10);
+		restart(w, 2 + i % 4, 10);
 		world_run(w, 200);
 	}
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
 static uint32_t
-herd(struct world *w, uint32_t first, uint32_t n, uint32_t step)
+restart_at_once(struct world *w, uint32_t first, uint32_t n, uint32_t step)
 {
 	uint32_t i;
 
@@ -157,13 +157,13 @@
 	world_run(w, 3000);
 	for (i = 0; i < n; i += step)
 		world_start(w, first + i);
-	ck_assert_msg(world_run_until_even(w, SCENARIO_EVEN_MS),
+	ck_assert_msg(world_run_until_converged(w, SCENARIO_CONVERGENCE_MS),
 	    "the herd did not come up");
-	return (uint32_t)w->platform.peak;
+	return (uint32_t)w->platform.peak_reads_per_s;
 }
 
 static struct world *
-herd_world(uint64_t seed)
+new_large_world(uint64_t seed)
 {
 	struct world_config config;
 
@@ -172,58 +172,62 @@
 	config.nodes = 40;
 	config.services = 60;
 	config.check = 0;
-	return scenario_up(&config);
+	return scenario_start(&config);
 }
 
 /* A data centre, then a third of all, then all are restarted at once. */
-START_TEST(test_herds)
+START_TEST(test_mass_restarts)
 {
 	struct world *w;
 
-	w = herd_world((uint64_t)_i + 1);
-	ck_assert_uint_lt(herd(w, 40, 40, 1), HERD_READS_PER_S);
-	ck_assert_uint_lt(herd(w, 0, w->n_nodes, 3), HERD_READS_PER_S);
-	ck_assert_uint_lt(herd(w, 0, w->n_nodes, 1), HERD_READS_PER_S);
-	scenario_end(w);
+	w = new_large_world((uint64_t)_i + 1);
+	ck_assert_uint_lt(
+	    restart_at_once(w, 40, 40, 1), MASS_RESTART_READS_PER_S);
+	ck_assert_uint_lt(
+	    restart_at_once(w, 0, w->n_nodes, 3), MASS_RESTART_READS_PER_S);
+	ck_assert_uint_lt(
+	    restart_at_once(w, 0, w->n_nodes, 1), MASS_RESTART_READS_PER_S);
+	scenario_finish(w);
 }
 END_TEST
 
 /* All are restarted at once, with more to read than one does in a moment. */
-START_TEST(test_herd_reads_much)
+START_TEST(test_mass_restart_with_many_services)
 {
 	struct world_config config;
 	struct world *w;
-	uint32_t peak;
+	uint32_t peak_reads_per_s;
 
 	world_config_init(&config, (uint64_t)_i + 1);
 	config.data_centres = 4;
 	config.nodes = 10;
 	config.services = 1200;
 	config.check = 0;
-	w = scenario_up(&config);
-	peak = herd(w, 0, w->n_nodes, 1);
-	ck_assert_msg(peak < HERD_READS_PER_S,
-	    "%u reads in a second, %" G_GUINT64_FORMAT " in all", peak,
-	    w->platform.reads);
-	scenario_end(w);
+	w = scenario_start(&config);
+	peak_reads_per_s = restart_at_once(w, 0, w->n_nodes, 1);
+	ck_assert_msg(peak_reads_per_s < MASS_RESTART_READS_PER_S,
+	    "%u reads in a second, %" G_GUINT64_FORMAT " in all",
+	    peak_reads_per_s, w->platform.reads);
+	scenario_finish(w);
 }
 END_TEST
 
 /* A herd while the platform is down comes up from its peers. */
-START_TEST(test_herd_without_platform)
+START_TEST(test_mass_restart_without_platform)
 {
 	struct world *w;
 
-	w = herd_world((uint64_t)_i + 1);
+	w = new_large_world((uint64_t)_i + 1);
 	w->platform.outage = 1;
-	ck_assert_uint_lt(herd(w, 40, 40, 1), HERD_READS_PER_S);
+	ck_assert_uint_lt(
+	    restart_at_once(w, 40, 40, 1), MASS_RESTART_READS_PER_S);
 	w->platform.outage = 0;
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
 /* Frozen for a minute while versions roll, then thawed. */
-START_TEST(test_frozen)
+START_TEST(test_frozen_processes)
 {
 	struct world *w;
 	uint64_t before;
@@ -237,13 +241,13 @@
 	scenario_roll(w, 58000, 2000);
 	ck_assert_uint_eq(w->nodes[3].version, before);
 	world_run(w, 2000);
-	ck_assert(world_run_until_even(w, 10000));
-	scenario_end(w);
+	ck_assert(world_run_until_converged(w, 10000));
+	scenario_finish(w);
 }
 END_TEST
 
 /* Hosts are replaced by others with the same address. */
-START_TEST(test_replaced)
+START_TEST(test_replaced_hosts)
 {
 	struct world *w;
 	uint32_t i;
@@ -259,7 +263,7 @@
 		world_sign(w, 3 * i + 1, 2);
 		world_run(w, 500);
 	}
-	scenario_end(w);
+	scenario_finish(w);
 }
 END_TEST
 
@@ -273,16 +277,16 @@
 	tc = tcase_create("restarts");
 	tcase_set_timeout(tc, 60);
 	tcase_add_loop_test(tc, test_floor, 0, SCENARIO_SEEDS);
-	tcase_add_loop_test(tc, test_floor_needed, 0, 2);
+	tcase_add_loop_test(tc, test_version_decreases_without_floor, 0, 2);
 	tcase_add_loop_test(
-	    tc, test_no_floor_of_a_refused_version, 0, SCENARIO_SEEDS);
+	    tc, test_refused_version_sets_no_floor, 0, SCENARIO_SEEDS);
 	tcase_add_loop_test(tc, test_restart_during_roll, 0, SCENARIO_SEEDS);
 	tcase_add_loop_test(tc, test_killed_in_staging, 0, SCENARIO_SEEDS);
-	tcase_add_loop_test(tc, test_herds, 0, 2);
-	tcase_add_loop_test(tc, test_herd_reads_much, 0, 3);
-	tcase_add_loop_test(tc, test_herd_without_platform, 0, 2);
-	tcase_add_loop_test(tc, test_frozen, 0, SCENARIO_SEEDS);
-	tcase_add_loop_test(tc, test_replaced, 0, SCENARIO_SEEDS);
+	tcase_add_loop_test(tc, test_mass_restarts, 0, 2);
+	tcase_add_loop_test(tc, test_mass_restart_with_many_services, 0, 3);
+	tcase_add_loop_test(tc, test_mass_restart_without_platform, 0, 2);
+	tcase_add_loop_test(tc, test_frozen_processes, 0, SCENARIO_SEEDS);
+	tcase_add_loop_test(tc, test_replaced_hosts, 0, SCENARIO_SEEDS);
 	suite_add_tcase(suite, tc);
 	return scenario_main(suite);
 }
--- a/test/driver/world.c
+++ b/test/driver/world.c
@@ -9,16 +9,16 @@
 #include "preload.h"
 
 /* A world begins some time after zero, so that zero can mean never. */
-#define BEGIN_US (1000 * US_PER_S)
+#define START_US (1000 * US_PER_S)
 
 #define PORT 7000
 #define NETWORK 0x0a000000U
 
 /* Nodes start within this time of each other. */
-#define START_SPREAD_MS 2000
+#define START_WINDOW_MS 2000
 
-/* How often world_run_until_even() looks. */
-#define LOOK_MS 10
+/* How often world_run_until_converged() looks. */
+#define CONVERGENCE_POLL_MS 10
 
 void
 world_config_init(struct world_config *c, uint64_t seed)
@@ -30,22 +30,22 @@
 	c->profile = *spread_profile_registry();
 	c->probe_ms = 1000;
 	c->seed = seed;
-	c->near_us = 200;
-	c->far_us = 1000;
+	c->local_delay_us = 200;
+	c->remote_delay_us = 1000;
 	c->jitter_us = 200;
-	c->late_us = 50 * US_PER_MS;
+	c->extra_delay_us = 50 * US_PER_MS;
 	c->naive_poll_ms = 1000;
 	c->check = 1;
 }
 
 uint32_t
-world_index(const struct world *w, uint32_t data_centre, uint32_t place)
+world_node_index(const struct world *w, uint32_t data_centre, uint32_t place)
 {
 	return data_centre * w->config.nodes + place;
 }
 
 uint32_t
-world_platform(const struct world *w)
+world_platform_index(const struct world *w)
 {
 	return w->config.data_centres;
 }
@@ -60,12 +60,12 @@
 	w = g_new0(struct world, 1);
 	w->config = *config;
 	w->rng = g_rand_new_with_seed((guint32)config->seed);
-	queue_init(&w->queue, BEGIN_US);
+	queue_init(&w->queue, START_US);
 	w->n_nodes = config->data_centres * config->nodes;
 	w->nodes = g_new0(struct node, w->n_nodes);
 	for (i = 0; i < w->n_nodes; i++) {
 		n = &w->nodes[i];
-		n->w = w;
+		n->world = w;
 		n->id = i;
 		n->data_centre = i / config->nodes;
 		n->addr.ip = NETWORK | i;
@@ -74,11 +74,11 @@
 		    n->data_centre, i % config->nodes);
 	}
 	size = config->data_centres + 1;
-	w->cuts = g_new0(uint8_t, size * size);
+	w->partitions = g_new0(uint8_t, size * size);
 	links_init(w);
 	w->ledger = ledger_new(config->services, (uint32_t)config->seed + 1);
 	platform_init(&w->platform);
-	g_queue_init(&w->follows);
+	g_queue_init(&w->pending_reads);
 	w->checker = checker_new(w->ledger);
 	measure_init(&w->measure);
 	return w;
@@ -101,7 +101,7 @@
 	ledger_free(w->ledger);
 	measure_clear(&w->measure);
 	g_rand_free(w->rng);
-	g_free(w->cuts);
+	g_free(w->partitions);
 	g_free(w->nodes);
 	g_free(w);
 }
@@ -123,7 +123,7 @@
 }
 
 int
-world_even(const struct world *w)
+world_converged(const struct world *w)
 {
 	const struct node *n;
 	uint32_t i;
@@ -138,53 +138,54 @@
 }
 
 int
-world_run_until_even(struct world *w, uint64_t ms)
+world_run_until_converged(struct world *w, uint64_t ms)
 {
 	uint64_t end_us;
 
 	end_us = w->queue.now_us + ms * US_PER_MS;
-	while (!world_even(w)) {
+	while (!world_converged(w)) {
 		if (w->queue.now_us >= end_us)
 			return 0;
-		world_run(w, LOOK_MS);
+		world_run(w, CONVERGENCE_POLL_MS);
 	}
 	return 1;
 }
 
 static void
-world_start_later(void *arg)
+world_on_start(void *arg)
 {
 	struct node *n;
 
 	n = arg;
-	world_start(n->w, n->id);
+	world_start(n->world, n->id);
 }
 
 int
-world_warm(struct world *w, uint64_t ms)
+world_start_all(struct world *w, uint64_t ms)
 {
 	uint32_t i;
 
 	if (w->ledger->head.seq == 0)
-		world_sign(w, WORLD_NOBODY, 0);
+		world_sign(w, WORLD_NO_NODE, 0);
 	if (w->config.preload && w->config.kind == WORLD_SPREAD) {
 		for (i = 0; i < w->n_nodes; i++)
 			world_start(w, i);
-		preload_make(w);
-		i = (uint32_t)world_run_until_even(w, ms);
+		preload_record(w);
+		i = (uint32_t)world_run_until_converged(w, ms);
 		preload_clear(w);
 		return (int)i;
 	}
 	for (i = 0; i < w->n_nodes; i++)
-		world_at(w, g_rand_int(w->rng) % START_SPREAD_MS,
-		    world_start_later, &w->nodes[i]);
-	world_run(w, START_SPREAD_MS);
-	return world_run_until_even(w, ms);
+		world_schedule(w, g_rand_int(w->rng) % START_WINDOW_MS,
+		    world_on_start, &w->nodes[i]);
+	world_run(w, START_WINDOW_MS);
+	return world_run_until_converged(w, ms);
 }
 
 /* A node tells its spread what it wrote to the platform. */
 static void
-world_signed(struct world *w, uint32_t node, const struct ledger_version *v)
+world_notify_signer(
+    struct world *w, uint32_t node, const struct ledger_version *v)
 {
 	struct spread_version_row row;
 	const struct rec_section_change *c;
@@ -192,7 +193,7 @@
 	GBytes *content;
 	uint32_t i;
 
-	if (node == WORLD_NOBODY || w->config.kind == WORLD_NAIVE)
+	if (node == WORLD_NO_NODE || w->config.kind == WORLD_NAIVE)
 		return;
 	n = &w->nodes[node];
 	if (!n->up || n->frozen_us > w->queue.now_us)
@@ -209,12 +210,12 @@
 			c = &row.changes[i];
 			content = ledger_object(w->ledger, &c->digest);
 			if (!c->removed)
-				spread_add_contents(n->s, &content, 1);
+				spread_add_contents(n->spread, &content, 1);
 		}
 	}
-	spread_on_signed(
-	    n->s, world_now_ms(w), &w->ledger->head, v != NULL ? &row : NULL);
-	world_pump(n);
+	spread_on_signed(n->spread, world_now_ms(w), &w->ledger->head,
+	    v != NULL ? &row : NULL);
+	world_dispatch(n);
 }
 
 uint64_t
@@ -224,7 +225,7 @@
 
 	v = ledger_sign(w->ledger, w->queue.now_us, n_changes);
 	follow_changed(w);
-	world_signed(w, node, v);
+	world_notify_signer(w, node, v);
 	return v->version;
 }
 
@@ -234,7 +235,7 @@
 	const struct ledger_version *v;
 
 	v = ledger_supersede(w->ledger, w->queue.now_us, older);
-	world_signed(w, node, v);
+	world_notify_signer(w, node, v);
 	return v->version;
 }
 
@@ -242,30 +243,30 @@
 world_halt(struct world *w, uint32_t node)
 {
 	ledger_halt(w->ledger, w->queue.now_us);
-	world_signed(w, node, NULL);
+	world_notify_signer(w, node, NULL);
 }
 
 void
-world_cut(struct world *w, uint32_t from, uint32_t to, int cut)
+world_partition(struct world *w, uint32_t from, uint32_t to, int cut)
 {
-	w->cuts[from * (w->config.data_centres + 1) + to] = (uint8_t)cut;
+	w->partitions[from * (w->config.data_centres + 1) + to] = (uint8_t)cut;
 }
 
 void
-world_cut_both(struct world *w, uint32_t a, uint32_t b, int cut)
+world_partition_both(struct world *w, uint32_t a, uint32_t b, int cut)
 {
-	world_cut(w, a, b, cut);
-	world_cut(w, b, a, cut);
+	world_partition(w, a, b, cut);
+	world_partition(w, b, a, cut);
 }
 
 int
-world_is_cut(const struct world *w, uint32_t from, uint32_t to)
+world_is_partitioned(const struct world *w, uint32_t from, uint32_t to)
 {
-	return w->cuts[from * (w->config.data_centres + 1) + to];
+	return w->partitions[from * (w->config.data_centres + 1) + to];
 }
 
 void
-world_silence(struct world *w)
+world_stall_connections(struct world *w)
 {
 	GHashTableIter it;
 	struct conn *c;
@@ -274,12 +275,12 @@
 	g_hash_table_iter_init(&it, w->conns);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		c = value;
-		c->silent = 1;
+		c->stalled = 1;
 	}
 }
 
 void
-world_at(struct world *w, uint64_t ms, queue_fn *fn, void *arg)
+world_schedule(struct world *w, uint64_t ms, queue_fn *fn, void *arg)
 {
 	queue_add(&w->queue, w->queue.now_us + ms * US_PER_MS, fn, arg, NULL);
 }
--- a/test/driver/world.h
+++ b/test/driver/world.h
@@ -31,7 +31,7 @@
 #define US_PER_S UINT64_C(1000000)
 
 /* No node: the sign-off's node does not get to spreading it. */
-#define WORLD_NOBODY UINT32_MAX
+#define WORLD_NO_NODE UINT32_MAX
 
 /** enum world_kind - what runs on the nodes */
 enum world_kind {
@@ -42,16 +42,16 @@
 /** enum world_tamper - what a faulty node does to the content it serves */
 enum world_tamper {
 	TAMPER_NONE = 0,
-	TAMPER_CONTENT, /* a byte of a section is changed */
-	TAMPER_DROP,	/* a change is left out */
-	TAMPER_DIGEST,	/* a change names another digest */
-	TAMPER_ROOT,	/* the root is another one */
-	TAMPER_SWAP,	/* two services change places */
-	TAMPER_REPEAT,	/* a change stands twice */
-	TAMPER_EMPTY,	/* no changes, but more to come */
-	TAMPER_BYTES,	/* the frame is cut short */
+	TAMPER_CONTENT,	 /* a byte of a section is changed */
+	TAMPER_OMIT,	 /* a change is left out */
+	TAMPER_DIGEST,	 /* a change names another digest */
+	TAMPER_ROOT,	 /* the root is another one */
+	TAMPER_SWAP,	 /* two services change places */
+	TAMPER_REPEAT,	 /* a change stands twice */
+	TAMPER_EMPTY,	 /* no changes, but more to come */
+	TAMPER_TRUNCATE, /* the frame is cut short */
 	TAMPER_COUNT,
-	TAMPER_WHOLE, /* no fault: pulls ask for the whole bundle */
+	TAMPER_FULL_PULL, /* no fault: pulls ask for the whole bundle */
 };
 
 /**
@@ -65,13 +65,14 @@
  * @probe_timeout_ms: time for the answer to one, 0 for what it has by itself
  * @suspicion_ms: time for a suspect to answer, 0 for what it has by itself
  * @seed: seed of everything
- * @near_us: one-way delay inside a data centre
- * @far_us: one-way delay between data centres
+ * @local_delay_us: one-way delay inside a data centre
+ * @remote_delay_us: one-way delay between data centres
  * @jitter_us: largest random addition to a delay
- * @loss: share of datagrams that are lost
- * @twice: share of datagrams that come twice
- * @late: share of datagrams that are @late_us late and so overtaken
- * @late_us: by how much
+ * @loss_rate: share of datagrams that are lost
+ * @duplicate_rate: share of datagrams that come twice
+ * @delayed_rate: share of datagrams that are @extra_delay_us late and so
+ * overtaken
+ * @extra_delay_us: by how much
  * @naive_poll_ms: interval of the naive version's polls
  * @check: whether each version applied is checked whole
  * @preload: whether all nodes know all hosts from the start
@@ -87,13 +88,13 @@
 	uint32_t probe_timeout_ms;
 	uint32_t suspicion_ms;
 	uint64_t seed;
-	uint64_t near_us;
-	uint64_t far_us;
+	uint64_t local_delay_us;
+	uint64_t remote_delay_us;
 	uint64_t jitter_us;
-	double loss;
-	double twice;
-	double late;
-	uint64_t late_us;
+	double loss_rate;
+	double duplicate_rate;
+	double delayed_rate;
+	uint64_t extra_delay_us;
 	uint32_t naive_poll_ms;
 	int check;
 	int preload;
@@ -113,7 +114,7 @@
  * @timer_us: when its next tick is queued
  * @tamper: fault of what it serves
  * @m: membership, or NULL
- * @m_out: outbox of the membership
+ * @membership_out: outbox of the membership
  * @c: configuration
  * @s: spread, or NULL
  * @endpoints: endpoints that it knows, if checking
@@ -121,13 +122,13 @@
  * @version: version held
  * @ready: whether it may serve
  * @access: what becomes of its reads, where they wait
- * @following: a read of it waits
+ * @head_read_pending: a read of it waits
  * @feed_seq: number of the newest change that its reads gave
- * @given: head that they gave
+ * @feed_head: head that they gave
  * @bytes: traffic
  */
 struct node {
-	struct world *w;
+	struct world *world;
 	uint32_t id;
 	uint32_t data_centre;
 	char host[MEMBER_NAME_BYTES];
@@ -137,18 +138,18 @@
 	uint64_t frozen_us;
 	uint64_t timer_us;
 	enum world_tamper tamper;
-	struct membership *m;
-	struct outbox *m_out;
-	struct catalog *c;
-	struct spread *s;
+	struct membership *membership;
+	struct outbox *membership_out;
+	struct catalog *catalog;
+	struct spread *spread;
 	struct endpoint_set *endpoints;
 	struct snapshot *snapshot;
 	uint64_t version;
 	int ready;
 	enum follow_access access;
-	int following;
+	int head_read_pending;
 	uint64_t feed_seq;
-	struct rec_head given;
+	struct rec_head feed_head;
 	struct measure_bytes bytes;
 };
 
@@ -159,7 +160,7 @@
  * @rng: random numbers of links
  * @nodes: the hosts
  * @n_nodes: number of hosts
- * @cuts: whether the way from one data centre to another is cut; the last
+ * @partitions: whether the way from one data centre to another is cut; the last
  *	index is the platform
  * @conns: struct conn by number
  * @pairs: struct conn by dialler and target
@@ -168,8 +169,8 @@
  * @next_conn: number of the next connection
  * @ledger: versions signed off
  * @platform: the platform
- * @follows: struct follow_wait; reads that wait there
- * @next_follow: number of the last of them
+ * @pending_reads: struct follow_wait; reads that wait there
+ * @last_read_id: number of the last of them
  * @checker: invariants
  * @measure: convergence
  */
@@ -179,15 +180,15 @@
 	GRand *rng;
 	struct node *nodes;
 	uint32_t n_nodes;
-	uint8_t *cuts;
+	uint8_t *partitions;
 	GHashTable *conns;
 	GHashTable *pairs;
 	GPtrArray *preload;
 	uint64_t next_conn;
 	struct ledger *ledger;
 	struct platform platform;
-	GQueue follows;
-	uint64_t next_follow;
+	GQueue pending_reads;
+	uint64_t last_read_id;
 	struct checker *checker;
 	struct measure measure;
 };
@@ -207,18 +208,20 @@
 /** world_run() - let @ms of virtual time pass */
 void world_run(struct world *w, uint64_t ms);
 
-/** world_run_until_even() - let time pass until world_even() or for @ms */
-int world_run_until_even(struct world *w, uint64_t ms);
+/** world_run_until_converged() - let time pass until world_converged() or for
+ * @ms */
+int world_run_until_converged(struct world *w, uint64_t ms);
 
 /**
- * world_warm() - sign version 1 off, start all nodes, run until all are ready
+ * world_start_all() - sign version 1 off, start all nodes, run until all are
+ * ready
  *
  * Return: 1, or 0 when that took longer than @ms.
  */
-int world_warm(struct world *w, uint64_t ms);
+int world_start_all(struct world *w, uint64_t ms);
 
-/** world_even() - whether all nodes up hold the version in force, ready */
-int world_even(const struct world *w);
+/** world_converged() - whether all nodes up hold the version in force, ready */
+int world_converged(const struct world *w);
 
 /**
  * world_sign() - sign a version off
@@ -248,29 +251,30 @@
 /** world_freeze() - freeze a process for @ms */
 void world_freeze(struct world *w, uint32_t node, uint64_t ms);
 
-/** world_cut() - cut or heal the way from one data centre to another */
-void world_cut(struct world *w, uint32_t from, uint32_t to, int cut);
+/** world_partition() - cut or heal the way from one data centre to another */
+void world_partition(struct world *w, uint32_t from, uint32_t to, int cut);
 
-/** world_cut_both() - cut or heal both ways */
-void world_cut_both(struct world *w, uint32_t a, uint32_t b, int cut);
+/** world_partition_both() - cut or heal both ways */
+void world_partition_both(struct world *w, uint32_t a, uint32_t b, int cut);
 
-/** world_platform() - number of the platform, for world_cut() */
-uint32_t world_platform(const struct world *w);
+/** world_platform_index() - number of the platform, for world_partition() */
+uint32_t world_platform_index(const struct world *w);
 
-/** world_is_cut() - whether the way from one data centre to another is cut */
-int world_is_cut(const struct world *w, uint32_t from, uint32_t to);
+/** world_is_partitioned() - whether the way from one data centre to another is
+ * cut */
+int world_is_partitioned(const struct world *w, uint32_t from, uint32_t to);
 
-/** world_silence() - all open connections go silent for good */
-void world_silence(struct world *w);
+/** world_stall_connections() - all open connections go silent for good */
+void world_stall_connections(struct world *w);
 
-/** world_index() - a host's number from data centre and place in it */
+/** world_node_index() - a host's number from data centre and place in it */
 uint32_t
-world_index(const struct world *w, uint32_t data_centre, uint32_t place);
+world_node_index(const struct world *w, uint32_t data_centre, uint32_t place);
 
-/** world_pump() - carry out what a node's modules want; after each event */
-void world_pump(struct node *n);
+/** world_dispatch() - carry out what a node's modules want; after each event */
+void world_dispatch(struct node *n);
 
-/** world_at() - call @fn when @ms have passed */
-void world_at(struct world *w, uint64_t ms, queue_fn *fn, void *arg);
+/** world_schedule() - call @fn when @ms have passed */
+void world_schedule(struct world *w, uint64_t ms, queue_fn *fn, void *arg);
 
 #endif
