--- a/test/driver/bench_spread.c
+++ b/test/driver/bench_spread.c
@@ -1,9 +1,9 @@
 /*
- * Bench of the spread: convergence, control bytes and source reads of one
- * setting, as one line of a table.
+ * Benchmark of the spread: convergence, control traffic and platform reads of
+ * one configuration, as one line of a table.
  *
- * Options are name=value; see bench_options.  Traffic is measured after all
- * nodes are up, over the time of the sign-offs.
+ * Options have the form name=value; see struct bench_option.  Traffic is
+ * measured during the sign-offs, after all nodes are up.
  */
 #include <math.h>
 #include <stdio.h>
@@ -19,19 +19,20 @@
 
 /**
  * struct bench - one run
- * @w: the world
- * @config: how it is
+ * @world: the world
+ * @config: parameters of the world
  * @name: name of the profile
- * @seconds: virtual time of sign-offs
- * @per_day: sign-offs a day, evenly by chance
- * @burst: sign-offs in the first minute instead
- * @changes: services that change in each
- * @notify_signer: whether the signing node spreads at once
- * @full_pulls: whether pulls ask for the whole bundle instead of changes
- * @verbose: whether traffic is shown by class
- * @rng: when and where versions are signed off
- * @first_version: first version that counts
- * @end_us: when the last sign-off came
+ * @seconds: virtual time of the sign-offs
+ * @per_day: sign-offs a day, at exponentially distributed intervals
+ * @burst: sign-offs a minute at even intervals, instead of @per_day
+ * @changes: number of services that change in each sign-off
+ * @notify_signer: whether the signing node announces the version at once
+ * @full_pulls: whether pulls request the whole bundle instead of changes
+ * @verbose: whether traffic is printed by class
+ * @rng: times and nodes of the sign-offs
+ * @first_version: first version that is counted
+ * @end_us: end of the sign-offs
+ * @overrides: profile parameters set by options; UINT32_MAX where not set
  */
 struct bench {
 	struct world *world;
@@ -50,7 +51,7 @@
 	struct spread_profile overrides;
 };
 
-/* An option that is a number. */
+/* Numeric option. */
 struct bench_option {
 	const char *name;
 	uint32_t *value;
@@ -102,7 +103,7 @@
 	return 1;
 }
 
-/* Numbers of the profile that an option named replace its own. */
+/* Selects the profile and applies the parameters set by options. */
 static void
 bench_set_profile(struct bench *b)
 {
@@ -178,7 +179,8 @@
 	return (double)g_array_index(times, uint64_t, MIN(i, times->len - 1));
 }
 
-/* Time until the last node held a version, over all versions. */
+/* Quantiles over all versions of the time until the last node held the
+ * version. */
 static void
 bench_versions(const struct bench *b, double *p50, double *p99, double *max)
 {
@@ -218,7 +220,7 @@
 	printf("\n");
 }
 
-/* Totals of the nodes' counters since they came up, for each second. */
+/* Prints the nodes' counters since they started, per second and node. */
 static void
 bench_counters(const struct bench *b, double seconds)
 {
--- a/test/driver/checker.c
+++ b/test/driver/checker.c
@@ -1,5 +1,5 @@
 /*
- * What must always hold.
+ * Checks of the invariants.
  */
 #include "checker.h"
 
--- a/test/driver/checker.h
+++ b/test/driver/checker.h
@@ -1,17 +1,18 @@
 /*
- * Checker of the test driver: what must always hold, looked at in every run.
+ * Checker of the test driver: invariants, checked throughout every run.
  *
- * - No host goes back to an older version than it has held, also across
- *   restarts: each version applied is above the one before, and a host that
- *   begins to serve holds at least the highest version it ever held.
- * - All or nothing: what a node holds is exactly one version that was signed
- *   off, by its root worked out anew from its services, contents included.
- * - No route without its service: the snapshot compiled from it is sound, and
- *   has no service or endpoint list that the configuration lacks.
- * - A version that was halted is not taken up afterwards, but by a host that
- *   held it already.
- * - In the end every node in reach holds the version in force, or a halted
- *   one that it held before.
+ * - A host never goes back to a version older than one that it held, also
+ *   across restarts: each version applied is higher than the one before, and a
+ *   host that starts to serve holds at least the highest version that it ever
+ *   held.
+ * - Atomicity: a node holds exactly one version that was signed off, verified
+ *   by its root, which is recomputed from the services and their contents.
+ * - No route without its service: the snapshot compiled from the configuration
+ *   is valid and has no service or endpoint list that the configuration lacks.
+ * - A halted version is not applied after the halt, except by a host that
+ *   already held it.
+ * - At the end every reachable node holds the version in force, or a halted one
+ *   that it held before.
  */
 #ifndef DRIVER_CHECKER_H
 #define DRIVER_CHECKER_H
@@ -24,15 +25,16 @@
 #include "config/snapshot.h"
 #include "ledger.h"
 
-/* Time that the news of a halt may take. */
+/* Time within which a halt must have reached every node. */
 #define CHECKER_HALT_US UINT64_C(5000000)
 
 /**
- * struct checker - what is known of the hosts
+ * struct checker - state of the hosts under check
  * @ledger: versions signed off; borrowed
- * @max_version: name of a host to the highest version that it held, boxed
- * @process_version: the same for the process that runs on it now
- * @violations: what did not hold, as text
+ * @max_version: host name to the highest version that the host ever held, boxed
+ * @process_version: host name to the version that the current process holds,
+ *	boxed
+ * @violations: description of each violation
  */
 struct checker {
 	const struct ledger *ledger;
@@ -41,38 +43,39 @@
 	GPtrArray *violations;
 };
 
-/** checker_new() - a checker of nodes that hold versions of @ledger */
+/** checker_new() - create a checker for nodes that hold versions of @ledger */
 struct checker *checker_new(const struct ledger *ledger);
 
 /** checker_free() - free a checker; NULL is ignored */
 void checker_free(struct checker *ck);
 
-/** checker_started() - a process started on a host */
+/** checker_started() - record that a process started on a host */
 void checker_started(struct checker *ck, const char *host);
 
 /**
- * checker_applied() - a node moved to a version
+ * checker_applied() - check a version that a node has applied
  * @ck: checker
  * @now_us: virtual time
- * @host: the host
- * @c: what it holds
- * @serving: whether it serves
+ * @host: name of the host
+ * @c: configuration that the node holds now
+ * @serving: whether the node serves
  */
 void checker_applied(struct checker *ck, uint64_t now_us, const char *host,
     const struct catalog *c, int serving);
 
-/** checker_content() - whether what a node holds is whole */
+/** checker_content() - check that a node's configuration is complete */
 void
 checker_content(struct checker *ck, const char *host, const struct catalog *c);
 
-/** checker_snapshot() - whether a node's snapshot is sound */
+/** checker_snapshot() - check that a node's snapshot is valid */
 void checker_snapshot(struct checker *ck, const char *host,
     const struct catalog *c, const struct snapshot *s);
 
-/** checker_ready() - a node begins to serve with @version */
+/** checker_ready() - check the @version with which a node starts to serve */
 void checker_ready(struct checker *ck, const char *host, uint64_t version);
 
-/** checker_final() - a node in reach holds @version at the end */
+/** checker_final() - check the @version that a reachable node holds at the
+ * end */
 void checker_final(struct checker *ck, const char *host, uint64_t version);
 
 /** checker_n_violations() - number of violations */
--- a/test/driver/follow.c
+++ b/test/driver/follow.c
@@ -1,5 +1,5 @@
 /*
- * Answers reads of the head that wait for a change.
+ * Long-polling reads of the platform's head.
  */
 #include "follow.h"
 
@@ -7,19 +7,19 @@
 
 #include "world.h"
 
-/* The shell's timeout besides the time that a read waits. */
+/* Timeout of a read in the daemon, in addition to its long-poll time. */
 #define READ_TIMEOUT_MS 1500
 
 /**
- * struct follow_wait - a read under way
- * @node: whose
- * @generation: process that asked
- * @action: what it asked for
- * @id: its number
- * @known_seq: number of the newest change that it knows
- * @answer_seq: number of the newest change that its answer tells
- * @st: how it ends
- * @lost: it is never answered
+ * struct follow_request - pending read
+ * @id: number of the read
+ * @node: node that sent it
+ * @generation: process of the node that sent it
+ * @action: what to read
+ * @known_seq: number of the newest change that the node has
+ * @answer_seq: number of the newest change in the response
+ * @st: status of the response
+ * @lost: no response is ever sent
  */
 struct follow_request {
 	uint64_t id;
@@ -32,7 +32,8 @@
 	int lost;
 };
 
-/** struct follow_timer - a read that waits, and how it ends if it still does */
+/** struct follow_timer - timer that completes a read with @st if the read is
+ * still pending */
 struct follow_timer {
 	struct world *world;
 	uint64_t id;
@@ -56,7 +57,7 @@
 	return read->node->up && read->node->generation == read->generation;
 }
 
-/* The answer leaves now. */
+/* Sends the response now. */
 static void
 complete(struct follow_request *read, enum status st)
 {
@@ -192,7 +193,7 @@
 	g_free(read);
 }
 
-/* What the platform makes of a read that reached it. */
+/* Decides how the platform responds to a read that reached it. */
 static void
 admit(struct follow_request *read)
 {
--- a/test/driver/ledger.c
+++ b/test/driver/ledger.c
@@ -1,5 +1,5 @@
 /*
- * All versions that were ever signed off.
+ * Signed-off versions and their content.
  */
 #include "ledger.h"
 
@@ -7,7 +7,7 @@
 
 #include "config/section.h"
 
-/* One change in so many adds or takes away a service. */
+/* One in REMOVE_ODDS changes removes a service. */
 #define REMOVE_ODDS 8
 
 #define ROUTES 2
@@ -75,7 +75,7 @@
 	    l->objects, g_memdup2(digest, sizeof(*digest)), content);
 }
 
-/* Make a new content for a service and store it. */
+/* Creates new content for a service and stores it. */
 static void
 ledger_add_section(struct ledger *l, const char *service, struct digest *digest)
 {
@@ -164,7 +164,7 @@
 	return list;
 }
 
-/* Change one service by chance: new content, taken away, or brought back. */
+/* Changes a random service: gives it new content, removes it or restores it. */
 static GArray *
 ledger_change(struct ledger *l, GArray *list)
 {
--- a/test/driver/ledger.h
+++ b/test/driver/ledger.h
@@ -1,6 +1,6 @@
 /*
- * Ledger of the test driver: all versions that were ever signed off, as the
- * platform holds them.
+ * Ledger of the test driver: all versions ever signed off, as stored by the
+ * platform.
  */
 #ifndef DRIVER_LEDGER_H
 #define DRIVER_LEDGER_H
@@ -13,13 +13,13 @@
 #include "proto/messages.h"
 
 /**
- * struct ledger_version - a version that was signed off
- * @version: its number
- * @root: its root
+ * struct ledger_version - signed-off version
+ * @version: version number
+ * @root: root digest
  * @list: struct rec_section_ref, sorted by service
- * @changes: struct rec_section_change since the version before
- * @signed_us: when it was signed off
- * @halted_us: when it was halted, 0 if it was not
+ * @changes: struct rec_section_change since the previous version
+ * @signed_us: time of the sign-off
+ * @halted_us: time of the halt, 0 if not halted
  */
 struct ledger_version {
 	uint64_t version;
@@ -33,11 +33,11 @@
 /**
  * struct ledger - all versions
  * @versions: struct ledger_version; the first is version 1
- * @head: head row, seq 0 before the first sign-off
- * @objects: digest to GBytes, sections and lists
- * @rng: which services change
+ * @head: head row; its seq is 0 before the first sign-off
+ * @objects: digest to GBytes: sections and section lists
+ * @rng: selects the services that change
  * @services: number of services
- * @revision: makes each content different
+ * @revision: counter that makes each content unique
  */
 struct ledger {
 	GPtrArray *versions;
@@ -48,37 +48,40 @@
 	uint64_t revision;
 };
 
-/** ledger_new() - an empty ledger of bundles with some services */
+/** ledger_new() - create an empty ledger for bundles of @services services */
 struct ledger *ledger_new(uint32_t services, uint32_t seed);
 
 /** ledger_free() - free a ledger; NULL is ignored */
 void ledger_free(struct ledger *l);
 
 /**
- * ledger_sign() - sign a version off
+ * ledger_sign() - sign off a version
  * @l: the ledger
  * @now_us: virtual time
- * @n_changes: services that change; the first version has all services new
+ * @n_changes: number of service changes; ignored for the first version, in
+ *	which all services are new
  *
- * One in eight changes takes a service away or brings it back.
+ * One in eight changes to an existing service removes it; a change to a removed
+ * service restores it.
  */
 const struct ledger_version *
 ledger_sign(struct ledger *l, uint64_t now_us, uint32_t n_changes);
 
-/** ledger_supersede() - sign a version off that has an older one's content */
+/** ledger_supersede() - sign off a version with the content of the version
+ * @older */
 const struct ledger_version *
 ledger_supersede(struct ledger *l, uint64_t now_us, uint64_t older);
 
 /** ledger_halt() - halt the newest version */
 void ledger_halt(struct ledger *l, uint64_t now_us);
 
-/** ledger_version() - a version, or NULL */
+/** ledger_version() - find a version; NULL if there is none */
 struct ledger_version *ledger_version(const struct ledger *l, uint64_t version);
 
-/** ledger_object() - an object, or NULL */
+/** ledger_object() - find an object; NULL if there is none */
 GBytes *ledger_object(const struct ledger *l, const struct digest *digest);
 
-/** ledger_bundle_bytes() - content of all sections of a version */
+/** ledger_bundle_bytes() - total size of the sections of a version */
 uint64_t
 ledger_bundle_bytes(const struct ledger *l, const struct ledger_version *v);
 
--- a/test/driver/links.c
+++ b/test/driver/links.c
@@ -1,5 +1,5 @@
 /*
- * Datagrams and connections between nodes.
+ * Transport between nodes: datagrams and connections.
  */
 #include "links.h"
 
@@ -8,18 +8,18 @@
 #include "preload.h"
 #include "tamper.h"
 
-/* A connection that carried nothing for so long was closed by the shell. */
+/* A connection idle for this time has been closed by the daemon. */
 #define IDLE_TIMEOUT_US (60 * US_PER_S)
 
-/* Segments without data that open and close a connection. */
+/* Segments without data that open and close a connection, per end. */
 #define HANDSHAKE_SENT 2
 #define HANDSHAKE_RECEIVED 1
 #define CLOSE_SEGMENTS 2
 
-/* What the loss of a segment costs a connection. */
+/* Delay of a frame whose segment is lost and retransmitted. */
 #define RETRANSMIT_US (200 * US_PER_MS)
 
-/* A message on its way. */
+/* Message in transit; @conn is 0 for a datagram. */
 struct packet {
 	struct world *world;
 	uint32_t from;
@@ -29,7 +29,7 @@
 	GByteArray *body;
 };
 
-/* News on its way that a connection broke. */
+/* Notification in transit that a connection was reset. */
 struct conn_reset {
 	struct node *node;
 	uint32_t generation;
@@ -132,7 +132,7 @@
 	g_free(b);
 }
 
-/* Tell one end that its connection to the other is gone. */
+/* Notifies a node after @us that its connection to @peer was reset. */
 static void
 links_schedule_reset(struct node *n, const struct node *peer, uint64_t us)
 {
@@ -252,7 +252,8 @@
 	    (HANDSHAKE_SENT + CLOSE_SEGMENTS) * TCP_HEADER_BYTES;
 }
 
-/* The connection that a node dials to another one, made if there is none. */
+/* Returns the connection from @n to @to, opened if there is none; NULL if the
+ * connection attempt fails. */
 static struct conn *
 links_connect(struct node *n, struct node *to, int *is_new)
 {
--- a/test/driver/links.h
+++ b/test/driver/links.h
@@ -1,5 +1,5 @@
 /*
- * Links of the test driver: datagrams and connections between nodes.
+ * Transport of the test driver: datagrams and connections between nodes.
  */
 #ifndef DRIVER_LINKS_H
 #define DRIVER_LINKS_H
@@ -7,14 +7,15 @@
 #include "world.h"
 
 /**
- * struct conn - a connection
- * @id: its number
- * @initiator: node that dialled
- * @acceptor: node that accepted
- * @generations: processes at both ends
- * @stalled: frames vanish
- * @last_used_us: when it last carried a frame
- * @last_arrival_us: when the last frame arrives, in each direction
+ * struct conn - connection
+ * @id: connection number
+ * @initiator: node that opened it
+ * @acceptor: node that accepted it
+ * @generations: processes of initiator and acceptor
+ * @stalled: frames are lost silently
+ * @last_used_us: time of the last frame sent
+ * @last_arrival_us: arrival time of the last frame, to the acceptor and to the
+ *	initiator
  */
 struct conn {
 	uint64_t id;
@@ -26,16 +27,17 @@
 	uint64_t last_arrival_us[2];
 };
 
-/** links_init() - no connections */
+/** links_init() - start without connections */
 void links_init(struct world *w);
 
 /** links_clear() - free all connections */
 void links_clear(struct world *w);
 
-/** links_send() - send an item of a node's outbox; takes it over */
+/** links_send() - send an item of a node's outbox; takes ownership */
 void links_send(struct node *n, struct outbox_item *item);
 
-/** links_reset_all() - a node's process was killed: its connections break */
+/** links_reset_all() - reset all connections of a node whose process was
+ * killed */
 void links_reset_all(struct node *n);
 
 /** links_delay_us() - random one-way delay between two data centres */
--- a/test/driver/measure.c
+++ b/test/driver/measure.c
@@ -1,5 +1,5 @@
 /*
- * Convergence and traffic.
+ * Measurement of convergence and traffic.
  */
 #include "measure.h"
 
--- a/test/driver/measure.h
+++ b/test/driver/measure.h
@@ -1,5 +1,5 @@
 /*
- * Measures of the test driver: convergence and traffic.
+ * Measurements of the test driver: convergence and traffic.
  */
 #ifndef DRIVER_MEASURE_H
 #define DRIVER_MEASURE_H
@@ -8,7 +8,7 @@
 
 #include <glib.h>
 
-/** enum measure_class - what traffic was for */
+/** enum measure_class - purpose of traffic */
 enum measure_class {
 	MEASURE_MEMBERSHIP = 0,
 	MEASURE_NOTICES,
@@ -20,7 +20,8 @@
 	MEASURE_CLASSES,
 };
 
-/* Headers: IP and UDP, IP and TCP, and the bytes of a TCP segment. */
+/* Sizes of the IP and UDP headers, of the IP and TCP headers, and of the
+ * payload of a TCP segment. */
 #define UDP_HEADER_BYTES 28
 #define TCP_HEADER_BYTES 52
 #define TCP_SEGMENT_BYTES 1448
@@ -35,15 +36,16 @@
 	uint64_t received[MEASURE_CLASSES];
 };
 
-/* Histogram of milliseconds; the last bucket has all that is longer. */
+/* Last bucket of the histogram, in milliseconds; counts all longer times. */
 #define MEASURE_MS_MAX 120000
 
 /**
  * struct measure - convergence
- * @apply_ms: how long a node took to hold a version, by milliseconds
- * @n: number of those
- * @version_us: when the last node held a version, by version
- * @from: first version that counts
+ * @apply_ms: histogram of the time from a sign-off until a node applied the
+ *	version, by milliseconds
+ * @n: number of samples in @apply_ms
+ * @version_us: time at which the last node applied a version, by version
+ * @from: lowest version that is counted in @apply_ms
  */
 struct measure {
 	uint32_t *apply_ms;
@@ -52,32 +54,35 @@
 	uint64_t from;
 };
 
-/** measure_init() - nothing measured */
+/** measure_init() - start without samples */
 void measure_init(struct measure *m);
 
-/** measure_clear() - free what was measured */
+/** measure_clear() - free the samples */
 void measure_clear(struct measure *m);
 
-/** measure_reset() - count anew, from version @from on */
+/** measure_reset() - discard the samples and count from version @from on */
 void measure_reset(struct measure *m, uint64_t from);
 
-/** measure_applied() - a node came to hold @version, @us after its sign-off */
+/** measure_applied() - record that a node applied @version at @now_us, @us
+ * after its sign-off */
 void measure_applied(
     struct measure *m, uint64_t version, uint64_t now_us, uint64_t us);
 
-/** measure_quantile_ms() - quantile @q of the nodes' times */
+/** measure_quantile_ms() - quantile @q of the times from sign-off to
+ * application */
 uint32_t measure_quantile_ms(const struct measure *m, double q);
 
-/** measure_class_of() - class of a message type */
+/** measure_class_of() - traffic class of a message type */
 enum measure_class measure_class_of(uint8_t type);
 
-/** measure_class_name() - name of a class */
+/** measure_class_name() - name of a traffic class */
 const char *measure_class_name(enum measure_class c);
 
-/** measure_frame_bytes() - bytes of a frame with its headers */
+/** measure_frame_bytes() - size of a frame of @len bytes with all headers */
 uint64_t measure_frame_bytes(uint64_t len);
 
-/** measure_datagram_bytes() - bytes of a datagram with its headers */
+/** measure_datagram_bytes() - size of a datagram of @len bytes with all
+ * headers */
 uint64_t measure_datagram_bytes(uint64_t len);
 
 #endif
--- a/test/driver/naive.c
+++ b/test/driver/naive.c
@@ -1,6 +1,7 @@
 /*
- * Each node polls the whole bundle: one read of the head row, and one of an
- * object that has all of it.  A poll that fails is repeated at the next one.
+ * Reference implementation: each node polls the whole bundle, with one read of
+ * the head row and one of an object that contains the bundle.  A failed poll is
+ * not retried before the next one.
  */
 #include "naive.h"
 
@@ -11,7 +12,7 @@
 #define RESPONSE_BYTES (250 + TCP_HEADER_BYTES)
 #define READS_PER_POLL 2
 
-/* A poll that is due, or its answer. */
+/* Scheduled poll, or its response with @version. */
 struct naive_poll {
 	struct node *node;
 	uint32_t generation;
--- a/test/driver/node.c
+++ b/test/driver/node.c
@@ -1,5 +1,5 @@
 /*
- * One host of the test driver: the shell around its modules.
+ * One host of the test driver: runs the node's modules as the daemon does.
  */
 #include <string.h>
 
@@ -9,11 +9,13 @@
 
 #define CALL_PORT_STEP 1
 
-/* Seeds: the first hosts of so many data centres, and so many in each. */
+/* Join seeds: the first SEEDS_EACH hosts in each of the first SEED_DATA_CENTRES
+ * data centres. */
 #define SEED_DATA_CENTRES 3
 #define SEEDS_EACH 2
 
-/* A tick that is due. */
+/* Scheduled tick; obsolete if the node's timer was set to another time
+ * since. */
 struct node_tick {
 	struct node *node;
 	uint32_t generation;
@@ -74,7 +76,8 @@
 	n->snapshot = s;
 }
 
-/* Endpoints that membership knows of a host, as the daemon's shell does it. */
+/* Copies a host's endpoints from membership into the endpoint set, as the
+ * daemon does. */
 static void
 node_update_endpoints(struct node *n, const char *host)
 {
--- a/test/driver/platform.c
+++ b/test/driver/platform.c
@@ -1,5 +1,5 @@
 /*
- * Answers reads of the ledger, or does not.
+ * Reads of the ledger, with outages, delay and throttling.
  */
 #include "platform.h"
 
@@ -11,14 +11,14 @@
 #define DEFAULT_DELAY_MS 5
 #define DEFAULT_READS_PER_S 2000
 
-/* The shell's timeout when no answer comes. */
+/* Timeout of a read in the daemon. */
 #define READ_TIMEOUT_MS 2000
 
-/* Bytes of a request with its headers, and of an answer besides its body. */
+/* Size of a request with its headers, and of a response without its body. */
 #define REQUEST_BYTES (400 + TCP_HEADER_BYTES)
 #define RESPONSE_BYTES (250 + TCP_HEADER_BYTES)
 
-/* One more read in flight. */
+/* Read in flight. */
 struct platform_response {
 	struct node *node;
 	uint32_t generation;
--- a/test/driver/preload.c
+++ b/test/driver/preload.c
@@ -1,14 +1,14 @@
 /*
- * All nodes of a large world know all hosts from the start.
+ * Responses to joins with a table of all hosts.
  */
 #include "preload.h"
 
 #include <string.h>
 
-/* Records in one part of the table. */
+/* Records per part of the table. */
 #define PART_ROWS 1024
 
-/* An answer on its way. */
+/* Response in transit. */
 struct preload_part {
 	struct node *node;
 	struct net_addr from;
--- a/test/driver/queue.c
+++ b/test/driver/queue.c
@@ -1,5 +1,5 @@
 /*
- * A binary heap of what is to happen.
+ * Event queue as a binary heap.
  */
 #include "queue.h"
 
--- a/test/driver/queue.h
+++ b/test/driver/queue.h
@@ -1,5 +1,5 @@
 /*
- * Queue of the test driver: what is to happen, in order of virtual time.
+ * Event queue of the test driver, ordered by virtual time.
  */
 #ifndef DRIVER_QUEUE_H
 #define DRIVER_QUEUE_H
@@ -8,16 +8,16 @@
 
 #include <glib.h>
 
-/** queue_fn - called when its time has come; frees @arg itself */
+/** queue_fn - event handler; frees @arg */
 typedef void queue_fn(void *arg);
 
 /**
- * struct queue_item - something that is to happen
- * @at_us: when, virtual time in microseconds
- * @order: items of the same time happen in this order
- * @fn: what
- * @arg: argument
- * @free_arg: frees @arg if the queue is freed first
+ * struct queue_item - scheduled event
+ * @at_us: virtual time of the event
+ * @order: sequence number, which orders events of the same time
+ * @fn: handler
+ * @arg: argument of @fn
+ * @free_arg: frees @arg if the queue is cleared before the event
  */
 struct queue_item {
 	uint64_t at_us;
@@ -28,10 +28,10 @@
 };
 
 /**
- * struct queue - a heap of items
+ * struct queue - heap of events
  * @items: struct queue_item
  * @now_us: virtual time
- * @order: order of the next item
+ * @order: sequence number of the next item
  */
 struct queue {
 	GArray *items;
@@ -39,23 +39,23 @@
 	uint64_t order;
 };
 
-/** queue_init() - an empty queue at time @now_us */
+/** queue_init() - create an empty queue at time @now_us */
 void queue_init(struct queue *q, uint64_t now_us);
 
-/** queue_clear() - free what is left */
+/** queue_clear() - free the remaining events */
 void queue_clear(struct queue *q);
 
-/** queue_add() - have @fn called at @at_us, or now if that is past */
+/** queue_add() - schedule @fn at @at_us, or now if that is in the past */
 void queue_add(struct queue *q, uint64_t at_us, queue_fn *fn, void *arg,
     GDestroyNotify free_arg);
 
 /**
- * queue_step() - let the next item happen
+ * queue_step() - run the next event
  * @q: the queue
- * @until_us: but none that is later than this
+ * @until_us: time of the last event that may run
  *
- * Return: 1, or 0 when nothing is left up to @until_us; then that is the
- * time.
+ * Return: 1, or 0 if no event is left up to @until_us; the virtual time is then
+ * @until_us.
  */
 int queue_step(struct queue *q, uint64_t until_us);
 
--- a/test/driver/scenario.c
+++ b/test/driver/scenario.c
@@ -1,5 +1,5 @@
 /*
- * What the tests on the driver share.
+ * Helpers shared by the tests of the driver.
  */
 #include "scenario.h"
 #include "test_run.h"
--- a/test/driver/scenario.h
+++ b/test/driver/scenario.h
@@ -1,5 +1,5 @@
 /*
- * What the tests on the driver share.
+ * Helpers shared by the tests of the driver.
  */
 #ifndef DRIVER_SCENARIO_H
 #define DRIVER_SCENARIO_H
@@ -8,26 +8,28 @@
 
 #include "world.h"
 
-/* Longest time for a small world to come up, and to become even again. */
+/* Time limits for a small world to start and to converge. */
 #define SCENARIO_START_MS 60000
 #define SCENARIO_CONVERGENCE_MS 60000
 
-/* Seeds that a scenario is run with. */
+/* Number of seeds that a scenario is run with. */
 #define SCENARIO_SEEDS 6
 
-/** scenario_new() - a small world in which all nodes are up */
+/** scenario_new() - create a small world and start all nodes */
 struct world *scenario_new(uint64_t seed);
 
-/** scenario_start() - a world of a given make in which all nodes are up */
+/** scenario_start() - create a world of the given configuration and start all
+ * nodes */
 struct world *scenario_start(const struct world_config *config);
 
 /**
- * scenario_finish() - all nodes become even, nothing was violated; free the
- * world
+ * scenario_finish() - check that all nodes converge and no invariant was
+ * violated; frees the world
  */
 void scenario_finish(struct world *w);
 
-/** scenario_roll() - sign-offs by random live nodes, every @every_ms for @ms */
+/** scenario_roll() - for @ms, sign off a version at a random node every
+ * @every_ms */
 void scenario_roll(struct world *w, uint64_t ms, uint64_t every_ms);
 
 /** scenario_main() - run one test case; Return: exit status */
--- a/test/driver/tamper.c
+++ b/test/driver/tamper.c
@@ -1,5 +1,5 @@
 /*
- * A faulty node serves wrong content.
+ * Corruption of the messages of a faulty node.
  */
 #include "tamper.h"
 
--- a/test/driver/test_checker.c
+++ b/test/driver/test_checker.c
@@ -1,5 +1,5 @@
 /*
- * The checker catches each violation that is planted, and the driver is
+ * Tests that the checker detects each kind of violation and that the driver is
  * deterministic.
  */
 #include <string.h>
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-/* A node holds the version's number with another version's content. */
+/* A node holds the number of one version with the content of another. */
 START_TEST(test_partial_version)
 {
 	struct catalog_stage *stage;
@@ -98,7 +98,7 @@
 }
 END_TEST
 
-/* A snapshot has a route to a service that the version lacks. */
+/* A snapshot routes to a service that the version lacks. */
 START_TEST(test_route_without_service)
 {
 	struct snapshot *s;
--- a/test/driver/test_cuts.c
+++ b/test/driver/test_cuts.c
@@ -1,15 +1,16 @@
 /*
- * Cuts and a failing platform: each node serves what it has, and catches up.
+ * Tests of network partitions and of a failing platform: each node keeps
+ * serving the version that it holds, and catches up afterwards.
  */
 #include "scenario.h"
 
-/* Data centre 0 is cut off, in a row for each way. */
+/* Partitions of data centre 0, one row each. */
 static const struct {
-	int platform_out; /* it cannot ask the platform */
-	int platform_in;  /* it does not hear the platform's answers */
-	int peers_out;	  /* it is not heard by the others */
-	int peers_in;	  /* it does not hear the others */
-	int converges;	  /* it follows the versions all the same */
+	int platform_out; /* requests to the platform are lost */
+	int platform_in;  /* responses of the platform are lost */
+	int peers_out;	  /* messages to the other data centres are lost */
+	int peers_in;	  /* messages from the other data centres are lost */
+	int converges;	  /* it still receives new versions */
 } partitions[] = {
     {1, 1, 0, 0, 1},
     {0, 1, 0, 0, 1},
@@ -79,8 +80,9 @@
 }
 END_TEST
 
-/* Down, slow or throttling for long while versions roll; a version that was
- * accepted reaches everybody meanwhile. */
+/* The platform is unavailable, slow or throttling for a long time while
+ * versions are rolled out.  A version that was accepted must still reach all
+ * nodes. */
 static const struct {
 	int outage;
 	uint32_t delay_ms;
@@ -117,7 +119,8 @@
 }
 END_TEST
 
-/* The signing node dies at once: readers find the version when they can. */
+/* No node announces the versions, as when the signing node dies at once;
+ * readers find them when the platform is available again. */
 START_TEST(test_signing_node_stops)
 {
 	struct world *w;
@@ -135,7 +138,8 @@
 }
 END_TEST
 
-/* More versions than anybody keeps the changes of pass during a cut. */
+/* More versions are signed off during a partition than any node keeps the
+ * changes of. */
 START_TEST(test_changes_no_longer_kept)
 {
 	struct world *w;
--- a/test/driver/test_differential.c
+++ b/test/driver/test_differential.c
@@ -1,10 +1,11 @@
 /*
- * The naive version, in which each node polls the whole bundle, beside the
- * spread on the same events: the same final state, with other reads.
+ * Differential test: the spread and the reference implementation, in which each
+ * node polls the whole bundle, reach the same final state after the same
+ * events.
  */
 #include "scenario.h"
 
-/* Something that happens, by its number in a list made from the seed. */
+/* Event, by its number in the list generated from the seed. */
 enum event_kind {
 	EVENT_SIGN = 0,
 	EVENT_HALT,
--- a/test/driver/test_halts.c
+++ b/test/driver/test_halts.c
@@ -1,5 +1,5 @@
 /*
- * Halt and supersede during a roll.
+ * Tests of halting and superseding a version during its roll.
  */
 #include "scenario.h"
 
@@ -14,9 +14,9 @@
 	return n;
 }
 
-/* A version is halted some milliseconds into its roll. Nobody takes it up
- * once it is known to be halted, nobody gives it up, and the next version
- * reaches all. */
+/* A version is halted some milliseconds into its roll.  Once the halt has
+ * reached all nodes no other node applies the version, no node that holds it
+ * goes back, and the next version reaches all. */
 START_TEST(test_halt_during_roll)
 {
 	struct world_config config;
@@ -44,7 +44,8 @@
 }
 END_TEST
 
-/* A host that holds a halted version is restarted: it comes back with it. */
+/* A host that holds a halted version is restarted and must hold that version
+ * again. */
 START_TEST(test_restart_after_halt)
 {
 	struct world *w;
@@ -65,8 +66,8 @@
 }
 END_TEST
 
-/* So does each host of a data centre, whichever of them read the platform: what
- * it has in force is older. */
+/* The same for each host of a data centre in turn, including the readers of the
+ * platform, where the version in force is an older one. */
 START_TEST(test_restart_of_a_data_centre_after_halt)
 {
 	struct world *w;
@@ -91,8 +92,8 @@
 }
 END_TEST
 
-/* Sign-offs, halts and supersedes one after the other, some by nodes that do
- * not get to spreading them. */
+/* Random sequence of sign-offs, halts and supersedes, a quarter of which no
+ * node announces. */
 START_TEST(test_mixed_operations)
 {
 	struct world *w;
--- a/test/driver/test_messages.c
+++ b/test/driver/test_messages.c
@@ -1,9 +1,10 @@
 /*
- * Versions spread although messages are lost, doubled, overtaken or wrong.
+ * Tests that versions reach all nodes although messages are lost, duplicated,
+ * reordered or corrupted.
  */
 #include "scenario.h"
 
-/* A row for each kind of bad link. */
+/* Link faults, one row each. */
 static const struct {
 	double loss_rate;
 	double duplicate_rate;
@@ -38,8 +39,9 @@
 }
 END_TEST
 
-/* Whatever a faulty peer serves, nothing of it is taken up, the peer is
- * blamed, and the versions come from others. */
+/* Content of a faulty peer is never applied, the peer is blamed, and the
+ * versions come from other peers.  The blame is not asserted for truncated
+ * frames. */
 START_TEST(test_tampered_content)
 {
 	struct world *w;
@@ -63,8 +65,8 @@
 }
 END_TEST
 
-/* All connections go silent for good in the middle of transfers, while new
- * ones work. */
+/* All connections stall for good in the middle of transfers, while new ones
+ * work. */
 START_TEST(test_stalled_connections)
 {
 	struct world_config config;
--- a/test/driver/test_reading.c
+++ b/test/driver/test_reading.c
@@ -1,23 +1,24 @@
 /*
- * A version that the platform has accepted is in force on all hosts in time
- * whatever becomes of the hosts that read it for the others.
+ * Tests that an accepted version is in force on all hosts in time, whatever
+ * happens to the readers, which read the platform for the other hosts.
  *
- * Seen: a route that operators had dropped was served for seconds after the
- * change was acknowledged, by hosts that were well.  How: the platform turned
- * away some of the hosts, the readers of all data centres among them.  Cause:
- * a reader kept its place as long as it lived, and nobody else read.
+ * Failure guarded against: hosts without a fault served a removed route for
+ * seconds after the change was acknowledged.  The platform had rejected some
+ * hosts, the readers of all data centres among them; a reader kept its role as
+ * long as its process ran, and no other host read.
  */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "scenario.h"
 
-/* The operators' bound on the smallest deployments, less the time for large
- * versions on slow links and for compiling, which this driver doesn't have. */
+/* Time limit that operators set for the smallest deployments, and the part of
+ * it reserved for large versions on slow links and for compiling, which this
+ * driver does not model. */
 #define APPLY_LIMIT_MS 2000
 #define APPLY_MARGIN_MS 500
 
-/* The trouble begins so long before the change, or as it is accepted. */
+/* The fault begins this long before the change at most; 0 is at the change. */
 #define LEAD_MAX_MS 3000
 #define LEAD_STEP_MS 250
 
@@ -25,11 +26,11 @@
 #define OUTAGE_MAX_MS 20000
 #define READERS 2
 
-/* Changed services: more than a datagram holds. */
+/* Number of changed services; more than a datagram holds. */
 #define CHANGES 12
 #define SEEDS 2
 
-/* As a node on the users' platform is set, settings.json.in. */
+/* The settings of a node on the users' platform, as in settings.json.in. */
 static void
 configure(struct world_config *config, uint32_t data_centres, uint32_t nodes,
     uint64_t seed)
@@ -50,13 +51,14 @@
 	config->profile.alone_poll_ms = 300;
 }
 
-/* Those of the sheets, and a data centre that gets no news from others. */
+/* Sizes of the users' deployments, and a single data centre, which receives no
+ * versions from others. */
 static const struct {
 	uint32_t data_centres;
 	uint32_t nodes;
 } sizes[] = {{3, 4}, {1, 12}, {3, 25}};
 
-/** enum trouble - what happens to the readers */
+/** enum reader_fault - fault of the readers */
 enum reader_fault {
 	FAULT_NONE = 0,
 	FAULT_REJECTED,
@@ -69,7 +71,7 @@
 static const char *const fault_names[] = {
     "well", "refused", "silent", "killed", "frozen", "severed"};
 
-/* By hand, with BRAMLEY_SEEDS, more of them. */
+/* BRAMLEY_SEEDS sets the number of seeds of a manual run. */
 static uint64_t
 n_seeds(void)
 {
@@ -104,7 +106,7 @@
 {
 	uint32_t i;
 
-	/* All open connections go silent; new ones work. */
+	/* All open connections stall; new ones work. */
 	if (t == FAULT_STALLED) {
 		follow_drop_pending(w);
 		world_stall_connections(w);
@@ -122,7 +124,7 @@
 	return n->up && n->frozen_us <= w->queue.now_us;
 }
 
-/* Time until all hosts that are well hold a version; at most TROUBLE_MS. */
+/* Time until all healthy hosts hold a version, at most FAULT_DURATION_MS. */
 static uint64_t
 time_to_apply_ms(struct world *w, uint64_t version)
 {
@@ -148,7 +150,8 @@
 	struct world *w = scenario_start(config);
 	uint64_t ms;
 
-	/* Some changes, so that the readers are not all as they started. */
+	/* Changes before the fault, so that some readers are not those of the
+	 * start. */
 	world_run(w, 3000 + config->seed * 137);
 	(void)world_sign(w, WORLD_NO_NODE, 1);
 	world_run(w, 4000);
@@ -159,7 +162,13 @@
 	return ms;
 }
 
-/** struct tally - how long the plays of a test took */
+/**
+ * struct summary - times of the runs of a test
+ * @limit_ms: time limit of a run
+ * @runs: number of runs
+ * @max_ms: longest time
+ * @n_late: number of runs that exceeded @limit_ms
+ */
 struct summary {
 	uint64_t limit_ms;
 	uint32_t runs;
@@ -232,7 +241,7 @@
 }
 END_TEST
 
-/* Serves one or two hosts of each data centre only, whichever they are. */
+/* Serves only one or two random hosts of each data centre. */
 static void
 serve_few(struct world *w, const struct world_config *config,
     enum follow_access access)
@@ -266,8 +275,8 @@
 	return ms;
 }
 
-/* A platform that answers one or two hosts of a data centre, most often none of
- * those that read or stand by. */
+/* The platform serves one or two hosts of each data centre, which are usually
+ * neither readers nor standby readers. */
 START_TEST(the_few_served_nodes_read_for_all)
 {
 	static const enum follow_access access[] = {
@@ -287,7 +296,8 @@
 }
 END_TEST
 
-/* The platform is away for all, and a change is accepted as it comes back. */
+/* The platform is unavailable to all hosts, and a change is accepted when the
+ * outage ends. */
 static uint64_t
 run_outage_end(const struct world_config *config, enum follow_access access,
     uint64_t outage_ms)
--- a/test/driver/test_restarts.c
+++ b/test/driver/test_restarts.c
@@ -1,10 +1,11 @@
 /*
- * Restarts: floors, herds, replaced hosts, frozen processes.
+ * Tests of restarts: version floors, mass restarts, replaced hosts and frozen
+ * processes.
  */
 #include "catalog_defs.h"
 #include "scenario.h"
 
-/* Share of the platform's 2,000 reads a second that herds may take. */
+/* Part of the platform's 2,000 reads a second that a mass restart may use. */
 #define MASS_RESTART_READS_PER_S 500
 
 static void
@@ -15,8 +16,8 @@
 	world_start(w, node);
 }
 
-/* A host is the only one that held a version; nobody can read the platform.
- * It is restarted, and must not serve the version before. */
+/* Restarts the only host that held a version while no node can read the
+ * platform; the host must not serve the previous version. */
 static struct world *
 restart_last_holder(uint64_t seed, uint32_t keepers)
 {
@@ -50,8 +51,8 @@
 }
 END_TEST
 
-/* The same without keepers in the own data centre and none elsewhere: the
- * checker sees the host go back. */
+/* The same without any keeper of the floor, neither in the host's data centre
+ * nor in another: the checker reports that the host went back. */
 START_TEST(test_version_decreases_without_floor)
 {
 	struct world_config config;
@@ -83,8 +84,9 @@
 		w->nodes[i].catalog->max_bytes = max_bytes;
 }
 
-/* A version that no host can put together, and nobody can read the platform:
- * a host that is restarted then serves what the others do. */
+/* No host can assemble a version, because it exceeds the catalog limit, and no
+ * node can read the platform: a restarted host serves the same version as the
+ * others. */
 START_TEST(test_refused_version_sets_no_floor)
 {
 	struct world *w;
@@ -107,7 +109,7 @@
 }
 END_TEST
 
-/* A host is restarted over and over while versions roll. */
+/* Random hosts are restarted while versions are rolled out. */
 START_TEST(test_restart_during_roll)
 {
 	struct world *w;
@@ -125,7 +127,7 @@
 }
 END_TEST
 
-/* Killed while a version is staged but not whole. */
+/* Hosts are killed while a version is staged but incomplete. */
 START_TEST(test_killed_in_staging)
 {
 	struct world_config config;
@@ -175,7 +177,7 @@
 	return scenario_start(&config);
 }
 
-/* A data centre, then a third of all, then all are restarted at once. */
+/* A data centre, then a third of all hosts, then all hosts restart at once. */
 START_TEST(test_mass_restarts)
 {
 	struct world *w;
@@ -191,7 +193,7 @@
 }
 END_TEST
 
-/* All are restarted at once, with more to read than one does in a moment. */
+/* All hosts restart at once, with a bundle too large for one read. */
 START_TEST(test_mass_restart_with_many_services)
 {
 	struct world_config config;
@@ -212,7 +214,8 @@
 }
 END_TEST
 
-/* A herd while the platform is down comes up from its peers. */
+/* A data centre that restarts at once while the platform is unavailable starts
+ * from its peers. */
 START_TEST(test_mass_restart_without_platform)
 {
 	struct world *w;
@@ -226,7 +229,8 @@
 }
 END_TEST
 
-/* Frozen for a minute while versions roll, then thawed. */
+/* Processes are frozen for a minute while versions are rolled out, then
+ * resumed. */
 START_TEST(test_frozen_processes)
 {
 	struct world *w;
--- a/test/driver/test_roll.c
+++ b/test/driver/test_roll.c
@@ -1,11 +1,12 @@
 /*
- * Watching a roll, serving joins, and what a version may be.
+ * Tests of progress reports, concurrent joins, large versions and invalid
+ * messages.
  */
 #include <string.h>
 
 #include "scenario.h"
 
-/* Sums of the data centres as a node's last question was answered. */
+/* Queries the progress from a node and sums it over the data centres. */
 static void
 query_progress(struct world *w, uint32_t node, uint32_t *nodes,
     uint32_t *holding, uint64_t *lowest)
@@ -26,7 +27,7 @@
 	}
 }
 
-/* Any node can tell how many hold the newest version. */
+/* Any node can report how many nodes hold the newest version. */
 START_TEST(test_progress)
 {
 	struct world_config config;
@@ -51,7 +52,7 @@
 }
 END_TEST
 
-/* What a node is told of the fleet's refusals. */
+/* Queries the refusals in the fleet from a node. */
 static struct spread_refusal
 query_refusals(struct world *w, uint32_t node)
 {
@@ -77,8 +78,9 @@
 	spread_set_refusal(w->nodes[node].spread, world_now_ms(w), &r);
 }
 
-/* Any node can tell how many refuse a version, the highest, since when, why;
- * and that it is over. */
+/* Any node can report how many nodes refuse a version, the highest version
+ * refused, the earliest time and the reason; and that the refusals have
+ * ended. */
 START_TEST(test_progress_counts_refusals)
 {
 	const struct spread_refusal none = {0};
@@ -117,7 +119,7 @@
 }
 END_TEST
 
-/* A report that is lost does not hide for long that a node has come so far. */
+/* A lost report does not hide a node's progress for long. */
 START_TEST(test_progress_with_packet_loss)
 {
 	struct world_config config;
@@ -133,7 +135,7 @@
 	world_sign(w, 0, 1);
 	ck_assert(world_run_until_converged(w, SCENARIO_CONVERGENCE_MS));
 	world_run(w, 20000);
-	/* The question and its answer can be lost, too. */
+	/* The query and its response can be lost, too. */
 	for (i = 0, holding = 0; i < 20 && holding < w->n_nodes; i++)
 		query_progress(w, 0, &nodes, &holding, &lowest);
 	ck_assert_uint_eq(holding, w->n_nodes);
@@ -141,7 +143,8 @@
 }
 END_TEST
 
-/* A roll that is held up shows: a data centre is cut off, a host dies. */
+/* A stalled roll is visible: the progress lacks the nodes of a partitioned data
+ * centre. */
 START_TEST(test_progress_of_a_stalled_roll)
 {
 	struct world_config config;
@@ -169,8 +172,8 @@
 }
 END_TEST
 
-/* One place to serve joins in each node: joiners are told to come back, and
- * all come up. */
+/* Each node serves one join at a time: other joining nodes are told to retry,
+ * and all start. */
 START_TEST(test_join_limit)
 {
 	struct world_config config;
@@ -199,8 +202,8 @@
 }
 END_TEST
 
-/* More services than one page of changes has, all changed at once, for nodes
- * that have nothing, some, or all but the last version. */
+/* More services than one page of changes holds change at once, for nodes that
+ * have no version, an older one, or all but the newest. */
 START_TEST(test_many_services)
 {
 	struct world_config config;
@@ -220,8 +223,8 @@
 }
 END_TEST
 
-/* Endpoints start, drain and leave all the time during a roll; each snapshot
- * compiled on the way is checked. */
+/* Endpoints start, drain and leave continuously during a roll; each snapshot
+ * compiled meanwhile is checked. */
 START_TEST(test_endpoint_churn)
 {
 	char service[MEMBER_NAME_BYTES];
@@ -252,7 +255,7 @@
 }
 END_TEST
 
-/* Bytes that are no message, and messages that make no sense, do nothing. */
+/* Malformed and invalid messages are ignored. */
 START_TEST(test_malformed_messages)
 {
 	uint8_t garbage[64];
@@ -279,8 +282,8 @@
 }
 END_TEST
 
-/* Heads that nobody signed, whose version in force is held already, so that
- * no content has to prove them. */
+/* Heads that were never signed off, with a version in force that the node
+ * already holds, so that no content is fetched that would prove them wrong. */
 static const struct rec_head_tag unsigned_heads[] = {
     {.seq = 114, .version = 46, .in_force = 0, .state = HEAD_ROLLING},
     {.seq = 114, .version = 46, .in_force = 1, .state = HEAD_ROLLING, .tag = 7},
--- a/test/driver/world.c
+++ b/test/driver/world.c
@@ -1,5 +1,5 @@
 /*
- * Many nodes on one queue of messages.
+ * Simulated nodes on one event queue.
  */
 #include "world.h"
 
@@ -8,16 +8,16 @@
 #include "links.h"
 #include "preload.h"
 
-/* A world begins some time after zero, so that zero can mean never. */
+/* Virtual time starts after zero, because zero means never. */
 #define START_US (1000 * US_PER_S)
 
 #define PORT 7000
 #define NETWORK 0x0a000000U
 
-/* Nodes start within this time of each other. */
+/* Nodes start at random times within this period. */
 #define START_WINDOW_MS 2000
 
-/* How often world_run_until_converged() looks. */
+/* Interval at which world_run_until_converged() checks for convergence. */
 #define CONVERGENCE_POLL_MS 10
 
 void
@@ -182,7 +182,8 @@
 	return world_run_until_converged(w, ms);
 }
 
-/* A node tells its spread what it wrote to the platform. */
+/* Passes a version or head that was written to the platform to the spread of
+ * the node that wrote it. */
 static void
 world_notify_signer(
     struct world *w, uint32_t node, const struct ledger_version *v)
--- a/test/driver/world.h
+++ b/test/driver/world.h
@@ -1,11 +1,13 @@
 /*
- * World of the test driver: many nodes' membership, spread and catalog in one
- * process, on one queue of messages with a virtual clock and a seed.
+ * World of the test driver: deterministic simulation of many nodes, each with
+ * membership, spread and catalog, in one process, with one event queue, a
+ * virtual clock and a seed.
  *
- * Messages have delay, loss, doubling and reordering; data centres can be cut
- * from each other, one way too, and from the platform; processes are killed,
- * started, frozen; connections go silent; the platform is down, slow or
- * throttles.  Nothing else of hosts, load or networks is modelled.
+ * Messages are delayed, lost, duplicated and reordered; data centres are
+ * partitioned from each other and from the platform, also in one direction
+ * only; processes are killed, started and frozen; connections stall; the
+ * platform is unavailable, slow or throttles.  Nothing else of hosts, load or
+ * networks is modelled.
  */
 #ifndef DRIVER_WORLD_H
 #define DRIVER_WORLD_H
@@ -30,53 +32,53 @@
 #define US_PER_MS UINT64_C(1000)
 #define US_PER_S UINT64_C(1000000)
 
-/* No node: the sign-off's node does not get to spreading it. */
+/* No node: the version is written to the platform but no node announces it. */
 #define WORLD_NO_NODE UINT32_MAX
 
-/** enum world_kind - what runs on the nodes */
+/** enum world_kind - implementation that runs on the nodes */
 enum world_kind {
 	WORLD_SPREAD = 0,
 	WORLD_NAIVE, /* each node polls the whole bundle from the platform */
 };
 
-/** enum world_tamper - what a faulty node does to the content it serves */
+/** enum world_tamper - corruption of the content that a faulty node serves */
 enum world_tamper {
 	TAMPER_NONE = 0,
 	TAMPER_CONTENT,	 /* a byte of a section is changed */
-	TAMPER_OMIT,	 /* a change is left out */
+	TAMPER_OMIT,	 /* a change is omitted */
 	TAMPER_DIGEST,	 /* a change names another digest */
-	TAMPER_ROOT,	 /* the root is another one */
-	TAMPER_SWAP,	 /* two services change places */
-	TAMPER_REPEAT,	 /* a change stands twice */
-	TAMPER_EMPTY,	 /* no changes, but more to come */
-	TAMPER_TRUNCATE, /* the frame is cut short */
+	TAMPER_ROOT,	 /* the root is wrong */
+	TAMPER_SWAP,	 /* two services are swapped */
+	TAMPER_REPEAT,	 /* a change is repeated */
+	TAMPER_EMPTY,	 /* no changes, but more are announced */
+	TAMPER_TRUNCATE, /* the frame is truncated */
 	TAMPER_COUNT,
 	TAMPER_FULL_PULL, /* no fault: pulls ask for the whole bundle */
 };
 
 /**
- * struct world_config - how the world is
- * @kind: what runs on the nodes
+ * struct world_config - parameters of a world
+ * @kind: implementation that runs on the nodes
  * @data_centres: number of data centres
- * @nodes: nodes in each
- * @services: services of the bundle
- * @profile: numbers of the spread
- * @probe_ms: interval of the membership's probes
- * @probe_timeout_ms: time for the answer to one, 0 for what it has by itself
- * @suspicion_ms: time for a suspect to answer, 0 for what it has by itself
- * @seed: seed of everything
+ * @nodes: number of nodes in each data centre
+ * @services: number of services in the bundle
+ * @profile: parameters of the spread
+ * @probe_ms: interval of membership probes
+ * @probe_timeout_ms: timeout of a probe, 0 for the default of membership
+ * @suspicion_ms: suspicion timeout, 0 for the default of membership
+ * @seed: seed of all random numbers
  * @local_delay_us: one-way delay inside a data centre
  * @remote_delay_us: one-way delay between data centres
- * @jitter_us: largest random addition to a delay
- * @loss_rate: share of datagrams that are lost
- * @duplicate_rate: share of datagrams that come twice
- * @delayed_rate: share of datagrams that are @extra_delay_us late and so
- * overtaken
- * @extra_delay_us: by how much
- * @naive_poll_ms: interval of the naive version's polls
- * @check: whether each version applied is checked whole
- * @preload: whether all nodes know all hosts from the start
- * @follow: whether reads of the platform wait for a change (follow.h)
+ * @jitter_us: maximum random addition to a delay
+ * @loss_rate: share of datagrams that are lost; frames are delayed instead
+ * @duplicate_rate: share of datagrams that are duplicated
+ * @delayed_rate: share of datagrams that are delayed by @extra_delay_us and so
+ *	reordered
+ * @extra_delay_us: additional delay of these
+ * @naive_poll_ms: poll interval of the reference implementation
+ * @check: whether the whole content of each applied version is checked
+ * @preload: whether joins return all hosts at the start
+ * @follow: whether reads of the platform are long polls (follow.h)
  */
 struct world_config {
 	enum world_kind kind;
@@ -102,29 +104,29 @@
 };
 
 /**
- * struct node - one host with its process
- * @w: the world
- * @id: number of the host, which its address is made of
+ * struct node - host with its process
+ * @world: the world
+ * @id: number of the host, from which its address is made
  * @data_centre: number of its data centre
- * @host: name of the host
- * @addr: its address
- * @up: whether its process runs
- * @generation: number of processes that ran on it
- * @frozen_us: frozen until then
- * @timer_us: when its next tick is queued
- * @tamper: fault of what it serves
- * @m: membership, or NULL
+ * @host: host name
+ * @addr: address
+ * @up: whether the process runs
+ * @generation: number of processes started on the host
+ * @frozen_us: time until which the process is frozen
+ * @timer_us: time of the next scheduled tick
+ * @tamper: corruption of the content that it serves
+ * @membership: membership, or NULL
  * @membership_out: outbox of the membership
- * @c: configuration
- * @s: spread, or NULL
- * @endpoints: endpoints that it knows, if checking
- * @snapshot: last snapshot compiled, if checking
+ * @catalog: configuration
+ * @spread: spread, or NULL
+ * @endpoints: endpoints that the node has received, if checking
+ * @snapshot: last compiled snapshot, if checking
  * @version: version held
- * @ready: whether it may serve
- * @access: what becomes of its reads, where they wait
- * @head_read_pending: a read of it waits
- * @feed_seq: number of the newest change that its reads gave
- * @feed_head: head that they gave
+ * @ready: whether the node may serve
+ * @access: how the platform responds to its long polls
+ * @head_read_pending: a long poll of the head is pending
+ * @feed_seq: number of the newest change that its reads returned
+ * @feed_head: head that its reads returned last
  * @bytes: traffic
  */
 struct node {
@@ -154,22 +156,22 @@
 };
 
 /**
- * struct world - everything
- * @config: how it is
- * @queue: what is to happen
- * @rng: random numbers of links
+ * struct world - simulated system
+ * @config: parameters
+ * @queue: event queue
+ * @rng: random number generator
  * @nodes: the hosts
  * @n_nodes: number of hosts
- * @partitions: whether the way from one data centre to another is cut; the last
- *	index is the platform
- * @conns: struct conn by number
- * @pairs: struct conn by dialler and target
- * @preload: GByteArray; parts of the table of hosts that joins are answered
- *	with, or NULL
+ * @partitions: whether messages from one data centre to another are dropped;
+ *	the last index is the platform
+ * @conns: number to struct conn
+ * @pairs: initiator and acceptor to struct conn
+ * @preload: GByteArray; parts of the host table that joins are answered with,
+ *	or NULL
  * @next_conn: number of the next connection
  * @ledger: versions signed off
  * @platform: the platform
- * @pending_reads: struct follow_wait; reads that wait there
+ * @pending_reads: struct follow_request
  * @last_read_id: number of the last of them
  * @checker: invariants
  * @measure: convergence
@@ -193,10 +195,11 @@
 	struct measure measure;
 };
 
-/** world_config_init() - a small world with the registry profile */
+/** world_config_init() - set the parameters of a small world with the registry
+ * profile */
 void world_config_init(struct world_config *config, uint64_t seed);
 
-/** world_new() - a world in which nothing runs yet */
+/** world_new() - create a world in which no process runs */
 struct world *world_new(const struct world_config *config);
 
 /** world_free() - free a world; NULL is ignored */
@@ -205,29 +208,30 @@
 /** world_now_ms() - virtual time */
 uint64_t world_now_ms(const struct world *w);
 
-/** world_run() - let @ms of virtual time pass */
+/** world_run() - advance virtual time by @ms */
 void world_run(struct world *w, uint64_t ms);
 
-/** world_run_until_converged() - let time pass until world_converged() or for
- * @ms */
+/** world_run_until_converged() - run until world_converged(), at most for @ms;
+ * 0 if not converged */
 int world_run_until_converged(struct world *w, uint64_t ms);
 
 /**
- * world_start_all() - sign version 1 off, start all nodes, run until all are
+ * world_start_all() - sign off version 1, start all nodes and run until all are
  * ready
  *
- * Return: 1, or 0 when that took longer than @ms.
+ * Return: 1, or 0 if not all are ready after @ms.
  */
 int world_start_all(struct world *w, uint64_t ms);
 
-/** world_converged() - whether all nodes up hold the version in force, ready */
+/** world_converged() - whether all running nodes are ready and hold the version
+ * in force */
 int world_converged(const struct world *w);
 
 /**
- * world_sign() - sign a version off
+ * world_sign() - sign off a version
  * @w: the world
- * @node: node that does it and spreads it, or WORLD_NOBODY
- * @n_changes: services that change
+ * @node: node that signs it off and announces it, or WORLD_NO_NODE
+ * @n_changes: number of services that change
  *
  * Return: the version.
  */
@@ -245,36 +249,41 @@
 /** world_kill() - kill the process of a host */
 void world_kill(struct world *w, uint32_t node);
 
-/** world_replace() - put another host in place of a killed one */
+/** world_replace() - replace a killed host by one named @host with the same
+ * address */
 void world_replace(struct world *w, uint32_t node, const char *host);
 
-/** world_freeze() - freeze a process for @ms */
+/** world_freeze() - freeze a process for @ms; messages to it are delivered
+ * afterwards */
 void world_freeze(struct world *w, uint32_t node, uint64_t ms);
 
-/** world_partition() - cut or heal the way from one data centre to another */
+/** world_partition() - drop or deliver messages from one data centre to
+ * another */
 void world_partition(struct world *w, uint32_t from, uint32_t to, int cut);
 
-/** world_partition_both() - cut or heal both ways */
+/** world_partition_both() - drop or deliver messages in both directions */
 void world_partition_both(struct world *w, uint32_t a, uint32_t b, int cut);
 
-/** world_platform_index() - number of the platform, for world_partition() */
+/** world_platform_index() - index of the platform for world_partition() */
 uint32_t world_platform_index(const struct world *w);
 
-/** world_is_partitioned() - whether the way from one data centre to another is
- * cut */
+/** world_is_partitioned() - whether messages from one data centre to another
+ * are dropped */
 int world_is_partitioned(const struct world *w, uint32_t from, uint32_t to);
 
-/** world_stall_connections() - all open connections go silent for good */
+/** world_stall_connections() - stall all open connections for good */
 void world_stall_connections(struct world *w);
 
-/** world_node_index() - a host's number from data centre and place in it */
+/** world_node_index() - index of a node from its data centre and its place in
+ * it */
 uint32_t
 world_node_index(const struct world *w, uint32_t data_centre, uint32_t place);
 
-/** world_dispatch() - carry out what a node's modules want; after each event */
+/** world_dispatch() - execute the actions of a node's modules; called after
+ * each event */
 void world_dispatch(struct node *n);
 
-/** world_schedule() - call @fn when @ms have passed */
+/** world_schedule() - call @fn after @ms */
 void world_schedule(struct world *w, uint64_t ms, queue_fn *fn, void *arg);
 
 #endif
