--- a/test/driver/bench_spread.c
+++ b/test/driver/bench_spread.c
@@ -213,7 +213,7 @@
 		for (j = 0; j < MEASURE_CLASSES; j++)
 			sent[j] += w->nodes[i].bytes.sent[j] +
 			    w->nodes[i].bytes.received[j];
-	printf("    bytes/s a node, sent and received:");
+	printf("    bytes/s per node, sent and received:");
 	for (j = 0; j < MEASURE_CLASSES; j++)
 		printf(" %s %.0f", measure_class_name((enum measure_class)j),
 		    (double)sent[j] / seconds / w->n_nodes);
@@ -236,9 +236,9 @@
 		for (j = 0; j < sizeof(sum) / sizeof(*to); j++)
 			to[j] += from[j];
 	}
-	printf("    a node and second: notices %.2f (new %.2f), pulls %.2f "
-	       "(late %.3f, refused %.3f), applied %.2f, unacknowledged "
-	       "%.4f; in all: version reads %" G_GUINT64_FORMAT
+	printf("    per node and second: notices %.2f (new %.2f), pulls %.2f "
+	       "(timed out %.3f, refused %.3f), applied %.2f, unacknowledged "
+	       "%.4f; in total: version reads %" G_GUINT64_FORMAT
 	       ", object reads %" G_GUINT64_FORMAT "\n",
 	    (double)sum.notices_sent / seconds / w->n_nodes,
 	    (double)sum.notices_new / seconds / w->n_nodes,
@@ -279,7 +279,7 @@
 	    measure_quantile_ms(&w->measure, 1), p50 / 1000, p99 / 1000,
 	    max / 1000, mean, (double)max_bytes / seconds,
 	    (double)w->platform.reads / seconds, w->platform.peak_reads_per_s,
-	    world_converged(w) ? "even" : "UNEVEN",
+	    world_converged(w) ? "converged" : "NOT CONVERGED",
 	    checker_n_violations(w->checker));
 	if (b->verbose) {
 		bench_classes(b, seconds);
@@ -299,11 +299,11 @@
 	for (i = 0; b->full_pulls && i < w->n_nodes; i++)
 		w->nodes[i].tamper = TAMPER_FULL_PULL;
 	if (!world_start_all(w, START_TIMEOUT_MS))
-		printf(
-		    "not all nodes came up in %u s\n", START_TIMEOUT_MS / 1000);
+		printf("not all nodes are ready after %u s\n",
+		    START_TIMEOUT_MS / 1000);
 	if (b->verbose)
-		printf("    up after %.1f s, %" G_GUINT64_FORMAT
-		       " reads of the platform, at most %" G_GUINT64_FORMAT
+		printf("    ready after %.1f s, %" G_GUINT64_FORMAT
+		       " platform reads, at most %" G_GUINT64_FORMAT
 		       " in a second\n",
 		    (double)w->queue.now_us / 1e6 - 1000, w->platform.reads,
 		    w->platform.peak_reads_per_s);
@@ -325,7 +325,8 @@
 		printf("    %u violations: %s; %s\n",
 		    checker_n_violations(w->checker),
 		    checker_first_violation(w->checker),
-		    world_converged(w) ? "even" : "not even in the end");
+		    world_converged(w) ? "converged"
+				       : "not converged at the end");
 	world_free(w);
 	g_rand_free(b->rng);
 }
--- a/test/driver/checker.c
+++ b/test/driver/checker.c
@@ -97,16 +97,16 @@
 			hash_digest(data, len, &digest);
 		}
 		if (!hash_digest_equal(&digest, &sc->digest))
-			checker_report(ck, "%s lacks the content of %s", host,
-			    sc->section);
+			checker_report(ck, "%s lacks the content of section %s",
+			    host, sc->section);
 	}
 	g_bytes_unref(section_list_encode(list, &root));
 	g_array_unref(list);
 	if (!hash_digest_equal(&root, &v->root) ||
 	    !hash_digest_equal(&root, catalog_root(c)))
 		checker_report(ck,
-		    "%s holds version %" G_GUINT64_FORMAT " in part", host,
-		    v->version);
+		    "%s holds incomplete content of version %" G_GUINT64_FORMAT,
+		    host, v->version);
 }
 
 void
@@ -116,7 +116,7 @@
 	uint32_t i;
 
 	if (snapshot_check(s) != STATUS_OK)
-		checker_report(ck, "%s has an unsound snapshot: %s", host,
+		checker_report(ck, "%s has an invalid snapshot: %s", host,
 		    status_message());
 	if (s->version != catalog_version(c) ||
 	    s->n_services != catalog_n_services(c))
@@ -125,8 +125,9 @@
 	for (i = 0; i < s->n_services; i++)
 		if (catalog_find(c, s->services[i].config->name) == NULL)
 			checker_report(ck,
-			    "%s routes to a service it lacks: %s", host,
-			    s->services[i].config->name);
+			    "%s routes to service %s, which its configuration "
+			    "lacks",
+			    host, s->services[i].config->name);
 }
 
 void
@@ -149,7 +150,7 @@
 	if (v != NULL && v->halted_us > 0 &&
 	    now_us > v->halted_us + CHECKER_HALT_US && *max_version < version)
 		checker_report(ck,
-		    "%s took up version %" G_GUINT64_FORMAT
+		    "%s applied version %" G_GUINT64_FORMAT
 		    " long after it was halted",
 		    host, version);
 	*process_version = version;
--- a/test/driver/measure.c
+++ b/test/driver/measure.c
@@ -81,7 +81,7 @@
 measure_class_name(enum measure_class c)
 {
 	static const char *const names[MEASURE_CLASSES] = {"membership",
-	    "notices", "pulls", "floors", "progress", "dials", "source"};
+	    "notices", "pulls", "floors", "progress", "connections", "source"};
 
 	return names[c];
 }
--- a/test/driver/scenario.c
+++ b/test/driver/scenario.c
@@ -13,7 +13,8 @@
 
 	w = world_new(config);
 	ck_assert_msg(world_start_all(w, SCENARIO_START_MS),
-	    "seed %" G_GUINT64_FORMAT ": not all nodes came up", config->seed);
+	    "seed %" G_GUINT64_FORMAT ": not all nodes are ready after %u ms",
+	    config->seed, SCENARIO_START_MS);
 	return w;
 }
 
@@ -50,7 +51,7 @@
 	if (!world_run_until_converged(w, SCENARIO_CONVERGENCE_MS)) {
 		lagging = find_lagging_node(w);
 		ck_abort_msg("seed %" G_GUINT64_FORMAT
-			     ": %s holds %" G_GUINT64_FORMAT
+			     ": not converged: %s holds %" G_GUINT64_FORMAT
 			     ", floor %" G_GUINT64_FORMAT
 			     ", ready %d, in force %" G_GUINT64_FORMAT,
 		    w->config.seed, lagging->host, lagging->version,
--- a/test/driver/test_checker.c
+++ b/test/driver/test_checker.c
@@ -10,7 +10,7 @@
 assert_violation(struct world *w, const char *what)
 {
 	ck_assert_msg(
-	    checker_n_violations(w->checker) > 0, "nothing was caught");
+	    checker_n_violations(w->checker) > 0, "no violation was detected");
 	ck_assert_msg(strstr(checker_first_violation(w->checker), what) != NULL,
 	    "%s", checker_first_violation(w->checker));
 	world_free(w);
@@ -83,7 +83,7 @@
 	catalog_stage_free(stage);
 	checker_content(w->checker, "host-00-0000", c);
 	catalog_free(c);
-	assert_violation(w, "in part");
+	assert_violation(w, "holds incomplete content of version");
 }
 END_TEST
 
--- a/test/driver/test_reading.c
+++ b/test/driver/test_reading.c
@@ -69,7 +69,7 @@
 };
 
 static const char *const fault_names[] = {
-    "well", "refused", "silent", "killed", "frozen", "severed"};
+    "no fault", "rejected", "no response", "killed", "frozen", "stalled"};
 
 /* BRAMLEY_SEEDS sets the number of seeds of a manual run. */
 static uint64_t
@@ -187,8 +187,8 @@
 static void
 summary_check(const struct summary *t, const char *what, uint32_t hosts)
 {
-	printf("%s, %u hosts: %u plays, worst %u ms, %u late\n", what, hosts,
-	    t->runs, (unsigned int)t->max_ms, t->n_late);
+	printf("%s, %u hosts: %u runs, at most %u ms, %u over the limit\n",
+	    what, hosts, t->runs, (unsigned int)t->max_ms, t->n_late);
 	(void)fflush(stdout);
 	ck_assert_uint_eq(t->n_late, 0);
 }
@@ -292,7 +292,8 @@
 			summary_add(&summary,
 			    run_few_served(&config, access[_i], lead_ms));
 	}
-	summary_check(&summary, _i == 0 ? "most refused" : "most silent", 75);
+	summary_check(
+	    &summary, _i == 0 ? "most rejected" : "most without response", 75);
 }
 END_TEST
 
@@ -332,7 +333,8 @@
 			summary_add(&summary,
 			    run_outage_end(&config, access[_i], outage_ms));
 	}
-	summary_check(&summary, _i == 0 ? "away, refused" : "away, silent", 12);
+	summary_check(
+	    &summary, _i == 0 ? "outage, rejected" : "outage, no response", 12);
 }
 END_TEST
 
--- a/test/driver/test_restarts.c
+++ b/test/driver/test_restarts.c
@@ -160,7 +160,7 @@
 	for (i = 0; i < n; i += step)
 		world_start(w, first + i);
 	ck_assert_msg(world_run_until_converged(w, SCENARIO_CONVERGENCE_MS),
-	    "the herd did not come up");
+	    "not all nodes converged after the mass restart");
 	return (uint32_t)w->platform.peak_reads_per_s;
 }
 
@@ -208,7 +208,7 @@
 	w = scenario_start(&config);
 	peak_reads_per_s = restart_at_once(w, 0, w->n_nodes, 1);
 	ck_assert_msg(peak_reads_per_s < MASS_RESTART_READS_PER_S,
-	    "%u reads in a second, %" G_GUINT64_FORMAT " in all",
+	    "%u reads in a second, %" G_GUINT64_FORMAT " in total",
 	    peak_reads_per_s, w->platform.reads);
 	scenario_finish(w);
 }
