--- a/test/calls/bench_calls.c
+++ b/test/calls/bench_calls.c
@@ -48,13 +48,13 @@
 	double refused_p50_ms;
 	double refused_p99_ms;
 	double sends_percent;
-	double told_not_run_percent;
-	double told_unknown_percent;
+	double not_run_percent;
+	double unknown_percent;
 	uint32_t violations;
-	uint32_t doubled;
+	uint32_t booking_ran_twice;
 };
 
-typedef void (*tweak_fn)(struct world_config *cfg);
+typedef void (*policy_fn)(struct world_config *cfg);
 typedef void (*fault_fn)(struct world *w);
 
 static double
@@ -108,7 +108,7 @@
 }
 
 /* Counted over the time after the fault (or warm-up), until callers stop. */
-struct tally {
+struct counts {
 	GArray *done_us;
 	GArray *refused_us;
 	uint64_t calls[2];
@@ -118,33 +118,34 @@
 };
 
 static void
-count(const struct world *w, const struct deployment *d, struct tally *t)
+count(const struct world *w, const struct deployment *d, struct counts *t)
 {
 	const struct client_call *c;
-	uint64_t took;
+	uint64_t latency_us;
 	guint i;
 
 	for (i = 0; i < w->calls->len; i++) {
 		c = g_ptr_array_index(w->calls, i);
-		if (c->born_us < FAULT_AT_US)
+		if (c->sent_us < FAULT_AT_US)
 			continue;
 		t->calls[c->booking]++;
-		if (!c->told)
+		if (!c->has_outcome)
 			continue;
-		took = c->told_us - c->born_us + 2 * (uint64_t)d->client_us;
+		latency_us =
+		    c->outcome_us - c->sent_us + 2 * (uint64_t)d->client_us;
 		t->not_run += c->outcome == OUTCOME_NOT_RUN;
 		t->unknown += c->outcome == OUTCOME_UNKNOWN;
 		if (c->outcome != OUTCOME_DONE) {
-			g_array_append_val(t->refused_us, took);
+			g_array_append_val(t->refused_us, latency_us);
 			continue;
 		}
 		t->done[c->booking]++;
-		g_array_append_val(t->done_us, took);
+		g_array_append_val(t->done_us, latency_us);
 	}
 }
 
 static double
-share(uint64_t part, uint64_t whole)
+percent_of(uint64_t part, uint64_t whole)
 {
 	return whole > 0 ? PERCENT * (double)part / (double)whole : 0;
 }
@@ -154,7 +155,7 @@
     fault_fn fault, struct result *r)
 {
 	struct violations v;
-	struct tally t = {0};
+	struct counts t = {0};
 	struct world *w;
 	double seconds;
 
@@ -169,20 +170,21 @@
 	seconds = (double)cfg->duration_ms / 1000 - (double)FAULT_AT_US / 1e6;
 	r->goodput_percent += PERCENT * (double)(t.done[0] + t.done[1]) /
 	    seconds / capacity_per_s(d) / RUNS;
-	r->lookups_percent += share(t.done[0], t.calls[0]) / RUNS;
-	r->bookings_percent += share(t.done[1], t.calls[1]) / RUNS;
+	r->lookups_percent += percent_of(t.done[0], t.calls[0]) / RUNS;
+	r->bookings_percent += percent_of(t.done[1], t.calls[1]) / RUNS;
 	r->p50_ms += quantile_ms(t.done_us, 0.5) / RUNS;
 	r->p99_ms += quantile_ms(t.done_us, 0.99) / RUNS;
 	r->p999_ms += quantile_ms(t.done_us, 0.999) / RUNS;
 	r->refused_p50_ms += quantile_ms(t.refused_us, 0.5) / RUNS;
 	r->refused_p99_ms += quantile_ms(t.refused_us, 0.99) / RUNS;
-	r->sends_percent += (share(w->sends, w->calls->len) - PERCENT) / RUNS;
-	r->told_not_run_percent +=
-	    share(t.not_run, t.calls[0] + t.calls[1]) / RUNS;
-	r->told_unknown_percent +=
-	    share(t.unknown, t.calls[0] + t.calls[1]) / RUNS;
-	r->violations += checker_sum(&v);
-	r->doubled += v.booking_ran_twice;
+	r->sends_percent +=
+	    (percent_of(w->sends, w->calls->len) - PERCENT) / RUNS;
+	r->not_run_percent +=
+	    percent_of(t.not_run, t.calls[0] + t.calls[1]) / RUNS;
+	r->unknown_percent +=
+	    percent_of(t.unknown, t.calls[0] + t.calls[1]) / RUNS;
+	r->violations += checker_total(&v);
+	r->booking_ran_twice += v.booking_ran_twice;
 	g_array_free(t.done_us, TRUE);
 	g_array_free(t.refused_us, TRUE);
 	world_free(w);
@@ -190,7 +192,7 @@
 
 static struct result
 measure(
-    const struct deployment *d, uint32_t load, tweak_fn tweak, fault_fn fault)
+    const struct deployment *d, uint32_t load, policy_fn policy, fault_fn fault)
 {
 	struct world_config cfg;
 	struct result r = {0};
@@ -198,15 +200,15 @@
 
 	for (seed = 1; seed <= RUNS; seed++) {
 		configure(d, load, seed, &cfg);
-		if (tweak != NULL)
-			tweak(&cfg);
+		if (policy != NULL)
+			policy(&cfg);
 		add_run(d, &cfg, fault, &r);
 	}
 	return r;
 }
 
 static void
-print_head(void)
+print_header(void)
 {
 	(void)printf(
 	    "| load %% | version | goodput %% | lookups done %% | bookings done"
@@ -224,8 +226,8 @@
 	    load, name, r->goodput_percent, r->lookups_percent,
 	    r->bookings_percent, r->p50_ms, r->p99_ms, r->p999_ms,
 	    r->refused_p50_ms, r->refused_p99_ms, r->sends_percent,
-	    r->told_not_run_percent, r->told_unknown_percent, r->violations,
-	    r->doubled);
+	    r->not_run_percent, r->unknown_percent, r->violations,
+	    r->booking_ran_twice);
 	(void)fflush(stdout);
 }
 
@@ -255,7 +257,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(deployments); i++) {
 		(void)printf("\n%s\n\n", deployments[i].name);
-		print_head();
+		print_header();
 		for (k = 0; k < G_N_ELEMENTS(loads); k++)
 			print_both(&deployments[i], loads[k], NULL);
 	}
@@ -269,10 +271,10 @@
 
 static const struct fault_row fault_rows[] = {
     {"one endpoint 10 times slower", 60, bench_one_slow},
-    {"half of the endpoints killed", 80, bench_half_lost},
+    {"half of the endpoints killed", 80, bench_half_killed},
     {"one guard frozen for 3 s", 60, bench_one_frozen},
     {"upstreams restart one by one, cold", 60, bench_cold_starts},
-    {"one data centre cut off for 3 s", 50, bench_data_centre_cut},
+    {"one data centre cut off for 3 s", 50, bench_data_centre_partitioned},
     {"one endpoint drained and restarted", 60, bench_one_drained},
 };
 
@@ -285,7 +287,7 @@
 		for (k = 0; k < G_N_ELEMENTS(fault_rows); k++) {
 			(void)printf("\n%s: %s\n\n", deployments[i].name,
 			    fault_rows[k].name);
-			print_head();
+			print_header();
 			print_both(&deployments[i], fault_rows[k].load,
 			    fault_rows[k].fault);
 		}
@@ -294,7 +296,7 @@
 
 struct policy_row {
 	const char *name;
-	tweak_fn tweak;
+	policy_fn policy;
 	uint32_t load;
 	fault_fn fault;
 };
@@ -302,7 +304,8 @@
 static const struct policy_row policy_rows[] = {
     {"ours", NULL, 80, NULL},
     {"random placement", bench_random_placement, 80, NULL},
-    {"no preference for the own data centre", bench_anywhere, 80, NULL},
+    {"no preference for the own data centre", bench_no_local_preference, 80,
+	NULL},
     {"saturated from 70 %", bench_saturated_at_70, 80, NULL},
     {"saturated from 150 %", bench_saturated_at_150, 80, NULL},
     {"half-life of load 100 ms", bench_half_life_100, 80, NULL},
@@ -314,9 +317,10 @@
     {"oldest first", bench_oldest_first, 300, NULL},
     {"long queue, 300 ms left: ours", bench_long_queue, 300, NULL},
     {"long queue, oldest first", bench_long_queue_oldest_first, 300, NULL},
-    {"long queue, no early refusal", bench_long_queue_late, 300, NULL},
-    {"long queue, neither", bench_long_queue_plain, 300, NULL},
-    {"no share for bookings", bench_no_share, 300, NULL},
+    {"long queue, no early refusal", bench_long_queue_no_early_refusal, 300,
+	NULL},
+    {"long queue, neither", bench_long_queue_fifo_no_early_refusal, 300, NULL},
+    {"no share for bookings", bench_no_booking_share, 300, NULL},
     {"no retries", bench_no_retry, 300, NULL},
     {"no retry budget, 4 attempts", bench_no_budget, 300, NULL},
     {"no back-off", bench_no_backoff, 300, NULL},
@@ -325,10 +329,10 @@
     {"one slow: no ejection", bench_no_ejection, 60, bench_one_slow},
     {"one slow: only failures eject", bench_no_slow_factor, 60, bench_one_slow},
     {"one slow: random placement", bench_random_placement, 60, bench_one_slow},
-    {"half lost: ours", NULL, 80, bench_half_lost},
-    {"half lost: no ejection", bench_no_ejection, 80, bench_half_lost},
-    {"half lost: no retry budget", bench_no_budget, 80, bench_half_lost},
-    {"half lost: no retries", bench_no_retry, 80, bench_half_lost},
+    {"half lost: ours", NULL, 80, bench_half_killed},
+    {"half lost: no ejection", bench_no_ejection, 80, bench_half_killed},
+    {"half lost: no retry budget", bench_no_budget, 80, bench_half_killed},
+    {"half lost: no retries", bench_no_retry, 80, bench_half_killed},
     {"one frozen: ours", NULL, 60, bench_one_frozen},
     {"one frozen: no ejection", bench_no_ejection, 60, bench_one_frozen},
     {"cold starts: ours", NULL, 60, bench_cold_starts},
@@ -337,12 +341,13 @@
     {"one cold start: no slow start", bench_no_slow_start, 60, bench_one_cold},
     {"one cold start: slow start of 15 s", bench_slow_start_15_s, 60,
 	bench_one_cold},
-    {"4 times the slots announced: ours", bench_liar, 150, NULL},
-    {"the same, slots not adapted", bench_liar_not_adapted, 150, NULL},
+    {"4 times the slots announced: ours", bench_overstated_slots, 150, NULL},
+    {"the same, slots not adapted", bench_overstated_slots_not_adapted, 150,
+	NULL},
 };
 
 /* Only rows whose name contains this. */
-static const char *only = "";
+static const char *name_filter = "";
 
 static void
 bench_policies(void)
@@ -353,13 +358,13 @@
 
 	for (i = 0; i < G_N_ELEMENTS(deployments); i++) {
 		(void)printf("\n%s\n\n", deployments[i].name);
-		print_head();
+		print_header();
 		for (k = 0; k < G_N_ELEMENTS(policy_rows); k++) {
 			row = &policy_rows[k];
-			if (strstr(row->name, only) == NULL)
+			if (strstr(row->name, name_filter) == NULL)
 				continue;
-			r = measure(
-			    &deployments[i], row->load, row->tweak, row->fault);
+			r = measure(&deployments[i], row->load, row->policy,
+			    row->fault);
 			print_row(row->load, row->name, &r);
 		}
 	}
@@ -369,7 +374,7 @@
 main(int argc, char **argv)
 {
 	if (argc == 3 && strcmp(argv[1], "policies") == 0)
-		only = argv[2];
+		name_filter = argv[2];
 	if (argc == 2 && strcmp(argv[1], "loads") == 0)
 		bench_loads();
 	else if (argc == 2 && strcmp(argv[1], "faults") == 0)
--- a/test/calls/bench_calls.h
+++ b/test/calls/bench_calls.h
@@ -13,11 +13,11 @@
  * for a time. */
 
 void bench_one_slow(struct world *w);
-void bench_half_lost(struct world *w);
+void bench_half_killed(struct world *w);
 void bench_one_frozen(struct world *w);
 void bench_cold_starts(struct world *w);
 void bench_one_cold(struct world *w);
-void bench_data_centre_cut(struct world *w);
+void bench_data_centre_partitioned(struct world *w);
 void bench_one_drained(struct world *w);
 
 /* bench_calls_policies.c: each changes a world's configuration. */
@@ -31,19 +31,19 @@
 void bench_no_queue(struct world_config *cfg);
 void bench_oldest_first(struct world_config *cfg);
 void bench_long_queue(struct world_config *cfg);
-void bench_long_queue_late(struct world_config *cfg);
+void bench_long_queue_no_early_refusal(struct world_config *cfg);
 void bench_long_queue_oldest_first(struct world_config *cfg);
-void bench_long_queue_plain(struct world_config *cfg);
+void bench_long_queue_fifo_no_early_refusal(struct world_config *cfg);
 void bench_no_budget(struct world_config *cfg);
 void bench_no_retry(struct world_config *cfg);
 void bench_no_backoff(struct world_config *cfg);
-void bench_anywhere(struct world_config *cfg);
+void bench_no_local_preference(struct world_config *cfg);
 void bench_saturated_at_70(struct world_config *cfg);
 void bench_saturated_at_150(struct world_config *cfg);
 void bench_half_life_100(struct world_config *cfg);
 void bench_half_life_3000(struct world_config *cfg);
-void bench_no_share(struct world_config *cfg);
-void bench_liar(struct world_config *cfg);
-void bench_liar_not_adapted(struct world_config *cfg);
+void bench_no_booking_share(struct world_config *cfg);
+void bench_overstated_slots(struct world_config *cfg);
+void bench_overstated_slots_not_adapted(struct world_config *cfg);
 
 #endif
--- a/test/calls/bench_calls_faults.c
+++ b/test/calls/bench_calls_faults.c
@@ -6,89 +6,88 @@
 #include "guard.h"
 
 static void
-turn_slow(void *who, void *what)
+on_slow(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
-	(void)what;
-	g->upstream.slow = 10;
+	(void)arg;
+	g->upstream.slowdown = 10;
 }
 
 void
 bench_one_slow(struct world *w)
 {
-	queue_at(w->queue, FAULT_AT_US, turn_slow, w->guards[0], NULL);
+	queue_at(w->queue, FAULT_AT_US, on_slow, w->guards[0], NULL);
 }
 
 static void
-kill_for_good(void *who, void *what)
+on_kill(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
-	(void)what;
+	(void)arg;
 	guard_kill(g);
 	upstream_kill(&g->upstream);
 }
 
 static void
-announce_left(void *who, void *what)
+on_failure_detected(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
-	(void)what;
+	(void)arg;
 	world_announce(g->world, g->index, ENDPOINT_LEFT);
 }
 
 void
-bench_half_lost(struct world *w)
+bench_half_killed(struct world *w)
 {
 	uint32_t i;
 
 	for (i = 0; i < w->cfg.guards / 2; i++) {
-		queue_at(
-		    w->queue, FAULT_AT_US, kill_for_good, w->guards[i], NULL);
+		queue_at(w->queue, FAULT_AT_US, on_kill, w->guards[i], NULL);
 		queue_at(w->queue, FAULT_AT_US + 2 * FAULT_AT_US / 2,
-		    announce_left, w->guards[i], NULL);
+		    on_failure_detected, w->guards[i], NULL);
 	}
 }
 
 static void
-freeze(void *who, void *what)
+on_freeze(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
 	g->frozen_until_us = g->world->now_us + 3 * FAULT_AT_US / 2;
-	(void)what;
+	(void)arg;
 }
 
 static void
-suspect(void *who, void *what)
+on_suspect(void *target, void *arg)
 {
-	struct world *w = who;
+	struct world *w = target;
 	struct link *l;
 	guint i;
 
-	(void)what;
+	(void)arg;
 	for (i = 0; i < w->links->len; i++) {
 		l = g_ptr_array_index(w->links, i);
 		if (l->guard == 0 && !l->closed)
-			link_suspect(l);
+			link_start_timeout(l);
 	}
 }
 
 void
 bench_one_frozen(struct world *w)
 {
-	queue_at(w->queue, FAULT_AT_US, freeze, w->guards[0], NULL);
-	queue_at(w->queue, FAULT_AT_US, suspect, w, NULL);
+	queue_at(w->queue, FAULT_AT_US, on_freeze, w->guards[0], NULL);
+	queue_at(w->queue, FAULT_AT_US, on_suspect, w, NULL);
 }
 
 static void
-restart_upstream(void *who, void *what)
+on_upstream_restart(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
-	(void)what;
+	(void)arg;
 	upstream_kill(&g->upstream);
 	world_announce(g->world, g->index, ENDPOINT_READY);
 }
@@ -100,40 +99,41 @@
 
 	for (i = 0; i < w->cfg.guards; i++)
 		queue_at(w->queue, FAULT_AT_US + i * FAULT_AT_US / 2,
-		    restart_upstream, w->guards[i], NULL);
+		    on_upstream_restart, w->guards[i], NULL);
 }
 
 void
 bench_one_cold(struct world *w)
 {
-	queue_at(w->queue, FAULT_AT_US, restart_upstream, w->guards[0], NULL);
+	queue_at(
+	    w->queue, FAULT_AT_US, on_upstream_restart, w->guards[0], NULL);
 }
 
 static void
-cut_off(void *who, void *what)
+on_partition(void *target, void *arg)
 {
-	struct world *w = who;
+	struct world *w = target;
 
-	w->cut_data_centre = GPOINTER_TO_UINT(what);
+	w->partitioned_data_centre = GPOINTER_TO_UINT(arg);
 }
 
 void
-bench_data_centre_cut(struct world *w)
+bench_data_centre_partitioned(struct world *w)
 {
-	queue_at(w->queue, FAULT_AT_US, cut_off, w, GUINT_TO_POINTER(1));
-	queue_at(w->queue, FAULT_AT_US + 3 * FAULT_AT_US / 2, cut_off, w,
+	queue_at(w->queue, FAULT_AT_US, on_partition, w, GUINT_TO_POINTER(1));
+	queue_at(w->queue, FAULT_AT_US + 3 * FAULT_AT_US / 2, on_partition, w,
 	    GUINT_TO_POINTER(0));
 }
 
 static void
-drain(void *who, void *what)
+on_drain(void *target, void *arg)
 {
-	(void)what;
-	guard_begin_drain(who);
+	(void)arg;
+	guard_begin_drain(target);
 }
 
 void
 bench_one_drained(struct world *w)
 {
-	queue_at(w->queue, FAULT_AT_US, drain, w->guards[0], NULL);
+	queue_at(w->queue, FAULT_AT_US, on_drain, w->guards[0], NULL);
 }
--- a/test/calls/bench_calls_policies.c
+++ b/test/calls/bench_calls_policies.c
@@ -6,7 +6,7 @@
 void
 bench_random_placement(struct world_config *cfg)
 {
-	cfg->place_at_random = true;
+	cfg->random_placement = true;
 }
 
 void
@@ -60,7 +60,7 @@
 }
 
 void
-bench_long_queue_late(struct world_config *cfg)
+bench_long_queue_no_early_refusal(struct world_config *cfg)
 {
 	bench_long_queue(cfg);
 	cfg->admission.refuse_early = false;
@@ -75,9 +75,9 @@
 }
 
 void
-bench_long_queue_plain(struct world_config *cfg)
+bench_long_queue_fifo_no_early_refusal(struct world_config *cfg)
 {
-	bench_long_queue_late(cfg);
+	bench_long_queue_no_early_refusal(cfg);
 	bench_oldest_first(cfg);
 }
 
@@ -102,7 +102,7 @@
 }
 
 void
-bench_anywhere(struct world_config *cfg)
+bench_no_local_preference(struct world_config *cfg)
 {
 	cfg->placement.local_first = false;
 }
@@ -132,13 +132,13 @@
 }
 
 void
-bench_no_share(struct world_config *cfg)
+bench_no_booking_share(struct world_config *cfg)
 {
 	cfg->admission.booking_percent = 0;
 }
 
 void
-bench_liar(struct world_config *cfg)
+bench_overstated_slots(struct world_config *cfg)
 {
 	cfg->announced_slots = 4 * cfg->slots;
 	cfg->admission.slots = 4 * cfg->slots;
@@ -146,8 +146,8 @@
 }
 
 void
-bench_liar_not_adapted(struct world_config *cfg)
+bench_overstated_slots_not_adapted(struct world_config *cfg)
 {
-	bench_liar(cfg);
+	bench_overstated_slots(cfg);
 	cfg->admission.adapt_slots = false;
 }
--- a/test/calls/checker.c
+++ b/test/calls/checker.c
@@ -64,31 +64,31 @@
 {
 	const struct client_call *other;
 
-	if (c->of == c->number)
+	if (c->answered_call == c->number)
 		return true;
-	if (!c->keyed || c->of >= w->calls->len)
+	if (!c->keyed || c->answered_call >= w->calls->len)
 		return false;
-	other = g_ptr_array_index(w->calls, c->of);
+	other = g_ptr_array_index(w->calls, c->answered_call);
 	return other->keyed && other->key == c->key;
 }
 
 static void
-check_told(const struct world *w, const struct client_call *c,
+check_outcome(const struct world *w, const struct client_call *c,
     const GArray *key, struct violations *v)
 {
 	if (c->outcome == OUTCOME_NOT_RUN && c->runs > 0)
-		v->told_not_run_but_ran++;
+		v->ran_despite_not_run++;
 	if (c->keyed && c->outcome == OUTCOME_NOT_RUN &&
-	    ran_before(w, key, c->born_us, c->told_us))
-		v->key_not_run_but_ran++;
+	    ran_before(w, key, c->sent_us, c->outcome_us))
+		v->key_ran_despite_not_run++;
 	if (c->outcome != OUTCOME_DONE)
 		return;
 	if (!is_own_answer(w, c))
-		v->foreign_answer++;
+		v->wrong_response++;
 	if (c->runs == 0 && !c->keyed)
-		v->done_but_never_ran++;
+		v->done_without_run++;
 	if (c->keyed && key->len == 0)
-		v->done_but_never_ran++;
+		v->done_without_run++;
 }
 
 void
@@ -105,12 +105,12 @@
 		c = g_ptr_array_index(w->calls, i);
 		if (c->booking && c->runs > 1)
 			v->booking_ran_twice++;
-		if (c->times_told > 1)
-			v->told_twice++;
-		if (c->told)
-			check_told(w, c, g_ptr_array_index(keys, c->key), v);
-		else if (!c->entry_lost && !c->gone)
-			v->told_nothing++;
+		if (c->n_outcomes > 1)
+			v->multiple_outcomes++;
+		if (c->has_outcome)
+			check_outcome(w, c, g_ptr_array_index(keys, c->key), v);
+		else if (!c->entry_lost && !c->disconnected)
+			v->no_outcome++;
 	}
 	for (i = 0; i < keys->len; i++) {
 		key = g_ptr_array_index(keys, i);
@@ -122,11 +122,11 @@
 }
 
 uint32_t
-checker_sum(const struct violations *v)
+checker_total(const struct violations *v)
 {
-	return v->told_not_run_but_ran + v->booking_ran_twice +
-	    v->key_ran_twice + v->key_not_run_but_ran + v->foreign_answer +
-	    v->done_but_never_ran + v->told_twice + v->told_nothing;
+	return v->ran_despite_not_run + v->booking_ran_twice +
+	    v->key_ran_twice + v->key_ran_despite_not_run + v->wrong_response +
+	    v->done_without_run + v->multiple_outcomes + v->no_outcome;
 }
 
 void
@@ -136,14 +136,14 @@
 		const char *name;
 		uint32_t count;
 	} rows[] = {
-	    {"told not_run but ran", v->told_not_run_but_ran},
+	    {"told not_run but ran", v->ran_despite_not_run},
 	    {"booking ran twice", v->booking_ran_twice},
 	    {"key ran twice", v->key_ran_twice},
-	    {"key not_run but ran", v->key_not_run_but_ran},
-	    {"foreign answer", v->foreign_answer},
-	    {"done but never ran", v->done_but_never_ran},
-	    {"told twice", v->told_twice},
-	    {"told nothing", v->told_nothing},
+	    {"key not_run but ran", v->key_ran_despite_not_run},
+	    {"foreign answer", v->wrong_response},
+	    {"done but never ran", v->done_without_run},
+	    {"told twice", v->multiple_outcomes},
+	    {"told nothing", v->no_outcome},
 	};
 	GString *text;
 	size_t i;
--- a/test/calls/entry.c
+++ b/test/calls/entry.c
@@ -7,18 +7,18 @@
 #include "guard.h"
 
 #define GRACE_MS 50
-#define RESOLVE_LIMIT_MS 500
+#define RESOLVE_TIMEOUT_MS 500
 
 static void
 end_attempt(struct entry_call *ec, enum endpoint_result result)
 {
 	struct entry *e = ec->entry;
 
-	if (ec->at_endpoint == 0)
+	if (ec->in_flight_endpoint == 0)
 		return;
-	endpoints_ended(e->endpoints, ec->at_endpoint, result,
-	    e->world->now_us - ec->began_us, entry_now_ms(e));
-	ec->at_endpoint = 0;
+	endpoints_ended(e->endpoints, ec->in_flight_endpoint, result,
+	    e->world->now_us - ec->attempt_start_us, entry_now_ms(e));
+	ec->in_flight_endpoint = 0;
 }
 
 static void
@@ -42,7 +42,7 @@
 	if (a->kind == CALL_SEND) {
 		call_sent(ec->call, a->stream, l->incarnation, m.sent_ms);
 		m.kind = MESSAGE_REQUEST;
-		m.left_ms = clock_left_ms(ec->deadline_ms, m.sent_ms);
+		m.remaining_ms = clock_left_ms(ec->deadline_ms, m.sent_ms);
 	} else {
 		m.kind = MESSAGE_RESOLVE;
 		m.incarnation = a->incarnation;
@@ -53,30 +53,30 @@
 }
 
 static void
-send(struct entry_call *ec, const struct call_action *a)
+send_frame(struct entry_call *ec, const struct call_action *a)
 {
 	struct entry *e = ec->entry;
-	struct waiting_send wait = {ec->number, *a};
+	struct pending_send p = {ec->number, *a};
 	uint32_t guard = (uint32_t)a->endpoint - 1;
 
 	ec->stream = a->stream;
 	if (a->kind == CALL_SEND) {
 		endpoints_began(e->endpoints, a->endpoint, entry_now_ms(e));
-		ec->at_endpoint = a->endpoint;
-		ec->began_us = e->world->now_us;
+		ec->in_flight_endpoint = a->endpoint;
+		ec->attempt_start_us = e->world->now_us;
 		e->world->sends++;
 	}
 	if (e->links[guard] == NULL)
-		e->links[guard] = link_dial(e->world, e->index, guard);
+		e->links[guard] = link_connect(e->world, e->index, guard);
 	ec->link = e->links[guard];
 	if (ec->link->up)
 		transmit(ec, ec->link, a);
 	else
-		g_array_append_val(ec->link->waiting, wait);
+		g_array_append_val(ec->link->pending, p);
 }
 
 static void
-place(struct entry_call *ec)
+select_endpoint(struct entry_call *ec)
 {
 	struct entry *e = ec->entry;
 	const struct client_call *c = world_call(e->world, ec->number);
@@ -112,45 +112,48 @@
 }
 
 static void
-give_up(struct entry_call *ec, const struct call_action *a)
+report_failure(struct entry_call *ec, const struct call_action *a)
 {
 	enum outcome outcome = a->outcome;
 
-	if (ec->entry->world->cfg.plant == PLANT_LOST_IS_NOT_RUN)
+	if (ec->entry->world->cfg.defect == DEFECT_LOST_IS_NOT_RUN)
 		outcome = OUTCOME_NOT_RUN;
-	world_tell(ec->entry->world, ec->number, outcome, a->refusal, 0);
+	world_record_outcome(
+	    ec->entry->world, ec->number, outcome, a->refusal, 0);
 }
 
 static void
-carry_out(struct entry_call *ec, const struct call_action *a)
+execute(struct entry_call *ec, const struct call_action *a)
 {
 	struct world *w = ec->entry->world;
 
 	switch (a->kind) {
 	case CALL_PLACE:
-		place(ec);
+		select_endpoint(ec);
 		break;
 	case CALL_SEND:
 	case CALL_RESOLVE:
-		send(ec, a);
+		send_frame(ec, a);
 		break;
 	case CALL_CANCEL:
 		cancel(ec, a);
 		break;
 	case CALL_DELIVER:
-		world_tell(w, ec->number, OUTCOME_DONE, REFUSAL_NONE, ec->of);
+		world_record_outcome(w, ec->number, OUTCOME_DONE, REFUSAL_NONE,
+		    ec->answered_call);
 		break;
 	case CALL_GIVE_UP:
-		give_up(ec, a);
+		report_failure(ec, a);
 		break;
 	case CALL_ABORT:
 		world_call(w, ec->number)->aborted = true;
-		world_tell(w, ec->number, OUTCOME_UNKNOWN, REFUSAL_NONE, 0);
+		world_record_outcome(
+		    w, ec->number, OUTCOME_UNKNOWN, REFUSAL_NONE, 0);
 		break;
 	}
 }
 
-static void wake(void *who, void *what);
+static void on_wake(void *target, void *arg);
 
 static void
 set_wake(struct entry_call *ec)
@@ -162,20 +165,20 @@
 	if (wake_ms == DEADLINE_NEVER || wake_ms == ec->wake_ms)
 		return;
 	ec->wake_ms = wake_ms;
-	world_later(e->world,
-	    clock_left_ms(wake_ms, entry_now_ms(e)) * US_PER_MS, wake, e,
+	world_schedule(e->world,
+	    clock_left_ms(wake_ms, entry_now_ms(e)) * US_PER_MS, on_wake, e,
 	    GUINT_TO_POINTER(ec->number));
 }
 
 /* Carry out what the call wants; frees the call when it is over. */
 static void
-pump(struct entry_call *ec)
+run_call(struct entry_call *ec)
 {
 	struct entry *e = ec->entry;
 	struct call_action a;
 
 	while (call_next(ec->call, &a))
-		carry_out(ec, &a);
+		execute(ec, &a);
 	if (!call_is_finished(ec->call)) {
 		set_wake(ec);
 		return;
@@ -187,7 +190,7 @@
 }
 
 static struct entry_call *
-find(struct entry *e, uint32_t number)
+find_call(struct entry *e, uint32_t number)
 {
 	if (!e->up)
 		return NULL;
@@ -195,35 +198,35 @@
 }
 
 static void
-wake(void *who, void *what)
+on_wake(void *target, void *arg)
 {
-	struct entry *e = who;
+	struct entry *e = target;
 	struct entry_call *ec;
 
 	if (e->frozen_until_us > e->world->now_us) {
-		queue_at(e->world->queue, e->frozen_until_us, wake, e, what);
+		queue_at(e->world->queue, e->frozen_until_us, on_wake, e, arg);
 		return;
 	}
-	ec = find(e, GPOINTER_TO_UINT(what));
+	ec = find_call(e, GPOINTER_TO_UINT(arg));
 	if (ec == NULL)
 		return;
 	ec->wake_ms = 0;
 	call_tick(ec->call, entry_now_ms(e));
 	if (entry_now_ms(e) >= ec->deadline_ms)
 		end_attempt(ec, ENDPOINT_SILENT);
-	pump(ec);
+	run_call(ec);
 }
 
 static void
-take(struct entry *e, struct client_call *c)
+start_call(struct entry *e, struct client_call *c)
 {
 	const struct world_config *cfg = &e->world->cfg;
 	struct call_config cc = {.deadline_grace_ms = GRACE_MS,
-	    .resolve_limit_ms = RESOLVE_LIMIT_MS};
+	    .resolve_limit_ms = RESOLVE_TIMEOUT_MS};
 	struct entry_call *ec;
 
 	cc.deadline_ms = entry_now_ms(e) + cfg->deadline_ms;
-	cc.idempotent = !c->booking || cfg->plant == PLANT_RESEND_BOOKINGS;
+	cc.idempotent = !c->booking || cfg->defect == DEFECT_RESEND_BOOKINGS;
 	cc.keyed = c->keyed;
 	cc.naive = cfg->naive;
 	ec = g_new0(struct entry_call, 1);
@@ -234,63 +237,63 @@
 	g_hash_table_insert(e->calls, GUINT_TO_POINTER(c->number), ec);
 	drain_call_began(&e->drain);
 	call_start(ec->call, entry_now_ms(e));
-	pump(ec);
+	run_call(ec);
 }
 
 static void
-arrives(void *who, void *what)
+on_call(void *target, void *arg)
 {
-	entry_take(who, what);
+	entry_accept_call(target, arg);
 }
 
 void
-entry_take(struct entry *e, struct client_call *c)
+entry_accept_call(struct entry *e, struct client_call *c)
 {
 	if (!e->up) {
 		c->entry_lost = true;
 		return;
 	}
 	if (e->frozen_until_us > e->world->now_us) {
-		queue_at(e->world->queue, e->frozen_until_us, arrives, e, c);
+		queue_at(e->world->queue, e->frozen_until_us, on_call, e, c);
 		return;
 	}
 	if (drain_accepts_call(&e->drain))
-		take(e, c);
+		start_call(e, c);
 	else
-		world_tell(e->world, c->number,
+		world_record_outcome(e->world, c->number,
 		    c->keyed ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN,
 		    REFUSAL_STOPPING, 0);
 }
 
 void
-entry_caller_gone(struct entry *e, uint32_t number)
+entry_caller_disconnected(struct entry *e, uint32_t number)
 {
 	struct entry_call *ec;
 
-	ec = find(e, number);
+	ec = find_call(e, number);
 	if (ec == NULL)
 		return;
 	call_caller_disconnected(ec->call, entry_now_ms(e));
-	pump(ec);
+	run_call(ec);
 }
 
 static void
-lose_waiting(struct entry *e, const struct waiting_send *wait)
+fail_pending(struct entry *e, const struct pending_send *p)
 {
 	struct entry_call *ec;
 
-	ec = find(e, wait->call);
+	ec = find_call(e, p->call);
 	if (ec == NULL)
 		return;
-	if (wait->action.kind == CALL_SEND) {
+	if (p->action.kind == CALL_SEND) {
 		end_attempt(ec, ENDPOINT_UNREACHABLE);
 		call_connect_failed(
-		    ec->call, wait->action.stream, entry_now_ms(e));
+		    ec->call, p->action.stream, entry_now_ms(e));
 	} else {
 		call_resolve_failed(
-		    ec->call, wait->action.stream, entry_now_ms(e));
+		    ec->call, p->action.stream, entry_now_ms(e));
 	}
-	pump(ec);
+	run_call(ec);
 }
 
 static GArray *
@@ -315,7 +318,7 @@
 entry_link_lost(struct entry *e, struct link *l)
 {
 	struct entry_call *ec;
-	GArray *numbers, *waiting;
+	GArray *numbers, *pending;
 	guint i;
 
 	if (!e->up)
@@ -323,51 +326,51 @@
 	l->closed = true;
 	if (e->links[l->guard] == l)
 		e->links[l->guard] = NULL;
-	waiting = g_array_copy(l->waiting);
-	g_array_set_size(l->waiting, 0);
-	for (i = 0; i < waiting->len; i++)
-		lose_waiting(
-		    e, &g_array_index(waiting, struct waiting_send, i));
-	g_array_free(waiting, TRUE);
+	pending = g_array_copy(l->pending);
+	g_array_set_size(l->pending, 0);
+	for (i = 0; i < pending->len; i++)
+		fail_pending(
+		    e, &g_array_index(pending, struct pending_send, i));
+	g_array_free(pending, TRUE);
 	numbers = calls_on(e, l);
 	for (i = 0; i < numbers->len; i++) {
-		ec = find(e, g_array_index(numbers, uint32_t, i));
+		ec = find_call(e, g_array_index(numbers, uint32_t, i));
 		if (ec == NULL || ec->link != l)
 			continue;
 		end_attempt(ec, ENDPOINT_SILENT);
 		call_lost(ec->call, ec->stream, entry_now_ms(e));
-		pump(ec);
+		run_call(ec);
 	}
 	g_array_free(numbers, TRUE);
 }
 
 static void
-greet(struct entry *e, struct link *l, const struct message *m)
+on_hello(struct entry *e, struct link *l, const struct message *m)
 {
-	struct waiting_send *wait;
+	struct pending_send *p;
 	struct entry_call *ec;
-	GArray *waiting;
+	GArray *pending;
 	guint i;
 
 	l->up = true;
 	l->incarnation = m->incarnation;
 	l->hello_ms = m->sent_ms;
-	waiting = g_array_copy(l->waiting);
-	g_array_set_size(l->waiting, 0);
-	for (i = 0; i < waiting->len; i++) {
-		wait = &g_array_index(waiting, struct waiting_send, i);
-		ec = find(e, wait->call);
+	pending = g_array_copy(l->pending);
+	g_array_set_size(l->pending, 0);
+	for (i = 0; i < pending->len; i++) {
+		p = &g_array_index(pending, struct pending_send, i);
+		ec = find_call(e, p->call);
 		/* It may have moved on while the connection was opened. */
-		if (ec != NULL && ec->stream == wait->action.stream &&
+		if (ec != NULL && ec->stream == p->action.stream &&
 		    ec->link == l)
-			transmit(ec, l, &wait->action);
+			transmit(ec, l, &p->action);
 	}
-	g_array_free(waiting, TRUE);
+	g_array_free(pending, TRUE);
 }
 
 /* The attempt at the endpoint is over; a late frame says nothing new of it. */
 static void
-account(struct entry_call *ec, const struct message *m)
+record_result(struct entry_call *ec, const struct message *m)
 {
 	switch (m->kind) {
 	case MESSAGE_REFUSED:
@@ -379,9 +382,9 @@
 	case MESSAGE_FAILED:
 		end_attempt(ec, ENDPOINT_FAILED);
 		break;
-	case MESSAGE_ANSWER:
+	case MESSAGE_RESPONSE:
 		end_attempt(ec, ENDPOINT_OK);
-		ec->of = m->of;
+		ec->answered_call = m->answered_call;
 		break;
 	default:
 		break;
@@ -407,7 +410,7 @@
 	case MESSAGE_HEAD:
 		call_committed(ec->call, stream, now);
 		break;
-	case MESSAGE_ANSWER:
+	case MESSAGE_RESPONSE:
 		call_answered(ec->call, stream, now);
 		break;
 	default:
@@ -425,19 +428,19 @@
 		return;
 	if (m->kind == MESSAGE_HELLO) {
 		if (!l->closed)
-			greet(e, l, m);
+			on_hello(e, l, m);
 		return;
 	}
 	if (m->load.slots > 0)
 		endpoints_report(
 		    e->endpoints, l->guard + 1, &m->load, entry_now_ms(e));
-	ec = find(e, m->call);
+	ec = find_call(e, m->call);
 	if (ec == NULL)
 		return;
-	if (e->world->cfg.plant == PLANT_ANY_STREAM)
+	if (e->world->cfg.defect == DEFECT_ACCEPT_STALE_STREAM)
 		stream = ec->stream;
 	if (stream == ec->stream)
-		account(ec, m);
+		record_result(ec, m);
 	dispatch(ec, m, stream);
-	pump(ec);
+	run_call(ec);
 }
--- a/test/calls/entry.h
+++ b/test/calls/entry.h
@@ -35,8 +35,8 @@
  * struct entry_call - one call at this entry
  * @link: the connection of its latest frame
  * @stream: its latest stream
- * @of: the request that the answer belongs to
- * @at_endpoint: endpoint that counts it as in flight, or 0
+ * @answered_call: the request that the answer belongs to
+ * @in_flight_endpoint: endpoint that counts it as in flight, or 0
  */
 struct entry_call {
 	struct entry *entry;
@@ -47,9 +47,9 @@
 	uint64_t wake_ms;
 	struct link *link;
 	uint32_t stream;
-	uint32_t of;
-	uint64_t at_endpoint;
-	uint64_t began_us;
+	uint32_t answered_call;
+	uint64_t in_flight_endpoint;
+	uint64_t attempt_start_us;
 };
 
 /** entry_now_ms() - its monotonic time */
@@ -73,15 +73,15 @@
 /** entry_frozen_until_us() - end of its pause; in the past when not paused */
 uint64_t entry_frozen_until_us(const struct entry *e);
 
-/** entry_see() - news of an endpoint has come */
-void entry_see(
-    struct entry *e, uint32_t endpoint, const struct endpoint_truth *truth);
+/** entry_update_endpoint() - news of an endpoint has come */
+void entry_update_endpoint(struct entry *e, uint32_t endpoint,
+    const struct endpoint_announcement *announcement);
 
-/** entry_take() - a caller's request comes in */
-void entry_take(struct entry *e, struct client_call *c);
+/** entry_accept_call() - a caller's request comes in */
+void entry_accept_call(struct entry *e, struct client_call *c);
 
-/** entry_caller_gone() - the caller of @number hangs up */
-void entry_caller_gone(struct entry *e, uint32_t number);
+/** entry_caller_disconnected() - the caller of @number hangs up */
+void entry_caller_disconnected(struct entry *e, uint32_t number);
 
 /** entry_link_lost() - a connection broke, was refused or is silent */
 void entry_link_lost(struct entry *e, struct link *l);
--- a/test/calls/entry_process.c
+++ b/test/calls/entry_process.c
@@ -38,13 +38,13 @@
 
 	e->up = true;
 	e->process++;
-	e->skew_ms = world_between(e->world, 0, SKEW_MAX_MS);
+	e->skew_ms = world_random_between(e->world, 0, SKEW_MAX_MS);
 	e->generation = 1;
-	seed = world_between(e->world, 1, UINT32_MAX);
+	seed = world_random_between(e->world, 1, UINT32_MAX);
 	e->endpoints = endpoints_new(&cfg->endpoints);
 	if (cfg->eject)
 		e->ejection = ejection_new(&cfg->ejection, e->endpoints);
-	if (cfg->naive || cfg->place_at_random)
+	if (cfg->naive || cfg->random_placement)
 		e->placement = placement_new_naive(e->endpoints, seed);
 	else
 		e->placement = placement_new(
@@ -54,7 +54,7 @@
 	e->calls = g_hash_table_new_full(NULL, NULL, NULL, entry_call_free);
 	for (i = 0; i < cfg->guards; i++) {
 		e->seen_versions[i] = 0;
-		entry_see(e, i, &e->world->truths[i]);
+		entry_update_endpoint(e, i, &e->world->announced[i]);
 	}
 }
 
@@ -105,7 +105,7 @@
 		world_call(e->world, ((struct entry_call *)value)->number)
 		    ->entry_lost = true;
 		if (e->drain.state != DRAIN_SERVING)
-			e->world->cut_by_drain++;
+			e->world->interrupted_by_drain++;
 	}
 	for (i = 0; i < e->world->cfg.guards; i++) {
 		if (e->links[i] != NULL)
@@ -123,20 +123,20 @@
 }
 
 void
-entry_see(
-    struct entry *e, uint32_t endpoint, const struct endpoint_truth *truth)
+entry_update_endpoint(struct entry *e, uint32_t endpoint,
+    const struct endpoint_announcement *announcement)
 {
 	const struct world_config *cfg = &e->world->cfg;
 	struct endpoint_info *info = &e->infos[endpoint];
 
-	if (!e->up || truth->version < e->seen_versions[endpoint])
+	if (!e->up || announcement->version < e->seen_versions[endpoint])
 		return;
-	e->seen_versions[endpoint] = truth->version;
+	e->seen_versions[endpoint] = announcement->version;
 	info->id = endpoint + 1;
-	info->incarnation = truth->incarnation;
+	info->incarnation = announcement->incarnation;
 	info->slots = cfg->announced_slots;
 	info->cold_ms = UINT32_MAX;
-	info->state = truth->state;
+	info->state = announcement->state;
 	info->local =
 	    endpoint % cfg->data_centres == e->index % cfg->data_centres;
 	e->generation++;
@@ -145,26 +145,26 @@
 }
 
 static void
-restart(void *who, void *what)
+on_restart(void *target, void *arg)
 {
-	(void)what;
-	entry_restart(who);
+	(void)arg;
+	entry_restart(target);
 }
 
 static void
-drain_step(void *who, void *what)
+on_drain_tick(void *target, void *arg)
 {
-	struct entry *e = who;
+	struct entry *e = target;
 
-	if (!e->up || e->process != (uint64_t)GPOINTER_TO_SIZE(what))
+	if (!e->up || e->process != (uint64_t)GPOINTER_TO_SIZE(arg))
 		return;
 	drain_tick(&e->drain, entry_now_ms(e));
 	if (!drain_is_complete(&e->drain)) {
-		world_later(e->world, US_PER_MS, drain_step, e, what);
+		world_schedule(e->world, US_PER_MS, on_drain_tick, e, arg);
 		return;
 	}
 	entry_kill(e);
-	world_later(e->world, RESTART_US, restart, e, NULL);
+	world_schedule(e->world, RESTART_US, on_restart, e, NULL);
 }
 
 void
@@ -173,5 +173,5 @@
 	if (!e->up || e->drain.state != DRAIN_SERVING)
 		return;
 	drain_begin(&e->drain, NOTICE_MS, DRAIN_MS, entry_now_ms(e));
-	drain_step(e, GSIZE_TO_POINTER(e->process));
+	on_drain_tick(e, GSIZE_TO_POINTER(e->process));
 }
--- a/test/calls/faults.c
+++ b/test/calls/faults.c
@@ -7,18 +7,18 @@
 #define MS(n) ((uint64_t)(n)*US_PER_MS)
 
 static void
-guard_back(void *who, void *what)
+on_guard_restart(void *target, void *arg)
 {
-	(void)what;
-	guard_restart(who);
+	(void)arg;
+	guard_restart(target);
 }
 
 static void
-guard_missed(void *who, void *what)
+on_guard_failure_detected(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
-	(void)what;
+	(void)arg;
 	if (!g->up)
 		world_announce(g->world, g->index, ENDPOINT_LEFT);
 }
@@ -29,8 +29,9 @@
 	if (!g->up)
 		return;
 	guard_kill(g);
-	world_later(w, MS(300), guard_missed, g, NULL);
-	world_later(w, world_between(w, MS(5), MS(2000)), guard_back, g, NULL);
+	world_schedule(w, MS(300), on_guard_failure_detected, g, NULL);
+	world_schedule(w, world_random_between(w, MS(5), MS(2000)),
+	    on_guard_restart, g, NULL);
 }
 
 static void
@@ -39,19 +40,20 @@
 	struct link *l;
 	guint i;
 
-	g->frozen_until_us = w->now_us + world_between(w, MS(50), MS(4000));
+	g->frozen_until_us =
+	    w->now_us + world_random_between(w, MS(50), MS(4000));
 	for (i = 0; i < w->links->len; i++) {
 		l = g_ptr_array_index(w->links, i);
 		if (l->guard == g->index && !l->closed)
-			link_suspect(l);
+			link_start_timeout(l);
 	}
 }
 
 static void
-entry_back(void *who, void *what)
+on_entry_restart(void *target, void *arg)
 {
-	(void)what;
-	entry_restart(who);
+	(void)arg;
+	entry_restart(target);
 }
 
 static void
@@ -60,88 +62,92 @@
 	if (!e->up)
 		return;
 	entry_kill(e);
-	world_later(w, world_between(w, MS(5), MS(1000)), entry_back, e, NULL);
+	world_schedule(w, world_random_between(w, MS(5), MS(1000)),
+	    on_entry_restart, e, NULL);
 }
 
 static void
-upstream_well(void *who, void *what)
+on_upstream_recovery(void *target, void *arg)
 {
-	struct upstream *u = who;
+	struct upstream *u = target;
 
-	(void)what;
-	u->slow = 1;
+	(void)arg;
+	u->slowdown = 1;
 }
 
 static void
 slow_upstream(struct world *w, struct upstream *u)
 {
-	u->slow = 10;
-	world_later(w, MS(2000), upstream_well, u, NULL);
+	u->slowdown = 10;
+	world_schedule(w, MS(2000), on_upstream_recovery, u, NULL);
 }
 
 static void
-platform_well(void *who, void *what)
+on_platform_recovery(void *target, void *arg)
 {
-	struct world *w = who;
+	struct world *w = target;
 
-	(void)what;
+	(void)arg;
 	w->platform_down = false;
 }
 
 static void
-healed(void *who, void *what)
+on_partition_end(void *target, void *arg)
 {
-	struct world *w = who;
+	struct world *w = target;
 
-	(void)what;
-	w->cut_data_centre = 0;
+	(void)arg;
+	w->partitioned_data_centre = 0;
 }
 
 static void
-cut_data_centre(struct world *w)
+partition_data_centre(struct world *w)
 {
-	w->cut_data_centre = (uint32_t)world_between(w, 1, w->cfg.data_centres);
-	world_later(w, world_between(w, MS(100), MS(3000)), healed, w, NULL);
+	w->partitioned_data_centre =
+	    (uint32_t)world_random_between(w, 1, w->cfg.data_centres);
+	world_schedule(w, world_random_between(w, MS(100), MS(3000)),
+	    on_partition_end, w, NULL);
 }
 
 static struct link *
-some_link(struct world *w)
+random_link(struct world *w)
 {
 	struct link *l;
 	guint i;
 
 	for (i = w->links->len; i > 0; i--) {
 		l = g_ptr_array_index(w->links, i - 1);
-		if (l->up && !l->closed && !l->broken && world_chance(w, 40))
+		if (l->up && !l->closed && !l->broken &&
+		    world_random_percent(w, 40))
 			return l;
 	}
 	return NULL;
 }
 
 static void
-hurt_link(struct world *w, enum fault fault)
+inject_link_fault(struct world *w, enum fault fault)
 {
 	struct link *l;
 
-	l = some_link(w);
+	l = random_link(w);
 	if (l == NULL)
 		return;
-	if (fault == FAULT_LINK_BROKEN)
-		link_break(l);
-	else if (fault == FAULT_LINK_SILENT)
-		link_silence(l);
+	if (fault == FAULT_LINK_RESET)
+		link_reset(l);
+	else if (fault == FAULT_LINK_DROPS_FRAMES)
+		link_drop_frames(l);
 	else
-		link_stall(l, world_between(w, MS(200), MS(5000)));
+		link_stall(l, world_random_between(w, MS(200), MS(5000)));
 }
 
 void
-world_fault(struct world *w, enum fault fault)
+world_inject_fault(struct world *w, enum fault fault)
 {
 	struct guard *g;
 	struct entry *e;
 
-	g = w->guards[world_between(w, 0, w->cfg.guards - 1)];
-	e = w->entries[world_between(w, 0, w->cfg.entries - 1)];
+	g = w->guards[world_random_between(w, 0, w->cfg.guards - 1)];
+	e = w->entries[world_random_between(w, 0, w->cfg.entries - 1)];
 	switch (fault) {
 	case FAULT_GUARD_KILLED:
 		kill_guard(w, g);
@@ -157,7 +163,7 @@
 		break;
 	case FAULT_ENTRY_FROZEN:
 		e->frozen_until_us =
-		    w->now_us + world_between(w, MS(50), MS(3000));
+		    w->now_us + world_random_between(w, MS(50), MS(3000));
 		break;
 	case FAULT_ENTRY_DRAINED:
 		entry_begin_drain(e);
@@ -168,19 +174,19 @@
 	case FAULT_UPSTREAM_SLOW:
 		slow_upstream(w, &g->upstream);
 		break;
-	case FAULT_LINK_BROKEN:
-	case FAULT_LINK_SILENT:
+	case FAULT_LINK_RESET:
+	case FAULT_LINK_DROPS_FRAMES:
 	case FAULT_LINK_STALLED:
-		hurt_link(w, fault);
+		inject_link_fault(w, fault);
 		break;
 	case FAULT_PLATFORM_DOWN:
 		w->platform_down = true;
-		world_later(w, MS(1500), platform_well, w, NULL);
+		world_schedule(w, MS(1500), on_platform_recovery, w, NULL);
 		break;
-	case FAULT_DATA_CENTRE_CUT:
-		cut_data_centre(w);
+	case FAULT_DATA_CENTRE_PARTITIONED:
+		partition_data_centre(w);
 		break;
-	case FAULTS:
+	case FAULT_COUNT:
 		break;
 	}
 }
--- a/test/calls/guard.c
+++ b/test/calls/guard.c
@@ -55,7 +55,7 @@
 }
 
 void
-guard_forget(struct guard *g, struct guard_request *r)
+guard_remove_request(struct guard *g, struct guard_request *r)
 {
 	g_hash_table_remove(g->tickets, GSIZE_TO_POINTER(r->ticket));
 	g_hash_table_remove(g->requests, &r->id);
@@ -77,11 +77,11 @@
 		keyed_release(g->keyed, &key, &r->id, guard_now_ms(g));
 	}
 	send_to_waiters(g, &r->id, &m);
-	guard_forget(g, r);
+	guard_remove_request(g, r);
 }
 
 static void
-run(struct guard *g, struct guard_request *r)
+start(struct guard *g, struct guard_request *r)
 {
 	if (!fate_start(g->fates, &r->id, guard_now_ms(g))) {
 		admission_finished(
@@ -89,14 +89,14 @@
 		return;
 	}
 	r->started_ms = guard_now_ms(g);
-	if (upstream_take(&g->upstream, &r->id, r->call))
+	if (upstream_submit(&g->upstream, &r->id, r->call))
 		return;
 	admission_shed(g->admission, r->ticket, r->class, guard_now_ms(g));
 	guard_refuse(g, r, REFUSAL_UPSTREAM, 0);
 }
 
 static void
-settle(struct guard *g, const struct admission_result *res)
+apply_result(struct guard *g, const struct admission_result *res)
 {
 	struct guard_request *r;
 
@@ -104,34 +104,34 @@
 	if (r == NULL)
 		return;
 	if (res->verdict == ADMISSION_START)
-		run(g, r);
+		start(g, r);
 	else if (res->verdict == ADMISSION_REFUSE)
 		guard_refuse(g, r, res->refusal, res->retry_after_ms);
 }
 
 static void
-wake(void *who, void *what)
+on_wake(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
-	(void)what;
+	(void)arg;
 	if (g->frozen_until_us > g->world->now_us) {
-		queue_at(g->world->queue, g->frozen_until_us, wake, g, NULL);
+		queue_at(g->world->queue, g->frozen_until_us, on_wake, g, NULL);
 		return;
 	}
 	g->wake_us = 0;
 	if (g->up)
-		guard_pump(g);
+		guard_process_admission(g);
 }
 
 void
-guard_pump(struct guard *g)
+guard_process_admission(struct guard *g)
 {
 	struct admission_result res;
 	uint64_t at_ms, at_us;
 
 	while (admission_next(g->admission, guard_now_ms(g), &res))
-		settle(g, &res);
+		apply_result(g, &res);
 	at_ms = admission_wake_ms(g->admission);
 	if (at_ms == UINT64_MAX)
 		return;
@@ -140,7 +140,7 @@
 	if (g->wake_us != 0 && g->wake_us <= at_us)
 		return;
 	g->wake_us = at_us;
-	queue_at(g->world->queue, at_us, wake, g, NULL);
+	queue_at(g->world->queue, at_us, on_wake, g, NULL);
 }
 
 void
@@ -151,12 +151,12 @@
 	struct admission_result res;
 
 	admission_offer(g->admission, &req, guard_now_ms(g), &res);
-	settle(g, &res);
-	guard_pump(g);
+	apply_result(g, &res);
+	guard_process_admission(g);
 }
 
 static struct guard_request *
-add(struct guard *g, const struct message *m, uint64_t deadline_ms)
+add_request(struct guard *g, const struct message *m, uint64_t deadline_ms)
 {
 	struct guard_request *r;
 
@@ -164,7 +164,7 @@
 	r->id = m->id;
 	r->call = m->call;
 	r->deadline_ms = deadline_ms;
-	r->ticket = ++g->tickets_given;
+	r->ticket = ++g->n_tickets;
 	r->class = world_call(g->world, r->call)->booking ? ADMISSION_BOOKING
 							  : ADMISSION_LOOKUP;
 	g_hash_table_insert(g->requests, &r->id, r);
@@ -176,14 +176,14 @@
 static uint64_t
 sent_ms(const struct guard *g, const struct link *l, const struct message *m)
 {
-	if (g->world->cfg.plant == PLANT_TRUST_TIME_LEFT)
+	if (g->world->cfg.defect == DEFECT_TRUST_TIME_LEFT)
 		return guard_now_ms(g);
 	return frame_age_sent_ms(&l->age, m->sent_ms, guard_now_ms(g));
 }
 
 /* The naive guard: straight to the upstream, nothing remembered. */
 static void
-pass_on(struct guard *g, struct link *l, const struct message *m)
+forward_naively(struct guard *g, struct link *l, const struct message *m)
 {
 	struct message refusal = {
 	    .kind = MESSAGE_REFUSED, .refusal = REFUSAL_UPSTREAM};
@@ -195,16 +195,16 @@
 		return;
 	(void)fate_offer(
 	    g->fates, &m->id, guard_now_ms(g), &waiter, guard_now_ms(g));
-	r = add(g, m, UINT64_MAX);
+	r = add_request(g, m, UINT64_MAX);
 	(void)fate_start(g->fates, &r->id, guard_now_ms(g));
-	if (upstream_take(&g->upstream, &r->id, r->call))
+	if (upstream_submit(&g->upstream, &r->id, r->call))
 		return;
 	send_to_waiters(g, &r->id, &refusal);
-	guard_forget(g, r);
+	guard_remove_request(g, r);
 }
 
 static void
-request(struct guard *g, struct link *l, const struct message *m)
+on_request(struct guard *g, struct link *l, const struct message *m)
 {
 	struct message refusal = {.kind = MESSAGE_REFUSED};
 	struct fate_waiter waiter = {
@@ -229,7 +229,7 @@
 		guard_send(g, &waiter, &refusal);
 		return;
 	}
-	r = add(g, m, sent + m->left_ms);
+	r = add_request(g, m, sent + m->remaining_ms);
 	if (!drain_accepts_request(&g->drain))
 		guard_refuse(g, r, REFUSAL_DRAINING, 0);
 	else if (world_call(g->world, r->call)->keyed)
@@ -239,13 +239,14 @@
 }
 
 uint32_t
-guard_answer_of(GBytes *answer)
+guard_response_call(GBytes *send_response)
 {
-	uint32_t of;
+	uint32_t answered_call;
 
-	memcpy(&of, g_bytes_get_data(answer, NULL), sizeof(of));
-	g_bytes_unref(answer);
-	return of;
+	memcpy(&answered_call, g_bytes_get_data(send_response, NULL),
+	    sizeof(answered_call));
+	g_bytes_unref(send_response);
+	return answered_call;
 }
 
 /* The resolve's answer, and after it the kept one if there is one. */
@@ -259,14 +260,14 @@
 	guard_send(g, to, &m);
 	if (a->answer == NULL)
 		return;
-	m.kind = MESSAGE_ANSWER;
-	m.of = guard_answer_of(a->answer);
+	m.kind = MESSAGE_RESPONSE;
+	m.answered_call = guard_response_call(a->answer);
 	guard_send(g, to, &m);
 }
 
 /* The cancelled request leaves the queue and its waiters learn. */
 static void
-withdraw(struct guard *g, const struct request_id *id)
+cancel_queued(struct guard *g, const struct request_id *id)
 {
 	struct guard_request *r;
 
@@ -278,7 +279,7 @@
 }
 
 static void
-resolve(struct guard *g, struct link *l, const struct message *m)
+on_resolve(struct guard *g, struct link *l, const struct message *m)
 {
 	struct fate_query q = {.id = m->id,
 	    .incarnation = m->incarnation,
@@ -289,16 +290,16 @@
 
 	sent = sent_ms(g, l, m);
 	q.sent_ms = sent - MIN(m->age_ms, sent);
-	if (g->world->cfg.plant == PLANT_FORGET_RESTART)
+	if (g->world->cfg.defect == DEFECT_IGNORE_RESTART)
 		q.incarnation = g->incarnation;
 	fate_resolve(g->fates, &q, guard_now_ms(g), &a);
-	if (g->world->cfg.plant == PLANT_NO_TOMBSTONE &&
+	if (g->world->cfg.defect == DEFECT_NO_TOMBSTONE &&
 	    a.resolution == RESOLUTION_NOT_RUN && !a.cancelled) {
 		fate_table_free(g->fates);
 		g->fates = guard_new_fates(g);
 	}
 	if (a.cancelled)
-		withdraw(g, &m->id);
+		cancel_queued(g, &m->id);
 	if (m->kind == MESSAGE_RESOLVE)
 		send_resolution(g, &q.waiter, &a);
 	else if (a.answer != NULL)
@@ -312,14 +313,14 @@
 	switch (m->kind) {
 	case MESSAGE_REQUEST:
 		if (g->world->cfg.naive)
-			pass_on(g, l, m);
+			forward_naively(g, l, m);
 		else
-			request(g, l, m);
+			on_request(g, l, m);
 		break;
 	case MESSAGE_RESOLVE:
 	case MESSAGE_CANCEL:
 		if (!g->world->cfg.naive)
-			resolve(g, l, m);
+			on_resolve(g, l, m);
 		break;
 	default:
 		break;
@@ -327,29 +328,29 @@
 }
 
 void
-guard_note_start(struct guard *g)
+guard_on_job_started(struct guard *g)
 {
-	if (g->noticed_us != 0)
-		g->world->started_after_notice++;
+	if (g->drain_started_us != 0)
+		g->world->started_while_draining++;
 }
 
 static void
-answer(struct guard *g, struct guard_request *r, const struct job *j)
+send_response(struct guard *g, struct guard_request *r, const struct job *j)
 {
-	struct message m = {.kind = MESSAGE_HEAD, .of = j->call};
+	struct message m = {.kind = MESSAGE_HEAD, .answered_call = j->call};
 	const struct client_call *c = world_call(g->world, j->call);
-	GBytes *kept = NULL;
+	GBytes *stored = NULL;
 
-	if (g->world->cfg.plant == PLANT_CROSSED_ANSWERS && j->call > 0)
-		m.of = j->call - 1;
+	if (g->world->cfg.defect == DEFECT_SWAPPED_RESPONSES && j->call > 0)
+		m.answered_call = j->call - 1;
 	if (!c->large)
-		kept = g_bytes_new(&m.of, sizeof(m.of));
-	fate_done(g->fates, &r->id, kept, guard_now_ms(g));
-	if (kept != NULL)
-		g_bytes_unref(kept);
+		stored = g_bytes_new(&m.answered_call, sizeof(m.answered_call));
+	fate_done(g->fates, &r->id, stored, guard_now_ms(g));
+	if (stored != NULL)
+		g_bytes_unref(stored);
 	if (c->large)
 		send_to_waiters(g, &r->id, &m);
-	m.kind = MESSAGE_ANSWER;
+	m.kind = MESSAGE_RESPONSE;
 	send_to_waiters(g, &r->id, &m);
 }
 
@@ -371,43 +372,43 @@
 		keyed_ended(g->keyed, &key, &r->id, guard_now_ms(g));
 	}
 	if (ok) {
-		answer(g, r, j);
+		send_response(g, r, j);
 	} else {
 		fate_failed(g->fates, &r->id, guard_now_ms(g));
 		send_to_waiters(g, &r->id, &failed);
 	}
-	guard_forget(g, r);
+	guard_remove_request(g, r);
 	if (!g->world->cfg.naive)
-		guard_pump(g);
+		guard_process_admission(g);
 }
 
 /* An answer that waits for the guard's process to thaw. */
-struct late_job {
+struct delayed_job {
 	struct job job;
 	bool ok;
 };
 
 static void
-job_late(void *who, void *what)
+on_thaw(void *target, void *arg)
 {
-	struct late_job *late = what;
+	struct delayed_job *delayed = arg;
 
-	guard_job_done(who, &late->job, late->ok);
-	g_free(late);
+	guard_on_job_done(target, &delayed->job, delayed->ok);
+	g_free(delayed);
 }
 
 void
-guard_job_done(struct guard *g, const struct job *j, bool ok)
+guard_on_job_done(struct guard *g, const struct job *j, bool ok)
 {
-	struct late_job *late;
+	struct delayed_job *delayed;
 
 	if (g->frozen_until_us <= g->world->now_us) {
 		if (g->up)
 			job_done(g, j, ok);
 		return;
 	}
-	late = g_new(struct late_job, 1);
-	late->job = *j;
-	late->ok = ok;
-	queue_at(g->world->queue, g->frozen_until_us, job_late, g, late);
+	delayed = g_new(struct delayed_job, 1);
+	delayed->job = *j;
+	delayed->ok = ok;
+	queue_at(g->world->queue, g->frozen_until_us, on_thaw, g, delayed);
 }
--- a/test/calls/guard.h
+++ b/test/calls/guard.h
@@ -12,7 +12,7 @@
  * struct guard - one guard and its upstream
  * @process: generation, changes with each restart
  * @skew_ms: its monotonic clock is ahead of the world's by this
- * @noticed_us: its endpoint was told to leave then; 0: serving
+ * @drain_started_us: its endpoint was told to leave then; 0: serving
  * @wake_us: when admission is looked at next; 0: not planned
  * @requests: request id -> struct guard_request, for those not settled
  * @tickets: ticket -> the same
@@ -25,9 +25,9 @@
 	uint64_t incarnation;
 	uint64_t skew_ms;
 	uint64_t frozen_until_us;
-	uint64_t noticed_us;
+	uint64_t drain_started_us;
 	uint64_t wake_us;
-	uint64_t tickets_given;
+	uint64_t n_tickets;
 	uint64_t seen_versions[GUARDS_MAX];
 	enum endpoint_state view[GUARDS_MAX];
 	struct upstream upstream;
@@ -63,8 +63,8 @@
 /** guard_new_fates() - an empty table of its process */
 struct fate_table *guard_new_fates(const struct guard *g);
 
-/** guard_pump() - start or refuse what admission has ready */
-void guard_pump(struct guard *g);
+/** guard_process_admission() - start or refuse what admission has ready */
+void guard_process_admission(struct guard *g);
 
 /** guard_admit() - offer a request to admission */
 void guard_admit(struct guard *g, struct guard_request *r);
@@ -83,11 +83,12 @@
 void
 guard_send(struct guard *g, const struct fate_waiter *to, struct message *m);
 
-/** guard_answer_of() - the request that a kept answer belongs to; frees it */
-uint32_t guard_answer_of(GBytes *answer);
+/** guard_response_call() - the request that a kept answer belongs to; frees it
+ */
+uint32_t guard_response_call(GBytes *answer);
 
-/** guard_forget() - a request is settled and answered */
-void guard_forget(struct guard *g, struct guard_request *r);
+/** guard_remove_request() - a request is settled and answered */
+void guard_remove_request(struct guard *g, struct guard_request *r);
 
 /** guard_new() - a guard that is up */
 struct guard *guard_new(struct world *w, uint32_t index);
@@ -107,9 +108,9 @@
 /** guard_frozen_until_us() - end of its pause; in the past when not paused */
 uint64_t guard_frozen_until_us(const struct guard *g);
 
-/** guard_see() - news of an endpoint has come */
-void guard_see(
-    struct guard *g, uint32_t endpoint, const struct endpoint_truth *truth);
+/** guard_update_endpoint() - news of an endpoint has come */
+void guard_update_endpoint(struct guard *g, uint32_t endpoint,
+    const struct endpoint_announcement *announcement);
 
 /** guard_accept() - a connection came */
 void guard_accept(struct guard *g, struct link *l);
@@ -120,10 +121,10 @@
 /** guard_receive() - a frame came */
 void guard_receive(struct guard *g, struct link *l, const struct message *m);
 
-/** guard_note_start() - its upstream has started a request */
-void guard_note_start(struct guard *g);
+/** guard_on_job_started() - its upstream has started a request */
+void guard_on_job_started(struct guard *g);
 
-/** guard_job_done() - its upstream has answered, or died (!@ok) */
-void guard_job_done(struct guard *g, const struct job *j, bool ok);
+/** guard_on_job_done() - its upstream has answered, or died (!@ok) */
+void guard_on_job_done(struct guard *g, const struct job *j, bool ok);
 
 #endif
--- a/test/calls/guard_key.c
+++ b/test/calls/guard_key.c
@@ -4,17 +4,17 @@
  */
 #include "guard.h"
 
-#define ASK_LIMIT_US (100 * US_PER_MS)
-#define CLAIM_US (5 * US_PER_MS)
+#define HOME_QUERY_TIMEOUT_US (100 * US_PER_MS)
+#define CLAIM_DELAY_US (5 * US_PER_MS)
 #define CLAIM_LOST_PERCENT 5
 
 /* A question on its way: to an earlier home or to the platform. */
-struct question {
+struct key_query {
 	struct guard *guard;
 	uint64_t process;
 	struct request_id id;
 	struct key_id key;
-	uint64_t asked;
+	uint64_t home;
 	uint64_t age_ms;
 	enum keyed_word word;
 };
@@ -25,25 +25,25 @@
 	key_id_make(key, SERVICE, &c->key, sizeof(c->key));
 }
 
-static void act(struct guard *g, struct guard_request *r,
+static void apply_decision(struct guard *g, struct guard_request *r,
     const struct key_id *key, const struct keyed_decision *d);
 
 static void
-asked(void *who, void *what)
+on_home_response(void *target, void *arg)
 {
-	struct guard *g = who;
-	struct question *q = what;
+	struct guard *g = target;
+	struct key_query *q = arg;
 	struct keyed_decision d;
 	struct guard_request *r;
 
 	if (g->up && g->process == q->process) {
-		if (g->world->cfg.plant == PLANT_KEY_NOT_ASKED)
+		if (g->world->cfg.defect == DEFECT_KEY_HOME_NOT_QUERIED)
 			q->word = KEYED_WORD_FREE;
-		keyed_home_answered(g->keyed, &q->key, &q->id, q->asked,
-		    q->word, guard_now_ms(g), &d);
+		keyed_home_answered(g->keyed, &q->key, &q->id, q->home, q->word,
+		    guard_now_ms(g), &d);
 		r = guard_find(g, &q->id);
 		if (r != NULL)
-			act(g, r, &q->key, &d);
+			apply_decision(g, r, &q->key, &d);
 		else
 			keyed_release(
 			    g->keyed, &q->key, &q->id, guard_now_ms(g));
@@ -52,39 +52,40 @@
 }
 
 static bool
-is_cut(const struct world *w, uint32_t one, uint32_t other)
+is_partitioned(const struct world *w, uint32_t one, uint32_t other)
 {
 	uint32_t n = w->cfg.data_centres;
 
 	return one % n != other % n &&
-	    (w->cut_data_centre == one % n + 1 ||
-		w->cut_data_centre == other % n + 1);
+	    (w->partitioned_data_centre == one % n + 1 ||
+		w->partitioned_data_centre == other % n + 1);
 }
 
 /* The question reaches the earlier home, if that one lives. */
 static void
-yield(void *who, void *what)
+on_home_query(void *target, void *arg)
 {
-	struct guard *h = who;
-	struct question *q = what;
+	struct guard *h = target;
+	struct key_query *q = arg;
 	struct world *w = h->world;
 
 	if (h->up && h->frozen_until_us <= w->now_us &&
-	    !is_cut(w, h->index, q->guard->index)) {
+	    !is_partitioned(w, h->index, q->guard->index)) {
 		q->word = keyed_hand_over(h->keyed, &q->key,
 		    q->guard->index + 1, q->age_ms, guard_now_ms(h));
-		world_later(w, w->cfg.delay_us, asked, q->guard, q);
+		world_schedule(
+		    w, w->cfg.delay_us, on_home_response, q->guard, q);
 		return;
 	}
 	q->word = KEYED_WORD_NONE;
-	world_later(w, ASK_LIMIT_US, asked, q->guard, q);
+	world_schedule(w, HOME_QUERY_TIMEOUT_US, on_home_response, q->guard, q);
 }
 
 static void
-claimed(void *who, void *what)
+on_claim_response(void *target, void *arg)
 {
-	struct guard *g = who;
-	struct question *q = what;
+	struct guard *g = target;
+	struct key_query *q = arg;
 	struct keyed_decision d;
 	struct guard_request *r;
 
@@ -93,7 +94,7 @@
 		    g->keyed, &q->key, &q->id, q->word, guard_now_ms(g), &d);
 		r = guard_find(g, &q->id);
 		if (r != NULL)
-			act(g, r, &q->key, &d);
+			apply_decision(g, r, &q->key, &d);
 		else
 			keyed_release(
 			    g->keyed, &q->key, &q->id, guard_now_ms(g));
@@ -103,10 +104,10 @@
 
 /* A conditional put: the first process that claims a key holds it. */
 static void
-platform(void *who, void *what)
+claim_at_platform(void *target, void *arg)
 {
-	struct guard *g = who;
-	struct question *q = what;
+	struct guard *g = target;
+	struct key_query *q = arg;
 	struct world *w = g->world;
 	gpointer key = GSIZE_TO_POINTER(q->key.low);
 	gpointer holder;
@@ -121,35 +122,35 @@
 		q->word = holder == GSIZE_TO_POINTER(g->incarnation)
 		    ? KEYED_WORD_FREE
 		    : KEYED_WORD_TAKEN;
-		if (world_chance(w, CLAIM_LOST_PERCENT))
+		if (world_random_percent(w, CLAIM_LOST_PERCENT))
 			q->word = KEYED_WORD_NONE;
 	}
-	world_later(w, CLAIM_US, claimed, g, q);
+	world_schedule(w, CLAIM_DELAY_US, on_claim_response, g, q);
 }
 
 static void
-ask(struct guard *g, const struct guard_request *r, const struct key_id *key,
-    const struct keyed_decision *d)
+send_query(struct guard *g, const struct guard_request *r,
+    const struct key_id *key, const struct keyed_decision *d)
 {
-	struct question *q;
+	struct key_query *q;
 
-	q = g_new0(struct question, 1);
+	q = g_new0(struct key_query, 1);
 	q->guard = g;
 	q->process = g->process;
 	q->id = r->id;
 	q->key = *key;
-	q->asked = d->ask;
+	q->home = d->ask;
 	q->age_ms = keyed_age_ms(g->keyed, guard_now_ms(g));
 	if (d->verdict == KEYED_CLAIM)
-		platform(g, q);
+		claim_at_platform(g, q);
 	else
-		world_later(g->world, g->world->cfg.delay_us, yield,
+		world_schedule(g->world, g->world->cfg.delay_us, on_home_query,
 		    g->world->guards[d->ask - 1], q);
 }
 
 /* A follower waits for an answer, not for a word on its fate. */
 static void
-answer_follower(
+respond_to_follower(
     struct guard *g, const struct fate_waiter *to, const struct fate_answer *a)
 {
 	struct message m = {.kind = MESSAGE_FAILED};
@@ -158,8 +159,8 @@
 	case RESOLUTION_ATTACHED:
 		return;
 	case RESOLUTION_ANSWER:
-		m.kind = MESSAGE_ANSWER;
-		m.of = guard_answer_of(a->answer);
+		m.kind = MESSAGE_RESPONSE;
+		m.answered_call = guard_response_call(a->answer);
 		break;
 	case RESOLUTION_NOT_RUN:
 		m.kind = MESSAGE_REFUSED;
@@ -183,14 +184,14 @@
 	if (n > 0) {
 		waiter = waiters[n - 1];
 		fate_follow(g->fates, &r->id, &d->first, guard_now_ms(g), &a);
-		answer_follower(g, &waiter, &a);
+		respond_to_follower(g, &waiter, &a);
 	}
-	guard_forget(g, r);
+	guard_remove_request(g, r);
 }
 
 static void
-act(struct guard *g, struct guard_request *r, const struct key_id *key,
-    const struct keyed_decision *d)
+apply_decision(struct guard *g, struct guard_request *r,
+    const struct key_id *key, const struct keyed_decision *d)
 {
 	switch (d->verdict) {
 	case KEYED_RUN:
@@ -201,7 +202,7 @@
 		return;
 	case KEYED_ASK_HOME:
 	case KEYED_CLAIM:
-		ask(g, r, key, d);
+		send_query(g, r, key, d);
 		return;
 	case KEYED_NOT_HOME:
 		guard_refuse(g, r, REFUSAL_NOT_HOME, 0);
@@ -224,5 +225,5 @@
 
 	guard_key_id(world_call(g->world, r->call), &key);
 	keyed_offer(g->keyed, &key, 1, &r->id, guard_now_ms(g), &d);
-	act(g, r, &key, &d);
+	apply_decision(g, r, &key, &d);
 }
--- a/test/calls/guard_process.c
+++ b/test/calls/guard_process.c
@@ -10,9 +10,9 @@
 #define RESTART_US (300 * US_PER_MS)
 #define SKEW_MAX_MS 1000000
 #define RECORDS_MAX 20000
-#define ANSWER_BYTES 4
-#define ANSWERS_MAX_BYTES 8000
-#define NEWS_MS 1100
+#define RESPONSE_BYTES 4
+#define RESPONSES_MAX_BYTES 8000
+#define VIEW_DELAY_MS 1100
 #define KEYS_MAX 10000
 
 uint64_t
@@ -48,8 +48,8 @@
 	struct fate_config cfg = {.incarnation = g->incarnation,
 	    .window_ms = g->world->cfg.window_ms,
 	    .records_max = RECORDS_MAX,
-	    .answers_max_bytes = ANSWERS_MAX_BYTES,
-	    .answer_max_bytes = ANSWER_BYTES};
+	    .answers_max_bytes = RESPONSES_MAX_BYTES,
+	    .answer_max_bytes = RESPONSE_BYTES};
 
 	return fate_table_new(&cfg);
 }
@@ -59,14 +59,14 @@
 {
 	const struct world_config *cfg = &g->world->cfg;
 	struct keyed_config kc = {
-	    cfg->window_ms, NEWS_MS, KEYS_MAX, cfg->claim};
+	    cfg->window_ms, VIEW_DELAY_MS, KEYS_MAX, cfg->claim};
 	uint32_t i;
 
 	g->up = true;
 	g->process++;
-	g->skew_ms = world_between(g->world, 0, SKEW_MAX_MS);
-	g->incarnation = world_between(g->world, 1, UINT32_MAX);
-	g->noticed_us = 0;
+	g->skew_ms = world_random_between(g->world, 0, SKEW_MAX_MS);
+	g->incarnation = world_random_between(g->world, 1, UINT32_MAX);
+	g->drain_started_us = 0;
 	g->wake_us = 0;
 	g->fates = guard_new_fates(g);
 	g->admission = admission_new(&cfg->admission);
@@ -78,7 +78,7 @@
 	g->tickets = g_hash_table_new(NULL, NULL);
 	memset(g->seen_versions, 0, sizeof(g->seen_versions));
 	for (i = 0; i < cfg->guards; i++)
-		guard_see(g, i, &g->world->truths[i]);
+		guard_update_endpoint(g, i, &g->world->announced[i]);
 }
 
 struct guard *
@@ -116,7 +116,7 @@
 }
 
 static void
-end_links(struct guard *g, void (*how)(struct link *l))
+close_links(struct guard *g, void (*close_link)(struct link *l))
 {
 	struct link *l;
 	guint i;
@@ -124,7 +124,7 @@
 	for (i = 0; i < g->world->links->len; i++) {
 		l = g_ptr_array_index(g->world->links, i);
 		if (l->guard == g->index && l->guard_process == g->process)
-			how(l);
+			close_link(l);
 	}
 }
 
@@ -133,7 +133,7 @@
 {
 	if (!g->up)
 		return;
-	end_links(g, link_break);
+	close_links(g, link_reset);
 	end_process(g);
 }
 
@@ -147,17 +147,17 @@
 }
 
 void
-guard_see(
-    struct guard *g, uint32_t endpoint, const struct endpoint_truth *truth)
+guard_update_endpoint(struct guard *g, uint32_t endpoint,
+    const struct endpoint_announcement *announcement)
 {
 	uint64_t ready[GUARDS_MAX];
 	size_t n = 0;
 	uint32_t i;
 
-	if (!g->up || truth->version < g->seen_versions[endpoint])
+	if (!g->up || announcement->version < g->seen_versions[endpoint])
 		return;
-	g->seen_versions[endpoint] = truth->version;
-	g->view[endpoint] = truth->state;
+	g->seen_versions[endpoint] = announcement->version;
+	g->view[endpoint] = announcement->state;
 	for (i = 0; i < g->world->cfg.guards; i++) {
 		if (g->view[i] == ENDPOINT_READY)
 			ready[n++] = i + 1;
@@ -166,28 +166,28 @@
 }
 
 static void
-restart(void *who, void *what)
+on_restart(void *target, void *arg)
 {
-	(void)what;
-	guard_restart(who);
+	(void)arg;
+	guard_restart(target);
 }
 
 static void
-drain_step(void *who, void *what)
+on_drain_tick(void *target, void *arg)
 {
-	struct guard *g = who;
+	struct guard *g = target;
 
-	if (!g->up || g->process != (uint64_t)GPOINTER_TO_SIZE(what))
+	if (!g->up || g->process != (uint64_t)GPOINTER_TO_SIZE(arg))
 		return;
 	drain_tick(&g->drain, guard_now_ms(g));
 	if (!drain_is_complete(&g->drain)) {
-		world_later(g->world, US_PER_MS, drain_step, g, what);
+		world_schedule(g->world, US_PER_MS, on_drain_tick, g, arg);
 		return;
 	}
-	g->world->cut_by_drain += g->drain.requests;
-	end_links(g, link_finish);
+	g->world->interrupted_by_drain += g->drain.requests;
+	close_links(g, link_close);
 	end_process(g);
-	world_later(g->world, RESTART_US, restart, g, NULL);
+	world_schedule(g->world, RESTART_US, on_restart, g, NULL);
 }
 
 void
@@ -197,8 +197,8 @@
 		return;
 	drain_begin(&g->drain, NOTICE_MS, DRAIN_MS, guard_now_ms(g));
 	admission_drain(g->admission);
-	guard_pump(g);
-	g->noticed_us = g->world->now_us;
+	guard_process_admission(g);
+	g->drain_started_us = g->world->now_us;
 	world_announce(g->world, g->index, ENDPOINT_DRAINING);
-	drain_step(g, GSIZE_TO_POINTER(g->process));
+	on_drain_tick(g, GSIZE_TO_POINTER(g->process));
 }
--- a/test/calls/link.c
+++ b/test/calls/link.c
@@ -7,8 +7,8 @@
 #include "guard.h"
 
 /* An entry's heartbeat gives up a connection after this time of silence. */
-#define HEARTBEAT_US (300 * US_PER_MS)
-#define DIAL_LIMIT_US (150 * US_PER_MS)
+#define HEARTBEAT_TIMEOUT_US (300 * US_PER_MS)
+#define CONNECT_TIMEOUT_US (150 * US_PER_MS)
 
 struct delivery {
 	struct link *link;
@@ -23,11 +23,11 @@
 
 	if (l->entry % cfg->data_centres == l->guard % cfg->data_centres)
 		us = cfg->local_delay_us;
-	return us + world_between(l->world, 0, us / 2);
+	return us + world_random_between(l->world, 0, us / 2);
 }
 
 static bool
-is_cut(const struct link *l)
+is_partitioned(const struct link *l)
 {
 	const struct world *w = l->world;
 	uint32_t from, to;
@@ -35,14 +35,15 @@
 	from = l->entry % w->cfg.data_centres + 1;
 	to = l->guard % w->cfg.data_centres + 1;
 	return from != to &&
-	    (w->cut_data_centre == from || w->cut_data_centre == to);
+	    (w->partitioned_data_centre == from ||
+		w->partitioned_data_centre == to);
 }
 
 static void
-arrive_at_guard(void *who, void *what)
+arrive_at_guard(void *target, void *arg)
 {
-	struct delivery *d = what;
-	struct guard *g = who;
+	struct delivery *d = arg;
+	struct guard *g = target;
 	uint64_t thaw_us;
 
 	thaw_us = guard_frozen_until_us(g);
@@ -50,18 +51,18 @@
 		queue_at(g->world->queue, thaw_us, arrive_at_guard, g, d);
 		return;
 	}
-	if (is_cut(d->link) && !d->link->broken)
-		link_silence(d->link);
+	if (is_partitioned(d->link) && !d->link->broken)
+		link_drop_frames(d->link);
 	if (!d->link->broken && d->link->guard_process == g->process)
 		guard_receive(g, d->link, &d->message);
 	g_free(d);
 }
 
 static void
-arrive_at_entry(void *who, void *what)
+arrive_at_entry(void *target, void *arg)
 {
-	struct delivery *d = what;
-	struct entry *e = who;
+	struct delivery *d = arg;
+	struct entry *e = target;
 	uint64_t thaw_us;
 
 	thaw_us = entry_frozen_until_us(e);
@@ -69,15 +70,15 @@
 		queue_at(e->world->queue, thaw_us, arrive_at_entry, e, d);
 		return;
 	}
-	if (is_cut(d->link) && !d->link->broken)
-		link_silence(d->link);
+	if (is_partitioned(d->link) && !d->link->broken)
+		link_drop_frames(d->link);
 	if (!d->link->broken && d->link->entry_process == e->process)
 		entry_receive(e, d->link, &d->message);
 	g_free(d);
 }
 
 static struct delivery *
-pack(struct link *l, const struct message *m)
+delivery_new(struct link *l, const struct message *m)
 {
 	struct delivery *d;
 
@@ -97,14 +98,15 @@
 		return;
 	at = MAX(w->now_us + delay_us(l), l->last_to_guard_us);
 	l->last_to_guard_us = at;
-	queue_at(
-	    w->queue, at, arrive_at_guard, w->guards[l->guard], pack(l, m));
+	queue_at(w->queue, at, arrive_at_guard, w->guards[l->guard],
+	    delivery_new(l, m));
 	if (m->kind != MESSAGE_REQUEST ||
-	    !world_chance(w, w->cfg.doubled_percent))
+	    !world_random_percent(w, w->cfg.duplicated_percent))
 		return;
-	at += world_between(w, 0, 2 * (uint64_t)w->cfg.window_ms * US_PER_MS);
-	queue_at(
-	    w->queue, at, arrive_at_guard, w->guards[l->guard], pack(l, m));
+	at += world_random_between(
+	    w, 0, 2 * (uint64_t)w->cfg.window_ms * US_PER_MS);
+	queue_at(w->queue, at, arrive_at_guard, w->guards[l->guard],
+	    delivery_new(l, m));
 }
 
 void
@@ -117,66 +119,68 @@
 		return;
 	at = MAX(w->now_us + delay_us(l), l->last_to_entry_us);
 	l->last_to_entry_us = at;
-	queue_at(
-	    w->queue, at, arrive_at_entry, w->entries[l->entry], pack(l, m));
+	queue_at(w->queue, at, arrive_at_entry, w->entries[l->entry],
+	    delivery_new(l, m));
 }
 
 static void
-lose_at_entry(void *who, void *what)
+on_lost_at_entry(void *target, void *arg)
 {
-	struct link *l = who;
+	struct link *l = target;
 	struct entry *e = l->world->entries[l->entry];
 	uint64_t thaw_us;
 
 	thaw_us = entry_frozen_until_us(e);
 	if (thaw_us > l->world->now_us)
-		queue_at(l->world->queue, thaw_us, lose_at_entry, l, what);
+		queue_at(l->world->queue, thaw_us, on_lost_at_entry, l, arg);
 	else if (!l->closed && l->entry_process == e->process)
 		entry_link_lost(e, l);
 }
 
 static void
-lose_at_guard(void *who, void *what)
+on_lost_at_guard(void *target, void *arg)
 {
-	struct link *l = who;
+	struct link *l = target;
 	struct guard *g = l->world->guards[l->guard];
 
-	(void)what;
+	(void)arg;
 	if (l->guard_process == g->process)
 		guard_link_lost(g, l);
 }
 
 void
-link_break(struct link *l)
+link_reset(struct link *l)
 {
 	struct world *w = l->world;
 
 	l->broken = true;
-	world_later(w, delay_us(l), lose_at_entry, l, NULL);
-	world_later(w, delay_us(l), lose_at_guard, l, NULL);
+	world_schedule(w, delay_us(l), on_lost_at_entry, l, NULL);
+	world_schedule(w, delay_us(l), on_lost_at_guard, l, NULL);
 }
 
 void
-link_suspect(struct link *l)
+link_start_timeout(struct link *l)
 {
-	world_later(l->world, HEARTBEAT_US, lose_at_entry, l, NULL);
+	world_schedule(
+	    l->world, HEARTBEAT_TIMEOUT_US, on_lost_at_entry, l, NULL);
 }
 
 void
-link_silence(struct link *l)
+link_drop_frames(struct link *l)
 {
 	l->broken = true;
-	link_suspect(l);
-	world_later(l->world, HEARTBEAT_US, lose_at_guard, l, NULL);
+	link_start_timeout(l);
+	world_schedule(
+	    l->world, HEARTBEAT_TIMEOUT_US, on_lost_at_guard, l, NULL);
 }
 
 void
-link_finish(struct link *l)
+link_close(struct link *l)
 {
 	uint64_t at;
 
 	at = MAX(l->world->now_us + delay_us(l), l->last_to_entry_us);
-	queue_at(l->world->queue, at, lose_at_entry, l, NULL);
+	queue_at(l->world->queue, at, on_lost_at_entry, l, NULL);
 }
 
 void
@@ -184,30 +188,30 @@
 {
 	l->last_to_guard_us =
 	    MAX(l->last_to_guard_us, l->world->now_us + for_us);
-	link_suspect(l);
+	link_start_timeout(l);
 }
 
 /* The guard's process accepts, unless it is dead or frozen by now. */
 static void
-accepted(void *who, void *what)
+on_accept(void *target, void *arg)
 {
-	struct link *l = who;
+	struct link *l = target;
 	struct guard *g = l->world->guards[l->guard];
 	uint64_t thaw_us;
 
-	(void)what;
-	if (is_cut(l)) {
+	(void)arg;
+	if (is_partitioned(l)) {
 		l->broken = true;
 		return;
 	}
 	if (!g->up) {
 		l->broken = true;
-		lose_at_entry(l, NULL);
+		on_lost_at_entry(l, NULL);
 		return;
 	}
 	thaw_us = guard_frozen_until_us(g);
 	if (thaw_us > l->world->now_us) {
-		queue_at(l->world->queue, thaw_us, accepted, l, NULL);
+		queue_at(l->world->queue, thaw_us, on_accept, l, NULL);
 		return;
 	}
 	l->guard_process = g->process;
@@ -215,16 +219,16 @@
 }
 
 static void
-dial_limit(void *who, void *what)
+on_connect_timeout(void *target, void *arg)
 {
-	struct link *l = who;
+	struct link *l = target;
 
 	if (!l->up)
-		lose_at_entry(l, what);
+		on_lost_at_entry(l, arg);
 }
 
 struct link *
-link_dial(struct world *w, uint32_t entry, uint32_t guard)
+link_connect(struct world *w, uint32_t entry, uint32_t guard)
 {
 	struct link *l;
 
@@ -234,11 +238,11 @@
 	l->entry = entry;
 	l->guard = guard;
 	l->entry_process = w->entries[entry]->process;
-	l->waiting = g_array_new(FALSE, FALSE, sizeof(struct waiting_send));
+	l->pending = g_array_new(FALSE, FALSE, sizeof(struct pending_send));
 	frame_age_init(&l->age);
 	g_ptr_array_add(w->links, l);
-	world_later(w, delay_us(l), accepted, l, NULL);
-	world_later(w, DIAL_LIMIT_US, dial_limit, l, NULL);
+	world_schedule(w, delay_us(l), on_accept, l, NULL);
+	world_schedule(w, CONNECT_TIMEOUT_US, on_connect_timeout, l, NULL);
 	return l;
 }
 
@@ -247,6 +251,6 @@
 {
 	struct link *l = data;
 
-	g_array_free(l->waiting, TRUE);
+	g_array_free(l->pending, TRUE);
 	g_free(l);
 }
--- a/test/calls/link.h
+++ b/test/calls/link.h
@@ -16,26 +16,26 @@
 	MESSAGE_REFUSED,
 	MESSAGE_FAILED,
 	MESSAGE_HEAD,
-	MESSAGE_ANSWER,
+	MESSAGE_RESPONSE,
 };
 
 /**
  * struct message - a frame
  * @call: the call it belongs to, by the entry's numbering
- * @of: ANSWER: the request that ran
+ * @answered_call: ANSWER: the request that ran
  * @sent_ms: the sender's time; @echo_ms: the guard's time from its hello
  * @age_ms: RESOLVE: how long ago the attempt was sent
  */
 struct message {
 	enum message_kind kind;
 	uint32_t call;
-	uint32_t of;
+	uint32_t answered_call;
 	uint32_t stream;
 	struct request_id id;
 	uint64_t incarnation;
 	uint64_t sent_ms;
 	uint64_t echo_ms;
-	uint64_t left_ms;
+	uint64_t remaining_ms;
 	uint64_t age_ms;
 	bool cancel;
 	enum resolution resolution;
@@ -45,7 +45,7 @@
 };
 
 /** struct waiting_send - an action that waits for the guard's hello */
-struct waiting_send {
+struct pending_send {
 	uint32_t call;
 	struct call_action action;
 };
@@ -72,11 +72,11 @@
 	struct frame_age age;
 	uint64_t last_to_guard_us;
 	uint64_t last_to_entry_us;
-	GArray *waiting;
+	GArray *pending;
 };
 
-/** link_dial() - open a connection; a hello or entry_link_lost() follows */
-struct link *link_dial(struct world *w, uint32_t entry, uint32_t guard);
+/** link_connect() - open a connection; a hello or entry_link_lost() follows */
+struct link *link_connect(struct world *w, uint32_t entry, uint32_t guard);
 
 /** link_to_guard() - send a frame */
 void link_to_guard(struct link *l, const struct message *m);
@@ -84,17 +84,18 @@
 /** link_to_entry() - send a frame */
 void link_to_entry(struct link *l, const struct message *m);
 
-/** link_break() - reset: both ends learn, frames under way are lost */
-void link_break(struct link *l);
+/** link_reset() - reset: both ends learn, frames under way are lost */
+void link_reset(struct link *l);
 
-/** link_silence() - frames vanish; the entry's heartbeat finds out */
-void link_silence(struct link *l);
+/** link_drop_frames() - frames vanish; the entry's heartbeat finds out */
+void link_drop_frames(struct link *l);
 
-/** link_suspect() - the entry's heartbeat gives the link up after a time */
-void link_suspect(struct link *l);
+/** link_start_timeout() - the entry's heartbeat gives the link up after a time
+ */
+void link_start_timeout(struct link *l);
 
-/** link_finish() - the guard's process ends in order: what it sent arrives */
-void link_finish(struct link *l);
+/** link_close() - the guard's process ends in order: what it sent arrives */
+void link_close(struct link *l);
 
 /** link_stall() - frames to the guard are held up for a time */
 void link_stall(struct link *l, uint64_t for_us);
--- a/test/calls/queue.c
+++ b/test/calls/queue.c
@@ -28,13 +28,13 @@
 }
 
 static struct event *
-at(struct queue *q, guint i)
+event_at(struct queue *q, guint i)
 {
 	return &g_array_index(q->heap, struct event, i);
 }
 
 static bool
-comes_before(const struct event *a, const struct event *b)
+is_before(const struct event *a, const struct event *b)
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
@@ -46,19 +46,19 @@
 {
 	struct event tmp;
 
-	if (!comes_before(at(q, i), at(q, j)))
+	if (!is_before(event_at(q, i), event_at(q, j)))
 		return false;
-	tmp = *at(q, i);
-	*at(q, i) = *at(q, j);
-	*at(q, j) = tmp;
+	tmp = *event_at(q, i);
+	*event_at(q, i) = *event_at(q, j);
+	*event_at(q, j) = tmp;
 	return true;
 }
 
 void
-queue_at(struct queue *q, uint64_t at_us, void (*fire)(void *who, void *what),
-    void *who, void *what)
+queue_at(struct queue *q, uint64_t at_us, void (*fn)(void *target, void *arg),
+    void *target, void *arg)
 {
-	struct event e = {at_us, q->count++, fire, who, what};
+	struct event e = {at_us, q->count++, fn, target, arg};
 	guint i;
 
 	g_array_append_val(q->heap, e);
@@ -69,7 +69,7 @@
 }
 
 static void
-sink(struct queue *q)
+sift_down(struct queue *q)
 {
 	guint i = 0, child;
 
@@ -78,7 +78,7 @@
 		if (child >= q->heap->len)
 			return;
 		if (child + 1 < q->heap->len &&
-		    comes_before(at(q, child + 1), at(q, child)))
+		    is_before(event_at(q, child + 1), event_at(q, child)))
 			child++;
 		if (!swap_if_before(q, child, i))
 			return;
@@ -91,8 +91,8 @@
 {
 	if (q->heap->len == 0)
 		return false;
-	*out = *at(q, 0);
+	*out = *event_at(q, 0);
 	g_array_remove_index_fast(q->heap, 0);
-	sink(q);
+	sift_down(q);
 	return true;
 }
--- a/test/calls/queue.h
+++ b/test/calls/queue.h
@@ -11,9 +11,9 @@
 struct event {
 	uint64_t at_us;
 	uint64_t number;
-	void (*fire)(void *who, void *what);
-	void *who;
-	void *what;
+	void (*fn)(void *target, void *arg);
+	void *target;
+	void *arg;
 };
 
 struct queue;
@@ -24,9 +24,9 @@
 /** queue_free() - free it; events that did not fire are dropped */
 void queue_free(struct queue *q);
 
-/** queue_at() - @fire(@who, @what) at @at_us; at one time in order of calls */
+/** queue_at() - @fn(@target, @arg) at @at_us; at one time in order of calls */
 void queue_at(struct queue *q, uint64_t at_us,
-    void (*fire)(void *who, void *what), void *who, void *what);
+    void (*fn)(void *target, void *arg), void *target, void *arg);
 
 /** queue_pop() - the next event; false when there is none */
 bool queue_pop(struct queue *q, struct event *out);
--- a/test/calls/test_calls.c
+++ b/test/calls/test_calls.c
@@ -10,24 +10,24 @@
 #include "checker.h"
 #include "test_run.h"
 
-#define ALL_FAULTS ((1U << FAULTS) - 1)
+#define ALL_FAULTS ((1U << FAULT_COUNT) - 1)
 #define ONLY(f) (1U << (f))
 #define SEEDS 40
 /* For one kind of fault: calls done vary by a tenth from three to three. */
 #define FAULT_SEEDS 60
 
-struct sum {
+struct totals {
 	uint64_t calls;
 	uint64_t done;
 	uint64_t not_run;
 	uint64_t unknown;
-	uint64_t nothing;
-	uint64_t cut;
-	uint64_t after_notice;
+	uint64_t no_outcome;
+	uint64_t interrupted;
+	uint64_t started_while_draining;
 };
 
 static void
-add_up(const struct world *w, struct sum *s)
+count_outcomes(const struct world *w, struct totals *s)
 {
 	const struct client_call *c;
 	guint i;
@@ -35,8 +35,8 @@
 	for (i = 0; i < w->calls->len; i++) {
 		c = g_ptr_array_index(w->calls, i);
 		s->calls++;
-		if (!c->told)
-			s->nothing++;
+		if (!c->has_outcome)
+			s->no_outcome++;
 		else if (c->outcome == OUTCOME_DONE)
 			s->done++;
 		else if (c->outcome == OUTCOME_NOT_RUN)
@@ -44,12 +44,12 @@
 		else
 			s->unknown++;
 	}
-	s->cut += w->cut_by_drain;
-	s->after_notice += w->started_after_notice;
+	s->interrupted += w->interrupted_by_drain;
+	s->started_while_draining += w->started_while_draining;
 }
 
 static uint32_t
-run(const struct world_config *cfg, struct sum *s, char *text, size_t size)
+run(const struct world_config *cfg, struct totals *s, char *text, size_t size)
 {
 	struct violations v;
 	struct world *w;
@@ -58,27 +58,27 @@
 	world_run(w);
 	checker_check(w, &v);
 	checker_describe(&v, text, size);
-	add_up(w, s);
+	count_outcomes(w, s);
 	world_free(w);
-	return checker_sum(&v);
+	return checker_total(&v);
 }
 
 /* Everything goes wrong at random, in all mixtures. */
 static void
-stormy(struct world_config *cfg, uint64_t seed)
+configure_all_faults(struct world_config *cfg, uint64_t seed)
 {
 	world_config_default(cfg);
 	cfg->seed = seed;
 	cfg->faults_per_s = 3;
 	cfg->fault_mask = ALL_FAULTS;
 	cfg->keyed_percent = 40;
-	cfg->doubled_percent = 5;
-	cfg->hang_up_percent = 5;
+	cfg->duplicated_percent = 5;
+	cfg->disconnect_percent = 5;
 	cfg->large_percent = 10;
 }
 
 static void
-expect_none(struct world_config *cfg, struct sum *s)
+assert_no_violation(struct world_config *cfg, struct totals *s)
 {
 	char text[256];
 	uint32_t found;
@@ -88,16 +88,16 @@
 	    found == 0, "seed %lu: %s", (unsigned long)cfg->seed, text);
 }
 
-START_TEST(test_storm)
+START_TEST(test_random_faults)
 {
 	struct world_config cfg;
-	struct sum s = {0};
+	struct totals s = {0};
 	uint64_t seed;
 
 	for (seed = 1; seed <= SEEDS; seed++) {
-		stormy(&cfg, seed + 1000 * (uint64_t)_i);
+		configure_all_faults(&cfg, seed + 1000 * (uint64_t)_i);
 		cfg.claim = _i % 2 == 1;
-		expect_none(&cfg, &s);
+		assert_no_violation(&cfg, &s);
 	}
 	/* It must not be safe by doing nothing. */
 	ck_assert_uint_gt(s.done, s.calls / 2);
@@ -108,36 +108,36 @@
 START_TEST(test_single_fault)
 {
 	struct world_config cfg;
-	struct sum s = {0};
+	struct totals s = {0};
 	uint64_t seed;
 
 	for (seed = 1; seed <= FAULT_SEEDS; seed++) {
-		stormy(&cfg, seed);
+		configure_all_faults(&cfg, seed);
 		cfg.fault_mask = ONLY(_i);
 		cfg.faults_per_s = 0.7;
-		expect_none(&cfg, &s);
+		assert_no_violation(&cfg, &s);
 	}
 	ck_assert_uint_gt(s.done, s.calls * 2 / 3);
 	if (_i != FAULT_GUARD_DRAINED && _i != FAULT_ENTRY_DRAINED)
 		return;
-	ck_assert_uint_eq(s.cut, 0);
-	ck_assert_uint_eq(s.after_notice, 0);
+	ck_assert_uint_eq(s.interrupted, 0);
+	ck_assert_uint_eq(s.started_while_draining, 0);
 }
 END_TEST
 
 /* The checker must see each planted defect, and the naive version's. */
-START_TEST(test_planted)
+START_TEST(test_injected_defect)
 {
 	struct world_config cfg;
-	struct sum s = {0};
+	struct totals s = {0};
 	uint64_t seed;
 	char text[256];
 
 	for (seed = 1; seed <= 12 * SEEDS; seed++) {
-		stormy(&cfg, seed);
+		configure_all_faults(&cfg, seed);
 		cfg.faults_per_s = (double)(3 + seed % 5 * 3);
-		cfg.plant = (enum plant)_i;
-		cfg.naive = _i == PLANTS;
+		cfg.defect = (enum defect)_i;
+		cfg.naive = _i == DEFECT_COUNT;
 		if (run(&cfg, &s, text, sizeof(text)) > 0)
 			return;
 	}
@@ -154,9 +154,10 @@
 	suite = suite_create("calls");
 	tc = tcase_create("calls");
 	tcase_set_timeout(tc, 60);
-	tcase_add_loop_test(tc, test_storm, 0, 4);
-	tcase_add_loop_test(tc, test_single_fault, 0, FAULTS);
-	tcase_add_loop_test(tc, test_planted, PLANT_NOTHING + 1, PLANTS + 1);
+	tcase_add_loop_test(tc, test_random_faults, 0, 4);
+	tcase_add_loop_test(tc, test_single_fault, 0, FAULT_COUNT);
+	tcase_add_loop_test(
+	    tc, test_injected_defect, DEFECT_NONE + 1, DEFECT_COUNT + 1);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/test/calls/upstream.c
+++ b/test/calls/upstream.c
@@ -16,7 +16,7 @@
 {
 	u->world = w;
 	u->guard = g;
-	u->slow = 1;
+	u->slowdown = 1;
 	u->running = g_ptr_array_new_with_free_func(g_free);
 	g_queue_init(&u->backlog);
 }
@@ -35,7 +35,7 @@
 	double factor, left, busy;
 
 	factor = 0.4 - 0.6 * log(1.0 - g_rand_double(w->random));
-	factor *= u->slow;
+	factor *= u->slowdown;
 	if (u->cold_until_us > w->now_us) {
 		left = (double)(u->cold_until_us - w->now_us) / COLD_US;
 		busy = (double)u->running->len / w->cfg.slots;
@@ -44,10 +44,10 @@
 	return (uint64_t)(factor * w->cfg.service_us) + 1;
 }
 
-static void job_ends(void *who, void *what);
+static void on_job_end(void *target, void *arg);
 
 static void
-start(struct upstream *u, struct job *j)
+start_job(struct upstream *u, struct job *j)
 {
 	struct client_call *c;
 
@@ -57,8 +57,8 @@
 	if (c->runs == 0)
 		c->first_run_us = u->world->now_us;
 	c->runs++;
-	guard_note_start(u->guard);
-	world_later(u->world, service_us(u), job_ends, u, j);
+	guard_on_job_started(u->guard);
+	world_schedule(u->world, service_us(u), on_job_end, u, j);
 }
 
 static bool
@@ -68,10 +68,10 @@
 }
 
 static void
-job_ends(void *who, void *what)
+on_job_end(void *target, void *arg)
 {
-	struct upstream *u = who;
-	struct job *j = what, *next, copy;
+	struct upstream *u = target;
+	struct job *j = arg, *next, copy;
 
 	if (!is_running(u, j))
 		return;
@@ -79,12 +79,12 @@
 	g_ptr_array_remove_fast(u->running, j);
 	next = g_queue_pop_head(&u->backlog);
 	if (next != NULL)
-		start(u, next);
-	guard_job_done(u->guard, &copy, true);
+		start_job(u, next);
+	guard_on_job_done(u->guard, &copy, true);
 }
 
 bool
-upstream_take(struct upstream *u, const struct request_id *id, uint32_t call)
+upstream_submit(struct upstream *u, const struct request_id *id, uint32_t call)
 {
 	const struct world_config *cfg = &u->world->cfg;
 	struct job *j;
@@ -98,7 +98,7 @@
 	j->id = *id;
 	j->call = call;
 	if (u->running->len < cfg->slots)
-		start(u, j);
+		start_job(u, j);
 	else
 		g_queue_push_tail(&u->backlog, j);
 	return true;
@@ -107,17 +107,18 @@
 void
 upstream_kill(struct upstream *u)
 {
-	GPtrArray *dead;
+	GPtrArray *killed;
 	struct job *j;
 	guint i;
 
-	dead = u->running;
+	killed = u->running;
 	u->running = g_ptr_array_new_with_free_func(g_free);
 	while ((j = g_queue_pop_head(&u->backlog)) != NULL)
-		g_ptr_array_add(dead, j);
+		g_ptr_array_add(killed, j);
 	u->process++;
 	u->cold_until_us = u->world->now_us + COLD_US;
-	for (i = 0; i < dead->len; i++)
-		guard_job_done(u->guard, g_ptr_array_index(dead, i), false);
-	g_ptr_array_free(dead, TRUE);
+	for (i = 0; i < killed->len; i++)
+		guard_on_job_done(
+		    u->guard, g_ptr_array_index(killed, i), false);
+	g_ptr_array_free(killed, TRUE);
 }
--- a/test/calls/upstream.h
+++ b/test/calls/upstream.h
@@ -24,14 +24,14 @@
 
 /**
  * struct upstream - one upstream
- * @slow: service times are multiplied by it
+ * @slowdown: service times are multiplied by it
  * @cold_until_us: until then it is slow after a restart
  */
 struct upstream {
 	struct world *world;
 	struct guard *guard;
 	uint64_t process;
-	uint32_t slow;
+	uint32_t slowdown;
 	uint64_t cold_until_us;
 	GPtrArray *running;
 	GQueue backlog;
@@ -44,12 +44,12 @@
 void upstream_clear(struct upstream *u);
 
 /**
- * upstream_take() - a request comes; guard_job_done() follows
+ * upstream_submit() - a request comes; guard_on_job_done() follows
  *
  * Return: false when it is shed, and certainly not run.
  */
 bool
-upstream_take(struct upstream *u, const struct request_id *id, uint32_t call);
+upstream_submit(struct upstream *u, const struct request_id *id, uint32_t call);
 
 /** upstream_kill() - its process dies and is replaced by a cold one */
 void upstream_kill(struct upstream *u);
--- a/test/calls/world.c
+++ b/test/calls/world.c
@@ -9,10 +9,10 @@
 #include "entry.h"
 #include "guard.h"
 
-#define NEWS_LEAST_US (20 * US_PER_MS)
-#define NEWS_MOST_US (1000 * US_PER_MS)
+#define GOSSIP_DELAY_MIN_US (20 * US_PER_MS)
+#define GOSSIP_DELAY_MAX_US (1000 * US_PER_MS)
 #define SETTLE_US (8000 * US_PER_MS)
-#define REPEATS_MAX 3
+#define RETRIES_MAX 3
 #define PERCENT 100
 
 void
@@ -45,24 +45,24 @@
 }
 
 bool
-world_chance(struct world *w, uint32_t percent)
+world_random_percent(struct world *w, uint32_t percent)
 {
 	return percent > 0 &&
 	    (uint32_t)g_rand_int_range(w->random, 0, PERCENT) < percent;
 }
 
 uint64_t
-world_between(struct world *w, uint64_t low, uint64_t high)
+world_random_between(struct world *w, uint64_t low, uint64_t high)
 {
 	return low +
 	    (uint64_t)(g_rand_double(w->random) * (double)(high - low + 1));
 }
 
 void
-world_later(struct world *w, uint64_t after_us,
-    void (*fire)(void *who, void *what), void *who, void *what)
+world_schedule(struct world *w, uint64_t after_us,
+    void (*fn)(void *target, void *arg), void *target, void *arg)
 {
-	queue_at(w->queue, w->now_us + after_us, fire, who, what);
+	queue_at(w->queue, w->now_us + after_us, fn, target, arg);
 }
 
 struct client_call *
@@ -85,9 +85,9 @@
 	w->links = g_ptr_array_new_with_free_func(link_free);
 	w->claims = g_hash_table_new(NULL, NULL);
 	for (i = 0; i < cfg->guards; i++) {
-		w->truths[i].version = 1;
-		w->truths[i].incarnation = 1;
-		w->truths[i].state = ENDPOINT_READY;
+		w->announced[i].version = 1;
+		w->announced[i].incarnation = 1;
+		w->announced[i].state = ENDPOINT_READY;
 	}
 	for (i = 0; i < cfg->guards; i++)
 		w->guards[i] = guard_new(w, i);
@@ -105,7 +105,7 @@
 	/* Let what is under way free itself. */
 	while (queue_pop(w->queue, &e)) {
 		w->now_us = e.at_us;
-		e.fire(e.who, e.what);
+		e.fn(e.target, e.arg);
 	}
 	for (i = 0; i < w->cfg.guards; i++)
 		guard_free(w->guards[i]);
@@ -120,37 +120,37 @@
 }
 
 /* News of an endpoint on its way to one node. */
-struct news {
+struct announcement {
 	uint32_t endpoint;
-	struct endpoint_truth truth;
+	struct endpoint_announcement announcement;
 };
 
 static void
-reach_entry(void *who, void *what)
+on_announcement_at_entry(void *target, void *arg)
 {
-	struct news *n = what;
+	struct announcement *n = arg;
 
-	entry_see(who, n->endpoint, &n->truth);
+	entry_update_endpoint(target, n->endpoint, &n->announcement);
 	g_free(n);
 }
 
 static void
-reach_guard(void *who, void *what)
+on_announcement_at_guard(void *target, void *arg)
 {
-	struct news *n = what;
+	struct announcement *n = arg;
 
-	guard_see(who, n->endpoint, &n->truth);
+	guard_update_endpoint(target, n->endpoint, &n->announcement);
 	g_free(n);
 }
 
-static struct news *
-pack(const struct world *w, uint32_t endpoint)
+static struct announcement *
+announcement_new(const struct world *w, uint32_t endpoint)
 {
-	struct news *n;
+	struct announcement *n;
 
-	n = g_new(struct news, 1);
+	n = g_new(struct announcement, 1);
 	n->endpoint = endpoint;
-	n->truth = w->truths[endpoint];
+	n->announcement = w->announced[endpoint];
 	return n;
 }
 
@@ -159,37 +159,43 @@
 {
 	uint32_t i;
 
-	w->truths[guard].version++;
-	w->truths[guard].state = state;
+	w->announced[guard].version++;
+	w->announced[guard].state = state;
 	if (state == ENDPOINT_READY)
-		w->truths[guard].incarnation++;
+		w->announced[guard].incarnation++;
 	for (i = 0; i < w->cfg.entries; i++)
-		world_later(w, world_between(w, NEWS_LEAST_US, NEWS_MOST_US),
-		    reach_entry, w->entries[i], pack(w, guard));
+		world_schedule(w,
+		    world_random_between(
+			w, GOSSIP_DELAY_MIN_US, GOSSIP_DELAY_MAX_US),
+		    on_announcement_at_entry, w->entries[i],
+		    announcement_new(w, guard));
 	for (i = 0; i < w->cfg.guards; i++)
-		world_later(w, world_between(w, NEWS_LEAST_US, NEWS_MOST_US),
-		    reach_guard, w->guards[i], pack(w, guard));
+		world_schedule(w,
+		    world_random_between(
+			w, GOSSIP_DELAY_MIN_US, GOSSIP_DELAY_MAX_US),
+		    on_announcement_at_guard, w->guards[i],
+		    announcement_new(w, guard));
 }
 
 static void
-call_in(void *who, void *what)
+on_call(void *target, void *arg)
 {
-	struct world *w = who;
-	struct client_call *c = what;
+	struct world *w = target;
+	struct client_call *c = arg;
 
-	entry_take(w->entries[c->entry], c);
+	entry_accept_call(w->entries[c->entry], c);
 }
 
 static void
-hang_up(void *who, void *what)
+on_disconnect(void *target, void *arg)
 {
-	struct world *w = who;
-	struct client_call *c = what;
+	struct world *w = target;
+	struct client_call *c = arg;
 
-	if (c->told)
+	if (c->has_outcome)
 		return;
-	c->gone = true;
-	entry_caller_gone(w->entries[c->entry], c->number);
+	c->disconnected = true;
+	entry_caller_disconnected(w->entries[c->entry], c->number);
 }
 
 static struct client_call *
@@ -199,47 +205,49 @@
 
 	c = g_new0(struct client_call, 1);
 	c->number = w->calls->len;
-	c->entry = (uint32_t)world_between(w, 0, w->cfg.entries - 1);
-	c->of = CALL_NONE;
+	c->entry = (uint32_t)world_random_between(w, 0, w->cfg.entries - 1);
+	c->answered_call = CALL_NONE;
 	g_ptr_array_add(w->calls, c);
 	return c;
 }
 
 /* The caller of a keyed request sends it again through another entry. */
 static void
-repeat(struct world *w, const struct client_call *c, uint64_t after_us)
+retry_at_next_entry(
+    struct world *w, const struct client_call *c, uint64_t after_us)
 {
-	struct client_call *again;
+	struct client_call *retry;
 
-	if (c->repeats >= REPEATS_MAX)
+	if (c->n_earlier >= RETRIES_MAX)
 		return;
-	again = add_call(w);
-	again->booking = c->booking;
-	again->keyed = true;
-	again->key = c->key;
-	again->repeats = c->repeats + 1;
-	again->entry = (c->entry + 1) % w->cfg.entries;
-	again->born_us = w->now_us + after_us;
-	world_later(w, after_us, call_in, w, again);
+	retry = add_call(w);
+	retry->booking = c->booking;
+	retry->keyed = true;
+	retry->key = c->key;
+	retry->n_earlier = c->n_earlier + 1;
+	retry->entry = (c->entry + 1) % w->cfg.entries;
+	retry->sent_us = w->now_us + after_us;
+	world_schedule(w, after_us, on_call, w, retry);
 }
 
 void
-world_tell(struct world *w, uint32_t number, enum outcome outcome,
-    enum refusal refusal, uint32_t of)
+world_record_outcome(struct world *w, uint32_t number, enum outcome outcome,
+    enum refusal refusal, uint32_t answered_call)
 {
 	struct client_call *c;
 
 	c = world_call(w, number);
-	if (c->gone)
+	if (c->disconnected)
 		return;
-	c->times_told++;
-	c->told = true;
-	c->told_us = w->now_us;
+	c->n_outcomes++;
+	c->has_outcome = true;
+	c->outcome_us = w->now_us;
 	c->outcome = outcome;
 	c->refusal = refusal;
-	c->of = outcome == OUTCOME_DONE ? of : CALL_NONE;
+	c->answered_call = outcome == OUTCOME_DONE ? answered_call : CALL_NONE;
 	if (c->keyed && outcome != OUTCOME_DONE)
-		repeat(w, c, world_between(w, US_PER_MS, 800 * US_PER_MS));
+		retry_at_next_entry(
+		    w, c, world_random_between(w, US_PER_MS, 800 * US_PER_MS));
 }
 
 static void
@@ -249,20 +257,21 @@
 	struct client_call *c;
 
 	c = add_call(w);
-	c->born_us = w->now_us;
-	c->booking = world_chance(w, cfg->booking_percent);
-	c->large = world_chance(w, cfg->large_percent);
-	if (c->booking && world_chance(w, cfg->keyed_percent)) {
+	c->sent_us = w->now_us;
+	c->booking = world_random_percent(w, cfg->booking_percent);
+	c->large = world_random_percent(w, cfg->large_percent);
+	if (c->booking && world_random_percent(w, cfg->keyed_percent)) {
 		c->keyed = true;
 		c->large = false;
 		c->key = w->keys++;
-		if (world_chance(w, 10))
-			repeat(w, c, world_between(w, 0, 50 * US_PER_MS));
+		if (world_random_percent(w, 10))
+			retry_at_next_entry(
+			    w, c, world_random_between(w, 0, 50 * US_PER_MS));
 	}
-	if (world_chance(w, cfg->hang_up_percent))
-		world_later(
-		    w, world_between(w, 0, 100 * US_PER_MS), hang_up, w, c);
-	entry_take(w->entries[c->entry], c);
+	if (world_random_percent(w, cfg->disconnect_percent))
+		world_schedule(w, world_random_between(w, 0, 100 * US_PER_MS),
+		    on_disconnect, w, c);
+	entry_accept_call(w->entries[c->entry], c);
 }
 
 static uint64_t
@@ -273,31 +282,31 @@
 }
 
 static void
-next_call(void *who, void *what)
+on_next_call(void *target, void *arg)
 {
-	struct world *w = who;
+	struct world *w = target;
 
 	if (w->now_us > (uint64_t)w->cfg.duration_ms * US_PER_MS)
 		return;
 	new_call(w);
-	world_later(
-	    w, exponential_us(w, w->cfg.rate_per_s), next_call, w, what);
+	world_schedule(
+	    w, exponential_us(w, w->cfg.rate_per_s), on_next_call, w, arg);
 }
 
 static void
-next_fault(void *who, void *what)
+on_next_fault(void *target, void *arg)
 {
-	struct world *w = who;
+	struct world *w = target;
 	uint32_t fault;
 
 	if (w->now_us > (uint64_t)w->cfg.duration_ms * US_PER_MS)
 		return;
 	do
-		fault = (uint32_t)world_between(w, 0, FAULTS - 1);
+		fault = (uint32_t)world_random_between(w, 0, FAULT_COUNT - 1);
 	while ((w->cfg.fault_mask & (1U << fault)) == 0);
-	world_fault(w, (enum fault)fault);
-	world_later(
-	    w, exponential_us(w, w->cfg.faults_per_s), next_fault, w, what);
+	world_inject_fault(w, (enum fault)fault);
+	world_schedule(
+	    w, exponential_us(w, w->cfg.faults_per_s), on_next_fault, w, arg);
 }
 
 void
@@ -306,12 +315,12 @@
 	uint64_t end_us = (uint64_t)w->cfg.duration_ms * US_PER_MS + SETTLE_US;
 	struct event e;
 
-	world_later(w, 1, next_call, w, NULL);
+	world_schedule(w, 1, on_next_call, w, NULL);
 	if (w->cfg.fault_mask != 0 && w->cfg.faults_per_s > 0)
-		world_later(w, exponential_us(w, w->cfg.faults_per_s),
-		    next_fault, w, NULL);
+		world_schedule(w, exponential_us(w, w->cfg.faults_per_s),
+		    on_next_fault, w, NULL);
 	while (w->now_us < end_us && queue_pop(w->queue, &e)) {
 		w->now_us = e.at_us;
-		e.fire(e.who, e.what);
+		e.fn(e.target, e.arg);
 	}
 }
--- a/test/calls/world.h
+++ b/test/calls/world.h
@@ -24,17 +24,17 @@
 #define CALL_NONE UINT32_MAX
 
 /** enum plant - a defect put in on purpose, for the checker to find */
-enum plant {
-	PLANT_NOTHING = 0,
-	PLANT_RESEND_BOOKINGS,
-	PLANT_NO_TOMBSTONE,
-	PLANT_TRUST_TIME_LEFT,
-	PLANT_ANY_STREAM,
-	PLANT_LOST_IS_NOT_RUN,
-	PLANT_FORGET_RESTART,
-	PLANT_KEY_NOT_ASKED,
-	PLANT_CROSSED_ANSWERS,
-	PLANTS,
+enum defect {
+	DEFECT_NONE = 0,
+	DEFECT_RESEND_BOOKINGS,
+	DEFECT_NO_TOMBSTONE,
+	DEFECT_TRUST_TIME_LEFT,
+	DEFECT_ACCEPT_STALE_STREAM,
+	DEFECT_LOST_IS_NOT_RUN,
+	DEFECT_IGNORE_RESTART,
+	DEFECT_KEY_HOME_NOT_QUERIED,
+	DEFECT_SWAPPED_RESPONSES,
+	DEFECT_COUNT,
 };
 
 /** enum fault - what goes wrong at random */
@@ -47,12 +47,12 @@
 	FAULT_ENTRY_DRAINED,
 	FAULT_UPSTREAM_KILLED,
 	FAULT_UPSTREAM_SLOW,
-	FAULT_LINK_BROKEN,
-	FAULT_LINK_SILENT,
+	FAULT_LINK_RESET,
+	FAULT_LINK_DROPS_FRAMES,
 	FAULT_LINK_STALLED,
 	FAULT_PLATFORM_DOWN,
-	FAULT_DATA_CENTRE_CUT,
-	FAULTS,
+	FAULT_DATA_CENTRE_PARTITIONED,
+	FAULT_COUNT,
 };
 
 /**
@@ -77,8 +77,8 @@
 	uint32_t rate_per_s;
 	uint32_t booking_percent;
 	uint32_t keyed_percent;
-	uint32_t doubled_percent;
-	uint32_t hang_up_percent;
+	uint32_t duplicated_percent;
+	uint32_t disconnect_percent;
 	uint32_t large_percent;
 	uint32_t deadline_ms;
 	uint32_t window_ms;
@@ -86,24 +86,25 @@
 	uint32_t fault_mask;
 	bool claim;
 	bool naive;
-	enum plant plant;
+	enum defect defect;
 	struct endpoints_config endpoints;
 	struct placement_config placement;
 	struct ejection_config ejection;
 	struct retry_config retry;
 	struct admission_config admission;
 	bool eject;
-	bool place_at_random;
+	bool random_placement;
 };
 
 /**
  * struct client_call - a caller's request, what ran and what it was told
- * @told: it was told @outcome at @told_us (aborted: its connection was cut)
- * @of: the request that the answer delivered belongs to
+ * @has_outcome: it was told @outcome at @outcome_us (aborted: its connection
+ * was cut)
+ * @answered_call: the request that the answer delivered belongs to
  * @entry_lost: its entry was killed or cut it off when its drain was overdue
- * @gone: the caller hung up
- * @times_told: how often it was told something
- * @repeats: number of earlier requests of the caller with its key
+ * @disconnected: the caller hung up
+ * @n_outcomes: how often it was told something
+ * @n_earlier: number of earlier requests of the caller with its key
  * @runs: how often upstreams started it
  */
 struct client_call {
@@ -113,24 +114,24 @@
 	bool keyed;
 	bool large;
 	uint32_t key;
-	uint64_t born_us;
-	uint64_t told_us;
-	bool told;
+	uint64_t sent_us;
+	uint64_t outcome_us;
+	bool has_outcome;
 	bool aborted;
 	bool entry_lost;
-	bool gone;
+	bool disconnected;
 	enum outcome outcome;
 	enum refusal refusal;
-	uint32_t of;
+	uint32_t answered_call;
 	uint32_t runs;
 	uint64_t first_run_us;
 	uint32_t attempts;
-	uint32_t repeats;
-	uint32_t times_told;
+	uint32_t n_earlier;
+	uint32_t n_outcomes;
 };
 
 /** struct endpoint_truth - what is announced of a guard's endpoint */
-struct endpoint_truth {
+struct endpoint_announcement {
 	uint64_t version;
 	uint64_t incarnation;
 	enum endpoint_state state;
@@ -146,13 +147,13 @@
 	GPtrArray *links;
 	struct entry *entries[ENTRIES_MAX];
 	struct guard *guards[GUARDS_MAX];
-	struct endpoint_truth truths[GUARDS_MAX];
+	struct endpoint_announcement announced[GUARDS_MAX];
 	GHashTable *claims;
 	bool platform_down;
 	/* Cut off from the others; counted from 1, 0 for none. */
-	uint32_t cut_data_centre;
-	uint64_t cut_by_drain;
-	uint64_t started_after_notice;
+	uint32_t partitioned_data_centre;
+	uint64_t interrupted_by_drain;
+	uint64_t started_while_draining;
 	uint64_t sends;
 	uint64_t refusals;
 	uint32_t keys;
@@ -170,25 +171,26 @@
 /** world_run() - callers call for the duration, then all ends */
 void world_run(struct world *w);
 
-/** world_chance() - true in @percent of cases */
-bool world_chance(struct world *w, uint32_t percent);
+/** world_random_percent() - true in @percent of cases */
+bool world_random_percent(struct world *w, uint32_t percent);
 
-/** world_between() - a random number from @low up to and with @high */
-uint64_t world_between(struct world *w, uint64_t low, uint64_t high);
+/** world_random_between() - a random number from @low up to and with @high */
+uint64_t world_random_between(struct world *w, uint64_t low, uint64_t high);
 
-/** world_later() - fire something after @after_us */
-void world_later(struct world *w, uint64_t after_us,
-    void (*fire)(void *who, void *what), void *who, void *what);
+/** world_schedule() - fire something after @after_us */
+void world_schedule(struct world *w, uint64_t after_us,
+    void (*fn)(void *target, void *arg), void *target, void *arg);
 
 /** world_announce() - the state of a guard's endpoint spreads to all nodes */
 void world_announce(struct world *w, uint32_t guard, enum endpoint_state state);
 
-/** world_tell() - record what a caller was told, if it is still there */
-void world_tell(struct world *w, uint32_t number, enum outcome outcome,
-    enum refusal refusal, uint32_t of);
+/** world_record_outcome() - record what a caller was told, if it is still there
+ */
+void world_record_outcome(struct world *w, uint32_t number,
+    enum outcome outcome, enum refusal refusal, uint32_t answered_call);
 
-/** world_fault() - let something of that kind go wrong now (faults.c) */
-void world_fault(struct world *w, enum fault fault);
+/** world_inject_fault() - let something of that kind go wrong now (faults.c) */
+void world_inject_fault(struct world *w, enum fault fault);
 
 /** world_call() - the call of that number */
 struct client_call *world_call(struct world *w, uint32_t number);
