--- a/test/calls/bench_calls.c
+++ b/test/calls/bench_calls.c
@@ -1,8 +1,8 @@
 /*
- * Bench of the call decisions on the driver's virtual clock: the naive version
- * against ours on the same arrivals, for both deployments of the brief, and
- * each policy on and off.  Figures come from a model of queues and slots, not
- * from processes.
+ * Benchmark of the call decisions on the driver's virtual clock: the naive
+ * reference against the production decisions with the same arrivals, for both
+ * deployments of the brief, and each policy changed in turn.  The results come
+ * from a model of queues and slots, not from processes.
  *
  *	bench_calls loads	naive and ours at 30 to 300 % of capacity
  *	bench_calls faults	naive and ours while endpoints fail
@@ -20,7 +20,8 @@
 #define PERCENT 100
 #define RUNS 3
 
-/** struct deployment - sizes of the brief; service times are assumed */
+/** struct deployment - sizes from the brief; the service times are
+ * assumptions */
 struct deployment {
 	const char *name;
 	uint32_t entries;
@@ -107,7 +108,7 @@
 	return (double)g_array_index(us, uint64_t, i) / US_PER_MS;
 }
 
-/* Counted over the time after the fault (or warm-up), until callers stop. */
+/* Calls sent after FAULT_AT_US, which also ends the warm-up. */
 struct counts {
 	GArray *done_us;
 	GArray *refused_us;
@@ -346,7 +347,7 @@
 	NULL},
 };
 
-/* Only rows whose name contains this. */
+/* Only rows whose name contains this text are run. */
 static const char *name_filter = "";
 
 static void
--- a/test/calls/bench_calls.h
+++ b/test/calls/bench_calls.h
@@ -1,16 +1,16 @@
 /*
- * Faults and changed policies that the bench of the call decisions plays.
+ * Fault scenarios and policy changes of the benchmark of the call decisions.
  */
 #ifndef BENCH_CALLS_H
 #define BENCH_CALLS_H
 
 #include "world.h"
 
-/** FAULT_AT_US - when something fails, in virtual time */
+/** FAULT_AT_US - virtual time at which a fault begins */
 #define FAULT_AT_US (2000 * (uint64_t)US_PER_MS)
 
-/* bench_calls_faults.c: each makes something fail in a world, from then on or
- * for a time. */
+/* bench_calls_faults.c: each schedules a fault in a world, permanent or for a
+ * limited time. */
 
 void bench_one_slow(struct world *w);
 void bench_half_killed(struct world *w);
--- a/test/calls/bench_calls_faults.c
+++ b/test/calls/bench_calls_faults.c
@@ -1,5 +1,5 @@
 /*
- * What fails in the bench of the call decisions.
+ * Fault scenarios of the benchmark of the call decisions.
  */
 #include "bench_calls.h"
 #include "entry.h"
--- a/test/calls/bench_calls_policies.c
+++ b/test/calls/bench_calls_policies.c
@@ -1,5 +1,5 @@
 /*
- * The policies that the bench of the call decisions changes, one at a time.
+ * Policy changes of the benchmark of the call decisions, one at a time.
  */
 #include "bench_calls.h"
 
@@ -51,7 +51,8 @@
 	cfg->admission.newest_first = false;
 }
 
-/* A queue much longer than the time that is left. */
+/* A queue that takes much longer to serve than the time left until the
+ * deadline. */
 void
 bench_long_queue(struct world_config *cfg)
 {
--- a/test/calls/checker.c
+++ b/test/calls/checker.c
@@ -1,11 +1,11 @@
 /*
- * The checker.
+ * Checks of the outcomes of a finished run.
  */
 #include "checker.h"
 
 #include <string.h>
 
-/* Times of all runs with one idempotency key: uint64_t, unsorted. */
+/* Collects the times of all runs by idempotency key: uint64_t, unsorted. */
 static GPtrArray *
 runs_by_key(const struct world *w)
 {
@@ -28,7 +28,8 @@
 	return keys;
 }
 
-/* Whether there is a run before before_us, within the window up to at_us. */
+/* Returns whether a run started before before_us and within the window that
+ * ends at at_us. */
 static bool
 ran_before(const struct world *w, const GArray *runs, uint64_t before_us,
     uint64_t at_us)
--- a/test/calls/entry.c
+++ b/test/calls/entry.c
@@ -1,5 +1,5 @@
 /*
- * The entry's shell: calls and their frames.
+ * Entry: calls and their frames.
  */
 #include "entry.h"
 
@@ -170,7 +170,7 @@
 	    GUINT_TO_POINTER(ec->number));
 }
 
-/* Carry out what the call wants; frees the call when it is over. */
+/* Executes the actions of a call; frees the call when it has finished. */
 static void
 run_call(struct entry_call *ec)
 {
@@ -360,7 +360,8 @@
 	for (i = 0; i < pending->len; i++) {
 		p = &g_array_index(pending, struct pending_send, i);
 		ec = find_call(e, p->call);
-		/* It may have moved on while the connection was opened. */
+		/* The call may have left this stream while the connection was
+		 * opened. */
 		if (ec != NULL && ec->stream == p->action.stream &&
 		    ec->link == l)
 			transmit(ec, l, &p->action);
@@ -368,7 +369,8 @@
 	g_array_free(pending, TRUE);
 }
 
-/* The attempt at the endpoint is over; a late frame says nothing new of it. */
+/* Records the result of the current attempt at its endpoint.  Frames of earlier
+ * streams are not passed to this function. */
 static void
 record_result(struct entry_call *ec, const struct message *m)
 {
--- a/test/calls/entry_process.c
+++ b/test/calls/entry_process.c
@@ -1,5 +1,5 @@
 /*
- * The entry's process: start, death, drain, and news of endpoints.
+ * Process of the entry: start, kill, drain, and announcements of endpoints.
  */
 #include "entry.h"
 
--- a/test/calls/faults.c
+++ b/test/calls/faults.c
@@ -1,5 +1,5 @@
 /*
- * What goes wrong, each with its own way back.
+ * Fault injection, each fault with its recovery.
  */
 #include "entry.h"
 #include "guard.h"
--- a/test/calls/guard.c
+++ b/test/calls/guard.c
@@ -1,5 +1,5 @@
 /*
- * The guard's shell: requests, admission and resolves.
+ * Guard: requests, admission and resolves.
  */
 #include "guard.h"
 
@@ -42,7 +42,7 @@
 	link_to_entry(l, m);
 }
 
-/* Send to all who wait for the request. */
+/* Sends a frame to all waiters of a request. */
 static void
 send_to_waiters(struct guard *g, const struct request_id *id, struct message *m)
 {
@@ -181,7 +181,8 @@
 	return frame_age_sent_ms(&l->age, m->sent_ms, guard_now_ms(g));
 }
 
-/* The naive guard: straight to the upstream, nothing remembered. */
+/* Naive reference: passes the request directly to the upstream and records
+ * nothing. */
 static void
 forward_naively(struct guard *g, struct link *l, const struct message *m)
 {
@@ -249,7 +250,7 @@
 	return answered_call;
 }
 
-/* The resolve's answer, and after it the kept one if there is one. */
+/* Sends the response to a resolve, followed by the stored response, if any. */
 static void
 send_resolution(
     struct guard *g, const struct fate_waiter *to, struct fate_answer *a)
@@ -265,7 +266,7 @@
 	guard_send(g, to, &m);
 }
 
-/* The cancelled request leaves the queue and its waiters learn. */
+/* Removes a cancelled request from the queue and notifies its waiters. */
 static void
 cancel_queued(struct guard *g, const struct request_id *id)
 {
@@ -382,7 +383,8 @@
 		guard_process_admission(g);
 }
 
-/* An answer that waits for the guard's process to thaw. */
+/* Response of the upstream that is delayed until the guard's process
+ * resumes. */
 struct delayed_job {
 	struct job job;
 	bool ok;
--- a/test/calls/guard.h
+++ b/test/calls/guard.h
@@ -1,6 +1,6 @@
 /*
- * The guard's side of the driver: the shell around fates, admission, keys and
- * drain of one endpoint.
+ * Guard of the driver: runs the production modules for fates, admission, keys
+ * and drain of one endpoint.
  */
 #ifndef CALLS_GUARD_H
 #define CALLS_GUARD_H
@@ -10,12 +10,18 @@
 
 /**
  * struct guard - one guard and its upstream
- * @process: generation, changes with each restart
- * @skew_ms: its monotonic clock is ahead of the world's by this
- * @drain_started_us: its endpoint was told to leave then; 0: serving
- * @wake_us: when admission is looked at next; 0: not planned
- * @requests: request id -> struct guard_request, for those not settled
- * @tickets: ticket -> the same
+ * @up: the process runs
+ * @process: generation of the process; changes with each start and end
+ * @incarnation: incarnation of the process, as announced in its hello
+ * @skew_ms: offset of its monotonic clock from virtual time
+ * @frozen_until_us: time until which the process is frozen
+ * @drain_started_us: time at which its drain was announced; 0 if serving
+ * @wake_us: time of the next scheduled admission run; 0 if none
+ * @n_tickets: number of admission tickets issued
+ * @seen_versions: newest announcement received from each guard
+ * @view: state of each guard's endpoint as announced
+ * @requests: request id to struct guard_request, for unsettled requests
+ * @tickets: ticket to the same
  */
 struct guard {
 	struct world *world;
@@ -40,9 +46,9 @@
 };
 
 /**
- * struct guard_request - a request that is not settled
+ * struct guard_request - unsettled request
  * @ticket: its number in admission
- * @deadline_ms: in the guard's time
+ * @deadline_ms: deadline in the guard's time
  */
 struct guard_request {
 	struct request_id id;
@@ -53,78 +59,80 @@
 	enum admission_class class;
 };
 
-/** guard_now_ms() - its monotonic time */
+/** guard_now_ms() - monotonic time of the guard */
 uint64_t guard_now_ms(const struct guard *g);
 
-/** guard_find() - a request that is not settled, or NULL */
+/** guard_find() - find an unsettled request; NULL if there is none */
 struct guard_request *
 guard_find(const struct guard *g, const struct request_id *id);
 
-/** guard_new_fates() - an empty table of its process */
+/** guard_new_fates() - create an empty fate table for the current process */
 struct fate_table *guard_new_fates(const struct guard *g);
 
-/** guard_process_admission() - start or refuse what admission has ready */
+/** guard_process_admission() - start or refuse the requests that admission has
+ * decided */
 void guard_process_admission(struct guard *g);
 
 /** guard_admit() - offer a request to admission */
 void guard_admit(struct guard *g, struct guard_request *r);
 
-/** guard_refuse() - settle a request as refused and tell who waits */
+/** guard_refuse() - settle a request as refused and notify its waiters */
 void guard_refuse(struct guard *g, struct guard_request *r,
     enum refusal refusal, uint64_t retry_after_ms);
 
-/** guard_key_offer() - a keyed request came (guard_key.c) */
+/** guard_key_offer() - process a request with an idempotency key
+ * (guard_key.c) */
 void guard_key_offer(struct guard *g, struct guard_request *r);
 
-/** guard_key_id() - the key of a call */
+/** guard_key_id() - key id of a call */
 void guard_key_id(const struct client_call *c, struct key_id *key);
 
-/** guard_send() - send a frame to one who waits */
+/** guard_send() - send a frame to a waiter */
 void
 guard_send(struct guard *g, const struct fate_waiter *to, struct message *m);
 
-/** guard_response_call() - the request that a kept answer belongs to; frees it
- */
+/** guard_response_call() - call that a stored response belongs to; frees
+ * @answer */
 uint32_t guard_response_call(GBytes *answer);
 
-/** guard_remove_request() - a request is settled and answered */
+/** guard_remove_request() - remove a settled request */
 void guard_remove_request(struct guard *g, struct guard_request *r);
 
-/** guard_new() - a guard that is up */
+/** guard_new() - create a guard with a running process */
 struct guard *guard_new(struct world *w, uint32_t index);
 
 /** guard_free() - free it */
 void guard_free(struct guard *g);
 
-/** guard_kill() - the process dies; links break */
+/** guard_kill() - kill the process; its connections are reset */
 void guard_kill(struct guard *g);
 
-/** guard_restart() - a new process that knows nothing */
+/** guard_restart() - start a new process without state */
 void guard_restart(struct guard *g);
 
-/** guard_begin_drain() - planned stop and later restart */
+/** guard_begin_drain() - drain and stop the process, and restart it later */
 void guard_begin_drain(struct guard *g);
 
-/** guard_frozen_until_us() - end of its pause; in the past when not paused */
+/** guard_frozen_until_us() - end of the freeze; in the past if not frozen */
 uint64_t guard_frozen_until_us(const struct guard *g);
 
-/** guard_update_endpoint() - news of an endpoint has come */
+/** guard_update_endpoint() - receive an announcement of an endpoint */
 void guard_update_endpoint(struct guard *g, uint32_t endpoint,
     const struct endpoint_announcement *announcement);
 
-/** guard_accept() - a connection came */
+/** guard_accept() - accept a connection */
 void guard_accept(struct guard *g, struct link *l);
 
-/** guard_link_lost() - a connection went */
+/** guard_link_lost() - a connection was lost */
 void guard_link_lost(struct guard *g, struct link *l);
 
-/** guard_receive() - a frame came */
+/** guard_receive() - receive a frame */
 void guard_receive(struct guard *g, struct link *l, const struct message *m);
 
-/** guard_on_job_started() - its upstream has started a request */
+/** guard_on_job_started() - the upstream started a request */
 void guard_on_job_started(struct guard *g);
 
-/** guard_on_job_done() - its upstream has answered, or died (!@ok) */
+/** guard_on_job_done() - the upstream responded, or was killed if !@ok */
 void guard_on_job_done(struct guard *g, const struct job *j, bool ok);
 
 #endif
--- a/test/calls/guard_key.c
+++ b/test/calls/guard_key.c
@@ -1,6 +1,6 @@
 /*
- * Idempotency keys in the guard's shell: asking an earlier home and claiming
- * in the platform's table.
+ * Idempotency keys in the guard: queries to the previous home of a key and
+ * claims in the platform's table.
  */
 #include "guard.h"
 
@@ -8,7 +8,7 @@
 #define CLAIM_DELAY_US (5 * US_PER_MS)
 #define CLAIM_LOST_PERCENT 5
 
-/* A question on its way: to an earlier home or to the platform. */
+/* Query in transit, to the previous home or to the platform. */
 struct key_query {
 	struct guard *guard;
 	uint64_t process;
@@ -61,7 +61,8 @@
 		w->partitioned_data_centre == other % n + 1);
 }
 
-/* The question reaches the earlier home, if that one lives. */
+/* Delivers a query to the previous home; if the home is down, frozen or
+ * partitioned, the query times out. */
 static void
 on_home_query(void *target, void *arg)
 {
@@ -102,7 +103,7 @@
 	g_free(q);
 }
 
-/* A conditional put: the first process that claims a key holds it. */
+/* Conditional put: the first process that claims a key holds the claim. */
 static void
 claim_at_platform(void *target, void *arg)
 {
@@ -148,7 +149,7 @@
 		    g->world->guards[d->ask - 1], q);
 }
 
-/* A follower waits for an answer, not for a word on its fate. */
+/* Responds to a follower, which expects a response and not a resolution. */
 static void
 respond_to_follower(
     struct guard *g, const struct fate_waiter *to, const struct fate_answer *a)
--- a/test/calls/guard_process.c
+++ b/test/calls/guard_process.c
@@ -1,5 +1,5 @@
 /*
- * The guard's process: start, death, drain, and news of endpoints.
+ * Process of the guard: start, kill, drain, and announcements of endpoints.
  */
 #include "guard.h"
 
@@ -70,7 +70,8 @@
 	g->wake_us = 0;
 	g->fates = guard_new_fates(g);
 	g->admission = admission_new(&cfg->admission);
-	/* The first processes stand for nodes that have run for long. */
+	/* The first process counts as started at time 0, as on a node that has
+	 * run for a long time. */
 	g->keyed =
 	    keyed_new(&kc, g->index + 1, g->process == 1 ? 0 : guard_now_ms(g));
 	drain_init(&g->drain);
--- a/test/calls/link.c
+++ b/test/calls/link.c
@@ -1,12 +1,12 @@
 /*
- * Delivery of frames.
+ * Delivery of frames on a connection.
  */
 #include "link.h"
 
 #include "entry.h"
 #include "guard.h"
 
-/* An entry's heartbeat gives up a connection after this time of silence. */
+/* An entry closes a connection after this time without a frame. */
 #define HEARTBEAT_TIMEOUT_US (300 * US_PER_MS)
 #define CONNECT_TIMEOUT_US (150 * US_PER_MS)
 
@@ -191,7 +191,8 @@
 	link_start_timeout(l);
 }
 
-/* The guard's process accepts, unless it is dead or frozen by now. */
+/* Accepts the connection, unless the guard's process is down, frozen or
+ * partitioned. */
 static void
 on_accept(void *target, void *arg)
 {
--- a/test/calls/queue.c
+++ b/test/calls/queue.c
@@ -1,5 +1,5 @@
 /*
- * A binary heap of events.
+ * Event queue as a binary heap.
  */
 #include "queue.h"
 
--- a/test/calls/queue.h
+++ b/test/calls/queue.h
@@ -1,5 +1,5 @@
 /*
- * Events of the driver in the order of virtual time.
+ * Event queue of the driver, ordered by virtual time.
  */
 #ifndef CALLS_QUEUE_H
 #define CALLS_QUEUE_H
@@ -7,7 +7,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** struct event - something that happens at a time */
+/**
+ * struct event - scheduled event
+ * @at_us: virtual time of the event
+ * @number: sequence number, which orders events of the same time
+ * @fn: handler
+ * @target: object that the handler acts on
+ * @arg: argument of the handler
+ */
 struct event {
 	uint64_t at_us;
 	uint64_t number;
@@ -18,17 +25,18 @@
 
 struct queue;
 
-/** queue_new() - empty; free with queue_free() */
+/** queue_new() - create an empty queue; free with queue_free() */
 struct queue *queue_new(void);
 
-/** queue_free() - free it; events that did not fire are dropped */
+/** queue_free() - free a queue; the remaining events are dropped */
 void queue_free(struct queue *q);
 
-/** queue_at() - @fn(@target, @arg) at @at_us; at one time in order of calls */
+/** queue_at() - schedule @fn(@target, @arg) at @at_us; events of the same time
+ * run in the order of scheduling */
 void queue_at(struct queue *q, uint64_t at_us,
     void (*fn)(void *target, void *arg), void *target, void *arg);
 
-/** queue_pop() - the next event; false when there is none */
+/** queue_pop() - remove the next event; false if there is none */
 bool queue_pop(struct queue *q, struct event *out);
 
 #endif
--- a/test/calls/test_calls.c
+++ b/test/calls/test_calls.c
@@ -1,6 +1,6 @@
 /*
- * Entries, guards and upstreams under random failures: the checker must find
- * nothing, except where a defect is planted or the naive version runs.
+ * Tests of entries, guards and upstreams under random faults: the checker finds
+ * no violation, except with an injected defect or the naive reference.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,7 +13,8 @@
 #define ALL_FAULTS ((1U << FAULT_COUNT) - 1)
 #define ONLY(f) (1U << (f))
 #define SEEDS 40
-/* For one kind of fault: calls done vary by a tenth from three to three. */
+/* Seeds for a single kind of fault; the number of completed calls varies by a
+ * tenth between samples of three seeds. */
 #define FAULT_SEEDS 60
 
 struct totals {
@@ -63,7 +64,7 @@
 	return checker_total(&v);
 }
 
-/* Everything goes wrong at random, in all mixtures. */
+/* Configures random faults of all kinds. */
 static void
 configure_all_faults(struct world_config *cfg, uint64_t seed)
 {
@@ -99,12 +100,14 @@
 		cfg.claim = _i % 2 == 1;
 		assert_no_violation(&cfg, &s);
 	}
-	/* It must not be safe by doing nothing. */
+	/* Rejecting every call would violate no rule, so most calls must
+	 * complete. */
 	ck_assert_uint_gt(s.done, s.calls / 2);
 }
 END_TEST
 
-/* Each fault alone, so that a rare one is not hidden by the others. */
+/* Injects one kind of fault at a time, so that others do not mask its
+ * effect. */
 START_TEST(test_single_fault)
 {
 	struct world_config cfg;
@@ -125,7 +128,7 @@
 }
 END_TEST
 
-/* The checker must see each planted defect, and the naive version's. */
+/* The checker must detect each injected defect and the naive reference. */
 START_TEST(test_injected_defect)
 {
 	struct world_config cfg;
--- a/test/calls/upstream.c
+++ b/test/calls/upstream.c
@@ -1,5 +1,5 @@
 /*
- * The fake upstream.
+ * Simulated upstream.
  */
 #include "upstream.h"
 
@@ -8,7 +8,8 @@
 #include "guard.h"
 
 #define COLD_US (3000 * US_PER_MS)
-/* A cold one that is busy takes this many times longer in addition. */
+/* Maximum additional service time of a cold and busy upstream, as a
+ * multiple. */
 #define COLD_FACTOR 8
 
 void
--- a/test/calls/upstream.h
+++ b/test/calls/upstream.h
@@ -1,6 +1,6 @@
 /*
- * A fake upstream: slots, a backlog of connections, service times, and a count
- * of runs for each request.
+ * Simulated upstream: slots, a backlog of connections, service times, and the
+ * number of runs of each request.
  */
 #ifndef CALLS_UPSTREAM_H
 #define CALLS_UPSTREAM_H
@@ -10,8 +10,10 @@
 struct guard;
 
 /**
- * struct job - a request at the upstream
- * @process: generation of the upstream; @guard_process: of the guard
+ * struct job - request at the upstream
+ * @process: generation of the upstream's process
+ * @guard_process: generation of the guard's process
+ * @running: the job has a slot; otherwise it is in the backlog
  */
 struct job {
 	struct upstream *upstream;
@@ -24,8 +26,11 @@
 
 /**
  * struct upstream - one upstream
- * @slowdown: service times are multiplied by it
- * @cold_until_us: until then it is slow after a restart
+ * @process: generation of the process
+ * @slowdown: factor of service times
+ * @cold_until_us: time until which service times are longer after a restart
+ * @running: jobs in a slot
+ * @backlog: jobs that wait for a slot
  */
 struct upstream {
 	struct world *world;
@@ -37,21 +42,21 @@
 	GQueue backlog;
 };
 
-/** upstream_init() - empty */
+/** upstream_init() - initialise an idle upstream */
 void upstream_init(struct upstream *u, struct world *w, struct guard *g);
 
-/** upstream_clear() - free its jobs */
+/** upstream_clear() - free the jobs */
 void upstream_clear(struct upstream *u);
 
 /**
- * upstream_submit() - a request comes; guard_on_job_done() follows
+ * upstream_submit() - submit a request; guard_on_job_done() follows
  *
- * Return: false when it is shed, and certainly not run.
+ * Return: false if the request is shed, that is, certainly not run.
  */
 bool
 upstream_submit(struct upstream *u, const struct request_id *id, uint32_t call);
 
-/** upstream_kill() - its process dies and is replaced by a cold one */
+/** upstream_kill() - kill the process and replace it by a cold one */
 void upstream_kill(struct upstream *u);
 
 #endif
--- a/test/calls/world.c
+++ b/test/calls/world.c
@@ -1,5 +1,5 @@
 /*
- * Set-up, callers, and the spread of news.
+ * Setup, callers, and dissemination of announcements.
  */
 #include "world.h"
 
@@ -102,7 +102,7 @@
 	struct event e;
 	uint32_t i;
 
-	/* Let what is under way free itself. */
+	/* Run the remaining events, since handlers free their arguments. */
 	while (queue_pop(w->queue, &e)) {
 		w->now_us = e.at_us;
 		e.fn(e.target, e.arg);
@@ -119,7 +119,7 @@
 	g_free(w);
 }
 
-/* News of an endpoint on its way to one node. */
+/* Announcement of an endpoint in transit to one node. */
 struct announcement {
 	uint32_t endpoint;
 	struct endpoint_announcement announcement;
@@ -211,7 +211,8 @@
 	return c;
 }
 
-/* The caller of a keyed request sends it again through another entry. */
+/* The caller of a request with an idempotency key retries it through the next
+ * entry. */
 static void
 retry_at_next_entry(
     struct world *w, const struct client_call *c, uint64_t after_us)
--- a/test/calls/world.h
+++ b/test/calls/world.h
@@ -1,8 +1,8 @@
 /*
- * The driver's world: entries, guards and upstream fakes in one process,
- * joined by links, under a virtual clock.  It feeds the traffic decisions as
- * the daemon's shell does; what it does in their place is only to carry
- * messages and to let things fail.
+ * World of the driver: simulated entries, guards and upstreams in one process,
+ * connected by links, with a virtual clock.  It calls the traffic decisions in
+ * the same way as the daemons; apart from that it only delivers messages and
+ * injects faults.
  */
 #ifndef CALLS_WORLD_H
 #define CALLS_WORLD_H
@@ -23,7 +23,23 @@
 #define ENTRIES_MAX 16
 #define CALL_NONE UINT32_MAX
 
-/** enum plant - a defect put in on purpose, for the checker to find */
+/**
+ * enum defect - defect injected on purpose, which the checker must detect
+ * @DEFECT_NONE: none
+ * @DEFECT_RESEND_BOOKINGS: bookings are treated as idempotent
+ * @DEFECT_NO_TOMBSTONE: a guard forgets all fates after it resolved a request
+ *as not run
+ * @DEFECT_TRUST_TIME_LEFT: a guard counts the remaining time from the arrival
+ *	of a frame instead of its sending
+ * @DEFECT_ACCEPT_STALE_STREAM: an entry accepts frames of earlier streams
+ * @DEFECT_LOST_IS_NOT_RUN: an entry reports every failure as not_run
+ * @DEFECT_IGNORE_RESTART: a guard ignores that a resolve is for an earlier
+ *	incarnation
+ * @DEFECT_KEY_HOME_NOT_QUERIED: a guard ignores the response of a key's
+ *	previous home
+ * @DEFECT_SWAPPED_RESPONSES: a guard returns the response of another call
+ * @DEFECT_COUNT: number of defects
+ */
 enum defect {
 	DEFECT_NONE = 0,
 	DEFECT_RESEND_BOOKINGS,
@@ -37,7 +53,7 @@
 	DEFECT_COUNT,
 };
 
-/** enum fault - what goes wrong at random */
+/** enum fault - fault injected at random */
 enum fault {
 	FAULT_GUARD_KILLED = 0,
 	FAULT_GUARD_FROZEN,
@@ -56,11 +72,11 @@
 };
 
 /**
- * struct world_config - one run
+ * struct world_config - parameters of one run
  *
- * delay_us is the delay between data centres, one way; local_delay_us within
- * one.  Shares are in percent.  faults_per_s is the mean of all of fault_mask,
- * a set of bits of enum fault.
+ * delay_us is the one-way delay between data centres, local_delay_us that
+ * within a data centre.  Shares are in percent.  faults_per_s is the mean rate
+ * of all faults in fault_mask, a set of bits of enum fault.
  */
 struct world_config {
 	uint64_t seed;
@@ -97,15 +113,18 @@
 };
 
 /**
- * struct client_call - a caller's request, what ran and what it was told
- * @has_outcome: it was told @outcome at @outcome_us (aborted: its connection
- * was cut)
- * @answered_call: the request that the answer delivered belongs to
- * @entry_lost: its entry was killed or cut it off when its drain was overdue
- * @disconnected: the caller hung up
- * @n_outcomes: how often it was told something
- * @n_earlier: number of earlier requests of the caller with its key
- * @runs: how often upstreams started it
+ * struct client_call - a caller's request, its runs and its outcome
+ * @sent_us: time at which the caller sent it
+ * @outcome_us: time at which @outcome was reported to the caller
+ * @has_outcome: an outcome was reported
+ * @aborted: the caller's connection was closed in the middle of a response
+ * @entry_lost: its entry was killed, or interrupted it at the end of a drain
+ * @disconnected: the caller disconnected
+ * @answered_call: call that the delivered response belongs to, or CALL_NONE
+ * @runs: number of times that upstreams started it
+ * @first_run_us: time of the first start
+ * @n_earlier: number of earlier requests of the caller with the same key
+ * @n_outcomes: number of outcomes reported
  */
 struct client_call {
 	uint32_t number;
@@ -130,14 +149,14 @@
 	uint32_t n_outcomes;
 };
 
-/** struct endpoint_truth - what is announced of a guard's endpoint */
+/** struct endpoint_announcement - announced state of a guard's endpoint */
 struct endpoint_announcement {
 	uint64_t version;
 	uint64_t incarnation;
 	enum endpoint_state state;
 };
 
-/** struct world - everything */
+/** struct world - simulated system */
 struct world {
 	struct world_config cfg;
 	struct queue *queue;
@@ -150,7 +169,8 @@
 	struct endpoint_announcement announced[GUARDS_MAX];
 	GHashTable *claims;
 	bool platform_down;
-	/* Cut off from the others; counted from 1, 0 for none. */
+	/* Data centre partitioned from the others; counted from 1, 0 for
+	 * none. */
 	uint32_t partitioned_data_centre;
 	uint64_t interrupted_by_drain;
 	uint64_t started_while_draining;
@@ -159,40 +179,42 @@
 	uint32_t keys;
 };
 
-/** world_config_default() - a small fault-free world */
+/** world_config_default() - set the parameters of a small world without
+ * faults */
 void world_config_default(struct world_config *cfg);
 
-/** world_new() - build it; free with world_free() */
+/** world_new() - create a world; free with world_free() */
 struct world *world_new(const struct world_config *cfg);
 
-/** world_free() - free everything */
+/** world_free() - free a world */
 void world_free(struct world *w);
 
-/** world_run() - callers call for the duration, then all ends */
+/** world_run() - run: callers send for the configured duration, then calls
+ * finish */
 void world_run(struct world *w);
 
-/** world_random_percent() - true in @percent of cases */
+/** world_random_percent() - true with a probability of @percent */
 bool world_random_percent(struct world *w, uint32_t percent);
 
-/** world_random_between() - a random number from @low up to and with @high */
+/** world_random_between() - random number from @low to @high, inclusive */
 uint64_t world_random_between(struct world *w, uint64_t low, uint64_t high);
 
-/** world_schedule() - fire something after @after_us */
+/** world_schedule() - schedule @fn(@target, @arg) after @after_us */
 void world_schedule(struct world *w, uint64_t after_us,
     void (*fn)(void *target, void *arg), void *target, void *arg);
 
-/** world_announce() - the state of a guard's endpoint spreads to all nodes */
+/** world_announce() - announce the state of a guard's endpoint to all nodes */
 void world_announce(struct world *w, uint32_t guard, enum endpoint_state state);
 
-/** world_record_outcome() - record what a caller was told, if it is still there
- */
+/** world_record_outcome() - record the outcome reported to a caller that is
+ * still connected */
 void world_record_outcome(struct world *w, uint32_t number,
     enum outcome outcome, enum refusal refusal, uint32_t answered_call);
 
-/** world_inject_fault() - let something of that kind go wrong now (faults.c) */
+/** world_inject_fault() - inject a fault of the given kind now (faults.c) */
 void world_inject_fault(struct world *w, enum fault fault);
 
-/** world_call() - the call of that number */
+/** world_call() - find a call by its number */
 struct client_call *world_call(struct world *w, uint32_t number);
 
 #endif
