--- a/test/calls/bench_calls.c
+++ b/test/calls/bench_calls.c
@@ -215,7 +215,7 @@
 	    "| load %% | version | goodput %% | lookups done %% | bookings done"
 	    " %% | p50 ms | p99 ms | p99.9 ms | refused p50 ms | refused p99 "
 	    "ms | retries %% |"
-	    " not_run %% | unknown %% | violations | bookings doubled |\n"
+	    " not_run %% | unknown %% | violations | bookings run twice |\n"
 	    "|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n");
 }
 
--- a/test/calls/checker.c
+++ b/test/calls/checker.c
@@ -137,14 +137,14 @@
 		const char *name;
 		uint32_t count;
 	} rows[] = {
-	    {"told not_run but ran", v->ran_despite_not_run},
+	    {"not_run but ran", v->ran_despite_not_run},
 	    {"booking ran twice", v->booking_ran_twice},
 	    {"key ran twice", v->key_ran_twice},
-	    {"key not_run but ran", v->key_ran_despite_not_run},
-	    {"foreign answer", v->wrong_response},
+	    {"not_run but its key ran", v->key_ran_despite_not_run},
+	    {"wrong response", v->wrong_response},
 	    {"done but never ran", v->done_without_run},
-	    {"told twice", v->multiple_outcomes},
-	    {"told nothing", v->no_outcome},
+	    {"multiple outcomes", v->multiple_outcomes},
+	    {"no outcome", v->no_outcome},
 	};
 	GString *text;
 	size_t i;
--- a/test/calls/test_calls.c
+++ b/test/calls/test_calls.c
@@ -144,7 +144,7 @@
 		if (run(&cfg, &s, text, sizeof(text)) > 0)
 			return;
 	}
-	ck_abort_msg("planted defect %d was not found", _i);
+	ck_abort_msg("the checker did not detect injected defect %d", _i);
 }
 END_TEST
 
