--- a/test/capacity/bench_control.c
+++ b/test/capacity/bench_control.c
@@ -19,19 +19,19 @@
 #include "swarm.h"
 
 #define SUBJECT_HOST "subject"
-#define READY_MS 120000
+#define READY_TIMEOUT_MS 120000
 #define SETTLE_MS 10000
 #define POLL_MS 20
 #define THOUSAND 1000.0
 #define US_PER_MS 1000
-#define DATA_CENTRE_FAILS_MS 20000
+#define FAILURE_PERIOD_MS 20000
 
 /**
  * struct bench - one run
- * @plan: what is played
- * @news: records that change in a thousand seconds
- * @versions: versions signed off in a thousand seconds
- * @pings: pings in a thousand seconds
+ * @config: what is played
+ * @change_rate: records that change in a thousand seconds
+ * @version_rate: versions signed off in a thousand seconds
+ * @ping_rate: pings in a thousand seconds
  * @fail: hosts that fail at the end
  * @seconds: how long is measured
  * @loop: the swarm's loop
@@ -40,10 +40,10 @@
  * @ready: whether it serves
  */
 struct bench {
-	struct swarm_plan plan;
-	uint32_t news;
-	uint32_t versions;
-	uint32_t pings;
+	struct swarm_params config;
+	uint32_t change_rate;
+	uint32_t version_rate;
+	uint32_t ping_rate;
 	uint32_t fail;
 	uint32_t seconds;
 	struct loop *loop;
@@ -53,7 +53,7 @@
 };
 
 static void
-run(const struct bench *b, uint64_t ms)
+run_loop(const struct bench *b, uint64_t ms)
 {
 	uint64_t until_ms = clock_now_ms() + ms;
 
@@ -66,7 +66,7 @@
 wait_ready(gpointer arg)
 {
 	struct bench *b = arg;
-	uint64_t until_ms = clock_now_ms() + READY_MS;
+	uint64_t until_ms = clock_now_ms() + READY_TIMEOUT_MS;
 
 	while (!subject_ready(&b->subject) && clock_now_ms() < until_ms)
 		g_usleep(POLL_MS * US_PER_MS);
@@ -77,30 +77,30 @@
 static void
 start(struct bench *b)
 {
-	struct subject_plan plan = {
-	    .host = SUBJECT_HOST, .data_centre = SWARM_HOME};
+	struct subject_config config = {
+	    .host = SUBJECT_HOST, .data_centre = SWARM_LOCAL_DATA_CENTRE};
 	struct net_addr at = {subject_address(0), 0};
-	uint64_t began_ms;
+	uint64_t start_ms;
 	struct usage u;
 	GThread *waiter;
 
 	b->loop = loop_new();
-	b->swarm = swarm_new(b->loop, &b->plan);
-	plan.seed = swarm_seed(b->swarm);
-	began_ms = clock_now_ms();
-	subject_start(&b->subject, &plan);
+	b->swarm = swarm_new(b->loop, &b->config);
+	config.seed = swarm_seed(b->swarm);
+	start_ms = clock_now_ms();
+	subject_start(&b->subject, &config);
 	at.port = b->subject.peer_port;
-	swarm_meet(b->swarm, at);
+	swarm_set_subject(b->swarm, at);
 	waiter = g_thread_new("ready", wait_ready, b);
 	while (!atomic_load(&b->ready))
-		run(b, POLL_MS);
+		run_loop(b, POLL_MS);
 	(void)g_thread_join(waiter);
 	subject_usage(&b->subject, &u);
 	printf("  process %d joined in %.1f s: %.0f KB to it, %.0f KB from it, "
 	       "%.0f "
 	       "ms of processor time\n",
 	    (int)process_pid(b->subject.process),
-	    (double)(clock_now_ms() - began_ms) / THOUSAND,
+	    (double)(clock_now_ms() - start_ms) / THOUSAND,
 	    (double)(swarm_traffic(b->swarm)->to_frame_bytes +
 		swarm_traffic(b->swarm)->to_bytes) /
 		THOUSAND,
@@ -111,7 +111,7 @@
 }
 
 static double
-each_s(uint64_t now, uint64_t before, double s)
+per_second(uint64_t now, uint64_t before, double s)
 {
 	return (double)(now - before) / s;
 }
@@ -127,19 +127,19 @@
 	printf("%7u %3u %5u %5u %6.2f %5.2f | %6.0f us/s %6.3f %% busiest "
 	       "%6.0f | in %5.0f out %5.0f B/s, %5.1f msgs/s | rss %5.1f own "
 	       "%5.1f MB, %u threads, load %.1f\n",
-	    b->plan.members, b->plan.data_centres, b->plan.home,
-	    b->plan.services, each_s(t->changes, t0->changes, s),
-	    each_s(t->versions, t0->versions, s),
-	    each_s(u.cpu_us, before->cpu_us, s),
-	    each_s(u.cpu_us, before->cpu_us, s) / 10000,
-	    each_s(u.most_us, before->most_us, s),
-	    each_s(t->to_bytes + t->to_frame_bytes,
+	    b->config.members, b->config.data_centres, b->config.local_members,
+	    b->config.services, per_second(t->changes, t0->changes, s),
+	    per_second(t->versions, t0->versions, s),
+	    per_second(u.cpu_us, before->cpu_us, s),
+	    per_second(u.cpu_us, before->cpu_us, s) / 10000,
+	    per_second(u.max_thread_us, before->max_thread_us, s),
+	    per_second(t->to_bytes + t->to_frame_bytes,
 		t0->to_bytes + t0->to_frame_bytes, s),
-	    each_s(t->from_bytes + t->from_frame_bytes,
+	    per_second(t->from_bytes + t->from_frame_bytes,
 		t0->from_bytes + t0->from_frame_bytes, s),
-	    each_s(t->from_datagrams, t0->from_datagrams, s),
-	    (double)u.rss_kb / THOUSAND, (double)u.own_kb / THOUSAND, u.threads,
-	    usage_load());
+	    per_second(t->from_datagrams, t0->from_datagrams, s),
+	    (double)u.rss_kb / THOUSAND, (double)u.anonymous_kb / THOUSAND,
+	    u.threads, usage_load());
 }
 
 static void
@@ -147,40 +147,41 @@
 {
 	struct swarm_traffic traffic;
 	struct usage before;
-	uint64_t began_ms;
+	uint64_t start_ms;
 
-	swarm_rates(b->swarm, b->news / THOUSAND, b->versions / THOUSAND);
-	run(b, SETTLE_MS);
+	swarm_set_rates(
+	    b->swarm, b->change_rate / THOUSAND, b->version_rate / THOUSAND);
+	run_loop(b, SETTLE_MS);
 	traffic = *swarm_traffic(b->swarm);
 	subject_usage(&b->subject, &before);
-	began_ms = clock_now_ms();
-	run(b, b->seconds * (uint64_t)THOUSAND);
+	start_ms = clock_now_ms();
+	run_loop(b, b->seconds * (uint64_t)THOUSAND);
 	report(b, &before, &traffic,
-	    (double)(clock_now_ms() - began_ms) / THOUSAND);
+	    (double)(clock_now_ms() - start_ms) / THOUSAND);
 }
 
 static void
-fail_many(struct bench *b)
+fail_hosts(struct bench *b)
 {
 	struct swarm_traffic traffic = *swarm_traffic(b->swarm);
 	struct usage before;
 
 	subject_usage(&b->subject, &before);
 	swarm_fail(b->swarm, b->fail);
-	run(b, DATA_CENTRE_FAILS_MS);
+	run_loop(b, FAILURE_PERIOD_MS);
 	printf("  %u hosts of one data centre fail at once, %u s on:\n",
-	    b->fail, DATA_CENTRE_FAILS_MS / 1000);
-	report(b, &before, &traffic, DATA_CENTRE_FAILS_MS / THOUSAND);
+	    b->fail, FAILURE_PERIOD_MS / 1000);
+	report(b, &before, &traffic, FAILURE_PERIOD_MS / THOUSAND);
 }
 
 /* Whether the process has followed; else the figures mean nothing. */
 static void
-check(struct bench *b)
+print_status(struct bench *b)
 {
 	int code = 0;
 	json_t *j;
 
-	run(b, SETTLE_MS / 2);
+	run_loop(b, SETTLE_MS / 2);
 	j = subject_api(&b->subject, "GET", "/v1/status", NULL, &code);
 	printf("  status: version %" JSON_INTEGER_FORMAT " of %" PRIu64
 	       ", members live %" JSON_INTEGER_FORMAT "\n",
@@ -191,22 +192,22 @@
 }
 
 static void
-option(struct bench *b, const char *name, uint32_t value)
+set_option(struct bench *b, const char *name, uint32_t value)
 {
 	const struct {
 		const char *name;
 		uint32_t *value;
 	} options[] = {
-	    {"members", &b->plan.members},
-	    {"dcs", &b->plan.data_centres},
-	    {"home", &b->plan.home},
-	    {"services", &b->plan.services},
-	    {"routes", &b->plan.routes},
-	    {"copies", &b->plan.copies},
-	    {"notices", &b->plan.notices},
-	    {"news", &b->news},
-	    {"versions", &b->versions},
-	    {"pings", &b->pings},
+	    {"members", &b->config.members},
+	    {"dcs", &b->config.data_centres},
+	    {"home", &b->config.local_members},
+	    {"services", &b->config.services},
+	    {"routes", &b->config.routes},
+	    {"copies", &b->config.gossip_copies},
+	    {"notices", &b->config.notice_copies},
+	    {"news", &b->change_rate},
+	    {"versions", &b->version_rate},
+	    {"pings", &b->ping_rate},
 	    {"fail", &b->fail},
 	    {"seconds", &b->seconds},
 	};
@@ -221,7 +222,7 @@
 }
 
 static void
-options(struct bench *b, int argc, char **argv)
+parse_options(struct bench *b, int argc, char **argv)
 {
 	char *value;
 	int i;
@@ -231,24 +232,25 @@
 		if (value == NULL)
 			g_error("Options are name=value.");
 		*value++ = '\0';
-		option(b, argv[i], (uint32_t)strtoul(value, NULL, 10));
+		set_option(b, argv[i], (uint32_t)strtoul(value, NULL, 10));
 	}
-	if (b->plan.home == 0)
-		b->plan.home = b->plan.members / b->plan.data_centres;
-	b->plan.pings_per_s = b->pings / THOUSAND;
+	if (b->config.local_members == 0)
+		b->config.local_members =
+		    b->config.members / b->config.data_centres;
+	b->config.pings_per_s = b->ping_rate / THOUSAND;
 }
 
 static struct bench bench = {
-    .plan = {.members = 22000,
+    .config = {.members = 22000,
 	.data_centres = 28,
 	.services = 1200,
 	.routes = 5,
-	.copies = 15,
-	.notices = 6,
+	.gossip_copies = 15,
+	.notice_copies = 6,
 	.seed = 1},
-    .news = 2000,
-    .versions = 660,
-    .pings = 1000,
+    .change_rate = 2000,
+    .version_rate = 660,
+    .ping_rate = 1000,
     .seconds = 30,
 };
 
@@ -260,8 +262,8 @@
 	start(b);
 	measure(b);
 	if (b->fail > 0)
-		fail_many(b);
-	check(b);
+		fail_hosts(b);
+	print_status(b);
 	subject_stop(&b->subject);
 	swarm_free(b->swarm);
 	loop_free(b->loop);
@@ -270,8 +272,8 @@
 int
 main(int argc, char **argv)
 {
-	options(&bench, argc, argv);
-	(void)g_strlcpy(bench.plan.subject_host, SUBJECT_HOST,
-	    sizeof(bench.plan.subject_host));
+	parse_options(&bench, argc, argv);
+	(void)g_strlcpy(bench.config.subject_host, SUBJECT_HOST,
+	    sizeof(bench.config.subject_host));
 	return subject_run(bench_run);
 }
--- a/test/capacity/bench_depth.c
+++ b/test/capacity/bench_depth.c
@@ -20,17 +20,17 @@
 #include "standins/platform.h"
 #include "subject.h"
 
-#define PLATFORM_PLACE 102
+#define PLATFORM_INDEX 102
 #define PLATFORM_THREADS 4
 #define NODES 3
 #define SERVICES 23
-#define FIRST_PLACE 50
+#define FIRST_INDEX 50
 #define ROUNDS 10
 #define WARM_CALLS 20
 #define SLOTS 100
-#define TRIES 300
+#define SIGN_OFF_TRIES 300
 #define PAUSE_US 50000
-#define FOLLOW_US 3000000
+#define PROPAGATION_US 3000000
 
 static const char settings[] =
     "{\"announce_lease_ms\":600000,\"log_level\":\"warning\","
@@ -39,13 +39,13 @@
 /**
  * struct bench - the nodes and the upstreams
  * @platform: stand-in of the platform
- * @at: its address
+ * @platform_addr: its address
  * @nodes: the processes
  * @nested: the upstreams
  */
 struct bench {
 	struct platform *platform;
-	struct net_addr at;
+	struct net_addr platform_addr;
 	struct subject nodes[NODES];
 	struct nested *nested;
 };
@@ -53,7 +53,7 @@
 static uint32_t calls = 1000;
 
 static int
-by_size(const void *a, const void *b)
+compare_us(const void *a, const void *b)
 {
 	const uint32_t *x = a, *y = b;
 
@@ -63,25 +63,25 @@
 static void
 start_nodes(struct bench *b)
 {
-	struct subject_plan plan = {
+	struct subject_config config = {
 	    .data_centre = "centre-00", .settings = settings};
 	char address[HARNESS_ADDRESS_BYTES], host[BUNDLE_TEXT_SERVICE_BYTES];
 	uint32_t i;
 
-	b->at.ip = subject_address(PLATFORM_PLACE);
-	(void)addr_format_ip(b->at.ip, address);
-	harness_ports(address, &b->at.port, 1);
-	if (platform_start(address, b->at.port, PLATFORM_THREADS,
+	b->platform_addr.ip = subject_address(PLATFORM_INDEX);
+	(void)addr_format_ip(b->platform_addr.ip, address);
+	harness_ports(address, &b->platform_addr.port, 1);
+	if (platform_start(address, b->platform_addr.port, PLATFORM_THREADS,
 		&b->platform) != STATUS_OK)
 		g_error("%s", status_message());
-	plan.platform = b->at;
+	config.platform = b->platform_addr;
 	for (i = 0; i < NODES; i++) {
 		(void)g_snprintf(host, sizeof(host), "host-%u", i);
-		plan.host = host;
-		plan.place = FIRST_PLACE + i;
-		subject_start(&b->nodes[i], &plan);
-		plan.seed = (struct net_addr){
-		    subject_address(FIRST_PLACE), b->nodes[0].peer_port};
+		config.host = host;
+		config.index = FIRST_INDEX + i;
+		subject_start(&b->nodes[i], &config);
+		config.seed = (struct net_addr){
+		    subject_address(FIRST_INDEX), b->nodes[0].peer_port};
 	}
 }
 
@@ -95,7 +95,7 @@
 	GString *json = bundle_text_write(&t);
 	int code = 0, i;
 
-	for (i = 0; i < TRIES && code / 100 != 2; i++) {
+	for (i = 0; i < SIGN_OFF_TRIES && code / 100 != 2; i++) {
 		g_usleep(PAUSE_US);
 		json_decref(subject_api(&b->nodes[0], "POST",
 		    "/v1/versions?operator=bench&op=bench-1", json->str,
@@ -111,41 +111,42 @@
 start_upstreams(struct bench *b)
 {
 	struct net_addr nodes[SERVICES];
-	struct nested_plan plan = {.services = SERVICES, .nodes = nodes};
+	struct nested_config config = {.services = SERVICES, .nodes = nodes};
 	char service[BUNDLE_TEXT_SERVICE_BYTES];
 	uint32_t i, n;
 
 	/* The guard calls an upstream at its own host's address. */
-	plan.ip = 0;
+	config.ip = 0;
 	for (i = 0; i < SERVICES; i++) {
 		n = i % NODES;
-		nodes[i].ip = subject_address(FIRST_PLACE + n);
+		nodes[i].ip = subject_address(FIRST_INDEX + n);
 		nodes[i].port = b->nodes[n].caller_port;
 	}
-	b->nested = nested_start(&plan);
+	b->nested = nested_start(&config);
 	for (i = 0; i < SERVICES; i++) {
 		bundle_text_service(i, service);
 		subject_announce(&b->nodes[i % NODES], service,
 		    nested_port(b->nested), SLOTS);
 	}
-	g_usleep(FOLLOW_US);
+	g_usleep(PROPAGATION_US);
 }
 
 /* One round of calls; their times are appended. */
 static uint32_t
-round_of(struct bench *b, uint32_t n, uint32_t depth, int direct, GArray *times)
+run_round(
+    struct bench *b, uint32_t n, uint32_t depth, int direct, GArray *times)
 {
 	uint32_t failed = 0, i, us;
-	uint64_t began_us;
+	uint64_t start_us;
 	int fd = -1;
 
 	for (i = 0; i < n + WARM_CALLS; i++) {
-		began_us = clock_now_us();
+		start_us = clock_now_us();
 		if (!nested_call(b->nested, &fd, depth, direct)) {
 			failed++;
 			continue;
 		}
-		us = (uint32_t)(clock_now_us() - began_us);
+		us = (uint32_t)(clock_now_us() - start_us);
 		if (i >= WARM_CALLS)
 			g_array_append_val(times, us);
 	}
@@ -171,11 +172,11 @@
 	for (i = 0; i < 2; i++)
 		times[i] = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	for (i = 0; i < ROUNDS; i++) {
-		failed += round_of(b, calls / ROUNDS, depth, 1, times[1]);
-		failed += round_of(b, calls / ROUNDS, depth, 0, times[0]);
+		failed += run_round(b, calls / ROUNDS, depth, 1, times[1]);
+		failed += run_round(b, calls / ROUNDS, depth, 0, times[0]);
 	}
 	for (i = 0; i < 2; i++)
-		g_array_sort(times[i], by_size);
+		g_array_sort(times[i], compare_us);
 	p50 = (int)quantile(times[0], 500) - (int)quantile(times[1], 500);
 	p99 = (int)quantile(times[0], 990) - (int)quantile(times[1], 990);
 	printf("depth %2u: direct p50 %6u p99 %6u us, through nodes p50 %6u "
--- a/test/capacity/bench_guard.c
+++ b/test/capacity/bench_guard.c
@@ -28,16 +28,16 @@
 #include "standins/platform.h"
 #include "subject.h"
 
-#define PLATFORM_PLACE 100
+#define PLATFORM_INDEX 100
 #define PLATFORM_THREADS 4
 #define SLOTS 2000
 #define UPSTREAMS 4
 #define POLL_MS 10
 #define SETTLE_MS 1500
-#define WAIT_MS 60000
+#define WAIT_TIMEOUT_MS 60000
 #define IDLE_MS 10000
 #define KB 1000.0
-#define FATES_AT_ONCE 100
+#define FATES_PER_BATCH 100
 #define CODE_OK 200
 
 static const char settings[] =
@@ -51,7 +51,7 @@
  * @upstreams: what the process guards, each of a service of its own
  * @entries: entries of other nodes
  * @subject: the process
- * @base: what it used before the load
+ * @baseline: what it used before the load
  */
 struct bench {
 	struct loop *loop;
@@ -59,14 +59,14 @@
 	struct holder *upstreams[UPSTREAMS];
 	struct entries *entries;
 	struct subject subject;
-	struct usage base;
+	struct usage baseline;
 };
 
-static const char *what;
+static const char *bench_name;
 static uint32_t poll_ms = 1000;
 
 static void
-run(const struct bench *b, uint64_t ms)
+run_loop(const struct bench *b, uint64_t ms)
 {
 	uint64_t until_ms = clock_now_ms() + ms;
 
@@ -79,19 +79,19 @@
 run_until(
     const struct bench *b, uint64_t (*count)(const struct bench *), uint64_t n)
 {
-	uint64_t until_ms = clock_now_ms() + WAIT_MS;
+	uint64_t until_ms = clock_now_ms() + WAIT_TIMEOUT_MS;
 
 	while (count(b) < n && clock_now_ms() < until_ms)
-		run(b, POLL_MS);
+		run_loop(b, POLL_MS);
 	if (count(b) < n)
 		g_error("Only %" PRIu64 " of %" PRIu64 " came.", count(b), n);
-	run(b, SETTLE_MS);
+	run_loop(b, SETTLE_MS);
 }
 
 static uint64_t
 count_greeted(const struct bench *b)
 {
-	return entries_counts(b->entries)->greeted;
+	return entries_counts(b->entries)->n_connected;
 }
 
 static uint64_t
@@ -150,7 +150,7 @@
 
 /* Calls of entries, to the services in turn. */
 static void
-call(const struct bench *b, uint32_t n, int booking)
+send_call(const struct bench *b, uint32_t n, int booking)
 {
 	char service[BUNDLE_TEXT_SERVICE_BYTES];
 
@@ -159,7 +159,7 @@
 }
 
 static void
-hold(const struct bench *b, int on)
+set_hold(const struct bench *b, int on)
 {
 	uint32_t i;
 
@@ -173,21 +173,21 @@
 static void
 start(struct bench *b)
 {
-	struct subject_plan plan = {
+	struct subject_config config = {
 	    .host = "subject", .data_centre = "centre-00"};
 	char address[HARNESS_ADDRESS_BYTES];
 	struct net_addr guard;
 	uint16_t port;
 
-	(void)addr_format_ip(subject_address(PLATFORM_PLACE), address);
+	(void)addr_format_ip(subject_address(PLATFORM_INDEX), address);
 	harness_ports(address, &port, 1);
 	if (platform_start(address, port, PLATFORM_THREADS, &b->platform) !=
 	    STATUS_OK)
 		g_error("%s", status_message());
-	plan.platform =
-	    (struct net_addr){subject_address(PLATFORM_PLACE), port};
-	plan.settings = g_strdup_printf(settings, poll_ms);
-	subject_start(&b->subject, &plan);
+	config.platform =
+	    (struct net_addr){subject_address(PLATFORM_INDEX), port};
+	config.settings = g_strdup_printf(settings, poll_ms);
+	subject_start(&b->subject, &config);
 	sign_off(b);
 	while (!subject_ready(&b->subject))
 		g_usleep(POLL_MS * 1000);
@@ -195,9 +195,9 @@
 	start_upstreams(b);
 	guard = (struct net_addr){subject_address(0), b->subject.call_port};
 	b->entries = entries_new(b->loop, guard);
-	run(b, SETTLE_MS);
-	subject_usage(&b->subject, &b->base);
-	g_free((gpointer)plan.settings);
+	run_loop(b, SETTLE_MS);
+	subject_usage(&b->subject, &b->baseline);
+	g_free((gpointer)config.settings);
 }
 
 static void
@@ -222,10 +222,12 @@
 
 	subject_usage(&b->subject, &u);
 	if (n > 0)
-		each = ((double)u.own_kb - (double)b->base.own_kb) / n;
+		each = ((double)u.anonymous_kb -
+			   (double)b->baseline.anonymous_kb) /
+		    n;
 	printf("%6u %-22s rss %6.1f own %6.1f MB, %6.2f KB each, %u threads, "
 	       "%u descriptors\n",
-	    n, name, (double)u.rss_kb / KB, (double)u.own_kb / KB, each,
+	    n, name, (double)u.rss_kb / KB, (double)u.anonymous_kb / KB, each,
 	    u.threads, u.fds);
 }
 
@@ -236,7 +238,7 @@
 	struct usage from, to;
 
 	subject_usage(&b->subject, &from);
-	run(b, IDLE_MS);
+	run_loop(b, IDLE_MS);
 	subject_usage(&b->subject, &to);
 	printf("%6u connections, idle: %.0f us of processor time a second\n", n,
 	    (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
@@ -264,15 +266,15 @@
 
 	entries_connect(b->entries, 20);
 	run_until(b, count_greeted, 20);
-	subject_usage(&b->subject, &b->base);
-	hold(b, 1);
+	subject_usage(&b->subject, &b->baseline);
+	set_hold(b, 1);
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		for (; n < sizes[i]; n++)
-			call(b, n, 0);
+			send_call(b, n, 0);
 		run_until(b, count_held, n);
 		report(b, "calls in flight", n);
 	}
-	hold(b, 0);
+	set_hold(b, 0);
 	run_until(b, count_ended, n);
 	report(b, "answered again", n);
 }
@@ -286,16 +288,16 @@
 
 	entries_connect(b->entries, 20);
 	run_until(b, count_greeted, 20);
-	subject_usage(&b->subject, &b->base);
+	subject_usage(&b->subject, &b->baseline);
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		while (n < sizes[i]) {
-			for (k = 0; k < FATES_AT_ONCE; k++)
-				call(b, k, 1);
-			n += FATES_AT_ONCE;
+			for (k = 0; k < FATES_PER_BATCH; k++)
+				send_call(b, k, 1);
+			n += FATES_PER_BATCH;
 			while (count_ended(b) < n)
-				run(b, 1);
+				run_loop(b, 1);
 		}
-		run(b, SETTLE_MS);
+		run_loop(b, SETTLE_MS);
 		report(b, "fates remembered", n);
 	}
 	printf("  done %" PRIu64 ", refused %" PRIu64 "\n",
@@ -304,7 +306,7 @@
 }
 
 static int
-call_through(const struct bench *b)
+send_caller_request(const struct bench *b)
 {
 	static const char request[] =
 	    "GET /service-0000/part-0 HTTP/1.1\r\nHost: bench\r\n\r\n";
@@ -327,15 +329,15 @@
 	int fds[200];
 	uint32_t i, n = 0;
 
-	hold(b, 1);
+	set_hold(b, 1);
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		for (; n < sizes[i]; n++)
-			fds[n] = call_through(b);
+			fds[n] = send_caller_request(b);
 		run_until(b, count_held, n);
 		report(b, "callers that wait", n);
 	}
-	hold(b, 0);
-	run(b, SETTLE_MS);
+	set_hold(b, 0);
+	run_loop(b, SETTLE_MS);
 	while (n > 0)
 		(void)close(fds[--n]);
 }
@@ -346,7 +348,7 @@
 	struct usage from, to;
 
 	subject_usage(&b->subject, &from);
-	run(b, IDLE_MS);
+	run_loop(b, IDLE_MS);
 	subject_usage(&b->subject, &to);
 	printf("a poll each %u ms: %.0f us of processor time a second\n",
 	    poll_ms, (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
@@ -369,9 +371,9 @@
 	uint32_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(benches); i++) {
-		if (strcmp(benches[i].name, what) != 0)
+		if (strcmp(benches[i].name, bench_name) != 0)
 			continue;
-		printf("%s, load %.1f\n", what, usage_load());
+		printf("%s, load %.1f\n", bench_name, usage_load());
 		start(&b);
 		benches[i].fn(&b);
 		stop(&b);
@@ -386,7 +388,7 @@
 		       "callers|polls [ms between polls]\n");
 		return EXIT_FAILURE;
 	}
-	what = argv[1];
+	bench_name = argv[1];
 	if (argc > 2)
 		poll_ms = (uint32_t)strtoul(argv[2], NULL, 10);
 	return subject_run(bench_run);
--- a/test/capacity/bench_retries.c
+++ b/test/capacity/bench_retries.c
@@ -19,7 +19,7 @@
 #define LAYERS_MAX 23
 #define CALLS 20000
 /* Calls of a chain after which the unbounded policy is not gone on with. */
-#define WORK_MAX 50000000
+#define TOTAL_CALLS_MAX 50000000
 #define CALLS_PER_MS 1
 #define PERCENT 100
 
@@ -28,7 +28,7 @@
 	POLICY_EACH = 0,
 	POLICY_EACH_BUDGET,
 	POLICY_LAST_BUDGET,
-	POLICIES,
+	POLICY_COUNT,
 };
 
 /**
@@ -38,7 +38,7 @@
  * @percent: calls of the last layer that fail
  * @budgets: of each layer
  * @calls: calls that reached each layer
- * @work: calls of all layers
+ * @total_calls: calls of all layers
  * @now_ms: time, which passes with the calls from outside
  * @rand: which calls fail
  */
@@ -48,7 +48,7 @@
 	uint32_t percent;
 	struct retry_budget budgets[LAYERS_MAX];
 	uint64_t calls[LAYERS_MAX];
-	uint64_t work;
+	uint64_t total_calls;
 	uint64_t now_ms;
 	GRand *rand;
 };
@@ -56,7 +56,7 @@
 static int
 may_retry(struct chain *c, uint32_t layer)
 {
-	if (c->work > WORK_MAX)
+	if (c->total_calls > TOTAL_CALLS_MAX)
 		return 0;
 	if (c->policy == POLICY_EACH)
 		return 1;
@@ -72,7 +72,7 @@
 attempt(struct chain *c, uint32_t layer)
 {
 	c->calls[layer]++;
-	c->work++;
+	c->total_calls++;
 	if (layer + 1 == c->layers)
 		return g_rand_int(c->rand) % PERCENT >= c->percent;
 	return call_layer(c, layer + 1);
@@ -101,22 +101,22 @@
 	struct chain c = {
 	    .layers = layers, .policy = policy, .percent = percent};
 	struct retry_config cfg;
-	uint64_t i, good = 0;
+	uint64_t i, n_ok = 0;
 
 	retry_config_default(&cfg);
 	c.rand = g_rand_new_with_seed(1);
 	for (i = 0; i < layers; i++)
 		retry_budget_init(&c.budgets[i], &cfg, 0);
-	for (i = 0; i < CALLS && c.work <= WORK_MAX; i++) {
+	for (i = 0; i < CALLS && c.total_calls <= TOTAL_CALLS_MAX; i++) {
 		c.now_ms = i / CALLS_PER_MS;
-		good += (uint64_t)call_layer(&c, 0);
+		n_ok += (uint64_t)call_layer(&c, 0);
 	}
 	printf("%2u layers, %3u %% of the last fail, %-21s: %10.2f calls of "
 	       "the last and %10.2f of all for each, %5.1f %% good%s\n",
 	    layers, percent, names[policy],
-	    (double)c.calls[layers - 1] / (double)i, (double)c.work / (double)i,
-	    100.0 * (double)good / (double)i,
-	    c.work > WORK_MAX ? " (broken off)" : "");
+	    (double)c.calls[layers - 1] / (double)i,
+	    (double)c.total_calls / (double)i, 100.0 * (double)n_ok / (double)i,
+	    c.total_calls > TOTAL_CALLS_MAX ? " (broken off)" : "");
 	g_rand_free(c.rand);
 }
 
@@ -130,7 +130,7 @@
 
 	for (k = 0; k < G_N_ELEMENTS(percents); k++)
 		for (i = 0; i < G_N_ELEMENTS(layers); i++)
-			for (p = 0; p < POLICIES; p++)
+			for (p = 0; p < POLICY_COUNT; p++)
 				run(layers[i], (enum policy)p, percents[k]);
 	return EXIT_SUCCESS;
 }
--- a/test/capacity/bench_sign_off.c
+++ b/test/capacity/bench_sign_off.c
@@ -19,7 +19,7 @@
 #include "standins/platform.h"
 #include "subject.h"
 
-#define PLATFORM_PLACE 101
+#define PLATFORM_INDEX 101
 #define PLATFORM_THREADS 8
 #define ROUTES 5
 #define START_TRIES 200
@@ -34,38 +34,38 @@
 /**
  * struct bench - one size
  * @platform: stand-in of the platform
- * @at: its address
+ * @platform_addr: its address
  * @subject: the process
  * @services: services of the bundle
- * @number: of the last operation
+ * @n_operations: of the last operation
  */
 struct bench {
 	struct platform *platform;
-	struct net_addr at;
+	struct net_addr platform_addr;
 	struct subject subject;
 	uint32_t services;
-	uint32_t number;
+	uint32_t n_operations;
 };
 
 static uint32_t changes = 10;
-static const char *fresh = "";
+static const char *query_suffix = "";
 
 /* What the platform has been asked for. */
-struct asked {
+struct platform_requests {
 	json_int_t reads;
 	json_int_t writes;
 	json_int_t rejected;
 };
 
-static struct asked
-asked(const struct bench *b)
+static struct platform_requests
+read_platform_requests(const struct bench *b)
 {
 	char address[ADDR_TEXT_BYTES], url[URL_BYTES];
-	struct asked a;
+	struct platform_requests a;
 	json_t *j;
 
 	(void)g_snprintf(url, sizeof(url), "http://%s/standin/stats",
-	    addr_format(&b->at, address));
+	    addr_format(&b->platform_addr, address));
 	j = fetch_json("GET", url, NULL, NULL);
 	a.reads = json_integer_value(json_object_get(j, "reads"));
 	a.writes = json_integer_value(json_object_get(j, "writes"));
@@ -79,7 +79,7 @@
 {
 	struct bundle_text t = {.services = b->services,
 	    .routes = ROUTES,
-	    .odd = b->number % b->services,
+	    .odd = b->n_operations % b->services,
 	    .timeout_ms = timeout_ms};
 	char url[PATH_BYTES];
 	struct fetch f = {.method = "POST", .url = url};
@@ -89,7 +89,8 @@
 
 	(void)g_snprintf(url, sizeof(url),
 	    "http://%s:%u/v1/versions?operator=bench&op=bench-%u%s",
-	    b->subject.address, b->subject.admin_port, ++b->number, fresh);
+	    b->subject.address, b->subject.admin_port, ++b->n_operations,
+	    query_suffix);
 	f.body = json->str;
 	f.body_len = json->len;
 	f.timeout_ms = TIMEOUT_MS;
@@ -104,18 +105,18 @@
 static void
 measure(struct bench *b, const char *what, uint32_t n)
 {
-	uint64_t began_us = clock_now_us();
-	struct asked from = asked(b), to;
+	uint64_t start_us = clock_now_us();
+	struct platform_requests from = read_platform_requests(b), to;
 	struct usage before, after;
 	uint32_t i, done = 0;
 	double ms;
 
 	subject_usage(&b->subject, &before);
 	for (i = 0; i < n; i++)
-		done += sign_off(b, 1000 + b->number) == CREATED;
-	ms = (double)(clock_now_us() - began_us) / US_PER_MS;
+		done += sign_off(b, 1000 + b->n_operations) == CREATED;
+	ms = (double)(clock_now_us() - start_us) / US_PER_MS;
 	subject_usage(&b->subject, &after);
-	to = asked(b);
+	to = read_platform_requests(b);
 	printf("%5u services, %s: %u of %u done; each %.1f ms, %.1f ms of "
 	       "processor time, %.1f reads, %.1f writes, %" JSON_INTEGER_FORMAT
 	       " turned away; rss %.1f own %.1f MB\n",
@@ -123,28 +124,28 @@
 	    (double)(after.cpu_us - before.cpu_us) / US_PER_MS / n,
 	    (double)(to.reads - from.reads) / n,
 	    (double)(to.writes - from.writes) / n, to.rejected - from.rejected,
-	    (double)after.rss_kb / KB, (double)after.own_kb / KB);
+	    (double)after.rss_kb / KB, (double)after.anonymous_kb / KB);
 }
 
 static void
 start(struct bench *b, uint32_t services)
 {
-	struct subject_plan plan = {.host = "subject",
+	struct subject_config config = {.host = "subject",
 	    .data_centre = "centre-00",
 	    .settings = "{\"log_level\":\"warning\"}"};
 	char address[HARNESS_ADDRESS_BYTES];
 	int code = 0, i;
 
 	b->services = services;
-	b->number = 0;
-	b->at.ip = subject_address(PLATFORM_PLACE);
-	(void)addr_format_ip(b->at.ip, address);
-	harness_ports(address, &b->at.port, 1);
-	if (platform_start(address, b->at.port, PLATFORM_THREADS,
+	b->n_operations = 0;
+	b->platform_addr.ip = subject_address(PLATFORM_INDEX);
+	(void)addr_format_ip(b->platform_addr.ip, address);
+	harness_ports(address, &b->platform_addr.port, 1);
+	if (platform_start(address, b->platform_addr.port, PLATFORM_THREADS,
 		&b->platform) != STATUS_OK)
 		g_error("%s", status_message());
-	plan.platform = b->at;
-	subject_start(&b->subject, &plan);
+	config.platform = b->platform_addr;
+	subject_start(&b->subject, &config);
 	for (i = 0; code == 0 && i < START_TRIES; i++) {
 		g_usleep(PAUSE_US);
 		json_decref(
@@ -176,6 +177,6 @@
 	if (argc > 1)
 		changes = (uint32_t)strtoul(argv[1], NULL, 10);
 	if (argc > 2)
-		fresh = "&fresh=1";
+		query_suffix = "&fresh=1";
 	return subject_run(bench_run);
 }
--- a/test/capacity/entries.c
+++ b/test/capacity/entries.c
@@ -7,16 +7,16 @@
 #include "net/conn.h"
 #include "proto/messages.h"
 
-#define DIAL_MS 10000
-#define TIME_LEFT_MS 60000
+#define CONNECT_TIMEOUT_MS 10000
+#define CALL_TIMEOUT_MS 60000
 #define ID_BYTES 16
 #define PATH "/held?bytes=512"
 
 struct entries {
 	struct loop *loop;
 	struct net_addr guard;
-	GPtrArray *conns;  /* struct conn; NULL when it has ended */
-	GHashTable *boxed; /* stream -> request id of a booking, owned */
+	GPtrArray *conns;     /* struct conn; NULL when it has ended */
+	GHashTable *bookings; /* stream -> request id of a booking, owned */
 	uint32_t next;
 	uint32_t stream;
 	uint64_t calls;
@@ -45,7 +45,7 @@
 	ack.sent_ms = loop_now_ms(e->loop);
 	msg_call_hello_ack_encode(&ack, body);
 	send_message(c, MSG_CALL_HELLO_ACK, body);
-	e->counts.greeted++;
+	e->counts.n_connected++;
 }
 
 static void
@@ -63,7 +63,7 @@
 on_fin(struct entries *e, struct conn *c, uint32_t stream)
 {
 	const GBytes *id =
-	    g_hash_table_lookup(e->boxed, GUINT_TO_POINTER(stream));
+	    g_hash_table_lookup(e->bookings, GUINT_TO_POINTER(stream));
 	struct msg_call_ack ack;
 	GByteArray *body;
 
@@ -75,7 +75,7 @@
 	body = g_byte_array_new();
 	msg_call_ack_encode(&ack, body);
 	send_message(c, MSG_CALL_ACK, body);
-	(void)g_hash_table_remove(e->boxed, GUINT_TO_POINTER(stream));
+	(void)g_hash_table_remove(e->bookings, GUINT_TO_POINTER(stream));
 }
 
 static void
@@ -107,7 +107,7 @@
 	guint i;
 
 	(void)st;
-	e->counts.lost++;
+	e->counts.n_closed++;
 	if (g_ptr_array_find(e->conns, c, &i))
 		e->conns->pdata[i] = NULL;
 }
@@ -131,7 +131,7 @@
 	e->loop = loop;
 	e->guard = guard;
 	e->conns = g_ptr_array_new();
-	e->boxed =
+	e->bookings =
 	    g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, id_free);
 	return e;
 }
@@ -145,7 +145,7 @@
 		if (e->conns->pdata[i] != NULL)
 			conn_close(e->conns->pdata[i]);
 	g_ptr_array_unref(e->conns);
-	g_hash_table_destroy(e->boxed);
+	g_hash_table_destroy(e->bookings);
 	g_free(e);
 }
 
@@ -154,8 +154,9 @@
 {
 	while (e->conns->len < n)
 		g_ptr_array_add(e->conns,
-		    conn_dial(e->loop, e->guard, loop_now_ms(e->loop) + DIAL_MS,
-			NULL, &handler, e));
+		    conn_dial(e->loop, e->guard,
+			loop_now_ms(e->loop) + CONNECT_TIMEOUT_MS, NULL,
+			&handler, e));
 }
 
 static void
@@ -187,12 +188,12 @@
 	open.path_len = sizeof(PATH) - 1;
 	open.idempotent = !booking;
 	open.key = "";
-	open.time_left_ms = TIME_LEFT_MS;
+	open.time_left_ms = CALL_TIMEOUT_MS;
 	open.sent_ms = loop_now_ms(e->loop);
 	open.version = 1;
 	(void)g_strlcpy(open.caller, "bench", sizeof(open.caller));
 	if (booking)
-		g_hash_table_insert(e->boxed, GUINT_TO_POINTER(open.stream),
+		g_hash_table_insert(e->bookings, GUINT_TO_POINTER(open.stream),
 		    g_bytes_new(id, sizeof(id)));
 	msg_call_open_encode(&open, body);
 	if (c != NULL)
--- a/test/capacity/entries.h
+++ b/test/capacity/entries.h
@@ -14,18 +14,18 @@
 
 /**
  * struct entries_counts - what became of the calls
- * @greeted: connections that the guard has greeted
+ * @n_connected: connections that the guard has greeted
  * @sent: calls sent
  * @done: answers that came whole
  * @refused: refusals
- * @lost: connections that ended
+ * @n_closed: connections that ended
  */
 struct entries_counts {
-	uint32_t greeted;
+	uint32_t n_connected;
 	uint64_t sent;
 	uint64_t done;
 	uint64_t refused;
-	uint32_t lost;
+	uint32_t n_closed;
 };
 
 /** entries_new() - no connections yet, to the guard at @guard */
--- a/test/capacity/holder.c
+++ b/test/capacity/holder.c
@@ -13,68 +13,68 @@
 
 #define BACKLOG 4096
 #define READ_BYTES 4096
-#define ANSWER_BYTES 512
+#define RESPONSE_BYTES 512
 
 /* A connection, and whether a request on it is held. */
-struct held {
+struct holder_conn {
 	struct holder *holder;
 	struct loop_fd *watch;
 	GString *input;
 	int fd;
-	int held;
+	int pending;
 };
 
 struct holder {
 	struct loop *loop;
 	struct loop_fd *watch;
-	GHashTable *conns; /* struct held, a set */
-	GString *answer;
+	GHashTable *conns; /* struct holder_conn, a set */
+	GString *response;
 	uint16_t port;
 	int fd;
 	int hold;
-	uint32_t held;
+	uint32_t n_held;
 };
 
 static void
-held_free(gpointer p)
+holder_conn_free(gpointer p)
 {
-	struct held *c = p;
+	struct holder_conn *c = p;
 
 	loop_fd_remove(c->watch);
 	(void)close(c->fd);
-	c->holder->held -= c->held != 0;
+	c->holder->n_held -= c->pending != 0;
 	g_string_free(c->input, TRUE);
 	g_free(c);
 }
 
 static void
-answer(struct held *c)
+respond(struct holder_conn *c)
 {
-	const GString *a = c->holder->answer;
+	const GString *a = c->holder->response;
 
-	c->holder->held -= c->held != 0;
-	c->held = 0;
+	c->holder->n_held -= c->pending != 0;
+	c->pending = 0;
 	if (send(c->fd, a->str, a->len, MSG_NOSIGNAL) != (ssize_t)a->len)
 		g_hash_table_remove(c->holder->conns, c);
 }
 
 static void
-on_request(struct held *c)
+on_request(struct holder_conn *c)
 {
 	g_string_truncate(c->input, 0);
 	if (!c->holder->hold) {
-		answer(c);
+		respond(c);
 		return;
 	}
-	c->held = 1;
-	c->holder->held++;
+	c->pending = 1;
+	c->holder->n_held++;
 }
 
 static void
 on_readable(uint32_t ready, void *arg)
 {
 	char data[READ_BYTES];
-	struct held *c = arg;
+	struct holder_conn *c = arg;
 	ssize_t n;
 
 	(void)ready;
@@ -92,14 +92,14 @@
 on_acceptable(uint32_t ready, void *arg)
 {
 	struct holder *h = arg;
-	struct held *c;
+	struct holder_conn *c;
 	int fd;
 
 	(void)ready;
 	fd = accept4(h->fd, NULL, NULL, SOCK_CLOEXEC | SOCK_NONBLOCK);
 	if (fd < 0)
 		return;
-	c = g_new0(struct held, 1);
+	c = g_new0(struct holder_conn, 1);
 	c->holder = h;
 	c->fd = fd;
 	c->input = g_string_new(NULL);
@@ -131,12 +131,12 @@
 
 	h->loop = loop;
 	h->conns = g_hash_table_new_full(
-	    g_direct_hash, g_direct_equal, held_free, NULL);
-	h->answer = g_string_new(NULL);
-	g_string_printf(h->answer,
-	    "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", ANSWER_BYTES);
-	for (i = 0; i < ANSWER_BYTES; i++)
-		g_string_append_c(h->answer, 'x');
+	    g_direct_hash, g_direct_equal, holder_conn_free, NULL);
+	h->response = g_string_new(NULL);
+	g_string_printf(h->response,
+	    "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", RESPONSE_BYTES);
+	for (i = 0; i < RESPONSE_BYTES; i++)
+		g_string_append_c(h->response, 'x');
 	listen_on(h, ip);
 	return h;
 }
@@ -147,7 +147,7 @@
 	g_hash_table_destroy(h->conns);
 	loop_fd_remove(h->watch);
 	(void)close(h->fd);
-	g_string_free(h->answer, TRUE);
+	g_string_free(h->response, TRUE);
 	g_free(h);
 }
 
@@ -167,12 +167,12 @@
 holder_release(struct holder *h)
 {
 	GList *all = g_hash_table_get_keys(h->conns), *l;
-	struct held *c;
+	struct holder_conn *c;
 
 	for (l = all; l != NULL; l = l->next) {
 		c = l->data;
-		if (c->held)
-			answer(c);
+		if (c->pending)
+			respond(c);
 	}
 	g_list_free(all);
 }
@@ -180,5 +180,5 @@
 uint32_t
 holder_held(const struct holder *h)
 {
-	return h->held;
+	return h->n_held;
 }
--- a/test/capacity/nested.c
+++ b/test/capacity/nested.c
@@ -17,19 +17,19 @@
 #define BACKLOG 256
 #define BUFFER_BYTES 8192
 #define REQUEST_BYTES 256
-#define ANSWER_OK "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-#define ANSWER_BAD "HTTP/1.1 500 Failed\r\nContent-Length: 2\r\n\r\nno"
-#define STATUS_AT 9
+#define RESPONSE_OK "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+#define RESPONSE_ERROR "HTTP/1.1 500 Failed\r\nContent-Length: 2\r\n\r\nno"
+#define STATUS_OFFSET 9
 
 struct nested {
-	struct nested_plan plan;
+	struct nested_config config;
 	struct net_addr *nodes;
 	struct net_addr at;
 	int fd;
 };
 
 /* One connection from a node, or from the caller before. */
-struct serving {
+struct nested_conn {
 	struct nested *nested;
 	int fd;
 	int next; /* connection to where the next service is called */
@@ -37,7 +37,7 @@
 };
 
 static int
-dial(struct net_addr to)
+connect_to(struct net_addr to)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
@@ -74,7 +74,7 @@
 
 /* Read an answer; returns its status, and whether the connection goes on. */
 static int
-read_answer(int fd, int *goes_on)
+read_response(int fd, int *keep_alive)
 {
 	char data[BUFFER_BYTES];
 	size_t head, len, body;
@@ -82,37 +82,38 @@
 	ssize_t n;
 
 	head = read_head(fd, data, &len);
-	if (head <= STATUS_AT)
+	if (head <= STATUS_OFFSET)
 		return 0;
 	at = strcasestr(data, "\r\ncontent-length:");
 	body = at == NULL
 	    ? 0
 	    : strtoul(at + strlen("\r\ncontent-length:"), NULL, 10);
-	*goes_on = strcasestr(data, "\r\nconnection: close") == NULL;
+	*keep_alive = strcasestr(data, "\r\nconnection: close") == NULL;
 	while (len < head + body) {
 		n = recv(fd, data, MIN(sizeof(data), head + body - len), 0);
 		if (n <= 0)
 			return 0;
 		len += (size_t)n;
 	}
-	return (int)strtol(data + STATUS_AT, NULL, 10);
+	return (int)strtol(data + STATUS_OFFSET, NULL, 10);
 }
 
 static struct net_addr
-where(const struct nested *n, uint32_t service, int direct)
+address_of(const struct nested *n, uint32_t service, int direct)
 {
 	return direct ? n->at : n->nodes[service];
 }
 
 /* One call to a service over a connection that is kept. */
 static int
-call(int *fd, struct net_addr to, uint32_t service, uint32_t depth, int direct)
+call_service(
+    int *fd, struct net_addr to, uint32_t service, uint32_t depth, int direct)
 {
 	char request[REQUEST_BYTES];
-	int goes_on = 0, status = 0, len;
+	int keep_alive = 0, status = 0, len;
 
 	if (*fd < 0)
-		*fd = dial(to);
+		*fd = connect_to(to);
 	if (*fd < 0)
 		return 0;
 	len = g_snprintf(request, sizeof(request),
@@ -120,8 +121,8 @@
 	    "Host: bench\r\n\r\n",
 	    service, depth, direct);
 	if (send(*fd, request, (size_t)len, MSG_NOSIGNAL) == len)
-		status = read_answer(*fd, &goes_on);
-	if (!goes_on) {
+		status = read_response(*fd, &keep_alive);
+	if (!keep_alive) {
 		(void)close(*fd);
 		*fd = -1;
 	}
@@ -130,7 +131,7 @@
 
 /* The number that follows @name in a request; 0 when there is none. */
 static uint32_t
-number(const char *request, const char *name)
+parse_number(const char *request, const char *name)
 {
 	const char *at = strstr(request, name);
 
@@ -139,35 +140,35 @@
 
 /* Calls the next service if the depth is not reached. */
 static int
-serve(struct serving *s, const char *request)
+handle_request(struct nested_conn *s, const char *request)
 {
-	uint32_t service = number(request, "/service-");
-	uint32_t depth = number(request, "depth=");
-	int direct = number(request, "direct=") != 0;
+	uint32_t service = parse_number(request, "/service-");
+	uint32_t depth = parse_number(request, "depth=");
+	int direct = parse_number(request, "direct=") != 0;
 
-	if (service + 1 >= depth || service + 1 >= s->nested->plan.services)
+	if (service + 1 >= depth || service + 1 >= s->nested->config.services)
 		return 1;
 	if (s->next >= 0 && s->next_direct != direct) {
 		(void)close(s->next);
 		s->next = -1;
 	}
 	s->next_direct = direct;
-	return call(&s->next, where(s->nested, service, direct), service + 1,
-	    depth, direct);
+	return call_service(&s->next, address_of(s->nested, service, direct),
+	    service + 1, depth, direct);
 }
 
 static void *
-serving_main(void *arg)
+conn_main(void *arg)
 {
-	static const char ok[] = ANSWER_OK, bad[] = ANSWER_BAD;
+	static const char ok[] = RESPONSE_OK, bad[] = RESPONSE_ERROR;
 	char request[BUFFER_BYTES];
-	struct serving *s = arg;
-	const char *answer;
+	struct nested_conn *s = arg;
+	const char *response;
 	size_t len;
 
 	while (read_head(s->fd, request, &len) > 0) {
-		answer = serve(s, request) ? ok : bad;
-		if (send(s->fd, answer, strlen(answer), MSG_NOSIGNAL) < 0)
+		response = handle_request(s, request) ? ok : bad;
+		if (send(s->fd, response, strlen(response), MSG_NOSIGNAL) < 0)
 			break;
 	}
 	(void)close(s->fd);
@@ -181,17 +182,17 @@
 accept_main(void *arg)
 {
 	struct nested *n = arg;
-	struct serving *s;
+	struct nested_conn *s;
 	pthread_t thread;
 	int fd, on = 1;
 
 	while ((fd = accept4(n->fd, NULL, NULL, SOCK_CLOEXEC)) >= 0) {
 		(void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-		s = g_new0(struct serving, 1);
+		s = g_new0(struct nested_conn, 1);
 		s->nested = n;
 		s->fd = fd;
 		s->next = -1;
-		if (pthread_create(&thread, NULL, serving_main, s) != 0)
+		if (pthread_create(&thread, NULL, conn_main, s) != 0)
 			abort();
 		(void)pthread_detach(thread);
 	}
@@ -199,23 +200,23 @@
 }
 
 struct nested *
-nested_start(const struct nested_plan *plan)
+nested_start(const struct nested_config *config)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
 	struct nested *n = g_new0(struct nested, 1);
 	socklen_t len = sizeof(sin);
 	pthread_t thread;
 
-	n->plan = *plan;
-	n->nodes =
-	    g_memdup2(plan->nodes, plan->services * sizeof(plan->nodes[0]));
-	sin.sin_addr.s_addr = htonl(plan->ip);
+	n->config = *config;
+	n->nodes = g_memdup2(
+	    config->nodes, config->services * sizeof(config->nodes[0]));
+	sin.sin_addr.s_addr = htonl(config->ip);
 	n->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	if (bind(n->fd, (struct sockaddr *)&sin, sizeof(sin)) != 0 ||
 	    listen(n->fd, BACKLOG) != 0 ||
 	    getsockname(n->fd, (struct sockaddr *)&sin, &len) != 0)
 		g_error("The upstreams can't listen.");
-	n->at = (struct net_addr){plan->ip, ntohs(sin.sin_port)};
+	n->at = (struct net_addr){config->ip, ntohs(sin.sin_port)};
 	if (pthread_create(&thread, NULL, accept_main, n) != 0)
 		abort();
 	(void)pthread_detach(thread);
@@ -231,5 +232,5 @@
 int
 nested_call(struct nested *n, int *fd, uint32_t depth, int direct)
 {
-	return call(fd, where(n, 0, direct), 0, depth, direct);
+	return call_service(fd, address_of(n, 0, direct), 0, depth, direct);
 }
--- a/test/capacity/nested.h
+++ b/test/capacity/nested.h
@@ -17,14 +17,14 @@
  * @services: number of services
  * @nodes: where the node of each service's host takes calls
  */
-struct nested_plan {
+struct nested_config {
 	uint32_t ip;
 	uint32_t services;
 	const struct net_addr *nodes;
 };
 
 /** nested_start() - listen; a thread serves each connection */
-struct nested *nested_start(const struct nested_plan *plan);
+struct nested *nested_start(const struct nested_config *config);
 
 /** nested_port() - where all services listen */
 uint16_t nested_port(const struct nested *n);
--- a/test/capacity/subject.c
+++ b/test/capacity/subject.c
@@ -10,19 +10,19 @@
 
 #define SUBJECT_NET 0x7ff90000U /* 127.249.0.0 */
 #define SUBJECT_PORTS 4
-#define SUBJECT_STOP_MS 40000
+#define SUBJECT_STOP_TIMEOUT_MS 40000
 #define SUBJECT_LEASE_MS 600000
 #define URL_BYTES 256
 /* Nothing listens there: a platform that is down. */
-#define PORT_DOWN 9
+#define PORT_CLOSED 9
 #define CODE_OK 200
-#define BENCH_S 7200
+#define BENCH_TIMEOUT_S 7200
 
-static void (*chosen)(void);
+static void (*selected_bench)(void);
 
 START_TEST(bench)
 {
-	chosen();
+	selected_bench();
 	harness_end();
 }
 END_TEST
@@ -33,51 +33,51 @@
 	TCase *tc = tcase_create("bench");
 
 	(void)setvbuf(stdout, NULL, _IOLBF, 0);
-	chosen = run;
+	selected_bench = run;
 	tcase_add_test(tc, bench);
-	return harness_run(tc, BENCH_S);
+	return harness_run(tc, BENCH_TIMEOUT_S);
 }
 
 uint32_t
-subject_address(uint32_t place)
+subject_address(uint32_t index)
 {
-	return SUBJECT_NET + 1 + place;
+	return SUBJECT_NET + 1 + index;
 }
 
 static json_t *
-seeds_json(const struct subject_plan *plan)
+seeds_json(const struct subject_config *config)
 {
 	char text[ADDR_TEXT_BYTES];
 	json_t *seeds = json_array();
 
-	if (plan->seed.port != 0)
+	if (config->seed.port != 0)
 		json_array_append_new(
-		    seeds, json_string(addr_format(&plan->seed, text)));
+		    seeds, json_string(addr_format(&config->seed, text)));
 	return seeds;
 }
 
 static char *
-settings_text(const struct subject *s, const struct subject_plan *plan)
+settings_text(const struct subject *s, const struct subject_config *config)
 {
-	struct net_addr platform = plan->platform;
+	struct net_addr platform = config->platform;
 	char address[ADDR_TEXT_BYTES], url[URL_BYTES], *text;
-	json_t *j, *more;
+	json_t *j, *extra;
 
 	if (platform.port == 0)
-		platform =
-		    (struct net_addr){subject_address(plan->place), PORT_DOWN};
+		platform = (struct net_addr){
+		    subject_address(config->index), PORT_CLOSED};
 	(void)g_snprintf(
 	    url, sizeof(url), "http://%s", addr_format(&platform, address));
 	j = json_pack("{s:s,s:s,s:s,s:s,s:i,s:i,s:i,s:i,s:o,s:s,s:s}", "host",
-	    plan->host, "data_centre", plan->data_centre, "region", "bench",
+	    config->host, "data_centre", config->data_centre, "region", "bench",
 	    "address", s->address, "caller_port", s->caller_port, "peer_port",
 	    s->peer_port, "call_port", s->call_port, "admin_port",
-	    s->admin_port, "seeds", seeds_json(plan), "table_url", url,
+	    s->admin_port, "seeds", seeds_json(config), "table_url", url,
 	    "object_url", url);
-	if (plan->settings != NULL) {
-		more = json_loads(plan->settings, 0, NULL);
-		json_object_update(j, more);
-		json_decref(more);
+	if (config->settings != NULL) {
+		extra = json_loads(config->settings, 0, NULL);
+		json_object_update(j, extra);
+		json_decref(extra);
 	}
 	text = json_dumps(j, JSON_INDENT(1));
 	json_decref(j);
@@ -85,24 +85,24 @@
 }
 
 void
-subject_start(struct subject *s, const struct subject_plan *plan)
+subject_start(struct subject *s, const struct subject_config *config)
 {
 	const char *argv[] = {BRAMLEYDRIFT_PATH, "--settings", NULL, NULL};
 	uint16_t ports[SUBJECT_PORTS];
 	char *file, *path, *text;
 
 	memset(s, 0, sizeof(*s));
-	(void)addr_format_ip(subject_address(plan->place), s->address);
+	(void)addr_format_ip(subject_address(config->index), s->address);
 	harness_ports(s->address, ports, SUBJECT_PORTS);
 	s->caller_port = ports[0];
 	s->peer_port = ports[1];
 	s->call_port = ports[2];
 	s->admin_port = ports[3];
-	file = g_strdup_printf("%s.json", plan->host);
-	text = settings_text(s, plan);
+	file = g_strdup_printf("%s.json", config->host);
+	text = settings_text(s, config);
 	path = harness_write(file, text);
 	argv[2] = path;
-	s->process = process_start(plan->host, harness_dir(), argv);
+	s->process = process_start(config->host, harness_dir(), argv);
 	free(text);
 	g_free(path);
 	g_free(file);
@@ -113,7 +113,7 @@
 {
 	if (s->process == NULL)
 		return;
-	(void)process_stop(s->process, SUBJECT_STOP_MS);
+	(void)process_stop(s->process, SUBJECT_STOP_TIMEOUT_MS);
 	process_free(s->process);
 	s->process = NULL;
 }
--- a/test/capacity/subject.h
+++ b/test/capacity/subject.h
@@ -18,15 +18,15 @@
  * struct subject_plan - what is to be started
  * @host: its name
  * @data_centre: its data centre
- * @place: its place on the loopback network, different for each subject
+ * @index: its place on the loopback network, different for each subject
  * @platform: the platform; port 0 for one that is down
  * @seed: peer to join; port 0 for none
  * @settings: JSON object of further settings, or NULL
  */
-struct subject_plan {
+struct subject_config {
 	const char *host;
 	const char *data_centre;
-	uint32_t place;
+	uint32_t index;
 	struct net_addr platform;
 	struct net_addr seed;
 	const char *settings;
@@ -59,10 +59,10 @@
 int subject_run(void (*bench)(void));
 
 /** subject_address() - address of a place, host byte order */
-uint32_t subject_address(uint32_t place);
+uint32_t subject_address(uint32_t index);
 
 /** subject_start() - start a node; subject_stop() ends it */
-void subject_start(struct subject *s, const struct subject_plan *plan);
+void subject_start(struct subject *s, const struct subject_config *config);
 
 /** subject_stop() - SIGTERM, wait, free */
 void subject_stop(struct subject *s);
--- a/test/capacity/swarm.c
+++ b/test/capacity/swarm.c
@@ -12,14 +12,14 @@
 
 /* Time until the next of events that come by chance at a rate. */
 static uint64_t
-gap_ms(struct swarm *s, double per_s)
+next_event_ms(struct swarm *s, double per_s)
 {
-	double gap;
+	double interval;
 
 	if (per_s <= 0)
 		return DEADLINE_NEVER;
-	gap = -log(1 - g_rand_double(s->rand)) * MS_PER_S / per_s;
-	return loop_now_ms(s->loop) + (uint64_t)gap;
+	interval = -log(1 - g_rand_double(s->rand)) * MS_PER_S / per_s;
+	return loop_now_ms(s->loop) + (uint64_t)interval;
 }
 
 static void
@@ -34,42 +34,44 @@
 }
 
 static void
-on_ping_due(void *arg)
+on_ping_timer(void *arg)
 {
 	struct swarm *s = arg;
-	uint32_t i = swarm_any_home(s);
+	uint32_t i = swarm_random_local(s);
 	GByteArray *body = g_byte_array_new();
 	struct msg_ping msg;
 
 	memset(&msg, 0, sizeof(msg));
 	msg.seq = ++s->seq;
 	swarm_host_name(i, msg.host);
-	(void)g_strlcpy(msg.target, s->plan.subject_host, sizeof(msg.target));
+	(void)g_strlcpy(msg.target, s->config.subject_host, sizeof(msg.target));
 	msg.root = membership_root(s->members);
 	fill_head(s, &msg.head);
 	msg_ping_encode(&msg, body);
 	swarm_send(s, i, MSG_PING, body);
 	g_byte_array_unref(body);
-	loop_timer_set(&s->pings, gap_ms(s, s->plan.pings_per_s));
+	loop_timer_set(&s->ping_timer, next_event_ms(s, s->config.pings_per_s));
 }
 
 static void
-on_news_due(void *arg)
+on_change_timer(void *arg)
 {
 	struct swarm *s = arg;
 
-	swarm_change(
-	    s, 1 + g_rand_int(s->rand) % (s->plan.members - 1), MEMBER_ALIVE);
-	loop_timer_set(&s->news, gap_ms(s, s->plan.news_per_s));
+	swarm_change_record(
+	    s, 1 + g_rand_int(s->rand) % (s->config.members - 1), MEMBER_ALIVE);
+	loop_timer_set(
+	    &s->change_timer, next_event_ms(s, s->config.changes_per_s));
 }
 
 static void
-on_sign_due(void *arg)
+on_sign_off_timer(void *arg)
 {
 	struct swarm *s = arg;
 
-	swarm_sign(s);
-	loop_timer_set(&s->signs, gap_ms(s, s->plan.versions_per_s));
+	swarm_sign_off(s);
+	loop_timer_set(
+	    &s->sign_off_timer, next_event_ms(s, s->config.versions_per_s));
 }
 
 /* The spread's own time goes on; what it wants sent to others is dropped. */
@@ -79,12 +81,12 @@
 	struct swarm *s = arg;
 
 	swarm_flush(s, 0);
-	loop_timer_set(&s->ticks, loop_now_ms(s->loop) + TICK_MS);
+	loop_timer_set(&s->tick_timer, loop_now_ms(s->loop) + TICK_MS);
 }
 
 /* Host @i answers a probe. */
 static void
-answer_ping(struct swarm *s, uint32_t i, const struct msg_ping *ping)
+send_ack(struct swarm *s, uint32_t i, const struct msg_ping *ping)
 {
 	GByteArray *body = g_byte_array_new();
 	struct msg_ack msg;
@@ -100,7 +102,7 @@
 }
 
 void
-swarm_heard(struct swarm *s, uint32_t i, struct net_addr from, uint64_t conn,
+swarm_receive(struct swarm *s, uint32_t i, struct net_addr from, uint64_t conn,
     uint8_t type, const uint8_t *body, size_t len)
 {
 	uint64_t now_ms = clock_now_ms();
@@ -111,7 +113,7 @@
 		return;
 	if (type == MSG_PING &&
 	    msg_ping_decode(body, len, &ping) == STATUS_OK) {
-		answer_ping(s, i, &ping);
+		send_ack(s, i, &ping);
 		msg_ping_clear(&ping);
 		/* What it carries is merged; host 0 has not answered. */
 		if (i == 0)
@@ -121,48 +123,48 @@
 		membership_receive(
 		    s->members, now_ms, &from, conn, type, body, len);
 	else if (conn != 0)
-		spread_on_frame(s->spread, swarm_spread_ms(s), &from, conn,
+		spread_on_frame(s->spread, swarm_spread_now_ms(s), &from, conn,
 		    type, body, len);
 	else
 		spread_on_datagram(
-		    s->spread, swarm_spread_ms(s), &from, type, body, len);
+		    s->spread, swarm_spread_now_ms(s), &from, type, body, len);
 	while (membership_pop(s->members, &a))
 		continue;
 	swarm_flush(s, i);
 }
 
 struct swarm *
-swarm_new(struct loop *loop, const struct swarm_plan *plan)
+swarm_new(struct loop *loop, const struct swarm_params *config)
 {
 	struct swarm *s = g_new0(struct swarm, 1);
 
-	s->plan = *plan;
+	s->config = *config;
 	s->loop = loop;
-	s->rand = g_rand_new_with_seed((guint32)plan->seed);
-	swarm_open(s);
+	s->rand = g_rand_new_with_seed((guint32)config->seed);
+	swarm_open_sockets(s);
 	swarm_table_new(s);
-	swarm_config_new(s);
-	loop_timer_init(&s->pings, loop, on_ping_due, s);
-	loop_timer_init(&s->news, loop, on_news_due, s);
-	loop_timer_init(&s->signs, loop, on_sign_due, s);
-	loop_timer_init(&s->ticks, loop, on_tick, s);
-	loop_timer_set(&s->ticks, loop_now_ms(loop));
+	swarm_catalog_new(s);
+	loop_timer_init(&s->ping_timer, loop, on_ping_timer, s);
+	loop_timer_init(&s->change_timer, loop, on_change_timer, s);
+	loop_timer_init(&s->sign_off_timer, loop, on_sign_off_timer, s);
+	loop_timer_init(&s->tick_timer, loop, on_tick, s);
+	loop_timer_set(&s->tick_timer, loop_now_ms(loop));
 	return s;
 }
 
 void
 swarm_free(struct swarm *s)
 {
-	loop_timer_stop(&s->pings);
-	loop_timer_stop(&s->news);
-	loop_timer_stop(&s->signs);
-	loop_timer_stop(&s->ticks);
-	swarm_close(s);
+	loop_timer_stop(&s->ping_timer);
+	loop_timer_stop(&s->change_timer);
+	loop_timer_stop(&s->sign_off_timer);
+	loop_timer_stop(&s->tick_timer);
+	swarm_close_sockets(s);
 	spread_free(s->spread);
 	catalog_free(s->catalog);
 	membership_free(s->members);
 	outbox_free(s->out);
-	g_array_unref(s->list);
+	g_array_unref(s->sections);
 	g_free(s->incarnations);
 	g_free(s->states);
 	g_rand_free(s->rand);
@@ -176,28 +178,29 @@
 }
 
 void
-swarm_meet(struct swarm *s, struct net_addr subject)
+swarm_set_subject(struct swarm *s, struct net_addr subject)
 {
-	s->plan.subject = subject;
-	loop_timer_set(&s->pings, gap_ms(s, s->plan.pings_per_s));
+	s->config.subject = subject;
+	loop_timer_set(&s->ping_timer, next_event_ms(s, s->config.pings_per_s));
 }
 
 void
-swarm_rates(struct swarm *s, double news_per_s, double versions_per_s)
+swarm_set_rates(struct swarm *s, double changes_per_s, double versions_per_s)
 {
-	s->plan.news_per_s = news_per_s;
-	s->plan.versions_per_s = versions_per_s;
-	loop_timer_set(&s->news, gap_ms(s, news_per_s));
-	loop_timer_set(&s->signs, gap_ms(s, versions_per_s));
+	s->config.changes_per_s = changes_per_s;
+	s->config.versions_per_s = versions_per_s;
+	loop_timer_set(&s->change_timer, next_event_ms(s, changes_per_s));
+	loop_timer_set(&s->sign_off_timer, next_event_ms(s, versions_per_s));
 }
 
 void
 swarm_fail(struct swarm *s, uint32_t n)
 {
-	uint32_t i, step = MAX(1, s->plan.data_centres - 1);
+	uint32_t i, step = MAX(1, s->config.data_centres - 1);
 
-	for (i = s->plan.members; n > 0 && i > s->plan.home + step; i -= step) {
-		swarm_change(s, i - 1, MEMBER_FAILED);
+	for (i = s->config.members; n > 0 && i > s->config.local_members + step;
+	     i -= step) {
+		swarm_change_record(s, i - 1, MEMBER_FAILED);
 		n--;
 	}
 }
--- a/test/capacity/swarm.h
+++ b/test/capacity/swarm.h
@@ -19,28 +19,28 @@
  * struct swarm_plan - what is played
  * @members: hosts, besides the process
  * @data_centres: data centres that they are spread over
- * @home: hosts in the process's data centre
+ * @local_members: hosts in the process's data centre
  * @services: services, an endpoint on each host in turn
  * @routes: routes of each service
- * @copies: times that the process hears each record that is new
- * @notices: times that it hears of each version
+ * @gossip_copies: times that the process hears each record that is new
+ * @notice_copies: times that it hears of each version
  * @pings_per_s: probes that it gets
- * @news_per_s: records that change
+ * @changes_per_s: records that change
  * @versions_per_s: versions signed off
  * @subject: control address of the process
  * @subject_host: its name
  * @seed: seed of all random choices
  */
-struct swarm_plan {
+struct swarm_params {
 	uint32_t members;
 	uint32_t data_centres;
-	uint32_t home;
+	uint32_t local_members;
 	uint32_t services;
 	uint32_t routes;
-	uint32_t copies;
-	uint32_t notices;
+	uint32_t gossip_copies;
+	uint32_t notice_copies;
 	double pings_per_s;
-	double news_per_s;
+	double changes_per_s;
 	double versions_per_s;
 	struct net_addr subject;
 	char subject_host[32];
@@ -73,16 +73,16 @@
 struct swarm;
 
 /** SWARM_HOME - name of the process's data centre */
-#define SWARM_HOME "centre-00"
+#define SWARM_LOCAL_DATA_CENTRE "centre-00"
 
 /**
  * swarm_new() - make a swarm whose hosts hold version 1
  * @loop: the loop it lives in
- * @plan: copied; @subject may be set later with swarm_meet()
+ * @config: copied; @subject may be set later with swarm_set_subject()
  *
  * Return: the swarm; the program ends when no port can be had.
  */
-struct swarm *swarm_new(struct loop *loop, const struct swarm_plan *plan);
+struct swarm *swarm_new(struct loop *loop, const struct swarm_params *config);
 
 /** swarm_free() - end it */
 void swarm_free(struct swarm *s);
@@ -90,11 +90,12 @@
 /** swarm_seed() - address of a host that may be joined */
 struct net_addr swarm_seed(const struct swarm *s);
 
-/** swarm_meet() - the process's control address; pings begin */
-void swarm_meet(struct swarm *s, struct net_addr subject);
+/** swarm_set_subject() - the process's control address; pings begin */
+void swarm_set_subject(struct swarm *s, struct net_addr subject);
 
-/** swarm_rates() - change the rates */
-void swarm_rates(struct swarm *s, double news_per_s, double versions_per_s);
+/** swarm_set_rates() - change the rates */
+void
+swarm_set_rates(struct swarm *s, double changes_per_s, double versions_per_s);
 
 /** swarm_fail() - @n hosts of the last data centre fail at once */
 void swarm_fail(struct swarm *s, uint32_t n);
--- a/test/capacity/swarm_config.c
+++ b/test/capacity/swarm_config.c
@@ -11,19 +11,19 @@
 #include "swarm_priv.h"
 
 /* A node hears of a version within this time. */
-#define NOTICES_SPREAD_MS 300
+#define NOTICE_WINDOW_MS 300
 /* Others pull from it, and make it keep their floors, after this time. */
-#define OTHERS_PULL_MS 700
+#define PEER_PULL_DELAY_MS 700
 /* Hosts whose floors a node keeps: as many as keep its own. */
-#define FLOORS 4
+#define FLOORS_PER_NODE 4
 #define FIRST_TIMEOUT_MS 3000
 #define SETTLE_MS 5000
 /* Longer than a version is held back at the node that signs it off. */
-#define HOLD_MS 1000
-#define HOLDS 2
+#define SIGN_OFF_HOLD_MS 1000
+#define SIGN_OFF_HOLDS 2
 
 static struct bundle *
-parse(const struct bundle_text *t)
+parse_bundle(const struct bundle_text *t)
 {
 	GString *json = bundle_text_write(t);
 	struct bundle *b;
@@ -35,7 +35,7 @@
 }
 
 static void
-must(enum status st)
+check_status(enum status st)
 {
 	if (st != STATUS_OK)
 		g_error("%s", status_message());
@@ -45,24 +45,25 @@
 static struct digest
 commit_first(struct swarm *s)
 {
-	struct bundle_text t = {.services = s->plan.services,
-	    .routes = s->plan.routes,
+	struct bundle_text t = {.services = s->config.services,
+	    .routes = s->config.routes,
 	    .timeout_ms = FIRST_TIMEOUT_MS};
-	struct bundle *b = parse(&t);
+	struct bundle *b = parse_bundle(&t);
 	const struct section *section;
 	struct catalog_stage *stage;
 	struct digest root;
 	uint32_t i;
 
-	bundle_to_sections(b, &s->list, &root);
-	must(catalog_stage_begin_full(s->catalog, 1, &root, s->list, &stage));
+	bundle_to_sections(b, &s->sections, &root);
+	check_status(catalog_stage_begin_full(
+	    s->catalog, 1, &root, s->sections, &stage));
 	for (i = 0; i < b->sections->len; i++) {
 		section = g_ptr_array_index(b->sections, i);
-		must(catalog_stage_add(stage,
+		check_status(catalog_stage_add(stage,
 		    g_bytes_get_data(section->content, NULL),
 		    g_bytes_get_size(section->content)));
 	}
-	must(catalog_commit(s->catalog, stage));
+	check_status(catalog_commit(s->catalog, stage));
 	catalog_stage_free(stage);
 	bundle_free(b);
 	return root;
@@ -78,12 +79,12 @@
 }
 
 void
-swarm_config_new(struct swarm *s)
+swarm_catalog_new(struct swarm *s)
 {
 	struct spread_config config = {
 	    .profile = *spread_profile_registry(),
-	    .data_centre = SWARM_HOME,
-	    .seed = s->plan.seed,
+	    .data_centre = SWARM_LOCAL_DATA_CENTRE,
+	    .seed = s->config.seed,
 	};
 	uint64_t now_ms = clock_now_ms();
 	struct rec_head head = {1, 1, 1, HEAD_ROLLING, {{0}}};
@@ -103,13 +104,13 @@
 }
 
 uint64_t
-swarm_spread_ms(const struct swarm *s)
+swarm_spread_now_ms(const struct swarm *s)
 {
-	return clock_now_ms() + s->ahead_ms;
+	return clock_now_ms() + s->clock_offset_ms;
 }
 
 static void
-tell_notices(struct swarm *s)
+send_notices(struct swarm *s)
 {
 	const struct rec_head *head = spread_head(s->spread);
 	struct msg_notice msg;
@@ -125,9 +126,9 @@
 	msg.head.tag = GUINT64_FROM_BE(msg.head.tag);
 	msg.kind = NOTICE_NEAR;
 	msg_notice_encode(&msg, body);
-	for (i = 0; i < s->plan.notices; i++)
-		swarm_send_later(s, swarm_any_home(s),
-		    g_rand_int(s->rand) % NOTICES_SPREAD_MS, MSG_NOTICE,
+	for (i = 0; i < s->config.notice_copies; i++)
+		swarm_send_later(s, swarm_random_local(s),
+		    g_rand_int(s->rand) % NOTICE_WINDOW_MS, MSG_NOTICE,
 		    g_byte_array_ref(body));
 	g_byte_array_unref(body);
 }
@@ -144,41 +145,43 @@
 	msg.have = version - 1;
 	msg.want = version;
 	msg_pull_encode(&msg, body);
-	swarm_send_later(s, swarm_any_home(s), OTHERS_PULL_MS, MSG_PULL, body);
+	swarm_send_later(
+	    s, swarm_random_local(s), PEER_PULL_DELAY_MS, MSG_PULL, body);
 }
 
 static void
-tell_floors(struct swarm *s, uint64_t version)
+send_floors(struct swarm *s, uint64_t version)
 {
 	struct msg_floor_tell msg;
 	GByteArray *body;
 	uint32_t i, host;
 
-	for (i = 0; i < FLOORS; i++) {
-		host = swarm_any_home(s);
+	for (i = 0; i < FLOORS_PER_NODE; i++) {
+		host = swarm_random_local(s);
 		memset(&msg, 0, sizeof(msg));
 		swarm_host_name(host, msg.host);
 		msg.version = version;
 		body = g_byte_array_new();
 		msg_floor_tell_encode(&msg, body);
-		swarm_send_later(s, host, OTHERS_PULL_MS, MSG_FLOOR_TELL, body);
+		swarm_send_later(
+		    s, host, PEER_PULL_DELAY_MS, MSG_FLOOR_TELL, body);
 	}
 }
 
 /* The next version's only change, and the list that it leads to. */
 static GBytes *
-change_one(
+apply_random_change(
     struct swarm *s, struct rec_section_change *change, struct digest *root)
 {
-	struct bundle_text t = {.services = 1, .routes = s->plan.routes};
+	struct bundle_text t = {.services = 1, .routes = s->config.routes};
 	struct bundle *b;
 	const struct section *section;
 	GBytes *content;
-	GArray *list;
+	GArray *sections;
 
-	t.first = t.odd = g_rand_int(s->rand) % s->plan.services;
+	t.first = t.odd = g_rand_int(s->rand) % s->config.services;
 	t.timeout_ms = FIRST_TIMEOUT_MS + (uint32_t)catalog_version(s->catalog);
-	b = parse(&t);
+	b = parse_bundle(&t);
 	section = g_ptr_array_index(b->sections, 0);
 	memset(change, 0, sizeof(*change));
 	(void)g_strlcpy(
@@ -186,15 +189,15 @@
 	change->digest = section->config->digest;
 	content = g_bytes_ref(section->content);
 	bundle_free(b);
-	list = section_list_apply(s->list, change, 1);
-	g_array_unref(s->list);
-	s->list = list;
-	g_bytes_unref(section_list_encode(list, root));
+	sections = section_list_apply(s->sections, change, 1);
+	g_array_unref(s->sections);
+	s->sections = sections;
+	g_bytes_unref(section_list_encode(sections, root));
 	return content;
 }
 
 void
-swarm_sign(struct swarm *s)
+swarm_sign_off(struct swarm *s)
 {
 	uint64_t version = catalog_version(s->catalog) + 1;
 	struct rec_head head = {version, version, version, HEAD_ROLLING, {{0}}};
@@ -203,16 +206,16 @@
 	GBytes *content;
 	uint32_t i;
 
-	content = change_one(s, &change, &row.root);
+	content = apply_random_change(s, &change, &row.root);
 	head.root = row.root;
 	row.parent = version - 1;
 	row.changes = &change;
 	spread_add_contents(s->spread, &content, 1);
-	spread_on_signed(s->spread, swarm_spread_ms(s), &head, &row);
+	spread_on_signed(s->spread, swarm_spread_now_ms(s), &head, &row);
 	/* The keepers' word is not waited for. */
-	for (i = 0; i < HOLDS; i++) {
-		s->ahead_ms += HOLD_MS;
-		spread_tick(s->spread, swarm_spread_ms(s));
+	for (i = 0; i < SIGN_OFF_HOLDS; i++) {
+		s->clock_offset_ms += SIGN_OFF_HOLD_MS;
+		spread_tick(s->spread, swarm_spread_now_ms(s));
 	}
 	drop_actions(s);
 	swarm_flush(s, 0);
@@ -222,7 +225,7 @@
 			".",
 		    version);
 	s->traffic.versions++;
-	tell_notices(s);
+	send_notices(s);
 	pull_from_subject(s, version);
-	tell_floors(s, version);
+	send_floors(s, version);
 }
--- a/test/capacity/swarm_net.c
+++ b/test/capacity/swarm_net.c
@@ -15,10 +15,10 @@
 #define RECEIVE_BUFFER_BYTES (4 << 20)
 /* IPv4 and UDP headers of a datagram. */
 #define HEADER_BYTES 28
-#define DIAL_MS 2000
+#define CONNECT_TIMEOUT_MS 2000
 
 /* A datagram that leaves later. */
-struct later {
+struct delayed_datagram {
 	struct swarm *swarm;
 	struct loop_timer timer;
 	uint32_t host;
@@ -68,15 +68,15 @@
 swarm_send(
     struct swarm *s, uint32_t i, enum msg_type type, const GByteArray *body)
 {
-	if (s->plan.subject.port != 0)
-		send_from(
-		    s, swarm_host(s, i), s->plan.subject, (uint8_t)type, body);
+	if (s->config.subject.port != 0)
+		send_from(s, swarm_host(s, i), s->config.subject, (uint8_t)type,
+		    body);
 }
 
 static void
-later_fire(void *arg)
+on_send_timer(void *arg)
 {
-	struct later *l = arg;
+	struct delayed_datagram *l = arg;
 
 	swarm_send(l->swarm, l->host, l->type, l->body);
 	loop_timer_stop(&l->timer);
@@ -88,25 +88,25 @@
 swarm_send_later(struct swarm *s, uint32_t i, uint64_t ms, enum msg_type type,
     GByteArray *body)
 {
-	struct later *l = g_new0(struct later, 1);
+	struct delayed_datagram *l = g_new0(struct delayed_datagram, 1);
 
 	l->swarm = s;
 	l->host = i;
 	l->type = type;
 	l->body = body;
-	loop_timer_init(&l->timer, s->loop, later_fire, l);
+	loop_timer_init(&l->timer, s->loop, on_send_timer, l);
 	loop_timer_set(&l->timer, loop_now_ms(s->loop) + ms);
 }
 
 /* Number of the host that has an address. */
 static uint32_t
-host_of(const struct swarm *s, uint32_t ip)
+host_index(const struct swarm *s, uint32_t ip)
 {
-	return ip - SWARM_IP < s->plan.members ? ip - SWARM_IP : 0;
+	return ip - SWARM_IP < s->config.members ? ip - SWARM_IP : 0;
 }
 
 static uint32_t
-destination(const struct swarm *s, struct msghdr *msg)
+destination_host(const struct swarm *s, struct msghdr *msg)
 {
 	struct in_pktinfo pi;
 	struct cmsghdr *c;
@@ -115,7 +115,7 @@
 		if (c->cmsg_level != IPPROTO_IP || c->cmsg_type != IP_PKTINFO)
 			continue;
 		memcpy(&pi, CMSG_DATA(c), sizeof(pi));
-		return host_of(s, ntohl(pi.ipi_addr.s_addr));
+		return host_index(s, ntohl(pi.ipi_addr.s_addr));
 	}
 	return 0;
 }
@@ -148,8 +148,8 @@
 		s->traffic.from_bytes += (uint64_t)n + HEADER_BYTES;
 		from.ip = ntohl(sin.sin_addr.s_addr);
 		from.port = ntohs(sin.sin_port);
-		swarm_heard(s, destination(s, &msg), from, 0, data[0], data + 1,
-		    (size_t)n - 1);
+		swarm_receive(s, destination_host(s, &msg), from, 0, data[0],
+		    data + 1, (size_t)n - 1);
 	}
 }
 
@@ -160,7 +160,7 @@
 	struct swarm *s = arg;
 
 	s->traffic.from_frame_bytes += len + FRAME_HEADER_BYTES;
-	swarm_heard(s, 0, conn_peer(c), conn_id(c), type, body, len);
+	swarm_receive(s, 0, conn_peer(c), conn_id(c), type, body, len);
 }
 
 static void
@@ -194,9 +194,10 @@
 	struct conn *c = g_hash_table_lookup(s->conns, &item->conn);
 
 	if (c == NULL && item->conn == 0 &&
-	    addr_equal(&item->to, &s->plan.subject)) {
-		c = conn_dial(s->loop, item->to, loop_now_ms(s->loop) + DIAL_MS,
-		    NULL, &handler, s);
+	    addr_equal(&item->to, &s->config.subject)) {
+		c = conn_dial(s->loop, item->to,
+		    loop_now_ms(s->loop) + CONNECT_TIMEOUT_MS, NULL, &handler,
+		    s);
 		on_accept(c, s);
 	}
 	if (c == NULL)
@@ -215,7 +216,7 @@
 		if (item->kind == OUTBOX_FRAME)
 			send_frame(s, item);
 		else if (item->kind == OUTBOX_DATAGRAM &&
-		    addr_equal(&item->to, &s->plan.subject))
+		    addr_equal(&item->to, &s->config.subject))
 			send_from(s, swarm_host(s, i), item->to,
 			    (uint8_t)item->type, item->body);
 		outbox_item_free(item);
@@ -245,7 +246,7 @@
 }
 
 void
-swarm_open(struct swarm *s)
+swarm_open_sockets(struct swarm *s)
 {
 	struct listener_options options = {
 	    .handler = &handler, .on_accept = on_accept, .arg = s};
@@ -260,7 +261,7 @@
 }
 
 void
-swarm_close(struct swarm *s)
+swarm_close_sockets(struct swarm *s)
 {
 	GHashTableIter it;
 	gpointer c;
--- a/test/capacity/swarm_priv.h
+++ b/test/capacity/swarm_priv.h
@@ -18,7 +18,7 @@
 
 /**
  * struct swarm - everything
- * @plan: what is played
+ * @config: what is played
  * @loop: the loop
  * @rand: all random choices
  * @port: control port of all hosts
@@ -26,23 +26,23 @@
  * @watch: its watcher
  * @listener: for connections
  * @conns: struct conn by number
- * @pings: timer of pings
- * @news: timer of news
- * @signs: timer of sign-offs
- * @ticks: timer of the spread
+ * @ping_timer: timer of pings
+ * @change_timer: timer of record changes
+ * @sign_off_timer: timer of sign-offs
+ * @tick_timer: timer of the spread
  * @out: outbox of the membership
  * @members: table of all hosts
  * @catalog: configuration that all hold
  * @spread: answers pulls and floors
- * @ahead_ms: the spread's time is ahead by this
- * @list: sections of the version held
+ * @clock_offset_ms: the spread's time is ahead by this
+ * @sections: sections of the version held
  * @incarnations: of each host's record
  * @states: of each host's endpoint
  * @seq: number of the last ping
  * @traffic: what passed
  */
 struct swarm {
-	struct swarm_plan plan;
+	struct swarm_params config;
 	struct loop *loop;
 	GRand *rand;
 	uint16_t port;
@@ -50,16 +50,16 @@
 	struct loop_fd *watch;
 	struct listener *listener;
 	GHashTable *conns;
-	struct loop_timer pings;
-	struct loop_timer news;
-	struct loop_timer signs;
-	struct loop_timer ticks;
+	struct loop_timer ping_timer;
+	struct loop_timer change_timer;
+	struct loop_timer sign_off_timer;
+	struct loop_timer tick_timer;
 	struct outbox *out;
 	struct membership *members;
 	struct catalog *catalog;
 	struct spread *spread;
-	uint64_t ahead_ms;
-	GArray *list;
+	uint64_t clock_offset_ms;
+	GArray *sections;
 	uint64_t *incarnations;
 	uint8_t *states;
 	uint32_t seq;
@@ -72,14 +72,14 @@
 /** swarm_host_name() - name of host @i */
 void swarm_host_name(uint32_t i, char name[MEMBER_NAME_BYTES]);
 
-/** swarm_any_home() - a host of the process's data centre, by chance */
-uint32_t swarm_any_home(struct swarm *s);
+/** swarm_random_local() - a host of the process's data centre, by chance */
+uint32_t swarm_random_local(struct swarm *s);
 
-/** swarm_open() - open the sockets */
-void swarm_open(struct swarm *s);
+/** swarm_open_sockets() - open the sockets */
+void swarm_open_sockets(struct swarm *s);
 
-/** swarm_close() - close the sockets */
-void swarm_close(struct swarm *s);
+/** swarm_close_sockets() - close the sockets */
+void swarm_close_sockets(struct swarm *s);
 
 /** swarm_send() - a datagram of host @i to the process */
 void swarm_send(
@@ -95,20 +95,22 @@
 /** swarm_table_new() - the table of all hosts */
 void swarm_table_new(struct swarm *s);
 
-/** swarm_change() - the record of host @i changes; told to the process */
-void swarm_change(struct swarm *s, uint32_t i, enum member_state state);
+/** swarm_change_record() - the record of host @i changes; told to the process
+ */
+void swarm_change_record(struct swarm *s, uint32_t i, enum member_state state);
 
-/** swarm_config_new() - version 1, and the spread */
-void swarm_config_new(struct swarm *s);
+/** swarm_catalog_new() - version 1, and the spread */
+void swarm_catalog_new(struct swarm *s);
 
-/** swarm_spread_ms() - time of the spread, which does not wait for others */
-uint64_t swarm_spread_ms(const struct swarm *s);
+/** swarm_spread_now_ms() - time of the spread, which does not wait for others
+ */
+uint64_t swarm_spread_now_ms(const struct swarm *s);
 
-/** swarm_sign() - the next version, told to the process */
-void swarm_sign(struct swarm *s);
+/** swarm_sign_off() - the next version, told to the process */
+void swarm_sign_off(struct swarm *s);
 
-/** swarm_heard() - a datagram or frame of the process to host @i */
-void swarm_heard(struct swarm *s, uint32_t i, struct net_addr from,
+/** swarm_receive() - a datagram or frame of the process to host @i */
+void swarm_receive(struct swarm *s, uint32_t i, struct net_addr from,
     uint64_t conn, uint8_t type, const uint8_t *body, size_t len);
 
 #endif
--- a/test/capacity/swarm_table.c
+++ b/test/capacity/swarm_table.c
@@ -12,7 +12,7 @@
 #define UPSTREAM_PORT 8080
 #define SLOTS 12
 /* A record that is new is heard within this time. */
-#define NEWS_SPREAD_MS 1500
+#define GOSSIP_WINDOW_MS 1500
 #define SETTLE_MS 10000
 #define SETTLE_STEP_MS 100
 
@@ -31,18 +31,18 @@
 }
 
 uint32_t
-swarm_any_home(struct swarm *s)
+swarm_random_local(struct swarm *s)
 {
-	return g_rand_int(s->rand) % MAX(1, s->plan.home);
+	return g_rand_int(s->rand) % MAX(1, s->config.local_members);
 }
 
 /* Number of the data centre of host @i; the first hosts are at home. */
 static uint32_t
-place(const struct swarm_plan *p, uint32_t i)
+data_centre_of(const struct swarm_params *p, uint32_t i)
 {
-	if (i < p->home || p->data_centres < 2)
+	if (i < p->local_members || p->data_centres < 2)
 		return 0;
-	return 1 + (i - p->home) % (p->data_centres - 1);
+	return 1 + (i - p->local_members) % (p->data_centres - 1);
 }
 
 static void
@@ -56,13 +56,13 @@
 
 	memset(&rec, 0, sizeof(rec));
 	memset(&msg, 0, sizeof(msg));
-	bundle_text_service(i % s->plan.services, service);
+	bundle_text_service(i % s->config.services, service);
 	(void)g_strlcpy(e.service, service, sizeof(e.service));
 	e.state = (enum endpoint_state)s->states[i];
 	e.revision = (uint32_t)s->incarnations[i];
 	swarm_host_name(i, rec.host);
 	(void)g_snprintf(rec.data_centre, sizeof(rec.data_centre),
-	    "centre-%02u", place(&s->plan, i));
+	    "centre-%02u", data_centre_of(&s->config, i));
 	rec.ip = swarm_host(s, i).ip;
 	rec.peer_port = s->port;
 	rec.call_port = CALL_PORT;
@@ -71,14 +71,14 @@
 	rec.state = state;
 	rec.endpoints = &e;
 	rec.n_endpoints = 1;
-	swarm_host_name(swarm_any_home(s), msg.host);
+	swarm_host_name(swarm_random_local(s), msg.host);
 	msg.news = &rec;
 	msg.n_news = 1;
 	msg_news_encode(&msg, body);
 }
 
 static void
-take(struct swarm *s, const GByteArray *body)
+receive_record(struct swarm *s, const GByteArray *body)
 {
 	struct net_addr from = swarm_host(s, 1);
 	struct membership_action a;
@@ -90,7 +90,7 @@
 }
 
 void
-swarm_change(struct swarm *s, uint32_t i, enum member_state state)
+swarm_change_record(struct swarm *s, uint32_t i, enum member_state state)
 {
 	GByteArray *body = g_byte_array_new();
 	uint32_t k;
@@ -100,24 +100,24 @@
 	    s->states[i] == ENDPOINT_READY ? ENDPOINT_DRAINING : ENDPOINT_READY;
 	s->traffic.changes++;
 	encode_record(s, i, state, body);
-	take(s, body);
-	for (k = 0; k < s->plan.copies; k++)
-		swarm_send_later(s, swarm_any_home(s),
-		    g_rand_int(s->rand) % NEWS_SPREAD_MS, MSG_NEWS,
+	receive_record(s, body);
+	for (k = 0; k < s->config.gossip_copies; k++)
+		swarm_send_later(s, swarm_random_local(s),
+		    g_rand_int(s->rand) % GOSSIP_WINDOW_MS, MSG_NEWS,
 		    g_byte_array_ref(body));
 	g_byte_array_unref(body);
 }
 
 static void
-fill(struct swarm *s)
+add_all_hosts(struct swarm *s)
 {
 	GByteArray *body = g_byte_array_new();
 	uint32_t i;
 
-	for (i = 1; i < s->plan.members; i++) {
+	for (i = 1; i < s->config.members; i++) {
 		g_byte_array_set_size(body, 0);
 		encode_record(s, i, MEMBER_ALIVE, body);
-		take(s, body);
+		receive_record(s, body);
 	}
 	g_byte_array_unref(body);
 }
@@ -130,21 +130,21 @@
 swarm_table_new(struct swarm *s)
 {
 	uint64_t now_ms = clock_now_ms(), ms;
-	struct membership_settings ms_settings;
-
-	membership_settings_init(&ms_settings);
-	swarm_host_name(0, ms_settings.host);
-	(void)g_strlcpy(ms_settings.data_centre, SWARM_HOME,
-	    sizeof(ms_settings.data_centre));
-	ms_settings.address = swarm_host(s, 0);
-	ms_settings.call_port = CALL_PORT;
+	struct membership_settings settings;
+
+	membership_settings_init(&settings);
+	swarm_host_name(0, settings.host);
+	(void)g_strlcpy(settings.data_centre, SWARM_LOCAL_DATA_CENTRE,
+	    sizeof(settings.data_centre));
+	settings.address = swarm_host(s, 0);
+	settings.call_port = CALL_PORT;
 	s->out = outbox_new();
-	s->members = membership_new(&ms_settings, now_ms - SETTLE_MS,
-	    clock_wall_ms() - SETTLE_MS, s->plan.seed, s->out);
+	s->members = membership_new(&settings, now_ms - SETTLE_MS,
+	    clock_wall_ms() - SETTLE_MS, s->config.seed, s->out);
 	for (ms = SETTLE_MS; ms > 0; ms -= SETTLE_STEP_MS)
 		membership_tick(s->members, now_ms - ms);
-	s->incarnations = g_new0(uint64_t, s->plan.members);
-	s->states = g_new(uint8_t, s->plan.members);
-	memset(s->states, ENDPOINT_READY, s->plan.members);
-	fill(s);
+	s->incarnations = g_new0(uint64_t, s->config.members);
+	s->states = g_new(uint8_t, s->config.members);
+	memset(s->states, ENDPOINT_READY, s->config.members);
+	add_all_hosts(s);
 }
--- a/test/capacity/usage.c
+++ b/test/capacity/usage.c
@@ -53,7 +53,7 @@
 	while (d != NULL && (tid = g_dir_read_name(d)) != NULL) {
 		us = thread_us(pid, tid);
 		u->cpu_us += us;
-		u->most_us = MAX(u->most_us, us);
+		u->max_thread_us = MAX(u->max_thread_us, us);
 		u->threads++;
 	}
 	if (d != NULL)
@@ -79,7 +79,7 @@
 	if (!g_file_get_contents(path, &text, NULL, NULL))
 		return;
 	u->rss_kb = line_kb(text, "\nRss:");
-	u->own_kb = line_kb(text, "\nAnonymous:");
+	u->anonymous_kb = line_kb(text, "\nAnonymous:");
 	g_free(text);
 }
 
--- a/test/capacity/usage.h
+++ b/test/capacity/usage.h
@@ -11,17 +11,17 @@
 /**
  * struct usage - what a process has used until now
  * @cpu_us: processor time of all threads that live
- * @most_us: processor time of the thread that used most
+ * @max_thread_us: processor time of the thread that used most
  * @rss_kb: memory that is resident, shared pages of libraries included
- * @own_kb: resident memory of the process alone (anonymous pages)
+ * @anonymous_kb: resident memory of the process alone (anonymous pages)
  * @threads: threads that live
  * @fds: open descriptors
  */
 struct usage {
 	uint64_t cpu_us;
-	uint64_t most_us;
+	uint64_t max_thread_us;
 	uint64_t rss_kb;
-	uint64_t own_kb;
+	uint64_t anonymous_kb;
 	uint32_t threads;
 	uint32_t fds;
 };
