--- a/test/capacity/bench_control.c
+++ b/test/capacity/bench_control.c
@@ -28,7 +28,7 @@
 
 /**
  * struct bench - one run
- * @config: what is played
+ * @params: what is played
  * @change_rate: records that change in a thousand seconds
  * @version_rate: versions signed off in a thousand seconds
  * @ping_rate: pings in a thousand seconds
@@ -40,7 +40,7 @@
  * @ready: whether it serves
  */
 struct bench {
-	struct swarm_params config;
+	struct swarm_params params;
 	uint32_t change_rate;
 	uint32_t version_rate;
 	uint32_t ping_rate;
@@ -85,7 +85,7 @@
 	GThread *waiter;
 
 	b->loop = loop_new();
-	b->swarm = swarm_new(b->loop, &b->config);
+	b->swarm = swarm_new(b->loop, &b->params);
 	config.seed = swarm_seed(b->swarm);
 	start_ms = clock_now_ms();
 	subject_start(&b->subject, &config);
@@ -127,8 +127,8 @@
 	printf("%7u %3u %5u %5u %6.2f %5.2f | %6.0f us/s %6.3f %% busiest "
 	       "%6.0f | in %5.0f out %5.0f B/s, %5.1f msgs/s | rss %5.1f own "
 	       "%5.1f MB, %u threads, load %.1f\n",
-	    b->config.members, b->config.data_centres, b->config.local_members,
-	    b->config.services, per_second(t->changes, t0->changes, s),
+	    b->params.members, b->params.data_centres, b->params.local_members,
+	    b->params.services, per_second(t->changes, t0->changes, s),
 	    per_second(t->versions, t0->versions, s),
 	    per_second(u.cpu_us, before->cpu_us, s),
 	    per_second(u.cpu_us, before->cpu_us, s) / 10000,
@@ -198,13 +198,13 @@
 		const char *name;
 		uint32_t *value;
 	} options[] = {
-	    {"members", &b->config.members},
-	    {"dcs", &b->config.data_centres},
-	    {"home", &b->config.local_members},
-	    {"services", &b->config.services},
-	    {"routes", &b->config.routes},
-	    {"copies", &b->config.gossip_copies},
-	    {"notices", &b->config.notice_copies},
+	    {"members", &b->params.members},
+	    {"dcs", &b->params.data_centres},
+	    {"home", &b->params.local_members},
+	    {"services", &b->params.services},
+	    {"routes", &b->params.routes},
+	    {"copies", &b->params.gossip_copies},
+	    {"notices", &b->params.notice_copies},
 	    {"news", &b->change_rate},
 	    {"versions", &b->version_rate},
 	    {"pings", &b->ping_rate},
@@ -234,14 +234,14 @@
 		*value++ = '\0';
 		set_option(b, argv[i], (uint32_t)strtoul(value, NULL, 10));
 	}
-	if (b->config.local_members == 0)
-		b->config.local_members =
-		    b->config.members / b->config.data_centres;
-	b->config.pings_per_s = b->ping_rate / THOUSAND;
+	if (b->params.local_members == 0)
+		b->params.local_members =
+		    b->params.members / b->params.data_centres;
+	b->params.pings_per_s = b->ping_rate / THOUSAND;
 }
 
 static struct bench bench = {
-    .config = {.members = 22000,
+    .params = {.members = 22000,
 	.data_centres = 28,
 	.services = 1200,
 	.routes = 5,
@@ -273,7 +273,7 @@
 main(int argc, char **argv)
 {
 	parse_options(&bench, argc, argv);
-	(void)g_strlcpy(bench.config.subject_host, SUBJECT_HOST,
-	    sizeof(bench.config.subject_host));
+	(void)g_strlcpy(bench.params.subject_host, SUBJECT_HOST,
+	    sizeof(bench.params.subject_host));
 	return subject_run(bench_run);
 }
--- a/test/capacity/swarm.c
+++ b/test/capacity/swarm.c
@@ -44,13 +44,13 @@
 	memset(&msg, 0, sizeof(msg));
 	msg.seq = ++s->seq;
 	swarm_host_name(i, msg.host);
-	(void)g_strlcpy(msg.target, s->config.subject_host, sizeof(msg.target));
+	(void)g_strlcpy(msg.target, s->params.subject_host, sizeof(msg.target));
 	msg.root = membership_root(s->members);
 	fill_head(s, &msg.head);
 	msg_ping_encode(&msg, body);
 	swarm_send(s, i, MSG_PING, body);
 	g_byte_array_unref(body);
-	loop_timer_set(&s->ping_timer, next_event_ms(s, s->config.pings_per_s));
+	loop_timer_set(&s->ping_timer, next_event_ms(s, s->params.pings_per_s));
 }
 
 static void
@@ -59,9 +59,9 @@
 	struct swarm *s = arg;
 
 	swarm_change_record(
-	    s, 1 + g_rand_int(s->rand) % (s->config.members - 1), MEMBER_ALIVE);
+	    s, 1 + g_rand_int(s->rand) % (s->params.members - 1), MEMBER_ALIVE);
 	loop_timer_set(
-	    &s->change_timer, next_event_ms(s, s->config.changes_per_s));
+	    &s->change_timer, next_event_ms(s, s->params.changes_per_s));
 }
 
 static void
@@ -71,7 +71,7 @@
 
 	swarm_sign_off(s);
 	loop_timer_set(
-	    &s->sign_off_timer, next_event_ms(s, s->config.versions_per_s));
+	    &s->sign_off_timer, next_event_ms(s, s->params.versions_per_s));
 }
 
 /* The spread's own time goes on; what it wants sent to others is dropped. */
@@ -134,13 +134,13 @@
 }
 
 struct swarm *
-swarm_new(struct loop *loop, const struct swarm_params *config)
+swarm_new(struct loop *loop, const struct swarm_params *params)
 {
 	struct swarm *s = g_new0(struct swarm, 1);
 
-	s->config = *config;
+	s->params = *params;
 	s->loop = loop;
-	s->rand = g_rand_new_with_seed((guint32)config->seed);
+	s->rand = g_rand_new_with_seed((guint32)params->seed);
 	swarm_open_sockets(s);
 	swarm_table_new(s);
 	swarm_catalog_new(s);
@@ -180,15 +180,15 @@
 void
 swarm_set_subject(struct swarm *s, struct net_addr subject)
 {
-	s->config.subject = subject;
-	loop_timer_set(&s->ping_timer, next_event_ms(s, s->config.pings_per_s));
+	s->params.subject = subject;
+	loop_timer_set(&s->ping_timer, next_event_ms(s, s->params.pings_per_s));
 }
 
 void
 swarm_set_rates(struct swarm *s, double changes_per_s, double versions_per_s)
 {
-	s->config.changes_per_s = changes_per_s;
-	s->config.versions_per_s = versions_per_s;
+	s->params.changes_per_s = changes_per_s;
+	s->params.versions_per_s = versions_per_s;
 	loop_timer_set(&s->change_timer, next_event_ms(s, changes_per_s));
 	loop_timer_set(&s->sign_off_timer, next_event_ms(s, versions_per_s));
 }
@@ -196,9 +196,9 @@
 void
 swarm_fail(struct swarm *s, uint32_t n)
 {
-	uint32_t i, step = MAX(1, s->config.data_centres - 1);
+	uint32_t i, step = MAX(1, s->params.data_centres - 1);
 
-	for (i = s->config.members; n > 0 && i > s->config.local_members + step;
+	for (i = s->params.members; n > 0 && i > s->params.local_members + step;
 	     i -= step) {
 		swarm_change_record(s, i - 1, MEMBER_FAILED);
 		n--;
--- a/test/capacity/swarm.h
+++ b/test/capacity/swarm.h
@@ -82,7 +82,7 @@
  *
  * Return: the swarm; the program ends when no port can be had.
  */
-struct swarm *swarm_new(struct loop *loop, const struct swarm_params *config);
+struct swarm *swarm_new(struct loop *loop, const struct swarm_params *params);
 
 /** swarm_free() - end it */
 void swarm_free(struct swarm *s);
--- a/test/capacity/swarm_config.c
+++ b/test/capacity/swarm_config.c
@@ -45,8 +45,8 @@
 static struct digest
 commit_first(struct swarm *s)
 {
-	struct bundle_text t = {.services = s->config.services,
-	    .routes = s->config.routes,
+	struct bundle_text t = {.services = s->params.services,
+	    .routes = s->params.routes,
 	    .timeout_ms = FIRST_TIMEOUT_MS};
 	struct bundle *b = parse_bundle(&t);
 	const struct section *section;
@@ -84,7 +84,7 @@
 	struct spread_config config = {
 	    .profile = *spread_profile_registry(),
 	    .data_centre = SWARM_LOCAL_DATA_CENTRE,
-	    .seed = s->config.seed,
+	    .seed = s->params.seed,
 	};
 	uint64_t now_ms = clock_now_ms();
 	struct rec_head head = {1, 1, 1, HEAD_ROLLING, {{0}}};
@@ -126,7 +126,7 @@
 	msg.head.tag = GUINT64_FROM_BE(msg.head.tag);
 	msg.kind = NOTICE_NEAR;
 	msg_notice_encode(&msg, body);
-	for (i = 0; i < s->config.notice_copies; i++)
+	for (i = 0; i < s->params.notice_copies; i++)
 		swarm_send_later(s, swarm_random_local(s),
 		    g_rand_int(s->rand) % NOTICE_WINDOW_MS, MSG_NOTICE,
 		    g_byte_array_ref(body));
@@ -173,13 +173,13 @@
 apply_random_change(
     struct swarm *s, struct rec_section_change *change, struct digest *root)
 {
-	struct bundle_text t = {.services = 1, .routes = s->config.routes};
+	struct bundle_text t = {.services = 1, .routes = s->params.routes};
 	struct bundle *b;
 	const struct section *section;
 	GBytes *content;
 	GArray *sections;
 
-	t.first = t.odd = g_rand_int(s->rand) % s->config.services;
+	t.first = t.odd = g_rand_int(s->rand) % s->params.services;
 	t.timeout_ms = FIRST_TIMEOUT_MS + (uint32_t)catalog_version(s->catalog);
 	b = parse_bundle(&t);
 	section = g_ptr_array_index(b->sections, 0);
--- a/test/capacity/swarm_net.c
+++ b/test/capacity/swarm_net.c
@@ -68,8 +68,8 @@
 swarm_send(
     struct swarm *s, uint32_t i, enum msg_type type, const GByteArray *body)
 {
-	if (s->config.subject.port != 0)
-		send_from(s, swarm_host(s, i), s->config.subject, (uint8_t)type,
+	if (s->params.subject.port != 0)
+		send_from(s, swarm_host(s, i), s->params.subject, (uint8_t)type,
 		    body);
 }
 
@@ -102,7 +102,7 @@
 static uint32_t
 host_index(const struct swarm *s, uint32_t ip)
 {
-	return ip - SWARM_IP < s->config.members ? ip - SWARM_IP : 0;
+	return ip - SWARM_IP < s->params.members ? ip - SWARM_IP : 0;
 }
 
 static uint32_t
@@ -194,7 +194,7 @@
 	struct conn *c = g_hash_table_lookup(s->conns, &item->conn);
 
 	if (c == NULL && item->conn == 0 &&
-	    addr_equal(&item->to, &s->config.subject)) {
+	    addr_equal(&item->to, &s->params.subject)) {
 		c = conn_dial(s->loop, item->to,
 		    loop_now_ms(s->loop) + CONNECT_TIMEOUT_MS, NULL, &handler,
 		    s);
@@ -216,7 +216,7 @@
 		if (item->kind == OUTBOX_FRAME)
 			send_frame(s, item);
 		else if (item->kind == OUTBOX_DATAGRAM &&
-		    addr_equal(&item->to, &s->config.subject))
+		    addr_equal(&item->to, &s->params.subject))
 			send_from(s, swarm_host(s, i), item->to,
 			    (uint8_t)item->type, item->body);
 		outbox_item_free(item);
--- a/test/capacity/swarm_priv.h
+++ b/test/capacity/swarm_priv.h
@@ -18,7 +18,7 @@
 
 /**
  * struct swarm - everything
- * @config: what is played
+ * @params: what is played
  * @loop: the loop
  * @rand: all random choices
  * @port: control port of all hosts
@@ -42,7 +42,7 @@
  * @traffic: what passed
  */
 struct swarm {
-	struct swarm_params config;
+	struct swarm_params params;
 	struct loop *loop;
 	GRand *rand;
 	uint16_t port;
--- a/test/capacity/swarm_table.c
+++ b/test/capacity/swarm_table.c
@@ -33,7 +33,7 @@
 uint32_t
 swarm_random_local(struct swarm *s)
 {
-	return g_rand_int(s->rand) % MAX(1, s->config.local_members);
+	return g_rand_int(s->rand) % MAX(1, s->params.local_members);
 }
 
 /* Number of the data centre of host @i; the first hosts are at home. */
@@ -56,13 +56,13 @@
 
 	memset(&rec, 0, sizeof(rec));
 	memset(&msg, 0, sizeof(msg));
-	bundle_text_service(i % s->config.services, service);
+	bundle_text_service(i % s->params.services, service);
 	(void)g_strlcpy(e.service, service, sizeof(e.service));
 	e.state = (enum endpoint_state)s->states[i];
 	e.revision = (uint32_t)s->incarnations[i];
 	swarm_host_name(i, rec.host);
 	(void)g_snprintf(rec.data_centre, sizeof(rec.data_centre),
-	    "centre-%02u", data_centre_of(&s->config, i));
+	    "centre-%02u", data_centre_of(&s->params, i));
 	rec.ip = swarm_host(s, i).ip;
 	rec.peer_port = s->port;
 	rec.call_port = CALL_PORT;
@@ -101,7 +101,7 @@
 	s->traffic.changes++;
 	encode_record(s, i, state, body);
 	receive_record(s, body);
-	for (k = 0; k < s->config.gossip_copies; k++)
+	for (k = 0; k < s->params.gossip_copies; k++)
 		swarm_send_later(s, swarm_random_local(s),
 		    g_rand_int(s->rand) % GOSSIP_WINDOW_MS, MSG_NEWS,
 		    g_byte_array_ref(body));
@@ -114,7 +114,7 @@
 	GByteArray *body = g_byte_array_new();
 	uint32_t i;
 
-	for (i = 1; i < s->config.members; i++) {
+	for (i = 1; i < s->params.members; i++) {
 		g_byte_array_set_size(body, 0);
 		encode_record(s, i, MEMBER_ALIVE, body);
 		receive_record(s, body);
@@ -140,11 +140,11 @@
 	settings.call_port = CALL_PORT;
 	s->out = outbox_new();
 	s->members = membership_new(&settings, now_ms - SETTLE_MS,
-	    clock_wall_ms() - SETTLE_MS, s->config.seed, s->out);
+	    clock_wall_ms() - SETTLE_MS, s->params.seed, s->out);
 	for (ms = SETTLE_MS; ms > 0; ms -= SETTLE_STEP_MS)
 		membership_tick(s->members, now_ms - ms);
-	s->incarnations = g_new0(uint64_t, s->config.members);
-	s->states = g_new(uint8_t, s->config.members);
-	memset(s->states, ENDPOINT_READY, s->config.members);
+	s->incarnations = g_new0(uint64_t, s->params.members);
+	s->states = g_new(uint8_t, s->params.members);
+	memset(s->states, ENDPOINT_READY, s->params.members);
 	add_all_hosts(s);
 }
