--- a/test/capacity/bench_control.c
+++ b/test/capacity/bench_control.c
@@ -1,10 +1,10 @@
 /*
- * Bench of one node's control: a real process among many hosts that a swarm
- * plays to it, as one line of a table.
+ * Benchmark of one node's control traffic: a real process among many hosts that
+ * a swarm simulates, as one line of a table.
  *
- * Options are name=value: members, dcs, home, services, routes, news and
- * versions (in thousandths a second), copies, notices, pings, fail, seconds.
- * Processor time and memory are the process's own, from /proc.
+ * Options have the form name=value: members, dcs, home, services, routes, news
+ * and versions (per 1,000 s), copies, notices, pings (per 1,000 s), fail,
+ * seconds.  Processor time and memory are those of the process, from /proc.
  */
 #include <inttypes.h>
 #include <stdatomic.h>
@@ -28,16 +28,16 @@
 
 /**
  * struct bench - one run
- * @params: what is played
- * @change_rate: records that change in a thousand seconds
- * @version_rate: versions signed off in a thousand seconds
- * @ping_rate: pings in a thousand seconds
- * @fail: hosts that fail at the end
- * @seconds: how long is measured
- * @loop: the swarm's loop
+ * @params: parameters of the swarm
+ * @change_rate: changed member records per 1,000 s
+ * @version_rate: versions signed off per 1,000 s
+ * @ping_rate: pings per 1,000 s
+ * @fail: number of hosts that fail at the end
+ * @seconds: duration of the measurement
+ * @loop: event loop of the swarm
  * @swarm: all other hosts
  * @subject: the process
- * @ready: whether it serves
+ * @ready: whether the process serves calls or READY_TIMEOUT_MS has passed
  */
 struct bench {
 	struct swarm_params params;
@@ -61,7 +61,8 @@
 		loop_run_once(b->loop, MIN(until_ms, clock_now_ms() + POLL_MS));
 }
 
-/* Asks for the process's health in a thread, as the loop has to go on. */
+/* Polls the process's health in a thread, because the swarm's loop must keep
+ * running. */
 static gpointer
 wait_ready(gpointer arg)
 {
@@ -174,7 +175,8 @@
 	report(b, &before, &traffic, FAILURE_PERIOD_MS / THOUSAND);
 }
 
-/* Whether the process has followed; else the figures mean nothing. */
+/* Prints the process's version and members; the results are valid only if they
+ * match those of the swarm. */
 static void
 print_status(struct bench *b)
 {
--- a/test/capacity/bench_depth.c
+++ b/test/capacity/bench_depth.c
@@ -1,6 +1,6 @@
 /*
- * Bench of depth: calls one inside the other through real nodes, beside the
- * same calls from upstream to upstream in the same run.
+ * Benchmark of nested calls through real nodes, compared with the same calls
+ * made directly from upstream to upstream in the same run.
  *
  *	bench_depth [calls of each depth]
  *
@@ -37,9 +37,9 @@
     "\"keep_alive_ms\":60000}";
 
 /**
- * struct bench - the nodes and the upstreams
- * @platform: stand-in of the platform
- * @platform_addr: its address
+ * struct bench - nodes and upstreams
+ * @platform: stand-in for the platform
+ * @platform_addr: address of the platform
  * @nodes: the processes
  * @nested: the upstreams
  */
@@ -115,7 +115,8 @@
 	char service[BUNDLE_TEXT_SERVICE_BYTES];
 	uint32_t i, n;
 
-	/* The guard calls an upstream at its own host's address. */
+	/* The upstreams listen on all addresses, since a guard calls its
+	 * upstream at the address of its own host. */
 	config.ip = 0;
 	for (i = 0; i < SERVICES; i++) {
 		n = i % NODES;
@@ -131,7 +132,7 @@
 	g_usleep(PROPAGATION_US);
 }
 
-/* One round of calls; their times are appended. */
+/* Runs one round of calls and appends their times. */
 static uint32_t
 run_round(
     struct bench *b, uint32_t n, uint32_t depth, int direct, GArray *times)
--- a/test/capacity/bench_guard.c
+++ b/test/capacity/bench_guard.c
@@ -1,13 +1,12 @@
 /*
- * Bench of what a real process holds for calls: memory for each connection
- * of another node's entry, each call in flight at its upstream, each fate
- * that is remembered and each caller that waits; and its processor time when
- * nothing happens.
+ * Benchmark of the memory that a real process uses for calls: for each
+ * connection of another node's entry, each call in flight at its upstream, each
+ * fate kept and each waiting caller; and of its processor time when idle.
  *
  *	bench_guard connections | in_flight | fates | callers | polls
  *
- * polls: what a reader's polls of the platform cost, which it does at rates
- * above the usual one.
+ * polls: processor time of a reader's platform polls, at poll rates above the
+ * default.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -46,12 +45,12 @@
 
 /**
  * struct bench - one run
- * @loop: loop of the entries and of the upstream
- * @platform: stand-in of the platform
- * @upstreams: what the process guards, each of a service of its own
+ * @loop: event loop of the entries and upstreams
+ * @platform: stand-in for the platform
+ * @upstreams: upstreams behind the process's guard, one for each service
  * @entries: entries of other nodes
  * @subject: the process
- * @baseline: what it used before the load
+ * @baseline: usage of the process before the load
  */
 struct bench {
 	struct loop *loop;
@@ -74,7 +73,7 @@
 		loop_run_once(b->loop, MIN(until_ms, clock_now_ms() + POLL_MS));
 }
 
-/* Run until a count has come to a number. */
+/* Runs the loop until a count has reached @n. */
 static void
 run_until(
     const struct bench *b, uint64_t (*count)(const struct bench *), uint64_t n)
@@ -148,7 +147,7 @@
 	}
 }
 
-/* Calls of entries, to the services in turn. */
+/* Sends a call from an entry, to the services in turn. */
 static void
 send_call(const struct bench *b, uint32_t n, int booking)
 {
@@ -213,7 +212,7 @@
 	platform_stop(b->platform);
 }
 
-/* Memory since the start, and for each of @n. */
+/* Prints the memory of the process, and its growth per item. */
 static void
 report(const struct bench *b, const char *name, uint32_t n)
 {
@@ -231,7 +230,7 @@
 	    u.threads, u.fds);
 }
 
-/* Processor time while nothing is asked of it. */
+/* Prints the processor time of the idle process. */
 static void
 report_idle(const struct bench *b, uint32_t n)
 {
@@ -279,7 +278,7 @@
 	report(b, "answered again", n);
 }
 
-/* Bookings one after the other; their fates stay for the window. */
+/* Bookings, whose fates are kept for the window. */
 static void
 bench_fates(struct bench *b)
 {
@@ -321,7 +320,7 @@
 	return fd;
 }
 
-/* Callers that wait for answers: a thread of the process each. */
+/* Waiting callers, each of which occupies a thread of the process. */
 static void
 bench_callers(struct bench *b)
 {
--- a/test/capacity/bench_herd.c
+++ b/test/capacity/bench_herd.c
@@ -1,11 +1,12 @@
 /*
- * Bench of a herd: all nodes of a data centre start at once, on the test
- * driver's virtual clock, as one line of a table.
+ * Benchmark of a mass restart: all nodes of a data centre start at once, on the
+ * test driver's virtual clock, as one line of a table.
  *
  *	bench_herd DATA_CENTRES NODES SERVICES [all]
  *
- * What the herd asks of the platform, how long until it serves, and what a
- * joining node takes in; with `all`, the nodes of all data centres start.
+ * Reported are the platform reads of the starting nodes, the time until they
+ * serve, and the bytes that a node receives; with `all`, the nodes of all data
+ * centres start.
  */
 #include <inttypes.h>
 #include <stdio.h>
--- a/test/capacity/bench_retries.c
+++ b/test/capacity/bench_retries.c
@@ -1,13 +1,13 @@
 /*
- * Bench of depth: what becomes of a call's tail and of its retries when calls
- * nest, with the retry budget of package traffic at each layer.
+ * Benchmark of retries in nested calls: the number of calls and the share of
+ * successful ones, with the retry budget of package traffic at each layer.
  *
- * A chain of layers; the last one fails a share of its calls.  Each layer
- * that sees a failure may call the next one again.  Nothing is timed: it
- * counts calls.  Three policies: each layer retries twice without a budget,
- * each layer retries within its budget, only the layer next to the failure
- * does (what entries do here: a failed answer of an upstream is given to the
- * caller, and is no reason to call it again).
+ * In a chain of layers the last one fails a share of its calls.  Each layer
+ * that sees a failure may retry its call to the next one.  Calls are counted
+ * and no time is measured.  Three policies: each layer retries without a
+ * budget, each layer retries within its budget, or only the layer next to the
+ * failure retries.  The last is the policy of entries: a failed response of an
+ * upstream is returned to the caller and is not retried.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,12 +18,12 @@
 
 #define LAYERS_MAX 23
 #define CALLS 20000
-/* Calls of a chain after which the unbounded policy is not gone on with. */
+/* Total calls of a chain after which the run is aborted. */
 #define TOTAL_CALLS_MAX 50000000
 #define CALLS_PER_MS 1
 #define PERCENT 100
 
-/** enum policy - who retries */
+/** enum policy - which layers retry */
 enum policy {
 	POLICY_EACH = 0,
 	POLICY_EACH_BUDGET,
@@ -32,15 +32,15 @@
 };
 
 /**
- * struct chain - nested layers
- * @layers: how many
- * @policy: who retries
- * @percent: calls of the last layer that fail
- * @budgets: of each layer
+ * struct chain - chain of layers
+ * @layers: number of layers
+ * @policy: which layers retry
+ * @percent: share of the last layer's calls that fail
+ * @budgets: retry budget of each layer
  * @calls: calls that reached each layer
  * @total_calls: calls of all layers
- * @now_ms: time, which passes with the calls from outside
- * @rand: which calls fail
+ * @now_ms: virtual time, which advances with the calls from outside
+ * @rand: selects the calls that fail
  */
 struct chain {
 	uint32_t layers;
@@ -67,7 +67,7 @@
 
 static int call_layer(struct chain *c, uint32_t layer);
 
-/* One attempt: what the upstream of a layer does. */
+/* Makes one attempt at the upstream of a layer. */
 static int
 attempt(struct chain *c, uint32_t layer)
 {
@@ -78,7 +78,7 @@
 	return call_layer(c, layer + 1);
 }
 
-/* A call as the entry of a layer makes it. */
+/* Makes a call in the same way as the entry of a layer. */
 static int
 call_layer(struct chain *c, uint32_t layer)
 {
--- a/test/capacity/bench_sign_off.c
+++ b/test/capacity/bench_sign_off.c
@@ -1,9 +1,9 @@
 /*
- * Bench of the administration role: what a sign-off costs the node that does
- * it and the platform, at three sizes of the bundle.
+ * Benchmark of the administration role: cost of a sign-off for the node that
+ * executes it and for the platform, for three bundle sizes.
  *
- * One real process and a stand-in platform in this one.  The first sign-off
- * writes all sections, the following ones one each.
+ * One real process, and a stand-in for the platform in this one.  The first
+ * sign-off writes all sections, each later one a single section.
  *
  *	bench_sign_off [changes [fresh]]
  */
@@ -32,12 +32,12 @@
 #define TIMEOUT_MS 60000
 
 /**
- * struct bench - one size
- * @platform: stand-in of the platform
- * @platform_addr: its address
+ * struct bench - one bundle size
+ * @platform: stand-in for the platform
+ * @platform_addr: address of the platform
  * @subject: the process
- * @services: services of the bundle
- * @n_operations: of the last operation
+ * @services: number of services in the bundle
+ * @n_operations: number of operations, used as the id of the next
  */
 struct bench {
 	struct platform *platform;
@@ -50,7 +50,7 @@
 static uint32_t changes = 10;
 static const char *query_suffix = "";
 
-/* What the platform has been asked for. */
+/* Requests counted by the platform. */
 struct platform_requests {
 	json_int_t reads;
 	json_int_t writes;
@@ -101,7 +101,7 @@
 	return code;
 }
 
-/* Sign @n versions off, and tell what each took. */
+/* Signs off @n versions and prints the mean cost of each. */
 static void
 measure(struct bench *b, const char *what, uint32_t n)
 {
--- a/test/capacity/bundle_text.c
+++ b/test/capacity/bundle_text.c
@@ -1,9 +1,9 @@
 /*
- * Bundles for benches.
+ * Generated bundles for benchmarks.
  */
 #include "bundle_text.h"
 
-/* Long enough for calls that a bench holds. */
+/* Exceeds the time for which a benchmark holds calls. */
 #define TIMEOUT_MS 60000
 
 void
--- a/test/capacity/bundle_text.h
+++ b/test/capacity/bundle_text.h
@@ -1,5 +1,5 @@
 /*
- * Bundles for benches: services of equal shape, in any number.
+ * Generated bundles for benchmarks: any number of services of the same shape.
  */
 #ifndef CAPACITY_BUNDLE_TEXT_H
 #define CAPACITY_BUNDLE_TEXT_H
@@ -11,13 +11,13 @@
 #define BUNDLE_TEXT_SERVICE_BYTES 32
 
 /**
- * struct bundle_text - what a bundle holds
+ * struct bundle_text - parameters of a bundle
  * @first: number of the first service
  * @services: number of services
- * @routes: routes of each service
+ * @routes: number of routes of each service
  * @odd: number of the service that has another timeout
  * @timeout_ms: timeout of that service
- * @slots: slots and queue of each endpoint; 0 for the defaults
+ * @slots: slots and queue length of each endpoint; 0 for the defaults
  */
 struct bundle_text {
 	uint32_t first;
@@ -31,7 +31,8 @@
 /** bundle_text_service() - name of the service with number @i */
 void bundle_text_service(uint32_t i, char name[BUNDLE_TEXT_SERVICE_BYTES]);
 
-/** bundle_text_write() - the bundle as operators write it; a new string */
+/** bundle_text_write() - write the bundle as operators do, as JSON in a new
+ * string */
 GString *bundle_text_write(const struct bundle_text *t);
 
 #endif
--- a/test/capacity/entries.c
+++ b/test/capacity/entries.c
@@ -1,5 +1,5 @@
 /*
- * Entries of other nodes, played to the guard of one real process.
+ * Simulated entries of other nodes that call the guard of a real process.
  */
 #include <string.h>
 
@@ -15,7 +15,7 @@
 struct entries {
 	struct loop *loop;
 	struct net_addr guard;
-	GPtrArray *conns;     /* struct conn; NULL when it has ended */
+	GPtrArray *conns;     /* struct conn; NULL once closed */
 	GHashTable *bookings; /* stream -> request id of a booking, owned */
 	uint32_t next;
 	uint32_t stream;
@@ -58,7 +58,7 @@
 	send_message(c, MSG_CALL_PONG, body);
 }
 
-/* The whole answer is there; that of a booking is acknowledged. */
+/* Counts a complete response, and acknowledges that of a booking. */
 static void
 on_fin(struct entries *e, struct conn *c, uint32_t stream)
 {
--- a/test/capacity/entries.h
+++ b/test/capacity/entries.h
@@ -1,6 +1,6 @@
 /*
- * Entries of other nodes, played to the guard of one real process: many
- * connections, and calls over them.
+ * Simulated entries of other nodes: many connections to the guard of one real
+ * process, and calls over them.
  */
 #ifndef CAPACITY_ENTRIES_H
 #define CAPACITY_ENTRIES_H
@@ -13,12 +13,12 @@
 struct entries;
 
 /**
- * struct entries_counts - what became of the calls
- * @n_connected: connections that the guard has greeted
+ * struct entries_counts - counters of connections and calls
+ * @n_connected: connections on which the guard's hello has arrived
  * @sent: calls sent
- * @done: answers that came whole
- * @refused: refusals
- * @n_closed: connections that ended
+ * @done: complete responses
+ * @refused: refused or failed calls
+ * @n_closed: connections closed
  */
 struct entries_counts {
 	uint32_t n_connected;
@@ -28,24 +28,24 @@
 	uint32_t n_closed;
 };
 
-/** entries_new() - no connections yet, to the guard at @guard */
+/** entries_new() - create entries without connections to the guard at @guard */
 struct entries *entries_new(struct loop *loop, struct net_addr guard);
 
-/** entries_free() - close all */
+/** entries_free() - close all connections and free the entries */
 void entries_free(struct entries *e);
 
-/** entries_connect() - have @n connections in all */
+/** entries_connect() - open connections until there are @n */
 void entries_connect(struct entries *e, uint32_t n);
 
 /**
- * entries_call() - send a lookup over one of the connections, in turn
+ * entries_call() - send a call over one of the connections in turn
  * @e: the entries
  * @service: service that is called
- * @booking: a call that must not run twice, which the guard remembers
+ * @booking: non-idempotent call, whose fate the guard keeps
  */
 void entries_call(struct entries *e, const char *service, int booking);
 
-/** entries_counts() - what became of the calls until now */
+/** entries_counts() - counters so far */
 const struct entries_counts *entries_counts(const struct entries *e);
 
 #endif
--- a/test/capacity/holder.c
+++ b/test/capacity/holder.c
@@ -1,7 +1,8 @@
 /*
- * An upstream that holds requests or answers them at once.
+ * Upstream that holds requests or responds at once.
  *
- * It reads requests without a body only, and one at a time on a connection.
+ * Limits: requests must have no body, and a connection carries one request at a
+ * time.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -15,7 +16,7 @@
 #define READ_BYTES 4096
 #define RESPONSE_BYTES 512
 
-/* A connection, and whether a request on it is held. */
+/* Connection; @pending if a request on it is held. */
 struct holder_conn {
 	struct holder *holder;
 	struct loop_fd *watch;
--- a/test/capacity/holder.h
+++ b/test/capacity/holder.h
@@ -1,5 +1,5 @@
 /*
- * An upstream that holds requests or answers them at once, in a loop.
+ * Upstream that holds requests or responds at once, in an event loop.
  */
 #ifndef CAPACITY_HOLDER_H
 #define CAPACITY_HOLDER_H
@@ -12,26 +12,26 @@
 
 /**
  * holder_new() - listen on a free port
- * @loop: the loop it lives in
+ * @loop: event loop of the upstream
  * @ip: address, host byte order
  *
- * Return: the upstream; the program ends when it can't listen.
+ * Return: the upstream; the program aborts if the port cannot be opened.
  */
 struct holder *holder_new(struct loop *loop, uint32_t ip);
 
 /** holder_free() - close all connections and stop listening */
 void holder_free(struct holder *h);
 
-/** holder_port() - where it listens */
+/** holder_port() - port of the upstream */
 uint16_t holder_port(const struct holder *h);
 
-/** holder_hold() - whether requests that come from now on are held */
+/** holder_hold() - set whether requests that arrive from now on are held */
 void holder_hold(struct holder *h, int hold);
 
-/** holder_release() - answer all that are held */
+/** holder_release() - respond to all held requests */
 void holder_release(struct holder *h);
 
-/** holder_held() - requests that are held */
+/** holder_held() - number of held requests */
 uint32_t holder_held(const struct holder *h);
 
 #endif
--- a/test/capacity/nested.c
+++ b/test/capacity/nested.c
@@ -28,11 +28,11 @@
 	int fd;
 };
 
-/* One connection from a node, or from the caller before. */
+/* Connection accepted from a node, or from the previous upstream. */
 struct nested_conn {
 	struct nested *nested;
 	int fd;
-	int next; /* connection to where the next service is called */
+	int next; /* connection for calls of the next service, or -1 */
 	int next_direct;
 };
 
@@ -51,7 +51,7 @@
 	return -1;
 }
 
-/* Read until the end of a head; returns its length, 0 when there is none. */
+/* Reads until the end of a head; returns the head's length, or 0 on failure. */
 static size_t
 read_head(int fd, char *data, size_t *len)
 {
@@ -72,7 +72,8 @@
 	return 0;
 }
 
-/* Read an answer; returns its status, and whether the connection goes on. */
+/* Reads a response; returns its status and whether the connection stays
+ * open. */
 static int
 read_response(int fd, int *keep_alive)
 {
@@ -104,7 +105,7 @@
 	return direct ? n->at : n->nodes[service];
 }
 
-/* One call to a service over a connection that is kept. */
+/* Calls a service over a connection that is kept. */
 static int
 call_service(
     int *fd, struct net_addr to, uint32_t service, uint32_t depth, int direct)
@@ -129,7 +130,7 @@
 	return status == 200;
 }
 
-/* The number that follows @name in a request; 0 when there is none. */
+/* Returns the number that follows @name in a request, or 0. */
 static uint32_t
 parse_number(const char *request, const char *name)
 {
@@ -138,7 +139,7 @@
 	return at == NULL ? 0 : (uint32_t)strtoul(at + strlen(name), NULL, 10);
 }
 
-/* Calls the next service if the depth is not reached. */
+/* Calls the next service unless the depth is reached. */
 static int
 handle_request(struct nested_conn *s, const char *request)
 {
--- a/test/capacity/subject.c
+++ b/test/capacity/subject.c
@@ -13,7 +13,7 @@
 #define SUBJECT_STOP_TIMEOUT_MS 40000
 #define SUBJECT_LEASE_MS 600000
 #define URL_BYTES 256
-/* Nothing listens there: a platform that is down. */
+/* Port without a listener, in place of a platform that is unavailable. */
 #define PORT_CLOSED 9
 #define CODE_OK 200
 #define BENCH_TIMEOUT_S 7200
--- a/test/capacity/swarm.c
+++ b/test/capacity/swarm.c
@@ -1,5 +1,5 @@
 /*
- * The swarm: rates, and answers to the process.
+ * Swarm: scheduled events, and responses to the process.
  */
 #include <math.h>
 #include <string.h>
@@ -10,7 +10,8 @@
 #define MS_PER_S 1000
 #define TICK_MS 100
 
-/* Time until the next of events that come by chance at a rate. */
+/* Returns the time of the next event of a Poisson process with the given
+ * rate. */
 static uint64_t
 next_event_ms(struct swarm *s, double per_s)
 {
@@ -74,7 +75,8 @@
 	    &s->sign_off_timer, next_event_ms(s, s->params.versions_per_s));
 }
 
-/* The spread's own time goes on; what it wants sent to others is dropped. */
+/* Advances the spread's time; datagrams to other hosts than the process are
+ * dropped. */
 static void
 on_tick(void *arg)
 {
@@ -84,7 +86,7 @@
 	loop_timer_set(&s->tick_timer, loop_now_ms(s->loop) + TICK_MS);
 }
 
-/* Host @i answers a probe. */
+/* Acknowledges a probe from host @i. */
 static void
 send_ack(struct swarm *s, uint32_t i, const struct msg_ping *ping)
 {
@@ -115,7 +117,10 @@
 	    msg_ping_decode(body, len, &ping) == STATUS_OK) {
 		send_ack(s, i, &ping);
 		msg_ping_clear(&ping);
-		/* What it carries is merged; host 0 has not answered. */
+		/* A ping to another host is passed on, so that membership
+		 * merges its records; membership, which acts as host 0, does
+		 * not respond to it.  A ping to host 0 would be answered
+		 * twice. */
 		if (i == 0)
 			return;
 	}
--- a/test/capacity/swarm_config.c
+++ b/test/capacity/swarm_config.c
@@ -1,5 +1,5 @@
 /*
- * The swarm's configuration: version 1 and those that follow.
+ * Configuration of the swarm: version 1 and the later ones.
  */
 #include <string.h>
 
@@ -10,15 +10,17 @@
 #include "proto/messages.h"
 #include "swarm_priv.h"
 
-/* A node hears of a version within this time. */
+/* Notices of a version reach a node within this time. */
 #define NOTICE_WINDOW_MS 300
-/* Others pull from it, and make it keep their floors, after this time. */
+/* Delay of other nodes' pulls from the process and of the floors that they send
+ * to the process. */
 #define PEER_PULL_DELAY_MS 700
-/* Hosts whose floors a node keeps: as many as keep its own. */
+/* Number of hosts whose floors a node keeps, equal to the number of nodes that
+ * keep its own. */
 #define FLOORS_PER_NODE 4
 #define FIRST_TIMEOUT_MS 3000
 #define SETTLE_MS 5000
-/* Longer than a version is held back at the node that signs it off. */
+/* Exceeds the time for which the signing node holds a version back. */
 #define SIGN_OFF_HOLD_MS 1000
 #define SIGN_OFF_HOLDS 2
 
@@ -41,7 +43,7 @@
 		g_error("%s", status_message());
 }
 
-/* Put version 1 into the catalog, as if pulled long ago. */
+/* Commits version 1 to the catalog, as if it had been pulled long ago. */
 static struct digest
 commit_first(struct swarm *s)
 {
@@ -133,7 +135,8 @@
 	g_byte_array_unref(body);
 }
 
-/* As each node pulls once, so each is pulled from once, by and large. */
+/* Sends one pull of a version to the process: every node pulls each version
+ * once, so on average every node is also pulled from once. */
 static void
 pull_from_subject(struct swarm *s, uint64_t version)
 {
@@ -168,7 +171,8 @@
 	}
 }
 
-/* The next version's only change, and the list that it leads to. */
+/* Changes one random service for the next version; returns the content of the
+ * changed section. */
 static GBytes *
 apply_random_change(
     struct swarm *s, struct rec_section_change *change, struct digest *root)
@@ -212,7 +216,8 @@
 	row.changes = &change;
 	spread_add_contents(s->spread, &content, 1);
 	spread_on_signed(s->spread, swarm_spread_now_ms(s), &head, &row);
-	/* The keepers' word is not waited for. */
+	/* Advance the spread's clock instead of waiting for acknowledgements of
+	 * the keepers. */
 	for (i = 0; i < SIGN_OFF_HOLDS; i++) {
 		s->clock_offset_ms += SIGN_OFF_HOLD_MS;
 		spread_tick(s->spread, swarm_spread_now_ms(s));
--- a/test/capacity/swarm_net.c
+++ b/test/capacity/swarm_net.c
@@ -1,5 +1,5 @@
 /*
- * The swarm's sockets: one datagram socket and one listener for all hosts.
+ * Sockets of the swarm: one datagram socket and one listener for all hosts.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -17,7 +17,7 @@
 #define HEADER_BYTES 28
 #define CONNECT_TIMEOUT_MS 2000
 
-/* A datagram that leaves later. */
+/* Datagram to be sent when the timer expires. */
 struct delayed_datagram {
 	struct swarm *swarm;
 	struct loop_timer timer;
@@ -26,7 +26,7 @@
 	GByteArray *body;
 };
 
-/* Ancillary data that says which address of the host is meant. */
+/* Ancillary data with the local address of a datagram. */
 union packet_info {
 	struct cmsghdr header;
 	uint8_t bytes[CMSG_SPACE(sizeof(struct in_pktinfo))];
@@ -98,7 +98,7 @@
 	loop_timer_set(&l->timer, loop_now_ms(s->loop) + ms);
 }
 
-/* Number of the host that has an address. */
+/* Returns the index of the host with an address; 0 for unknown ones. */
 static uint32_t
 host_index(const struct swarm *s, uint32_t ip)
 {
@@ -187,7 +187,8 @@
 	g_hash_table_insert(s->conns, g_memdup2(&id, sizeof(id)), c);
 }
 
-/* A frame to a connection, or over a new one to the process. */
+/* Sends a frame over an existing connection, or over a new one to the
+ * process. */
 static void
 send_frame(struct swarm *s, const struct outbox_item *item)
 {
--- a/test/capacity/swarm_table.c
+++ b/test/capacity/swarm_table.c
@@ -1,5 +1,5 @@
 /*
- * The swarm's table of hosts.
+ * Membership table of the swarm.
  */
 #include <stdio.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 #define CALL_PORT 7401
 #define UPSTREAM_PORT 8080
 #define SLOTS 12
-/* A record that is new is heard within this time. */
+/* Gossip of a changed record reaches a node within this time. */
 #define GOSSIP_WINDOW_MS 1500
 #define SETTLE_MS 10000
 #define SETTLE_STEP_MS 100
@@ -36,7 +36,8 @@
 	return g_rand_int(s->rand) % MAX(1, s->params.local_members);
 }
 
-/* Number of the data centre of host @i; the first hosts are at home. */
+/* Returns the data centre of host @i; the first hosts are in that of the
+ * process. */
 static uint32_t
 data_centre_of(const struct swarm_params *p, uint32_t i)
 {
@@ -123,8 +124,8 @@
 }
 
 /*
- * The table is that of host 0, which starts alone; it is never ticked again,
- * so that it probes and suspects nobody.
+ * The table belongs to host 0, which starts alone.  It is not ticked after the
+ * start, so that it neither probes nor suspects any host.
  */
 void
 swarm_table_new(struct swarm *s)
--- a/test/capacity/usage.c
+++ b/test/capacity/usage.c
@@ -1,5 +1,5 @@
 /*
- * What a process has used, read from /proc.
+ * Resource usage of a process, read from /proc.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +12,7 @@
 #define PATH_BYTES 64
 #define NS_PER_US 1000
 
-/* Processor time of one thread: the first number of its schedstat. */
+/* Returns the processor time of a thread, the first number of its schedstat. */
 static uint64_t
 thread_us(pid_t pid, const char *tid)
 {
@@ -60,7 +60,7 @@
 		g_dir_close(d);
 }
 
-/* A line of a file of /proc like "Rss:   1234 kB". */
+/* Parses a line such as "Rss:   1234 kB" of a file in /proc. */
 static uint64_t
 line_kb(const char *text, const char *name)
 {
--- a/test/capacity/usage.h
+++ b/test/capacity/usage.h
@@ -1,5 +1,5 @@
 /*
- * What a process has used, as the system counts it: processor time of each
+ * Resource usage of a process as counted by the kernel: processor time of each
  * thread, memory, threads and descriptors.
  */
 #ifndef CAPACITY_USAGE_H
@@ -9,13 +9,13 @@
 #include <sys/types.h>
 
 /**
- * struct usage - what a process has used until now
- * @cpu_us: processor time of all threads that live
+ * struct usage - resource usage so far
+ * @cpu_us: processor time of all running threads
  * @max_thread_us: processor time of the thread that used most
- * @rss_kb: memory that is resident, shared pages of libraries included
- * @anonymous_kb: resident memory of the process alone (anonymous pages)
- * @threads: threads that live
- * @fds: open descriptors
+ * @rss_kb: resident memory, including shared pages of libraries
+ * @anonymous_kb: resident anonymous pages, which belong to the process alone
+ * @threads: number of running threads
+ * @fds: number of open descriptors
  */
 struct usage {
 	uint64_t cpu_us;
@@ -26,7 +26,8 @@
 	uint32_t fds;
 };
 
-/** usage_read() - read the counts of a process; zeros when it has ended */
+/** usage_read() - read the usage of a process; zeros if the process has
+ * ended */
 void usage_read(pid_t pid, struct usage *u);
 
 /** usage_load() - load average of the machine over the last minute */
