--- a/test/capacity/bench_control.c
+++ b/test/capacity/bench_control.c
@@ -126,8 +126,8 @@
 
 	subject_usage(&b->subject, &u);
 	printf("%7u %3u %5u %5u %6.2f %5.2f | %6.0f us/s %6.3f %% busiest "
-	       "%6.0f | in %5.0f out %5.0f B/s, %5.1f msgs/s | rss %5.1f own "
-	       "%5.1f MB, %u threads, load %.1f\n",
+	       "%6.0f | in %5.0f out %5.0f B/s, %5.1f msgs/s | rss %5.1f "
+	       "anonymous %5.1f MB, %u threads, load %.1f\n",
 	    b->params.members, b->params.data_centres, b->params.local_members,
 	    b->params.services, per_second(t->changes, t0->changes, s),
 	    per_second(t->versions, t0->versions, s),
@@ -170,7 +170,7 @@
 	subject_usage(&b->subject, &before);
 	swarm_fail(b->swarm, b->fail);
 	run_loop(b, FAILURE_PERIOD_MS);
-	printf("  %u hosts of one data centre fail at once, %u s on:\n",
+	printf("  %u hosts of one data centre fail at once, over %u s:\n",
 	    b->fail, FAILURE_PERIOD_MS / 1000);
 	report(b, &before, &traffic, FAILURE_PERIOD_MS / THOUSAND);
 }
@@ -220,7 +220,7 @@
 			*options[i].value = value;
 			return;
 		}
-	g_error("There is no option %s.", name);
+	g_error("Unknown option %s.", name);
 }
 
 static void
@@ -232,7 +232,7 @@
 	for (i = 1; i < argc; i++) {
 		value = strchr(argv[i], '=');
 		if (value == NULL)
-			g_error("Options are name=value.");
+			g_error("Options must have the form name=value.");
 		*value++ = '\0';
 		set_option(b, argv[i], (uint32_t)strtoul(value, NULL, 10));
 	}
--- a/test/capacity/bench_depth.c
+++ b/test/capacity/bench_depth.c
@@ -181,7 +181,7 @@
 	p50 = (int)quantile(times[0], 500) - (int)quantile(times[1], 500);
 	p99 = (int)quantile(times[0], 990) - (int)quantile(times[1], 990);
 	printf("depth %2u: direct p50 %6u p99 %6u us, through nodes p50 %6u "
-	       "p99 %6u us; added p50 %6d p99 %6d us, a layer %4d and %4d; "
+	       "p99 %6u us; added p50 %6d p99 %6d us, per layer %4d and %4d; "
 	       "%u calls each, %u failed, load %.1f\n",
 	    depth, quantile(times[1], 500), quantile(times[1], 990),
 	    quantile(times[0], 500), quantile(times[0], 990), p50, p99,
--- a/test/capacity/bench_guard.c
+++ b/test/capacity/bench_guard.c
@@ -83,7 +83,8 @@
 	while (count(b) < n && clock_now_ms() < until_ms)
 		run_loop(b, POLL_MS);
 	if (count(b) < n)
-		g_error("Only %" PRIu64 " of %" PRIu64 " came.", count(b), n);
+		g_error("Timeout: only %" PRIu64 " of %" PRIu64 " are counted.",
+		    count(b), n);
 	run_loop(b, SETTLE_MS);
 }
 
@@ -129,7 +130,7 @@
 			g_usleep(100000);
 	}
 	if (code / 100 != 2)
-		g_error("The sign-off ended with %d.", code);
+		g_error("The sign-off failed with status %d.", code);
 	g_string_free(json, TRUE);
 }
 
@@ -224,7 +225,8 @@
 		each = ((double)u.anonymous_kb -
 			   (double)b->baseline.anonymous_kb) /
 		    n;
-	printf("%6u %-22s rss %6.1f own %6.1f MB, %6.2f KB each, %u threads, "
+	printf("%6u %-22s rss %6.1f anonymous %6.1f MB, %6.2f KB each, %u "
+	       "threads, "
 	       "%u descriptors\n",
 	    n, name, (double)u.rss_kb / KB, (double)u.anonymous_kb / KB, each,
 	    u.threads, u.fds);
@@ -239,8 +241,8 @@
 	subject_usage(&b->subject, &from);
 	run_loop(b, IDLE_MS);
 	subject_usage(&b->subject, &to);
-	printf("%6u connections, idle: %.0f us of processor time a second\n", n,
-	    (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
+	printf("%6u connections, idle: %.0f us of processor time per second\n",
+	    n, (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
 }
 
 static void
@@ -275,7 +277,7 @@
 	}
 	set_hold(b, 0);
 	run_until(b, count_ended, n);
-	report(b, "answered again", n);
+	report(b, "after the responses", n);
 }
 
 /* Bookings, whose fates are kept for the window. */
@@ -297,7 +299,7 @@
 				run_loop(b, 1);
 		}
 		run_loop(b, SETTLE_MS);
-		report(b, "fates remembered", n);
+		report(b, "fates kept", n);
 	}
 	printf("  done %" PRIu64 ", refused %" PRIu64 "\n",
 	    entries_counts(b->entries)->done,
@@ -316,7 +318,7 @@
 	sin.sin_addr.s_addr = htonl(subject_address(0));
 	if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0 ||
 	    send(fd, request, sizeof(request) - 1, MSG_NOSIGNAL) < 0)
-		g_error("A caller can't connect.");
+		g_error("A caller can't connect to the node.");
 	return fd;
 }
 
@@ -333,7 +335,7 @@
 		for (; n < sizes[i]; n++)
 			fds[n] = send_caller_request(b);
 		run_until(b, count_held, n);
-		report(b, "callers that wait", n);
+		report(b, "waiting callers", n);
 	}
 	set_hold(b, 0);
 	run_loop(b, SETTLE_MS);
@@ -349,7 +351,7 @@
 	subject_usage(&b->subject, &from);
 	run_loop(b, IDLE_MS);
 	subject_usage(&b->subject, &to);
-	printf("a poll each %u ms: %.0f us of processor time a second\n",
+	printf("one poll every %u ms: %.0f us of processor time per second\n",
 	    poll_ms, (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
 }
 
--- a/test/capacity/bench_herd.c
+++ b/test/capacity/bench_herd.c
@@ -76,7 +76,7 @@
 	    "%5u of %5u nodes start, %u data centres, %u services: all serve "
 	    "after %" PRIu64 " ms; platform: %" PRIu64
 	    " reads, at most %" PRIu64
-	    " in a second; a starting node received %.0f KB (most %.0f), a "
+	    " in a second; a starting node received %.0f KB (max %.0f), a "
 	    "node sent %.0f KB at most; violations %u\n",
 	    n, w->n_nodes, w->config.data_centres, w->config.services, ms,
 	    w->platform.reads, w->platform.peak_reads_per_s,
@@ -103,7 +103,7 @@
 	config.services = (uint32_t)strtoul(argv[3], NULL, 10);
 	w = world_new(&config);
 	if (!world_start_all(w, START_TIMEOUT_MS))
-		printf("not all nodes came up\n");
+		printf("not all nodes are ready\n");
 	world_run(w, SETTLE_MS);
 	n = argc > 4 ? w->n_nodes : config.nodes;
 	restart(w, n);
--- a/test/capacity/bench_retries.c
+++ b/test/capacity/bench_retries.c
@@ -111,12 +111,13 @@
 		c.now_ms = i / CALLS_PER_MS;
 		n_ok += (uint64_t)call_layer(&c, 0);
 	}
-	printf("%2u layers, %3u %% of the last fail, %-21s: %10.2f calls of "
-	       "the last and %10.2f of all for each, %5.1f %% good%s\n",
+	printf("%2u layers, %3u %% of the last layer's calls fail, %-21s: per "
+	       "call %10.2f calls of "
+	       "the last layer and %10.2f of all, %5.1f %% successful%s\n",
 	    layers, percent, names[policy],
 	    (double)c.calls[layers - 1] / (double)i,
 	    (double)c.total_calls / (double)i, 100.0 * (double)n_ok / (double)i,
-	    c.total_calls > TOTAL_CALLS_MAX ? " (broken off)" : "");
+	    c.total_calls > TOTAL_CALLS_MAX ? " (aborted)" : "");
 	g_rand_free(c.rand);
 }
 
--- a/test/capacity/bench_sign_off.c
+++ b/test/capacity/bench_sign_off.c
@@ -119,7 +119,7 @@
 	to = read_platform_requests(b);
 	printf("%5u services, %s: %u of %u done; each %.1f ms, %.1f ms of "
 	       "processor time, %.1f reads, %.1f writes, %" JSON_INTEGER_FORMAT
-	       " turned away; rss %.1f own %.1f MB\n",
+	       " rejected; rss %.1f anonymous %.1f MB\n",
 	    b->services, what, done, n, ms / n,
 	    (double)(after.cpu_us - before.cpu_us) / US_PER_MS / n,
 	    (double)(to.reads - from.reads) / n,
--- a/test/capacity/swarm_config.c
+++ b/test/capacity/swarm_config.c
@@ -102,7 +102,7 @@
 	spread_tick(s->spread, now_ms);
 	drop_actions(s);
 	if (!spread_ready(s->spread))
-		g_error("The swarm holds no version.");
+		g_error("The swarm did not apply version 1.");
 }
 
 uint64_t
@@ -226,7 +226,7 @@
 	swarm_flush(s, 0);
 	g_bytes_unref(content);
 	if (catalog_version(s->catalog) != version)
-		g_error("The swarm did not get to version %" G_GUINT64_FORMAT
+		g_error("The swarm did not apply version %" G_GUINT64_FORMAT
 			".",
 		    version);
 	s->traffic.versions++;
