--- a/test/capacity/bench_guard.c
+++ b/test/capacity/bench_guard.c
@@ -1,13 +1,12 @@
 /*
- * Bench of what a real process holds for calls: memory for each connection
- * of another node's entry, each call in flight at its upstream, each fate
- * that is remembered and each caller that waits; and its processor time when
- * nothing happens.
+ * Benchmark of the memory that a real process uses for calls: for each
+ * connection of another node's entry, each call in flight at its upstream, each
+ * fate kept and each waiting caller; and of its processor time when idle.
  *
  *	bench_guard connections | in_flight | fates | callers | polls
  *
- * polls: what a reader's polls of the platform cost, which it does at rates
- * above the usual one.
+ * polls: processor time of a reader's platform polls, at poll rates above the
+ * default.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -28,16 +27,16 @@
 #include "standins/platform.h"
 #include "subject.h"
 
-#define PLATFORM_PLACE 100
+#define PLATFORM_INDEX 100
 #define PLATFORM_THREADS 4
 #define SLOTS 2000
 #define UPSTREAMS 4
 #define POLL_MS 10
 #define SETTLE_MS 1500
-#define WAIT_MS 60000
+#define WAIT_TIMEOUT_MS 60000
 #define IDLE_MS 10000
 #define KB 1000.0
-#define FATES_AT_ONCE 100
+#define FATES_PER_BATCH 100
 #define CODE_OK 200
 
 static const char settings[] =
@@ -46,12 +45,12 @@
 
 /**
  * struct bench - one run
- * @loop: loop of the entries and of the upstream
- * @platform: stand-in of the platform
- * @upstreams: what the process guards, each of a service of its own
+ * @loop: event loop of the entries and upstreams
+ * @platform: stand-in for the platform
+ * @upstreams: upstreams behind the process's guard, one for each service
  * @entries: entries of other nodes
  * @subject: the process
- * @base: what it used before the load
+ * @baseline: usage of the process before the load
  */
 struct bench {
 	struct loop *loop;
@@ -59,14 +58,14 @@
 	struct holder *upstreams[UPSTREAMS];
 	struct entries *entries;
 	struct subject subject;
-	struct usage base;
+	struct usage baseline;
 };
 
-static const char *what;
+static const char *bench_name;
 static uint32_t poll_ms = 1000;
 
 static void
-run(const struct bench *b, uint64_t ms)
+run_loop(const struct bench *b, uint64_t ms)
 {
 	uint64_t until_ms = clock_now_ms() + ms;
 
@@ -74,24 +73,25 @@
 		loop_run_once(b->loop, MIN(until_ms, clock_now_ms() + POLL_MS));
 }
 
-/* Run until a count has come to a number. */
+/* Runs the loop until a count has reached @n. */
 static void
 run_until(
     const struct bench *b, uint64_t (*count)(const struct bench *), uint64_t n)
 {
-	uint64_t until_ms = clock_now_ms() + WAIT_MS;
+	uint64_t until_ms = clock_now_ms() + WAIT_TIMEOUT_MS;
 
 	while (count(b) < n && clock_now_ms() < until_ms)
-		run(b, POLL_MS);
+		run_loop(b, POLL_MS);
 	if (count(b) < n)
-		g_error("Only %" PRIu64 " of %" PRIu64 " came.", count(b), n);
-	run(b, SETTLE_MS);
+		g_error("Timeout: only %" PRIu64 " of %" PRIu64 " are counted.",
+		    count(b), n);
+	run_loop(b, SETTLE_MS);
 }
 
 static uint64_t
 count_greeted(const struct bench *b)
 {
-	return entries_counts(b->entries)->greeted;
+	return entries_counts(b->entries)->n_connected;
 }
 
 static uint64_t
@@ -130,7 +130,7 @@
 			g_usleep(100000);
 	}
 	if (code / 100 != 2)
-		g_error("The sign-off ended with %d.", code);
+		g_error("The sign-off failed with status %d.", code);
 	g_string_free(json, TRUE);
 }
 
@@ -148,9 +148,9 @@
 	}
 }
 
-/* Calls of entries, to the services in turn. */
+/* Sends a call from an entry, to the services in turn. */
 static void
-call(const struct bench *b, uint32_t n, int booking)
+send_call(const struct bench *b, uint32_t n, int booking)
 {
 	char service[BUNDLE_TEXT_SERVICE_BYTES];
 
@@ -159,7 +159,7 @@
 }
 
 static void
-hold(const struct bench *b, int on)
+set_hold(const struct bench *b, int on)
 {
 	uint32_t i;
 
@@ -173,21 +173,21 @@
 static void
 start(struct bench *b)
 {
-	struct subject_plan plan = {
+	struct subject_config config = {
 	    .host = "subject", .data_centre = "centre-00"};
 	char address[HARNESS_ADDRESS_BYTES];
 	struct net_addr guard;
 	uint16_t port;
 
-	(void)addr_format_ip(subject_address(PLATFORM_PLACE), address);
+	(void)addr_format_ip(subject_address(PLATFORM_INDEX), address);
 	harness_choose_ports(address, &port, 1);
 	if (platform_start(address, port, PLATFORM_THREADS, &b->platform) !=
 	    STATUS_OK)
 		g_error("%s", status_message());
-	plan.platform =
-	    (struct net_addr){subject_address(PLATFORM_PLACE), port};
-	plan.settings = g_strdup_printf(settings, poll_ms);
-	subject_start(&b->subject, &plan);
+	config.platform =
+	    (struct net_addr){subject_address(PLATFORM_INDEX), port};
+	config.settings = g_strdup_printf(settings, poll_ms);
+	subject_start(&b->subject, &config);
 	sign_off(b);
 	while (!subject_ready(&b->subject))
 		g_usleep(POLL_MS * 1000);
@@ -195,9 +195,9 @@
 	start_upstreams(b);
 	guard = (struct net_addr){subject_address(0), b->subject.call_port};
 	b->entries = entries_new(b->loop, guard);
-	run(b, SETTLE_MS);
-	subject_usage(&b->subject, &b->base);
-	g_free((gpointer)plan.settings);
+	run_loop(b, SETTLE_MS);
+	subject_usage(&b->subject, &b->baseline);
+	g_free((gpointer)config.settings);
 }
 
 static void
@@ -213,7 +213,7 @@
 	platform_stop(b->platform);
 }
 
-/* Memory since the start, and for each of @n. */
+/* Prints the memory of the process, and its growth per item. */
 static void
 report(const struct bench *b, const char *name, uint32_t n)
 {
@@ -222,24 +222,27 @@
 
 	subject_usage(&b->subject, &u);
 	if (n > 0)
-		each = ((double)u.own_kb - (double)b->base.own_kb) / n;
-	printf("%6u %-22s rss %6.1f own %6.1f MB, %6.2f KB each, %u threads, "
+		each = ((double)u.anonymous_kb -
+			   (double)b->baseline.anonymous_kb) /
+		    n;
+	printf("%6u %-22s rss %6.1f anonymous %6.1f MB, %6.2f KB each, %u "
+	       "threads, "
 	       "%u descriptors\n",
-	    n, name, (double)u.rss_kb / KB, (double)u.own_kb / KB, each,
+	    n, name, (double)u.rss_kb / KB, (double)u.anonymous_kb / KB, each,
 	    u.threads, u.fds);
 }
 
-/* Processor time while nothing is asked of it. */
+/* Prints the processor time of the idle process. */
 static void
 report_idle(const struct bench *b, uint32_t n)
 {
 	struct usage from, to;
 
 	subject_usage(&b->subject, &from);
-	run(b, IDLE_MS);
+	run_loop(b, IDLE_MS);
 	subject_usage(&b->subject, &to);
-	printf("%6u connections, idle: %.0f us of processor time a second\n", n,
-	    (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
+	printf("%6u connections, idle: %.0f us of processor time per second\n",
+	    n, (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
 }
 
 static void
@@ -264,20 +267,20 @@
 
 	entries_connect(b->entries, 20);
 	run_until(b, count_greeted, 20);
-	subject_usage(&b->subject, &b->base);
-	hold(b, 1);
+	subject_usage(&b->subject, &b->baseline);
+	set_hold(b, 1);
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		for (; n < sizes[i]; n++)
-			call(b, n, 0);
+			send_call(b, n, 0);
 		run_until(b, count_held, n);
 		report(b, "calls in flight", n);
 	}
-	hold(b, 0);
+	set_hold(b, 0);
 	run_until(b, count_ended, n);
-	report(b, "answered again", n);
+	report(b, "after the responses", n);
 }
 
-/* Bookings one after the other; their fates stay for the window. */
+/* Bookings, whose fates are kept for the window. */
 static void
 bench_fates(struct bench *b)
 {
@@ -286,17 +289,17 @@
 
 	entries_connect(b->entries, 20);
 	run_until(b, count_greeted, 20);
-	subject_usage(&b->subject, &b->base);
+	subject_usage(&b->subject, &b->baseline);
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		while (n < sizes[i]) {
-			for (k = 0; k < FATES_AT_ONCE; k++)
-				call(b, k, 1);
-			n += FATES_AT_ONCE;
+			for (k = 0; k < FATES_PER_BATCH; k++)
+				send_call(b, k, 1);
+			n += FATES_PER_BATCH;
 			while (count_ended(b) < n)
-				run(b, 1);
+				run_loop(b, 1);
 		}
-		run(b, SETTLE_MS);
-		report(b, "fates remembered", n);
+		run_loop(b, SETTLE_MS);
+		report(b, "fates kept", n);
 	}
 	printf("  done %" PRIu64 ", refused %" PRIu64 "\n",
 	    entries_counts(b->entries)->done,
@@ -304,7 +307,7 @@
 }
 
 static int
-call_through(const struct bench *b)
+send_caller_request(const struct bench *b)
 {
 	static const char request[] =
 	    "GET /service-0000/part-0 HTTP/1.1\r\nHost: bench\r\n\r\n";
@@ -315,11 +318,11 @@
 	sin.sin_addr.s_addr = htonl(subject_address(0));
 	if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0 ||
 	    send(fd, request, sizeof(request) - 1, MSG_NOSIGNAL) < 0)
-		g_error("A caller can't connect.");
+		g_error("A caller can't connect to the node.");
 	return fd;
 }
 
-/* Callers that wait for answers: a thread of the process each. */
+/* Waiting callers, each of which occupies a thread of the process. */
 static void
 bench_callers(struct bench *b)
 {
@@ -327,15 +330,15 @@
 	int fds[200];
 	uint32_t i, n = 0;
 
-	hold(b, 1);
+	set_hold(b, 1);
 	for (i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		for (; n < sizes[i]; n++)
-			fds[n] = call_through(b);
+			fds[n] = send_caller_request(b);
 		run_until(b, count_held, n);
-		report(b, "callers that wait", n);
+		report(b, "waiting callers", n);
 	}
-	hold(b, 0);
-	run(b, SETTLE_MS);
+	set_hold(b, 0);
+	run_loop(b, SETTLE_MS);
 	while (n > 0)
 		(void)close(fds[--n]);
 }
@@ -346,9 +349,9 @@
 	struct usage from, to;
 
 	subject_usage(&b->subject, &from);
-	run(b, IDLE_MS);
+	run_loop(b, IDLE_MS);
 	subject_usage(&b->subject, &to);
-	printf("a poll each %u ms: %.0f us of processor time a second\n",
+	printf("one poll every %u ms: %.0f us of processor time per second\n",
 	    poll_ms, (double)(to.cpu_us - from.cpu_us) * KB / IDLE_MS);
 }
 
@@ -369,9 +372,9 @@
 	uint32_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(benches); i++) {
-		if (strcmp(benches[i].name, what) != 0)
+		if (strcmp(benches[i].name, bench_name) != 0)
 			continue;
-		printf("%s, load %.1f\n", what, usage_load());
+		printf("%s, load %.1f\n", bench_name, usage_load());
 		start(&b);
 		benches[i].fn(&b);
 		stop(&b);
@@ -386,7 +389,7 @@
 		       "callers|polls [ms between polls]\n");
 		return EXIT_FAILURE;
 	}
-	what = argv[1];
+	bench_name = argv[1];
 	if (argc > 2)
 		poll_ms = (uint32_t)strtoul(argv[2], NULL, 10);
 	return subject_run(bench_run);
--- a/test/capacity/usage.c
+++ b/test/capacity/usage.c
@@ -1,5 +1,5 @@
 /*
- * What a process has used, read from /proc.
+ * Resource usage of a process, read from /proc.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +12,7 @@
 #define PATH_BYTES 64
 #define NS_PER_US 1000
 
-/* Processor time of one thread: the first number of its schedstat. */
+/* Returns the processor time of a thread, the first number of its schedstat. */
 static uint64_t
 thread_us(pid_t pid, const char *tid)
 {
@@ -53,14 +53,14 @@
 	while (d != NULL && (tid = g_dir_read_name(d)) != NULL) {
 		us = thread_us(pid, tid);
 		u->cpu_us += us;
-		u->most_us = MAX(u->most_us, us);
+		u->max_thread_us = MAX(u->max_thread_us, us);
 		u->threads++;
 	}
 	if (d != NULL)
 		g_dir_close(d);
 }
 
-/* A line of a file of /proc like "Rss:   1234 kB". */
+/* Parses a line such as "Rss:   1234 kB" of a file in /proc. */
 static uint64_t
 line_kb(const char *text, const char *name)
 {
@@ -79,7 +79,7 @@
 	if (!g_file_get_contents(path, &text, NULL, NULL))
 		return;
 	u->rss_kb = line_kb(text, "\nRss:");
-	u->own_kb = line_kb(text, "\nAnonymous:");
+	u->anonymous_kb = line_kb(text, "\nAnonymous:");
 	g_free(text);
 }
 
--- a/test/rollout/test_rollout_sparse.c
+++ b/test/rollout/test_rollout_sparse.c
@@ -1,6 +1,7 @@
 /*
- * Tests of rollouts of services with few requests: an order of 5 s sees 100 of
- * them, or 1,000, and a version must be told from those it may get of them.
+ * Tests of rollouts of services with few requests: 100 or 1,000 of them in an
+ * order of 5 s, so that the verdict on a version rests on its small share of
+ * these.
  */
 #include <check.h>
 
@@ -14,8 +15,8 @@
 
 START_TEST(a_good_version_with_few_requests_is_completed)
 {
-	struct fleet_plan p = {.n_hosts = sizes[_i / 2],
-	    .per_s = rates[_i % 2],
+	struct fleet_config p = {.n_hosts = sizes[_i / 2],
+	    .requests_per_s = rates[_i % 2],
 	    .duration_ms = FLEET_DURATION_MS};
 
 	fleet_check(&p);
@@ -24,11 +25,12 @@
 
 START_TEST(a_bad_version_with_few_requests_is_rolled_back)
 {
-	struct fleet_plan p = {.n_hosts = sizes[_i / 2],
-	    .per_s = rates[_i % 2],
+	struct fleet_config p = {.n_hosts = sizes[_i / 2],
+	    .requests_per_s = rates[_i % 2],
 	    .duration_ms = FLEET_DURATION_MS};
 
-	for (p.fault = FLEET_FAILS; p.fault <= FLEET_FAILS_LATER; p.fault++)
+	for (p.fault = FLEET_FAULT_ERRORS; p.fault <= FLEET_FAULT_ERRORS_LATER;
+	     p.fault++)
 		fleet_check(&p);
 }
 END_TEST
