--- a/tools/gen_messages.py
+++ b/tools/gen_messages.py
@@ -32,7 +32,8 @@
             "short", "signed", "sizeof", "static", "struct", "switch",
             "typedef", "union", "unsigned", "void", "volatile", "while",
             "bool", "true", "false"}
-# MSG_ constants of <sys/socket.h>, which messages may not be named after.
+# Names of MSG_ constants in <sys/socket.h>, and MSG_NONE; a message with one
+# of these names would redefine the constant.
 SOCKET_FLAGS = {"oob", "peek", "dontroute", "ctrunc", "proxy", "trunc",
                 "dontwait", "eor", "waitall", "fin", "syn", "confirm", "rst",
                 "errqueue", "nosignal", "more", "waitforone", "batch",
@@ -42,7 +43,7 @@
 
 
 class Schema:
-    """All schema files, merged and checked."""
+    """Merges and validates all schema files."""
 
     def __init__(self):
         self.files = {}
@@ -61,7 +62,7 @@
             try:
                 data = json.loads(path.read_text())
             except ValueError as e:
-                self.error(path.stem, f"is not JSON: {e}")
+                self.error(path.stem, f"is not valid JSON: {e}")
                 continue
             self.files[path.stem] = data
             self.collect(path.stem, data)
@@ -73,7 +74,7 @@
             sys.exit("\n".join(self.errors))
 
     def collect(self, subject, data):
-        """Register what a file defines, and where."""
+        """Register the definitions of a file by name, with the file's name."""
         for unknown in set(data) - {"doc", "enums", "structs", "messages"}:
             self.error(subject, f"unknown key {unknown}")
         for kind in ("enums", "structs", "messages"):
@@ -81,7 +82,7 @@
             for item in data.get(kind, []):
                 name = item.get("name", "")
                 if name in known:
-                    self.error(subject, f"{name} is also in "
+                    self.error(subject, f"{name} is also defined in "
                                f"schema/{known[name][0]}.json; rename one")
                 known[name] = (subject, item)
 
@@ -97,7 +98,7 @@
 
     def check_name(self, subject, name, where):
         if not LOWER.match(name) or name in KEYWORDS:
-            self.error(subject, f"{where}: \"{name}\" is no usable name")
+            self.error(subject, f"{where}: \"{name}\" is not a valid name")
 
     def check_keys(self, subject, item, where, needed, allowed=()):
         for key in needed:
@@ -117,21 +118,21 @@
         if not 0 < len(values) <= ENUM_VALUES_MAX:
             self.error(subject, f"{name}: needs 1 to {ENUM_VALUES_MAX} values")
         if len(set(values)) != len(values):
-            self.error(subject, f"{name}: a value stands twice")
+            self.error(subject, f"{name}: duplicate value")
         for v in item.get("values", []):
             self.check_keys(subject, v, name, ("name", "doc"))
 
     def check_id(self, subject, item):
         name, number = item.get("name", ""), item.get("id")
         if name in SOCKET_FLAGS:
-            self.error(subject, f"{name}: MSG_{name.upper()} is taken by "
-                       "<sys/socket.h> or by no message; rename it")
+            self.error(subject, f"{name}: MSG_{name.upper()} is defined by "
+                       "<sys/socket.h> or reserved; rename the message")
         if not isinstance(number, int) or not 0 < number <= ID_MAX:
             self.error(subject, f"{name}: id must be 1 to {ID_MAX}")
         for other, (where, m) in self.messages.items():
             if other != name and m.get("id") == number:
-                self.error(subject, f"{name}: id {number} is also that of "
-                           f"{other} in schema/{where}.json")
+                self.error(subject, f"{name}: id {number} is already used "
+                           f"by {other} in schema/{where}.json")
 
     def check_fields(self, subject, item):
         name = item.get("name", "")
@@ -146,7 +147,7 @@
         if not members:
             self.error(subject, f"{name}: has no fields")
         for m in {m for m in members if members.count(m) > 1}:
-            self.error(subject, f"{name}: member {m} stands twice")
+            self.error(subject, f"{name}: duplicate member {m}")
 
     def check_field(self, subject, f, where):
         kind = f.get("type", "")
@@ -175,13 +176,13 @@
         return of in SCALARS or of in self.enums or of in self.structs
 
     def order_structs(self):
-        """Names of structs, each after those it contains."""
+        """Return the names of structs, each after the structs it contains."""
         done, order = set(), []
 
         def visit(name, path):
             if name in path:
                 self.error(self.structs[name][0],
-                           f"{name} contains itself by way of {path[-1]}")
+                           f"{name} contains itself through {path[-1]}")
                 return
             if name in done:
                 return
@@ -200,7 +201,7 @@
                 if self.structs[n][0] == subject]
 
     def needs(self, subject):
-        """Other subjects whose headers this subject's header includes."""
+        """Return the subjects whose headers this subject's header includes."""
         needed = set()
         data = self.files[subject]
         for item in data.get("structs", []) + data.get("messages", []):
@@ -212,14 +213,14 @@
 
 
 def item_type(schema, of):
-    """C type of a list's element, or of an enum or struct field."""
+    """Return the C type of a list's element or of an enum or struct field."""
     if of in SCALARS:
         return SCALARS[of]
     return f"enum {of}" if of in schema.enums else f"struct rec_{of}"
 
 
 def c_members(schema, f):
-    """(declaration, name) of each member that a field becomes."""
+    """Return (declaration, name) of each C member generated for a field."""
     name, kind = f.get("name", ""), f.get("type", "")
     if kind in SCALARS:
         return [(f"{SCALARS[kind]} {name}", name)]
@@ -248,8 +249,9 @@
         members += [f"\t{decl};" for decl, _ in parts]
         lines.append(f"@{parts[0][1]}: {f['doc']}{NOTES.get(f['type'], '')}")
         for _, name in parts[1:]:
-            what = "number of" if f["type"] == "list" else "bytes in"
-            lines.append(f"@{name}: {what} @{f['name']}")
+            unit = ("number of elements in" if f["type"] == "list"
+                    else "number of bytes in")
+            lines.append(f"@{name}: {unit} @{f['name']}")
     return "\n".join([generate.kernel_doc(lines), f"struct {tag} {{", *members,
                       "};", ""])
 
@@ -268,7 +270,7 @@
     values = [f"\t{prefix}_{v['name'].upper()}{' = 0' if i == 0 else ''},"
               for i, v in enumerate(item["values"])]
     doc = generate.kernel_doc(
-        [f"{name}_name() - name of a value, as in logs and JSON"])
+        [f"{name}_name() - name of a value, as used in logs and JSON"])
     return "\n".join([
         generate.kernel_doc(lines), f"enum {name} {{", *values, "};", "",
         f"#define {prefix}_VALUES {len(values)}", "",
@@ -277,10 +279,10 @@
 
 def c_message(schema, item):
     name = item["name"]
-    docs = [f"msg_{name}_encode() - append a message's body to @out",
-            f"msg_{name}_decode() - read a message's body; see codec_decode()",
-            f"msg_{name}_clear() - free the message's lists and set it to "
-            "zero"]
+    docs = [f"msg_{name}_encode() - append the encoded message to @out",
+            f"msg_{name}_decode() - decode a message; see codec_decode()",
+            f"msg_{name}_clear() - free the message's lists and zero the "
+            "message"]
     return "\n".join([
         c_struct(schema, item, "msg"),
         f"extern const struct codec_desc msg_{name}_desc;", "",
@@ -312,8 +314,8 @@
     maxima = [line for s in structs for line in c_maxima(s, "rec")]
     maxima += [line for m in messages for line in c_maxima(m, "msg")]
     if maxima:
-        out += ["/* Most bytes of a text or binary field, most elements of a "
-                "list. */", *maxima, ""]
+        out += ["/* Maximum bytes of a text or binary field, maximum elements "
+                "of a list. */", *maxima, ""]
     out += [c_enum(e) for e in data.get("enums", [])]
     for s in structs:
         out += [c_struct(schema, s, "rec"),
@@ -335,7 +337,7 @@
 
 
 def c_field(schema, tag, f):
-    """Initialiser of one struct codec_field."""
+    """Return the initialiser of one struct codec_field."""
     name, kind = f["name"], f["type"]
     parts = [f'.name = "{name}"', f".kind = CODEC_{kind.upper()}",
              f".offset = offsetof(struct {tag}, {name})"]
@@ -390,7 +392,8 @@
 
 def source(schema, subject):
     data = schema.files[subject]
-    out = [generate.comment([f"Tables and functions of proto/gen/{subject}.h.",
+    out = [generate.comment(["Codec tables and functions of "
+                             f"proto/gen/{subject}.h.",
                              "", "Generated by tools/gen_messages.py from "
                              f"schema/{subject}.json."]),
            f'#include "proto/gen/{subject}.h"', ""]
@@ -403,7 +406,7 @@
 
 def messages_header(schema, messages):
     out = [generate.comment([
-        "All messages between nodes, and their types.", "",
+        "Messages between nodes and their type bytes.", "",
         "Generated by tools/gen_messages.py from schema/."]),
         "#ifndef PROTO_MESSAGES_H", "#define PROTO_MESSAGES_H", "",
         '#include "proto/codec.h"']
@@ -416,14 +419,14 @@
     out += [f"\tMSG_{m['name'].upper()} = {m['id']}," for m in messages]
     out += ["};", "",
             generate.kernel_doc([
-                "msg_type_name() - name of a type byte, as in logs",
-                "@type: the type byte; need not be a known type", "",
+                "msg_type_name() - name of a message type, as used in logs",
+                "@type: the type byte; may be unknown", "",
                 'Return: a static string, "unknown" for an unknown type.']),
             "const char *msg_type_name(unsigned int type);", "",
             generate.kernel_doc([
-                "msg_desc() - table of a message",
-                "@type: the type byte; need not be a known type", "",
-                "Return: its table, NULL for an unknown type."]),
+                "msg_desc() - codec table of a message type",
+                "@type: the type byte; may be unknown", "",
+                "Return: the table, NULL for an unknown type."]),
             "const struct codec_desc *msg_desc(unsigned int type);", "",
             "#endif", ""]
     return "\n".join(out)
@@ -433,7 +436,7 @@
     rows = [f"[MSG_{m['name'].upper()}] = &msg_{m['name']}_desc,"
             for m in messages]
     return "\n".join([
-        generate.comment(["Table of all messages.", "",
+        generate.comment(["Codec tables of all messages by type byte.", "",
                           "Generated by tools/gen_messages.py from schema/."]),
         '#include "proto/messages.h"', "",
         "static const struct codec_desc *const descs[] = {",
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,4 +1,4 @@
-"""What the generators share: comments, formatting, writing and checking."""
+"""Helpers of the generators: comments, formatting, writing and checking."""
 
 import pathlib
 import subprocess
@@ -13,12 +13,12 @@
 
 
 def comment(paragraphs):
-    """A plain block comment on top of a file."""
+    """Return a plain block comment for the top of a file."""
     return block("/*", paragraphs)
 
 
 def kernel_doc(lines):
-    """A kernel-doc comment; lines that start with @ are indented on."""
+    """Return a kernel-doc comment with a hanging indent for @ lines."""
     if len(lines) == 1 and len(lines[0]) <= WIDTH - 4:
         return f"/** {lines[0]} */"
     return block("/**", lines)
@@ -38,7 +38,7 @@
 
 
 def formatted(path, text):
-    """The text as clang-format leaves it."""
+    """Return the text formatted by clang-format; Markdown is unchanged."""
     if path.endswith(".md"):
         return text
     run = subprocess.run(
@@ -50,8 +50,8 @@
 def finish(argv, program, files, owned):
     """Write the files, or with --check compare them; return the exit code.
 
-    owned are glob patterns; files that match one but are not generated any
-    more are removed.
+    owned lists glob patterns; files that match a pattern and were written by
+    this generator, but are no longer generated, are removed.
     """
     check = "--check" in argv[1:]
     stale = [p for pattern in owned for p in sorted(root().glob(pattern))
