--- a/packages/proto/src/gen/settings.c
+++ b/packages/proto/src/gen/settings.c
@@ -46,7 +46,7 @@
 	.type = SETTINGS_NAME,
 	.offset = offsetof(struct settings, host),
 	.expected = "a name of 1 to 31 characters a-z, 0-9 and -",
-	.remedy = "give the name under which operators know this host",
+	.remedy = "give the host name that operators use for this host",
 	.required = 1},
     {.name = "data_centre",
 	.type = SETTINGS_NAME,
@@ -140,15 +140,15 @@
     {.name = "adapter_options",
 	.type = SETTINGS_TEXTS,
 	.offset = offsetof(struct settings, adapter_options),
-	.expected = "a list of at most 64 texts of 1 to 127 characters",
-	.remedy = "list texts of at most 127 characters",
+	.expected = "a list of at most 64 strings of 1 to 127 characters",
+	.remedy = "list strings of at most 127 characters",
 	.max = 64,
 	.count_offset = offsetof(struct settings, n_adapter_options)},
     {.name = "upstream_service",
 	.type = SETTINGS_SERVICE,
 	.offset = offsetof(struct settings, upstream_service),
-	.expected = "empty text or a service's name: 1 to 31 bytes without "
-		    "blanks, control characters, quotes, slashes and "
+	.expected = "an empty string or a service's name: 1 to 31 bytes "
+		    "without spaces, control characters, quotes, slashes and "
 		    "backslashes",
 	.remedy = "give the service's name"},
     {.name = "upstream_port",
@@ -163,7 +163,7 @@
     {.name = "seeds",
 	.type = SETTINGS_ADDRESSES,
 	.offset = offsetof(struct settings, seeds),
-	.expected = "a list of at most 64 texts like 10.0.0.1:7400",
+	.expected = "a list of at most 64 strings like 10.0.0.1:7400",
 	.remedy = "list a few hosts of different data centres, like "
 		  "[\"10.0.0.1:7400\"]",
 	.max = 64,
@@ -192,7 +192,7 @@
 	.type = SETTINGS_CHOICE,
 	.offset = offsetof(struct settings, log_level),
 	.expected = "\"debug\", \"info\", \"warning\" or \"error\"",
-	.remedy = "use info unless decisions are to be followed",
+	.remedy = "use info unless you need to trace routing decisions",
 	.initial = LOG_LEVEL_INFO,
 	.choices = log_level_names,
 	.n_choices = G_N_ELEMENTS(log_level_names)},
@@ -208,8 +208,9 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, keep_alive_ms),
 	.expected = "a whole number of milliseconds from 0 to 60000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "keep it longer than callers keep theirs",
+		    "string like 1500ms or 2.5s",
+	.remedy = "choose a longer time than callers use for their idle "
+		  "connections",
 	.min = 0,
 	.max = 60000U,
 	.initial = 15000},
@@ -217,9 +218,9 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, probe_interval_ms),
 	.expected = "a whole number of milliseconds from 50 to 60000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "keep the default; shorter finds failures sooner and "
-		  "costs more bytes",
+		    "string like 1500ms or 2.5s",
+	.remedy = "keep the default; a shorter interval detects failures "
+		  "sooner and costs more traffic",
 	.min = 50,
 	.max = 60000U,
 	.initial = 1000},
@@ -227,7 +228,7 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, probe_timeout_ms),
 	.expected = "a whole number of milliseconds from 10 to 30000, or a "
-		    "text like 1500ms or 2.5s",
+		    "string like 1500ms or 2.5s",
 	.remedy = "allow several round trips of the farthest data centre",
 	.min = 10,
 	.max = 30000U,
@@ -236,8 +237,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, suspicion_ms),
 	.expected = "a whole number of milliseconds from 100 to 600000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "allow for the longest pause that a live process may make",
+		    "string like 1500ms or 2.5s",
+	.remedy = "allow for the longest pause of a live process",
 	.min = 100,
 	.max = 600000U,
 	.initial = 5000},
@@ -245,7 +246,7 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, spread_fanout),
 	.expected = "a whole number of peers from 0 to 16",
-	.remedy = "use 0 unless a measurement speaks for another value",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 16U,
 	.initial = 0},
@@ -253,8 +254,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, spread_interval_ms),
 	.expected = "a whole number of milliseconds from 0 to 10000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "use 0 unless a measurement speaks for another value",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 10000U,
 	.initial = 0},
@@ -262,7 +263,7 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, readers_per_data_centre),
 	.expected = "a whole number of nodes from 0 to 16",
-	.remedy = "use 0 unless a measurement speaks for another value",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 16U,
 	.initial = 0},
@@ -270,8 +271,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, alone_poll_ms),
 	.expected = "a whole number of milliseconds from 0 to 60000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "use 0 unless a measurement speaks for another value",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 60000U,
 	.initial = 0},
@@ -279,8 +280,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, floor_ask_ms),
 	.expected = "a whole number of milliseconds from 0 to 10000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "use 0 unless a measurement speaks for another value",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 10000U,
 	.initial = 0},
@@ -288,8 +289,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, head_poll_ms),
 	.expected = "a whole number of milliseconds from 0 to 60000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "use 0 unless a measurement speaks for another value",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 60000U,
 	.initial = 0},
@@ -297,8 +298,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, batch_ms),
 	.expected = "a whole number of milliseconds from 0 to 10000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "use 0 unless a measurement speaks for another value",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 10000U,
 	.initial = 0},
@@ -306,8 +307,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, anti_entropy_ms),
 	.expected = "a whole number of milliseconds from 0 to 600000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "use 0 unless a measurement speaks for another value",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use 0 unless a measurement justifies another value",
 	.min = 0,
 	.max = 600000U,
 	.initial = 0},
@@ -315,7 +316,7 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, pull_timeout_ms),
 	.expected = "a whole number of milliseconds from 0 to 60000, or a "
-		    "text like 1500ms or 2.5s",
+		    "string like 1500ms or 2.5s",
 	.remedy = "allow for many round trips and for slow hosts",
 	.min = 0,
 	.max = 60000U,
@@ -324,9 +325,9 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, floor_wait_ms),
 	.expected = "a whole number of milliseconds from 0 to 10000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "use 0 unless versions must be in force sooner than a "
-		  "slow peer answers",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use 0 unless versions must be in force before a slow "
+		  "peer has answered",
 	.min = 0,
 	.max = 10000U,
 	.initial = 0},
@@ -334,8 +335,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, join_limit),
 	.expected = "a whole number of joins from 1 to 1024",
-	.remedy = "keep the default; larger serves a storm of starts "
-		  "faster and uses more memory",
+	.remedy = "keep the default; a larger value serves many concurrent "
+		  "starts faster and uses more memory",
 	.min = 1,
 	.max = 1024U,
 	.initial = 8},
@@ -351,8 +352,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, rollout_share),
 	.expected = "a whole number of thousandths from 1 to 500",
-	.remedy = "stay at half of what operators expose callers to a bad "
-		  "version at most",
+	.remedy = "use at most half of the share of requests that "
+		  "operators would expose to a bad version",
 	.min = 1,
 	.max = 500U,
 	.initial = 50},
@@ -360,9 +361,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, once_reuse_ms),
 	.expected = "a whole number of milliseconds from 0 to 60000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "stay far below the time that upstreams keep idle "
-		  "connections",
+		    "string like 1500ms or 2.5s",
+	.remedy = "use a value far below the upstreams' keep-alive timeout",
 	.min = 0,
 	.max = 60000U,
 	.initial = 0},
@@ -370,8 +370,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, in_force_within_ms),
 	.expected = "a whole number of milliseconds from 0 to 3600000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "give the time that the operators were promised",
+		    "string like 1500ms or 2.5s",
+	.remedy = "give the time promised to the operators",
 	.min = 0,
 	.max = 3600000U,
 	.initial = 0},
@@ -379,8 +379,8 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, grace_ms),
 	.expected = "a whole number of milliseconds from 0 to 3600000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "give what the host's service manager is set to",
+		    "string like 1500ms or 2.5s",
+	.remedy = "give the stop timeout of the host's service manager",
 	.min = 0,
 	.max = 3600000U,
 	.initial = 0},
@@ -388,8 +388,9 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, drain_notice_ms),
 	.expected = "a whole number of milliseconds from 0 to 600000, or a "
-		    "text like 1500ms or 2.5s",
-	.remedy = "allow for the time in which callers are led elsewhere",
+		    "string like 1500ms or 2.5s",
+	.remedy = "allow for the time that callers need to switch to "
+		  "another node",
 	.min = 0,
 	.max = 600000U,
 	.initial = 0},
@@ -397,7 +398,7 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, fate_window_ms),
 	.expected = "a whole number of milliseconds from 1000 to 3600000, or "
-		    "a text like 1500ms or 2.5s",
+		    "a string like 1500ms or 2.5s",
 	.remedy = "allow for the longest deadline of any service and the "
 		  "time to resolve",
 	.min = 1000,
@@ -415,7 +416,7 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, drain_ms),
 	.expected = "a whole number of milliseconds from 100 to 600000, or a "
-		    "text like 1500ms or 2.5s",
+		    "string like 1500ms or 2.5s",
 	.remedy = "allow for the longest deadline of any service",
 	.min = 100,
 	.max = 600000U,
@@ -424,7 +425,7 @@
 	.type = SETTINGS_NUMBER,
 	.offset = offsetof(struct settings, announce_lease_ms),
 	.expected = "a whole number of milliseconds from 500 to 600000, or a "
-		    "text like 1500ms or 2.5s",
+		    "string like 1500ms or 2.5s",
 	.remedy = "allow for two missed renewals",
 	.min = 500,
 	.max = 600000U,
--- a/tools/gen_settings.py
+++ b/tools/gen_settings.py
@@ -85,18 +85,18 @@
     if kind == "url":
         return "an http:// or https:// URL of at most 255 characters"
     if kind == "addresses":
-        return f"a list of at most {s['max']} texts like 10.0.0.1:7400"
+        return f"a list of at most {s['max']} strings like 10.0.0.1:7400"
     if kind == "texts":
-        return f"a list of at most {s['max']} texts of 1 to 127 characters"
+        return f"a list of at most {s['max']} strings of 1 to 127 characters"
     if kind == "service":
-        return ("empty text or a service's name: 1 to 31 bytes without "
-                "blanks, control characters, quotes, slashes and backslashes")
+        return ("an empty string or a service's name: 1 to 31 bytes without "
+                "spaces, control characters, quotes, slashes and backslashes")
     if kind == "choice":
         values = [f"\"{v['name']}\"" for v in choice(schema, s["of"])]
         return ", ".join(values[:-1]) + f" or {values[-1]}"
     number = f"a whole number of {s['unit']} from {s['min']} to {s['max']}"
     if s["unit"] == "milliseconds":
-        return number + ", or a text like 1500ms or 2.5s"
+        return number + ", or a string like 1500ms or 2.5s"
     return number
 
 
