--- a/packages/net/include/net/http.h
+++ b/packages/net/include/net/http.h
@@ -188,11 +188,11 @@
 bool http_call_cancel(struct http_call *call);
 
 /**
- * http_call_put_off() - the answer may take longer
+ * http_call_set_deadline() - the answer may take longer
  * @call: a call that has not ended
  * @deadline_ms: monotonic time by which it must be complete now
  */
-void http_call_put_off(struct http_call *call, uint64_t deadline_ms);
+void http_call_set_deadline(struct http_call *call, uint64_t deadline_ms);
 
 /** http_call_resume() - go on with on_body() and on_pull() after a pause */
 void http_call_resume(struct http_call *call);
--- a/packages/net/include/net/http_server.h
+++ b/packages/net/include/net/http_server.h
@@ -133,10 +133,10 @@
 void http_server_close_idle(struct http_server *s, bool now);
 
 /**
- * http_server_refuse() - let no new connection be made
+ * http_server_drop_new_conns() - let no new connection be made
  * @s: the server; it still serves those that are made or being made
  */
-void http_server_refuse(struct http_server *s);
+void http_server_drop_new_conns(struct http_server *s);
 
 /** http_server_unlisten() - close the listening socket */
 void http_server_unlisten(struct http_server *s);
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -182,7 +182,7 @@
 }
 
 void
-http_call_put_off(struct http_call *call, uint64_t deadline_ms)
+http_call_set_deadline(struct http_call *call, uint64_t deadline_ms)
 {
 	if (!call->cancelled)
 		loop_timer_set(&call->deadline, deadline_ms);
--- a/packages/net/src/http_server.c
+++ b/packages/net/src/http_server.c
@@ -129,7 +129,7 @@
 }
 
 void
-http_server_refuse(struct http_server *s)
+http_server_drop_new_conns(struct http_server *s)
 {
 	if (s->fd >= 0)
 		sock_refuse_new(s->fd);
--- a/packages/node/src/callers.c
+++ b/packages/node/src/callers.c
@@ -95,7 +95,7 @@
 {
 	struct callers *c = arg;
 
-	http_server_refuse(c->server);
+	http_server_drop_new_conns(c->server);
 	on_tick(c);
 }
 
