--- a/packages/base/include/base/metrics.h
+++ b/packages/base/include/base/metrics.h
@@ -12,9 +12,9 @@
 
 #include <glib.h>
 
-/* Histogram buckets are powers of two times METRIC_LEAST_US microseconds. */
+/* Histogram buckets are powers of two times METRIC_MIN_US microseconds. */
 #define METRIC_BUCKETS 24
-#define METRIC_LEAST_US 16
+#define METRIC_MIN_US 16
 
 /** enum metric_kind - how a metric behaves */
 enum metric_kind {
--- a/packages/base/src/log.c
+++ b/packages/base/src/log.c
@@ -22,7 +22,7 @@
 
 /* A line waits this long for others; a wake-up for each costs more than the
  * line itself on a slow host. */
-#define LOG_GATHER_MS 100
+#define LOG_BATCH_MS 100
 
 /* One queued line. */
 struct log_line {
@@ -34,12 +34,12 @@
 
 /* The lock covers the queue and the two flags. */
 static pthread_mutex_t log_lock = PTHREAD_MUTEX_INITIALIZER;
-static pthread_cond_t log_news = PTHREAD_COND_INITIALIZER;
+static pthread_cond_t log_wakeup = PTHREAD_COND_INITIALIZER;
 static GQueue log_lines = G_QUEUE_INIT;
 static int log_running;
 static int log_stopping;
 static pthread_t log_thread;
-static _Atomic int log_least = LOG_LEVEL_INFO;
+static _Atomic int log_threshold = LOG_LEVEL_INFO;
 static char log_host[LOG_HOST_BYTES];
 
 static struct metric log_dropped_count = {"bramley_log_dropped_total",
@@ -86,18 +86,18 @@
 
 /* Waits for lines and takes them all; 0 when it is to stop and none is left. */
 static int
-log_take(GQueue *lines)
+log_wait_batch(GQueue *lines)
 {
 	int stopping;
 
 	(void)pthread_mutex_lock(&log_lock);
 	while (g_queue_is_empty(&log_lines) && !log_stopping)
-		(void)pthread_cond_wait(&log_news, &log_lock);
+		(void)pthread_cond_wait(&log_wakeup, &log_lock);
 	stopping = log_stopping;
 	(void)pthread_mutex_unlock(&log_lock);
 	/* Lines that come close together leave in one write. */
 	if (!stopping)
-		g_usleep(LOG_GATHER_MS * G_TIME_SPAN_MILLISECOND);
+		g_usleep(LOG_BATCH_MS * G_TIME_SPAN_MILLISECOND);
 	(void)pthread_mutex_lock(&log_lock);
 	*lines = log_lines;
 	g_queue_init(&log_lines);
@@ -112,7 +112,7 @@
 	struct log_line *line;
 
 	(void)arg;
-	while (log_take(&lines)) {
+	while (log_wait_batch(&lines)) {
 		while ((line = g_queue_pop_head(&lines)) != NULL) {
 			log_emit(line);
 			g_free(line);
@@ -162,7 +162,7 @@
 void
 log_start(enum log_level level, const char *host)
 {
-	atomic_store(&log_least, level);
+	atomic_store(&log_threshold, level);
 	(void)snprintf(log_host, sizeof(log_host), "%s", host);
 	metric_register(&log_dropped_count);
 	g_log_set_writer_func(log_writer, NULL, NULL);
@@ -176,7 +176,7 @@
 void
 log_set_level(enum log_level level)
 {
-	atomic_store(&log_least, (int)level);
+	atomic_store(&log_threshold, (int)level);
 }
 
 void
@@ -186,7 +186,7 @@
 		return;
 	(void)pthread_mutex_lock(&log_lock);
 	log_stopping = 1;
-	(void)pthread_cond_signal(&log_news);
+	(void)pthread_cond_signal(&log_wakeup);
 	(void)pthread_mutex_unlock(&log_lock);
 	(void)pthread_join(log_thread, NULL);
 	log_set_running(0);
@@ -212,7 +212,7 @@
 log_enabled(enum log_level level)
 {
 	return (int)level >=
-	    atomic_load_explicit(&log_least, memory_order_relaxed);
+	    atomic_load_explicit(&log_threshold, memory_order_relaxed);
 }
 
 uint64_t
@@ -232,7 +232,7 @@
 	full = log_lines.length >= LOG_QUEUE_LINES;
 	if (running && !full) {
 		if (g_queue_is_empty(&log_lines))
-			(void)pthread_cond_signal(&log_news);
+			(void)pthread_cond_signal(&log_wakeup);
 		g_queue_push_tail(&log_lines, line);
 	}
 	(void)pthread_mutex_unlock(&log_lock);
--- a/packages/base/src/metrics.c
+++ b/packages/base/src/metrics.c
@@ -11,7 +11,7 @@
 static GPtrArray *metrics_all;
 
 static int
-metric_by_name(gconstpointer a, gconstpointer b)
+metric_compare_names(gconstpointer a, gconstpointer b)
 {
 	const struct metric *const *x = a;
 	const struct metric *const *y = b;
@@ -27,7 +27,7 @@
 		metrics_all = g_ptr_array_new();
 	if (!g_ptr_array_find(metrics_all, m, NULL))
 		g_ptr_array_add(metrics_all, m);
-	g_ptr_array_sort(metrics_all, metric_by_name);
+	g_ptr_array_sort(metrics_all, metric_compare_names);
 	g_mutex_unlock(&metrics_lock);
 }
 
@@ -46,7 +46,7 @@
 static uint64_t
 bucket_bound_us(int i)
 {
-	return (uint64_t)METRIC_LEAST_US << i;
+	return (uint64_t)METRIC_MIN_US << i;
 }
 
 void
@@ -74,14 +74,14 @@
 uint64_t
 metric_quantile_us(const struct metric *m, double q)
 {
-	double want = q * (double)metric_count(m);
-	uint64_t seen = 0;
+	double rank = q * (double)metric_count(m);
+	uint64_t cumulative = 0;
 	int i;
 
 	for (i = 0; i < METRIC_BUCKETS; i++) {
-		seen +=
+		cumulative +=
 		    atomic_load_explicit(&m->buckets[i], memory_order_relaxed);
-		if ((double)seen >= want)
+		if ((double)cumulative >= rank)
 			break;
 	}
 	return bucket_bound_us(i);
@@ -92,15 +92,15 @@
 {
 	const char *labels = m->labels != NULL ? m->labels : "";
 	const char *comma = m->labels != NULL ? "," : "";
-	uint64_t seen = 0;
+	uint64_t cumulative = 0;
 	int i;
 
 	for (i = 0; i < METRIC_BUCKETS; i++) {
-		seen += atomic_load(&m->buckets[i]);
+		cumulative += atomic_load(&m->buckets[i]);
 		g_string_append_printf(out,
 		    "%s_bucket{%s%sle=\"%g\"} %" G_GUINT64_FORMAT "\n", m->name,
 		    labels, comma, (double)bucket_bound_us(i) / US_PER_SECOND,
-		    seen);
+		    cumulative);
 	}
 	g_string_append_printf(out,
 	    "%s_bucket{%s%sle=\"+Inf\"} %" G_GUINT64_FORMAT "\n", m->name,
@@ -112,7 +112,7 @@
 }
 
 static void
-render_one(const struct metric *m, GString *out)
+render_metric(const struct metric *m, GString *out)
 {
 	if (m->kind == METRIC_HISTOGRAM) {
 		render_histogram(m, out);
@@ -141,7 +141,7 @@
 			    "# HELP %s %s\n# TYPE %s %s\n", m->name, m->help,
 			    m->name, kinds[m->kind]);
 		last = m->name;
-		render_one(m, out);
+		render_metric(m, out);
 	}
 	g_mutex_unlock(&metrics_lock);
 }
--- a/packages/base/test/test_base.c
+++ b/packages/base/test/test_base.c
@@ -44,7 +44,7 @@
 }
 END_TEST
 
-START_TEST(rendezvous_moves_only_the_lost_candidate)
+START_TEST(rendezvous_moves_only_keys_of_the_removed_candidate)
 {
 	const char *names[] = {"a", "b", "c", "d"};
 	char key[16];
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-START_TEST(sums_keep_their_microseconds)
+START_TEST(histogram_sums_keep_microseconds)
 {
 	static struct metric h = {
 	    "t_long_seconds", "Wait.", METRIC_HISTOGRAM, NULL, 0, {0}};
@@ -104,7 +104,7 @@
 END_TEST
 
 /* Standard error is a pipe that nobody reads: the writer blocks. */
-START_TEST(lines_are_dropped_and_counted_rather_than_waited_for)
+START_TEST(log_drops_and_counts_lines_when_the_writer_blocks)
 {
 	GString *out = g_string_new(NULL);
 	char want[64];
@@ -147,11 +147,10 @@
 
 	tcase_add_test(tc, status_keeps_last_message);
 	tcase_add_test(tc, digest_round_trip);
-	tcase_add_test(tc, rendezvous_moves_only_the_lost_candidate);
+	tcase_add_test(tc, rendezvous_moves_only_keys_of_the_removed_candidate);
 	tcase_add_test(tc, metrics_show_help_and_buckets);
-	tcase_add_test(tc, sums_keep_their_microseconds);
-	tcase_add_test(
-	    tc, lines_are_dropped_and_counted_rather_than_waited_for);
+	tcase_add_test(tc, histogram_sums_keep_microseconds);
+	tcase_add_test(tc, log_drops_and_counts_lines_when_the_writer_blocks);
 	tcase_add_test(tc, log_level_names);
 	suite_add_tcase(s, tc);
 	return test_run(s);
--- a/packages/net/bench/bench_conn.c
+++ b/packages/net/bench/bench_conn.c
@@ -133,21 +133,21 @@
 	struct client cl = {loop_new(), 0, frames, frames, times_us};
 	struct server s;
 	struct conn *c;
-	uint64_t began_us;
+	uint64_t begin_us;
 	uint32_t i;
 
 	server_start(&s);
 	c = conn_dial(cl.loop, listener_addr(s.listener), DEADLINE_NEVER, NULL,
 	    &client_handler, &cl);
-	began_us = clock_now_us();
+	begin_us = clock_now_us();
 	for (i = 0; i < window; i++)
 		client_send(&cl, c);
 	loop_run(cl.loop);
-	began_us = clock_now_us() - began_us;
+	begin_us = clock_now_us() - begin_us;
 	conn_close(c);
 	loop_free(cl.loop);
 	server_stop(&s);
-	return began_us;
+	return begin_us;
 }
 
 /* Baseline */
@@ -190,33 +190,33 @@
 }
 
 static void
-print_ratio(const char *what, uint64_t ours, uint64_t plain)
+print_ratio(const char *what, uint64_t ours, uint64_t baseline)
 {
 	(void)printf("%s: loops %" G_GUINT64_FORMAT
 		     " us, plain sockets %" G_GUINT64_FORMAT
 		     " us, ratio %.2f\n",
-	    what, ours, plain, (double)ours / (double)plain);
+	    what, ours, baseline, (double)ours / (double)baseline);
 }
 
 int
 main(void)
 {
 	GArray *ours = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	GArray *plain = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	GArray *baseline = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	uint64_t us;
 
 	(void)run_frames(WARM_UP, 1, ours);
 	g_array_set_size(ours, 0);
-	run_raw(plain);
+	run_raw(baseline);
 	(void)run_frames(ROUNDS, 1, ours);
 	print_ratio("round trip p50", raw_quantile(ours, 0.5),
-	    raw_quantile(plain, 0.5));
+	    raw_quantile(baseline, 0.5));
 	print_ratio("round trip p99", raw_quantile(ours, 0.99),
-	    raw_quantile(plain, 0.99));
+	    raw_quantile(baseline, 0.99));
 	us = run_frames(WINDOW_FRAMES, WINDOW, ours);
 	(void)printf("%d frames under way: %.0f frames/s each way\n", WINDOW,
 	    WINDOW_FRAMES * US_PER_SECOND / (double)us);
 	g_array_unref(ours);
-	g_array_unref(plain);
+	g_array_unref(baseline);
 	return 0;
 }
--- a/packages/net/src/conn.c
+++ b/packages/net/src/conn.c
@@ -15,7 +15,7 @@
 #include "conn_priv.h"
 #include "sock.h"
 
-#define CONN_LOW_SHARE 4
+#define CONN_LOW_DIVISOR 4
 /* A timer this late is a sign that the process was paused. */
 #define CONN_LATE_MS 1000
 
@@ -121,7 +121,7 @@
 }
 
 static void
-conn_die(struct conn *c)
+conn_tear_down(struct conn *c)
 {
 	if (c->watch != NULL)
 		loop_fd_remove(c->watch);
@@ -135,22 +135,22 @@
 void
 conn_fail(struct conn *c, enum status st, const char *what)
 {
-	bool tell = c->state != CONN_FINISHING;
+	bool notify = c->state != CONN_FINISHING;
 	char text[ADDR_TEXT_BYTES];
 
 	if (c->state == CONN_DEAD)
 		return;
-	conn_die(c);
+	conn_tear_down(c);
 	(void)status_set(st, "Connection with %s closed: %s.",
 	    addr_format(&c->peer, text), what);
-	if (tell)
+	if (notify)
 		c->handler->on_closed(c, st, c->arg);
 }
 
 /* Events */
 
 static void
-conn_opened(struct conn *c)
+conn_on_established(struct conn *c)
 {
 	c->state = CONN_OPEN;
 	c->dial_deadline_ms = DEADLINE_NEVER;
@@ -165,13 +165,13 @@
 }
 
 static void
-conn_dial_ended(struct conn *c)
+conn_on_dial_end(struct conn *c)
 {
 	socklen_t len = sizeof(c->dial_errno);
 
 	(void)getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &c->dial_errno, &len);
 	if (c->dial_errno == 0)
-		conn_opened(c);
+		conn_on_established(c);
 	else
 		conn_fail(c, STATUS_UNAVAILABLE, strerror(c->dial_errno));
 }
@@ -182,7 +182,7 @@
 	struct conn *c = arg;
 
 	if (c->state == CONN_DIALLING) {
-		conn_dial_ended(c);
+		conn_on_dial_end(c);
 		return;
 	}
 	if (ready & LOOP_READ)
@@ -255,7 +255,7 @@
 	if (o->output_max_bytes == 0)
 		o->output_max_bytes = CONN_OUTPUT_MAX_BYTES;
 	if (o->output_low_bytes == 0)
-		o->output_low_bytes = o->output_max_bytes / CONN_LOW_SHARE;
+		o->output_low_bytes = o->output_max_bytes / CONN_LOW_DIVISOR;
 	if (o->stall_ms == 0)
 		o->stall_ms = CONN_STALL_MS;
 	/* An empty buffer takes the largest frame. */
@@ -289,7 +289,7 @@
 }
 
 static void
-conn_tune(struct conn *c)
+conn_set_socket_options(struct conn *c)
 {
 	unsigned int stall_ms = c->options.stall_ms;
 	int on = 1;
@@ -309,7 +309,7 @@
 	c->state = CONN_OPEN;
 	c->count = g_rc_box_acquire(count);
 	c->count->open++;
-	conn_tune(c);
+	conn_set_socket_options(c);
 	c->watch = loop_fd_add(loop, fd, LOOP_READ, conn_on_ready, c);
 	if (c->watch == NULL) {
 		c->state = CONN_DIALLING;
@@ -328,7 +328,7 @@
 	c->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (c->fd < 0)
 		return errno;
-	conn_tune(c);
+	conn_set_socket_options(c);
 	if (connect(c->fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 &&
 	    errno != EINPROGRESS)
 		return errno;
@@ -359,7 +359,7 @@
 		return;
 	if (c->state == CONN_OPEN)
 		(void)conn_write_some(c);
-	conn_die(c);
+	conn_tear_down(c);
 }
 
 void
--- a/packages/net/src/conn_io.c
+++ b/packages/net/src/conn_io.c
@@ -15,7 +15,7 @@
 #define CONN_READ_BYTES (32U * 1024U)
 #define CONN_TURN_BYTES (256U * 1024U)
 /* An empty output buffer that has been larger than this is given back. */
-#define CONN_KEEP_BYTES 4096U
+#define CONN_IDLE_OUTPUT_BYTES 4096U
 
 size_t
 conn_output_bytes(const struct conn *c)
@@ -43,7 +43,7 @@
 }
 
 static void
-conn_cut_frames(struct conn *c)
+conn_extract_frames(struct conn *c)
 {
 	enum frame_result r = FRAME_NONE;
 	uint64_t framed = c->framed;
@@ -67,7 +67,7 @@
 }
 
 static void
-conn_took(struct conn *c, size_t n)
+conn_on_received(struct conn *c, size_t n)
 {
 	c->received += n;
 	c->last_received_ms = loop_now_ms(c->loop);
@@ -75,7 +75,7 @@
 		metric_add(c->options.received_bytes, (int64_t)n);
 	frame_reader_commit(&c->in, n);
 	if (c->state == CONN_OPEN) {
-		conn_cut_frames(c);
+		conn_extract_frames(c);
 		return;
 	}
 	frame_reader_clear(&c->in);
@@ -95,18 +95,18 @@
 conn_read(struct conn *c)
 {
 	size_t budget = CONN_TURN_BYTES;
-	uint8_t *room;
+	uint8_t *space;
 	ssize_t n;
 
 	while (c->state != CONN_DEAD && budget >= CONN_READ_BYTES) {
-		room = frame_reader_space(&c->in, CONN_READ_BYTES);
-		n = read(c->fd, room, CONN_READ_BYTES);
+		space = frame_reader_space(&c->in, CONN_READ_BYTES);
+		n = read(c->fd, space, CONN_READ_BYTES);
 		if (n <= 0) {
 			conn_read_ended(c, n);
 			return;
 		}
 		budget -= (size_t)n;
-		conn_took(c, (size_t)n);
+		conn_on_received(c, (size_t)n);
 		if (n < (ssize_t)CONN_READ_BYTES)
 			return;
 	}
@@ -117,7 +117,7 @@
 static void
 conn_out_reset(struct conn *c)
 {
-	if (c->out->len > CONN_KEEP_BYTES) {
+	if (c->out->len > CONN_IDLE_OUTPUT_BYTES) {
 		g_byte_array_unref(c->out);
 		c->out = g_byte_array_new();
 	}
@@ -138,7 +138,7 @@
 }
 
 static void
-conn_wrote(struct conn *c, size_t n)
+conn_on_sent(struct conn *c, size_t n)
 {
 	c->sent += n;
 	c->out_start += n;
@@ -179,24 +179,25 @@
 		    conn_output_bytes(c), MSG_NOSIGNAL);
 		if (n < 0)
 			return errno == EAGAIN || errno == EINTR ? 0 : errno;
-		conn_wrote(c, (size_t)n);
+		conn_on_sent(c, (size_t)n);
 	}
 	return 0;
 }
 
 static void
-conn_shut_when_empty(struct conn *c)
+conn_shut_write(struct conn *c)
 {
-	if (c->state != CONN_FINISHING || c->shut || conn_output_bytes(c) > 0)
+	if (c->state != CONN_FINISHING || c->write_shut ||
+	    conn_output_bytes(c) > 0)
 		return;
-	c->shut = true;
+	c->write_shut = true;
 	c->output_deadline_ms = conn_stall_deadline_ms(c);
 	(void)shutdown(c->fd, SHUT_WR);
 	conn_rearm(c);
 }
 
 static void
-conn_tell_writable(struct conn *c)
+conn_notify_writable(struct conn *c)
 {
 	if (c->state != CONN_OPEN || !c->above_low ||
 	    conn_output_bytes(c) > c->options.output_low_bytes)
@@ -216,8 +217,8 @@
 		return;
 	}
 	conn_watch(c);
-	conn_shut_when_empty(c);
-	conn_tell_writable(c);
+	conn_shut_write(c);
+	conn_notify_writable(c);
 }
 
 static bool
--- a/packages/net/src/conn_priv.h
+++ b/packages/net/src/conn_priv.h
@@ -49,7 +49,7 @@
 	int fd;
 	int dial_errno;
 	enum conn_state state;
-	bool shut;
+	bool write_shut;
 	bool above_low;
 	uint64_t id;
 	struct net_addr peer;
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -49,12 +49,12 @@
 }
 
 void
-http_call_again(struct http_call *call)
+http_call_retry(struct http_call *call)
 {
 	struct http_client *client = call->client;
 
 	call_detach(call);
-	call->fresh = true;
+	call->new_conn_only = true;
 	call->answered = false;
 	g_queue_push_head_link(&client->waiting, &call->link);
 	loop_task_defer(&client->task);
@@ -74,7 +74,7 @@
 /* Connections for calls */
 
 static bool
-may_dial(const struct http_client *client, struct net_addr to)
+can_dial(const struct http_client *client, struct net_addr to)
 {
 	uint32_t open = client->conns.length + client->idle.length;
 
@@ -84,7 +84,7 @@
 
 /* An idle connection to elsewhere makes room for a new one. */
 static void
-make_room(struct http_client *client)
+close_idle_conn(struct http_client *client)
 {
 	uint32_t open = client->conns.length + client->idle.length;
 
@@ -94,14 +94,14 @@
 
 /* Returns whether the call has got a connection. */
 static bool
-call_place(struct http_call *call)
+call_assign_conn(struct http_call *call)
 {
 	struct http_client *client = call->client;
-	struct http_conn *c = call->fresh ? NULL : http_conn_find(call);
+	struct http_conn *c = call->new_conn_only ? NULL : http_conn_find(call);
 
 	if (c == NULL) {
-		make_room(client);
-		if (!may_dial(client, call->to))
+		close_idle_conn(client);
+		if (!can_dial(client, call->to))
 			return false;
 	}
 	g_queue_unlink(&client->waiting, &call->link);
@@ -114,7 +114,7 @@
 }
 
 static void
-client_reap(struct http_client *client)
+client_free_ended(struct http_client *client)
 {
 	GList *link;
 
@@ -130,12 +130,12 @@
 	struct http_client *client = arg;
 	GList *l, *next;
 
-	client_reap(client);
+	client_free_ended(client);
 	for (l = client->waiting.head; l != NULL; l = next) {
 		next = l->next;
 		/* One whose task is due has not been started yet. */
 		if (!((struct http_call *)l->data)->task.pending)
-			(void)call_place(l->data);
+			(void)call_assign_conn(l->data);
 	}
 }
 
@@ -147,15 +147,15 @@
 {
 	struct http_call *call = arg;
 
-	if (call->refused != STATUS_OK)
+	if (call->setup_status != STATUS_OK)
 		http_call_end(
-		    call, status_set(call->refused, "%s", call->error));
+		    call, status_set(call->setup_status, "%s", call->error));
 	else if (call->deadline.deadline_ms <= loop_now_ms(call->client->loop))
 		call_on_deadline(call);
 	else if (call->conn != NULL)
 		http_conn_pump(call->conn);
 	else
-		(void)call_place(call);
+		(void)call_assign_conn(call);
 }
 
 struct http_call *
@@ -174,8 +174,8 @@
 	loop_task_init(&call->task, client->loop, call_on_task, call);
 	loop_timer_set(&call->deadline, request->deadline_ms);
 	loop_task_defer(&call->task);
-	call->refused = http_call_setup(call, request);
-	if (call->refused != STATUS_OK)
+	call->setup_status = http_call_setup(call, request);
+	if (call->setup_status != STATUS_OK)
 		(void)g_strlcpy(
 		    call->error, status_message(), sizeof(call->error));
 	return call;
@@ -257,7 +257,7 @@
 		http_conn_close(client->conns.head->data);
 	while (client->idle.head != NULL)
 		http_conn_close(client->idle.head->data);
-	client_reap(client);
+	client_free_ended(client);
 	loop_task_cancel(&client->task);
 	g_free(client);
 }
--- a/packages/net/src/http_conn.c
+++ b/packages/net/src/http_conn.c
@@ -33,7 +33,7 @@
 }
 
 static void
-move(struct http_conn *c, enum http_conn_state state)
+set_state(struct http_conn *c, enum http_conn_state state)
 {
 	g_queue_unlink(queue_of(c), &c->link);
 	c->state = state;
@@ -48,7 +48,7 @@
 	if (c->call != NULL)
 		c->call->conn = NULL;
 	c->call = NULL;
-	move(c, HTTP_CONN_DEAD);
+	set_state(c, HTTP_CONN_DEAD);
 	loop_timer_stop(&c->timer);
 	if (c->watch != NULL)
 		loop_fd_remove(c->watch);
@@ -89,49 +89,49 @@
 /* The end of a call on its connection */
 
 static bool
-may_keep(const struct http_conn *c)
+can_keep_alive(const struct http_conn *c)
 {
 	if (c->call->once && c->call->reuse_idle_ms == 0)
 		return false;
-	return c->whole && c->written && !c->extra && c->call->delimited &&
-	    !c->call->skipping && c->keep_ms > 0 &&
+	return c->complete && c->written && !c->surplus && c->call->delimited &&
+	    !c->call->skipping && c->keep_alive_ms > 0 &&
 	    http_should_keep_alive(&c->parser) != 0;
 }
 
 static void
-keep(struct http_conn *c)
+make_idle(struct http_conn *c)
 {
 	uint64_t now_ms = loop_now_ms(c->client->loop);
 
 	c->call->conn = NULL;
 	c->call = NULL;
 	c->used = true;
-	c->idle_ms = now_ms;
-	move(c, HTTP_CONN_IDLE);
+	c->idle_since_ms = now_ms;
+	set_state(c, HTTP_CONN_IDLE);
 	loop_fd_set(c->watch, LOOP_READ);
-	loop_timer_set(&c->timer, now_ms + c->keep_ms);
+	loop_timer_set(&c->timer, now_ms + c->keep_alive_ms);
 	loop_task_defer(&c->client->task);
 }
 
 /* A call is in the client's running queue as long as its conn is set. */
 static void
-finish(struct http_conn *c, enum status st)
+complete_call(struct http_conn *c, enum status st)
 {
 	struct http_call *call = c->call;
-	bool kept = st == STATUS_OK && may_keep(c);
+	bool kept = st == STATUS_OK && can_keep_alive(c);
 
 	if (!kept) {
 		http_call_end(call, st);
 		return;
 	}
 	g_queue_unlink(&call->client->running, &call->link);
-	keep(c);
+	make_idle(c);
 	g_queue_push_tail_link(&call->client->waiting, &call->link);
 	http_call_end(call, st);
 }
 
 static enum status
-say(enum status st, const char *why)
+call_error(enum status st, const char *why)
 {
 	return status_set(st,
 	    "HTTP call failed: %s; check the address and what listens there.",
@@ -140,7 +140,7 @@
 
 /* The connection has ended before the answer was whole. */
 static void
-broken(struct http_conn *c, const char *why)
+conn_broken(struct http_conn *c, const char *why)
 {
 	struct http_call *call = c->call;
 
@@ -149,16 +149,16 @@
 		return;
 	}
 	if (c->used && !call->answered && !call->once && !call->pulled)
-		http_call_again(call);
+		http_call_retry(call);
 	else
-		http_call_end(call, say(STATUS_UNAVAILABLE, why));
+		http_call_end(call, call_error(STATUS_UNAVAILABLE, why));
 }
 
 /* Reading */
 
 /* Hands what is read to the parser, and ends the call if that ends it. */
 static void
-feed(struct http_conn *c, const char *data, size_t len)
+parse(struct http_conn *c, const char *data, size_t len)
 {
 	enum http_errno err;
 	size_t n;
@@ -168,30 +168,30 @@
 	if (c->call == NULL)
 		return;
 	err = HTTP_PARSER_ERRNO(&c->parser);
-	if (c->whole) {
-		c->extra |= n < len;
+	if (c->complete) {
+		c->surplus |= n < len;
 		http_parser_pause(&c->parser, 0);
 		if (!c->call->paused)
-			finish(c, STATUS_OK);
+			complete_call(c, STATUS_OK);
 	} else if (c->call->aborted) {
 		http_call_end(c->call,
-		    say(STATUS_UNAVAILABLE, "broken off on this side"));
+		    call_error(STATUS_UNAVAILABLE, "broken off on this side"));
 	} else if (err != HPE_OK && len == 0) {
-		broken(c, "the connection ended within the answer");
+		conn_broken(c, "the connection ended within the answer");
 	} else if (err != HPE_OK) {
-		http_call_end(
-		    c->call, say(STATUS_INVALID, http_errno_description(err)));
+		http_call_end(c->call,
+		    call_error(STATUS_INVALID, http_errno_description(err)));
 	}
 }
 
 /* The server closed: that ends an answer which has no other end. */
 static void
-ended(struct http_conn *c)
+on_end_of_stream(struct http_conn *c)
 {
 	if (c->call->answered)
-		feed(c, "", 0);
-	if (c->call != NULL && !c->whole)
-		broken(c, "the connection ended without an answer");
+		parse(c, "", 0);
+	if (c->call != NULL && !c->complete)
+		conn_broken(c, "the connection ended without an answer");
 }
 
 static void
@@ -207,11 +207,11 @@
 	if (c->call == NULL)
 		http_conn_close(c);
 	else if (n < 0)
-		broken(c, strerror(errno));
+		conn_broken(c, strerror(errno));
 	else if (n == 0)
-		ended(c);
+		on_end_of_stream(c);
 	else
-		feed(c, buf, (size_t)n);
+		parse(c, buf, (size_t)n);
 }
 
 /* Writing */
@@ -241,7 +241,7 @@
 
 /* Return: false when the call is over. */
 static bool
-pull(struct http_conn *c)
+pull_body(struct http_conn *c)
 {
 	uint8_t buf[HTTP_PULL_BYTES];
 	struct http_call *call = c->call;
@@ -263,7 +263,8 @@
 		pull_ended(c);
 	if (flow != HTTP_ABORT)
 		return true;
-	http_call_end(call, say(STATUS_UNAVAILABLE, "broken off on this side"));
+	http_call_end(
+	    call, call_error(STATUS_UNAVAILABLE, "broken off on this side"));
 	return false;
 }
 
@@ -293,9 +294,9 @@
 write_some(struct http_conn *c)
 {
 	struct http_call *call = c->call;
-	bool waits;
+	bool pending;
 
-	if (call->pulled && !pull(c))
+	if (call->pulled && !pull_body(c))
 		return;
 	if (!flush(c)) {
 		/* An answer may have come before the reset. */
@@ -303,21 +304,21 @@
 		loop_fd_set(c->watch, LOOP_READ);
 		return;
 	}
-	waits = c->out->len > c->out_sent;
-	c->written = !waits && (!call->pulled || call->pull_ended);
-	waits |= call->pulled && !call->pull_ended && !call->pull_paused;
+	pending = c->out->len > c->out_sent;
+	c->written = !pending && (!call->pulled || call->pull_ended);
+	pending |= call->pulled && !call->pull_ended && !call->pull_paused;
 	loop_fd_set(c->watch,
-	    (call->paused ? 0 : LOOP_READ) | (waits ? LOOP_WRITE : 0));
+	    (call->paused ? 0 : LOOP_READ) | (pending ? LOOP_WRITE : 0));
 }
 
 /* Puts the request into the output. */
 static void
-begin(struct http_conn *c)
+start_request(struct http_conn *c)
 {
 	struct http_call *call = c->call;
 
-	c->whole = false;
-	c->extra = false;
+	c->complete = false;
+	c->surplus = false;
 	c->written = false;
 	http_parser_init(&c->parser, HTTP_RESPONSE);
 	c->parser.data = c;
@@ -330,7 +331,7 @@
 
 /* Gives the owner what was held; false when the call is over or paused. */
 static bool
-give_held(struct http_conn *c)
+deliver_held(struct http_conn *c)
 {
 	struct http_call *call = c->call;
 	GByteArray *held = c->held;
@@ -343,8 +344,8 @@
 		    &c->parser, (const char *)held->data, held->len);
 	g_byte_array_free(held, TRUE);
 	if (rv != 0 && c->call != NULL)
-		http_call_end(
-		    call, say(STATUS_UNAVAILABLE, "broken off on this side"));
+		http_call_end(call,
+		    call_error(STATUS_UNAVAILABLE, "broken off on this side"));
 	return rv == 0 && !call->paused;
 }
 
@@ -353,10 +354,10 @@
 {
 	if (c->state != HTTP_CONN_BUSY)
 		return;
-	if (c->call->paused && !give_held(c))
+	if (c->call->paused && !deliver_held(c))
 		return;
-	if (c->whole)
-		finish(c, STATUS_OK);
+	if (c->complete)
+		complete_call(c, STATUS_OK);
 	else
 		write_some(c);
 }
@@ -364,19 +365,19 @@
 /* Dialling */
 
 static void
-dialled(struct http_conn *c)
+on_connected(struct http_conn *c)
 {
 	int err = 0;
 	socklen_t len = sizeof(err);
 
 	(void)getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &err, &len);
 	if (err != 0) {
-		broken(c, strerror(err));
+		conn_broken(c, strerror(err));
 		return;
 	}
 	c->state = HTTP_CONN_BUSY;
 	loop_timer_stop(&c->timer);
-	begin(c);
+	start_request(c);
 }
 
 static void
@@ -385,7 +386,7 @@
 	struct http_conn *c = arg;
 
 	if (c->state == HTTP_CONN_DIALLING) {
-		dialled(c);
+		on_connected(c);
 		return;
 	}
 	if (ready & LOOP_READ)
@@ -402,7 +403,7 @@
 	if (c->state == HTTP_CONN_IDLE)
 		http_conn_close(c);
 	else
-		broken(c, "no connection could be made in time");
+		conn_broken(c, "no connection could be made in time");
 }
 
 /* Return: 0, or the error. */
@@ -436,7 +437,7 @@
 	c->fd = -1;
 	c->out = g_byte_array_new();
 	c->held = g_byte_array_new();
-	http_head_init(&c->head, HTTP_HEAD_MAX_BYTES, HTTP_ANSWER_LINES_MAX);
+	http_head_init(&c->head, HTTP_HEAD_MAX_BYTES, HTTP_RESPONSE_LINES_MAX);
 	loop_timer_init(&c->timer, client->loop, on_timer, c);
 	c->link.data = c;
 	g_queue_push_tail_link(&client->conns, &c->link);
@@ -444,15 +445,15 @@
 	loop_timer_set(&c->timer, loop_now_ms(client->loop) + call->connect_ms);
 	err = dial_socket(c);
 	if (err != 0)
-		broken(c, strerror(err));
+		conn_broken(c, strerror(err));
 }
 
 /* Kept connections */
 
 static bool
-may_use(const struct http_conn *c, const struct http_call *call)
+can_reuse(const struct http_conn *c, const struct http_call *call)
 {
-	uint64_t idle_ms = loop_now_ms(c->client->loop) - c->idle_ms;
+	uint64_t idle_ms = loop_now_ms(c->client->loop) - c->idle_since_ms;
 
 	return addr_equal(&c->to, &call->to) && idle_ms < call->reuse_idle_ms;
 }
@@ -463,7 +464,7 @@
 	GList *l;
 
 	for (l = call->client->idle.tail; l != NULL; l = l->prev)
-		if (may_use(l->data, call))
+		if (can_reuse(l->data, call))
 			return l->data;
 	return NULL;
 }
@@ -471,9 +472,9 @@
 void
 http_conn_use(struct http_conn *c, struct http_call *call)
 {
-	move(c, HTTP_CONN_BUSY);
+	set_state(c, HTTP_CONN_BUSY);
 	loop_timer_stop(&c->timer);
 	c->call = call;
 	call->conn = c;
-	begin(c);
+	start_request(c);
 }
--- a/packages/net/src/http_conn_defs.h
+++ b/packages/net/src/http_conn_defs.h
@@ -29,12 +29,12 @@
  * @out: bytes that wait to be written
  * @out_sent: bytes of @out that are written
  * @held: bytes read while the owner of the call has paused
- * @idle_ms: when its last call ended
- * @keep_ms: how long the server keeps it idle
+ * @idle_since_ms: when its last call ended
+ * @keep_alive_ms: how long the server keeps it idle
  * @used: a call has ended on it
  * @written: the whole request has left
- * @whole: the whole answer came
- * @extra: more came than one answer
+ * @complete: the whole answer came
+ * @surplus: more came than one answer
  */
 struct http_conn {
 	struct http_client *client;
@@ -50,12 +50,12 @@
 	GByteArray *out;
 	size_t out_sent;
 	GByteArray *held;
-	uint64_t idle_ms;
-	uint64_t keep_ms;
+	uint64_t idle_since_ms;
+	uint64_t keep_alive_ms;
 	bool used;
 	bool written;
-	bool whole;
-	bool extra;
+	bool complete;
+	bool surplus;
 };
 
 /** http_read_settings - what the parser calls; its data are the connection */
--- a/packages/net/src/http_head.c
+++ b/packages/net/src/http_head.c
@@ -10,7 +10,7 @@
 http_head_init(struct http_head *h, uint32_t bytes_max, uint32_t lines_max)
 {
 	h->text = g_string_new(NULL);
-	h->places = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	h->offsets = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	h->bytes_max = bytes_max;
 	h->lines_max = lines_max;
 	http_head_reset(h);
@@ -22,7 +22,7 @@
 	if (h->text == NULL)
 		return;
 	g_string_free(h->text, TRUE);
-	g_array_free(h->places, TRUE);
+	g_array_free(h->offsets, TRUE);
 	h->text = NULL;
 }
 
@@ -30,7 +30,7 @@
 http_head_reset(struct http_head *h)
 {
 	g_string_truncate(h->text, 0);
-	g_array_set_size(h->places, 0);
+	g_array_set_size(h->offsets, 0);
 	h->bytes = 0;
 	h->in_value = true;
 }
@@ -44,14 +44,14 @@
 
 /* Begins the next name or value. */
 static void
-begin(struct http_head *h)
+begin_line(struct http_head *h)
 {
 	uint32_t place;
 
-	if (h->places->len > 0)
+	if (h->offsets->len > 0)
 		g_string_append_c(h->text, '\0');
 	place = (uint32_t)h->text->len;
-	g_array_append_val(h->places, place);
+	g_array_append_val(h->offsets, place);
 }
 
 int
@@ -61,11 +61,11 @@
 		return -1;
 	if (h->in_value) {
 		/* A name without a value has an empty one. */
-		if (h->places->len % 2 != 0)
-			begin(h);
-		if (h->places->len / 2 >= h->lines_max)
+		if (h->offsets->len % 2 != 0)
+			begin_line(h);
+		if (h->offsets->len / 2 >= h->lines_max)
 			return -1;
-		begin(h);
+		begin_line(h);
 		h->in_value = false;
 	}
 	g_string_append_len(h->text, at, (gssize)len);
@@ -78,7 +78,7 @@
 	if (count(h, len) < 0)
 		return -1;
 	if (!h->in_value) {
-		begin(h);
+		begin_line(h);
 		h->in_value = true;
 	}
 	g_string_append_len(h->text, at, (gssize)len);
@@ -88,7 +88,7 @@
 static char *
 string_at(const struct http_head *h, guint i)
 {
-	return h->text->str + g_array_index(h->places, uint32_t, i);
+	return h->text->str + g_array_index(h->offsets, uint32_t, i);
 }
 
 /* The parser leaves out the blanks before a value, not those after it. */
@@ -107,7 +107,7 @@
 uint32_t
 http_head_count(const struct http_head *h)
 {
-	return (h->places->len + 1) / 2;
+	return (h->offsets->len + 1) / 2;
 }
 
 uint32_t
@@ -115,9 +115,9 @@
 {
 	uint32_t i, n;
 
-	if (h->places->len % 2 != 0)
-		begin(h);
-	n = h->places->len / 2;
+	if (h->offsets->len % 2 != 0)
+		begin_line(h);
+	n = h->offsets->len / 2;
 	for (i = 0; i < n; i++) {
 		lines[i].name = string_at(h, 2 * i);
 		lines[i].value = value_at(h, 2 * i + 1);
@@ -138,7 +138,7 @@
 }
 
 static bool
-is_sound_value(const char *s)
+is_valid_value(const char *s)
 {
 	for (; *s != '\0'; s++)
 		if (g_ascii_iscntrl(*s) && *s != '\t')
@@ -147,13 +147,13 @@
 }
 
 bool
-http_head_sound(const struct http_header *lines, uint32_t n)
+http_head_valid(const struct http_header *lines, uint32_t n)
 {
 	uint32_t i;
 
 	for (i = 0; i < n; i++)
 		if (!http_is_token(lines[i].name) ||
-		    !is_sound_value(lines[i].value))
+		    !is_valid_value(lines[i].value))
 			return false;
 	return true;
 }
--- a/packages/net/src/http_head.h
+++ b/packages/net/src/http_head.h
@@ -13,16 +13,16 @@
 #include "net/http.h"
 
 /* Header lines of an answer that are handed on; more of them fail it. */
-#define HTTP_ANSWER_LINES_MAX 128
+#define HTTP_RESPONSE_LINES_MAX 128
 
 /* The head is bounded by its bytes alone: http_parser reads no head above
  * 80 KiB, and a line has 4 bytes at least, so 20,480 lines at most. */
-#define HTTP_LINES_ANY UINT32_MAX
+#define HTTP_LINES_UNBOUNDED UINT32_MAX
 
 /**
  * struct http_head - header lines read so far
  * @text: names and values, each zero-terminated
- * @places: offsets of names and values in @text, by turns
+ * @offsets: offsets of names and values in @text, by turns
  * @bytes: bytes of the lines, to bound them
  * @bytes_max: most bytes that are taken
  * @lines_max: most lines that are taken
@@ -30,7 +30,7 @@
  */
 struct http_head {
 	GString *text;
-	GArray *places;
+	GArray *offsets;
 	uint32_t bytes;
 	uint32_t bytes_max;
 	uint32_t lines_max;
@@ -66,13 +66,13 @@
 uint32_t http_head_lines(struct http_head *h, struct http_header *lines);
 
 /**
- * http_head_sound() - whether all lines read alike to everybody
+ * http_head_valid() - whether all lines read alike to everybody
  * @lines: the lines
  * @n: number of lines
  *
  * Names must be tokens, and values hold no control characters but tabs.
  */
-bool http_head_sound(const struct http_header *lines, uint32_t n);
+bool http_head_valid(const struct http_header *lines, uint32_t n);
 
 /** http_is_token() - whether a text can be a header's name or a method */
 bool http_is_token(const char *s);
--- a/packages/net/src/http_incoming.c
+++ b/packages/net/src/http_incoming.c
@@ -15,7 +15,7 @@
 #define HEAD_BYTES 512
 #define CHUNK_HEAD_BYTES 20
 /* A connection that sends more than this ahead is not read from. */
-#define AHEAD_MAX_BYTES 65536U
+#define PIPELINED_MAX_BYTES 65536U
 /* How long a caller that still sends may take to see its early answer. */
 #define LINGER_MS 1000U
 #define MS_PER_S 1000U
@@ -37,11 +37,11 @@
 static void
 close_socket(struct http_incoming *q, bool reset)
 {
-	struct linger hard = {.l_onoff = 1, .l_linger = 0};
+	struct linger abort_linger = {.l_onoff = 1, .l_linger = 0};
 
 	if (reset)
-		(void)setsockopt(
-		    q->fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+		(void)setsockopt(q->fd, SOL_SOCKET, SO_LINGER, &abort_linger,
+		    sizeof(abort_linger));
 	loop_fd_remove(q->watch);
 	(void)close(q->fd);
 	q->fd = -1;
@@ -70,8 +70,8 @@
 http_incoming_free(struct http_incoming *q)
 {
 	http_request_clear(q);
-	if (q->ahead != NULL)
-		g_byte_array_free(q->ahead, TRUE);
+	if (q->pipelined != NULL)
+		g_byte_array_free(q->pipelined, TRUE);
 	if (q->out != NULL)
 		g_byte_array_free(q->out, TRUE);
 	g_free(q);
@@ -82,13 +82,13 @@
 static bool
 wants_read(const struct http_incoming *q)
 {
-	uint32_t ahead = q->ahead != NULL ? q->ahead->len : 0;
+	uint32_t pipelined = q->pipelined != NULL ? q->pipelined->len : 0;
 
 	if (q->peer_ended)
 		return false;
 	if (q->state == INCOMING_SERVING && q->paused)
 		return false;
-	return ahead < AHEAD_MAX_BYTES;
+	return pipelined < PIPELINED_MAX_BYTES;
 }
 
 void
@@ -127,12 +127,12 @@
 	http_request_clear(q);
 	http_request_begin(q);
 	q->state = INCOMING_IDLE;
-	if (q->peer_ended && q->ahead == NULL) {
+	if (q->peer_ended && q->pipelined == NULL) {
 		http_incoming_close(q, false);
 		return;
 	}
 	set_timer(q, s->limits.idle_ms);
-	if (q->ahead != NULL)
+	if (q->pipelined != NULL)
 		loop_task_defer(&q->task);
 	http_incoming_watch(q);
 }
@@ -211,9 +211,9 @@
 		http_incoming_close(q, true);
 		return;
 	}
-	if (q->state == INCOMING_SERVING && q->low_due &&
+	if (q->state == INCOMING_SERVING && q->writable_due &&
 	    http_incoming_output_bytes(q) <= HTTP_OUTPUT_LOW_BYTES) {
-		q->low_due = false;
+		q->writable_due = false;
 		if (q->server->handler->on_writable != NULL)
 			q->server->handler->on_writable(q);
 	}
@@ -228,7 +228,7 @@
 		q->out = g_byte_array_sized_new(HEAD_BYTES);
 	g_byte_array_append(q->out, data, (guint)len);
 	if (http_incoming_output_bytes(q) > HTTP_OUTPUT_LOW_BYTES)
-		q->low_due = true;
+		q->writable_due = true;
 }
 
 static void
@@ -346,9 +346,9 @@
 void
 http_incoming_continue(struct http_incoming *q)
 {
-	if (!q->expects || q->answered)
+	if (!q->expects_continue || q->answered)
 		return;
-	q->expects = false;
+	q->expects_continue = false;
 	add_text(q, CONTINUE_LINE);
 	flush(q);
 }
@@ -377,12 +377,12 @@
 add_headers(struct http_incoming *q, const struct http_header *headers,
     uint32_t n, int64_t body_bytes)
 {
-	bool tells = body_bytes == HTTP_BODY_NONE;
+	bool keep_length = body_bytes == HTTP_BODY_NONE;
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
 		if (is_own(headers[i].name) &&
-		    !(tells &&
+		    !(keep_length &&
 			strcasecmp(headers[i].name, "Content-Length") == 0))
 			continue;
 		add_line(q, headers[i].name, headers[i].value);
--- a/packages/net/src/http_priv.h
+++ b/packages/net/src/http_priv.h
@@ -56,13 +56,13 @@
  * @body_bytes: its length
  * @deadline: ends the call
  * @task: starts it, or takes it up after a pause
- * @refused: status of a request that can't be sent
+ * @setup_status: status of a request that can't be sent
  * @error: why
  * @conn: its connection, or NULL
  * @reuse_idle_ms: longest idle time of a connection that is used again
  * @connect_ms: longest time for establishing a connection
  * @once: must not run twice
- * @fresh: has met a connection that had ended; gets one of its own
+ * @new_conn_only: has met a connection that had ended; gets one of its own
  * @pulled: the body comes from on_pull()
  * @chunked: and its length isn't known
  * @pull_ended: all of it was pulled
@@ -89,13 +89,13 @@
 	uint64_t body_bytes;
 	struct loop_timer deadline;
 	struct loop_task task;
-	enum status refused;
+	enum status setup_status;
 	char error[HTTP_ERROR_BYTES];
 	struct http_conn *conn;
 	uint64_t reuse_idle_ms;
 	uint32_t connect_ms;
 	bool once;
-	bool fresh;
+	bool new_conn_only;
 	bool pulled;
 	bool chunked;
 	bool pull_ended;
@@ -127,8 +127,8 @@
 /** http_call_end() - tell the owner how it ended, and free it */
 void http_call_end(struct http_call *call, enum status st);
 
-/** http_call_again() - its connection had ended unused: try another one */
-void http_call_again(struct http_call *call);
+/** http_call_retry() - its connection had ended unused: try another one */
+void http_call_retry(struct http_call *call);
 
 /* http_conn.c */
 
--- a/packages/net/src/http_read.c
+++ b/packages/net/src/http_read.c
@@ -8,9 +8,9 @@
 #include "http_conn_defs.h"
 
 /* How long a connection is kept when the server doesn't say. */
-#define HTTP_KEEP_MS 30000U
+#define HTTP_KEEP_ALIVE_MS 30000U
 /* Share of the time that the server keeps it for which it is used. */
-#define HTTP_KEEP_PERCENT 70U
+#define HTTP_KEEP_ALIVE_PERCENT 70U
 #define HTTP_FIRST_FINAL_CODE 200
 #define MS_PER_S 1000U
 #define PERCENT 100U
@@ -43,16 +43,17 @@
 
 /* "timeout=5, max=100": how long the server keeps the connection idle. */
 static void
-read_keep(struct http_conn *c, const struct http_header *lines, uint32_t n)
+read_keep_alive(
+    struct http_conn *c, const struct http_header *lines, uint32_t n)
 {
 	const char *text = http_head_find(lines, n, "Keep-Alive");
 	const char *at = text != NULL ? strstr(text, "timeout=") : NULL;
 
-	c->keep_ms = HTTP_KEEP_MS;
+	c->keep_alive_ms = HTTP_KEEP_ALIVE_MS;
 	if (at != NULL)
-		c->keep_ms = MIN(HTTP_KEEP_MS,
+		c->keep_alive_ms = MIN(HTTP_KEEP_ALIVE_MS,
 		    strtoul(at + strlen("timeout="), NULL, DECIMAL) * MS_PER_S *
-			HTTP_KEEP_PERCENT / PERCENT);
+			HTTP_KEEP_ALIVE_PERCENT / PERCENT);
 }
 
 static bool
@@ -70,7 +71,7 @@
 {
 	struct http_conn *c = conn_of(p);
 	struct http_call *call = c->call;
-	struct http_header lines[HTTP_ANSWER_LINES_MAX];
+	struct http_header lines[HTTP_RESPONSE_LINES_MAX];
 	enum http_flow flow = HTTP_CONTINUE;
 	uint32_t n;
 
@@ -78,11 +79,11 @@
 		return p->status_code == HTTP_STATUS_SWITCHING_PROTOCOLS ? -1
 									 : 0;
 	n = http_head_lines(&c->head, lines);
-	if (!http_head_sound(lines, n))
+	if (!http_head_valid(lines, n))
 		return -1;
 	call->code = p->status_code;
 	call->delimited = is_delimited(call, p);
-	read_keep(c, lines, n);
+	read_keep_alive(c, lines, n);
 	if (call->handler->on_head != NULL)
 		flow = call->handler->on_head(
 		    call, call->code, lines, n, call->arg);
@@ -90,7 +91,7 @@
 		return -1;
 	if (flow == HTTP_SKIP) {
 		call->skipping = true;
-		c->extra = true;
+		c->surplus = true;
 		return 0;
 	}
 	call->head_done = true;
@@ -140,7 +141,7 @@
 		c->call->skipping = false;
 		return 0;
 	}
-	c->whole = true;
+	c->complete = true;
 	http_parser_pause(p, 1);
 	return 0;
 }
--- a/packages/net/src/http_request.c
+++ b/packages/net/src/http_request.c
@@ -23,7 +23,8 @@
 	struct http_server *s = q->server;
 
 	q->state = INCOMING_HEAD;
-	http_head_init(&q->head, s->limits.head_max_bytes, HTTP_LINES_ANY);
+	http_head_init(
+	    &q->head, s->limits.head_max_bytes, HTTP_LINES_UNBOUNDED);
 	q->target = g_string_new(NULL);
 	loop_timer_set(&q->timer, loop_now_ms(s->loop) + s->limits.head_ms);
 	return 0;
@@ -63,34 +64,35 @@
 
 /* Whether there is one way only to read where the body ends. */
 static bool
-is_sound(const http_parser *p, const struct http_header *lines, uint32_t n)
+has_unambiguous_length(
+    const http_parser *p, const struct http_header *lines, uint32_t n)
 {
-	bool coded = false;
+	bool chunked = false;
 	uint32_t i;
 
-	if (p->http_major != 1 || !http_head_sound(lines, n))
+	if (p->http_major != 1 || !http_head_valid(lines, n))
 		return false;
 	for (i = 0; i < n; i++) {
 		if (strcasecmp(lines[i].name, "Transfer-Encoding") != 0)
 			continue;
-		if (coded || strcasecmp(lines[i].value, "chunked") != 0)
+		if (chunked || strcasecmp(lines[i].value, "chunked") != 0)
 			return false;
-		coded = true;
+		chunked = true;
 	}
-	return !coded ||
+	return !chunked ||
 	    (p->http_minor > 0 &&
 		http_head_find(lines, n, "Content-Length") == NULL);
 }
 
 static int
-serve(http_parser *p, const struct http_header *lines, uint32_t n)
+dispatch(http_parser *p, const struct http_header *lines, uint32_t n)
 {
 	struct http_incoming *q = incoming_of(p);
 	struct http_server *s = q->server;
 	struct http_incoming_head head = {.headers = lines, .n_headers = n};
 	const char *expect;
 
-	if (!is_sound(p, lines, n))
+	if (!has_unambiguous_length(p, lines, n))
 		return -1;
 	head.method = http_method_str((enum http_method)p->method);
 	head.target = q->target->str;
@@ -98,7 +100,8 @@
 	head.caller = q->caller;
 	head.version_1_0 = p->http_major == 1 && p->http_minor == 0;
 	expect = http_head_find(lines, head.n_headers, "Expect");
-	q->expects = expect != NULL && strcasecmp(expect, "100-continue") == 0;
+	q->expects_continue =
+	    expect != NULL && strcasecmp(expect, "100-continue") == 0;
 	q->head_only = p->method == HTTP_HEAD;
 	q->close = http_should_keep_alive(p) == 0;
 	q->state = INCOMING_SERVING;
@@ -114,7 +117,7 @@
 	struct http_head *h = &incoming_of(p)->head;
 	struct http_header *lines =
 	    g_new(struct http_header, http_head_count(h));
-	int result = serve(p, lines, http_head_lines(h, lines));
+	int result = dispatch(p, lines, http_head_lines(h, lines));
 
 	g_free(lines);
 	return result;
@@ -179,7 +182,7 @@
 
 /* What came is no request, or one that may be read in two ways. */
 static void
-bad(struct http_incoming *q, enum http_errno err)
+reject(struct http_incoming *q, enum http_errno err)
 {
 	struct http_server *s = q->server;
 	bool large = err == HPE_HEADER_OVERFLOW || err == HPE_CB_url ||
@@ -198,18 +201,18 @@
 }
 
 static void
-keep_ahead(struct http_incoming *q, const char *data, size_t len)
+buffer_pipelined(struct http_incoming *q, const char *data, size_t len)
 {
 	if (len == 0)
 		return;
-	if (q->ahead == NULL)
-		q->ahead = g_byte_array_new();
-	g_byte_array_append(q->ahead, (const guint8 *)data, (guint)len);
+	if (q->pipelined == NULL)
+		q->pipelined = g_byte_array_new();
+	g_byte_array_append(q->pipelined, (const guint8 *)data, (guint)len);
 }
 
 /* Whether the parser may go on: not while an answer is due. */
 static bool
-may_parse(const struct http_incoming *q)
+can_parse(const struct http_incoming *q)
 {
 	if (q->state == INCOMING_IDLE || q->state == INCOMING_HEAD)
 		return true;
@@ -230,9 +233,9 @@
 	err = HTTP_PARSER_ERRNO(&q->parser);
 	if (err == HPE_PAUSED || (err == HPE_OK && q->parser.upgrade)) {
 		http_parser_pause(&q->parser, 0);
-		keep_ahead(q, data + n, len - n);
+		buffer_pipelined(q, data + n, len - n);
 	} else if (err != HPE_OK) {
-		bad(q, err);
+		reject(q, err);
 	}
 	if (q->state == INCOMING_FLUSHING)
 		http_incoming_flushed(q);
@@ -241,21 +244,21 @@
 void
 http_request_feed(struct http_incoming *q, const char *data, size_t len)
 {
-	GByteArray *kept = q->ahead;
+	GByteArray *buffered = q->pipelined;
 
-	if (!may_parse(q)) {
-		keep_ahead(q, data, len);
+	if (!can_parse(q)) {
+		buffer_pipelined(q, data, len);
 		return;
 	}
 	/* To the parser no bytes mean the end of the connection. */
-	if (kept == NULL && len == 0)
+	if (buffered == NULL && len == 0)
 		return;
-	if (kept == NULL) {
+	if (buffered == NULL) {
 		parse(q, data, len);
 		return;
 	}
-	g_byte_array_append(kept, (const guint8 *)data, (guint)len);
-	q->ahead = NULL;
-	parse(q, (const char *)kept->data, kept->len);
-	g_byte_array_free(kept, TRUE);
+	g_byte_array_append(buffered, (const guint8 *)data, (guint)len);
+	q->pipelined = NULL;
+	parse(q, (const char *)buffered->data, buffered->len);
+	g_byte_array_free(buffered, TRUE);
 }
--- a/packages/net/src/http_server.c
+++ b/packages/net/src/http_server.c
@@ -11,12 +11,12 @@
 
 #define SERVER_BACKLOG 1024
 /* Connections accepted in one turn before others run. */
-#define SERVER_TURN 64
+#define SERVER_ACCEPTS_PER_TURN 64
 /* Pause when the process has no descriptor left. */
 #define SERVER_PAUSE_MS 100
 
 static void
-reap(void *arg)
+free_closed(void *arg)
 {
 	struct http_server *s = arg;
 	GList *link;
@@ -53,7 +53,7 @@
 	int fd, i;
 
 	(void)ready;
-	for (i = 0; i < SERVER_TURN; i++) {
+	for (i = 0; i < SERVER_ACCEPTS_PER_TURN; i++) {
 		len = sizeof(sin);
 		fd = accept4(s->fd, (struct sockaddr *)&sin, &len,
 		    SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -115,7 +115,7 @@
 	s->handler = handler;
 	s->arg = arg;
 	loop_timer_init(&s->pause, loop, on_pause_end, s);
-	loop_task_init(&s->task, loop, reap, s);
+	loop_task_init(&s->task, loop, free_closed, s);
 	http_server_limits_set(s, limits);
 	st = sock_bind(SOCK_STREAM, at, &s->fd);
 	if (st == STATUS_OK)
@@ -132,7 +132,7 @@
 http_server_drop_new_conns(struct http_server *s)
 {
 	if (s->fd >= 0)
-		sock_refuse_new(s->fd);
+		sock_drop_new_conns(s->fd);
 }
 
 void
@@ -156,7 +156,7 @@
 	while (s->conns.head != NULL)
 		http_incoming_close(s->conns.head->data, false);
 	loop_task_cancel(&s->task);
-	reap(s);
+	free_closed(s);
 	g_free(s);
 }
 
@@ -174,7 +174,7 @@
 
 /* Whether the system holds bytes that are not read yet. */
 static bool
-has_bytes(const struct http_incoming *q)
+has_unread_bytes(const struct http_incoming *q)
 {
 	char byte;
 
@@ -191,7 +191,7 @@
 	for (l = s->conns.head; now && l != NULL; l = next) {
 		next = l->next;
 		q = l->data;
-		if (q->state == INCOMING_IDLE && !has_bytes(q))
+		if (q->state == INCOMING_IDLE && !has_unread_bytes(q))
 			http_incoming_close(q, false);
 	}
 }
--- a/packages/net/src/http_server_priv.h
+++ b/packages/net/src/http_server_priv.h
@@ -62,20 +62,20 @@
  * @parser: reads requests
  * @target: path and query
  * @head: header lines; allocated while there are any
- * @ahead: bytes read and not parsed yet, or NULL
+ * @pipelined: bytes read and not parsed yet, or NULL
  * @out: bytes to be written, or NULL
  * @out_sent: bytes of @out that are written
  * @arg: the owner's
  * @parsing: the parser is at work
  * @paused: the owner wants no body now
  * @body_done: the whole request was read
- * @expects: the caller waits for a 100
+ * @expects_continue: the caller waits for a 100
  * @head_only: the answer has no body
  * @answered: the head of the answer was written
  * @chunked: its body goes in chunks
  * @close: the connection ends with the answer
  * @peer_ended: the caller has closed its side
- * @low_due: on_writable() is due
+ * @writable_due: on_writable() is due
  */
 struct http_incoming {
 	struct http_server *server;
@@ -89,20 +89,20 @@
 	http_parser parser;
 	GString *target;
 	struct http_head head;
-	GByteArray *ahead;
+	GByteArray *pipelined;
 	GByteArray *out;
 	size_t out_sent;
 	void *arg;
 	bool parsing;
 	bool paused;
 	bool body_done;
-	bool expects;
+	bool expects_continue;
 	bool head_only;
 	bool answered;
 	bool chunked;
 	bool close;
 	bool peer_ended;
-	bool low_due;
+	bool writable_due;
 };
 
 /* http_incoming.c */
--- a/packages/net/src/listener.c
+++ b/packages/net/src/listener.c
@@ -12,7 +12,7 @@
 
 #define LISTENER_BACKLOG 1024
 /* Connections accepted in one turn before others run. */
-#define LISTENER_TURN 64
+#define LISTENER_ACCEPTS_PER_TURN 64
 /* Pause when the process has no descriptor left. */
 #define LISTENER_PAUSE_MS 100
 
@@ -52,7 +52,7 @@
 }
 
 static void
-listener_take(struct listener *l, int fd, const struct sockaddr_in *sin)
+listener_adopt(struct listener *l, int fd, const struct sockaddr_in *sin)
 {
 	const struct listener_options *o = &l->options;
 	struct conn *c;
@@ -95,7 +95,7 @@
 	int fd, i;
 
 	(void)ready;
-	for (i = 0; i < LISTENER_TURN; i++) {
+	for (i = 0; i < LISTENER_ACCEPTS_PER_TURN; i++) {
 		len = sizeof(sin);
 		fd = accept4(l->fd, (struct sockaddr *)&sin, &len,
 		    SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -103,7 +103,7 @@
 			listener_accept_failed(l, errno);
 			return;
 		}
-		listener_take(l, fd, &sin);
+		listener_adopt(l, fd, &sin);
 	}
 }
 
--- a/packages/net/src/loop.c
+++ b/packages/net/src/loop.c
@@ -15,7 +15,7 @@
 #define LOOP_EVENTS 256
 #define LOOP_US_PER_MS 1000
 /* A turn serves at most this many batches before timers get their turn. */
-#define LOOP_BATCHES 16
+#define LOOP_BATCHES_MAX 16
 
 /* A watched descriptor; one that is removed is freed after the batch. */
 struct loop_fd {
@@ -38,7 +38,7 @@
 	struct loop_fd *wake;
 	uint64_t now_us;
 	bool stopping;
-	bool firing;
+	bool firing_timers;
 	GSequence *timers;
 	struct loop_task tasks;
 	GPtrArray *removed;
@@ -237,7 +237,7 @@
 		loop_timer_stop(t);
 		return;
 	}
-	if (t->loop->firing)
+	if (t->loop->firing_timers)
 		least_ms = loop_now_ms(t->loop) + 1;
 	t->deadline_ms = MAX(deadline_ms, least_ms);
 	if (t->place != NULL)
@@ -270,14 +270,14 @@
 {
 	struct loop_timer *t;
 
-	loop->firing = true;
+	loop->firing_timers = true;
 	while ((t = loop_first_timer(loop)) != NULL) {
 		if (t->deadline_ms > loop_now_ms(loop))
 			break;
 		loop_timer_stop(t);
 		t->fn(t->arg);
 	}
-	loop->firing = false;
+	loop->firing_timers = false;
 }
 
 /* Tasks: a ring with the loop's own as its head. */
@@ -404,7 +404,7 @@
 		n = loop_serve(loop, wait_ms);
 		loop_free_removed(loop);
 		wait_ms = 0;
-	} while (n == LOOP_EVENTS && ++batches < LOOP_BATCHES);
+	} while (n == LOOP_EVENTS && ++batches < LOOP_BATCHES_MAX);
 	loop_fire_timers(loop);
 	loop_run_tasks(loop);
 	loop_free_removed(loop);
--- a/packages/net/src/sock.c
+++ b/packages/net/src/sock.c
@@ -78,7 +78,7 @@
 }
 
 /* Drops the first segment of each new connection; offsets are TCP's. */
-static struct sock_filter no_syn[] = {
+static struct sock_filter drop_syn[] = {
     BPF_STMT(BPF_LD | BPF_B | BPF_ABS, TCP_FLAGS_OFFSET),
     BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, TCP_FLAG_SYN_BIT, 0, 1),
     BPF_STMT(BPF_RET | BPF_K, 0),
@@ -86,10 +86,10 @@
 };
 
 void
-sock_refuse_new(int fd)
+sock_drop_new_conns(int fd)
 {
 	const struct sock_fprog program = {
-	    .len = G_N_ELEMENTS(no_syn), .filter = no_syn};
+	    .len = G_N_ELEMENTS(drop_syn), .filter = drop_syn};
 
 	(void)setsockopt(
 	    fd, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof(program));
--- a/packages/net/src/sock.h
+++ b/packages/net/src/sock.h
@@ -29,13 +29,13 @@
 enum status sock_bind(int type, struct net_addr at, int *fd);
 
 /**
- * sock_refuse_new() - let no new connection be made to a listening socket
+ * sock_drop_new_conns() - let no new connection be made to a listening socket
  * @fd: the socket
  *
  * Those that are being made, or wait to be accepted, still get through:
  * closing the socket would reset them.  Where the system has no such filter
  * nothing changes.
  */
-void sock_refuse_new(int fd);
+void sock_drop_new_conns(int fd);
 
 #endif
--- a/packages/net/src/udp.c
+++ b/packages/net/src/udp.c
@@ -10,7 +10,7 @@
 #include "sock.h"
 
 /* Datagrams read in one turn before others run. */
-#define UDP_TURN 128
+#define UDP_DATAGRAMS_PER_TURN 128
 
 struct udp {
 	struct loop_fd *watch;
@@ -32,7 +32,7 @@
 }
 
 static void
-udp_take(struct udp *u, const struct sockaddr_in *sin, const uint8_t *data,
+udp_deliver(struct udp *u, const struct sockaddr_in *sin, const uint8_t *data,
     size_t len)
 {
 	udp_count(u->options.received_bytes, (int64_t)len);
@@ -55,12 +55,12 @@
 	int i;
 
 	(void)ready;
-	for (i = 0; i < UDP_TURN; i++) {
+	for (i = 0; i < UDP_DATAGRAMS_PER_TURN; i++) {
 		sin_len = sizeof(sin);
 		n = recvfrom(u->fd, data, sizeof(data), 0,
 		    (struct sockaddr *)&sin, &sin_len);
 		if (n >= 0)
-			udp_take(u, &sin, data, (size_t)n);
+			udp_deliver(u, &sin, data, (size_t)n);
 		else if (errno == EAGAIN)
 			return;
 	}
--- a/packages/net/test/test_conn.c
+++ b/packages/net/test/test_conn.c
@@ -36,7 +36,7 @@
 }
 END_TEST
 
-START_TEST(bytes_are_counted_by_purpose)
+START_TEST(bytes_are_counted_in_the_given_metrics)
 {
 	metric_set(&sent, 0);
 	metric_set(&received, 0);
@@ -50,7 +50,7 @@
 }
 END_TEST
 
-START_TEST(refused_dial_is_told_after_the_call)
+START_TEST(refused_dial_is_reported_asynchronously)
 {
 	struct net_addr at = listener_addr(lst);
 
@@ -82,7 +82,7 @@
 }
 END_TEST
 
-START_TEST(output_is_bounded_and_goes_on_after_draining)
+START_TEST(output_is_bounded_and_resumes_after_draining)
 {
 	struct conn_options o = {.output_max_bytes = 64U << 10};
 	int n = 0, rounds;
@@ -174,10 +174,10 @@
 
 	tcase_add_checked_fixture(tc, side_setup, side_teardown);
 	tcase_add_test(tc, frames_go_both_ways);
-	tcase_add_test(tc, bytes_are_counted_by_purpose);
-	tcase_add_test(tc, refused_dial_is_told_after_the_call);
+	tcase_add_test(tc, bytes_are_counted_in_the_given_metrics);
+	tcase_add_test(tc, refused_dial_is_reported_asynchronously);
 	tcase_add_test(tc, dial_has_a_deadline);
-	tcase_add_test(tc, output_is_bounded_and_goes_on_after_draining);
+	tcase_add_test(tc, output_is_bounded_and_resumes_after_draining);
 	tcase_add_test(tc, closing_within_a_frame_ends_the_callbacks);
 	tcase_add_test(tc, newest_connection_above_the_bound_is_closed);
 	tcase_add_test(tc, finish_delivers_all_output);
--- a/packages/net/test/test_conn_peers.c
+++ b/packages/net/test/test_conn_peers.c
@@ -58,7 +58,7 @@
 END_TEST
 
 static void
-random_side(GRand *rand)
+random_peer(GRand *rand)
 {
 	uint8_t junk[256];
 	size_t i, len = (size_t)g_rand_int_range(rand, 1, sizeof(junk));
@@ -88,7 +88,7 @@
 	first->c = served.c;
 	conn_set_arg(first->c, first);
 	for (i = 0; i < 200; i++) {
-		random_side(rand);
+		random_peer(rand);
 		ck_assert_int_eq(
 		    conn_send_frame(client.c, 1, NULL, 0), STATUS_OK);
 		RUN_UNTIL(loop, client.frames == i + 1);
@@ -122,7 +122,7 @@
 }
 END_TEST
 
-START_TEST(peer_that_takes_nothing_is_closed)
+START_TEST(peer_that_reads_nothing_is_closed)
 {
 	int fd = side_raw();
 
@@ -160,7 +160,7 @@
 }
 END_TEST
 
-START_TEST(pause_of_this_process_is_not_held_against_the_peer)
+START_TEST(pause_of_this_process_does_not_time_out_the_peer)
 {
 	int fd = side_raw();
 
@@ -188,8 +188,8 @@
 	    tc, bad_peer_is_closed_with_a_status, 0, G_N_ELEMENTS(bad_peers));
 	tcase_add_test(tc, random_bytes_do_not_disturb_a_neighbour);
 	tcase_add_test(tc, idle_connection_is_closed_and_a_busy_one_is_not);
-	tcase_add_test(tc, peer_that_takes_nothing_is_closed);
+	tcase_add_test(tc, peer_that_reads_nothing_is_closed);
 	tcase_add_test(tc, frames_sent_before_a_reset_are_read);
-	tcase_add_test(tc, pause_of_this_process_is_not_held_against_the_peer);
+	tcase_add_test(tc, pause_of_this_process_does_not_time_out_the_peer);
 	return support_run("conn_peers", tc);
 }
--- a/packages/net/test/test_http.c
+++ b/packages/net/test/test_http.c
@@ -7,7 +7,7 @@
 
 #define PULL_BYTES 300000U
 
-START_TEST(answer_is_told_as_it_came)
+START_TEST(answer_is_delivered_as_received)
 {
 	int round;
 
@@ -27,7 +27,7 @@
 }
 END_TEST
 
-START_TEST(request_goes_out_as_given)
+START_TEST(request_is_sent_as_given)
 {
 	struct http_header headers[] = {{"X-One", "1"}, {"X-None", ""},
 	    {"Content-Length", "77"}, {"Host", "h"}};
@@ -48,7 +48,7 @@
 END_TEST
 
 /* Too many headers, too long a head, and lines that are no headers fail. */
-START_TEST(head_of_an_answer_is_bounded_and_clean)
+START_TEST(head_of_an_answer_is_bounded_and_validated)
 {
 	caller_get("/many");
 	ck_assert_int_eq(caller.status, STATUS_INVALID);
@@ -62,7 +62,7 @@
 }
 END_TEST
 
-START_TEST(method_and_length_fit_each_other)
+START_TEST(content_length_depends_on_method)
 {
 	static const char *const methods[] = {
 	    "GET", "HEAD", "DELETE", "POST", "PUT"};
@@ -85,7 +85,7 @@
 }
 END_TEST
 
-START_TEST(pulled_body_arrives_whole_in_spite_of_pauses)
+START_TEST(pulled_body_arrives_complete_despite_pauses)
 {
 	struct http_request r = {.method = "POST",
 	    .pulled = true,
@@ -103,7 +103,7 @@
 }
 END_TEST
 
-START_TEST(paused_answer_waits_and_arrives_whole)
+START_TEST(paused_answer_arrives_complete)
 {
 	struct http_request r = {.method = "GET"};
 
@@ -139,7 +139,7 @@
 END_TEST
 
 /* A second answer on a connection, and one that belongs to another request. */
-START_TEST(answer_of_another_request_is_passed_over)
+START_TEST(answer_of_another_request_is_skipped)
 {
 	struct http_request r = {.method = "GET"};
 
@@ -163,15 +163,15 @@
 	TCase *tc = tcase_create("http");
 
 	tcase_add_checked_fixture(tc, caller_setup, caller_teardown);
-	tcase_add_loop_test(tc, answer_is_told_as_it_came, 0, N_SCRIPTED);
-	tcase_add_test(tc, request_goes_out_as_given);
-	tcase_add_test(tc, head_of_an_answer_is_bounded_and_clean);
-	tcase_add_loop_test(tc, method_and_length_fit_each_other, 0, 5);
-	tcase_add_test(tc, answer_of_another_request_is_passed_over);
+	tcase_add_loop_test(tc, answer_is_delivered_as_received, 0, N_SCRIPTED);
+	tcase_add_test(tc, request_is_sent_as_given);
+	tcase_add_test(tc, head_of_an_answer_is_bounded_and_validated);
+	tcase_add_loop_test(tc, content_length_depends_on_method, 0, 5);
+	tcase_add_test(tc, answer_of_another_request_is_skipped);
 	tcase_add_test(tc, path_is_not_rewritten);
 	tcase_add_loop_test(
-	    tc, pulled_body_arrives_whole_in_spite_of_pauses, 0, 4);
-	tcase_add_test(tc, paused_answer_waits_and_arrives_whole);
+	    tc, pulled_body_arrives_complete_despite_pauses, 0, 4);
+	tcase_add_test(tc, paused_answer_arrives_complete);
 	tcase_add_test(tc, connections_are_bounded_and_reused);
 	return support_run("http", tc);
 }
--- a/packages/net/test/test_http_faults.c
+++ b/packages/net/test/test_http_faults.c
@@ -31,7 +31,7 @@
 	RUN_UNTIL(loop, caller.done == 2);
 }
 
-START_TEST(hazard_reused_connection_doubles_a_post)
+START_TEST(reused_connection_repeats_an_unmarked_post)
 {
 	post_after_another(false);
 	ck_assert_int_eq(runs, 2);
@@ -54,7 +54,7 @@
 END_TEST
 
 /* Nobody can tell whether a kept connection still lives. */
-START_TEST(request_marked_once_has_its_connection_alone_unless_it_allows)
+START_TEST(once_request_gets_a_new_connection_unless_reuse_is_allowed)
 {
 	struct http_request r = {.method = "GET"};
 	int i;
@@ -91,7 +91,7 @@
 }
 END_TEST
 
-START_TEST(deadline_that_has_passed_sends_nothing)
+START_TEST(expired_deadline_sends_nothing)
 {
 	struct http_request r = {.method = "GET", .deadline_ms = 1};
 
@@ -143,7 +143,7 @@
 }
 END_TEST
 
-START_TEST(cancelled_call_is_silent_and_its_connection_closed)
+START_TEST(cancelled_call_makes_no_callbacks_and_closes_its_connection)
 {
 	struct http_request r = {.method = "POST", .pulled = _i == 2};
 	int i;
@@ -166,7 +166,7 @@
 }
 END_TEST
 
-START_TEST(call_cancelled_at_once_has_sent_nothing)
+START_TEST(call_cancelled_before_start_has_sent_nothing)
 {
 	struct http_request r = {.method = "POST"};
 
@@ -182,7 +182,7 @@
 	const char *method;
 	const char *url;
 	struct http_header header;
-} wrong[] = {
+} invalid_requests[] = {
     {"GET", "https://127.0.0.1:9/", {"X", "y"}},
     {"GET", "file:///", {"X", "y"}},
     {"GET", "http://127.0.0.1:9/a b", {"X", "y"}},
@@ -194,11 +194,11 @@
     {"GET", "http://127.0.0.1:9/", {"", "z"}},
 };
 
-START_TEST(wrong_request_is_not_sent)
+START_TEST(invalid_request_is_not_sent)
 {
-	struct http_request r = {.method = wrong[_i].method,
-	    .url = wrong[_i].url,
-	    .headers = &wrong[_i].header,
+	struct http_request r = {.method = invalid_requests[_i].method,
+	    .url = invalid_requests[_i].url,
+	    .headers = &invalid_requests[_i].header,
 	    .n_headers = 1,
 	    .deadline_ms = loop_now_ms(loop) + WAIT_MS};
 
@@ -210,7 +210,7 @@
 }
 END_TEST
 
-START_TEST(freed_client_drops_its_calls)
+START_TEST(freed_client_cancels_its_calls)
 {
 	struct http_request r = {.method = "GET"};
 	struct caller other;
@@ -233,20 +233,20 @@
 	TCase *tc = tcase_create("http_faults");
 
 	tcase_add_checked_fixture(tc, caller_setup, caller_teardown);
-	tcase_add_test(tc, hazard_reused_connection_doubles_a_post);
+	tcase_add_test(tc, reused_connection_repeats_an_unmarked_post);
 	tcase_add_test(tc, once_never_doubles_a_post);
 	tcase_add_test(
-	    tc, request_marked_once_has_its_connection_alone_unless_it_allows);
+	    tc, once_request_gets_a_new_connection_unless_reuse_is_allowed);
 	tcase_add_test(tc, deadline_ends_a_call_that_hangs);
-	tcase_add_test(tc, deadline_that_has_passed_sends_nothing);
+	tcase_add_test(tc, expired_deadline_sends_nothing);
 	tcase_add_test(tc, refused_connection_has_sent_nothing);
 	tcase_add_test(tc, connection_that_is_not_established_has_sent_nothing);
 	tcase_add_test(tc, aborted_call_fails);
+	tcase_add_loop_test(tc,
+	    cancelled_call_makes_no_callbacks_and_closes_its_connection, 0, 4);
+	tcase_add_test(tc, call_cancelled_before_start_has_sent_nothing);
 	tcase_add_loop_test(
-	    tc, cancelled_call_is_silent_and_its_connection_closed, 0, 4);
-	tcase_add_test(tc, call_cancelled_at_once_has_sent_nothing);
-	tcase_add_loop_test(
-	    tc, wrong_request_is_not_sent, 0, G_N_ELEMENTS(wrong));
-	tcase_add_test(tc, freed_client_drops_its_calls);
+	    tc, invalid_request_is_not_sent, 0, G_N_ELEMENTS(invalid_requests));
+	tcase_add_test(tc, freed_client_cancels_its_calls);
 	return support_run("http_faults", tc);
 }
--- a/packages/net/test/test_http_server.c
+++ b/packages/net/test/test_http_server.c
@@ -14,7 +14,7 @@
 static struct loop *loop;
 static struct http_server *server;
 static GString *seen;
-static struct http_incoming *held;
+static struct http_incoming *pending;
 static int gone;
 static int bad_code;
 static int lines_seen;
@@ -43,7 +43,7 @@
 	g_string_append_printf(seen, "%s %s %d;", head->method, head->target,
 	    (int)head->body_bytes);
 	if (strcmp(head->target, "/hold") == 0)
-		held = q;
+		pending = q;
 	else if (strcmp(head->target, "/early") == 0)
 		answer(q, "/early");
 	else if (head->body_bytes == 0)
@@ -61,7 +61,7 @@
 on_body_end(struct http_incoming *q)
 {
 	g_string_append(seen, ";");
-	if (q != held && g_str_has_suffix(seen->str, ";;") == FALSE &&
+	if (q != pending && g_str_has_suffix(seen->str, ";;") == FALSE &&
 	    strstr(seen->str, "POST") != NULL)
 		answer(q, "/body");
 }
@@ -69,8 +69,8 @@
 static void
 on_gone(struct http_incoming *q)
 {
-	ck_assert(q == held || held == NULL);
-	held = NULL;
+	ck_assert(q == pending || pending == NULL);
+	pending = NULL;
 	gone++;
 }
 
@@ -98,7 +98,7 @@
 
 	loop = loop_new();
 	seen = g_string_new(NULL);
-	held = NULL;
+	pending = NULL;
 	gone = 0;
 	bad_code = 0;
 	ck_assert_int_eq(
@@ -109,7 +109,7 @@
 static void
 teardown(void)
 {
-	held = NULL;
+	pending = NULL;
 	http_server_free(server);
 	loop_free(loop);
 	g_string_free(seen, TRUE);
@@ -128,23 +128,23 @@
 }
 
 static void
-turns(int n)
+run_turns(int n)
 {
 	while (n-- > 0)
 		loop_run_once(loop, loop_now_ms(loop) + 5);
 }
 
 static void
-say(int fd, const char *text)
+send_text(int fd, const char *text)
 {
 	ck_assert_int_eq(
 	    send(fd, text, strlen(text), MSG_NOSIGNAL), (int)strlen(text));
-	turns(6);
+	run_turns(6);
 }
 
 /* All that has come; "" with @ended set once the server has closed. */
 static const char *
-hear(int fd, bool *ended)
+receive_text(int fd, bool *ended)
 {
 	static char buf[8192];
 	ssize_t n, total = 0;
@@ -162,16 +162,16 @@
 	return buf;
 }
 
-START_TEST(requests_sent_ahead_are_answered_in_order)
+START_TEST(pipelined_requests_are_answered_in_order)
 {
 	bool ended;
 	const char *text, *one, *two;
 	int fd = dial();
 
-	say(fd,
+	send_text(fd,
 	    "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\n"
 	    "Host: h\r\n\r\n");
-	text = hear(fd, &ended);
+	text = receive_text(fd, &ended);
 	one = strstr(text, "\r\n\r\n/1");
 	two = strstr(text, "\r\n\r\n/2");
 	ck_assert(one != NULL && two != NULL && one < two);
@@ -187,12 +187,12 @@
 	bool ended;
 	int fd = dial();
 
-	say(fd, "GET /hold HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+	send_text(fd, "GET /hold HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
 	ck_assert_str_eq(seen->str, "GET /hold 0;;");
-	answer(held, "held");
-	held = NULL;
-	turns(6);
-	ck_assert_ptr_nonnull(strstr(hear(fd, &ended), "\r\n\r\n/2"));
+	answer(pending, "held");
+	pending = NULL;
+	run_turns(6);
+	ck_assert_ptr_nonnull(strstr(receive_text(fd, &ended), "\r\n\r\n/2"));
 	close(fd);
 }
 END_TEST
@@ -209,14 +209,14 @@
     "\x16\x03\x01\x02\x00\x01",
 };
 
-START_TEST(ambiguous_requests_are_refused_and_closed)
+START_TEST(ambiguous_requests_are_rejected_and_closed)
 {
 	bool ended;
 	const char *text;
 	int fd = dial();
 
-	say(fd, ambiguous[_i]);
-	text = hear(fd, &ended);
+	send_text(fd, ambiguous[_i]);
+	text = receive_text(fd, &ended);
 	ck_assert_msg(strstr(text, " 400 ") != NULL, "%d: %s", _i, text);
 	ck_assert(ended);
 	ck_assert_int_eq(bad_code, 400);
@@ -225,15 +225,15 @@
 }
 END_TEST
 
-START_TEST(a_head_that_is_too_large_is_refused)
+START_TEST(oversized_head_is_rejected)
 {
 	char *value = g_strnfill(20000, 'v');
 	char *text = g_strdup_printf("GET /x HTTP/1.1\r\nA: %s\r\n\r\n", value);
 	bool ended;
 	int fd = dial();
 
-	say(fd, text);
-	ck_assert_ptr_nonnull(strstr(hear(fd, &ended), " 431 "));
+	send_text(fd, text);
+	ck_assert_ptr_nonnull(strstr(receive_text(fd, &ended), " 431 "));
 	ck_assert(ended);
 	close(fd);
 	g_free(text);
@@ -242,7 +242,7 @@
 END_TEST
 
 /* Lines are bounded by the bytes of the head, not by their number. */
-START_TEST(a_head_of_many_lines_is_taken)
+START_TEST(head_of_many_lines_is_accepted)
 {
 	GString *text = g_string_new("GET /many HTTP/1.1\r\n");
 	bool ended;
@@ -251,8 +251,8 @@
 	for (i = 0; i < MANY_LINES; i++)
 		g_string_append_printf(text, "X-%d: %d\r\n", i, i);
 	g_string_append(text, "\r\n");
-	say(fd, text->str);
-	ck_assert_ptr_nonnull(strstr(hear(fd, &ended), " 200 "));
+	send_text(fd, text->str);
+	ck_assert_ptr_nonnull(strstr(receive_text(fd, &ended), " 200 "));
 	ck_assert(!ended);
 	ck_assert_int_eq(lines_seen, MANY_LINES);
 	close(fd);
@@ -261,7 +261,7 @@
 END_TEST
 
 /* Blanks around a value are no part of it. */
-START_TEST(values_come_without_blanks_around_them)
+START_TEST(whitespace_around_values_is_stripped)
 {
 	static const char *const rows[][2] = {
 	    {"Host: a.example \t", "a.example"}, {"Host:\t a b  ", "a b"},
@@ -274,8 +274,9 @@
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		text = g_strdup_printf(
 		    "GET /x HTTP/1.1\r\n%s\r\n\r\n", rows[i][0]);
-		say(fd, text);
-		ck_assert_ptr_nonnull(strstr(hear(fd, &ended), " 200 "));
+		send_text(fd, text);
+		ck_assert_ptr_nonnull(
+		    strstr(receive_text(fd, &ended), " 200 "));
 		ck_assert_str_eq(value_seen, rows[i][1]);
 		g_free(text);
 	}
@@ -283,85 +284,86 @@
 }
 END_TEST
 
-START_TEST(bodies_come_whole_by_length_and_in_chunks)
+START_TEST(bodies_arrive_complete_by_length_and_chunked)
 {
 	bool ended;
 	int fd = dial();
 
-	say(fd, "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhe");
-	say(fd, "llo");
+	send_text(fd, "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhe");
+	send_text(fd, "llo");
 	ck_assert_str_eq(seen->str, "POST /a 5;hello;");
-	ck_assert_ptr_nonnull(strstr(hear(fd, &ended), "/body"));
+	ck_assert_ptr_nonnull(strstr(receive_text(fd, &ended), "/body"));
 	g_string_truncate(seen, 0);
-	say(fd,
+	send_text(fd,
 	    "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc"
 	    "\r\n2\r\nde\r\n0\r\n\r\n");
 	ck_assert_str_eq(seen->str, "POST /b -1;abcde;");
-	ck_assert_ptr_nonnull(strstr(hear(fd, &ended), "/body"));
+	ck_assert_ptr_nonnull(strstr(receive_text(fd, &ended), "/body"));
 	ck_assert(!ended);
 	close(fd);
 }
 END_TEST
 
 /* The answer says that the connection ends, and isn't lost to a reset. */
-START_TEST(an_early_answer_arrives_and_closes)
+START_TEST(early_answer_arrives_and_closes)
 {
 	bool ended;
 	int fd = dial();
 
-	say(fd, "POST /early HTTP/1.1\r\nContent-Length: 100000\r\n\r\nabc");
-	say(fd, "more of the body");
+	send_text(
+	    fd, "POST /early HTTP/1.1\r\nContent-Length: 100000\r\n\r\nabc");
+	send_text(fd, "more of the body");
 	ck_assert_ptr_nonnull(
-	    strstr(hear(fd, &ended), "Connection: close\r\n"));
+	    strstr(receive_text(fd, &ended), "Connection: close\r\n"));
 	ck_assert(ended);
 	close(fd);
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_is_noticed_at_once)
+START_TEST(caller_disconnect_is_reported_at_once)
 {
 	int fd = dial();
 
-	say(fd, "GET /hold HTTP/1.1\r\n\r\n");
-	ck_assert_ptr_nonnull(held);
+	send_text(fd, "GET /hold HTTP/1.1\r\n\r\n");
+	ck_assert_ptr_nonnull(pending);
 	close(fd);
-	turns(4);
+	run_turns(4);
 	ck_assert_int_eq(gone, 1);
 	ck_assert_uint_eq(http_server_conns(server), 0);
 }
 END_TEST
 
-START_TEST(a_body_is_held_back_while_its_owner_pauses)
+START_TEST(body_is_not_delivered_while_paused)
 {
 	int fd = dial();
 
-	say(fd, "POST /hold HTTP/1.1\r\nContent-Length: 6\r\n\r\nabc");
+	send_text(fd, "POST /hold HTTP/1.1\r\nContent-Length: 6\r\n\r\nabc");
 	ck_assert_str_eq(seen->str, "POST /hold 6;abc");
-	http_incoming_pause(held);
-	say(fd, "def");
+	http_incoming_pause(pending);
+	send_text(fd, "def");
 	ck_assert_str_eq(seen->str, "POST /hold 6;abc");
-	http_incoming_resume(held);
-	turns(6);
+	http_incoming_resume(pending);
+	run_turns(6);
 	ck_assert_str_eq(seen->str, "POST /hold 6;abcdef;");
-	answer(held, "x");
-	held = NULL;
+	answer(pending, "x");
+	pending = NULL;
 	close(fd);
 }
 END_TEST
 
-START_TEST(an_answer_that_is_cut_does_not_look_whole)
+START_TEST(aborted_answer_does_not_look_complete)
 {
 	bool ended;
 	int fd = dial();
 
-	say(fd, "GET /hold HTTP/1.1\r\n\r\n");
-	http_incoming_answer(held, 200, NULL, 0, HTTP_BODY_CHUNKED, false);
-	http_incoming_write(held, "part", 4);
-	turns(4);
-	http_incoming_abort(held);
-	held = NULL;
-	turns(4);
-	ck_assert_ptr_null(strstr(hear(fd, &ended), "0\r\n\r\n"));
+	send_text(fd, "GET /hold HTTP/1.1\r\n\r\n");
+	http_incoming_answer(pending, 200, NULL, 0, HTTP_BODY_CHUNKED, false);
+	http_incoming_write(pending, "part", 4);
+	run_turns(4);
+	http_incoming_abort(pending);
+	pending = NULL;
+	run_turns(4);
+	ck_assert_ptr_null(strstr(receive_text(fd, &ended), "0\r\n\r\n"));
 	ck_assert(ended);
 	close(fd);
 }
@@ -373,17 +375,17 @@
 	TCase *tc = tcase_create("http_server");
 
 	tcase_add_checked_fixture(tc, setup, teardown);
-	tcase_add_test(tc, requests_sent_ahead_are_answered_in_order);
+	tcase_add_test(tc, pipelined_requests_are_answered_in_order);
 	tcase_add_test(tc, one_request_is_served_at_a_time);
-	tcase_add_loop_test(tc, ambiguous_requests_are_refused_and_closed, 0,
+	tcase_add_loop_test(tc, ambiguous_requests_are_rejected_and_closed, 0,
 	    G_N_ELEMENTS(ambiguous));
-	tcase_add_test(tc, a_head_that_is_too_large_is_refused);
-	tcase_add_test(tc, a_head_of_many_lines_is_taken);
-	tcase_add_test(tc, values_come_without_blanks_around_them);
-	tcase_add_test(tc, bodies_come_whole_by_length_and_in_chunks);
-	tcase_add_test(tc, an_early_answer_arrives_and_closes);
-	tcase_add_test(tc, a_caller_that_leaves_is_noticed_at_once);
-	tcase_add_test(tc, a_body_is_held_back_while_its_owner_pauses);
-	tcase_add_test(tc, an_answer_that_is_cut_does_not_look_whole);
+	tcase_add_test(tc, oversized_head_is_rejected);
+	tcase_add_test(tc, head_of_many_lines_is_accepted);
+	tcase_add_test(tc, whitespace_around_values_is_stripped);
+	tcase_add_test(tc, bodies_arrive_complete_by_length_and_chunked);
+	tcase_add_test(tc, early_answer_arrives_and_closes);
+	tcase_add_test(tc, caller_disconnect_is_reported_at_once);
+	tcase_add_test(tc, body_is_not_delivered_while_paused);
+	tcase_add_test(tc, aborted_answer_does_not_look_complete);
 	return support_run("http_server", tc);
 }
--- a/packages/net/test/test_loop.c
+++ b/packages/net/test/test_loop.c
@@ -81,7 +81,7 @@
 		loop_stop(loop);
 }
 
-START_TEST(timer_set_in_the_past_does_not_hold_up_the_turn)
+START_TEST(timer_set_in_the_past_does_not_block_the_turn)
 {
 	again_count = 0;
 	loop_timer_init(&again, loop, set_again, NULL);
@@ -159,7 +159,7 @@
 }
 END_TEST
 
-START_TEST(what_was_posted_before_stop_runs)
+START_TEST(functions_posted_before_stop_run)
 {
 	loop_post(loop, note, GINT_TO_POINTER('1'));
 	loop_stop(loop);
@@ -218,10 +218,10 @@
 
 	tcase_add_checked_fixture(tc, setup, teardown);
 	tcase_add_test(tc, timers_fire_in_order_of_deadline);
-	tcase_add_test(tc, timer_set_in_the_past_does_not_hold_up_the_turn);
+	tcase_add_test(tc, timer_set_in_the_past_does_not_block_the_turn);
 	tcase_add_test(tc, tasks_run_once_at_the_end_of_the_turn);
 	tcase_add_test(tc, posts_of_all_threads_arrive);
-	tcase_add_test(tc, what_was_posted_before_stop_runs);
+	tcase_add_test(tc, functions_posted_before_stop_run);
 	tcase_add_test(tc, removed_descriptor_is_not_served_in_the_same_turn);
 	return support_run("loop", tc);
 }
--- a/packages/net/test/test_udp.c
+++ b/packages/net/test/test_udp.c
@@ -94,7 +94,7 @@
 END_TEST
 
 /* Nobody listens: what the system reports does not break the socket. */
-START_TEST(lost_peer_does_not_stop_the_socket)
+START_TEST(unreachable_peer_does_not_stop_the_socket)
 {
 	struct net_addr gone = udp_addr(b);
 	int i;
@@ -131,7 +131,7 @@
 	tcase_add_checked_fixture(tc, setup, teardown);
 	tcase_add_loop_test(tc, datagrams_up_to_the_limit_arrive, 0, 3);
 	tcase_add_loop_test(tc, empty_and_large_datagrams_are_dropped, 0, 3);
-	tcase_add_test(tc, lost_peer_does_not_stop_the_socket);
+	tcase_add_test(tc, unreachable_peer_does_not_stop_the_socket);
 	tcase_add_test(tc, address_of_another_machine_is_an_error);
 	return support_run("udp", tc);
 }
--- a/packages/proto/include/proto/pack.h
+++ b/packages/proto/include/proto/pack.h
@@ -12,8 +12,8 @@
 
 #include <glib.h>
 
-/** PACK_LEAST_BYTES - a shorter body gains nothing that is worth the work */
-#define PACK_LEAST_BYTES 4096
+/** PACK_MIN_BYTES - a shorter body gains nothing that is worth the work */
+#define PACK_MIN_BYTES 4096
 
 /** PACK_MAX_BYTES - the longest body that is unpacked: that of a frame */
 #define PACK_MAX_BYTES (1024U * 1024U)
@@ -24,7 +24,7 @@
  * @len: its length in bytes
  *
  * Return: the compressed bytes, to be freed by the caller; NULL when it is
- * shorter than PACK_LEAST_BYTES, longer than PACK_MAX_BYTES, or doesn't get
+ * shorter than PACK_MIN_BYTES, longer than PACK_MAX_BYTES, or doesn't get
  * shorter.
  */
 GByteArray *pack_encode(const uint8_t *data, size_t len);
--- a/packages/proto/src/check.c
+++ b/packages/proto/src/check.c
@@ -10,7 +10,7 @@
 	FIXARRAY = 0x90,
 	FIXSTR = 0xa0,
 	NIL = 0xc0,
-	NEVER_USED = 0xc1,
+	RESERVED = 0xc1,
 	FALSE_ = 0xc2,
 	TRUE_ = 0xc3,
 	BIN8 = 0xc4,
@@ -36,56 +36,56 @@
 
 /* What follows a first byte. */
 enum shape {
-	SHAPE_PLAIN,   /* a payload of fixed size */
-	SHAPE_SIZED,   /* a size field and a payload of that size */
-	SHAPE_ARRAY,   /* a count of elements */
-	SHAPE_MAP,     /* a count of pairs */
-	SHAPE_REFUSED, /* a type that no message uses */
+	SHAPE_PLAIN,	 /* a payload of fixed size */
+	SHAPE_SIZED,	 /* a size field and a payload of that size */
+	SHAPE_ARRAY,	 /* a count of elements */
+	SHAPE_MAP,	 /* a count of pairs */
+	SHAPE_FORBIDDEN, /* a type that no message uses */
 };
 
 /* Shape, and bytes of the payload, size or count, of first bytes 0xc0... */
-struct form {
+struct format {
 	uint8_t shape;
 	uint8_t width;
 };
 
-#define FORMS_FIRST 0xc0
+#define FORMATS_FIRST 0xc0
 
-static const struct form forms[NEGATIVE_FIXINT - FORMS_FIRST] = {
-    [NIL - FORMS_FIRST] = {SHAPE_PLAIN, 0},
-    [NEVER_USED - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [FALSE_ - FORMS_FIRST] = {SHAPE_PLAIN, 0},
-    [TRUE_ - FORMS_FIRST] = {SHAPE_PLAIN, 0},
-    [BIN8 - FORMS_FIRST] = {SHAPE_SIZED, 1},
-    [BIN16 - FORMS_FIRST] = {SHAPE_SIZED, 2},
-    [BIN32 - FORMS_FIRST] = {SHAPE_SIZED, 4},
+static const struct format formats[NEGATIVE_FIXINT - FORMATS_FIRST] = {
+    [NIL - FORMATS_FIRST] = {SHAPE_PLAIN, 0},
+    [RESERVED - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [FALSE_ - FORMATS_FIRST] = {SHAPE_PLAIN, 0},
+    [TRUE_ - FORMATS_FIRST] = {SHAPE_PLAIN, 0},
+    [BIN8 - FORMATS_FIRST] = {SHAPE_SIZED, 1},
+    [BIN16 - FORMATS_FIRST] = {SHAPE_SIZED, 2},
+    [BIN32 - FORMATS_FIRST] = {SHAPE_SIZED, 4},
     /* ext 8 to ext 32, float 32 and float 64 */
-    [0xc7 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xc8 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xc9 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xca - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xcb - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [UINT8 - FORMS_FIRST] = {SHAPE_PLAIN, 1},
-    [UINT16 - FORMS_FIRST] = {SHAPE_PLAIN, 2},
-    [UINT32 - FORMS_FIRST] = {SHAPE_PLAIN, 4},
-    [UINT64 - FORMS_FIRST] = {SHAPE_PLAIN, 8},
-    [INT8 - FORMS_FIRST] = {SHAPE_PLAIN, 1},
-    [INT16 - FORMS_FIRST] = {SHAPE_PLAIN, 2},
-    [INT32 - FORMS_FIRST] = {SHAPE_PLAIN, 4},
-    [INT64 - FORMS_FIRST] = {SHAPE_PLAIN, 8},
+    [0xc7 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xc8 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xc9 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xca - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xcb - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [UINT8 - FORMATS_FIRST] = {SHAPE_PLAIN, 1},
+    [UINT16 - FORMATS_FIRST] = {SHAPE_PLAIN, 2},
+    [UINT32 - FORMATS_FIRST] = {SHAPE_PLAIN, 4},
+    [UINT64 - FORMATS_FIRST] = {SHAPE_PLAIN, 8},
+    [INT8 - FORMATS_FIRST] = {SHAPE_PLAIN, 1},
+    [INT16 - FORMATS_FIRST] = {SHAPE_PLAIN, 2},
+    [INT32 - FORMATS_FIRST] = {SHAPE_PLAIN, 4},
+    [INT64 - FORMATS_FIRST] = {SHAPE_PLAIN, 8},
     /* fixext 1 to fixext 16 */
-    [0xd4 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xd5 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xd6 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xd7 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [0xd8 - FORMS_FIRST] = {SHAPE_REFUSED, 0},
-    [STR8 - FORMS_FIRST] = {SHAPE_SIZED, 1},
-    [STR16 - FORMS_FIRST] = {SHAPE_SIZED, 2},
-    [STR32 - FORMS_FIRST] = {SHAPE_SIZED, 4},
-    [ARRAY16 - FORMS_FIRST] = {SHAPE_ARRAY, 2},
-    [ARRAY32 - FORMS_FIRST] = {SHAPE_ARRAY, 4},
-    [MAP16 - FORMS_FIRST] = {SHAPE_MAP, 2},
-    [MAP32 - FORMS_FIRST] = {SHAPE_MAP, 4},
+    [0xd4 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xd5 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xd6 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xd7 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [0xd8 - FORMATS_FIRST] = {SHAPE_FORBIDDEN, 0},
+    [STR8 - FORMATS_FIRST] = {SHAPE_SIZED, 1},
+    [STR16 - FORMATS_FIRST] = {SHAPE_SIZED, 2},
+    [STR32 - FORMATS_FIRST] = {SHAPE_SIZED, 4},
+    [ARRAY16 - FORMATS_FIRST] = {SHAPE_ARRAY, 2},
+    [ARRAY32 - FORMATS_FIRST] = {SHAPE_ARRAY, 4},
+    [MAP16 - FORMATS_FIRST] = {SHAPE_MAP, 2},
+    [MAP32 - FORMATS_FIRST] = {SHAPE_MAP, 4},
 };
 
 #define FIXCOUNT_MASK 0x0f
@@ -95,7 +95,7 @@
 struct walk {
 	const uint8_t *next;
 	size_t left;
-	uint64_t owed[PROTO_DEPTH_MAX + 1];
+	uint64_t remaining[PROTO_DEPTH_MAX + 1];
 	int depth;
 };
 
@@ -106,7 +106,7 @@
 };
 
 static enum status
-truncated(void)
+error_truncated(void)
 {
 	return status_set(STATUS_INVALID,
 	    "A message ends early or claims more elements than it has bytes; "
@@ -114,12 +114,12 @@
 }
 
 static enum status
-take_number(struct walk *w, unsigned int width, uint64_t *v)
+read_number(struct walk *w, unsigned int width, uint64_t *v)
 {
 	unsigned int i;
 
 	if (w->left < width)
-		return truncated();
+		return error_truncated();
 	*v = 0;
 	for (i = 0; i < width; i++)
 		*v = *v << 8 | w->next[i];
@@ -129,44 +129,44 @@
 }
 
 static enum status
-take_form(struct walk *w, uint8_t first, struct item *it)
+read_format(struct walk *w, uint8_t type_byte, struct item *it)
 {
-	const struct form *form = &forms[first - FORMS_FIRST];
+	const struct format *format = &formats[type_byte - FORMATS_FIRST];
 
-	it->shape = form->shape;
-	it->value = form->width;
-	if (form->shape == SHAPE_PLAIN)
+	it->shape = format->shape;
+	it->value = format->width;
+	if (format->shape == SHAPE_PLAIN)
 		return STATUS_OK;
-	if (form->shape == SHAPE_REFUSED)
+	if (format->shape == SHAPE_FORBIDDEN)
 		return status_set(STATUS_INVALID,
 		    "A message holds msgpack type 0x%02x, which no message "
 		    "uses; the peer may be no node at all.",
-		    first);
-	return take_number(w, form->width, &it->value);
+		    type_byte);
+	return read_number(w, format->width, &it->value);
 }
 
 /* Read the first byte and the size or count of the next object. */
 static enum status
-take_item(struct walk *w, struct item *it)
+read_item(struct walk *w, struct item *it)
 {
-	uint8_t first;
+	uint8_t type_byte;
 
 	if (w->left == 0)
-		return truncated();
-	first = *w->next++;
+		return error_truncated();
+	type_byte = *w->next++;
 	w->left--;
 	it->value = 0;
 	it->shape = SHAPE_PLAIN;
-	if (first < FIXMAP || first >= NEGATIVE_FIXINT)
+	if (type_byte < FIXMAP || type_byte >= NEGATIVE_FIXINT)
 		return STATUS_OK;
-	if (first >= NIL)
-		return take_form(w, first, it);
-	if (first >= FIXSTR) {
-		it->value = first & FIXSTR_MASK;
+	if (type_byte >= NIL)
+		return read_format(w, type_byte, it);
+	if (type_byte >= FIXSTR) {
+		it->value = type_byte & FIXSTR_MASK;
 		return STATUS_OK;
 	}
-	it->shape = first >= FIXARRAY ? SHAPE_ARRAY : SHAPE_MAP;
-	it->value = first & FIXCOUNT_MASK;
+	it->shape = type_byte >= FIXARRAY ? SHAPE_ARRAY : SHAPE_MAP;
+	it->value = type_byte & FIXCOUNT_MASK;
 	return STATUS_OK;
 }
 
@@ -181,8 +181,8 @@
 		    "node at all.",
 		    PROTO_DEPTH_MAX);
 	if (n > w->left)
-		return truncated();
-	w->owed[++w->depth] = n;
+		return error_truncated();
+	w->remaining[++w->depth] = n;
 	return STATUS_OK;
 }
 
@@ -190,7 +190,7 @@
 skip_payload(struct walk *w, uint64_t n)
 {
 	if (n > w->left)
-		return truncated();
+		return error_truncated();
 	w->next += n;
 	w->left -= (size_t)n;
 	return STATUS_OK;
@@ -198,15 +198,15 @@
 
 /* Take one object; the elements of a container are left to the next calls. */
 static enum status
-step(struct walk *w)
+check_object(struct walk *w)
 {
-	struct item it = {SHAPE_REFUSED, 0};
+	struct item it = {SHAPE_FORBIDDEN, 0};
 	enum status st;
 
-	st = take_item(w, &it);
+	st = read_item(w, &it);
 	if (st != STATUS_OK)
 		return st;
-	w->owed[w->depth]--;
+	w->remaining[w->depth]--;
 	if (it.shape == SHAPE_ARRAY || it.shape == SHAPE_MAP)
 		return open_container(w, &it);
 	return skip_payload(w, it.value);
@@ -215,7 +215,7 @@
 enum status
 proto_check(const uint8_t *data, size_t len)
 {
-	struct walk w = {.next = data, .left = len, .owed = {1}};
+	struct walk w = {.next = data, .left = len, .remaining = {1}};
 	enum status st = STATUS_OK;
 
 	if (len > PROTO_BODY_MAX_BYTES)
@@ -224,10 +224,10 @@
 		    "in pieces.",
 		    len, PROTO_BODY_MAX_BYTES);
 	while (st == STATUS_OK && w.depth >= 0) {
-		if (w.owed[w.depth] == 0)
+		if (w.remaining[w.depth] == 0)
 			w.depth--;
 		else
-			st = step(&w);
+			st = check_object(&w);
 	}
 	if (st == STATUS_OK && w.left > 0)
 		return status_set(STATUS_INVALID,
--- a/packages/proto/src/codec.c
+++ b/packages/proto/src/codec.c
@@ -11,7 +11,7 @@
 #include "proto/codec.h"
 
 /* What is being decoded, for messages of errors. */
-struct codec_place {
+struct codec_location {
 	const char *desc;
 	const char *field;
 };
@@ -178,7 +178,7 @@
 }
 
 static enum status
-wrong(const struct codec_place *at, const char *expected)
+error_type(const struct codec_location *at, const char *expected)
 {
 	return status_set(STATUS_INVALID,
 	    "Message %s: field %s must be %s; the peer may run another "
@@ -187,7 +187,7 @@
 }
 
 static enum status
-too_long(const struct codec_place *at, uint64_t len, uint32_t max)
+error_length(const struct codec_location *at, uint64_t len, uint32_t max)
 {
 	return status_set(STATUS_INVALID,
 	    "Message %s: field %s has %llu elements or bytes, at most %u are "
@@ -196,19 +196,20 @@
 }
 
 static enum status
-read_unsigned(const struct codec_place *at, const msgpack_object *o,
+read_unsigned(const struct codec_location *at, const msgpack_object *o,
     uint64_t max, uint64_t *v)
 {
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
-		return wrong(at, "a number not below 0");
+		return error_type(at, "a number not below 0");
 	if (o->via.u64 > max)
-		return wrong(at, "a number or value within its range");
+		return error_type(at, "a number or value within its range");
 	*v = o->via.u64;
 	return STATUS_OK;
 }
 
 static enum status
-read_signed(const struct codec_place *at, const msgpack_object *o, int64_t *v)
+read_signed(
+    const struct codec_location *at, const msgpack_object *o, int64_t *v)
 {
 	if (o->type == MSGPACK_OBJECT_NEGATIVE_INTEGER) {
 		*v = o->via.i64;
@@ -216,16 +217,16 @@
 	}
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    o->via.u64 > INT64_MAX)
-		return wrong(at, "a signed number of 64 bits");
+		return error_type(at, "a signed number of 64 bits");
 	*v = (int64_t)o->via.u64;
 	return STATUS_OK;
 }
 
 static enum status
-read_digest(const struct codec_place *at, const msgpack_object *o, void *p)
+read_digest(const struct codec_location *at, const msgpack_object *o, void *p)
 {
 	if (o->type != MSGPACK_OBJECT_BIN || o->via.bin.size != DIGEST_BYTES)
-		return wrong(at, "a digest of 32 bytes");
+		return error_type(at, "a digest of 32 bytes");
 	memcpy(p, o->via.bin.ptr, DIGEST_BYTES);
 	return STATUS_OK;
 }
@@ -269,8 +270,8 @@
 }
 
 static enum status
-read_scalar(const struct codec_place *at, enum codec_kind kind, uint32_t values,
-    const msgpack_object *o, void *p)
+read_scalar(const struct codec_location *at, enum codec_kind kind,
+    uint32_t values, const msgpack_object *o, void *p)
 {
 	enum status st;
 	uint64_t v = 0;
@@ -281,7 +282,7 @@
 		return read_signed(at, o, p);
 	if (kind == CODEC_BOOL) {
 		if (o->type != MSGPACK_OBJECT_BOOLEAN)
-			return wrong(at, "true or false");
+			return error_type(at, "true or false");
 		*(bool *)p = o->via.boolean;
 		return STATUS_OK;
 	}
@@ -292,44 +293,44 @@
 }
 
 static enum status
-read_str(const struct codec_place *at, const struct codec_field *f,
+read_str(const struct codec_location *at, const struct codec_field *f,
     const msgpack_object *o, char *p)
 {
 	if (o->type != MSGPACK_OBJECT_STR)
-		return wrong(at, "text");
+		return error_type(at, "text");
 	if (o->via.str.size > f->max)
-		return too_long(at, o->via.str.size, f->max);
+		return error_length(at, o->via.str.size, f->max);
 	if (o->via.str.size == 0)
 		return STATUS_OK;
 	if (memchr(o->via.str.ptr, '\0', o->via.str.size) != NULL)
-		return wrong(at, "text without a zero byte");
+		return error_type(at, "text without a zero byte");
 	memcpy(p, o->via.str.ptr, o->via.str.size);
 	return STATUS_OK;
 }
 
 static enum status
-read_borrowed(const struct codec_place *at, const struct codec_field *f,
+read_borrowed(const struct codec_location *at, const struct codec_field *f,
     const msgpack_object *o, void *obj)
 {
 	int text = f->kind == CODEC_TEXT;
 
 	if (text && o->type != MSGPACK_OBJECT_STR)
-		return wrong(at, "text");
+		return error_type(at, "text");
 	if (!text && o->type != MSGPACK_OBJECT_BIN)
-		return wrong(at, "binary data");
+		return error_type(at, "binary data");
 	/* str and bin have the same layout in the union. */
 	if (o->via.bin.size > f->max)
-		return too_long(at, o->via.bin.size, f->max);
+		return error_length(at, o->via.bin.size, f->max);
 	store_pointer(obj, f->offset, o->via.bin.ptr);
 	store_u32(obj, f->len_offset, o->via.bin.size);
 	return STATUS_OK;
 }
 
-static enum status read_struct(const struct codec_place *at,
+static enum status read_struct(const struct codec_location *at,
     const struct codec_desc *desc, const msgpack_object *o, void *obj);
 
 static enum status
-read_list(const struct codec_place *at, const struct codec_field *f,
+read_list(const struct codec_location *at, const struct codec_field *f,
     const msgpack_object *o, void *obj)
 {
 	enum status st = STATUS_OK;
@@ -337,10 +338,10 @@
 	char *items;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY)
-		return wrong(at, "a list");
+		return error_type(at, "a list");
 	n = o->via.array.size;
 	if (n > f->max)
-		return too_long(at, n, f->max);
+		return error_length(at, n, f->max);
 	items = g_malloc0_n(n, f->item_bytes);
 	store_pointer(obj, f->offset, items);
 	store_u32(obj, f->len_offset, n);
@@ -357,7 +358,7 @@
 }
 
 static enum status
-read_field(const struct codec_place *at, const struct codec_field *f,
+read_field(const struct codec_location *at, const struct codec_field *f,
     const msgpack_object *o, void *obj)
 {
 	char *p = (char *)obj + f->offset;
@@ -378,15 +379,15 @@
 }
 
 static enum status
-read_struct(const struct codec_place *at, const struct codec_desc *desc,
+read_struct(const struct codec_location *at, const struct codec_desc *desc,
     const msgpack_object *o, void *obj)
 {
-	struct codec_place inner = {desc->name, ""};
+	struct codec_location inner = {desc->name, ""};
 	enum status st = STATUS_OK;
 	uint32_t i;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY)
-		return wrong(at, "a struct");
+		return error_type(at, "a struct");
 	for (i = 0; i < desc->n_fields && st == STATUS_OK; i++) {
 		if (i == o->via.array.size)
 			break;
@@ -401,7 +402,7 @@
 codec_decode(
     const struct codec_desc *desc, const uint8_t *data, size_t len, void *obj)
 {
-	struct codec_place at = {desc->name, "(whole)"};
+	struct codec_location at = {desc->name, "(whole)"};
 	msgpack_object root;
 	msgpack_zone zone;
 	enum status st;
@@ -419,7 +420,7 @@
 	    MSGPACK_UNPACK_SUCCESS)
 		st = read_struct(&at, desc, &root, obj);
 	else
-		st = wrong(&at, "one msgpack object");
+		st = error_type(&at, "one msgpack object");
 	msgpack_zone_destroy(&zone);
 	if (st != STATUS_OK)
 		codec_clear(desc, obj);
--- a/packages/proto/src/frame.c
+++ b/packages/proto/src/frame.c
@@ -5,7 +5,7 @@
 
 #include "proto/frame.h"
 
-#define READER_LEAST_BYTES 4096
+#define READER_MIN_BYTES 4096
 
 /* An idle reader gives up a buffer that a large frame has made larger. */
 #define READER_KEEP_BYTES (64U << 10)
@@ -24,9 +24,9 @@
 datagram_append(
     GByteArray *out, enum msg_type type, const uint8_t *body, size_t body_len)
 {
-	uint8_t first = (uint8_t)type;
+	uint8_t type_byte = (uint8_t)type;
 
-	(void)g_byte_array_append(out, &first, sizeof(first));
+	(void)g_byte_array_append(out, &type_byte, sizeof(type_byte));
 	(void)g_byte_array_append(out, body, (guint)body_len);
 }
 
@@ -60,13 +60,13 @@
 static void
 reader_compact(struct frame_reader *r)
 {
-	size_t held = r->end - r->start;
+	size_t unread = r->end - r->start;
 
-	if (held > 0 && r->start > 0)
-		memmove(r->buffer, r->buffer + r->start, held);
+	if (unread > 0 && r->start > 0)
+		memmove(r->buffer, r->buffer + r->start, unread);
 	r->start = 0;
-	r->end = held;
-	if (held == 0 && r->capacity > READER_KEEP_BYTES) {
+	r->end = unread;
+	if (unread == 0 && r->capacity > READER_KEEP_BYTES) {
 		g_free(r->buffer);
 		r->buffer = NULL;
 		r->capacity = 0;
@@ -82,7 +82,7 @@
 	need = r->end + want;
 	if (need > r->capacity) {
 		r->capacity = MAX(need, 2 * r->capacity);
-		r->capacity = MAX(r->capacity, READER_LEAST_BYTES);
+		r->capacity = MAX(r->capacity, READER_MIN_BYTES);
 		r->buffer = g_realloc(r->buffer, r->capacity);
 	}
 	return r->buffer + r->end;
@@ -107,17 +107,17 @@
 enum frame_result
 frame_reader_next(struct frame_reader *r, struct frame *frame)
 {
-	size_t held = r->end - r->start;
+	size_t unread = r->end - r->start;
 	uint32_t len;
 
-	if (held < FRAME_LENGTH_BYTES)
+	if (unread < FRAME_LENGTH_BYTES)
 		return FRAME_NONE;
 	memcpy(&len, r->buffer + r->start, sizeof(len));
 	len = GUINT32_FROM_BE(len);
 	/* Nothing is taken out, so that the answer stays the same for good. */
 	if (len == 0 || len > r->max_bytes)
 		return FRAME_BAD;
-	if (held - FRAME_LENGTH_BYTES < len)
+	if (unread - FRAME_LENGTH_BYTES < len)
 		return FRAME_NONE;
 	frame->type = r->buffer[r->start + FRAME_LENGTH_BYTES];
 	frame->body = r->buffer + r->start + FRAME_HEADER_BYTES;
--- a/packages/proto/src/pack.c
+++ b/packages/proto/src/pack.c
@@ -11,7 +11,7 @@
 	GByteArray *out;
 	int n;
 
-	if (len < PACK_LEAST_BYTES || len > PACK_MAX_BYTES)
+	if (len < PACK_MIN_BYTES || len > PACK_MAX_BYTES)
 		return NULL;
 	out = g_byte_array_new();
 	g_byte_array_set_size(out, (guint)LZ4_compressBound((int)len));
--- a/packages/proto/src/settings.c
+++ b/packages/proto/src/settings.c
@@ -101,7 +101,7 @@
 }
 
 static int
-take_number(struct settings *s, const struct settings_key *k, const json_t *v)
+set_number(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	bool is_time = json_is_string(v) && g_str_has_suffix(k->name, "_ms");
 	bool is_rate = json_is_real(v) && g_str_has_suffix(k->name, "_mbps");
@@ -117,13 +117,13 @@
 
 /* A port alone, or with an address, of which only the port counts. */
 static int
-take_port(struct settings *s, const struct settings_key *k, const json_t *v)
+set_port(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	const char *text = json_string_value(v);
 	struct net_addr addr;
 
 	if (text == NULL)
-		return take_number(s, k, v);
+		return set_number(s, k, v);
 	if (addr_parse(text, &addr) != STATUS_OK || addr.port == 0)
 		return 0;
 	store_number(s, k, addr.port);
@@ -131,7 +131,7 @@
 }
 
 static int
-take_choice(struct settings *s, const struct settings_key *k, const char *text)
+set_choice(struct settings *s, const struct settings_key *k, const char *text)
 {
 	uint32_t i;
 
@@ -145,7 +145,7 @@
 }
 
 static int
-take_name(struct settings *s, const struct settings_key *k, const char *text)
+set_name(struct settings *s, const struct settings_key *k, const char *text)
 {
 	size_t len = strlen(text);
 
@@ -158,7 +158,7 @@
 }
 
 static int
-take_service(struct settings *s, const struct settings_key *k, const char *text)
+set_service(struct settings *s, const struct settings_key *k, const char *text)
 {
 	size_t len = strlen(text);
 
@@ -169,7 +169,7 @@
 }
 
 static int
-take_url(struct settings *s, const struct settings_key *k, const char *text)
+set_url(struct settings *s, const struct settings_key *k, const char *text)
 {
 	const char *host = strstr(text, "://");
 	size_t i, len = strlen(text);
@@ -188,7 +188,7 @@
 
 /* An address that peers can use; 0.0.0.0 tells them nothing. */
 static int
-take_ipv4(struct settings *s, const struct settings_key *k, const char *text)
+set_ipv4(struct settings *s, const struct settings_key *k, const char *text)
 {
 	uint32_t ip;
 
@@ -199,8 +199,7 @@
 }
 
 static int
-take_addresses(
-    struct settings *s, const struct settings_key *k, const json_t *v)
+set_addresses(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	struct net_addr *list = field(s, k->offset);
 	uint32_t n = (uint32_t)json_array_size(v);
@@ -220,7 +219,7 @@
 }
 
 static int
-take_texts(struct settings *s, const struct settings_key *k, const json_t *v)
+set_texts(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	char(*list)[SETTINGS_TEXT_BYTES] = field(s, k->offset);
 	uint32_t n = (uint32_t)json_array_size(v);
@@ -242,29 +241,29 @@
 
 /* Take a value in; 0 when it isn't what the key takes. */
 static int
-take_value(struct settings *s, const struct settings_key *k, const json_t *v)
+set_value(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	const char *text = json_string_value(v);
 
 	switch (k->type) {
 	case SETTINGS_PORT:
-		return take_port(s, k, v);
+		return set_port(s, k, v);
 	case SETTINGS_NUMBER:
-		return take_number(s, k, v);
+		return set_number(s, k, v);
 	case SETTINGS_TEXTS:
-		return take_texts(s, k, v);
+		return set_texts(s, k, v);
 	case SETTINGS_SERVICE:
-		return text != NULL && take_service(s, k, text);
+		return text != NULL && set_service(s, k, text);
 	case SETTINGS_ADDRESSES:
-		return take_addresses(s, k, v);
+		return set_addresses(s, k, v);
 	case SETTINGS_CHOICE:
-		return text != NULL && take_choice(s, k, text);
+		return text != NULL && set_choice(s, k, text);
 	case SETTINGS_NAME:
-		return text != NULL && take_name(s, k, text);
+		return text != NULL && set_name(s, k, text);
 	case SETTINGS_URL:
-		return text != NULL && take_url(s, k, text);
+		return text != NULL && set_url(s, k, text);
 	case SETTINGS_IPV4:
-		return text != NULL && take_ipv4(s, k, text);
+		return text != NULL && set_ipv4(s, k, text);
 	}
 	return 0;
 }
@@ -274,17 +273,17 @@
     const json_t *root)
 {
 	const json_t *v = json_object_get(root, k->name);
-	char *shown;
+	char *dumped;
 
 	if (v == NULL && k->required)
 		add_error(p, "key \"%s\" is missing: expected %s; %s.", k->name,
 		    k->expected, k->remedy);
-	if (v == NULL || take_value(s, k, v))
+	if (v == NULL || set_value(s, k, v))
 		return;
-	shown = json_dumps(v, JSON_ENCODE_ANY | JSON_COMPACT);
+	dumped = json_dumps(v, JSON_ENCODE_ANY | JSON_COMPACT);
 	add_error(p, "key \"%s\" is %.80s: expected %s; %s.", k->name,
-	    shown != NULL ? shown : "?", k->expected, k->remedy);
-	free(shown);
+	    dumped != NULL ? dumped : "?", k->expected, k->remedy);
+	free(dumped);
 }
 
 static const char *
@@ -296,19 +295,19 @@
 static void
 check_unknown(struct parse *p, json_t *root)
 {
-	const char *name, *near;
+	const char *name, *nearest;
 	json_t *v;
 
 	json_object_foreach(root, name, v)
 	{
-		near = suggest_nearest(name, key_name, n_settings_keys);
-		if (near != NULL && strcmp(near, name) == 0)
+		nearest = suggest_nearest(name, key_name, n_settings_keys);
+		if (nearest != NULL && strcmp(nearest, name) == 0)
 			continue;
-		if (near != NULL)
+		if (nearest != NULL)
 			add_error(p,
 			    "key \"%.80s\" is unknown: rename it to \"%s\", "
 			    "or remove it.",
-			    name, near);
+			    name, nearest);
 		else
 			add_error(p,
 			    "key \"%.80s\" is unknown: remove it; the known "
@@ -319,7 +318,7 @@
 
 /* What no key can tell by itself. */
 static void
-check_whole(struct parse *p, const struct settings *s)
+check_consistency(struct parse *p, const struct settings *s)
 {
 	const struct {
 		const char *key;
@@ -382,7 +381,7 @@
 }
 
 static enum status
-finish(const struct parse *p, guint n_before)
+parse_status(const struct parse *p, guint n_before)
 {
 	guint n = p->errors->len - n_before;
 
@@ -404,7 +403,7 @@
 	check_unknown(p, root);
 	for (i = 0; i < n_settings_keys; i++)
 		check_key(p, s, &settings_keys[i], root);
-	check_whole(p, s);
+	check_consistency(p, s);
 	json_decref(root);
 }
 
@@ -421,7 +420,7 @@
 	n_before = p.errors->len;
 	set_defaults(s);
 	parse_into(&p, text, len, s);
-	st = finish(&p, n_before);
+	st = parse_status(&p, n_before);
 	g_ptr_array_unref(p.errors);
 	return st;
 }
--- a/packages/proto/test/fuzz_proto.c
+++ b/packages/proto/test/fuzz_proto.c
@@ -19,7 +19,7 @@
 #define CASES_PER_MESSAGE 2000
 #define STREAM_CASES 3000
 #define SETTINGS_CASES 10000
-#define ALTERATIONS_MAX 4
+#define MUTATIONS_MAX 4
 #define STREAM_MAX_BYTES 64
 
 static GRand *
@@ -34,24 +34,24 @@
 }
 
 /* First bytes and sizes at which decoders are known to go wrong. */
-static const uint8_t telling_bytes[] = {0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90,
+static const uint8_t boundary_bytes[] = {0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90,
     0x9f, 0xa0, 0xbf, 0xc0, 0xc1, 0xc4, 0xc6, 0xc7, 0xca, 0xcf, 0xd3, 0xd9,
     0xdb, 0xdc, 0xdd, 0xde, 0xdf, 0xe0, 0xff};
 
 static uint8_t
-any_byte(GRand *rand)
+random_byte(GRand *rand)
 {
 	if (g_rand_boolean(rand))
 		return (uint8_t)g_rand_int(rand);
-	return telling_bytes[g_rand_int_range(
-	    rand, 0, (gint32)G_N_ELEMENTS(telling_bytes))];
+	return boundary_bytes[g_rand_int_range(
+	    rand, 0, (gint32)G_N_ELEMENTS(boundary_bytes))];
 }
 
 static void
-alter_once(GByteArray *data, GRand *rand)
+mutate_once(GByteArray *data, GRand *rand)
 {
 	guint at = (guint)g_rand_int_range(rand, 0, (gint32)data->len + 1);
-	uint8_t b = any_byte(rand);
+	uint8_t b = random_byte(rand);
 	guint n;
 
 	switch (g_rand_int_range(rand, 0, 4)) {
@@ -78,12 +78,12 @@
 }
 
 static void
-alter(GByteArray *data, GRand *rand)
+mutate(GByteArray *data, GRand *rand)
 {
-	int n = g_rand_int_range(rand, 1, ALTERATIONS_MAX + 1);
+	int n = g_rand_int_range(rand, 1, MUTATIONS_MAX + 1);
 
 	while (n-- > 0)
-		alter_once(data, rand);
+		mutate_once(data, rand);
 }
 
 /* A copy of the exact size, so that a sanitizer sees each byte too many. */
@@ -156,7 +156,7 @@
 
 	for (n = 0; n < CASES_PER_MESSAGE; n++) {
 		data = sample_encoded(desc, rand);
-		alter(data, rand);
+		mutate(data, rand);
 		copy = exact_copy(data);
 		decode_case(desc, copy, data->len, obj);
 		g_free(copy);
@@ -182,7 +182,7 @@
  * body of each frame to @out, and says whether the stream went wrong.
  */
 static int
-naive_read(const uint8_t *p, size_t left, GByteArray *out)
+reference_read(const uint8_t *p, size_t left, GByteArray *out)
 {
 	size_t len;
 
@@ -202,7 +202,7 @@
 }
 
 static int
-pieces_read(const GByteArray *stream, GRand *rand, GByteArray *out)
+chunked_read(const GByteArray *stream, GRand *rand, GByteArray *out)
 {
 	enum frame_result result = FRAME_NONE;
 	struct frame_reader r;
@@ -222,7 +222,7 @@
 }
 
 static GByteArray *
-any_stream(GRand *rand)
+random_stream(GRand *rand)
 {
 	GByteArray *stream = g_byte_array_new();
 	uint8_t body[STREAM_MAX_BYTES + 2] = {0};
@@ -232,7 +232,7 @@
 		frame_append(stream, MSG_PING, body,
 		    (size_t)g_rand_int_range(rand, 0, STREAM_MAX_BYTES));
 	if (g_rand_boolean(rand))
-		alter(stream, rand);
+		mutate(stream, rand);
 	return stream;
 }
 
@@ -243,11 +243,12 @@
 	int n;
 
 	for (n = 0; n < STREAM_CASES; n++) {
-		stream = any_stream(rand);
+		stream = random_stream(rand);
 		want = g_byte_array_new();
 		got = g_byte_array_new();
-		ck_assert_int_eq(naive_read(stream->data, stream->len, want),
-		    pieces_read(stream, rand, got));
+		ck_assert_int_eq(
+		    reference_read(stream->data, stream->len, want),
+		    chunked_read(stream, rand, got));
 		assert_same(want, got);
 		g_byte_array_unref(want);
 		g_byte_array_unref(got);
@@ -296,7 +297,7 @@
 		(void)g_byte_array_append(text, (const guint8 *)settings_text,
 		    sizeof(settings_text) - 1);
 		if (n > 0)
-			alter(text, rand);
+			mutate(text, rand);
 		copy = exact_copy(text);
 		settings_case(copy, text->len);
 		g_free(copy);
--- a/packages/proto/test/sample.c
+++ b/packages/proto/test/sample.c
@@ -116,7 +116,7 @@
 fill_struct(struct fill *f, const struct codec_desc *desc, void *obj);
 
 static uint64_t
-any_u64(struct fill *f)
+random_u64(struct fill *f)
 {
 	uint64_t v = (uint64_t)g_rand_int(f->rand) << 32 | g_rand_int(f->rand);
 
@@ -125,7 +125,7 @@
 }
 
 static uint32_t
-any_length(struct fill *f, uint32_t max)
+random_length(struct fill *f, uint32_t max)
 {
 	return (uint32_t)g_rand_int_range(
 	    f->rand, 0, (gint32)MIN(max, SAMPLE_LENGTH) + 1);
@@ -143,7 +143,7 @@
 static void
 fill_scalar(struct fill *f, enum codec_kind kind, uint32_t values, void *p)
 {
-	uint64_t v = any_u64(f);
+	uint64_t v = random_u64(f);
 
 	switch (kind) {
 	case CODEC_U8:
@@ -177,7 +177,7 @@
 static void
 fill_list(struct fill *f, const struct codec_field *field, void *obj)
 {
-	uint32_t i, n = any_length(f, field->max);
+	uint32_t i, n = random_length(f, field->max);
 	char *items = g_malloc0_n(n, field->item_bytes);
 
 	memcpy((char *)obj + field->offset, &items, sizeof(items));
@@ -194,7 +194,7 @@
 static void
 fill_borrowed(struct fill *f, const struct codec_field *field, void *obj)
 {
-	uint32_t n = any_length(f, field->max);
+	uint32_t n = random_length(f, field->max);
 	char *p = g_malloc(n + 1);
 
 	fill_text(f, p, n);
@@ -214,7 +214,7 @@
 		field = &desc->fields[i];
 		p = (char *)obj + field->offset;
 		if (field->kind == CODEC_STR)
-			fill_text(f, p, any_length(f, field->max));
+			fill_text(f, p, random_length(f, field->max));
 		else if (field->kind == CODEC_LIST)
 			fill_list(f, field, obj);
 		else if (field->kind == CODEC_STRUCT)
--- a/packages/proto/test/test_codec.c
+++ b/packages/proto/test/test_codec.c
@@ -69,7 +69,7 @@
 }
 
 static void
-message_cut_short(const struct codec_desc *desc, GRand *rand)
+message_truncated(const struct codec_desc *desc, GRand *rand)
 {
 	GByteArray *in;
 	guint len;
@@ -84,7 +84,7 @@
 
 /* Pack the sample with @n elements, element @at replaced by @value. */
 static GByteArray *
-altered(
+with_element(
     const GByteArray *in, uint32_t n, uint32_t at, const msgpack_object *value)
 {
 	static const msgpack_object nil = {.type = MSGPACK_OBJECT_NIL};
@@ -118,8 +118,8 @@
 	GByteArray *in, *longer, *shorter;
 
 	in = sample_encoded(desc, rand);
-	longer = altered(in, desc->n_fields + 2, UINT32_MAX, NULL);
-	shorter = altered(in, desc->n_fields - 1, UINT32_MAX, NULL);
+	longer = with_element(in, desc->n_fields + 2, UINT32_MAX, NULL);
+	shorter = with_element(in, desc->n_fields - 1, UINT32_MAX, NULL);
 	ck_assert_int_eq(decoded(desc, longer->data, longer->len), STATUS_OK);
 	ck_assert_int_eq(decoded(desc, shorter->data, shorter->len), STATUS_OK);
 	g_byte_array_unref(longer);
@@ -129,7 +129,7 @@
 
 /* A value that is too much for the field by one; 0 when there is none. */
 static int
-one_too_many(const struct codec_field *f, void *room, msgpack_object *o)
+oversized_value(const struct codec_field *f, void *buffer, msgpack_object *o)
 {
 	uint64_t max = f->kind == CODEC_U8 ? UINT8_MAX
 	    : f->kind == CODEC_U16	   ? UINT16_MAX
@@ -137,22 +137,22 @@
 	    : f->kind == CODEC_I64	   ? INT64_MAX
 					   : 0;
 
-	memset(room, 0, (f->max + 1) * sizeof(msgpack_object));
+	memset(buffer, 0, (f->max + 1) * sizeof(msgpack_object));
 	switch (f->kind) {
 	case CODEC_STR:
 	case CODEC_TEXT:
 		o->type = MSGPACK_OBJECT_STR;
-		o->via.str.ptr = memset(room, 'a', f->max + 1);
+		o->via.str.ptr = memset(buffer, 'a', f->max + 1);
 		o->via.str.size = f->max + 1;
 		return 1;
 	case CODEC_BYTES:
 		o->type = MSGPACK_OBJECT_BIN;
-		o->via.bin.ptr = room;
+		o->via.bin.ptr = buffer;
 		o->via.bin.size = f->max + 1;
 		return 1;
 	case CODEC_LIST:
 		o->type = MSGPACK_OBJECT_ARRAY;
-		o->via.array.ptr = room;
+		o->via.array.ptr = buffer;
 		o->via.array.size = f->max + 1;
 		return 1;
 	case CODEC_ENUM:
@@ -170,10 +170,10 @@
 
 /* The decode fails with a message that names message, field and cause. */
 static void
-refuse(const struct codec_desc *desc, const GByteArray *in, uint32_t at,
+check_rejected(const struct codec_desc *desc, const GByteArray *in, uint32_t at,
     const msgpack_object *value, const char *why)
 {
-	GByteArray *bad = altered(in, desc->n_fields, at, value);
+	GByteArray *bad = with_element(in, desc->n_fields, at, value);
 
 	ck_assert_msg(decoded(desc, bad->data, bad->len) == STATUS_INVALID,
 	    "%s.%s", desc->name, desc->fields[at].name);
@@ -195,27 +195,28 @@
 	GByteArray *in;
 	uint32_t at;
 	size_t t;
-	void *room;
+	void *buffer;
 
 	in = sample_encoded(desc, rand);
 	for (at = 0; at < desc->n_fields; at++) {
 		for (t = 0; t < G_N_ELEMENTS(wrong_types); t++)
-			refuse(desc, in, at, &wrong_types[t], "must be");
-		room = g_malloc(
+			check_rejected(
+			    desc, in, at, &wrong_types[t], "must be");
+		buffer = g_malloc(
 		    (desc->fields[at].max + 1) * sizeof(msgpack_object));
-		if (one_too_many(&desc->fields[at], room, &too_many))
-			refuse(desc, in, at, &too_many,
+		if (oversized_value(&desc->fields[at], buffer, &too_many))
+			check_rejected(desc, in, at, &too_many,
 			    too_many.type == MSGPACK_OBJECT_POSITIVE_INTEGER
 				? "must be"
 				: "at most");
-		g_free(room);
+		g_free(buffer);
 	}
 	g_byte_array_unref(in);
 }
 
 typedef void (*property)(const struct codec_desc *desc, GRand *rand);
 
-static const property properties[] = {message_round_trip, message_cut_short,
+static const property properties[] = {message_round_trip, message_truncated,
     message_of_another_release, message_with_wrong_field};
 
 /* The loop index is the property; it must hold for every message. */
@@ -235,7 +236,7 @@
 END_TEST
 
 /* The wire form, pinned byte for byte. */
-START_TEST(wire_form_is_pinned)
+START_TEST(wire_format_is_fixed)
 {
 	static const uint8_t want[] = {
 	    0x93, 0x07, 0xc4, 0x02, 0xaa, 0xbb, 0xc3};
@@ -259,7 +260,7 @@
 }
 END_TEST
 
-START_TEST(zero_byte_in_name_is_refused)
+START_TEST(zero_byte_in_name_is_rejected)
 {
 	static const uint8_t in[] = {0x92, 0x01, 0xa2, 'a', 0x00};
 	struct msg_call_hello m;
@@ -331,7 +332,7 @@
     ROW("\xd4\x01\x01", STATUS_INVALID),
 };
 
-START_TEST(check_takes_and_refuses)
+START_TEST(check_accepts_and_rejects)
 {
 	const struct check_row *row = &check_rows[_i];
 	uint8_t *copy = g_memdup2(row->data, row->len);
@@ -341,7 +342,7 @@
 }
 END_TEST
 
-START_TEST(check_refuses_the_too_large)
+START_TEST(check_rejects_too_large)
 {
 	size_t len = PROTO_BODY_MAX_BYTES + 1;
 	uint8_t *data = g_malloc0(len);
@@ -359,12 +360,12 @@
 
 	tcase_add_loop_test(
 	    tc, every_message, 0, (int)G_N_ELEMENTS(properties));
-	tcase_add_test(tc, wire_form_is_pinned);
-	tcase_add_test(tc, zero_byte_in_name_is_refused);
+	tcase_add_test(tc, wire_format_is_fixed);
+	tcase_add_test(tc, zero_byte_in_name_is_rejected);
 	tcase_add_test(tc, names);
 	tcase_add_loop_test(
-	    tc, check_takes_and_refuses, 0, (int)G_N_ELEMENTS(check_rows));
-	tcase_add_test(tc, check_refuses_the_too_large);
+	    tc, check_accepts_and_rejects, 0, (int)G_N_ELEMENTS(check_rows));
+	tcase_add_test(tc, check_rejects_too_large);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/proto/test/test_frame.c
+++ b/packages/proto/test/test_frame.c
@@ -38,7 +38,7 @@
 END_TEST
 
 /* The loop index is the size of the pieces in which the stream comes. */
-START_TEST(reader_takes_any_pieces)
+START_TEST(reader_accepts_any_chunk_size)
 {
 	GByteArray *in = two_frames();
 	struct frame_reader r;
@@ -77,10 +77,10 @@
     {{0xff, 0xff, 0xff, 0xff}, FRAME_BAD},
 };
 
-START_TEST(reader_refuses_lengths)
+START_TEST(reader_rejects_lengths)
 {
 	const struct length_row *row = &length_rows[_i];
-	GByteArray *fine = two_frames();
+	GByteArray *valid = two_frames();
 	struct frame_reader r;
 	struct frame f;
 
@@ -89,11 +89,11 @@
 	ck_assert_int_eq(frame_reader_next(&r, &f), row->want);
 	if (row->want == FRAME_BAD) {
 		/* For good, whatever follows. */
-		frame_reader_push(&r, fine->data, fine->len);
+		frame_reader_push(&r, valid->data, valid->len);
 		ck_assert_int_eq(frame_reader_next(&r, &f), FRAME_BAD);
 	}
 	frame_reader_clear(&r);
-	g_byte_array_unref(fine);
+	g_byte_array_unref(valid);
 }
 END_TEST
 
@@ -214,9 +214,9 @@
 	TCase *tc = tcase_create("frame");
 
 	tcase_add_test(tc, frame_has_its_length_in_front);
-	tcase_add_loop_test(tc, reader_takes_any_pieces, 1, 17);
+	tcase_add_loop_test(tc, reader_accepts_any_chunk_size, 1, 17);
 	tcase_add_loop_test(
-	    tc, reader_refuses_lengths, 0, (int)G_N_ELEMENTS(length_rows));
+	    tc, reader_rejects_lengths, 0, (int)G_N_ELEMENTS(length_rows));
 	tcase_add_test(tc, reader_shrinks);
 	tcase_add_test(tc, datagrams);
 	tcase_add_loop_test(tc, addresses, 0, (int)G_N_ELEMENTS(addr_rows));
--- a/packages/proto/test/test_pack.c
+++ b/packages/proto/test/test_pack.c
@@ -29,24 +29,25 @@
 	return b;
 }
 
-START_TEST(test_back_again)
+START_TEST(test_round_trip)
 {
-	GByteArray *b = routes(), *packed = pack_encode(b->data, b->len), *back;
+	GByteArray *b = routes(), *packed = pack_encode(b->data, b->len),
+		   *unpacked;
 
 	ck_assert_ptr_nonnull(packed);
 	ck_assert_uint_lt(packed->len, b->len / 3);
-	back = pack_decode(packed->data, packed->len, b->len);
-	ck_assert_ptr_nonnull(back);
-	ck_assert_int_eq(memcmp(back->data, b->data, b->len), 0);
-	g_byte_array_unref(back);
+	unpacked = pack_decode(packed->data, packed->len, b->len);
+	ck_assert_ptr_nonnull(unpacked);
+	ck_assert_int_eq(memcmp(unpacked->data, b->data, b->len), 0);
+	g_byte_array_unref(unpacked);
 	g_byte_array_unref(packed);
 	g_byte_array_unref(b);
 }
 END_TEST
 
-START_TEST(test_not_worth_it)
+START_TEST(test_incompressible_and_short_bodies)
 {
-	uint8_t noise[2 * PACK_LEAST_BYTES];
+	uint8_t noise[2 * PACK_MIN_BYTES];
 	GRand *r = g_rand_new_with_seed(1);
 	size_t i;
 
@@ -55,14 +56,15 @@
 	g_rand_free(r);
 	ck_assert_ptr_null(pack_encode(noise, sizeof(noise)));
 	memset(noise, 0, sizeof(noise));
-	ck_assert_ptr_null(pack_encode(noise, PACK_LEAST_BYTES - 1));
+	ck_assert_ptr_null(pack_encode(noise, PACK_MIN_BYTES - 1));
 }
 END_TEST
 
 /* A peer that sends nonsense gets nothing written beyond what was said. */
-START_TEST(test_nonsense)
+START_TEST(test_corrupt_input)
 {
-	GByteArray *b = routes(), *packed = pack_encode(b->data, b->len), *back;
+	GByteArray *b = routes(), *packed = pack_encode(b->data, b->len),
+		   *unpacked;
 	GRand *r = g_rand_new_with_seed(2);
 	int i;
 
@@ -75,9 +77,9 @@
 	for (i = 0; i < 2000; i++) {
 		packed->data[g_rand_int_range(r, 0, (gint32)packed->len)] =
 		    (guint8)g_rand_int(r);
-		back = pack_decode(packed->data, packed->len, b->len);
-		if (back != NULL)
-			g_byte_array_unref(back);
+		unpacked = pack_decode(packed->data, packed->len, b->len);
+		if (unpacked != NULL)
+			g_byte_array_unref(unpacked);
 	}
 	g_rand_free(r);
 	g_byte_array_unref(packed);
@@ -91,9 +93,9 @@
 	Suite *s = suite_create("pack");
 	TCase *tc = tcase_create("pack");
 
-	tcase_add_test(tc, test_back_again);
-	tcase_add_test(tc, test_not_worth_it);
-	tcase_add_test(tc, test_nonsense);
+	tcase_add_test(tc, test_round_trip);
+	tcase_add_test(tc, test_incompressible_and_short_bodies);
+	tcase_add_test(tc, test_corrupt_input);
 	suite_add_tcase(s, tc);
 	return test_run(s);
 }
--- a/packages/proto/test/test_settings.c
+++ b/packages/proto/test/test_settings.c
@@ -109,7 +109,7 @@
 };
 
 /* Rates are told with a fraction by some; it counts for nothing. */
-START_TEST(a_rate_may_have_a_fraction)
+START_TEST(fraction_of_a_rate_is_dropped)
 {
 	struct settings s;
 
@@ -167,7 +167,7 @@
 }
 END_TEST
 
-START_TEST(bad_texts_of_required_keys)
+START_TEST(bad_values_of_required_keys)
 {
 	static const char *const texts[] = {"{\"host\":\"\"}",
 	    "{\"host\":\"Grandahus\"}", "{\"host\":\"a_b\"}",
@@ -295,11 +295,11 @@
 
 	tcase_add_test(tc, defaults);
 	tcase_add_test(tc, values);
-	tcase_add_test(tc, a_rate_may_have_a_fraction);
+	tcase_add_test(tc, fraction_of_a_rate_is_dropped);
 	tcase_add_test(tc, upstream_service_is_any_name_of_a_service);
 	tcase_add_loop_test(
 	    tc, error_names_key_and_remedy, 0, (int)G_N_ELEMENTS(error_rows));
-	tcase_add_loop_test(tc, bad_texts_of_required_keys, 0, 11);
+	tcase_add_loop_test(tc, bad_values_of_required_keys, 0, 11);
 	tcase_add_test(tc, all_errors_at_once);
 	tcase_add_loop_test(tc, seeds_are_counted, 63, 66);
 	tcase_add_loop_test(
