--- a/packages/base/include/base/service_name.h
+++ b/packages/base/include/base/service_name.h
@@ -13,7 +13,7 @@
 
 /* The rule in words, for messages. */
 #define SERVICE_NAME_RULE \
-	"1 to 31 bytes without blanks, control characters, '\"', '\\' and '/'"
+	"1 to 31 bytes without spaces, control characters, '\"', '\\' and '/'"
 
 /**
  * service_name_valid() - whether a name fits a service
--- a/packages/net/bench/bench_conn.c
+++ b/packages/net/bench/bench_conn.c
@@ -72,7 +72,7 @@
 	if (listener_new(s->loop, at, &o, &s->listener) != STATUS_OK)
 		g_error("%s", status_message());
 	if (pthread_create(&s->thread, NULL, server_run, s) != 0)
-		g_error("The bench can't start a thread.");
+		g_error("The benchmark can't start a thread.");
 }
 
 static void
@@ -175,7 +175,7 @@
 
 	listening = raw_listen(&at);
 	if (pthread_create(&thread, NULL, raw_echo, &at) != 0)
-		g_error("The bench can't start a thread.");
+		g_error("The benchmark can't start a thread.");
 	fd = accept4(listening, NULL, NULL, SOCK_CLOEXEC);
 	for (i = 0; i < ROUNDS; i++) {
 		t_us = clock_now_us();
@@ -214,8 +214,8 @@
 	print_ratio("round trip p99", raw_quantile(ours, 0.99),
 	    raw_quantile(baseline, 0.99));
 	us = run_frames(WINDOW_FRAMES, WINDOW, ours);
-	(void)printf("%d frames under way: %.0f frames/s each way\n", WINDOW,
-	    WINDOW_FRAMES * US_PER_SECOND / (double)us);
+	(void)printf("%d frames in flight: %.0f frames/s in each direction\n",
+	    WINDOW, WINDOW_FRAMES * US_PER_SECOND / (double)us);
 	g_array_unref(ours);
 	g_array_unref(baseline);
 	return 0;
--- a/packages/net/bench/bench_http.c
+++ b/packages/net/bench/bench_http.c
@@ -156,7 +156,7 @@
 	run_mode(b, s, m, REQUESTS);
 	cpu_us = raw_thread_cpu_us() - cpu_us;
 	wall_us = clock_now_us() - wall_us;
-	(void)printf("%-32s %7.1f us each, %6.1f us of processor time\n",
+	(void)printf("%-32s %7.1f us per request, %6.1f us of CPU time\n",
 	    m->name, (double)wall_us / REQUESTS, (double)cpu_us / REQUESTS);
 }
 
@@ -172,7 +172,7 @@
 	b.url =
 	    g_strdup_printf("http://127.0.0.1:%u/x", fake_addr(s.fake).port);
 	if (pthread_create(&s.thread, NULL, server_run, &s) != 0)
-		g_error("The bench can't start a thread.");
+		g_error("The benchmark can't start a thread.");
 	for (i = 0; i < G_N_ELEMENTS(modes); i++)
 		measure(&b, &s, &modes[i]);
 	http_client_free(b.client);
--- a/packages/net/bench/raw_socket.c
+++ b/packages/net/bench/raw_socket.c
@@ -33,7 +33,7 @@
 	sin.sin_addr.s_addr = htonl(to.ip);
 	sin.sin_port = htons(to.port);
 	if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0)
-		g_error("The bench can't connect.");
+		g_error("The benchmark can't connect.");
 	raw_no_delay(fd);
 	return fd;
 }
@@ -49,7 +49,7 @@
 	sin.sin_addr.s_addr = htonl(RAW_LOOPBACK);
 	if (bind(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 ||
 	    listen(fd, RAW_BACKLOG) < 0)
-		g_error("The bench can't listen.");
+		g_error("The benchmark can't listen.");
 	raw_no_delay(fd);
 	(void)getsockname(fd, (struct sockaddr *)&sin, &len);
 	at->ip = RAW_LOOPBACK;
@@ -66,7 +66,7 @@
 	while (len > 0) {
 		n = send(fd, p, len, MSG_NOSIGNAL);
 		if (n <= 0)
-			g_error("The bench can't write.");
+			g_error("The benchmark can't write.");
 		p += n;
 		len -= (size_t)n;
 	}
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -67,8 +67,8 @@
 
 	http_call_end(call,
 	    status_set(STATUS_TIMEOUT,
-		"The HTTP call was not complete by its deadline; the other "
-		"side is slow or silent."));
+		"The HTTP call did not complete before its deadline; the "
+		"server is slow or does not answer."));
 }
 
 /* Connections for calls */
--- a/packages/net/src/http_call.c
+++ b/packages/net/src/http_call.c
@@ -108,8 +108,8 @@
 		h = &r->headers[i];
 		if (!http_is_token(h->name) || !is_value(h->value))
 			return status_set(STATUS_INVALID,
-			    "A header's name or value can't be sent; leave "
-			    "out line breaks and spaces in names.");
+			    "A header's name or value is invalid; remove line "
+			    "breaks, and spaces in names.");
 		if (!is_own(h->name))
 			add_line(call, h->name, h->value);
 	}
@@ -181,8 +181,8 @@
 	    read_url(r->url, &call->to, &host, &path) != STATUS_OK) {
 		g_free(host);
 		return status_set(STATUS_INVALID,
-		    "A method or URL can't be sent; give an address by its "
-		    "number and percent-encode the path.");
+		    "A method or URL is invalid; give the host as an IPv4 "
+		    "address and percent-encode the path.");
 	}
 	st = write_head(call, r, host_of(r, host), path);
 	g_free(host);
--- a/packages/net/src/http_conn.c
+++ b/packages/net/src/http_conn.c
@@ -134,7 +134,7 @@
 call_error(enum status st, const char *why)
 {
 	return status_set(st,
-	    "HTTP call failed: %s; check the address and what listens there.",
+	    "HTTP call failed: %s; check the address and the server there.",
 	    why);
 }
 
@@ -175,9 +175,10 @@
 			complete_call(c, STATUS_OK);
 	} else if (c->call->aborted) {
 		http_call_end(c->call,
-		    call_error(STATUS_UNAVAILABLE, "broken off on this side"));
+		    call_error(STATUS_UNAVAILABLE, "aborted by the client"));
 	} else if (err != HPE_OK && len == 0) {
-		conn_broken(c, "the connection ended within the answer");
+		conn_broken(
+		    c, "the connection closed before the answer was complete");
 	} else if (err != HPE_OK) {
 		http_call_end(c->call,
 		    call_error(STATUS_INVALID, http_errno_description(err)));
@@ -191,7 +192,7 @@
 	if (c->call->answered)
 		parse(c, "", 0);
 	if (c->call != NULL && !c->complete)
-		conn_broken(c, "the connection ended without an answer");
+		conn_broken(c, "the connection closed without an answer");
 }
 
 static void
@@ -264,7 +265,7 @@
 	if (flow != HTTP_ABORT)
 		return true;
 	http_call_end(
-	    call, call_error(STATUS_UNAVAILABLE, "broken off on this side"));
+	    call, call_error(STATUS_UNAVAILABLE, "aborted by the client"));
 	return false;
 }
 
@@ -345,7 +346,7 @@
 	g_byte_array_free(held, TRUE);
 	if (rv != 0 && c->call != NULL)
 		http_call_end(call,
-		    call_error(STATUS_UNAVAILABLE, "broken off on this side"));
+		    call_error(STATUS_UNAVAILABLE, "aborted by the client"));
 	return rv == 0 && !call->paused;
 }
 
@@ -403,7 +404,7 @@
 	if (c->state == HTTP_CONN_IDLE)
 		http_conn_close(c);
 	else
-		conn_broken(c, "no connection could be made in time");
+		conn_broken(c, "the connection was not established in time");
 }
 
 /* Return: 0, or the error. */
--- a/packages/net/src/loop.c
+++ b/packages/net/src/loop.c
@@ -114,8 +114,8 @@
 	w->events = events;
 	if (events != 0 && loop_ctl(w, EPOLL_CTL_ADD, events) < 0) {
 		(void)status_set(STATUS_IO,
-		    "Can't watch a descriptor: %s; raise the limits of the "
-		    "process.",
+		    "Can't watch a file descriptor: %s; raise the limits of "
+		    "the process.",
 		    strerror(errno));
 		g_free(w);
 		return NULL;
@@ -443,7 +443,7 @@
 		    loop, loop->wake_fd, LOOP_READ, loop_drain_inbox, loop);
 	if (loop->wake == NULL) {
 		(void)status_set(STATUS_IO,
-		    "Can't make an event loop: %s; raise the limits of the "
+		    "Can't create an event loop: %s; raise the limits of the "
 		    "process.",
 		    strerror(errno));
 		loop_free(loop);
--- a/packages/net/src/sock.c
+++ b/packages/net/src/sock.c
@@ -68,8 +68,8 @@
 	if (*fd >= 0 && sock_bind_fd(*fd, at) == 0)
 		return STATUS_OK;
 	st = status_set(STATUS_IO,
-	    "Can't bind %s: %s; choose another address or port, or stop who "
-	    "has it.",
+	    "Can't bind %s: %s; choose another address or port, or stop the "
+	    "process that uses it.",
 	    addr_format(&at, text), strerror(errno));
 	if (*fd >= 0)
 		(void)close(*fd);
--- a/packages/net/src/udp.c
+++ b/packages/net/src/udp.c
@@ -110,7 +110,7 @@
 
 	if (len + sizeof(type) > UDP_MAX_BYTES)
 		return status_set(STATUS_TOO_LARGE,
-		    "A datagram of %zu bytes is above the limit of %d; send "
+		    "A datagram of %zu bytes exceeds the limit of %d; send "
 		    "less or use a connection.",
 		    len + sizeof(type), UDP_MAX_BYTES);
 	msg.msg_name = &sin;
--- a/packages/proto/src/addr.c
+++ b/packages/proto/src/addr.c
@@ -15,7 +15,8 @@
 
 	if (inet_pton(AF_INET, text, &in) != 1)
 		return status_set(STATUS_INVALID,
-		    "\"%s\" is no IPv4 address; write it like 10.0.0.1.", text);
+		    "\"%s\" is not an IPv4 address; use the form 10.0.0.1.",
+		    text);
 	*ip = ntohl(in.s_addr);
 	return STATUS_OK;
 }
@@ -35,7 +36,7 @@
 	    !g_ascii_string_to_unsigned(
 		colon + 1, 10, 1, UINT16_MAX, &port, NULL))
 		return status_set(STATUS_INVALID,
-		    "\"%s\" is no address with a port; write it like "
+		    "\"%s\" is not an address with a port; use the form "
 		    "10.0.0.1:7000.",
 		    text);
 	memcpy(ip_text, text, len);
--- a/packages/proto/src/check.c
+++ b/packages/proto/src/check.c
@@ -109,8 +109,8 @@
 error_truncated(void)
 {
 	return status_set(STATUS_INVALID,
-	    "A message ends early or claims more elements than it has bytes; "
-	    "the peer may be no node at all.");
+	    "A message is truncated or declares more elements than it has "
+	    "bytes; the sender may not be a node.");
 }
 
 static enum status
@@ -139,8 +139,8 @@
 		return STATUS_OK;
 	if (format->shape == SHAPE_FORBIDDEN)
 		return status_set(STATUS_INVALID,
-		    "A message holds msgpack type 0x%02x, which no message "
-		    "uses; the peer may be no node at all.",
+		    "A message contains msgpack type 0x%02x, which no message "
+		    "uses; the sender may not be a node.",
 		    type_byte);
 	return read_number(w, format->width, &it->value);
 }
@@ -177,8 +177,8 @@
 
 	if (w->depth == PROTO_DEPTH_MAX)
 		return status_set(STATUS_INVALID,
-		    "A message nests more than %d deep; the peer may be no "
-		    "node at all.",
+		    "A message is nested more than %d levels deep; the sender "
+		    "may not be a node.",
 		    PROTO_DEPTH_MAX);
 	if (n > w->left)
 		return error_truncated();
@@ -220,8 +220,7 @@
 
 	if (len > PROTO_BODY_MAX_BYTES)
 		return status_set(STATUS_TOO_LARGE,
-		    "A message has %zu bytes, at most %u are taken; send it "
-		    "in pieces.",
+		    "A message of %zu bytes exceeds the limit of %u; split it.",
 		    len, PROTO_BODY_MAX_BYTES);
 	while (st == STATUS_OK && w.depth >= 0) {
 		if (w.remaining[w.depth] == 0)
@@ -231,8 +230,8 @@
 	}
 	if (st == STATUS_OK && w.left > 0)
 		return status_set(STATUS_INVALID,
-		    "A message has %zu bytes after its end; the peer may be "
-		    "no node at all.",
+		    "A message is followed by %zu excess bytes; the sender may "
+		    "not be a node.",
 		    w.left);
 	return st;
 }
--- a/packages/proto/src/codec.c
+++ b/packages/proto/src/codec.c
@@ -181,8 +181,8 @@
 error_type(const struct codec_location *at, const char *expected)
 {
 	return status_set(STATUS_INVALID,
-	    "Message %s: field %s must be %s; the peer may run another "
-	    "release or be no node at all.",
+	    "Message %s: field %s must be %s; the sender may run another "
+	    "release or not be a node.",
 	    at->desc, at->field, expected);
 }
 
@@ -191,7 +191,7 @@
 {
 	return status_set(STATUS_INVALID,
 	    "Message %s: field %s has %llu elements or bytes, at most %u are "
-	    "taken; the peer may run another release or be no node at all.",
+	    "allowed; the sender may run another release or not be a node.",
 	    at->desc, at->field, (unsigned long long)len, max);
 }
 
@@ -200,9 +200,9 @@
     uint64_t max, uint64_t *v)
 {
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
-		return error_type(at, "a number not below 0");
+		return error_type(at, "an integer of at least 0");
 	if (o->via.u64 > max)
-		return error_type(at, "a number or value within its range");
+		return error_type(at, "an integer within its range");
 	*v = o->via.u64;
 	return STATUS_OK;
 }
@@ -217,7 +217,7 @@
 	}
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    o->via.u64 > INT64_MAX)
-		return error_type(at, "a signed number of 64 bits");
+		return error_type(at, "a signed integer of 64 bits");
 	*v = (int64_t)o->via.u64;
 	return STATUS_OK;
 }
@@ -414,8 +414,8 @@
 		return st;
 	if (!msgpack_zone_init(&zone, MSGPACK_ZONE_CHUNK_SIZE))
 		return status_set(STATUS_NO_MEMORY,
-		    "No memory is left to read a message; give the process "
-		    "more memory.");
+		    "Out of memory while decoding a message; raise the "
+		    "memory limit of the process.");
 	if (msgpack_unpack((const char *)data, len, &off, &zone, &root) ==
 	    MSGPACK_UNPACK_SUCCESS)
 		st = read_struct(&at, desc, &root, obj);
--- a/packages/proto/src/frame.c
+++ b/packages/proto/src/frame.c
@@ -35,7 +35,7 @@
 {
 	if (len == 0)
 		return status_set(STATUS_INVALID,
-		    "A datagram is empty; the peer may be no node at all.");
+		    "A datagram is empty; the sender may not be a node.");
 	frame->type = data[0];
 	frame->body = data + 1;
 	frame->body_len = len - 1;
--- a/packages/proto/src/settings.c
+++ b/packages/proto/src/settings.c
@@ -344,7 +344,8 @@
 	if (s->probe_timeout_ms >= s->probe_interval_ms)
 		add_error(p,
 		    "key \"probe_timeout_ms\" is %u: expected less than "
-		    "probe_interval_ms, which is %u; lower it or raise that.",
+		    "probe_interval_ms, which is %u; lower the first or raise "
+		    "the second.",
 		    s->probe_timeout_ms, s->probe_interval_ms);
 }
 
@@ -368,15 +369,15 @@
 		root = json_loadb(text, len, 0, &e);
 	}
 	if (root == NULL) {
-		add_syntax_error(p, &e, "mend the JSON there");
+		add_syntax_error(p, &e, "correct the JSON at this position");
 		return NULL;
 	}
 	if (json_is_object(root))
 		return root;
 	json_decref(root);
 	add_error(p,
-	    "the whole is no object: expected a JSON object; put the "
-	    "keys between { and }.");
+	    "the top level is not an object: expected a JSON object; "
+	    "enclose the keys in { and }.");
 	return NULL;
 }
 
