--- a/packages/base/include/base/clock.h
+++ b/packages/base/include/base/clock.h
@@ -1,12 +1,13 @@
 /*
- * Clocks.  Only the shell reads them; decision modules are handed the time.
+ * Clocks.  Only code that does input and output reads them; modules that make
+ * decisions receive the time as an argument.
  */
 #ifndef BASE_CLOCK_H
 #define BASE_CLOCK_H
 
 #include <stdint.h>
 
-/** DEADLINE_NEVER - a deadline that does not come */
+/** DEADLINE_NEVER - a deadline that never expires */
 #define DEADLINE_NEVER UINT64_MAX
 
 /**
@@ -24,7 +25,7 @@
 uint64_t clock_now_us(void);
 
 /**
- * clock_wall_ms() - wall-clock time, for records that people read
+ * clock_wall_ms() - wall-clock time, for timestamps shown to people
  *
  * Return: milliseconds since 1970 (CLOCK_REALTIME).
  */
@@ -35,7 +36,7 @@
  * @deadline_ms: monotonic deadline
  * @now_ms: monotonic time
  *
- * Return: milliseconds left, 0 when it has passed.
+ * Return: milliseconds left, 0 when the deadline has passed.
  */
 static inline uint64_t
 clock_left_ms(uint64_t deadline_ms, uint64_t now_ms)
--- a/packages/base/include/base/hash.h
+++ b/packages/base/include/base/hash.h
@@ -1,5 +1,6 @@
 /*
- * Hashes: SHA-256 names content, XXH3 ranks and spreads.
+ * Hashes: SHA-256 identifies content, XXH3 ranks candidates and distributes
+ * keys.
  */
 #ifndef BASE_HASH_H
 #define BASE_HASH_H
@@ -16,24 +17,24 @@
 };
 
 /**
- * hash_digest() - SHA-256 of a piece of memory
+ * hash_digest() - SHA-256 of a block of memory
  * @data: first byte
  * @len: number of bytes
- * @out: where the digest goes
+ * @out: receives the digest
  */
 void hash_digest(const void *data, size_t len, struct digest *out);
 
 /**
- * hash_digest_hex() - a digest in lower-case hexadecimal
+ * hash_digest_hex() - format a digest in lower-case hexadecimal
  * @d: the digest
- * @hex: at least DIGEST_HEX_BYTES; zero-terminated
+ * @hex: buffer of at least DIGEST_HEX_BYTES; receives a zero-terminated string
  */
 void hash_digest_hex(const struct digest *d, char *hex);
 
 /**
- * hash_digest_parse() - read a digest from hexadecimal
- * @hex: zero-terminated text
- * @d: where the digest goes
+ * hash_digest_parse() - parse a digest in hexadecimal
+ * @hex: zero-terminated string
+ * @d: receives the digest
  *
  * Return: 1 when @hex is a digest, else 0.
  */
@@ -43,7 +44,7 @@
 int hash_digest_equal(const struct digest *a, const struct digest *b);
 
 /**
- * hash64() - fast hash of a piece of memory (XXH3)
+ * hash64() - fast hash of a block of memory (XXH3)
  * @data: first byte
  * @len: number of bytes
  * @seed: seed
@@ -51,12 +52,12 @@
 uint64_t hash64(const void *data, size_t len, uint64_t seed);
 
 /**
- * hash_rendezvous() - score of a candidate for a key
+ * hash_rendezvous() - score of a candidate for a key (rendezvous hashing)
  * @key: zero-terminated key
  * @candidate: zero-terminated name of the candidate
  *
- * The candidate with the highest score is first in rank.  All nodes that
- * know the same candidates rank them alike.
+ * The candidate with the highest score ranks first.  All nodes with the same
+ * set of candidates compute the same ranking.
  */
 uint64_t hash_rendezvous(const char *key, const char *candidate);
 
--- a/packages/base/include/base/log.h
+++ b/packages/base/include/base/log.h
@@ -1,14 +1,14 @@
 /*
- * Logging: GLib structured logging with a fixed prefix for each part.
+ * Logging: GLib structured logging with a fixed prefix for each component.
  *
  * A module defines LOG_PART before it includes this header:
  *
  *	#define LOG_PART "spread"
  *	#include "base/log.h"
  *
- * Lines are short sentences.  They are handed to a writer thread through a
- * bounded queue, so that logging never blocks traffic; lines that did not
- * fit are counted.
+ * A line is a short sentence.  Lines are passed to a writer thread through a
+ * bounded queue, so that logging never blocks traffic; lines that do not fit
+ * into the queue are dropped and counted.
  */
 #ifndef BASE_LOG_H
 #define BASE_LOG_H
@@ -17,7 +17,7 @@
 
 #include "base/status.h"
 
-/** enum log_level - severity of a line, least first */
+/** enum log_level - severity of a line, in ascending order */
 enum log_level {
 	LOG_LEVEL_DEBUG = 0,
 	LOG_LEVEL_INFO,
@@ -27,41 +27,43 @@
 
 /**
  * log_start() - install the log writer and start its thread
- * @level: least level that is written
- * @host: name put in each line; copied
+ * @level: lowest level that is written
+ * @host: host name included in each line; copied
  *
- * Before this call lines go straight to standard error.
+ * Before this call lines are written directly to standard error.
  */
 void log_start(enum log_level level, const char *host);
 
-/** log_set_level() - least level that is written from now on */
+/** log_set_level() - set the lowest level that is written from now on */
 void log_set_level(enum log_level level);
 
-/** log_stop() - write what is queued and stop the writer thread */
+/** log_stop() - write the queued lines and stop the writer thread */
 void log_stop(void);
 
 /**
  * log_level_from_name() - parse "debug", "info", "warning" or "error"
  * @name: the name
- * @level: where the level goes
+ * @level: receives the level
  *
  * Return: STATUS_OK or STATUS_INVALID.
  */
 enum status log_level_from_name(const char *name, enum log_level *level);
 
 /**
- * log_enabled() - whether a level is written, to spare costly arguments
- * @level: the level asked about
+ * log_enabled() - whether a level is written
+ * @level: the level to check
+ *
+ * Lets callers skip the computation of costly arguments.
  */
 int log_enabled(enum log_level level);
 
 /**
- * struct log_limit - bound on lines of one kind, a token bucket
- * @per_s: lines a second in the long run
- * @burst: lines at once
+ * struct log_limit - rate limit for one kind of line, a token bucket
+ * @per_s: lines per second at which the bucket is refilled
+ * @burst: capacity of the bucket in lines
  * @tokens: lines that may be written now
- * @filled_ms: monotonic time up to which the bucket was filled
- * @left_out: lines left out since the last one that was written
+ * @filled_ms: monotonic time up to which the bucket has been refilled
+ * @left_out: lines suppressed since the last line that was written
  */
 struct log_limit {
 	uint32_t per_s;
@@ -72,9 +74,11 @@
 };
 
 /**
- * log_limit_take() - whether a line of a bounded kind may be written
- * @l: the bound; belongs to one thread
+ * log_limit_take() - take a token for a line of a rate-limited kind
+ * @l: the rate limit; used by one thread only
  * @now_ms: monotonic time
+ *
+ * Return: 1 when the line may be written, 0 when it is suppressed.
  */
 int log_limit_take(struct log_limit *l, uint64_t now_ms);
 
@@ -84,7 +88,7 @@
 /**
  * log_write() - write one line; use the macros below
  * @level: severity
- * @part: fixed prefix of the part, for instance "spread"
+ * @part: fixed prefix of the component, for instance "spread"
  * @fmt: printf format of a short sentence
  */
 void log_write(enum log_level level, const char *part, const char *fmt, ...)
--- a/packages/base/include/base/metrics.h
+++ b/packages/base/include/base/metrics.h
@@ -1,5 +1,6 @@
 /*
- * Counters, gauges and histograms, shown in the text exposition format.
+ * Counters, gauges and histograms, rendered in the Prometheus text exposition
+ * format.
  *
  * A metric is a static variable that is registered once.  Any thread may
  * update it; updates are relaxed atomics.
@@ -12,11 +13,11 @@
 
 #include <glib.h>
 
-/* Histogram buckets are powers of two times METRIC_MIN_US microseconds. */
+/* Upper bounds of histogram buckets are METRIC_MIN_US times powers of two. */
 #define METRIC_BUCKETS 24
 #define METRIC_MIN_US 16
 
-/** enum metric_kind - how a metric behaves */
+/** enum metric_kind - type of a metric */
 enum metric_kind {
 	METRIC_COUNTER,
 	METRIC_GAUGE,
@@ -24,9 +25,9 @@
 };
 
 /**
- * struct metric - one metric
- * @name: full name with unit, for instance "bramley_calls_total"
- * @help: one sentence
+ * struct metric - a metric and its current value
+ * @name: full name including the unit, for instance "bramley_calls_total"
+ * @help: one sentence for the HELP line
  * @kind: counter, gauge or histogram
  * @labels: fixed labels such as "fate=\"not_run\"", or NULL
  * @value: counter or gauge value; sum in microseconds for a histogram
@@ -43,7 +44,7 @@
 
 /**
  * metric_register() - add a metric to the exposition
- * @m: the metric; must outlive the process's last metrics_render()
+ * @m: the metric; must remain valid until the last metrics_render()
  */
 void metric_register(struct metric *m);
 
@@ -56,7 +57,13 @@
 /** metric_observe_us() - record a duration of @us microseconds */
 void metric_observe_us(struct metric *m, uint64_t us);
 
-/** metric_quantile_us() - upper bound of the bucket that holds quantile @q */
+/**
+ * metric_quantile_us() - upper bound of the bucket that contains quantile @q
+ * @m: a histogram
+ * @q: the quantile, 0 to 1
+ *
+ * Return: microseconds.
+ */
 uint64_t metric_quantile_us(const struct metric *m, double q);
 
 /** metrics_render() - append all metrics to @out in the text format */
--- a/packages/base/include/base/service_name.h
+++ b/packages/base/include/base/service_name.h
@@ -1,6 +1,6 @@
 /*
  * Names of services: one rule for configuration, settings, heartbeats and the
- * hosts' records, so that what one takes no other refuses.
+ * hosts' records, so that a name accepted by one is never rejected by another.
  */
 #ifndef BASE_SERVICE_NAME_H
 #define BASE_SERVICE_NAME_H
@@ -8,20 +8,21 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Longest name of a service, zero included. */
+/* Size of the longest service name, including the terminating zero. */
 #define SERVICE_NAME_BYTES 32
 
-/* The rule in words, for messages. */
+/* Description of the rule for error messages. */
 #define SERVICE_NAME_RULE \
 	"1 to 31 bytes without spaces, control characters, '\"', '\\' and '/'"
 
 /**
- * service_name_valid() - whether a name fits a service
+ * service_name_valid() - whether a text is a valid service name
  * @name: first byte
  * @len: number of bytes
  *
  * A name is 1 to 31 bytes without spaces, control characters, '"', '\\' and
- * '/', which logs, metrics or paths could not hold.  It is compared by bytes.
+ * '/', which would be ambiguous in logs, metrics or paths.  Names are compared
+ * byte by byte.
  */
 bool service_name_valid(const char *name, size_t len);
 
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -1,25 +1,25 @@
 /*
- * Status codes and the last message.
+ * Status codes and the last error message.
  *
  * Functions that can fail return an enum status.  The thread's last message
- * says what went wrong and names the remedy, so that it can be shown to an
- * operator as it is.
+ * describes the failure and its remedy, so that it can be shown to an operator
+ * unchanged.
  */
 #ifndef BASE_STATUS_H
 #define BASE_STATUS_H
 
 /**
- * enum status - kind of a failure
- * @STATUS_OK: the call succeeded
- * @STATUS_INVALID: the input is wrong; sending it again can't help
- * @STATUS_NOT_FOUND: the thing named does not exist
- * @STATUS_CONFLICT: somebody else changed the thing first
- * @STATUS_UNAVAILABLE: the other side can't be reached or refuses for now
- * @STATUS_TIMEOUT: the deadline passed before an answer came
+ * enum status - result of an operation
+ * @STATUS_OK: the operation succeeded
+ * @STATUS_INVALID: the input is invalid; a retry fails again
+ * @STATUS_NOT_FOUND: the named object does not exist
+ * @STATUS_CONFLICT: the object was changed concurrently by another writer
+ * @STATUS_UNAVAILABLE: the peer is unreachable or temporarily rejects requests
+ * @STATUS_TIMEOUT: the deadline passed before an answer arrived
  * @STATUS_UNKNOWN: the request may or may not have taken effect
  * @STATUS_TOO_LARGE: a size limit was exceeded
- * @STATUS_OVERLOADED: turned away to protect what is running
- * @STATUS_NO_MEMORY: an allocation was refused
+ * @STATUS_OVERLOADED: rejected to protect the requests that are running
+ * @STATUS_NO_MEMORY: an allocation failed
  * @STATUS_IO: the operating system reported an error
  * @STATUS_INTERNAL: a defect in this program
  */
@@ -47,9 +47,9 @@
 const char *status_name(enum status st);
 
 /**
- * status_set() - record the thread's last message
- * @st: the status to pass through
- * @fmt: printf format; what went wrong, then the remedy
+ * status_set() - set the thread's last message
+ * @st: the status to return
+ * @fmt: printf format of the failure, followed by the remedy
  *
  * Return: @st, so that a function can `return status_set(...)`.
  */
@@ -59,7 +59,7 @@
 /**
  * status_message() - the thread's last message
  *
- * Return: the message; an empty string when nothing failed yet.  It is valid
+ * Return: the message; an empty string before the first status_set().  Valid
  * until the thread's next status_set().
  */
 const char *status_message(void);
--- a/packages/base/src/clock.c
+++ b/packages/base/src/clock.c
@@ -1,5 +1,5 @@
 /*
- * Clocks, read with clock_gettime(2).
+ * Clocks, implemented with clock_gettime(2).
  */
 #include <time.h>
 
--- a/packages/base/src/hash.c
+++ b/packages/base/src/hash.c
@@ -1,5 +1,5 @@
 /*
- * Hashes, by GLib (SHA-256) and xxHash (XXH3).
+ * Hashes, implemented with GLib (SHA-256) and xxHash (XXH3).
  */
 #include <string.h>
 
--- a/packages/base/src/log.c
+++ b/packages/base/src/log.c
@@ -1,6 +1,6 @@
 /*
  * Log writer: formats lines in the calling thread, queues them and writes
- * them from a thread of its own through GLib's structured logging.
+ * them from a separate thread through GLib's structured logging.
  */
 #include <pthread.h>
 #include <stdarg.h>
@@ -20,8 +20,8 @@
 #define LOG_TIME_BYTES 40
 #define MS_PER_S 1000
 
-/* A line waits this long for others; a wake-up for each costs more than the
- * line itself on a slow host. */
+/* Time for which the writer collects lines before it writes them: on a slow
+ * host a wake-up for each line costs more than the line itself. */
 #define LOG_BATCH_MS 100
 
 /* One queued line. */
@@ -32,7 +32,7 @@
 	char text[];
 };
 
-/* The lock covers the queue and the two flags. */
+/* log_lock protects log_lines, log_running and log_stopping. */
 static pthread_mutex_t log_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t log_wakeup = PTHREAD_COND_INITIALIZER;
 static GQueue log_lines = G_QUEUE_INIT;
@@ -51,7 +51,7 @@
 static const GLogLevelFlags glib_levels[] = {G_LOG_LEVEL_DEBUG,
     G_LOG_LEVEL_INFO, G_LOG_LEVEL_WARNING, G_LOG_LEVEL_CRITICAL};
 
-/* GLogWriterFunc: one line to standard output in the product's format. */
+/* GLogWriterFunc: writes one line to standard output. */
 static GLogWriterOutput
 log_writer(GLogLevelFlags flags, const GLogField *fields, gsize n_fields,
     gpointer data)
@@ -84,7 +84,10 @@
 	    line->text);
 }
 
-/* Waits for lines and takes them all; 0 when it is to stop and none is left. */
+/*
+ * Waits for lines and moves all of them to @lines.  Returns 0 when the writer
+ * is stopping and the queue is empty.
+ */
 static int
 log_wait_batch(GQueue *lines)
 {
@@ -95,7 +98,7 @@
 		(void)pthread_cond_wait(&log_wakeup, &log_lock);
 	stopping = log_stopping;
 	(void)pthread_mutex_unlock(&log_lock);
-	/* Lines that come close together leave in one write. */
+	/* Lines queued within LOG_BATCH_MS are written in one flush. */
 	if (!stopping)
 		g_usleep(LOG_BATCH_MS * G_TIME_SPAN_MILLISECOND);
 	(void)pthread_mutex_lock(&log_lock);
@@ -221,7 +224,10 @@
 	return (uint64_t)atomic_load(&log_dropped_count.value);
 }
 
-/* Hands a line to the writer, if there is one; a line too many is dropped. */
+/*
+ * Queues a line for the writer thread; drops the line when the queue is full.
+ * Returns 0 when no writer thread is running; the line then stays the caller's.
+ */
 static int
 log_queue(struct log_line *line)
 {
--- a/packages/base/src/metrics.c
+++ b/packages/base/src/metrics.c
@@ -1,5 +1,5 @@
 /*
- * Counters, gauges and histograms, and their text exposition.
+ * Counters, gauges and histograms, and their rendering as text.
  */
 #include <string.h>
 
--- a/packages/base/src/service_name.c
+++ b/packages/base/src/service_name.c
@@ -1,5 +1,5 @@
 /*
- * Names of services.
+ * Validation of service names.
  */
 #include <string.h>
 
--- a/packages/base/src/status.c
+++ b/packages/base/src/status.c
@@ -1,5 +1,5 @@
 /*
- * Status codes and the last message, kept per thread.
+ * Status codes and the last message, which is thread-local.
  */
 #include <stdarg.h>
 #include <stdio.h>
--- a/packages/base/test/test_base.c
+++ b/packages/base/test/test_base.c
@@ -16,7 +16,7 @@
 
 #include "test_run.h"
 
-/* More than the writer's queue and a pipe hold. */
+/* More lines than fit into the writer's queue and a pipe. */
 #define MANY_LINES 20000
 
 START_TEST(status_keeps_last_message)
@@ -103,8 +103,9 @@
 }
 END_TEST
 
-/* Standard error is a pipe that nobody reads: the writer blocks. */
-START_TEST(log_drops_and_counts_lines_when_the_writer_blocks)
+/* Queues lines faster than the writer takes them.  Standard error is a pipe
+ * that is not read. */
+START_TEST(log_drops_and_counts_lines_when_the_queue_is_full)
 {
 	GString *out = g_string_new(NULL);
 	char want[64];
@@ -150,7 +151,7 @@
 	tcase_add_test(tc, rendezvous_moves_only_keys_of_the_removed_candidate);
 	tcase_add_test(tc, metrics_show_help_and_buckets);
 	tcase_add_test(tc, histogram_sums_keep_microseconds);
-	tcase_add_test(tc, log_drops_and_counts_lines_when_the_writer_blocks);
+	tcase_add_test(tc, log_drops_and_counts_lines_when_the_queue_is_full);
 	tcase_add_test(tc, log_level_names);
 	suite_add_tcase(s, tc);
 	return test_run(s);
