--- a/packages/proto/bench/bench_codec.c
+++ b/packages/proto/bench/bench_codec.c
@@ -1,5 +1,5 @@
 /*
- * Bench of the codec: time to encode and to decode the messages of a call.
+ * Benchmark of the codec: time to encode and decode the messages of a call.
  */
 #include <stdio.h>
 
--- a/packages/proto/include/proto/addr.h
+++ b/packages/proto/include/proto/addr.h
@@ -1,5 +1,5 @@
 /*
- * IPv4 addresses with a port, as nodes name each other.
+ * IPv4 addresses with a port, by which nodes identify their peers.
  */
 #ifndef PROTO_ADDR_H
 #define PROTO_ADDR_H
@@ -8,7 +8,7 @@
 
 #include "base/status.h"
 
-/* "255.255.255.255:65535" and the terminating zero. */
+/* Size of "255.255.255.255:65535", including the terminating zero. */
 #define ADDR_TEXT_BYTES 22
 
 /**
@@ -22,42 +22,42 @@
 };
 
 /**
- * addr_parse() - read "a.b.c.d:port"
- * @text: zero-terminated text
- * @addr: where the address goes; untouched on failure
+ * addr_parse() - parse "a.b.c.d:port"
+ * @text: zero-terminated string
+ * @addr: receives the address; unchanged on failure
  *
  * Return: STATUS_OK or STATUS_INVALID.
  */
 enum status addr_parse(const char *text, struct net_addr *addr);
 
 /**
- * addr_parse_ip() - read "a.b.c.d"
- * @text: zero-terminated text
- * @ip: where the address goes, in host byte order; untouched on failure
+ * addr_parse_ip() - parse "a.b.c.d"
+ * @text: zero-terminated string
+ * @ip: receives the address in host byte order; unchanged on failure
  *
  * Return: STATUS_OK or STATUS_INVALID.
  */
 enum status addr_parse_ip(const char *text, uint32_t *ip);
 
 /**
- * addr_format() - write "a.b.c.d:port"
+ * addr_format() - format as "a.b.c.d:port"
  * @addr: the address
- * @text: at least ADDR_TEXT_BYTES; zero-terminated
+ * @text: buffer of at least ADDR_TEXT_BYTES; receives a zero-terminated string
  *
  * Return: @text.
  */
 char *addr_format(const struct net_addr *addr, char *text);
 
 /**
- * addr_format_ip() - write "a.b.c.d"
+ * addr_format_ip() - format as "a.b.c.d"
  * @ip: address in host byte order
- * @text: at least ADDR_TEXT_BYTES; zero-terminated
+ * @text: buffer of at least ADDR_TEXT_BYTES; receives a zero-terminated string
  *
  * Return: @text.
  */
 char *addr_format_ip(uint32_t ip, char *text);
 
-/** addr_key() - address and port as one number, to hash and compare by */
+/** addr_key() - address and port as one integer, for hashing and comparing */
 static inline uint64_t
 addr_key(const struct net_addr *addr)
 {
--- a/packages/proto/include/proto/check.h
+++ b/packages/proto/include/proto/check.h
@@ -1,5 +1,5 @@
 /*
- * Bounds check of msgpack that a peer sent, before a library unpacks it.
+ * Validation of untrusted msgpack data before a library unpacks it.
  */
 #ifndef PROTO_CHECK_H
 #define PROTO_CHECK_H
@@ -9,10 +9,10 @@
 
 #include "base/status.h"
 
-/* Deepest nesting of arrays and maps that is taken. */
+/* Maximum nesting depth of arrays and maps. */
 #define PROTO_DEPTH_MAX 8
 
-/* Largest message body that is taken. */
+/* Maximum size of a message body. */
 #define PROTO_BODY_MAX_BYTES (16U << 20)
 
 /**
@@ -22,8 +22,9 @@
  *
  * The body must be exactly one msgpack object of at most
  * PROTO_BODY_MAX_BYTES, nested at most PROTO_DEPTH_MAX deep, whose containers
- * claim no more elements than bytes are left.  Extension and floating-point
- * types are refused: no message uses them.  Nothing is allocated.
+ * declare no more elements than there are bytes left.  Extension and
+ * floating-point types are rejected, because no message uses them.  The check
+ * allocates no memory.
  *
  * Return: STATUS_OK, STATUS_TOO_LARGE or STATUS_INVALID.
  */
--- a/packages/proto/include/proto/codec.h
+++ b/packages/proto/include/proto/codec.h
@@ -1,11 +1,11 @@
 /*
- * Codec: turns C structs into msgpack and back, led by tables.
+ * Table-driven codec between C structs and msgpack.
  *
- * The tables are generated from schema/ (see proto/gen/) and are reached
- * through the msg_*_encode(), msg_*_decode() and msg_*_clear() functions
- * there.  A struct is a msgpack array of its fields in order.  Elements
- * after the last known field are ignored and missing ones stay zero, so that
- * a field can be added at the end.
+ * The tables are generated from schema/ (see proto/gen/) and are used through
+ * the msg_*_encode(), msg_*_decode() and msg_*_clear() functions there.  A
+ * struct is encoded as a msgpack array of its fields in order.  The decoder
+ * ignores elements after the last known field and sets missing fields to zero,
+ * so that new fields can be added at the end.
  */
 #ifndef PROTO_CODEC_H
 #define PROTO_CODEC_H
@@ -25,7 +25,7 @@
  * @CODEC_U64: uint64_t
  * @CODEC_I64: int64_t
  * @CODEC_BOOL: bool
- * @CODEC_ENUM: an enum whose values count up from 0
+ * @CODEC_ENUM: an enum with consecutive values from 0
  * @CODEC_DIGEST: struct digest
  * @CODEC_STR: char array, zero-terminated
  * @CODEC_BYTES: borrowed pointer and length
@@ -53,15 +53,15 @@
 
 /**
  * struct codec_field - one field of a struct
- * @name: name, for messages of errors
+ * @name: name, for error messages
  * @kind: type
  * @item: type of the elements of a list
- * @offset: where the field is in the struct
- * @len_offset: where the length or count is (bytes, text, list)
- * @max: largest length or count (str, bytes, text, list)
- * @item_bytes: size of an element of a list in memory
- * @values: number of values of an enum, also as element of a list
- * @of: table of the nested struct, or of the elements of a list
+ * @offset: offset of the field in the struct
+ * @len_offset: offset of the length or count (bytes, text, list)
+ * @max: maximum length or count (str, bytes, text, list)
+ * @item_bytes: size of a list element in memory
+ * @values: number of values of an enum or of an enum in a list
+ * @of: table of the nested struct or of the list elements
  */
 struct codec_field {
 	const char *name;
@@ -76,9 +76,9 @@
 };
 
 /**
- * struct codec_desc - one struct
- * @name: name, for messages of errors
- * @fields: its fields, in the order of the wire
+ * struct codec_desc - codec table of a struct
+ * @name: name, for error messages
+ * @fields: fields in wire order
  * @n_fields: number of fields
  * @size_bytes: size of the struct in memory
  */
@@ -90,21 +90,21 @@
 };
 
 /**
- * codec_encode() - append a struct to a byte array
- * @desc: its table
- * @obj: the struct; within the maxima of its table
+ * codec_encode() - append the encoding of a struct to a byte array
+ * @desc: table of the struct
+ * @obj: the struct; must respect the maxima of its table
  * @out: the byte array
  */
 void
 codec_encode(const struct codec_desc *desc, const void *obj, GByteArray *out);
 
 /**
- * codec_decode() - read a struct that a peer sent
- * @desc: its table
- * @data: the bytes; checked by proto_check() first
+ * codec_decode() - decode a struct from untrusted data
+ * @desc: table of the struct
+ * @data: the bytes; validated with proto_check() first
  * @len: number of bytes
- * @obj: the struct; bytes and text fields borrow from @data, lists are
- *	owned.  All zero on failure, else free it with codec_clear().
+ * @obj: receives the struct; bytes and text fields borrow from @data, lists
+ *	are owned.  All zero on failure, else free it with codec_clear().
  *
  * Return: STATUS_OK, STATUS_TOO_LARGE or STATUS_INVALID.
  */
@@ -112,13 +112,13 @@
     const struct codec_desc *desc, const uint8_t *data, size_t len, void *obj);
 
 /**
- * codec_clear() - free the lists of a struct and set it to zero
- * @desc: its table
+ * codec_clear() - free the lists of a struct and zero the struct
+ * @desc: table of the struct
  * @obj: the struct
  */
 void codec_clear(const struct codec_desc *desc, void *obj);
 
-/** codec_value_name() - name @v of @n names, or "unknown" */
+/** codec_value_name() - names[v], or "unknown" when @v is not below @n */
 const char *codec_value_name(const char *const *names, uint32_t n, uint32_t v);
 
 #endif
--- a/packages/proto/include/proto/frame.h
+++ b/packages/proto/include/proto/frame.h
@@ -1,10 +1,10 @@
 /*
- * Envelopes of messages: datagrams and frames of a byte stream.
+ * Framing of messages in datagrams and byte streams.
  *
  * A datagram is one type byte and the msgpack body.  A frame is the length
  * of the rest in four bytes, most significant first, the type byte and the
- * body.  Types that this program does not know pass through, so that a newer
- * peer can be ignored.
+ * body.  Unknown types are passed to the caller, which can ignore messages of
+ * newer releases.
  */
 #ifndef PROTO_FRAME_H
 #define PROTO_FRAME_H
@@ -17,13 +17,13 @@
 #include "base/status.h"
 #include "proto/messages.h"
 
-/* Bytes before the type byte, and bytes before the body. */
+/* Size of the length field, and size of everything before the body. */
 #define FRAME_LENGTH_BYTES 4
 #define FRAME_HEADER_BYTES (FRAME_LENGTH_BYTES + 1)
 
 /**
- * struct frame - one message in its envelope
- * @type: type byte; may be a type that enum msg_type does not name
+ * struct frame - a message with its type
+ * @type: type byte; may be unknown to enum msg_type
  * @body: msgpack body, borrowed
  * @body_len: number of bytes in @body
  */
@@ -34,9 +34,9 @@
 };
 
 /**
- * enum frame_result - what frame_reader_next() found
- * @FRAME_NONE: no whole frame yet; add more bytes
- * @FRAME_READY: a frame
+ * enum frame_result - result of frame_reader_next()
+ * @FRAME_NONE: no complete frame; add more bytes
+ * @FRAME_READY: a complete frame
  * @FRAME_BAD: a length of zero or above the maximum; close the connection
  */
 enum frame_result {
@@ -46,12 +46,12 @@
 };
 
 /**
- * struct frame_reader - cuts a byte stream into frames
- * @buffer: bytes that came in
+ * struct frame_reader - splits a byte stream into frames
+ * @buffer: received bytes
  * @capacity: allocated size of @buffer
- * @start: first byte not handed out yet
- * @end: one past the last byte that came in
- * @max_bytes: largest length field that is taken
+ * @start: offset of the first byte not returned yet
+ * @end: offset past the last received byte
+ * @max_bytes: maximum value of the length field
  *
  * The fields are private.
  */
@@ -64,7 +64,7 @@
 };
 
 /**
- * frame_append() - add a frame to a byte array
+ * frame_append() - append a frame to a byte array
  * @out: the byte array
  * @type: type of the message
  * @body: encoded message
@@ -73,25 +73,25 @@
 void frame_append(
     GByteArray *out, enum msg_type type, const uint8_t *body, size_t body_len);
 
-/** datagram_append() - like frame_append(), without the length */
+/** datagram_append() - like frame_append(), without the length field */
 void datagram_append(
     GByteArray *out, enum msg_type type, const uint8_t *body, size_t body_len);
 
 /**
- * datagram_parse() - split a datagram
+ * datagram_parse() - split a datagram into type and body
  * @data: the datagram
- * @len: number of bytes in it
+ * @len: number of bytes in the datagram
  * @frame: type and body; the body is borrowed from @data
  *
- * Return: STATUS_OK, or STATUS_INVALID when it is empty.
+ * Return: STATUS_OK, or STATUS_INVALID for an empty datagram.
  */
 enum status
 datagram_parse(const uint8_t *data, size_t len, struct frame *frame);
 
 /**
- * frame_reader_init() - prepare a reader
+ * frame_reader_init() - initialise a reader
  * @r: the reader; free its buffer with frame_reader_clear()
- * @max_bytes: largest length field that is taken (type byte and body)
+ * @max_bytes: maximum value of the length field (type byte and body)
  */
 void frame_reader_init(struct frame_reader *r, uint32_t max_bytes);
 
@@ -99,39 +99,40 @@
 void frame_reader_clear(struct frame_reader *r);
 
 /**
- * frame_reader_space() - room to receive bytes into
+ * frame_reader_space() - get buffer space for receiving
  * @r: the reader
- * @want: number of bytes that must fit
+ * @want: minimum number of bytes
  *
- * Bodies handed out before are no longer valid.  Follow with
- * frame_reader_commit().
+ * Invalidates the bodies returned before.  Call frame_reader_commit() after
+ * the bytes have been stored.
  *
- * Return: where at least @want bytes fit.
+ * Return: pointer to at least @want bytes of space.
  */
 uint8_t *frame_reader_space(struct frame_reader *r, size_t want);
 
-/** frame_reader_commit() - @n bytes were put into frame_reader_space() */
+/** frame_reader_commit() - add @n bytes stored in frame_reader_space() */
 void frame_reader_commit(struct frame_reader *r, size_t n);
 
 /**
- * frame_reader_push() - add bytes of the stream; they are copied
+ * frame_reader_push() - add a copy of received bytes
  * @r: the reader
  * @data: the bytes
  * @len: number of bytes
  *
- * Bodies handed out before are no longer valid.
+ * Invalidates the bodies returned before.
  */
 void frame_reader_push(struct frame_reader *r, const uint8_t *data, size_t len);
 
 /**
- * frame_reader_next() - take the next frame
+ * frame_reader_next() - get the next frame
  * @r: the reader
  * @frame: the frame; its body is valid until bytes are added
  *
- * Call until it returns FRAME_NONE before adding more bytes, so that the
- * buffer holds at most one frame and what was received with it.
+ * Call repeatedly until it returns FRAME_NONE before adding more bytes, so that
+ * the buffer never holds more than one incomplete frame and the bytes received
+ * last.
  *
- * Return: enum frame_result; after FRAME_BAD it is FRAME_BAD for good.
+ * Return: enum frame_result; after FRAME_BAD every call returns FRAME_BAD.
  */
 enum frame_result
 frame_reader_next(struct frame_reader *r, struct frame *frame);
--- a/packages/proto/include/proto/settings.h
+++ b/packages/proto/include/proto/settings.h
@@ -1,5 +1,5 @@
 /*
- * Settings: reading, checking and showing them.  struct settings itself is
+ * Settings: parsing, validation and printing.  struct settings itself is
  * generated; see proto/gen/settings.h and docs/SETTINGS.md.
  */
 #ifndef PROTO_SETTINGS_H
@@ -13,24 +13,24 @@
 #include "proto/gen/settings.h"
 
 /**
- * settings_load() - read the settings from a file
+ * settings_load() - load the settings from a file
  * @path: the file
- * @s: where the settings go; holds the defaults where the file has errors
- * @errors: all errors of the file are added to it as texts that are freed
- *	with g_free(), each with the file, the key, what is expected and the
- *	remedy; NULL when only the first one is wanted
+ * @s: receives the settings; keys with errors keep their defaults
+ * @errors: receives all errors of the file as strings to be freed with
+ *	g_free(), each with the file, the key, the expected value and the
+ *	remedy; may be NULL
  *
  * Return: STATUS_OK, or STATUS_INVALID (STATUS_IO when the file can't be
- * read), with the first error as last message.
+ * read); status_message() has the first error.
  */
 enum status
 settings_load(const char *path, struct settings *s, GPtrArray *errors);
 
 /**
- * settings_parse() - read the settings from memory
+ * settings_parse() - parse settings in memory
  * @text: a JSON object; need not be zero-terminated
  * @len: number of bytes
- * @name: what errors call the file
+ * @name: file name for error messages
  * @s: see settings_load()
  * @errors: see settings_load()
  *
@@ -40,9 +40,9 @@
     struct settings *s, GPtrArray *errors);
 
 /**
- * settings_print() - the settings in effect as JSON, defaults included
+ * settings_print() - print the settings in effect as JSON, including defaults
  * @s: the settings
- * @out: where the text is appended; settings_parse() takes it
+ * @out: receives the JSON, which settings_parse() accepts
  */
 void settings_print(const struct settings *s, GString *out);
 
--- a/packages/proto/include/proto/settings_key.h
+++ b/packages/proto/include/proto/settings_key.h
@@ -1,6 +1,6 @@
 /*
- * Table of the settings, which leads their reading and printing.  Private to
- * the settings module and its generated part.
+ * Table of the settings, used to parse and print them.  Private to the settings
+ * module and its generated part.
  */
 #ifndef PROTO_SETTINGS_KEY_H
 #define PROTO_SETTINGS_KEY_H
@@ -10,16 +10,17 @@
 #include "proto/gen/settings.h"
 
 /**
- * enum settings_type - what a key takes
- * @SETTINGS_NAME: a name, as char array
- * @SETTINGS_URL: a URL, as char array
- * @SETTINGS_IPV4: an address, as uint32_t in host byte order
- * @SETTINGS_PORT: a port, as uint16_t
- * @SETTINGS_NUMBER: a number, as uint32_t
- * @SETTINGS_CHOICE: one of some words, as enum
- * @SETTINGS_ADDRESSES: a list, as array of struct net_addr with a count
- * @SETTINGS_SERVICE: name of a service or nothing, as char array
- * @SETTINGS_TEXTS: a list of texts, as array of char arrays with a count
+ * enum settings_type - type of a setting
+ * @SETTINGS_NAME: a name, stored as char array
+ * @SETTINGS_URL: a URL, stored as char array
+ * @SETTINGS_IPV4: an address, stored as uint32_t in host byte order
+ * @SETTINGS_PORT: a port, stored as uint16_t
+ * @SETTINGS_NUMBER: a number, stored as uint32_t
+ * @SETTINGS_CHOICE: a keyword, stored as enum
+ * @SETTINGS_ADDRESSES: a list, stored as array of struct net_addr with a count
+ * @SETTINGS_SERVICE: a service name or empty, stored as char array
+ * @SETTINGS_TEXTS: a list of strings, stored as array of char arrays with a
+ *	count
  */
 enum settings_type {
 	SETTINGS_NAME = 0,
@@ -34,19 +35,19 @@
 };
 
 /**
- * struct settings_key - one key
+ * struct settings_key - description of one setting
  * @name: the key
- * @type: what it takes
- * @offset: where its field is in struct settings
- * @count_offset: where the count of a list is
- * @required: whether it has no default
- * @min: least number
- * @max: largest number, or most elements of a list
+ * @type: type of the value
+ * @offset: offset of the field in struct settings
+ * @count_offset: offset of the count of a list
+ * @required: whether the key has no default
+ * @min: minimum of a number
+ * @max: maximum of a number, or maximum number of list elements
  * @initial: default of a number, port or choice
- * @choices: words of a choice, in the order of its enum
+ * @choices: keywords of a choice, in the order of its enum
  * @n_choices: number of @choices
- * @expected: what it takes, as a phrase
- * @remedy: what to do about a wrong value, as a phrase
+ * @expected: phrase that describes valid values
+ * @remedy: phrase that tells the operator how to correct a wrong value
  */
 struct settings_key {
 	const char *name;
--- a/packages/proto/include/proto/suggest.h
+++ b/packages/proto/include/proto/suggest.h
@@ -7,14 +7,15 @@
 #include <stdint.h>
 
 /**
- * suggest_nearest() - the known word nearest to a given one
+ * suggest_nearest() - find the known word nearest to a given word
  * @word: the word
- * @known: gives known word number i
+ * @known: returns known word number i
  * @n: number of known words
  *
- * Nearest by edit distance, at most a third of the word's length.
+ * The nearest word has the smallest edit distance, which must be at most a
+ * third of the length of @word.
  *
- * Return: the known word; NULL when none is near.
+ * Return: the known word; NULL when no known word is near enough.
  */
 const char *
 suggest_nearest(const char *word, const char *(*known)(uint32_t i), uint32_t n);
--- a/packages/proto/src/addr.c
+++ b/packages/proto/src/addr.c
@@ -1,5 +1,5 @@
 /*
- * Addresses, read and written by inet_pton(3) and inet_ntop(3).
+ * Parsing and formatting of addresses with inet_pton(3) and inet_ntop(3).
  */
 #include <arpa/inet.h>
 #include <string.h>
--- a/packages/proto/src/check.c
+++ b/packages/proto/src/check.c
@@ -1,10 +1,10 @@
 /*
- * Bounds check of untrusted msgpack: walks the bytes once with a stack of
- * fixed depth.
+ * Validation of untrusted msgpack in a single pass with a stack of fixed
+ * depth.
  */
 #include "proto/check.h"
 
-/* First bytes of the msgpack format that the walk tells apart. */
+/* First bytes of msgpack objects. */
 enum {
 	FIXMAP = 0x80,
 	FIXARRAY = 0x90,
@@ -34,16 +34,19 @@
 	NEGATIVE_FIXINT = 0xe0,
 };
 
-/* What follows a first byte. */
+/* Data that follows a first byte. */
 enum shape {
 	SHAPE_PLAIN,	 /* a payload of fixed size */
-	SHAPE_SIZED,	 /* a size field and a payload of that size */
+	SHAPE_SIZED,	 /* a size field followed by the payload */
 	SHAPE_ARRAY,	 /* a count of elements */
 	SHAPE_MAP,	 /* a count of pairs */
 	SHAPE_FORBIDDEN, /* a type that no message uses */
 };
 
-/* Shape, and bytes of the payload, size or count, of first bytes 0xc0... */
+/*
+ * Shape of a first byte from 0xc0 to 0xdf; width is the size in bytes of its
+ * payload, size field or count.
+ */
 struct format {
 	uint8_t shape;
 	uint8_t width;
@@ -91,7 +94,7 @@
 #define FIXCOUNT_MASK 0x0f
 #define FIXSTR_MASK 0x1f
 
-/* The walk: bytes left, and elements still owed by each open container. */
+/* State of the pass: bytes left, and elements left of each open container. */
 struct walk {
 	const uint8_t *next;
 	size_t left;
@@ -99,7 +102,7 @@
 	int depth;
 };
 
-/* One object: its shape and the payload's size or the container's count. */
+/* An object: its shape, and the size of its payload or its element count. */
 struct item {
 	enum shape shape;
 	uint64_t value;
@@ -145,7 +148,7 @@
 	return read_number(w, format->width, &it->value);
 }
 
-/* Read the first byte and the size or count of the next object. */
+/* Reads the first byte and the size or count of the next object. */
 static enum status
 read_item(struct walk *w, struct item *it)
 {
@@ -196,7 +199,7 @@
 	return STATUS_OK;
 }
 
-/* Take one object; the elements of a container are left to the next calls. */
+/* Checks one object; further calls check the elements of a container. */
 static enum status
 check_object(struct walk *w)
 {
--- a/packages/proto/src/codec.c
+++ b/packages/proto/src/codec.c
@@ -1,5 +1,5 @@
 /*
- * Codec, by msgpack-c.
+ * Codec, implemented with msgpack-c.
  */
 #include <stdbool.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "proto/check.h"
 #include "proto/codec.h"
 
-/* What is being decoded, for messages of errors. */
+/* Struct and field that are being decoded, for error messages. */
 struct codec_location {
 	const char *desc;
 	const char *field;
@@ -76,7 +76,7 @@
 		(void)msgpack_pack_false(pk);
 }
 
-/* Pack a value that needs no more than its type. */
+/* Packs a value whose type alone determines its encoding. */
 static void
 pack_scalar(msgpack_packer *pk, enum codec_kind kind, const void *p)
 {
@@ -231,7 +231,7 @@
 	return STATUS_OK;
 }
 
-/* Largest value of an unsigned kind; @values counts those of an enum. */
+/* Maximum of an unsigned kind; @values is the number of values of an enum. */
 static uint64_t
 unsigned_max(enum codec_kind kind, uint32_t values)
 {
--- a/packages/proto/src/frame.c
+++ b/packages/proto/src/frame.c
@@ -1,5 +1,5 @@
 /*
- * Envelopes of messages, and the reader that cuts a byte stream.
+ * Framing of messages, and the reader that splits a byte stream into frames.
  */
 #include <string.h>
 
@@ -7,7 +7,7 @@
 
 #define READER_MIN_BYTES 4096
 
-/* An idle reader gives up a buffer that a large frame has made larger. */
+/* A reader without data frees a buffer that is larger than this. */
 #define READER_KEEP_BYTES (64U << 10)
 
 void
@@ -56,7 +56,7 @@
 	memset(r, 0, sizeof(*r));
 }
 
-/* Move what is left to the front, and shrink an empty large buffer. */
+/* Moves unread bytes to the front, and frees a large buffer that is empty. */
 static void
 reader_compact(struct frame_reader *r)
 {
@@ -114,7 +114,7 @@
 		return FRAME_NONE;
 	memcpy(&len, r->buffer + r->start, sizeof(len));
 	len = GUINT32_FROM_BE(len);
-	/* Nothing is taken out, so that the answer stays the same for good. */
+	/* The bytes stay in the buffer, so that later calls fail as well. */
 	if (len == 0 || len > r->max_bytes)
 		return FRAME_BAD;
 	if (unread - FRAME_LENGTH_BYTES < len)
--- a/packages/proto/src/outbox.c
+++ b/packages/proto/src/outbox.c
@@ -1,5 +1,5 @@
 /*
- * Outbox, a queue of items.
+ * Outbox, implemented as a queue of items.
  */
 #include "proto/outbox.h"
 
--- a/packages/proto/src/pack.c
+++ b/packages/proto/src/pack.c
@@ -1,5 +1,5 @@
 /*
- * Compression of large message bodies, by LZ4.
+ * Compression of large message bodies with LZ4.
  */
 #include "proto/pack.h"
 
--- a/packages/proto/src/settings.c
+++ b/packages/proto/src/settings.c
@@ -1,5 +1,5 @@
 /*
- * Settings, read by jansson and checked against the generated table.
+ * Settings, parsed with jansson and validated against the generated table.
  */
 #include <stdbool.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 #define MS_PER_S 1000
 
-/* A parse in progress: the file's name and where errors go. */
+/* Context of a parse: the file's name and the list of errors. */
 struct parse {
 	const char *file;
 	GPtrArray *errors;
@@ -86,7 +86,7 @@
 	}
 }
 
-/* "1500ms" or "2.5s"; negative when it is no time. */
+/* Parses a time like "1500ms" or "2.5s"; returns -1 if it is invalid. */
 static json_int_t
 time_ms(const char *text)
 {
@@ -115,7 +115,7 @@
 	return 1;
 }
 
-/* A port alone, or with an address, of which only the port counts. */
+/* Accepts a port, or an address with a port, of which only the port is used. */
 static int
 set_port(struct settings *s, const struct settings_key *k, const json_t *v)
 {
@@ -186,7 +186,7 @@
 	return 1;
 }
 
-/* An address that peers can use; 0.0.0.0 tells them nothing. */
+/* Rejects 0.0.0.0, to which peers cannot connect. */
 static int
 set_ipv4(struct settings *s, const struct settings_key *k, const char *text)
 {
@@ -239,7 +239,7 @@
 	return 1;
 }
 
-/* Take a value in; 0 when it isn't what the key takes. */
+/* Stores a value; returns 0 when the value is not valid for the key. */
 static int
 set_value(struct settings *s, const struct settings_key *k, const json_t *v)
 {
@@ -316,7 +316,7 @@
 	}
 }
 
-/* What no key can tell by itself. */
+/* Checks rules that involve several keys. */
 static void
 check_consistency(struct parse *p, const struct settings *s)
 {
@@ -330,7 +330,7 @@
 	size_t n = G_N_ELEMENTS(ports);
 	size_t a, b;
 
-	/* The last two are used by adapters only. */
+	/* The last two ports are used only with an adapter. */
 	if (s->adapter == SETTINGS_ADAPTER_NONE)
 		n -= 2;
 
@@ -356,7 +356,8 @@
 	    e->line, e->column, e->text, remedy);
 }
 
-/* Parse the text; a key that stands twice is an error that doesn't end it. */
+/* Parses the JSON.  After a duplicate key parsing continues, so that the other
+ * errors are reported too. */
 static json_t *
 parse_object(struct parse *p, const char *text, size_t len)
 {
--- a/packages/proto/src/suggest.c
+++ b/packages/proto/src/suggest.c
@@ -1,5 +1,5 @@
 /*
- * Suggestions by edit distance.
+ * Suggestions based on edit distance.
  */
 #include <string.h>
 
@@ -7,10 +7,10 @@
 
 #include "proto/suggest.h"
 
-/* Longer words are no typing errors of anything known. */
+/* Longer words are not treated as misspellings of a known word. */
 #define WORD_MAX 63
 
-/* Edit distance, one row of the matrix at a time. */
+/* Levenshtein distance, computed one row of the matrix at a time. */
 static size_t
 edit_distance(const char *a, const char *b)
 {
--- a/packages/proto/test/fuzz_proto.c
+++ b/packages/proto/test/fuzz_proto.c
@@ -1,7 +1,8 @@
 /*
- * Fuzz: altered encodings into every decoder, from a fixed seed.
+ * Fuzz test: mutated encodings as input of every decoder.
  *
- * Each run does the same cases.  BRAMLEY_FUZZ_SEED starts elsewhere.
+ * The seed is fixed, so that each run tests the same cases; BRAMLEY_FUZZ_SEED
+ * sets another seed.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -33,7 +34,8 @@
 	return g_rand_new_with_seed((guint32)seed);
 }
 
-/* First bytes and sizes at which decoders are known to go wrong. */
+/* First bytes and sizes at the boundaries of msgpack formats, where decoders
+ * are prone to faults. */
 static const uint8_t boundary_bytes[] = {0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90,
     0x9f, 0xa0, 0xbf, 0xc0, 0xc1, 0xc4, 0xc6, 0xc7, 0xca, 0xcf, 0xd3, 0xd9,
     0xdb, 0xdc, 0xdd, 0xde, 0xdf, 0xe0, 0xff};
@@ -86,7 +88,7 @@
 		mutate_once(data, rand);
 }
 
-/* A copy of the exact size, so that a sanitizer sees each byte too many. */
+/* A copy of the exact size, so that a sanitizer detects reads past the end. */
 static uint8_t *
 exact_copy(const GByteArray *data)
 {
@@ -104,7 +106,7 @@
 		ck_assert_mem_eq(a->data, b->data, a->len);
 }
 
-/* What the check takes, the library unpacks. */
+/* The library must unpack all data that proto_check() accepts. */
 static void
 check_agrees(const uint8_t *data, size_t len)
 {
@@ -121,7 +123,7 @@
 	msgpack_unpacked_destroy(&un);
 }
 
-/* What is decoded from altered bytes is a message: it goes there and back. */
+/* A message decoded from mutated bytes must survive a round trip. */
 static void
 decode_case(
     const struct codec_desc *desc, const uint8_t *data, size_t len, void *obj)
@@ -178,8 +180,8 @@
 END_TEST
 
 /*
- * Naive version of the reader: looks at the whole stream.  Appends type and
- * body of each frame to @out, and says whether the stream went wrong.
+ * Reference implementation of the reader with the whole stream in memory.
+ * Appends type and body of each frame to @out; returns 1 at an invalid length.
  */
 static int
 reference_read(const uint8_t *p, size_t left, GByteArray *out)
@@ -264,7 +266,8 @@
     "\"object_url\":\"http://127.0.0.1:2\",\"seeds\":[\"10.0.0.1:1\"],"
     "\"profile\":\"crew\",\"peer_port\":7000,\"drain_ms\":5000}";
 
-/* Right exactly when there is no error; and what is right prints and reads. */
+/* The status is STATUS_OK exactly if there are no errors; valid settings can be
+ * printed and parsed again. */
 static void
 settings_case(const uint8_t *text, size_t len)
 {
--- a/packages/proto/test/sample.h
+++ b/packages/proto/test/sample.h
@@ -1,5 +1,5 @@
 /*
- * Samples: structs filled from their tables with values from a seed.
+ * Samples: structs filled with random values according to their tables.
  */
 #ifndef PROTO_TEST_SAMPLE_H
 #define PROTO_TEST_SAMPLE_H
@@ -8,22 +8,22 @@
 
 #include "proto/codec.h"
 
-/* One past the last number that sample_desc() takes. */
+/* Number of values that sample_desc() accepts. */
 #define SAMPLE_TYPES 257
 
 /**
- * sample_desc() - table of what a looped test runs for
- * @i: type of a message, or SAMPLE_TYPES - 1 for a struct of the tests with
- *	a field of every kind
+ * sample_desc() - codec table by index, for tests that loop over all types
+ * @i: type of a message, or SAMPLE_TYPES - 1 for a test struct with a field of
+ *	every kind
  *
  * Return: the table, NULL when no message has the type.
  */
 const struct codec_desc *sample_desc(int i);
 
 /**
- * sample_encoded() - the encoding of a sample
+ * sample_encoded() - encode a random sample
  * @desc: table of the struct
- * @rand: where values come from
+ * @rand: source of the values
  *
  * Return: the encoding; free with g_byte_array_unref().
  */
--- a/packages/proto/test/test_codec.c
+++ b/packages/proto/test/test_codec.c
@@ -1,5 +1,5 @@
 /*
- * Codec: every message there and back, and what a wrong peer may send.
+ * Tests of the codec: round trips of every message, and invalid input.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -38,7 +38,7 @@
 
 	if (st == STATUS_OK)
 		codec_clear(desc, obj);
-	/* A failed decode leaves nothing to be freed. */
+	/* A failed decode leaves no memory to be freed. */
 	ck_assert_mem_eq(obj, zero, desc->size_bytes);
 	g_free(obj);
 	g_free(zero);
@@ -82,7 +82,7 @@
 	g_byte_array_unref(in);
 }
 
-/* Pack the sample with @n elements, element @at replaced by @value. */
+/* Packs the sample with @n elements, with element @at replaced by @value. */
 static GByteArray *
 with_element(
     const GByteArray *in, uint32_t n, uint32_t at, const msgpack_object *value)
@@ -127,7 +127,7 @@
 	g_byte_array_unref(in);
 }
 
-/* A value that is too much for the field by one; 0 when there is none. */
+/* Makes a value that exceeds the field's limit by one; 0 if it has no limit. */
 static int
 oversized_value(const struct codec_field *f, void *buffer, msgpack_object *o)
 {
@@ -168,7 +168,7 @@
 	return 1;
 }
 
-/* The decode fails with a message that names message, field and cause. */
+/* Decoding must fail with an error that names the message, field and cause. */
 static void
 check_rejected(const struct codec_desc *desc, const GByteArray *in, uint32_t at,
     const msgpack_object *value, const char *why)
@@ -219,7 +219,7 @@
 static const property properties[] = {message_round_trip, message_truncated,
     message_of_another_release, message_with_wrong_field};
 
-/* The loop index is the property; it must hold for every message. */
+/* The loop index selects the property, which must hold for every message. */
 START_TEST(every_message)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
@@ -235,7 +235,7 @@
 }
 END_TEST
 
-/* The wire form, pinned byte for byte. */
+/* Compares an encoding byte by byte, so that the wire format can't change. */
 START_TEST(wire_format_is_fixed)
 {
 	static const uint8_t want[] = {
@@ -282,7 +282,7 @@
 }
 END_TEST
 
-/* What proto_check() takes and refuses. */
+/* Input that proto_check() accepts or rejects. */
 struct check_row {
 	const char *data;
 	size_t len;
@@ -311,7 +311,7 @@
     ROW("\xcf\x01\x02\x03\x04\x05\x06\x07\x08", STATUS_OK),
     ROW("\xcf\x01\x02\x03", STATUS_INVALID),
     ROW("\xd3\x01\x02\x03\x04\x05\x06\x07\x08", STATUS_OK),
-    /* Containers against the bytes left. */
+    /* Element counts of containers compared with the bytes left. */
     ROW("\x92\x01\x02", STATUS_OK),
     ROW("\x92\x01", STATUS_INVALID),
     ROW("\x82\x01\x02\x03\x04", STATUS_OK),
@@ -321,10 +321,10 @@
     ROW("\xdc\x00\x02\x90\x90", STATUS_OK),
     /* Bytes after the end. */
     ROW("\xc0\xc0", STATUS_INVALID),
-    /* Nesting: eight deep and nine. */
+    /* Nesting of eight and nine levels. */
     ROW("\x91\x91\x91\x91\x91\x91\x91\x90", STATUS_OK),
     ROW("\x91\x91\x91\x91\x91\x91\x91\x91\x90", STATUS_INVALID),
-    /* Types that no message uses: never used, ext, float, fixext. */
+    /* Types that no message uses: reserved, ext, float, fixext. */
     ROW("\xc1", STATUS_INVALID),
     ROW("\xc7\x01\x01\x01", STATUS_INVALID),
     ROW("\xca\x01\x02\x03\x04", STATUS_INVALID),
--- a/packages/proto/test/test_frame.c
+++ b/packages/proto/test/test_frame.c
@@ -1,5 +1,5 @@
 /*
- * Envelopes, addresses and the outbox.
+ * Tests of framing, addresses and the outbox.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -37,7 +37,7 @@
 }
 END_TEST
 
-/* The loop index is the size of the pieces in which the stream comes. */
+/* The loop index is the chunk size in which the stream is pushed. */
 START_TEST(reader_accepts_any_chunk_size)
 {
 	GByteArray *in = two_frames();
@@ -88,7 +88,7 @@
 	frame_reader_push(&r, row->length, sizeof(row->length));
 	ck_assert_int_eq(frame_reader_next(&r, &f), row->want);
 	if (row->want == FRAME_BAD) {
-		/* For good, whatever follows. */
+		/* The reader keeps failing when valid frames follow. */
 		frame_reader_push(&r, valid->data, valid->len);
 		ck_assert_int_eq(frame_reader_next(&r, &f), FRAME_BAD);
 	}
@@ -97,7 +97,7 @@
 }
 END_TEST
 
-/* A large frame's memory is given back once the reader is idle. */
+/* The buffer of a large frame is freed once the reader is empty. */
 START_TEST(reader_shrinks)
 {
 	enum { LARGE = 1 << 20 };
@@ -140,7 +140,7 @@
 	uint16_t port;
 };
 
-/* Port 0 marks what is refused. */
+/* Port 0 marks texts that must be rejected. */
 static const struct addr_row addr_rows[] = {
     {"127.0.0.1:80", 0x7f000001, 80},
     {"255.255.255.255:65535", 0xffffffff, 65535},
@@ -202,7 +202,7 @@
 	ck_assert_int_eq(item->type, MSG_NONE);
 	ck_assert_ptr_null(item->body);
 	outbox_item_free(item);
-	/* One item is left, which the outbox frees. */
+	/* One item is left, which outbox_free() frees. */
 	outbox_free(o);
 }
 END_TEST
--- a/packages/proto/test/test_pack.c
+++ b/packages/proto/test/test_pack.c
@@ -1,5 +1,5 @@
 /*
- * Tests of compressed bodies: back again, and what is not one.
+ * Tests of compression: round trip, and invalid input.
  */
 #include <check.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 #define ROUTES 1600
 
-/* Routes as sections hold them: much repeats, names don't. */
+/* Routes as in a section: repetitive except for the names. */
 static GByteArray *
 routes(void)
 {
@@ -60,7 +60,7 @@
 }
 END_TEST
 
-/* A peer that sends nonsense gets nothing written beyond what was said. */
+/* Corrupt input must never write beyond the declared length. */
 START_TEST(test_corrupt_input)
 {
 	GByteArray *b = routes(), *packed = pack_encode(b->data, b->len),
--- a/packages/proto/test/test_settings.c
+++ b/packages/proto/test/test_settings.c
@@ -1,5 +1,5 @@
 /*
- * Settings: defaults, and each kind of error with its remedy.
+ * Tests of settings: defaults, and each kind of error with its remedy.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +12,7 @@
 
 #include "test_run.h"
 
-/* The required keys; a row of the table adds to them. */
+/* The required keys, to which the rows of the table add others. */
 #define REQUIRED                                                \
 	"\"host\":\"h1\",\"data_centre\":\"grandahus\","        \
 	"\"region\":\"hofudsvaedi\",\"address\":\"127.0.0.2\"," \
@@ -61,7 +61,7 @@
 }
 END_TEST
 
-/* What the file has besides the required keys, and the words of the error. */
+/* Text of a settings file, and phrases that the first error must contain. */
 struct error_row {
 	const char *text;
 	const char *words[3];
@@ -109,7 +109,7 @@
     {"[1]", {"the top level is not an object", "in { and }"}},
 };
 
-/* Rates are told with a fraction by some; it counts for nothing. */
+/* Some tools write rates with a fraction, which is dropped. */
 START_TEST(fraction_of_a_rate_is_dropped)
 {
 	struct settings s;
@@ -149,7 +149,7 @@
 }
 END_TEST
 
-/* The names that the configuration takes for services. */
+/* Accepts the same service names as the configuration. */
 START_TEST(upstream_service_is_any_name_of_a_service)
 {
 	static const char *const names[] = {
@@ -181,7 +181,7 @@
 	GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
 	struct settings s;
 
-	/* Each wrong text is an error beside the five keys missing. */
+	/* One error for the invalid value and five for the missing keys. */
 	ck_assert_int_eq(parse(texts[_i], &s, errors), STATUS_INVALID);
 	ck_assert_uint_eq(errors->len, 6);
 	g_ptr_array_unref(errors);
@@ -197,14 +197,14 @@
 			       "\"drain_ms\":0,\"join_limit\":\"many\"}",
 			     &s, errors),
 	    STATUS_INVALID);
-	/* A double, an unknown key, five missing, two wrong values. */
+	/* A duplicate, an unknown key, five missing, two invalid values. */
 	ck_assert_uint_eq(errors->len, 9);
 	ck_assert_ptr_nonnull(strstr(status_message(), "(9 errors in all)"));
 	g_ptr_array_unref(errors);
 }
 END_TEST
 
-/* The loop index is the number of seeds; 64 are taken. */
+/* The loop index is the number of seeds; at most 64 are accepted. */
 START_TEST(seeds_are_counted)
 {
 	GString *text = g_string_new("{" REQUIRED ",\"seeds\":[");
