--- a/packages/net/bench/bench_conn.c
+++ b/packages/net/bench/bench_conn.c
@@ -1,7 +1,7 @@
 /*
- * Bench of framed connections: round trips and frames a second between two
- * loops in two threads, beside a ping-pong of plain blocking sockets in the
- * same run.
+ * Benchmark of framed connections: round-trip times and frames per second
+ * between two loops in two threads, compared with a ping-pong of plain blocking
+ * sockets in the same run.
  */
 #include <pthread.h>
 #include <stdio.h>
@@ -24,7 +24,7 @@
 
 static uint8_t body[BODY_BYTES];
 
-/* Server side: echo in a loop of its own. */
+/* Server side: an echo server in a separate loop and thread. */
 
 struct server {
 	struct loop *loop;
@@ -126,7 +126,7 @@
     .on_closed = echo_closed,
 };
 
-/* Returns microseconds of the whole; fills @times_us with round trips. */
+/* Returns the total time in microseconds; appends round trips to @times_us. */
 static uint64_t
 run_frames(uint32_t frames, uint32_t window, GArray *times_us)
 {
--- a/packages/net/bench/bench_http.c
+++ b/packages/net/bench/bench_http.c
@@ -1,7 +1,7 @@
 /*
- * Bench of the HTTP client: cost of a request through the loop, on kept-alive
- * connections and on fresh ones (`once`), beside plain blocking sockets
- * against the same server in the same run.
+ * Benchmark of the HTTP client: cost of a request on keep-alive connections and
+ * on new connections (`once`), compared with plain blocking sockets against the
+ * same server in the same run.
  */
 #include <pthread.h>
 #include <stdio.h>
@@ -23,7 +23,7 @@
 	"POST /x HTTP/1.1\r\nHost: 127.0.0.1\r\n" \
 	"Content-Length: 3\r\n\r\nabc"
 
-/* How requests are made. */
+/* How requests are sent. */
 struct mode {
 	const char *name;
 	bool raw;
--- a/packages/net/bench/raw_socket.c
+++ b/packages/net/bench/raw_socket.c
@@ -1,5 +1,5 @@
 /*
- * Plain blocking sockets for bench programs.
+ * Plain blocking sockets for the benchmarks.
  */
 #include <netinet/in.h>
 #include <netinet/tcp.h>
--- a/packages/net/include/net/conn.h
+++ b/packages/net/include/net/conn.h
@@ -1,15 +1,18 @@
 /*
- * Framed TCP connection: non-blocking, with bounds on what a peer can cost.
+ * Framed TCP connection: non-blocking, with limits on the memory and time that
+ * a peer can consume.
  *
  * A frame is a 32-bit big-endian length of the rest, a type byte and a body
- * (proto/frame.h).  Frames appended in one turn of the loop leave together at
- * the end of the turn.  A peer that ends the connection, in either direction,
- * sends a frame that is too large, or stalls in the middle of one, is closed
- * with a status; nothing that it sends disturbs another connection.
+ * (proto/frame.h).  Frames appended in one turn of the loop are written
+ * together at the end of the turn.  A connection is closed with a status when
+ * the peer ends it in either direction, sends a frame above the limit, or
+ * stalls in the middle of a frame.  Input of one peer never affects another
+ * connection.
  *
- * A connection ends in one of two ways: its owner calls conn_close() or
- * conn_finish(), or it fails and on_closed() is called, once.  After either the
- * owner must not use it; its memory is released at the end of the turn.
+ * A connection ends in one of two ways: the owner calls conn_close() or
+ * conn_finish(), or the connection fails and on_closed() is called once.  After
+ * either the owner must not use the connection; its memory is released at the
+ * end of the turn.
  */
 #ifndef NET_CONN_H
 #define NET_CONN_H
@@ -25,17 +28,17 @@
 struct conn;
 
 /**
- * struct conn_handler - what the owner of a connection is told
+ * struct conn_handler - callbacks of a connection
  * @on_open: a dialled connection is established; may be NULL
- * @on_frame: a frame came in; @body is valid during the call only
- * @on_part: bytes of a frame came that isn't complete yet; may be NULL
- * @on_writable: the output buffer had risen above the low-water mark and is
- *	at it or under again; may be NULL
- * @on_closed: the connection has ended without the owner's doing:
- *	STATUS_UNAVAILABLE peer closed, reset or can't be reached,
+ * @on_frame: a frame was received; @body is valid only during the callback
+ * @on_part: data of an incomplete frame was received; may be NULL
+ * @on_writable: the output buffer has fallen to the low-water mark after
+ *	exceeding it; may be NULL
+ * @on_closed: the connection has ended for a reason other than conn_close()
+ *	or conn_finish(): STATUS_UNAVAILABLE peer closed, reset or unreachable,
  *	STATUS_TIMEOUT a deadline of the connection passed,
  *	STATUS_TOO_LARGE a frame above the limit, STATUS_INVALID not a frame;
- *	status_message() says more
+ *	status_message() has details
  */
 struct conn_handler {
 	void (*on_open)(struct conn *c, void *arg);
@@ -50,15 +53,17 @@
  * struct conn_options - limits of a connection; 0 means the default
  * @frame_max_bytes: largest frame accepted or sent, type byte included;
  *	default CONN_FRAME_MAX_BYTES
- * @output_max_bytes: bound of the output buffer; default
- *	CONN_OUTPUT_MAX_BYTES
+ * @output_max_bytes: size limit of the output buffer; default
+ *	CONN_OUTPUT_MAX_BYTES; raised if the largest frame does not fit
  * @output_low_bytes: low-water mark for on_writable(); default a quarter of
  *	@output_max_bytes
- * @stall_ms: a frame must be complete this long after its first byte, and
- *	output must make progress this often; default CONN_STALL_MS
- * @idle_ms: close when nothing was received for this long; default never
- * @sent_bytes: counter of bytes written, shared by purpose; may be NULL
- * @received_bytes: counter of bytes read, shared by purpose; may be NULL
+ * @stall_ms: time limit from the first byte of a frame to its last, and for
+ *	progress of the output; default CONN_STALL_MS
+ * @idle_ms: close the connection when no data is received for this time;
+ *	default never
+ * @sent_bytes: counter of bytes written, which connections of the same purpose
+ *	share; may be NULL
+ * @received_bytes: counter of bytes read, shared likewise; may be NULL
  */
 struct conn_options {
 	uint32_t frame_max_bytes;
@@ -75,18 +80,19 @@
 #define CONN_STALL_MS 10000U
 
 /**
- * conn_dial() - start a connection
- * @loop: the loop it lives in
- * @to: where to
+ * conn_dial() - open a connection
+ * @loop: event loop that runs the connection
+ * @to: address of the peer
  * @deadline_ms: monotonic time by which it must be established
  * @options: limits; copied; NULL for the defaults
- * @handler: what the owner is told; must outlive the connection
- * @arg: given to the handler's functions
+ * @handler: callbacks; must outlive the connection
+ * @arg: passed to the callbacks
  *
- * Frames may be appended at once; they leave when it is established.
+ * Frames may be appended at once; they are sent when the connection is
+ * established.
  *
- * Return: the connection, never NULL: a failure is told by on_closed(), not
- * before the end of the turn.
+ * Return: the connection, never NULL: on_closed() reports a failure, at the
+ * end of the turn or later.
  */
 struct conn *conn_dial(struct loop *loop, struct net_addr to,
     uint64_t deadline_ms, const struct conn_options *options,
@@ -99,47 +105,48 @@
  * @body: body, copied
  * @len: number of bytes
  *
- * Return: STATUS_OK; STATUS_TOO_LARGE when the frame is above the limit;
- * STATUS_OVERLOADED when the output buffer is full; nothing is appended then.
+ * Return: STATUS_OK; STATUS_TOO_LARGE when the frame exceeds the limit;
+ * STATUS_OVERLOADED when the output buffer is full.  Nothing is appended on
+ * failure.
  */
 enum status
 conn_send_frame(struct conn *c, uint8_t type, const uint8_t *body, size_t len);
 
 /**
- * conn_close() - end a connection
- * @c: the connection; on_closed() isn't called
+ * conn_close() - close a connection
+ * @c: the connection; on_closed() is not called
  *
- * Output not yet written is tried once and then dropped.
+ * Makes one attempt to write the pending output and discards the rest.
  */
 void conn_close(struct conn *c);
 
 /**
- * conn_finish() - end a connection after its output has left
- * @c: the connection; no function of its handler is called from now on; one
- *	that isn't established yet is closed at once
+ * conn_finish() - close a connection gracefully
+ * @c: the connection; its handler receives no further callbacks; a connection
+ *	that is not established yet is closed at once
  *
- * What was appended is written, the peer is told that no more comes, and the
- * connection is closed when the peer closes too, or stalls.
+ * Writes the pending output, shuts down the write direction, and closes the
+ * connection when the peer closes its side or stalls.
  */
 void conn_finish(struct conn *c);
 
-/** conn_output_bytes() - bytes appended and not yet handed to the system */
+/** conn_output_bytes() - bytes in the output buffer */
 size_t conn_output_bytes(const struct conn *c);
 
-/** conn_id() - number of the connection, unique in the process, never 0 */
+/** conn_id() - identifier of the connection, unique in the process, never 0 */
 uint64_t conn_id(const struct conn *c);
 
-/** conn_peer() - address of the other end */
+/** conn_peer() - address of the peer */
 struct net_addr conn_peer(const struct conn *c);
 
 /** conn_is_open() - whether the connection is established */
 bool conn_is_open(const struct conn *c);
 
 /**
- * conn_last_received_ms() - when the last byte came in
+ * conn_last_received_ms() - time at which data was last received
  * @c: the connection
  *
- * Return: monotonic time; when it was established if nothing came since.
+ * Return: monotonic time; the time of establishment if no data was received.
  */
 uint64_t conn_last_received_ms(const struct conn *c);
 
--- a/packages/net/include/net/http.h
+++ b/packages/net/include/net/http.h
@@ -1,14 +1,17 @@
 /*
- * Asynchronous HTTP/1.1 client in an event loop; messages are read by
+ * Asynchronous HTTP/1.1 client in an event loop; messages are parsed by
  * libhttp-parser.
  *
- * A request that goes out on a kept connection may meet its end, and then
- * nobody can tell whether it ran.  Such a request is sent once more on a new
- * connection, unless it is marked `once`: that one fails, and it gets a kept
- * connection only if it says how long that may have been idle.
+ * The server may close a keep-alive connection at the moment when the client
+ * sends a request on it; the client then can't determine whether the request
+ * was executed.  It sends such a request once more on a new connection, unless
+ * the request is marked `once`.  A request marked `once` fails instead, and
+ * uses a keep-alive connection only if it sets reuse_idle_ms, the longest idle
+ * time of such a connection.
  *
- * All functions are for the loop's thread.  Every function of a handler may
- * call http_call_cancel() and http_call_resume() and start other calls.
+ * All functions must be called in the loop's thread.  Every callback of a
+ * handler may call http_call_cancel() and http_call_resume() and start other
+ * calls.
  */
 #ifndef NET_HTTP_H
 #define NET_HTTP_H
@@ -23,24 +26,24 @@
 struct http_call;
 struct http_client;
 
-/** struct http_header - a header; both strings are zero-terminated */
+/** struct http_header - a header field; both strings are zero-terminated */
 struct http_header {
 	const char *name;
 	const char *value;
 };
 
-/** HTTP_LENGTH_UNKNOWN - the length of a streamed body isn't known */
+/** HTTP_LENGTH_UNKNOWN - length of a streamed body of unknown length */
 #define HTTP_LENGTH_UNKNOWN UINT64_MAX
 
 /**
- * enum http_flow - what a function of a handler wants next
- * @HTTP_CONTINUE: go on
- * @HTTP_PAUSE: nothing was taken (on_body) or given (on_pull); ask again
- *	after http_call_resume()
- * @HTTP_END: the body that is pulled is complete (on_pull only)
+ * enum http_flow - result of a handler's callback
+ * @HTTP_CONTINUE: continue
+ * @HTTP_PAUSE: the callback consumed (on_body) or produced (on_pull) no data;
+ *	it is called again after http_call_resume()
+ * @HTTP_END: the request's body is complete (on_pull only)
  * @HTTP_ABORT: fail the call with STATUS_UNAVAILABLE
- * @HTTP_SKIP: this answer belongs to something else; pass over it and wait
- *	for the next one (on_head only)
+ * @HTTP_SKIP: the answer belongs to another request; discard it and wait for
+ *	the next answer (on_head only)
  */
 enum http_flow {
 	HTTP_CONTINUE = 0,
@@ -53,24 +56,24 @@
 /**
  * struct http_request - a request
  * @method: "GET", "HEAD", "PUT", "POST", "DELETE"...
- * @url: absolute URL, http only, the host as an IPv4 address; copied
- * @headers: headers; copied; Connection, Content-Length, Expect and
- *	Transfer-Encoding are the client's own and left out; without a Host
- *	the one of the URL is sent
+ * @url: absolute URL with scheme http and an IPv4 address as host; copied
+ * @headers: headers; copied; the client sets Connection, Content-Length,
+ *	Expect and Transfer-Encoding itself and omits them here; without a
+ *	Host header the URL's host is sent
  * @n_headers: number of headers
- * @body: body as a block, which must stay until on_done() is called or
- *	http_call_cancel() has returned, if that is called from on_head(),
- *	on_body() or on_pull() until the end of the turn; NULL when there is
- *	none or it is pulled
- * @body_bytes: length of @body; when the body is pulled its length, or
- *	HTTP_LENGTH_UNKNOWN for a chunked body
- * @pulled: the body comes from on_pull()
- * @once: never run twice; see the top of this file
+ * @body: body in memory, which must remain valid until on_done() is called or
+ *	http_call_cancel() has returned; if http_call_cancel() is called from
+ *	on_head(), on_body() or on_pull(), until the end of the turn; NULL
+ *	when there is no body or on_pull() supplies it
+ * @body_bytes: length of @body; with @pulled the length of the body that
+ *	on_pull() supplies, or HTTP_LENGTH_UNKNOWN for a chunked body
+ * @pulled: on_pull() supplies the body
+ * @once: never send the request twice; see the top of this file
  * @deadline_ms: monotonic time by which the answer must be complete
- * @connect_ms: longest time for establishing a connection; 0 for
+ * @connect_ms: time limit for establishing a connection; 0 for
  *	HTTP_CONNECT_MS
- * @reuse_idle_ms: longest time that a kept connection may have been idle to
- *	be used; 0 for any kept one, or, if @once, for none
+ * @reuse_idle_ms: longest idle time of a keep-alive connection that may be
+ *	reused; 0 for any idle time, or, with @once, for no reuse
  */
 struct http_request {
 	const char *method;
@@ -89,16 +92,16 @@
 #define HTTP_CONNECT_MS 2000U
 
 /**
- * struct http_result - how a call ended
- * @status: STATUS_OK when the whole answer came, whatever its code;
+ * struct http_result - result of a call
+ * @status: STATUS_OK when the complete answer was received, whatever its code;
  *	STATUS_TIMEOUT when the deadline passed; STATUS_UNAVAILABLE when the
- *	connection could not be made or broke; STATUS_INVALID when the request
- *	or the answer isn't HTTP; status_message() says more
- * @code: the answer's HTTP status, 0 when no head came
- * @sent: whether any byte of the request can have left; when false the
- *	request has certainly not run
- * @delimited: whether the answer said where it ends; when false it ended
- *	with its connection, and whether it was cut short can't be told
+ *	connection could not be established or broke; STATUS_INVALID when the
+ *	request or the answer is not valid HTTP; status_message() has details
+ * @code: the answer's HTTP status, 0 when no head was received
+ * @sent: whether any byte of the request may have been sent; when false the
+ *	server has certainly not executed the request
+ * @delimited: whether the answer's head determined its length; when false the
+ *	answer ended with its connection and may be truncated
  */
 struct http_result {
 	enum status status;
@@ -108,16 +111,17 @@
 };
 
 /**
- * struct http_handler - what the owner of a call is told
- * @on_head: the answer's head came (once; not for 1xx).  @headers is valid
- *	during the call only.  HTTP_CONTINUE or HTTP_ABORT; may be NULL
- * @on_body: a piece of the answer's body; on HTTP_PAUSE the same piece is
- *	given again after http_call_resume(); may be NULL
- * @on_pull: put up to @max bytes of the request's body at @buf and their
- *	number at @len; may be NULL when the body isn't pulled
- * @on_done: the call has ended, and its memory is released after this; not
- *	called after http_call_cancel(), and never before http_call_start()
- *	has returned
+ * struct http_handler - callbacks of a call
+ * @on_head: the answer's head was received (once; not for 1xx).  @headers is
+ *	valid only during the callback.  Returns HTTP_CONTINUE, HTTP_ABORT or
+ *	HTTP_SKIP; may be NULL
+ * @on_body: a piece of the answer's body was received; on HTTP_PAUSE the same
+ *	piece is passed again after http_call_resume(); may be NULL
+ * @on_pull: store up to @max bytes of the request's body at @buf and their
+ *	number at @len; may be NULL unless the request sets @pulled
+ * @on_done: the call has ended; its memory is released after the callback.
+ *	Not called after http_call_cancel(), and never before
+ *	http_call_start() has returned
  */
 struct http_handler {
 	enum http_flow (*on_head)(struct http_call *call, int code,
@@ -132,9 +136,9 @@
 
 /**
  * struct http_client_options - limits of a client; 0 means the default
- * @conns_max: most connections open at a time; default HTTP_CONNS_MAX
- * @conns_per_host_max: most connections to one address; default
- *	HTTP_CONNS_PER_HOST_MAX; calls above it wait their turn
+ * @conns_max: maximum number of open connections; default HTTP_CONNS_MAX
+ * @conns_per_host_max: maximum number of connections to one address; default
+ *	HTTP_CONNS_PER_HOST_MAX; further calls are queued
  */
 struct http_client_options {
 	uint32_t conns_max;
@@ -145,8 +149,8 @@
 #define HTTP_CONNS_PER_HOST_MAX 256U
 
 /**
- * http_client_new() - make a client
- * @loop: the loop it lives in
+ * http_client_new() - create a client
+ * @loop: event loop that runs the client
  * @options: copied; NULL for the defaults
  */
 struct http_client *
@@ -154,50 +158,50 @@
 
 /**
  * http_client_free() - cancel all calls and free the client
- * @client: the client; NULL is allowed; not from within a handler
+ * @client: the client; may be NULL; must not be called from a handler
  */
 void http_client_free(struct http_client *client);
 
 /**
  * http_call_start() - start a call
  * @client: the client
- * @request: the request; copied but for its body
- * @handler: what the owner is told; must outlive the call
- * @arg: given to the handler's functions
+ * @request: the request; copied except for its body
+ * @handler: callbacks; must outlive the call
+ * @arg: passed to the callbacks
  *
- * Return: the call, never NULL: a failure is told by on_done().
+ * Return: the call, never NULL: on_done() reports failures.
  */
 struct http_call *
 http_call_start(struct http_client *client, const struct http_request *request,
     const struct http_handler *handler, void *arg);
 
-/** http_client_idle() - number of kept connections that no call uses */
+/** http_client_idle() - number of idle keep-alive connections */
 uint32_t http_client_idle(const struct http_client *client);
 
 /**
- * http_call_cancel() - drop a call
- * @call: the call; no function of its handler is called from now on; its
- *	memory is released at the end of the turn
+ * http_call_cancel() - cancel a call
+ * @call: the call; its handler receives no further callbacks; its memory is
+ *	released at the end of the turn
  *
- * A connection that the request went out on is closed, which tells the
- * server.
+ * The connection of the call is closed, by which the server can detect the
+ * cancellation.
  *
- * Return: whether any byte of the request can have left, as in struct
+ * Return: whether any byte of the request may have been sent, as in struct
  * http_result.
  */
 bool http_call_cancel(struct http_call *call);
 
 /**
- * http_call_set_deadline() - the answer may take longer
+ * http_call_set_deadline() - change the deadline of a call
  * @call: a call that has not ended
- * @deadline_ms: monotonic time by which it must be complete now
+ * @deadline_ms: monotonic time by which the answer must be complete
  */
 void http_call_set_deadline(struct http_call *call, uint64_t deadline_ms);
 
-/** http_call_resume() - go on with on_body() and on_pull() after a pause */
+/** http_call_resume() - resume on_body() and on_pull() after HTTP_PAUSE */
 void http_call_resume(struct http_call *call);
 
-/** http_client_calls() - number of calls that are not done */
+/** http_client_calls() - number of calls that have not ended */
 uint32_t http_client_calls(const struct http_client *client);
 
 #endif
--- a/packages/net/include/net/http_server.h
+++ b/packages/net/include/net/http_server.h
@@ -1,13 +1,13 @@
 /*
- * HTTP/1.1 server in an event loop; messages are read by libhttp-parser.
+ * HTTP/1.1 server in an event loop; messages are parsed by libhttp-parser.
  *
- * A connection serves one request at a time; what a caller sends ahead waits
- * in a bounded buffer and is served in order.  A message whose length can be
- * read in two ways is refused and its connection closed.  A caller that
- * closes while its request is being served is gone: its owner is told at
- * once.
+ * A connection serves one request at a time; pipelined requests wait in a
+ * bounded buffer and are served in order.  A message of ambiguous length is
+ * rejected and its connection closed, which prevents request smuggling.  When
+ * a caller closes its connection while its request is being served, on_gone()
+ * is called at once.
  *
- * All functions are for the loop's thread.
+ * All functions must be called in the loop's thread.
  */
 #ifndef NET_HTTP_SERVER_H
 #define NET_HTTP_SERVER_H
@@ -26,12 +26,12 @@
 /**
  * struct http_incoming_head - head of a request; valid during on_request()
  * @method: "GET"...; static
- * @target: path and query as they came
+ * @target: path and query as received
  * @headers: header lines
  * @n_headers: number of @headers
- * @body_bytes: length of the body, -1 when it comes in chunks
+ * @body_bytes: length of the body, -1 for a chunked body
  * @caller: address of the caller
- * @version_1_0: the caller speaks HTTP/1.0
+ * @version_1_0: the request is HTTP/1.0
  */
 struct http_incoming_head {
 	const char *method;
@@ -44,18 +44,19 @@
 };
 
 /**
- * struct http_server_handler - what the owner of a server is told
- * @on_request: a request's head came; the owner may set its argument and may
- *	answer at once
- * @on_body: a piece of its body
- * @on_body_end: the whole body came
- * @on_writable: the output that waited has fallen to HTTP_OUTPUT_LOW_BYTES;
- *	may be NULL
- * @on_gone: the caller left, or broke the protocol, before its answer was
- *	complete; @q ends with this call
- * @on_bad: what came is no request; answer it with @code at once
+ * struct http_server_handler - callbacks of a server
+ * @on_request: the head of a request was received; the owner may set the
+ *	request's argument and may answer at once
+ * @on_body: a piece of the request's body was received
+ * @on_body_end: the complete body was received
+ * @on_writable: the buffered output has fallen to HTTP_OUTPUT_LOW_BYTES; may
+ *	be NULL
+ * @on_gone: the caller closed the connection or violated the protocol before
+ *	its answer was complete; @q is invalid after the callback
+ * @on_bad: the received data is not a valid request; the owner must answer
+ *	with @code at once
  *
- * No function is called for a request after its answer has been ended or
+ * No callback is made for a request after its answer has been ended or
  * aborted.
  */
 struct http_server_handler {
@@ -69,17 +70,17 @@
 	void (*on_bad)(struct http_incoming *q, int code, void *server_arg);
 };
 
-/* Output of an answer below which on_writable() is called. */
+/* Low-water mark of an answer's buffered output for on_writable(). */
 #define HTTP_OUTPUT_LOW_BYTES 65536U
 
 /**
- * struct http_server_limits - what a caller may send; 0 means the default
+ * struct http_server_limits - limits for callers; 0 means the default
  * @head_max_bytes: largest request line with headers
- * @head_ms: time from a request's first byte to the end of its head
- * @idle_ms: how long a connection is kept without a request
- * @stall_ms: longest pause within a body, and of a caller that does not take
- *	its answer
- * @conns_max: most connections; newer ones are closed
+ * @head_ms: time limit from a request's first byte to the end of its head
+ * @idle_ms: time after which a connection without a request is closed
+ * @stall_ms: time limit for progress while a body is received or an answer
+ *	is sent
+ * @conns_max: maximum number of connections; further ones are closed on accept
  */
 struct http_server_limits {
 	uint32_t head_max_bytes;
@@ -96,13 +97,13 @@
 #define HTTP_SERVER_CONNS_MAX 16384U
 
 /**
- * http_server_new() - listen for requests
- * @loop: the loop it lives in
- * @at: address; port 0 lets the system choose
+ * http_server_new() - create a server and listen for requests
+ * @loop: event loop that runs the server
+ * @at: address to listen on; port 0 selects a free port
  * @limits: copied; NULL for the defaults
- * @handler: what the owner is told; must outlive the server
- * @arg: given to on_request() and on_bad()
- * @out: where the server goes
+ * @handler: callbacks; must outlive the server
+ * @arg: passed to on_request() and on_bad()
+ * @out: receives the server
  *
  * Return: STATUS_OK, or STATUS_IO when the address can't be bound.
  */
@@ -111,65 +112,67 @@
     const struct http_server_handler *handler, void *arg,
     struct http_server **out);
 
-/** http_server_free() - close everything; NULL is allowed */
+/** http_server_free() - close all connections and free @s; NULL is allowed */
 void http_server_free(struct http_server *s);
 
-/** http_server_limits_set() - other limits, for what comes from now on */
+/** http_server_limits_set() - change the limits that apply from now on */
 void http_server_limits_set(
     struct http_server *s, const struct http_server_limits *limits);
 
-/** http_server_addr() - address that is listened on, with the real port */
+/** http_server_addr() - address that the server listens on */
 struct net_addr http_server_addr(const struct http_server *s);
 
 /** http_server_conns() - number of open connections */
 uint32_t http_server_conns(const struct http_server *s);
 
 /**
- * http_server_close_idle() - each answer closes its connection from now on
+ * http_server_close_idle() - close each connection after its next answer
  * @s: the server
- * @now: close connections without a request at once; what has arrived on
- *	them is still served
+ * @now: also close idle connections at once, except those on which data of a
+ *	request has arrived
  */
 void http_server_close_idle(struct http_server *s, bool now);
 
 /**
- * http_server_drop_new_conns() - let no new connection be made
- * @s: the server; it still serves those that are made or being made
+ * http_server_drop_new_conns() - prevent new connections
+ * @s: the server; it still serves connections that are established or whose
+ *	handshake has begun
  */
 void http_server_drop_new_conns(struct http_server *s);
 
 /** http_server_unlisten() - close the listening socket */
 void http_server_unlisten(struct http_server *s);
 
-/** http_incoming_set_arg() - the owner's own pointer */
+/** http_incoming_set_arg() - set the owner's argument of a request */
 void http_incoming_set_arg(struct http_incoming *q, void *arg);
 
-/** http_incoming_arg() - the owner's own pointer, NULL before it was set */
+/** http_incoming_arg() - the owner's argument; NULL unless set */
 void *http_incoming_arg(const struct http_incoming *q);
 
-/** http_incoming_pause() - no on_body() until http_incoming_resume() */
+/** http_incoming_pause() - suspend on_body() until http_incoming_resume() */
 void http_incoming_pause(struct http_incoming *q);
 
-/** http_incoming_resume() - go on reading the body */
+/** http_incoming_resume() - resume reading the body */
 void http_incoming_resume(struct http_incoming *q);
 
-/** http_incoming_continue() - tell a caller who waits for it to send on */
+/** http_incoming_continue() - send 100 Continue if the caller expects it */
 void http_incoming_continue(struct http_incoming *q);
 
-/** HTTP_BODY_CHUNKED - the answer's length isn't known */
+/** HTTP_BODY_CHUNKED - the length of the answer's body is unknown */
 #define HTTP_BODY_CHUNKED (-1)
-/** HTTP_BODY_NONE - the answer has no body and tells no length */
+/** HTTP_BODY_NONE - the answer has no body, and no length is added */
 #define HTTP_BODY_NONE (-2)
 
 /**
  * http_incoming_answer() - write the head of the answer
  * @q: the request
  * @code: HTTP status
- * @headers: header lines; Connection, Content-Length and Transfer-Encoding
- *	are left out, but with HTTP_BODY_NONE the length is passed on
+ * @headers: header lines; Connection, Keep-Alive, Content-Length and
+ *	Transfer-Encoding are omitted, but with HTTP_BODY_NONE Content-Length
+ *	is sent as given
  * @n: number of @headers
  * @body_bytes: length of the body, HTTP_BODY_CHUNKED or HTTP_BODY_NONE
- * @close: close the connection after it
+ * @close: close the connection after the answer
  */
 void http_incoming_answer(struct http_incoming *q, int code,
     const struct http_header *headers, uint32_t n, int64_t body_bytes,
@@ -178,18 +181,18 @@
 /** http_incoming_write() - append a piece of the answer's body */
 void http_incoming_write(struct http_incoming *q, const void *data, size_t len);
 
-/** http_incoming_end() - the answer is complete; @q ends with this call */
+/** http_incoming_end() - complete the answer; @q is invalid afterwards */
 void http_incoming_end(struct http_incoming *q);
 
 /**
- * http_incoming_abort() - the answer can't be completed
+ * http_incoming_abort() - abort an incomplete answer
  *
- * The connection is reset, so that nobody takes the answer for whole.  @q
- * ends with this call.
+ * The connection is reset, so that the caller detects that the answer is
+ * incomplete.  @q is invalid afterwards.
  */
 void http_incoming_abort(struct http_incoming *q);
 
-/** http_incoming_output_bytes() - bytes that the caller has not taken yet */
+/** http_incoming_output_bytes() - bytes of output that are not yet sent */
 size_t http_incoming_output_bytes(const struct http_incoming *q);
 
 #endif
--- a/packages/net/include/net/listener.h
+++ b/packages/net/include/net/listener.h
@@ -9,20 +9,20 @@
 struct listener;
 
 /**
- * listener_accept_fn - a connection came in
+ * listener_accept_fn - callback for an accepted connection
  * @c: the connection; the owner may set its argument with conn_set_arg()
  * @arg: the listener's argument
  */
 typedef void listener_accept_fn(struct conn *c, void *arg);
 
 /**
- * struct listener_options - how a listener behaves
+ * struct listener_options - options of a listener
  * @conn: limits of each accepted connection
- * @conns_max: most connections open at a time; the newest is closed above
- *	it; 0 for no bound
+ * @conns_max: maximum number of open connections; further ones are closed on
+ *	accept; 0 for no limit
  * @handler: handler of each accepted connection; must outlive them
  * @on_accept: called for each accepted connection; may be NULL
- * @arg: argument of @on_accept and first argument of the connections
+ * @arg: argument of @on_accept and initial argument of the connections
  */
 struct listener_options {
 	struct conn_options conn;
@@ -34,10 +34,10 @@
 
 /**
  * listener_new() - listen on an address
- * @loop: the loop the connections live in
- * @at: address; port 0 lets the system choose
+ * @loop: event loop that runs the listener and its connections
+ * @at: address to listen on; port 0 selects a free port
  * @options: copied
- * @out: where the listener goes
+ * @out: receives the listener
  *
  * Return: STATUS_OK, or STATUS_IO when the address can't be bound.
  */
@@ -48,17 +48,17 @@
  * listener_free() - stop listening
  * @l: the listener; NULL is allowed
  *
- * Accepted connections live on; their owner closes them.
+ * Accepted connections stay open until their owner closes them.
  */
 void listener_free(struct listener *l);
 
-/** listener_addr() - address that is listened on, with the real port */
+/** listener_addr() - address that the listener is bound to */
 struct net_addr listener_addr(const struct listener *l);
 
 /** listener_conns() - number of accepted connections that are open */
 uint32_t listener_conns(const struct listener *l);
 
-/** listener_refused() - connections closed for @conns_max so far */
+/** listener_refused() - number of connections closed because of @conns_max */
 uint64_t listener_refused(const struct listener *l);
 
 #endif
--- a/packages/net/include/net/loop.h
+++ b/packages/net/include/net/loop.h
@@ -1,9 +1,12 @@
 /*
- * Event loop of one thread: file descriptors, timers and an inbox for the
- * other threads.
+ * Single-threaded event loop: file descriptors, timers, deferred tasks and an
+ * inbox for functions posted by other threads.
  *
- * All functions are for the thread that runs the loop, but loop_post() and
- * loop_stop(), which any thread may call.
+ * All functions except loop_post() and loop_stop() must be called in the
+ * thread that runs the loop.
+ *
+ * A turn is one iteration of the loop: it waits for events, then serves
+ * descriptors, timers and tasks, in that order.
  */
 #ifndef NET_LOOP_H
 #define NET_LOOP_H
@@ -18,24 +21,24 @@
 struct loop;
 struct loop_fd;
 
-/** LOOP_READ - the descriptor can be read (or has failed or ended) */
+/** LOOP_READ - the descriptor is readable (or has failed or hung up) */
 #define LOOP_READ 1U
-/** LOOP_WRITE - the descriptor can be written (or has failed) */
+/** LOOP_WRITE - the descriptor is writable (or has failed) */
 #define LOOP_WRITE 2U
 
-/** loop_fn - something to run in the loop's thread */
+/** loop_fn - callback that runs in the loop's thread */
 typedef void loop_fn(void *arg);
 
-/** loop_fd_fn - a descriptor is ready; @ready is of LOOP_READ, LOOP_WRITE */
+/** loop_fd_fn - callback; @ready is a mask of LOOP_READ and LOOP_WRITE */
 typedef void loop_fd_fn(uint32_t ready, void *arg);
 
 /**
- * struct loop_timer - a timer, embedded in what it belongs to
- * @loop: the loop it runs in
- * @fn: called when the deadline has come
- * @arg: given to @fn
+ * struct loop_timer - a one-shot timer, embedded in the object that uses it
+ * @loop: event loop that runs the timer
+ * @fn: called when the deadline expires
+ * @arg: passed to @fn
  * @deadline_ms: monotonic deadline
- * @place: its place among the loop's timers, NULL when it isn't set
+ * @place: position in the loop's sorted timers, NULL when the timer is not set
  */
 struct loop_timer {
 	struct loop *loop;
@@ -46,15 +49,15 @@
 };
 
 /**
- * struct loop_task - something to run once at the end of the turn
- * @loop: the loop it runs in
- * @fn: what to run
- * @arg: given to @fn
+ * struct loop_task - a function deferred to the end of the turn
+ * @loop: event loop that runs the task
+ * @fn: the function
+ * @arg: passed to @fn
  * @next: next task of the turn
  * @prev: previous task of the turn
- * @pending: whether it is waiting to run
+ * @pending: whether the task is queued
  *
- * Embedded in what it belongs to, so that deferring allocates nothing.
+ * Embedded in the object that uses it, so that deferring allocates no memory.
  */
 struct loop_task {
 	struct loop *loop;
@@ -66,19 +69,20 @@
 };
 
 /**
- * loop_new() - make an event loop
+ * loop_new() - create an event loop
  *
- * Return: the loop, or NULL when the system refuses a descriptor.
+ * Return: the loop, or NULL when no descriptor is available (status_message()
+ * is set).
  */
 struct loop *loop_new(void);
 
 /**
  * loop_free() - free a loop
- * @loop: a loop that isn't running; NULL is allowed
+ * @loop: a loop that is not running; NULL is allowed
  *
- * Tasks that are pending are run, because they release memory.  Timers and
- * descriptors that are still there are forgotten, and what was posted but not
- * run is dropped: stop those who post first.
+ * Pending tasks are run, because they release memory.  Remaining timers and
+ * descriptors are discarded, and so are posted functions that have not run:
+ * stop all threads that call loop_post() first.
  */
 void loop_free(struct loop *loop);
 
@@ -96,7 +100,7 @@
  * loop_stop() - make loop_run() return
  * @loop: the loop
  *
- * Any thread may call it.  What was posted before is run first.
+ * May be called from any thread.  Functions posted before are run first.
  */
 void loop_stop(struct loop *loop);
 
@@ -110,75 +114,77 @@
  * loop_post() - run a function in the loop's thread
  * @loop: the loop
  * @fn: the function
- * @arg: given to @fn
+ * @arg: passed to @fn
  *
- * Any thread may call it.  Functions posted by one thread run in order.
+ * May be called from any thread.  Functions posted by one thread run in order.
  */
 void loop_post(struct loop *loop, loop_fn *fn, void *arg);
 
 /**
  * loop_fd_add() - watch a file descriptor
  * @loop: the loop
- * @fd: the descriptor; stays the caller's
- * @events: of LOOP_READ and LOOP_WRITE; level-triggered
+ * @fd: the descriptor; remains owned by the caller
+ * @events: mask of LOOP_READ and LOOP_WRITE; level-triggered
  * @fn: called when the descriptor is ready
- * @arg: given to @fn
+ * @arg: passed to @fn
  *
- * Return: the watcher, or NULL when the system refuses (STATUS_IO is set).
+ * Return: the watcher, or NULL on failure (status_message() is set).
  */
 struct loop_fd *loop_fd_add(
     struct loop *loop, int fd, uint32_t events, loop_fd_fn *fn, void *arg);
 
-/** loop_fd_set() - change the events that are watched for; 0 is allowed */
+/** loop_fd_set() - change the events of a watcher; 0 disables it */
 void loop_fd_set(struct loop_fd *w, uint32_t events);
 
 /**
- * loop_fd_remove() - stop watching, before the descriptor is closed
- * @w: the watcher; not called again, also when it is ready in this turn
+ * loop_fd_remove() - remove a watcher; call before closing the descriptor
+ * @w: the watcher; its callback is not called again, even if its descriptor
+ *	is already ready in this turn
  */
 void loop_fd_remove(struct loop_fd *w);
 
 /**
- * loop_timer_init() - prepare a timer
- * @t: the timer; it isn't set yet
- * @loop: the loop it runs in
- * @fn: called when the deadline has come
- * @arg: given to @fn
+ * loop_timer_init() - initialise a timer without setting it
+ * @t: the timer
+ * @loop: event loop that runs the timer
+ * @fn: called when the deadline expires
+ * @arg: passed to @fn
  */
 void loop_timer_init(
     struct loop_timer *t, struct loop *loop, loop_fn *fn, void *arg);
 
 /**
- * loop_timer_set() - set or move a timer
+ * loop_timer_set() - set or reset a timer
  * @t: the timer
- * @deadline_ms: monotonic time; one that has passed fires in this turn or the
- *next; DEADLINE_NEVER stops the timer
+ * @deadline_ms: monotonic time; a time in the past fires in this turn or the
+ *	next; DEADLINE_NEVER stops the timer
  */
 void loop_timer_set(struct loop_timer *t, uint64_t deadline_ms);
 
 /** loop_timer_stop() - stop a timer that may or may not be set */
 void loop_timer_stop(struct loop_timer *t);
 
-/** loop_timer_is_set() - whether the timer is going to fire */
+/** loop_timer_is_set() - whether the timer is set */
 static inline bool
 loop_timer_is_set(const struct loop_timer *t)
 {
 	return t->place != NULL;
 }
 
-/** loop_task_init() - prepare a task; see struct loop_task */
+/** loop_task_init() - initialise a task; see struct loop_task */
 void loop_task_init(
     struct loop_task *task, struct loop *loop, loop_fn *fn, void *arg);
 
 /**
  * loop_task_defer() - run a task at the end of this turn
- * @task: the task; one that is pending already runs once only
+ * @task: the task; has no effect when the task is already pending
  *
- * A task deferred by a task runs in the next turn, which does not wait.
+ * A task deferred by another task runs in the next turn, which then does not
+ * wait for events.
  */
 void loop_task_defer(struct loop_task *task);
 
-/** loop_task_cancel() - forget a task that may or may not be pending */
+/** loop_task_cancel() - cancel a task that may or may not be pending */
 void loop_task_cancel(struct loop_task *task);
 
 #endif
--- a/packages/net/include/net/udp.h
+++ b/packages/net/include/net/udp.h
@@ -1,5 +1,5 @@
 /*
- * Datagram socket: one message a datagram, a type byte and a body.
+ * UDP socket: each datagram is one message of a type byte and a body.
  */
 #ifndef NET_UDP_H
 #define NET_UDP_H
@@ -18,10 +18,10 @@
 struct udp;
 
 /**
- * udp_datagram_fn - a datagram came in
- * @from: who sent it, as far as the datagram says
+ * udp_datagram_fn - callback for a received datagram
+ * @from: source address of the datagram; not authenticated
  * @type: type byte
- * @body: body, valid during the call only
+ * @body: body, valid only during the callback
  * @len: number of bytes of the body
  * @arg: the owner's argument
  */
@@ -29,13 +29,13 @@
     const uint8_t *body, size_t len, void *arg);
 
 /**
- * struct udp_options - how a datagram socket behaves
+ * struct udp_options - options of a UDP socket
  * @on_datagram: called for each datagram
- * @arg: given to @on_datagram
+ * @arg: passed to @on_datagram
  * @sent_bytes: counter of bytes sent; may be NULL
  * @received_bytes: counter of bytes received; may be NULL
- * @dropped: counter of datagrams dropped: empty or too large ones that came
- *	in, and ones the system did not take; may be NULL
+ * @dropped: counter of dropped datagrams: received ones that are empty or too
+ *	large, and outgoing ones that the system did not accept; may be NULL
  */
 struct udp_options {
 	udp_datagram_fn *on_datagram;
@@ -46,33 +46,34 @@
 };
 
 /**
- * udp_new() - bind a datagram socket
- * @loop: the loop it lives in
- * @at: address; port 0 lets the system choose
+ * udp_new() - create and bind a UDP socket
+ * @loop: event loop that runs the socket
+ * @at: address to bind; port 0 selects a free port
  * @options: copied
- * @out: where the socket goes
+ * @out: receives the socket
  *
  * Return: STATUS_OK, or STATUS_IO when the address can't be bound.
  */
 enum status udp_new(struct loop *loop, struct net_addr at,
     const struct udp_options *options, struct udp **out);
 
-/** udp_free() - close the socket; NULL is allowed; not from on_datagram */
+/** udp_free() - close and free @u, but not from on_datagram; may be NULL */
 void udp_free(struct udp *u);
 
-/** udp_addr() - address that is bound, with the real port */
+/** udp_addr() - address that the socket is bound to */
 struct net_addr udp_addr(const struct udp *u);
 
 /**
  * udp_send() - send one datagram
  * @u: the socket
- * @to: where to
+ * @to: destination address
  * @type: type byte
  * @body: body
  * @len: number of bytes
  *
- * Return: STATUS_OK when the system took it, which is no promise of arrival;
- * STATUS_TOO_LARGE; STATUS_UNAVAILABLE when the system did not take it.
+ * Return: STATUS_OK when the system accepted the datagram, which does not
+ * guarantee its delivery; STATUS_TOO_LARGE above UDP_MAX_BYTES;
+ * STATUS_UNAVAILABLE when the system did not accept it.
  */
 enum status udp_send(struct udp *u, struct net_addr to, uint8_t type,
     const uint8_t *body, size_t len);
--- a/packages/net/src/conn.c
+++ b/packages/net/src/conn.c
@@ -1,8 +1,8 @@
 /*
- * Framed TCP connection: making, closing and deadlines.
+ * Framed TCP connection: establishment, closing and deadlines.
  *
- * One timer serves all deadlines: it is set
- * to the earliest and, when it fires, to the earliest that is left.
+ * One timer serves all deadlines: it is set to the earliest deadline and, when
+ * it fires, to the earliest remaining one.
  */
 #include <errno.h>
 #include <netinet/in.h>
@@ -16,12 +16,12 @@
 #include "sock.h"
 
 #define CONN_LOW_DIVISOR 4
-/* A timer this late is a sign that the process was paused. */
+/* A timer that fires later than this indicates that the process was paused. */
 #define CONN_LATE_MS 1000
 
 static _Atomic uint64_t conn_last_id;
 
-/* Counters and small reads */
+/* Accessors */
 
 uint64_t
 conn_id(const struct conn *c)
@@ -106,7 +106,7 @@
 	return loop_now_ms(c->loop) + c->options.stall_ms;
 }
 
-/* The end */
+/* Termination */
 
 static void
 conn_release(struct conn *c)
@@ -192,8 +192,8 @@
 }
 
 /*
- * A timer that fires late means that this process was paused, and no peer can
- * be blamed for the time that has passed.
+ * When a timer fires late, this process was paused; the peer did not cause the
+ * delay, so its deadlines start anew.
  */
 static void
 conn_restart_deadlines(struct conn *c)
@@ -244,7 +244,7 @@
 		conn_flush(c);
 }
 
-/* Making and closing */
+/* Establishment and closing */
 
 static void
 conn_set_options(struct conn *c, const struct conn_options *options)
@@ -261,7 +261,7 @@
 		o->output_low_bytes = o->output_max_bytes / CONN_LOW_DIVISOR;
 	if (o->stall_ms == 0)
 		o->stall_ms = CONN_STALL_MS;
-	/* An empty buffer takes the largest frame. */
+	/* The largest frame must fit into an empty buffer. */
 	o->output_max_bytes =
 	    MAX(o->output_max_bytes, o->frame_max_bytes + FRAME_LENGTH_BYTES);
 }
--- a/packages/net/src/conn_io.c
+++ b/packages/net/src/conn_io.c
@@ -1,8 +1,8 @@
 /*
  * Input and output of a framed TCP connection.
  *
- * Reading cuts frames out of what came in; writing gathers the frames of a
- * turn and leaves with its end.
+ * Input is split into frames; the frames appended in a turn are written
+ * together at its end.
  */
 #include <errno.h>
 #include <string.h>
@@ -11,10 +11,11 @@
 
 #include "conn_priv.h"
 
-/* Bytes asked for in one read, and read in one turn before others run. */
+/* Bytes per read() call, and bytes read per turn before other connections are
+ * served. */
 #define CONN_READ_BYTES (32U * 1024U)
 #define CONN_TURN_BYTES (256U * 1024U)
-/* An empty output buffer that has been larger than this is given back. */
+/* An empty output buffer larger than this is freed. */
 #define CONN_IDLE_OUTPUT_BYTES 4096U
 
 size_t
@@ -126,7 +127,7 @@
 	c->out_start = 0;
 }
 
-/* Give back the room of what has left, once it is half of the buffer. */
+/* Removes the bytes already sent once they exceed half of the buffer. */
 static void
 conn_out_compact(struct conn *c)
 {
@@ -151,7 +152,7 @@
 	    : DEADLINE_NEVER;
 }
 
-/* Frames that the peer sent before it went are still worth reading. */
+/* Frames that the peer sent before it closed the connection are delivered. */
 static void
 conn_write_failed(struct conn *c, int error)
 {
@@ -169,7 +170,8 @@
 	conn_rearm(c);
 }
 
-/* Returns the error of the last write, 0 when it would only block. */
+/* Returns the errno of the failed write; 0 on success or when it would block.
+ */
 int
 conn_write_some(struct conn *c)
 {
--- a/packages/net/src/conn_priv.h
+++ b/packages/net/src/conn_priv.h
@@ -1,5 +1,5 @@
 /*
- * Framed TCP connection, as its own files and the listener see it.
+ * Framed TCP connection: private definitions for its files and the listener.
  */
 #ifndef NET_CONN_PRIV_H
 #define NET_CONN_PRIV_H
@@ -13,21 +13,21 @@
 #include "proto/frame.h"
 
 /**
- * struct conn_count - open connections of one listener
- * @open: number of them
+ * struct conn_count - number of open connections of one listener
+ * @open: the number
  *
- * A GLib reference-counted box: the listener and each connection hold one
- * reference.
+ * Allocated with g_rc_box_new0(): the listener and each of its connections
+ * hold one reference.
  */
 struct conn_count {
 	uint32_t open;
 };
 
 /*
- * CONN_DIALLING	the handshake is under way
- * CONN_OPEN		frames go both ways
- * CONN_FINISHING	output is leaving, input is thrown away
- * CONN_DEAD		closed; memory goes with the end of the turn
+ * CONN_DIALLING	the handshake is in progress
+ * CONN_OPEN		frames are sent and received
+ * CONN_FINISHING	output is flushed, input is discarded
+ * CONN_DEAD		closed; released at the end of the turn
  */
 enum conn_state {
 	CONN_DIALLING,
@@ -37,8 +37,8 @@
 };
 
 /*
- * framed counts the bytes of whole frames, so that received - framed is the
- * length of a frame that has begun.  A deadline that does not apply is
+ * framed counts the bytes of complete frames, so that received - framed is the
+ * length of the incomplete frame.  A deadline that does not apply is
  * DEADLINE_NEVER.
  */
 struct conn {
@@ -71,42 +71,42 @@
 
 /**
  * conn_adopt() - take over an accepted socket
- * @loop: the loop it lives in
+ * @loop: event loop that runs the connection
  * @fd: the socket, non-blocking; closed with the connection
- * @peer: address of the other end
+ * @peer: address of the peer
  * @options: limits; copied
- * @handler: what the owner is told
- * @arg: given to the handler's functions
- * @count: where the connection is counted
+ * @handler: callbacks
+ * @arg: passed to the callbacks
+ * @count: counter of the listener's open connections
  */
 struct conn *conn_adopt(struct loop *loop, int fd, struct net_addr peer,
     const struct conn_options *options, const struct conn_handler *handler,
     void *arg, struct conn_count *count);
 
 /**
- * conn_fail() - end the connection and tell its owner
- * @c: the connection
+ * conn_fail() - close the connection and call on_closed()
+ * @c: the connection; after conn_finish() on_closed() is not called
  * @st: status
- * @what: what went wrong, for the message
+ * @what: reason, for status_message()
  */
 void conn_fail(struct conn *c, enum status st, const char *what);
 
-/** conn_rearm() - make the timer fire no later than the earliest deadline */
+/** conn_rearm() - set the timer to fire no later than the earliest deadline */
 void conn_rearm(struct conn *c);
 
-/** conn_stall_deadline_ms() - deadline of something that begins now */
+/** conn_stall_deadline_ms() - stall deadline of an operation that begins now */
 uint64_t conn_stall_deadline_ms(const struct conn *c);
 
-/** conn_read() - read what came in and hand out its frames */
+/** conn_read() - read input and call on_frame() for each complete frame */
 void conn_read(struct conn *c);
 
-/** conn_write_some() - write; returns an errno, 0 if it would only block */
+/** conn_write_some() - write output; returns an errno, 0 if it would block */
 int conn_write_some(struct conn *c);
 
-/** conn_flush() - write, and look after what follows from it */
+/** conn_flush() - write output, handle errors and call on_writable() if due */
 void conn_flush(struct conn *c);
 
-/** conn_watch() - watch for what the connection waits for */
+/** conn_watch() - update the watched events and the timer */
 void conn_watch(struct conn *c);
 
 #endif
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -1,5 +1,5 @@
 /*
- * HTTP client: calls, their order, and the connections that they get.
+ * HTTP client: queueing of calls and their assignment to connections.
  */
 #include <string.h>
 
@@ -23,7 +23,7 @@
 				  : &call->client->waiting;
 }
 
-/* Takes a call off its connection, which is closed if it is in use. */
+/* Removes a call from its queue and closes its connection, if any. */
 static void
 call_detach(struct http_call *call)
 {
@@ -71,7 +71,7 @@
 		"server is slow or does not answer."));
 }
 
-/* Connections for calls */
+/* Assignment of connections */
 
 static bool
 can_dial(const struct http_client *client, struct net_addr to)
@@ -82,7 +82,7 @@
 	    http_conn_count(client, to) < client->options.conns_per_host_max;
 }
 
-/* An idle connection to elsewhere makes room for a new one. */
+/* At the limit, closes the least recently used idle connection. */
 static void
 close_idle_conn(struct http_client *client)
 {
@@ -92,7 +92,7 @@
 		http_conn_close(g_queue_peek_head(&client->idle));
 }
 
-/* Returns whether the call has got a connection. */
+/* Returns whether a connection was assigned to the call. */
 static bool
 call_assign_conn(struct http_call *call)
 {
@@ -133,7 +133,7 @@
 	client_free_ended(client);
 	for (l = client->waiting.head; l != NULL; l = next) {
 		next = l->next;
-		/* One whose task is due has not been started yet. */
+		/* A call with a pending task has not been started yet. */
 		if (!((struct http_call *)l->data)->task.pending)
 			(void)call_assign_conn(l->data);
 	}
@@ -141,7 +141,7 @@
 
 /* Calls */
 
-/* Starts the call in its first run, and takes it up again later. */
+/* Starts the call on the first run and resumes it on later ones. */
 static void
 call_on_task(void *arg)
 {
@@ -224,7 +224,7 @@
 	return client->idle.length;
 }
 
-/* The client */
+/* Client */
 
 struct http_client *
 http_client_new(struct loop *loop, const struct http_client_options *options)
--- a/packages/net/src/http_call.c
+++ b/packages/net/src/http_call.c
@@ -1,5 +1,5 @@
 /*
- * A request of the HTTP client: is it sound, and how does its head read.
+ * HTTP client: validation of a request and formatting of its head.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #define URL_SCHEME "http://"
 #define HTTP_PORT 80
 
-/* Headers that the client writes itself. */
+/* Headers that the client sets itself. */
 static const char *const own_headers[] = {
     "Connection", "Content-Length", "Expect", "Host", "Transfer-Encoding"};
 
@@ -54,7 +54,10 @@
 	return st;
 }
 
-/* Splits a URL into where it leads and the path, which stays in @url. */
+/*
+ * Splits a URL into address, host and path.  @path points into @url; the
+ * caller frees @host.
+ */
 static enum status
 read_url(const char *url, struct net_addr *to, char **host, const char **path)
 {
@@ -85,7 +88,7 @@
 	add(call, "\r\n");
 }
 
-/* The host that the request names, else that of its address. */
+/* Value of the request's Host header, else the URL's authority. */
 static const char *
 host_of(const struct http_request *r, const char *authority)
 {
--- a/packages/net/src/http_conn.c
+++ b/packages/net/src/http_conn.c
@@ -10,10 +10,10 @@
 #include "http_conn_defs.h"
 #include "sock.h"
 
-/* Largest head of an answer. */
+/* Maximum size of an answer's head. */
 #define HTTP_HEAD_MAX_BYTES (64U * 1024U)
 #define HTTP_READ_BYTES 32768
-/* The body is pulled while less than this waits to be written. */
+/* on_pull() is called while the output buffer holds less than this. */
 #define HTTP_OUT_BYTES 32768
 #define HTTP_PULL_BYTES 16384
 #define CHUNK_HEAD_BYTES 20
@@ -86,7 +86,7 @@
 	return n;
 }
 
-/* The end of a call on its connection */
+/* Completion of a call */
 
 static bool
 can_keep_alive(const struct http_conn *c)
@@ -113,7 +113,11 @@
 	loop_task_defer(&c->client->task);
 }
 
-/* A call is in the client's running queue as long as its conn is set. */
+/*
+ * Ends a call and keeps its connection if possible.  A call is in the client's
+ * running queue exactly while its conn is set, so it moves to the waiting queue
+ * before http_call_end() unlinks it.
+ */
 static void
 complete_call(struct http_conn *c, enum status st)
 {
@@ -138,7 +142,10 @@
 	    why);
 }
 
-/* The connection has ended before the answer was whole. */
+/*
+ * The connection broke before the answer was complete.  Retries the call if a
+ * reused connection broke without an answer and the request may be repeated.
+ */
 static void
 conn_broken(struct http_conn *c, const char *why)
 {
@@ -156,7 +163,7 @@
 
 /* Reading */
 
-/* Hands what is read to the parser, and ends the call if that ends it. */
+/* Passes data to the parser and ends the call when it is complete or failed. */
 static void
 parse(struct http_conn *c, const char *data, size_t len)
 {
@@ -185,7 +192,7 @@
 	}
 }
 
-/* The server closed: that ends an answer which has no other end. */
+/* End of the stream: completes an answer without a length. */
 static void
 on_end_of_stream(struct http_conn *c)
 {
@@ -204,7 +211,7 @@
 	n = recv(c->fd, buf, sizeof(buf), 0);
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	/* Nothing is due while no call is on, but for the end. */
+	/* An idle connection is closed on end of stream, error or any data. */
 	if (c->call == NULL)
 		http_conn_close(c);
 	else if (n < 0)
@@ -240,7 +247,7 @@
 		    c->out, (const guint8 *)LAST_CHUNK, sizeof(LAST_CHUNK) - 1);
 }
 
-/* Return: false when the call is over. */
+/* Return: false when the call has ended. */
 static bool
 pull_body(struct http_conn *c)
 {
@@ -300,7 +307,7 @@
 	if (call->pulled && !pull_body(c))
 		return;
 	if (!flush(c)) {
-		/* An answer may have come before the reset. */
+		/* An answer may have arrived before the reset. */
 		c->written = false;
 		loop_fd_set(c->watch, LOOP_READ);
 		return;
@@ -312,7 +319,7 @@
 	    (call->paused ? 0 : LOOP_READ) | (pending ? LOOP_WRITE : 0));
 }
 
-/* Puts the request into the output. */
+/* Appends the request to the output buffer and starts sending. */
 static void
 start_request(struct http_conn *c)
 {
@@ -330,7 +337,7 @@
 	write_some(c);
 }
 
-/* Gives the owner what was held; false when the call is over or paused. */
+/* Delivers held body data; returns false when the call has ended or paused. */
 static bool
 deliver_held(struct http_conn *c)
 {
@@ -363,7 +370,7 @@
 		write_some(c);
 }
 
-/* Dialling */
+/* Establishment */
 
 static void
 on_connected(struct http_conn *c)
@@ -407,7 +414,7 @@
 		conn_broken(c, "the connection was not established in time");
 }
 
-/* Return: 0, or the error. */
+/* Return: 0 or an errno. */
 static int
 dial_socket(struct http_conn *c)
 {
@@ -449,7 +456,7 @@
 		conn_broken(c, strerror(err));
 }
 
-/* Kept connections */
+/* Reuse of idle connections */
 
 static bool
 can_reuse(const struct http_conn *c, const struct http_call *call)
--- a/packages/net/src/http_conn_defs.h
+++ b/packages/net/src/http_conn_defs.h
@@ -1,12 +1,12 @@
 /*
- * A connection of the HTTP client, as the files that serve it see it.
+ * A connection of the HTTP client: private definitions.
  */
 #ifndef NET_HTTP_CONN_DEFS_H
 #define NET_HTTP_CONN_DEFS_H
 
 #include "http_priv.h"
 
-/** enum http_conn_state - where a connection stands */
+/** enum http_conn_state - state of a connection */
 enum http_conn_state {
 	HTTP_CONN_DIALLING = 0,
 	HTTP_CONN_BUSY,
@@ -16,25 +16,25 @@
 
 /**
  * struct http_conn - a connection
- * @client: its client
- * @link: its place in one of the client's queues
- * @to: where it leads
- * @fd: its socket
- * @watch: watches the socket
- * @state: where it stands
- * @timer: end of the dialling, or of the time that it is kept
- * @parser: reads answers
- * @head: lines of the answer being read
- * @call: call that uses it, or NULL
- * @out: bytes that wait to be written
- * @out_sent: bytes of @out that are written
- * @held: bytes read while the owner of the call has paused
- * @idle_since_ms: when its last call ended
- * @keep_alive_ms: how long the server keeps it idle
- * @used: a call has ended on it
- * @written: the whole request has left
- * @complete: the whole answer came
- * @surplus: more came than one answer
+ * @client: the client
+ * @link: link in one of the client's queues
+ * @to: address of the server
+ * @fd: the socket
+ * @watch: watcher of @fd
+ * @state: state of the connection
+ * @timer: connect timeout, or keep-alive timeout of an idle connection
+ * @parser: parser of answers
+ * @head: header lines of the answer being parsed
+ * @call: call that uses the connection, or NULL
+ * @out: output buffer
+ * @out_sent: bytes of @out already sent
+ * @held: body data received while the call is paused
+ * @idle_since_ms: monotonic time at which the last call ended
+ * @keep_alive_ms: time for which the idle connection may be reused
+ * @used: a call has ended on the connection
+ * @written: the complete request has been sent
+ * @complete: the complete answer has been received
+ * @surplus: data beyond the answer was received, or an answer was skipped
  */
 struct http_conn {
 	struct http_client *client;
@@ -58,13 +58,13 @@
 	bool surplus;
 };
 
-/** http_read_settings - what the parser calls; its data are the connection */
+/** http_read_settings - parser callbacks; parser->data is the connection */
 extern const http_parser_settings http_read_settings;
 
 /**
- * http_read_body() - give the owner of a call a piece of the answer
+ * http_read_body() - pass a piece of the answer's body to on_body()
  *
- * Return: 0, or -1 when the call is over.
+ * Return: 0, or -1 when the call has ended or is aborted.
  */
 int http_read_body(http_parser *p, const char *at, size_t len);
 
--- a/packages/net/src/http_head.c
+++ b/packages/net/src/http_head.c
@@ -1,5 +1,5 @@
 /*
- * The head of an HTTP message while a parser reads it, for both sides.
+ * Header lines of an HTTP message while it is parsed, for client and server.
  */
 #include <string.h>
 #include <strings.h>
@@ -42,7 +42,7 @@
 	return h->bytes > h->bytes_max ? -1 : 0;
 }
 
-/* Begins the next name or value. */
+/* Starts the next name or value. */
 static void
 begin_line(struct http_head *h)
 {
@@ -60,7 +60,7 @@
 	if (count(h, len) < 0)
 		return -1;
 	if (h->in_value) {
-		/* A name without a value has an empty one. */
+		/* The previous name has no value: add an empty one. */
 		if (h->offsets->len % 2 != 0)
 			begin_line(h);
 		if (h->offsets->len / 2 >= h->lines_max)
@@ -91,7 +91,7 @@
 	return h->text->str + g_array_index(h->offsets, uint32_t, i);
 }
 
-/* The parser leaves out the blanks before a value, not those after it. */
+/* Strips trailing whitespace; the parser strips only leading whitespace. */
 static const char *
 value_at(const struct http_head *h, guint i)
 {
@@ -103,7 +103,7 @@
 	return value;
 }
 
-/* A last name without a value has an empty one. */
+/* A last name without a value counts as a line with an empty value. */
 uint32_t
 http_head_count(const struct http_head *h)
 {
--- a/packages/net/src/http_head.h
+++ b/packages/net/src/http_head.h
@@ -1,5 +1,5 @@
 /*
- * The head of an HTTP message while a parser reads it, for both sides.
+ * Header lines of an HTTP message while it is parsed, for client and server.
  */
 #ifndef NET_HTTP_HEAD_H
 #define NET_HTTP_HEAD_H
@@ -12,21 +12,21 @@
 
 #include "net/http.h"
 
-/* Header lines of an answer that are handed on; more of them fail it. */
+/* Maximum number of header lines of an answer; an answer with more fails. */
 #define HTTP_RESPONSE_LINES_MAX 128
 
-/* The head is bounded by its bytes alone: http_parser reads no head above
- * 80 KiB, and a line has 4 bytes at least, so 20,480 lines at most. */
+/* No limit on lines, only on bytes: http_parser accepts heads of at most 80 KiB
+ * and a line has at least 4 bytes, so a head has at most 20,480 lines. */
 #define HTTP_LINES_UNBOUNDED UINT32_MAX
 
 /**
- * struct http_head - header lines read so far
+ * struct http_head - header lines parsed so far
  * @text: names and values, each zero-terminated
- * @offsets: offsets of names and values in @text, by turns
- * @bytes: bytes of the lines, to bound them
- * @bytes_max: most bytes that are taken
- * @lines_max: most lines that are taken
- * @in_value: the last piece was one of a value
+ * @offsets: offsets of names and values in @text, alternating
+ * @bytes: total bytes of the lines
+ * @bytes_max: maximum of @bytes
+ * @lines_max: maximum number of lines
+ * @in_value: the last piece belonged to a value
  */
 struct http_head {
 	GString *text;
@@ -37,47 +37,49 @@
 	bool in_value;
 };
 
-/** http_head_init() - an empty head of at most that many bytes and lines */
+/** http_head_init() - initialise an empty head with limits */
 void
 http_head_init(struct http_head *h, uint32_t bytes_max, uint32_t lines_max);
 
-/** http_head_clear() - free what it holds */
+/** http_head_clear() - free the memory of a head */
 void http_head_clear(struct http_head *h);
 
-/** http_head_reset() - forget all lines */
+/** http_head_reset() - remove all lines */
 void http_head_reset(struct http_head *h);
 
-/** http_head_name() - a piece of a name came; Return: 0, or -1: too much */
+/** http_head_name() - add a piece of a name; returns -1 above a limit, else 0
+ */
 int http_head_name(struct http_head *h, const char *at, size_t len);
 
-/** http_head_value() - a piece of a value came; Return: 0, or -1: too much */
+/** http_head_value() - add a piece of a value; returns -1 above the limit */
 int http_head_value(struct http_head *h, const char *at, size_t len);
 
 /** http_head_count() - number of lines */
 uint32_t http_head_count(const struct http_head *h);
 
 /**
- * http_head_lines() - all lines
+ * http_head_lines() - get all lines
  * @h: the head; the lines point into it
- * @lines: room for http_head_count()
+ * @lines: array of at least http_head_count() elements
  *
  * Return: number of lines.
  */
 uint32_t http_head_lines(struct http_head *h, struct http_header *lines);
 
 /**
- * http_head_valid() - whether all lines read alike to everybody
+ * http_head_valid() - whether all lines are valid HTTP header lines
  * @lines: the lines
  * @n: number of lines
  *
- * Names must be tokens, and values hold no control characters but tabs.
+ * Names must be tokens, and values must not contain control characters except
+ * tabs; other implementations could parse such lines differently.
  */
 bool http_head_valid(const struct http_header *lines, uint32_t n);
 
-/** http_is_token() - whether a text can be a header's name or a method */
+/** http_is_token() - whether a string is an HTTP token (header name, method) */
 bool http_is_token(const char *s);
 
-/** http_head_find() - value of the first header of that name, or NULL */
+/** http_head_find() - value of the first header named @name, or NULL */
 const char *
 http_head_find(const struct http_header *lines, uint32_t n, const char *name);
 
--- a/packages/net/src/http_incoming.c
+++ b/packages/net/src/http_incoming.c
@@ -1,5 +1,5 @@
 /*
- * HTTP server: a connection, and the answer to the request on it.
+ * HTTP server: a connection and the answers on it.
  */
 #include <errno.h>
 #include <netinet/in.h>
@@ -14,15 +14,16 @@
 #define READ_BYTES 32768
 #define HEAD_BYTES 512
 #define CHUNK_HEAD_BYTES 20
-/* A connection that sends more than this ahead is not read from. */
+/* Limit of pipelined data; above it the connection is not read. */
 #define PIPELINED_MAX_BYTES 65536U
-/* How long a caller that still sends may take to see its early answer. */
+/* Time for which input is discarded after an answer that was sent before the
+ * end of the request. */
 #define LINGER_MS 1000U
 #define MS_PER_S 1000U
 #define LAST_CHUNK "0\r\n\r\n"
 #define CONTINUE_LINE "HTTP/1.1 100 Continue\r\n\r\n"
 
-/* Told by the server itself. */
+/* Headers that the server sets itself. */
 static const char *const own_headers[] = {
     "Connection", "Keep-Alive", "Content-Length", "Transfer-Encoding"};
 
@@ -77,7 +78,7 @@
 	g_free(q);
 }
 
-/* Waiting */
+/* Watched events and timer */
 
 static bool
 wants_read(const struct http_incoming *q)
@@ -137,7 +138,7 @@
 	http_incoming_watch(q);
 }
 
-/* Serves what was sent ahead, goes on after a pause, or writes. */
+/* Parses pipelined data, resumes after a pause, and starts writing. */
 static void
 on_task(void *arg)
 {
@@ -147,7 +148,11 @@
 	http_incoming_watch(q);
 }
 
-/* The answer was given before the request was read: a reset could lose it. */
+/*
+ * The answer was sent before the complete request was read.  Closing now would
+ * reset the connection, which could destroy the answer before the caller reads
+ * it, so the input is discarded for LINGER_MS first.
+ */
 static void
 linger(struct http_incoming *q)
 {
@@ -243,7 +248,7 @@
 peer_ended(struct http_incoming *q)
 {
 	q->peer_ended = true;
-	/* Its answer is on the way already. */
+	/* The complete answer is already being sent. */
 	if (q->state == INCOMING_FLUSHING)
 		http_incoming_watch(q);
 	else
@@ -310,7 +315,7 @@
 	set_timer(q, s->limits.idle_ms);
 }
 
-/* The owner's side */
+/* Functions for the owner */
 
 void
 http_incoming_set_arg(struct http_incoming *q, void *arg)
@@ -389,7 +394,7 @@
 	}
 }
 
-/* A caller of HTTP/1.0 takes no chunks: the connection's end is the body's. */
+/* HTTP/1.0 has no chunks: closing the connection marks the end of the body. */
 static void
 add_length(struct http_incoming *q, int64_t body_bytes)
 {
--- a/packages/net/src/http_priv.h
+++ b/packages/net/src/http_priv.h
@@ -1,9 +1,9 @@
 /*
- * HTTP client, as its own files see it.
+ * HTTP client: private definitions.
  *
- * A call waits in client->waiting until it has a connection, and is then in
- * client->running.  A connection that is closed is freed at the end of the
- * turn, since its parser may be at work.
+ * A call is queued in client->waiting until it is assigned a connection, and
+ * then in client->running.  A closed connection is freed at the end of the
+ * turn, because its parser may still be on the call stack.
  */
 #ifndef NET_HTTP_PRIV_H
 #define NET_HTTP_PRIV_H
@@ -20,15 +20,15 @@
 
 /**
  * struct http_client - a client
- * @loop: its loop
- * @options: its limits
+ * @loop: event loop that runs the client
+ * @options: limits
  * @waiting: calls without a connection, oldest first
- * @running: calls that have one
- * @conns: connections that are dialled or busy
- * @idle: connections that wait for a call, the one used last at the tail
- * @dead: closed connections that are freed at the end of the turn
- * @ended: cancelled calls that are freed at the end of the turn
- * @task: frees them, and gives waiting calls their connections
+ * @running: calls with a connection
+ * @conns: connections that are being established or busy
+ * @idle: idle keep-alive connections, the most recently used at the tail
+ * @dead: closed connections, freed at the end of the turn
+ * @ended: cancelled calls, freed at the end of the turn
+ * @task: frees @dead and @ended, and assigns connections to @waiting
  */
 struct http_client {
 	struct loop *loop;
@@ -46,36 +46,36 @@
 
 /**
  * struct http_call - a call
- * @client: its client
- * @link: its place in one of the client's queues
- * @handler: what the owner is told
- * @arg: given to the handler
- * @to: where the request goes
- * @head: the request's head, as it goes out
- * @body: body that is given as a block
- * @body_bytes: its length
- * @deadline: ends the call
- * @task: starts it, or takes it up after a pause
- * @setup_status: status of a request that can't be sent
- * @error: why
- * @conn: its connection, or NULL
- * @reuse_idle_ms: longest idle time of a connection that is used again
- * @connect_ms: longest time for establishing a connection
- * @once: must not run twice
- * @new_conn_only: has met a connection that had ended; gets one of its own
- * @pulled: the body comes from on_pull()
- * @chunked: and its length isn't known
- * @pull_ended: all of it was pulled
- * @pull_paused: on_pull() has nothing now
- * @head_only: the answer has no body, whatever it says
- * @sent: a byte of the request may have left
- * @answered: a byte of an answer came
- * @head_done: the head was told
- * @skipping: the answer being read belongs to something else
- * @delimited: the answer says where it ends
- * @paused: on_body() has not taken a piece
- * @cancelled: the owner has dropped it
- * @aborted: a handler asked to fail it
+ * @client: the client
+ * @link: link in one of the client's queues
+ * @handler: callbacks
+ * @arg: passed to the callbacks
+ * @to: address of the server
+ * @head: the request's head in wire format
+ * @body: body in memory, or NULL
+ * @body_bytes: length of @body
+ * @deadline: timer that ends the call
+ * @task: starts the call, or resumes it after a pause
+ * @setup_status: STATUS_OK, or the error of an invalid request
+ * @error: message for @setup_status
+ * @conn: connection of the call, or NULL
+ * @reuse_idle_ms: longest idle time of a connection that may be reused
+ * @connect_ms: time limit for establishing a connection
+ * @once: the request must not be sent twice
+ * @new_conn_only: retry after a reused connection broke; needs a new one
+ * @pulled: on_pull() supplies the body
+ * @chunked: on_pull() supplies a body of unknown length
+ * @pull_ended: on_pull() has supplied the complete body
+ * @pull_paused: on_pull() returned HTTP_PAUSE
+ * @head_only: the request is HEAD: the answer has no body in any case
+ * @sent: a byte of the request may have been sent
+ * @answered: a byte of an answer was received
+ * @head_done: on_head() was called for the answer to this request
+ * @skipping: the answer being parsed belongs to another request
+ * @delimited: the answer's head determines its length
+ * @paused: on_body() returned HTTP_PAUSE
+ * @cancelled: the call was cancelled or has ended
+ * @aborted: a callback returned HTTP_ABORT
  * @code: HTTP status of the answer
  */
 struct http_call {
@@ -115,46 +115,46 @@
 /* http_call.c */
 
 /**
- * http_call_setup() - check a request and write its head
+ * http_call_setup() - validate a request and format its head
  *
- * Return: STATUS_OK, or STATUS_INVALID when it can't be sent.
+ * Return: STATUS_OK, or STATUS_INVALID for an invalid request.
  */
 enum status
 http_call_setup(struct http_call *call, const struct http_request *request);
 
 /* http.c */
 
-/** http_call_end() - tell the owner how it ended, and free it */
+/** http_call_end() - call on_done() and free the call */
 void http_call_end(struct http_call *call, enum status st);
 
-/** http_call_retry() - its connection had ended unused: try another one */
+/** http_call_retry() - queue the call again for a new connection */
 void http_call_retry(struct http_call *call);
 
 /* http_conn.c */
 
-/** http_conn_dial() - make a connection for a call */
+/** http_conn_dial() - open a connection for a call */
 void http_conn_dial(struct http_call *call);
 
 /**
- * http_conn_find() - an idle connection for a call
+ * http_conn_find() - find an idle connection that a call may use
  *
- * Return: NULL when there is none that may be used.
+ * Return: the connection, NULL when there is none.
  */
 struct http_conn *http_conn_find(struct http_call *call);
 
 /** http_conn_use() - send a call on an idle connection */
 void http_conn_use(struct http_conn *c, struct http_call *call);
 
-/** http_conn_pump() - go on with a call after a pause */
+/** http_conn_pump() - resume a call after a pause */
 void http_conn_pump(struct http_conn *c);
 
-/** http_conn_close() - close it; its call, if any, is not told */
+/** http_conn_close() - close a connection without a callback to its call */
 void http_conn_close(struct http_conn *c);
 
 /** http_conn_free() - free a closed connection */
 void http_conn_free(struct http_conn *c);
 
-/** http_conn_count() - open connections to an address */
+/** http_conn_count() - number of open connections to an address */
 uint32_t http_conn_count(const struct http_client *client, struct net_addr to);
 
 #endif
--- a/packages/net/src/http_read.c
+++ b/packages/net/src/http_read.c
@@ -1,5 +1,5 @@
 /*
- * Reads the answers on a connection of the HTTP client.
+ * HTTP client: parser callbacks for the answers on a connection.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -7,9 +7,11 @@
 
 #include "http_conn_defs.h"
 
-/* How long a connection is kept when the server doesn't say. */
+/* Longest time that a connection is kept idle, and the time used when the
+ * server sends no Keep-Alive header. */
 #define HTTP_KEEP_ALIVE_MS 30000U
-/* Share of the time that the server keeps it for which it is used. */
+/* Share of the server's keep-alive timeout for which the client reuses a
+ * connection, so that the server rarely closes it first. */
 #define HTTP_KEEP_ALIVE_PERCENT 70U
 #define HTTP_FIRST_FINAL_CODE 200
 #define MS_PER_S 1000U
@@ -41,7 +43,7 @@
 	return http_head_value(&conn_of(p)->head, at, len);
 }
 
-/* "timeout=5, max=100": how long the server keeps the connection idle. */
+/* Parses the server's timeout from a header like "timeout=5, max=100". */
 static void
 read_keep_alive(
     struct http_conn *c, const struct http_header *lines, uint32_t n)
@@ -65,7 +67,7 @@
 	    p->status_code == HTTP_STATUS_NOT_MODIFIED;
 }
 
-/* Return: as http_parser wants it, 1 for an answer without a body. */
+/* Return: as http_parser requires, 1 for an answer without a body. */
 static int
 on_headers_complete(http_parser *p)
 {
--- a/packages/net/src/http_request.c
+++ b/packages/net/src/http_request.c
@@ -1,5 +1,5 @@
 /*
- * HTTP server: requests as the parser reads them.
+ * HTTP server: parsing of requests.
  */
 #include <limits.h>
 #include <string.h>
@@ -62,7 +62,7 @@
 	return (int64_t)MIN(p->content_length, (uint64_t)INT64_MAX);
 }
 
-/* Whether there is one way only to read where the body ends. */
+/* Whether every implementation would find the same end of the body. */
 static bool
 has_unambiguous_length(
     const http_parser *p, const struct http_header *lines, uint32_t n)
@@ -180,7 +180,7 @@
 	q->target = NULL;
 }
 
-/* What came is no request, or one that may be read in two ways. */
+/* Rejects data that is not a valid request or has an ambiguous length. */
 static void
 reject(struct http_incoming *q, enum http_errno err)
 {
@@ -210,7 +210,7 @@
 	g_byte_array_append(q->pipelined, (const guint8 *)data, (guint)len);
 }
 
-/* Whether the parser may go on: not while an answer is due. */
+/* Whether the parser may continue: not while an answer is pending. */
 static bool
 can_parse(const struct http_incoming *q)
 {
@@ -250,7 +250,7 @@
 		buffer_pipelined(q, data, len);
 		return;
 	}
-	/* To the parser no bytes mean the end of the connection. */
+	/* For the parser a length of 0 means the end of the connection. */
 	if (buffered == NULL && len == 0)
 		return;
 	if (buffered == NULL) {
--- a/packages/net/src/http_server.c
+++ b/packages/net/src/http_server.c
@@ -1,5 +1,5 @@
 /*
- * HTTP server: the listening socket and the set of connections.
+ * HTTP server: listening socket and connections.
  */
 #include <errno.h>
 #include <string.h>
@@ -10,9 +10,9 @@
 #include "sock.h"
 
 #define SERVER_BACKLOG 1024
-/* Connections accepted in one turn before others run. */
+/* Connections accepted per turn before other descriptors are served. */
 #define SERVER_ACCEPTS_PER_TURN 64
-/* Pause when the process has no descriptor left. */
+/* Pause of accepting when descriptors or memory have run out. */
 #define SERVER_PAUSE_MS 100
 
 static void
@@ -172,7 +172,7 @@
 	return s->conns.length;
 }
 
-/* Whether the system holds bytes that are not read yet. */
+/* Whether the socket has unread data. */
 static bool
 has_unread_bytes(const struct http_incoming *q)
 {
--- a/packages/net/src/http_server_priv.h
+++ b/packages/net/src/http_server_priv.h
@@ -1,5 +1,5 @@
 /*
- * HTTP server, as its own files see it.
+ * HTTP server: private definitions.
  */
 #ifndef NET_HTTP_SERVER_PRIV_H
 #define NET_HTTP_SERVER_PRIV_H
@@ -13,16 +13,16 @@
 
 /**
  * struct http_server - a server
- * @loop: its loop
- * @fd: the listening socket, -1 when it takes no more
- * @watch: watches it
- * @pause: ends a pause of accepting, when descriptors have run out
- * @limits: what a caller may send
- * @handler: what the owner is told
- * @arg: given to it
- * @conns: struct http_incoming, the open connections
- * @dead: closed ones, freed at the end of the turn
- * @task: frees them
+ * @loop: event loop that runs the server
+ * @fd: the listening socket, -1 after http_server_unlisten()
+ * @watch: watcher of @fd
+ * @pause: timer that resumes accepting after descriptors have run out
+ * @limits: limits for callers
+ * @handler: callbacks
+ * @arg: passed to the callbacks
+ * @conns: open connections, struct http_incoming
+ * @dead: closed connections, freed at the end of the turn
+ * @task: frees @dead
  * @closing: each answer closes its connection
  */
 struct http_server {
@@ -39,43 +39,43 @@
 	bool closing;
 };
 
-/** enum incoming_state - where a connection stands */
+/** enum incoming_state - state of a connection */
 enum incoming_state {
-	INCOMING_IDLE = 0,  /* no byte of a request yet */
-	INCOMING_HEAD,	    /* within a head */
-	INCOMING_SERVING,   /* the owner has the request */
-	INCOMING_FLUSHING,  /* the answer's last bytes are being written */
-	INCOMING_LINGERING, /* what still comes is thrown away */
+	INCOMING_IDLE = 0, /* no byte of a request received */
+	INCOMING_HEAD,	   /* receiving a head */
+	INCOMING_SERVING, /* on_request() was called, the answer is not ended */
+	INCOMING_FLUSHING,  /* sending the rest of a complete answer */
+	INCOMING_LINGERING, /* discarding input before the close */
 	INCOMING_DEAD,
 };
 
 /**
  * struct http_incoming - a connection and the request on it
  * @server: the server
- * @link: its place in one of the server's queues
- * @fd: its socket
- * @watch: watches it
- * @timer: idle time, head time, stalls, lingering
- * @task: serves what was sent ahead
+ * @link: link in one of the server's queues
+ * @fd: the socket
+ * @watch: watcher of @fd
+ * @timer: timeout of an idle connection, a head, a stall or lingering
+ * @task: parses pipelined data, or resumes after a pause
  * @caller: address of the caller
- * @state: where it stands
- * @parser: reads requests
+ * @state: state of the connection
+ * @parser: parser of requests
  * @target: path and query
- * @head: header lines; allocated while there are any
- * @pipelined: bytes read and not parsed yet, or NULL
- * @out: bytes to be written, or NULL
- * @out_sent: bytes of @out that are written
- * @arg: the owner's
- * @parsing: the parser is at work
- * @paused: the owner wants no body now
- * @body_done: the whole request was read
- * @expects_continue: the caller waits for a 100
+ * @head: header lines; allocated from the first byte of a request to its end
+ * @pipelined: received data that is not parsed yet, or NULL
+ * @out: output buffer, or NULL when empty
+ * @out_sent: bytes of @out already sent
+ * @arg: the owner's argument
+ * @parsing: the parser is on the call stack
+ * @paused: the owner has paused the body
+ * @body_done: the complete request has been parsed
+ * @expects_continue: the caller waits for 100 Continue
  * @head_only: the answer has no body
  * @answered: the head of the answer was written
- * @chunked: its body goes in chunks
- * @close: the connection ends with the answer
+ * @chunked: the answer's body is chunked
+ * @close: the connection is closed after the answer
  * @peer_ended: the caller has closed its side
- * @writable_due: on_writable() is due
+ * @writable_due: the output exceeded the low-water mark; on_writable() is due
  */
 struct http_incoming {
 	struct http_server *server;
@@ -107,31 +107,31 @@
 
 /* http_incoming.c */
 
-/** http_incoming_accept() - a connection came in */
+/** http_incoming_accept() - set up an accepted connection */
 void
 http_incoming_accept(struct http_server *s, int fd, struct net_addr caller);
 
-/** http_incoming_close() - close it; an owner is told by on_gone() */
+/** http_incoming_close() - close a connection; calls on_gone() while serving */
 void http_incoming_close(struct http_incoming *q, bool reset);
 
 /** http_incoming_free() - free a closed connection */
 void http_incoming_free(struct http_incoming *q);
 
-/** http_incoming_flushed() - go on if the whole answer has been written */
+/** http_incoming_flushed() - proceed if the complete answer has been sent */
 void http_incoming_flushed(struct http_incoming *q);
 
-/** http_incoming_watch() - wait for what is wanted next */
+/** http_incoming_watch() - update the watched events */
 void http_incoming_watch(struct http_incoming *q);
 
 /* http_request.c */
 
-/** http_request_begin() - prepare the parser for the next request */
+/** http_request_begin() - initialise the parser for the next request */
 void http_request_begin(struct http_incoming *q);
 
-/** http_request_feed() - parse what came, and what was kept before */
+/** http_request_feed() - parse buffered and new data */
 void http_request_feed(struct http_incoming *q, const char *data, size_t len);
 
-/** http_request_clear() - free what a request holds */
+/** http_request_clear() - free the memory of a request */
 void http_request_clear(struct http_incoming *q);
 
 #endif
--- a/packages/net/src/listener.c
+++ b/packages/net/src/listener.c
@@ -11,9 +11,9 @@
 #include "sock.h"
 
 #define LISTENER_BACKLOG 1024
-/* Connections accepted in one turn before others run. */
+/* Connections accepted per turn before other descriptors are served. */
 #define LISTENER_ACCEPTS_PER_TURN 64
-/* Pause when the process has no descriptor left. */
+/* Pause of accepting when descriptors or memory have run out. */
 #define LISTENER_PAUSE_MS 100
 
 struct listener {
--- a/packages/net/src/loop.c
+++ b/packages/net/src/loop.c
@@ -1,6 +1,7 @@
 /*
- * Event loop on epoll(7): one turn waits, serves descriptors, then timers,
- * then tasks.  Other threads reach it through a queue and an eventfd(2).
+ * Event loop on epoll(7): a turn waits for events, then serves descriptors,
+ * timers and tasks.  Other threads post functions to a queue and wake the loop
+ * through an eventfd(2).
  */
 #include <errno.h>
 #include <pthread.h>
@@ -14,10 +15,10 @@
 
 #define LOOP_EVENTS 256
 #define LOOP_US_PER_MS 1000
-/* A turn serves at most this many batches before timers get their turn. */
+/* Maximum number of epoll batches that a turn serves before timers. */
 #define LOOP_BATCHES_MAX 16
 
-/* A watched descriptor; one that is removed is freed after the batch. */
+/* A watched descriptor; a removed watcher is freed after the batch. */
 struct loop_fd {
 	struct loop *loop;
 	int fd;
@@ -26,7 +27,7 @@
 	void *arg;
 };
 
-/* Something posted by another thread. */
+/* A function posted by any thread. */
 struct loop_posted {
 	loop_fn *fn;
 	void *arg;
@@ -124,8 +125,8 @@
 }
 
 /*
- * A descriptor without events is taken out of the epoll set, since epoll
- * reports errors and hang-ups whatever is asked for.
+ * A descriptor without events is removed from the epoll set, because epoll
+ * reports errors and hang-ups regardless of the requested events.
  */
 void
 loop_fd_set(struct loop_fd *w, uint32_t events)
@@ -280,7 +281,7 @@
 	loop->firing_timers = false;
 }
 
-/* Tasks: a ring with the loop's own as its head. */
+/* Tasks: a circular list with loop->tasks as its head. */
 
 static void
 task_ring_init(struct loop_task *head)
@@ -392,8 +393,8 @@
 }
 
 /*
- * All descriptors that are ready are served before timers, so that a process
- * that was paused reads what came in before it finds a peer silent.
+ * Ready descriptors are served before timers, so that after a pause the process
+ * reads pending input before a timer finds a peer unresponsive.
  */
 void
 loop_run_once(struct loop *loop, uint64_t until_ms)
--- a/packages/net/src/sock.c
+++ b/packages/net/src/sock.c
@@ -12,7 +12,7 @@
 
 #include "sock.h"
 
-/* Where a TCP header has its flags, and the flag that opens a connection. */
+/* Offset of the flags in a TCP header, and the SYN flag. */
 #define TCP_FLAGS_OFFSET 13
 #define TCP_FLAG_SYN_BIT 0x02
 
@@ -77,7 +77,7 @@
 	return st;
 }
 
-/* Drops the first segment of each new connection; offsets are TCP's. */
+/* Drops segments with the SYN flag; offsets are relative to the TCP header. */
 static struct sock_filter drop_syn[] = {
     BPF_STMT(BPF_LD | BPF_B | BPF_ABS, TCP_FLAGS_OFFSET),
     BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, TCP_FLAG_SYN_BIT, 0, 1),
--- a/packages/net/src/udp.c
+++ b/packages/net/src/udp.c
@@ -1,5 +1,5 @@
 /*
- * Datagram socket.
+ * UDP socket.
  */
 #include <errno.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 #include "net/udp.h"
 #include "sock.h"
 
-/* Datagrams read in one turn before others run. */
+/* Datagrams read per turn before other descriptors are served. */
 #define UDP_DATAGRAMS_PER_TURN 128
 
 struct udp {
--- a/packages/net/test/conn_side.c
+++ b/packages/net/test/conn_side.c
@@ -1,5 +1,5 @@
 /*
- * Two sides of framed connections, for tests.
+ * Test fixture of framed connections.
  */
 #include <string.h>
 
--- a/packages/net/test/conn_side.h
+++ b/packages/net/test/conn_side.h
@@ -1,5 +1,5 @@
 /*
- * Two sides of framed connections, for tests: what each has been told.
+ * Test fixture of framed connections: two sides that record their callbacks.
  */
 #ifndef TEST_CONN_SIDE_H
 #define TEST_CONN_SIDE_H
@@ -17,10 +17,10 @@
 /**
  * struct side - one side of a connection
  * @c: the connection, NULL when it has ended
- * @opened: calls of on_open()
- * @frames: calls of on_frame()
- * @writable: calls of on_writable()
- * @closed: status told by on_closed(), or STATUS_NONE
+ * @opened: number of on_open() callbacks
+ * @frames: number of on_frame() callbacks
+ * @writable: number of on_writable() callbacks
+ * @closed: status passed to on_closed(), or STATUS_NONE
  * @close_on_frame: close from within on_frame()
  * @echo: send each frame back
  * @type: type of the last frame
@@ -44,28 +44,29 @@
 extern struct metric sent, received;
 extern const struct conn_handler side_handler;
 
-/** side_setup() - a loop and a listener whose connections are `served` */
+/** side_setup() - create a loop and a listener that accepts `served` */
 void side_setup(void);
 
-/** side_teardown() - free all of it */
+/** side_teardown() - free everything that side_setup() created */
 void side_teardown(void);
 
-/** side_init() - prepare a side */
+/** side_init() - initialise a side */
 void side_init(struct side *s);
 
 /** side_clear() - close and free a side */
 void side_clear(struct side *s);
 
-/** side_listen() - listen anew with other options */
+/** side_listen() - replace the listener by one with other options */
 void side_listen(struct conn_options conn, uint32_t conns_max);
 
-/** side_dial() - dial `client` to the listener */
+/** side_dial() - connect `client` to the listener */
 void side_dial(const struct conn_options *o);
 
 /** side_raw() - connect a plain socket to the listener */
 int side_raw(void);
 
-/** side_fill() - append frames of @len until the buffer is full; how many */
+/** side_fill() - append frames of @len until the buffer is full; returns count
+ */
 int side_fill(struct conn *c, size_t len);
 
 #endif
--- a/packages/net/test/http_caller.c
+++ b/packages/net/test/http_caller.c
@@ -1,5 +1,6 @@
 /*
- * The owner of HTTP calls, for tests, and the server that answers them.
+ * Test fixture of the HTTP client: an owner of calls that records its
+ * callbacks, and a scripted server.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -17,7 +18,7 @@
 int runs;
 char *seen_head;
 
-/* The server's script, by path. */
+/* Answers of the server, by path. */
 
 static void
 answer(GString *out, const char *body)
--- a/packages/net/test/http_caller.h
+++ b/packages/net/test/http_caller.h
@@ -1,5 +1,6 @@
 /*
- * The owner of HTTP calls, for tests, and the server that answers them.
+ * Test fixture of the HTTP client: an owner of calls that records its
+ * callbacks, and a scripted server.
  */
 #ifndef TEST_HTTP_CALLER_H
 #define TEST_HTTP_CALLER_H
@@ -14,25 +15,27 @@
 #define BIG_BYTES (4U << 20)
 
 /**
- * struct caller - what an owner has been told, and how it behaves
- * @call: the call, NULL when it is done
- * @heads: calls of on_head()
- * @done: calls of on_done()
- * @code: code of the head
+ * struct caller - recorded callbacks of a call, and behaviour of the owner
+ * @call: the call, NULL when it has ended
+ * @heads: number of on_head() callbacks, except skipped ones
+ * @done: number of on_done() callbacks
+ * @code: status code of the head
  * @status: from the result
  * @sent: from the result
  * @delimited: from the result
  * @head: headers as "name=value;"
  * @body: body of the answer
- * @pulled: bytes that on_pull() has given
- * @pull_bytes: bytes that it gives in all
+ * @pulled: bytes that on_pull() has supplied
+ * @pull_bytes: total bytes for on_pull() to supply
+ * @skip_heads: number of heads to skip with HTTP_SKIP
  * @cancel_on_head: cancel from within on_head()
  * @cancel_on_body: cancel from within on_body()
  * @cancel_on_pull: cancel from within on_pull()
  * @abort_on_body: abort from within on_body()
- * @pausing: whether the last piece was paused
- * @paused: whether it is paused now
- * @wake: resumes the call; pauses are made when it was prepared
+ * @pausing: whether the last callback returned HTTP_PAUSE
+ * @paused: whether the call is paused now
+ * @wake: timer that resumes the call; if it is initialised, every other
+ *	callback pauses
  */
 struct caller {
 	struct http_call *call;
@@ -57,13 +60,13 @@
 };
 
 /**
- * struct scripted - an answer of the server
- * @path: path that is answered so
- * @bytes: what is sent
- * @close: whether the connection is closed then
- * @status: what the owner is to be told
- * @code: code that it is to be told
- * @body: body that it is to be given
+ * struct scripted - an answer of the server and the expected result
+ * @path: path of the request
+ * @bytes: bytes that the server sends
+ * @close: whether the server closes the connection afterwards
+ * @status: expected status of the result
+ * @code: expected HTTP status code
+ * @body: expected body
  */
 struct scripted {
 	const char *path;
@@ -82,30 +85,30 @@
 extern struct http_client *client;
 extern struct caller caller;
 extern const struct http_handler caller_handler;
-/* How often "/run" was run: the first time there is no answer. */
+/* Number of requests for "/run"; the first request gets no answer. */
 extern int runs;
 /* Head of the last request. */
 extern char *seen_head;
 
-/** caller_setup() - a loop, a server, a client and `caller` */
+/** caller_setup() - create a loop, a server, a client and `caller` */
 void caller_setup(void);
 
-/** caller_teardown() - free all of it */
+/** caller_teardown() - free everything that caller_setup() created */
 void caller_teardown(void);
 
-/** caller_init() - prepare an owner */
+/** caller_init() - initialise an owner */
 void caller_init(struct caller *c);
 
-/** caller_clear() - free what an owner holds */
+/** caller_clear() - free the memory of an owner */
 void caller_clear(struct caller *c);
 
 /** caller_start() - start a call to a path of the server */
 void caller_start(struct caller *c, struct http_request *r, const char *path);
 
-/** caller_get() - GET a path by `caller` and wait until it is done */
+/** caller_get() - GET a path with `caller` and wait until the call has ended */
 void caller_get(const char *path);
 
-/** caller_make_pauses() - pause each piece of a body once */
+/** caller_make_pauses() - make the owner pause each piece of a body once */
 void caller_make_pauses(struct caller *c);
 
 #endif
--- a/packages/net/test/http_fake.c
+++ b/packages/net/test/http_fake.c
@@ -51,7 +51,7 @@
 	(void)g_ptr_array_remove_fast(c->fake->conns, c);
 }
 
-/* Returns false when the connection is gone. */
+/* Returns false when the connection was closed. */
 static bool
 conn_flush(struct fake_conn *c)
 {
@@ -71,7 +71,7 @@
 	return true;
 }
 
-/* Undo chunks in @raw; returns bytes used, 0 when it isn't whole. */
+/* Decodes the chunks in @raw; returns the bytes used, 0 when incomplete. */
 static size_t
 cut_chunks(const char *raw, GString *body)
 {
@@ -109,7 +109,7 @@
 	return len;
 }
 
-/* Serve the first request in the buffer; returns false when there is none. */
+/* Serves the first request in the buffer; returns false if none is complete. */
 static bool
 conn_serve_one(struct fake_conn *c)
 {
--- a/packages/net/test/http_fake.h
+++ b/packages/net/test/http_fake.h
@@ -1,6 +1,7 @@
 /*
- * A small HTTP server for tests: it runs in the test's loop, keeps
- * connections alive and misbehaves as its script says.
+ * A small HTTP server for tests: runs in the test's loop, keeps connections
+ * alive, and sends the bytes that its script function returns, including
+ * invalid answers.
  */
 #ifndef TEST_HTTP_FAKE_H
 #define TEST_HTTP_FAKE_H
@@ -11,10 +12,11 @@
 #include "proto/addr.h"
 
 /**
- * struct fake_request - a request that came in whole
- * @path: its path
+ * struct fake_request - a complete request
+ * @path: path of the request
  * @head: request line and headers
- * @body: its body, without chunk headers
+ * @body: body, with the chunked coding removed
+ * @body_bytes: length of @body
  * @nth: number of the request on its connection, from 1
  */
 struct fake_request {
@@ -26,11 +28,11 @@
 };
 
 /**
- * fake_script_fn - answer a request
+ * fake_script_fn - produce the answer to a request
  * @r: the request
- * @out: bytes to be sent
+ * @out: receives the bytes to send
  *
- * Return: whether to close after @out was sent.
+ * Return: whether to close the connection after @out was sent.
  */
 typedef bool fake_script_fn(const struct fake_request *r, GString *out);
 
@@ -39,16 +41,16 @@
 /** fake_new() - start a server on a free port of the loopback address */
 struct fake *fake_new(struct loop *loop, fake_script_fn *script);
 
-/** fake_free() - close its connections and stop */
+/** fake_free() - close all connections and free the server */
 void fake_free(struct fake *f);
 
-/** fake_addr() - where it listens */
+/** fake_addr() - address that the server listens on */
 struct net_addr fake_addr(const struct fake *f);
 
-/** fake_open() - number of connections that are open */
+/** fake_open() - number of open connections */
 uint32_t fake_open(const struct fake *f);
 
-/** fake_most_open() - largest number of connections open at a time */
+/** fake_most_open() - maximum number of concurrent connections so far */
 uint32_t fake_most_open(const struct fake *f);
 
 #endif
--- a/packages/net/test/support.c
+++ b/packages/net/test/support.c
@@ -1,5 +1,5 @@
 /*
- * What the tests of this package and of the store share.
+ * Helpers for the tests of this package, the store and the platform adapter.
  */
 #include <netinet/in.h>
 #include <stdlib.h>
--- a/packages/net/test/support.h
+++ b/packages/net/test/support.h
@@ -1,5 +1,5 @@
 /*
- * What the tests of this package and of the store share.
+ * Helpers for the tests of this package, the store and the platform adapter.
  */
 #ifndef TEST_SUPPORT_H
 #define TEST_SUPPORT_H
@@ -12,10 +12,10 @@
 #include "proto/addr.h"
 
 #define LOOPBACK 0x7f000001U
-/* A test that waits longer than this for something has failed. */
+/* Time limit of RUN_UNTIL(), after which a test fails. */
 #define WAIT_MS 5000
 
-/* Run turns of @loop until @cond holds. */
+/* Runs turns of @loop until @cond holds. */
 #define RUN_UNTIL(loop, cond)                                      \
 	do {                                                       \
 		uint64_t end_ms = clock_now_ms() + WAIT_MS;        \
@@ -25,13 +25,13 @@
 		}                                                  \
 	} while (0)
 
-/** support_run() - run a test case; returns what main() shall return */
+/** support_run() - run a test case; returns the exit status for main() */
 int support_run(const char *name, TCase *tc);
 
 /** support_run_for() - run turns of a loop for @ms milliseconds */
 void support_run_for(struct loop *loop, uint64_t ms);
 
-/** support_connect() - blocking connection to a port of the loopback address */
+/** support_connect() - open a blocking connection to a loopback port */
 int support_connect(uint16_t port);
 
 /** support_send() - send all of @data */
@@ -43,10 +43,10 @@
 #define SILENT_FDS 4
 
 /**
- * struct silent - an address that answers no handshake
- * @fd: a listening socket whose queue is full
- * @fds: connections that fill it
- * @port: its port
+ * struct silent - an address at which TCP handshakes are never completed
+ * @fd: a listening socket whose accept queue is full
+ * @fds: connections that fill the queue
+ * @port: port of @fd
  */
 struct silent {
 	int fd;
@@ -54,10 +54,10 @@
 	uint16_t port;
 };
 
-/** support_silent_open() - make an address that answers no handshake */
+/** support_silent_open() - open an address that completes no handshake */
 void support_silent_open(struct silent *s);
 
-/** support_silent_close() - close it */
+/** support_silent_close() - close the sockets of @s */
 void support_silent_close(struct silent *s);
 
 #endif
--- a/packages/net/test/test_conn_peers.c
+++ b/packages/net/test/test_conn_peers.c
@@ -1,5 +1,5 @@
 /*
- * Tests of framed connections against peers that misbehave.
+ * Tests of framed connections with misbehaving peers.
  */
 #include <string.h>
 #include <sys/socket.h>
@@ -10,7 +10,7 @@
 #define IDLE_MS 120
 #define PAUSE_US 1300000
 
-/* How a bad peer ends. */
+/* How a bad peer ends its connection. */
 enum ending {
 	END_NOTHING,
 	END_HALF,
@@ -136,7 +136,7 @@
 }
 END_TEST
 
-/* The peer answers and resets after this turn has looked at its socket. */
+/* The peer sends a frame and resets after this turn has polled its socket. */
 static void
 answer_and_reset(void *arg)
 {
--- a/packages/net/test/test_http.c
+++ b/packages/net/test/test_http.c
@@ -47,7 +47,7 @@
 }
 END_TEST
 
-/* Too many headers, too long a head, and lines that are no headers fail. */
+/* A call fails on too many headers, an oversized head or invalid lines. */
 START_TEST(head_of_an_answer_is_bounded_and_validated)
 {
 	caller_get("/many");
@@ -138,7 +138,11 @@
 }
 END_TEST
 
-/* A second answer on a connection, and one that belongs to another request. */
+/*
+ * The server sends two answers to one request.  The client skips the first
+ * answer if on_head() says so, ignores the second one otherwise, and closes the
+ * connection in both cases.
+ */
 START_TEST(answer_of_another_request_is_skipped)
 {
 	struct http_request r = {.method = "GET"};
--- a/packages/net/test/test_http_faults.c
+++ b/packages/net/test/test_http_faults.c
@@ -1,5 +1,5 @@
 /*
- * Tests of the HTTP client: requests that fail, end early or must not be
+ * Tests of the HTTP client: requests that fail, are cancelled or must not be
  * sent twice.
  */
 #include <string.h>
@@ -10,9 +10,9 @@
 #define PULL_BYTES 300000U
 
 /*
- * The hazard that `once` is for.  The server runs the POST that comes in on
- * a connection already used and closes it without an answer: a request that
- * isn't marked is sent again.
+ * Demonstrates why `once` exists: the server executes a POST on a reused
+ * connection and closes the connection without an answer.  The client sends an
+ * unmarked request again, so that the server executes it twice.
  */
 static void
 post_after_another(bool once)
@@ -53,7 +53,7 @@
 }
 END_TEST
 
-/* Nobody can tell whether a kept connection still lives. */
+/* The client can't know whether the server has closed an idle connection. */
 START_TEST(once_request_gets_a_new_connection_unless_reuse_is_allowed)
 {
 	struct http_request r = {.method = "GET"};
@@ -106,7 +106,7 @@
 {
 	struct http_request r = {.method = "POST", .once = true};
 
-	/* No test listens on the port of the discard service. */
+	/* No test listens on port 9 (discard). */
 	r.url = "http://127.0.0.1:9/";
 	r.deadline_ms = loop_now_ms(loop) + WAIT_MS;
 	caller.call = http_call_start(client, &r, &caller_handler, &caller);
--- a/packages/net/test/test_http_server.c
+++ b/packages/net/test/test_http_server.c
@@ -1,5 +1,6 @@
 /*
- * Tests of the HTTP server: order, lengths, limits, and callers that leave.
+ * Tests of the HTTP server: order, lengths, limits, and callers that
+ * disconnect.
  */
 #include <errno.h>
 #include <netinet/in.h>
@@ -22,7 +23,7 @@
 
 #define MANY_LINES 500
 
-/* Answers with the target, unless it asks for something else. */
+/* Answers with the request's target as body. */
 static void
 answer(struct http_incoming *q, const char *target)
 {
@@ -142,7 +143,10 @@
 	run_turns(6);
 }
 
-/* All that has come; "" with @ended set once the server has closed. */
+/*
+ * Returns all data received so far; @ended receives whether the server has
+ * closed the connection.
+ */
 static const char *
 receive_text(int fd, bool *ended)
 {
@@ -181,7 +185,7 @@
 }
 END_TEST
 
-/* The second one isn't begun before the first is answered. */
+/* The second request is not passed on before the first is answered. */
 START_TEST(one_request_is_served_at_a_time)
 {
 	bool ended;
@@ -197,7 +201,7 @@
 }
 END_TEST
 
-/* Each may be read in two ways, or is no request. */
+/* Each has an ambiguous length or is not a valid request. */
 static const char *const ambiguous[] = {
     "POST /x HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde",
     "PUT / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -241,7 +245,7 @@
 }
 END_TEST
 
-/* Lines are bounded by the bytes of the head, not by their number. */
+/* The size of the head is limited, not the number of its lines. */
 START_TEST(head_of_many_lines_is_accepted)
 {
 	GString *text = g_string_new("GET /many HTTP/1.1\r\n");
@@ -260,7 +264,7 @@
 }
 END_TEST
 
-/* Blanks around a value are no part of it. */
+/* Whitespace around a value is not part of the value. */
 START_TEST(whitespace_around_values_is_stripped)
 {
 	static const char *const rows[][2] = {
@@ -304,7 +308,7 @@
 }
 END_TEST
 
-/* The answer says that the connection ends, and isn't lost to a reset. */
+/* The answer has "Connection: close" and is not destroyed by a reset. */
 START_TEST(early_answer_arrives_and_closes)
 {
 	bool ended;
--- a/packages/net/test/test_loop.c
+++ b/packages/net/test/test_loop.c
@@ -199,7 +199,7 @@
 	ck_assert_int_eq(write(q[1], "x", 1), 1);
 	loop_run_once(loop, 0);
 	ck_assert_str_eq(trace->str, "r");
-	/* A hang-up that nobody watches for does not keep the loop busy. */
+	/* A hang-up on a disabled watcher must not wake the loop. */
 	until_ms = loop_now_ms(loop) + 5;
 	loop_run_once(loop, until_ms);
 	ck_assert_uint_ge(loop_now_ms(loop), until_ms);
--- a/packages/net/test/test_udp.c
+++ b/packages/net/test/test_udp.c
@@ -1,5 +1,5 @@
 /*
- * Tests of datagram sockets.
+ * Tests of UDP sockets.
  */
 #include <netinet/in.h>
 #include <string.h>
@@ -93,7 +93,7 @@
 }
 END_TEST
 
-/* Nobody listens: what the system reports does not break the socket. */
+/* Errors reported for an unreachable port must not break the socket. */
 START_TEST(unreachable_peer_does_not_stop_the_socket)
 {
 	struct net_addr gone = udp_addr(b);
