--- a/packages/proto/include/proto/gen/spread.h
+++ b/packages/proto/include/proto/gen/spread.h
@@ -250,8 +250,8 @@
 void msg_pull_clear(struct msg_pull *m);
 
 /**
- * struct msg_delta - Answer to a pull, sent the way the pull came. Content
- * that did not fit is fetched afterwards.
+ * struct msg_delta - Answer to a pull, sent over the same transport as the
+ * pull. Content that did not fit is fetched afterwards.
  * @token: token of the pull
  * @result: kind of the answer
  * @come_back_ms: delay before the next attempt, if busy
--- a/packages/proto/include/proto/messages.h
+++ b/packages/proto/include/proto/messages.h
@@ -45,8 +45,8 @@
  * 	in force of this head.
  * @MSG_PULL: Request for the changes between two versions; sent as a
  * 	datagram first, then as a frame.
- * @MSG_DELTA: Answer to a pull, sent the way the pull came. Content
- * 	that did not fit is fetched afterwards.
+ * @MSG_DELTA: Answer to a pull, sent over the same transport as the
+ * 	pull. Content that did not fit is fetched afterwards.
  * @MSG_FETCH: Frame: request for the content of sections.
  * @MSG_SECTIONS: Frame: answer to fetch; sections that are missing are
  * 	requested again, from this or another node.
