--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -153,7 +153,7 @@
 	else if (call->deadline.deadline_ms <= loop_now_ms(call->client->loop))
 		call_on_deadline(call);
 	else if (call->conn != NULL)
-		http_conn_pump(call->conn);
+		http_conn_resume(call->conn);
 	else
 		(void)call_assign_conn(call);
 }
--- a/packages/net/src/http_conn.c
+++ b/packages/net/src/http_conn.c
@@ -358,7 +358,7 @@
 }
 
 void
-http_conn_pump(struct http_conn *c)
+http_conn_resume(struct http_conn *c)
 {
 	if (c->state != HTTP_CONN_BUSY)
 		return;
--- a/packages/net/src/http_priv.h
+++ b/packages/net/src/http_priv.h
@@ -145,8 +145,8 @@
 /** http_conn_use() - send a call on an idle connection */
 void http_conn_use(struct http_conn *c, struct http_call *call);
 
-/** http_conn_pump() - resume a call after a pause */
-void http_conn_pump(struct http_conn *c);
+/** http_conn_resume() - resume a call after a pause */
+void http_conn_resume(struct http_conn *c);
 
 /** http_conn_close() - close a connection without a callback to its call */
 void http_conn_close(struct http_conn *c);
