--- a/packages/ctl/test/test_ctl.c
+++ b/packages/ctl/test/test_ctl.c
@@ -86,7 +86,7 @@
 static const struct usage_row usage_rows[] = {
     {"", EXIT_CODE_USAGE, "No command was specified"},
     {"status", EXIT_CODE_USAGE, "No node was specified; add --node IP:PORT"},
-    {"--node nowhere status", EXIT_CODE_USAGE, "no address with a port"},
+    {"--node nowhere status", EXIT_CODE_USAGE, "is not an address with a port"},
     {"--node " UNUSED_ADDR " statsu", EXIT_CODE_USAGE, "did you mean status?"},
     {"--node " UNUSED_ADDR " frobnicate", EXIT_CODE_USAGE, "is not a command."},
     {"--node " UNUSED_ADDR " status 7", EXIT_CODE_USAGE, "Usage: status"},
--- a/packages/net/src/conn_io.c
+++ b/packages/net/src/conn_io.c
@@ -1,8 +1,8 @@
 /*
  * Input and output of a framed TCP connection.
  *
- * Reading cuts frames out of what came in; writing gathers the frames of a
- * turn and leaves with its end.
+ * Input is split into frames; the frames appended in a turn are written
+ * together at its end.
  */
 #include <errno.h>
 #include <string.h>
@@ -11,11 +11,12 @@
 
 #include "conn_priv.h"
 
-/* Bytes asked for in one read, and read in one turn before others run. */
+/* Bytes per read() call, and bytes read per turn before other connections are
+ * served. */
 #define CONN_READ_BYTES (32U * 1024U)
 #define CONN_TURN_BYTES (256U * 1024U)
-/* An empty output buffer that has been larger than this is given back. */
-#define CONN_KEEP_BYTES 4096U
+/* An empty output buffer larger than this is freed. */
+#define CONN_IDLE_OUTPUT_BYTES 4096U
 
 size_t
 conn_output_bytes(const struct conn *c)
@@ -43,7 +44,7 @@
 }
 
 static void
-conn_cut_frames(struct conn *c)
+conn_extract_frames(struct conn *c)
 {
 	enum frame_result r = FRAME_NONE;
 	uint64_t framed = c->framed;
@@ -60,14 +61,14 @@
 		return;
 	if (r == FRAME_BAD)
 		conn_fail(c, STATUS_TOO_LARGE,
-		    "a frame is empty or above the limit; check what listens "
-		    "there and its frame limit");
+		    "a frame is empty or exceeds the limit; check the service "
+		    "at that address and its frame limit");
 	else
 		conn_on_partial(c, framed);
 }
 
 static void
-conn_took(struct conn *c, size_t n)
+conn_on_received(struct conn *c, size_t n)
 {
 	c->received += n;
 	c->last_received_ms = loop_now_ms(c->loop);
@@ -75,7 +76,7 @@
 		metric_add(c->options.received_bytes, (int64_t)n);
 	frame_reader_commit(&c->in, n);
 	if (c->state == CONN_OPEN) {
-		conn_cut_frames(c);
+		conn_extract_frames(c);
 		return;
 	}
 	frame_reader_clear(&c->in);
@@ -86,7 +87,8 @@
 conn_read_ended(struct conn *c, ssize_t n)
 {
 	if (n == 0)
-		conn_fail(c, STATUS_UNAVAILABLE, "the peer ended it");
+		conn_fail(
+		    c, STATUS_UNAVAILABLE, "the peer closed the connection");
 	else if (errno != EAGAIN && errno != EINTR)
 		conn_fail(c, STATUS_UNAVAILABLE, strerror(errno));
 }
@@ -95,18 +97,18 @@
 conn_read(struct conn *c)
 {
 	size_t budget = CONN_TURN_BYTES;
-	uint8_t *room;
+	uint8_t *space;
 	ssize_t n;
 
 	while (c->state != CONN_DEAD && budget >= CONN_READ_BYTES) {
-		room = frame_reader_space(&c->in, CONN_READ_BYTES);
-		n = read(c->fd, room, CONN_READ_BYTES);
+		space = frame_reader_space(&c->in, CONN_READ_BYTES);
+		n = read(c->fd, space, CONN_READ_BYTES);
 		if (n <= 0) {
 			conn_read_ended(c, n);
 			return;
 		}
 		budget -= (size_t)n;
-		conn_took(c, (size_t)n);
+		conn_on_received(c, (size_t)n);
 		if (n < (ssize_t)CONN_READ_BYTES)
 			return;
 	}
@@ -117,7 +119,7 @@
 static void
 conn_out_reset(struct conn *c)
 {
-	if (c->out->len > CONN_KEEP_BYTES) {
+	if (c->out->len > CONN_IDLE_OUTPUT_BYTES) {
 		g_byte_array_unref(c->out);
 		c->out = g_byte_array_new();
 	}
@@ -125,7 +127,7 @@
 	c->out_start = 0;
 }
 
-/* Give back the room of what has left, once it is half of the buffer. */
+/* Removes the bytes already sent once they exceed half of the buffer. */
 static void
 conn_out_compact(struct conn *c)
 {
@@ -138,7 +140,7 @@
 }
 
 static void
-conn_wrote(struct conn *c, size_t n)
+conn_on_sent(struct conn *c, size_t n)
 {
 	c->sent += n;
 	c->out_start += n;
@@ -150,7 +152,7 @@
 	    : DEADLINE_NEVER;
 }
 
-/* Frames that the peer sent before it went are still worth reading. */
+/* Frames that the peer sent before it closed the connection are delivered. */
 static void
 conn_write_failed(struct conn *c, int error)
 {
@@ -168,7 +170,8 @@
 	conn_rearm(c);
 }
 
-/* Returns the error of the last write, 0 when it would only block. */
+/* Returns the errno of the failed write; 0 on success or when it would block.
+ */
 int
 conn_write_some(struct conn *c)
 {
@@ -179,24 +182,25 @@
 		    conn_output_bytes(c), MSG_NOSIGNAL);
 		if (n < 0)
 			return errno == EAGAIN || errno == EINTR ? 0 : errno;
-		conn_wrote(c, (size_t)n);
+		conn_on_sent(c, (size_t)n);
 	}
 	return 0;
 }
 
 static void
-conn_shut_when_empty(struct conn *c)
+conn_shut_write(struct conn *c)
 {
-	if (c->state != CONN_FINISHING || c->shut || conn_output_bytes(c) > 0)
+	if (c->state != CONN_FINISHING || c->write_shut ||
+	    conn_output_bytes(c) > 0)
 		return;
-	c->shut = true;
+	c->write_shut = true;
 	c->output_deadline_ms = conn_stall_deadline_ms(c);
 	(void)shutdown(c->fd, SHUT_WR);
 	conn_rearm(c);
 }
 
 static void
-conn_tell_writable(struct conn *c)
+conn_notify_writable(struct conn *c)
 {
 	if (c->state != CONN_OPEN || !c->above_low ||
 	    conn_output_bytes(c) > c->options.output_low_bytes)
@@ -216,8 +220,8 @@
 		return;
 	}
 	conn_watch(c);
-	conn_shut_when_empty(c);
-	conn_tell_writable(c);
+	conn_shut_write(c);
+	conn_notify_writable(c);
 }
 
 static bool
@@ -232,14 +236,13 @@
 {
 	if (len >= c->options.frame_max_bytes)
 		return status_set(STATUS_TOO_LARGE,
-		    "A frame of %zu bytes is above the limit of %u; send it "
-		    "in pieces.",
+		    "A frame of %zu bytes exceeds the limit of %u; split it.",
 		    len + 1, c->options.frame_max_bytes);
 	if (!conn_has_room(c, len)) {
 		c->above_low = true;
 		return status_set(STATUS_OVERLOADED,
-		    "%zu bytes wait to be sent to this peer; hold back until "
-		    "it has taken some.",
+		    "%zu bytes are queued for this peer; wait until the queue "
+		    "has drained.",
 		    conn_output_bytes(c));
 	}
 	if (c->state == CONN_OPEN && conn_output_bytes(c) == 0)
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -1,5 +1,5 @@
 /*
- * HTTP client: calls, their order, and the connections that they get.
+ * HTTP client: queueing of calls and their assignment to connections.
  */
 #include <string.h>
 
@@ -23,7 +23,7 @@
 				  : &call->client->waiting;
 }
 
-/* Takes a call off its connection, which is closed if it is in use. */
+/* Removes a call from its queue and closes its connection, if any. */
 static void
 call_detach(struct http_call *call)
 {
@@ -49,12 +49,12 @@
 }
 
 void
-http_call_again(struct http_call *call)
+http_call_retry(struct http_call *call)
 {
 	struct http_client *client = call->client;
 
 	call_detach(call);
-	call->fresh = true;
+	call->new_conn_only = true;
 	call->answered = false;
 	g_queue_push_head_link(&client->waiting, &call->link);
 	loop_task_defer(&client->task);
@@ -67,14 +67,14 @@
 
 	http_call_end(call,
 	    status_set(STATUS_TIMEOUT,
-		"The HTTP call was not complete by its deadline; the other "
-		"side is slow or silent."));
+		"The HTTP call did not complete before its deadline; the "
+		"server is slow or does not answer."));
 }
 
-/* Connections for calls */
+/* Assignment of connections */
 
 static bool
-may_dial(const struct http_client *client, struct net_addr to)
+can_dial(const struct http_client *client, struct net_addr to)
 {
 	uint32_t open = client->conns.length + client->idle.length;
 
@@ -82,9 +82,9 @@
 	    http_conn_count(client, to) < client->options.conns_per_host_max;
 }
 
-/* An idle connection to elsewhere makes room for a new one. */
+/* At the limit, closes the least recently used idle connection. */
 static void
-make_room(struct http_client *client)
+close_idle_conn(struct http_client *client)
 {
 	uint32_t open = client->conns.length + client->idle.length;
 
@@ -92,16 +92,16 @@
 		http_conn_close(g_queue_peek_head(&client->idle));
 }
 
-/* Returns whether the call has got a connection. */
+/* Returns whether a connection was assigned to the call. */
 static bool
-call_place(struct http_call *call)
+call_assign_conn(struct http_call *call)
 {
 	struct http_client *client = call->client;
-	struct http_conn *c = call->fresh ? NULL : http_conn_find(call);
+	struct http_conn *c = call->new_conn_only ? NULL : http_conn_find(call);
 
 	if (c == NULL) {
-		make_room(client);
-		if (!may_dial(client, call->to))
+		close_idle_conn(client);
+		if (!can_dial(client, call->to))
 			return false;
 	}
 	g_queue_unlink(&client->waiting, &call->link);
@@ -114,7 +114,7 @@
 }
 
 static void
-client_reap(struct http_client *client)
+client_free_ended(struct http_client *client)
 {
 	GList *link;
 
@@ -130,32 +130,32 @@
 	struct http_client *client = arg;
 	GList *l, *next;
 
-	client_reap(client);
+	client_free_ended(client);
 	for (l = client->waiting.head; l != NULL; l = next) {
 		next = l->next;
-		/* One whose task is due has not been started yet. */
+		/* A call with a pending task has not been started yet. */
 		if (!((struct http_call *)l->data)->task.pending)
-			(void)call_place(l->data);
+			(void)call_assign_conn(l->data);
 	}
 }
 
 /* Calls */
 
-/* Starts the call in its first run, and takes it up again later. */
+/* Starts the call on the first run and resumes it on later ones. */
 static void
 call_on_task(void *arg)
 {
 	struct http_call *call = arg;
 
-	if (call->refused != STATUS_OK)
+	if (call->setup_status != STATUS_OK)
 		http_call_end(
-		    call, status_set(call->refused, "%s", call->error));
+		    call, status_set(call->setup_status, "%s", call->error));
 	else if (call->deadline.deadline_ms <= loop_now_ms(call->client->loop))
 		call_on_deadline(call);
 	else if (call->conn != NULL)
-		http_conn_pump(call->conn);
+		http_conn_resume(call->conn);
 	else
-		(void)call_place(call);
+		(void)call_assign_conn(call);
 }
 
 struct http_call *
@@ -174,15 +174,15 @@
 	loop_task_init(&call->task, client->loop, call_on_task, call);
 	loop_timer_set(&call->deadline, request->deadline_ms);
 	loop_task_defer(&call->task);
-	call->refused = http_call_setup(call, request);
-	if (call->refused != STATUS_OK)
+	call->setup_status = http_call_setup(call, request);
+	if (call->setup_status != STATUS_OK)
 		(void)g_strlcpy(
 		    call->error, status_message(), sizeof(call->error));
 	return call;
 }
 
 void
-http_call_put_off(struct http_call *call, uint64_t deadline_ms)
+http_call_set_deadline(struct http_call *call, uint64_t deadline_ms)
 {
 	if (!call->cancelled)
 		loop_timer_set(&call->deadline, deadline_ms);
@@ -224,7 +224,7 @@
 	return client->idle.length;
 }
 
-/* The client */
+/* Client */
 
 struct http_client *
 http_client_new(struct loop *loop, const struct http_client_options *options)
@@ -257,7 +257,7 @@
 		http_conn_close(client->conns.head->data);
 	while (client->idle.head != NULL)
 		http_conn_close(client->idle.head->data);
-	client_reap(client);
+	client_free_ended(client);
 	loop_task_cancel(&client->task);
 	g_free(client);
 }
--- a/packages/net/src/http_call.c
+++ b/packages/net/src/http_call.c
@@ -1,5 +1,5 @@
 /*
- * A request of the HTTP client: is it sound, and how does its head read.
+ * HTTP client: validation of a request and formatting of its head.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #define URL_SCHEME "http://"
 #define HTTP_PORT 80
 
-/* Headers that the client writes itself. */
+/* Headers that the client sets itself. */
 static const char *const own_headers[] = {
     "Connection", "Content-Length", "Expect", "Host", "Transfer-Encoding"};
 
@@ -54,7 +54,10 @@
 	return st;
 }
 
-/* Splits a URL into where it leads and the path, which stays in @url. */
+/*
+ * Splits a URL into address, host and path.  @path points into @url; the
+ * caller frees @host.
+ */
 static enum status
 read_url(const char *url, struct net_addr *to, char **host, const char **path)
 {
@@ -85,7 +88,7 @@
 	add(call, "\r\n");
 }
 
-/* The host that the request names, else that of its address. */
+/* Value of the request's Host header, else the URL's authority. */
 static const char *
 host_of(const struct http_request *r, const char *authority)
 {
@@ -108,8 +111,8 @@
 		h = &r->headers[i];
 		if (!http_is_token(h->name) || !is_value(h->value))
 			return status_set(STATUS_INVALID,
-			    "A header's name or value can't be sent; leave "
-			    "out line breaks and spaces in names.");
+			    "A header's name or value is invalid; remove line "
+			    "breaks, and spaces in names.");
 		if (!is_own(h->name))
 			add_line(call, h->name, h->value);
 	}
@@ -181,8 +184,8 @@
 	    read_url(r->url, &call->to, &host, &path) != STATUS_OK) {
 		g_free(host);
 		return status_set(STATUS_INVALID,
-		    "A method or URL can't be sent; give an address by its "
-		    "number and percent-encode the path.");
+		    "A method or URL is invalid; give the host as an IPv4 "
+		    "address and percent-encode the path.");
 	}
 	st = write_head(call, r, host_of(r, host), path);
 	g_free(host);
--- a/packages/net/src/http_server.c
+++ b/packages/net/src/http_server.c
@@ -1,5 +1,5 @@
 /*
- * HTTP server: the listening socket and the set of connections.
+ * HTTP server: listening socket and connections.
  */
 #include <errno.h>
 #include <string.h>
@@ -10,13 +10,13 @@
 #include "sock.h"
 
 #define SERVER_BACKLOG 1024
-/* Connections accepted in one turn before others run. */
-#define SERVER_TURN 64
-/* Pause when the process has no descriptor left. */
+/* Connections accepted per turn before other descriptors are served. */
+#define SERVER_ACCEPTS_PER_TURN 64
+/* Pause of accepting when descriptors or memory have run out. */
 #define SERVER_PAUSE_MS 100
 
 static void
-reap(void *arg)
+free_closed(void *arg)
 {
 	struct http_server *s = arg;
 	GList *link;
@@ -53,7 +53,7 @@
 	int fd, i;
 
 	(void)ready;
-	for (i = 0; i < SERVER_TURN; i++) {
+	for (i = 0; i < SERVER_ACCEPTS_PER_TURN; i++) {
 		len = sizeof(sin);
 		fd = accept4(s->fd, (struct sockaddr *)&sin, &len,
 		    SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -115,7 +115,7 @@
 	s->handler = handler;
 	s->arg = arg;
 	loop_timer_init(&s->pause, loop, on_pause_end, s);
-	loop_task_init(&s->task, loop, reap, s);
+	loop_task_init(&s->task, loop, free_closed, s);
 	http_server_limits_set(s, limits);
 	st = sock_bind(SOCK_STREAM, at, &s->fd);
 	if (st == STATUS_OK)
@@ -129,10 +129,10 @@
 }
 
 void
-http_server_refuse(struct http_server *s)
+http_server_drop_new_conns(struct http_server *s)
 {
 	if (s->fd >= 0)
-		sock_refuse_new(s->fd);
+		sock_drop_new_conns(s->fd);
 }
 
 void
@@ -156,7 +156,7 @@
 	while (s->conns.head != NULL)
 		http_incoming_close(s->conns.head->data, false);
 	loop_task_cancel(&s->task);
-	reap(s);
+	free_closed(s);
 	g_free(s);
 }
 
@@ -172,9 +172,9 @@
 	return s->conns.length;
 }
 
-/* Whether the system holds bytes that are not read yet. */
+/* Whether the socket has unread data. */
 static bool
-has_bytes(const struct http_incoming *q)
+has_unread_bytes(const struct http_incoming *q)
 {
 	char byte;
 
@@ -191,7 +191,7 @@
 	for (l = s->conns.head; now && l != NULL; l = next) {
 		next = l->next;
 		q = l->data;
-		if (q->state == INCOMING_IDLE && !has_bytes(q))
+		if (q->state == INCOMING_IDLE && !has_unread_bytes(q))
 			http_incoming_close(q, false);
 	}
 }
--- a/packages/net/src/sock.c
+++ b/packages/net/src/sock.c
@@ -12,7 +12,7 @@
 
 #include "sock.h"
 
-/* Where a TCP header has its flags, and the flag that opens a connection. */
+/* Offset of the flags in a TCP header, and the SYN flag. */
 #define TCP_FLAGS_OFFSET 13
 #define TCP_FLAG_SYN_BIT 0x02
 
@@ -68,8 +68,8 @@
 	if (*fd >= 0 && sock_bind_fd(*fd, at) == 0)
 		return STATUS_OK;
 	st = status_set(STATUS_IO,
-	    "Can't bind %s: %s; choose another address or port, or stop who "
-	    "has it.",
+	    "Can't bind %s: %s; choose another address or port, or stop the "
+	    "process that uses it.",
 	    addr_format(&at, text), strerror(errno));
 	if (*fd >= 0)
 		(void)close(*fd);
@@ -77,8 +77,8 @@
 	return st;
 }
 
-/* Drops the first segment of each new connection; offsets are TCP's. */
-static struct sock_filter no_syn[] = {
+/* Drops segments with the SYN flag; offsets are relative to the TCP header. */
+static struct sock_filter drop_syn[] = {
     BPF_STMT(BPF_LD | BPF_B | BPF_ABS, TCP_FLAGS_OFFSET),
     BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, TCP_FLAG_SYN_BIT, 0, 1),
     BPF_STMT(BPF_RET | BPF_K, 0),
@@ -86,10 +86,10 @@
 };
 
 void
-sock_refuse_new(int fd)
+sock_drop_new_conns(int fd)
 {
 	const struct sock_fprog program = {
-	    .len = G_N_ELEMENTS(no_syn), .filter = no_syn};
+	    .len = G_N_ELEMENTS(drop_syn), .filter = drop_syn};
 
 	(void)setsockopt(
 	    fd, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof(program));
--- a/packages/net/src/udp.c
+++ b/packages/net/src/udp.c
@@ -1,5 +1,5 @@
 /*
- * Datagram socket.
+ * UDP socket.
  */
 #include <errno.h>
 #include <string.h>
@@ -9,8 +9,8 @@
 #include "net/udp.h"
 #include "sock.h"
 
-/* Datagrams read in one turn before others run. */
-#define UDP_TURN 128
+/* Datagrams read per turn before other descriptors are served. */
+#define UDP_DATAGRAMS_PER_TURN 128
 
 struct udp {
 	struct loop_fd *watch;
@@ -32,7 +32,7 @@
 }
 
 static void
-udp_take(struct udp *u, const struct sockaddr_in *sin, const uint8_t *data,
+udp_deliver(struct udp *u, const struct sockaddr_in *sin, const uint8_t *data,
     size_t len)
 {
 	udp_count(u->options.received_bytes, (int64_t)len);
@@ -55,12 +55,12 @@
 	int i;
 
 	(void)ready;
-	for (i = 0; i < UDP_TURN; i++) {
+	for (i = 0; i < UDP_DATAGRAMS_PER_TURN; i++) {
 		sin_len = sizeof(sin);
 		n = recvfrom(u->fd, data, sizeof(data), 0,
 		    (struct sockaddr *)&sin, &sin_len);
 		if (n >= 0)
-			udp_take(u, &sin, data, (size_t)n);
+			udp_deliver(u, &sin, data, (size_t)n);
 		else if (errno == EAGAIN)
 			return;
 	}
@@ -110,7 +110,7 @@
 
 	if (len + sizeof(type) > UDP_MAX_BYTES)
 		return status_set(STATUS_TOO_LARGE,
-		    "A datagram of %zu bytes is above the limit of %d; send "
+		    "A datagram of %zu bytes exceeds the limit of %d; send "
 		    "less or use a connection.",
 		    len + sizeof(type), UDP_MAX_BYTES);
 	msg.msg_name = &sin;
--- a/packages/node/src/callers.c
+++ b/packages/node/src/callers.c
@@ -95,7 +95,7 @@
 {
 	struct callers *c = arg;
 
-	http_server_refuse(c->server);
+	http_server_drop_new_conns(c->server);
 	on_refresh(c);
 }
 
--- a/packages/proto/src/frame.c
+++ b/packages/proto/src/frame.c
@@ -1,13 +1,13 @@
 /*
- * Envelopes of messages, and the reader that cuts a byte stream.
+ * Framing of messages, and the reader that splits a byte stream into frames.
  */
 #include <string.h>
 
 #include "proto/frame.h"
 
-#define READER_LEAST_BYTES 4096
+#define READER_MIN_BYTES 4096
 
-/* An idle reader gives up a buffer that a large frame has made larger. */
+/* A reader without data frees a buffer that is larger than this. */
 #define READER_KEEP_BYTES (64U << 10)
 
 void
@@ -24,9 +24,9 @@
 datagram_append(
     GByteArray *out, enum msg_type type, const uint8_t *body, size_t body_len)
 {
-	uint8_t first = (uint8_t)type;
+	uint8_t type_byte = (uint8_t)type;
 
-	(void)g_byte_array_append(out, &first, sizeof(first));
+	(void)g_byte_array_append(out, &type_byte, sizeof(type_byte));
 	(void)g_byte_array_append(out, body, (guint)body_len);
 }
 
@@ -35,7 +35,7 @@
 {
 	if (len == 0)
 		return status_set(STATUS_INVALID,
-		    "A datagram is empty; the peer may be no node at all.");
+		    "A datagram is empty; the sender may not be a node.");
 	frame->type = data[0];
 	frame->body = data + 1;
 	frame->body_len = len - 1;
@@ -56,17 +56,17 @@
 	memset(r, 0, sizeof(*r));
 }
 
-/* Move what is left to the front, and shrink an empty large buffer. */
+/* Moves unread bytes to the front, and frees a large buffer that is empty. */
 static void
 reader_compact(struct frame_reader *r)
 {
-	size_t held = r->end - r->start;
+	size_t unread = r->end - r->start;
 
-	if (held > 0 && r->start > 0)
-		memmove(r->buffer, r->buffer + r->start, held);
+	if (unread > 0 && r->start > 0)
+		memmove(r->buffer, r->buffer + r->start, unread);
 	r->start = 0;
-	r->end = held;
-	if (held == 0 && r->capacity > READER_KEEP_BYTES) {
+	r->end = unread;
+	if (unread == 0 && r->capacity > READER_KEEP_BYTES) {
 		g_free(r->buffer);
 		r->buffer = NULL;
 		r->capacity = 0;
@@ -82,7 +82,7 @@
 	need = r->end + want;
 	if (need > r->capacity) {
 		r->capacity = MAX(need, 2 * r->capacity);
-		r->capacity = MAX(r->capacity, READER_LEAST_BYTES);
+		r->capacity = MAX(r->capacity, READER_MIN_BYTES);
 		r->buffer = g_realloc(r->buffer, r->capacity);
 	}
 	return r->buffer + r->end;
@@ -107,17 +107,17 @@
 enum frame_result
 frame_reader_next(struct frame_reader *r, struct frame *frame)
 {
-	size_t held = r->end - r->start;
+	size_t unread = r->end - r->start;
 	uint32_t len;
 
-	if (held < FRAME_LENGTH_BYTES)
+	if (unread < FRAME_LENGTH_BYTES)
 		return FRAME_NONE;
 	memcpy(&len, r->buffer + r->start, sizeof(len));
 	len = GUINT32_FROM_BE(len);
-	/* Nothing is taken out, so that the answer stays the same for good. */
+	/* The bytes stay in the buffer, so that later calls fail as well. */
 	if (len == 0 || len > r->max_bytes)
 		return FRAME_BAD;
-	if (held - FRAME_LENGTH_BYTES < len)
+	if (unread - FRAME_LENGTH_BYTES < len)
 		return FRAME_NONE;
 	frame->type = r->buffer[r->start + FRAME_LENGTH_BYTES];
 	frame->body = r->buffer + r->start + FRAME_HEADER_BYTES;
--- a/packages/proto/src/settings.c
+++ b/packages/proto/src/settings.c
@@ -1,5 +1,5 @@
 /*
- * Settings, read by jansson and checked against the generated table.
+ * Settings, parsed with jansson and validated against the generated table.
  */
 #include <stdbool.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 #define MS_PER_S 1000
 
-/* A parse in progress: the file's name and where errors go. */
+/* Context of a parse: the file's name and the list of errors. */
 struct parse {
 	const char *file;
 	GPtrArray *errors;
@@ -86,7 +86,7 @@
 	}
 }
 
-/* "1500ms" or "2.5s"; negative when it is no time. */
+/* Parses a time like "1500ms" or "2.5s"; returns -1 if it is invalid. */
 static json_int_t
 time_ms(const char *text)
 {
@@ -101,7 +101,7 @@
 }
 
 static int
-take_number(struct settings *s, const struct settings_key *k, const json_t *v)
+set_number(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	bool is_time = json_is_string(v) && g_str_has_suffix(k->name, "_ms");
 	bool is_rate = json_is_real(v) && g_str_has_suffix(k->name, "_mbps");
@@ -115,15 +115,15 @@
 	return 1;
 }
 
-/* A port alone, or with an address, of which only the port counts. */
+/* Accepts a port, or an address with a port, of which only the port is used. */
 static int
-take_port(struct settings *s, const struct settings_key *k, const json_t *v)
+set_port(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	const char *text = json_string_value(v);
 	struct net_addr addr;
 
 	if (text == NULL)
-		return take_number(s, k, v);
+		return set_number(s, k, v);
 	if (addr_parse(text, &addr) != STATUS_OK || addr.port == 0)
 		return 0;
 	store_number(s, k, addr.port);
@@ -131,7 +131,7 @@
 }
 
 static int
-take_choice(struct settings *s, const struct settings_key *k, const char *text)
+set_choice(struct settings *s, const struct settings_key *k, const char *text)
 {
 	uint32_t i;
 
@@ -145,7 +145,7 @@
 }
 
 static int
-take_name(struct settings *s, const struct settings_key *k, const char *text)
+set_name(struct settings *s, const struct settings_key *k, const char *text)
 {
 	size_t len = strlen(text);
 
@@ -158,7 +158,7 @@
 }
 
 static int
-take_service(struct settings *s, const struct settings_key *k, const char *text)
+set_service(struct settings *s, const struct settings_key *k, const char *text)
 {
 	size_t len = strlen(text);
 
@@ -169,7 +169,7 @@
 }
 
 static int
-take_url(struct settings *s, const struct settings_key *k, const char *text)
+set_url(struct settings *s, const struct settings_key *k, const char *text)
 {
 	const char *host = strstr(text, "://");
 	size_t i, len = strlen(text);
@@ -186,9 +186,9 @@
 	return 1;
 }
 
-/* An address that peers can use; 0.0.0.0 tells them nothing. */
+/* Rejects 0.0.0.0, to which peers cannot connect. */
 static int
-take_ipv4(struct settings *s, const struct settings_key *k, const char *text)
+set_ipv4(struct settings *s, const struct settings_key *k, const char *text)
 {
 	uint32_t ip;
 
@@ -199,8 +199,7 @@
 }
 
 static int
-take_addresses(
-    struct settings *s, const struct settings_key *k, const json_t *v)
+set_addresses(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	struct net_addr *list = field(s, k->offset);
 	uint32_t n = (uint32_t)json_array_size(v);
@@ -220,7 +219,7 @@
 }
 
 static int
-take_texts(struct settings *s, const struct settings_key *k, const json_t *v)
+set_texts(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	char(*list)[SETTINGS_TEXT_BYTES] = field(s, k->offset);
 	uint32_t n = (uint32_t)json_array_size(v);
@@ -240,31 +239,31 @@
 	return 1;
 }
 
-/* Take a value in; 0 when it isn't what the key takes. */
+/* Stores a value; returns 0 when the value is not valid for the key. */
 static int
-take_value(struct settings *s, const struct settings_key *k, const json_t *v)
+set_value(struct settings *s, const struct settings_key *k, const json_t *v)
 {
 	const char *text = json_string_value(v);
 
 	switch (k->type) {
 	case SETTINGS_PORT:
-		return take_port(s, k, v);
+		return set_port(s, k, v);
 	case SETTINGS_NUMBER:
-		return take_number(s, k, v);
+		return set_number(s, k, v);
 	case SETTINGS_TEXTS:
-		return take_texts(s, k, v);
+		return set_texts(s, k, v);
 	case SETTINGS_SERVICE:
-		return text != NULL && take_service(s, k, text);
+		return text != NULL && set_service(s, k, text);
 	case SETTINGS_ADDRESSES:
-		return take_addresses(s, k, v);
+		return set_addresses(s, k, v);
 	case SETTINGS_CHOICE:
-		return text != NULL && take_choice(s, k, text);
+		return text != NULL && set_choice(s, k, text);
 	case SETTINGS_NAME:
-		return text != NULL && take_name(s, k, text);
+		return text != NULL && set_name(s, k, text);
 	case SETTINGS_URL:
-		return text != NULL && take_url(s, k, text);
+		return text != NULL && set_url(s, k, text);
 	case SETTINGS_IPV4:
-		return text != NULL && take_ipv4(s, k, text);
+		return text != NULL && set_ipv4(s, k, text);
 	}
 	return 0;
 }
@@ -274,17 +273,17 @@
     const json_t *root)
 {
 	const json_t *v = json_object_get(root, k->name);
-	char *shown;
+	char *dumped;
 
 	if (v == NULL && k->required)
 		add_error(p, "key \"%s\" is missing: expected %s; %s.", k->name,
 		    k->expected, k->remedy);
-	if (v == NULL || take_value(s, k, v))
+	if (v == NULL || set_value(s, k, v))
 		return;
-	shown = json_dumps(v, JSON_ENCODE_ANY | JSON_COMPACT);
+	dumped = json_dumps(v, JSON_ENCODE_ANY | JSON_COMPACT);
 	add_error(p, "key \"%s\" is %.80s: expected %s; %s.", k->name,
-	    shown != NULL ? shown : "?", k->expected, k->remedy);
-	free(shown);
+	    dumped != NULL ? dumped : "?", k->expected, k->remedy);
+	free(dumped);
 }
 
 static const char *
@@ -296,19 +295,19 @@
 static void
 check_unknown(struct parse *p, json_t *root)
 {
-	const char *name, *near;
+	const char *name, *nearest;
 	json_t *v;
 
 	json_object_foreach(root, name, v)
 	{
-		near = suggest_nearest(name, key_name, n_settings_keys);
-		if (near != NULL && strcmp(near, name) == 0)
+		nearest = suggest_nearest(name, key_name, n_settings_keys);
+		if (nearest != NULL && strcmp(nearest, name) == 0)
 			continue;
-		if (near != NULL)
+		if (nearest != NULL)
 			add_error(p,
 			    "key \"%.80s\" is unknown: rename it to \"%s\", "
 			    "or remove it.",
-			    name, near);
+			    name, nearest);
 		else
 			add_error(p,
 			    "key \"%.80s\" is unknown: remove it; the known "
@@ -317,9 +316,9 @@
 	}
 }
 
-/* What no key can tell by itself. */
+/* Checks rules that involve several keys. */
 static void
-check_whole(struct parse *p, const struct settings *s)
+check_consistency(struct parse *p, const struct settings *s)
 {
 	const struct {
 		const char *key;
@@ -331,7 +330,7 @@
 	size_t n = G_N_ELEMENTS(ports);
 	size_t a, b;
 
-	/* The last two are used by adapters only. */
+	/* The last two ports are used only with an adapter. */
 	if (s->adapter == SETTINGS_ADAPTER_NONE)
 		n -= 2;
 
@@ -345,7 +344,8 @@
 	if (s->probe_timeout_ms >= s->probe_interval_ms)
 		add_error(p,
 		    "key \"probe_timeout_ms\" is %u: expected less than "
-		    "probe_interval_ms, which is %u; lower it or raise that.",
+		    "probe_interval_ms, which is %u; lower the first or raise "
+		    "the second.",
 		    s->probe_timeout_ms, s->probe_interval_ms);
 }
 
@@ -356,7 +356,8 @@
 	    e->line, e->column, e->text, remedy);
 }
 
-/* Parse the text; a key that stands twice is an error that doesn't end it. */
+/* Parses the JSON.  After a duplicate key parsing continues, so that the other
+ * errors are reported too. */
 static json_t *
 parse_object(struct parse *p, const char *text, size_t len)
 {
@@ -369,20 +370,20 @@
 		root = json_loadb(text, len, 0, &e);
 	}
 	if (root == NULL) {
-		add_syntax_error(p, &e, "mend the JSON there");
+		add_syntax_error(p, &e, "correct the JSON at this position");
 		return NULL;
 	}
 	if (json_is_object(root))
 		return root;
 	json_decref(root);
 	add_error(p,
-	    "the whole is no object: expected a JSON object; put the "
-	    "keys between { and }.");
+	    "the top level is not an object: expected a JSON object; "
+	    "enclose the keys in { and }.");
 	return NULL;
 }
 
 static enum status
-finish(const struct parse *p, guint n_before)
+parse_status(const struct parse *p, guint n_before)
 {
 	guint n = p->errors->len - n_before;
 
@@ -404,7 +405,7 @@
 	check_unknown(p, root);
 	for (i = 0; i < n_settings_keys; i++)
 		check_key(p, s, &settings_keys[i], root);
-	check_whole(p, s);
+	check_consistency(p, s);
 	json_decref(root);
 }
 
@@ -421,7 +422,7 @@
 	n_before = p.errors->len;
 	set_defaults(s);
 	parse_into(&p, text, len, s);
-	st = finish(&p, n_before);
+	st = parse_status(&p, n_before);
 	g_ptr_array_unref(p.errors);
 	return st;
 }
--- a/packages/proto/test/fuzz_proto.c
+++ b/packages/proto/test/fuzz_proto.c
@@ -1,7 +1,8 @@
 /*
- * Fuzz: altered encodings into every decoder, from a fixed seed.
+ * Fuzz test: mutated encodings as input of every decoder.
  *
- * Each run does the same cases.  BRAMLEY_FUZZ_SEED starts elsewhere.
+ * The seed is fixed, so that each run tests the same cases; BRAMLEY_FUZZ_SEED
+ * sets another seed.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,7 +20,7 @@
 #define CASES_PER_MESSAGE 2000
 #define STREAM_CASES 3000
 #define SETTINGS_CASES 10000
-#define ALTERATIONS_MAX 4
+#define MUTATIONS_MAX 4
 #define STREAM_MAX_BYTES 64
 
 static GRand *
@@ -33,25 +34,26 @@
 	return g_rand_new_with_seed((guint32)seed);
 }
 
-/* First bytes and sizes at which decoders are known to go wrong. */
-static const uint8_t telling_bytes[] = {0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90,
+/* First bytes and sizes at the boundaries of msgpack formats, where decoders
+ * are prone to faults. */
+static const uint8_t boundary_bytes[] = {0x00, 0x01, 0x7f, 0x80, 0x8f, 0x90,
     0x9f, 0xa0, 0xbf, 0xc0, 0xc1, 0xc4, 0xc6, 0xc7, 0xca, 0xcf, 0xd3, 0xd9,
     0xdb, 0xdc, 0xdd, 0xde, 0xdf, 0xe0, 0xff};
 
 static uint8_t
-any_byte(GRand *rand)
+random_byte(GRand *rand)
 {
 	if (g_rand_boolean(rand))
 		return (uint8_t)g_rand_int(rand);
-	return telling_bytes[g_rand_int_range(
-	    rand, 0, (gint32)G_N_ELEMENTS(telling_bytes))];
+	return boundary_bytes[g_rand_int_range(
+	    rand, 0, (gint32)G_N_ELEMENTS(boundary_bytes))];
 }
 
 static void
-alter_once(GByteArray *data, GRand *rand)
+mutate_once(GByteArray *data, GRand *rand)
 {
 	guint at = (guint)g_rand_int_range(rand, 0, (gint32)data->len + 1);
-	uint8_t b = any_byte(rand);
+	uint8_t b = random_byte(rand);
 	guint n;
 
 	switch (g_rand_int_range(rand, 0, 4)) {
@@ -78,15 +80,15 @@
 }
 
 static void
-alter(GByteArray *data, GRand *rand)
+mutate(GByteArray *data, GRand *rand)
 {
-	int n = g_rand_int_range(rand, 1, ALTERATIONS_MAX + 1);
+	int n = g_rand_int_range(rand, 1, MUTATIONS_MAX + 1);
 
 	while (n-- > 0)
-		alter_once(data, rand);
+		mutate_once(data, rand);
 }
 
-/* A copy of the exact size, so that a sanitizer sees each byte too many. */
+/* A copy of the exact size, so that a sanitizer detects reads past the end. */
 static uint8_t *
 exact_copy(const GByteArray *data)
 {
@@ -104,7 +106,7 @@
 		ck_assert_mem_eq(a->data, b->data, a->len);
 }
 
-/* What the check takes, the library unpacks. */
+/* The library must unpack all data that proto_check() accepts. */
 static void
 check_agrees(const uint8_t *data, size_t len)
 {
@@ -121,7 +123,7 @@
 	msgpack_unpacked_destroy(&un);
 }
 
-/* What is decoded from altered bytes is a message: it goes there and back. */
+/* A message decoded from mutated bytes must survive a round trip. */
 static void
 decode_case(
     const struct codec_desc *desc, const uint8_t *data, size_t len, void *obj)
@@ -156,7 +158,7 @@
 
 	for (n = 0; n < CASES_PER_MESSAGE; n++) {
 		data = sample_encoded(desc, rand);
-		alter(data, rand);
+		mutate(data, rand);
 		copy = exact_copy(data);
 		decode_case(desc, copy, data->len, obj);
 		g_free(copy);
@@ -178,11 +180,11 @@
 END_TEST
 
 /*
- * Naive version of the reader: looks at the whole stream.  Appends type and
- * body of each frame to @out, and says whether the stream went wrong.
+ * Reference implementation of the reader with the whole stream in memory.
+ * Appends type and body of each frame to @out; returns 1 at an invalid length.
  */
 static int
-naive_read(const uint8_t *p, size_t left, GByteArray *out)
+reference_read(const uint8_t *p, size_t left, GByteArray *out)
 {
 	size_t len;
 
@@ -202,7 +204,7 @@
 }
 
 static int
-pieces_read(const GByteArray *stream, GRand *rand, GByteArray *out)
+chunked_read(const GByteArray *stream, GRand *rand, GByteArray *out)
 {
 	enum frame_result result = FRAME_NONE;
 	struct frame_reader r;
@@ -222,7 +224,7 @@
 }
 
 static GByteArray *
-any_stream(GRand *rand)
+random_stream(GRand *rand)
 {
 	GByteArray *stream = g_byte_array_new();
 	uint8_t body[STREAM_MAX_BYTES + 2] = {0};
@@ -232,7 +234,7 @@
 		frame_append(stream, MSG_PING, body,
 		    (size_t)g_rand_int_range(rand, 0, STREAM_MAX_BYTES));
 	if (g_rand_boolean(rand))
-		alter(stream, rand);
+		mutate(stream, rand);
 	return stream;
 }
 
@@ -243,11 +245,12 @@
 	int n;
 
 	for (n = 0; n < STREAM_CASES; n++) {
-		stream = any_stream(rand);
+		stream = random_stream(rand);
 		want = g_byte_array_new();
 		got = g_byte_array_new();
-		ck_assert_int_eq(naive_read(stream->data, stream->len, want),
-		    pieces_read(stream, rand, got));
+		ck_assert_int_eq(
+		    reference_read(stream->data, stream->len, want),
+		    chunked_read(stream, rand, got));
 		assert_same(want, got);
 		g_byte_array_unref(want);
 		g_byte_array_unref(got);
@@ -263,7 +266,8 @@
     "\"object_url\":\"http://127.0.0.1:2\",\"seeds\":[\"10.0.0.1:1\"],"
     "\"profile\":\"crew\",\"peer_port\":7000,\"drain_ms\":5000}";
 
-/* Right exactly when there is no error; and what is right prints and reads. */
+/* The status is STATUS_OK exactly if there are no errors; valid settings can be
+ * printed and parsed again. */
 static void
 settings_case(const uint8_t *text, size_t len)
 {
@@ -296,7 +300,7 @@
 		(void)g_byte_array_append(text, (const guint8 *)settings_text,
 		    sizeof(settings_text) - 1);
 		if (n > 0)
-			alter(text, rand);
+			mutate(text, rand);
 		copy = exact_copy(text);
 		settings_case(copy, text->len);
 		g_free(copy);
--- a/packages/proto/test/test_settings.c
+++ b/packages/proto/test/test_settings.c
@@ -1,5 +1,5 @@
 /*
- * Settings: defaults, and each kind of error with its remedy.
+ * Tests of settings: defaults, and each kind of error with its remedy.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +12,7 @@
 
 #include "test_run.h"
 
-/* The required keys; a row of the table adds to them. */
+/* The required keys, to which the rows of the table add others. */
 #define REQUIRED                                                \
 	"\"host\":\"h1\",\"data_centre\":\"grandahus\","        \
 	"\"region\":\"hofudsvaedi\",\"address\":\"127.0.0.2\"," \
@@ -61,7 +61,7 @@
 }
 END_TEST
 
-/* What the file has besides the required keys, and the words of the error. */
+/* Text of a settings file, and phrases that the first error must contain. */
 struct error_row {
 	const char *text;
 	const char *words[3];
@@ -94,7 +94,7 @@
     {"{" REQUIRED ",\"probe_interval_ms\":200}",
 	{"\"probe_timeout_ms\" is 300", "less than probe_interval_ms"}},
     {"{" REQUIRED ",\"upstream_service\":\"a b\"}",
-	{"\"upstream_service\" is \"a b\"", "1 to 31 bytes without blanks"}},
+	{"\"upstream_service\" is \"a b\"", "1 to 31 bytes without spaces"}},
     {"{" REQUIRED ",\"upstream_service\":\"a/b\"}",
 	{"\"upstream_service\" is \"a/b\""}},
     {"{" REQUIRED ",\"upstream_service\":\"aaaaaaaaaaaaaaaabbbbbbbbbbbbbbbb\"}",
@@ -102,14 +102,15 @@
     {"{" REQUIRED ",\"host\":\"h2\"}",
 	{"duplicate object key near '\"host\"'", "remove one of the two"}},
     {"{" REQUIRED ",\"host\":\"H2\"}", {"duplicate object key"}},
-    {"{" REQUIRED ",}", {"line 1, column", "expected a JSON object", "mend"}},
-    {"{" REQUIRED, {"line 1, column", "mend the JSON there"}},
-    {"", {"line 1, column", "mend"}},
-    {"[1]", {"the whole is no object", "between { and }"}},
+    {"{" REQUIRED ",}",
+	{"line 1, column", "expected a JSON object", "correct the JSON"}},
+    {"{" REQUIRED, {"line 1, column", "correct the JSON at this position"}},
+    {"", {"line 1, column", "correct the JSON"}},
+    {"[1]", {"the top level is not an object", "in { and }"}},
 };
 
-/* Rates are told with a fraction by some; it counts for nothing. */
-START_TEST(a_rate_may_have_a_fraction)
+/* Some tools write rates with a fraction, which is dropped. */
+START_TEST(fraction_of_a_rate_is_dropped)
 {
 	struct settings s;
 
@@ -142,12 +143,13 @@
 	for (i = 0; i < G_N_ELEMENTS(row->words); i++)
 		if (row->words[i] != NULL)
 			ck_assert_msg(strstr(first, row->words[i]) != NULL,
-			    "\"%s\" lacks \"%s\"", first, row->words[i]);
+			    "\"%s\" does not contain \"%s\"", first,
+			    row->words[i]);
 	g_ptr_array_unref(errors);
 }
 END_TEST
 
-/* The names that the configuration takes for services. */
+/* Accepts the same service names as the configuration. */
 START_TEST(upstream_service_is_any_name_of_a_service)
 {
 	static const char *const names[] = {
@@ -167,7 +169,7 @@
 }
 END_TEST
 
-START_TEST(bad_texts_of_required_keys)
+START_TEST(bad_values_of_required_keys)
 {
 	static const char *const texts[] = {"{\"host\":\"\"}",
 	    "{\"host\":\"Grandahus\"}", "{\"host\":\"a_b\"}",
@@ -179,7 +181,7 @@
 	GPtrArray *errors = g_ptr_array_new_with_free_func(g_free);
 	struct settings s;
 
-	/* Each wrong text is an error beside the five keys missing. */
+	/* One error for the invalid value and five for the missing keys. */
 	ck_assert_int_eq(parse(texts[_i], &s, errors), STATUS_INVALID);
 	ck_assert_uint_eq(errors->len, 6);
 	g_ptr_array_unref(errors);
@@ -195,14 +197,14 @@
 			       "\"drain_ms\":0,\"join_limit\":\"many\"}",
 			     &s, errors),
 	    STATUS_INVALID);
-	/* A double, an unknown key, five missing, two wrong values. */
+	/* A duplicate, an unknown key, five missing, two invalid values. */
 	ck_assert_uint_eq(errors->len, 9);
 	ck_assert_ptr_nonnull(strstr(status_message(), "(9 errors in all)"));
 	g_ptr_array_unref(errors);
 }
 END_TEST
 
-/* The loop index is the number of seeds; 64 are taken. */
+/* The loop index is the number of seeds; at most 64 are accepted. */
 START_TEST(seeds_are_counted)
 {
 	GString *text = g_string_new("{" REQUIRED ",\"seeds\":[");
@@ -295,11 +297,11 @@
 
 	tcase_add_test(tc, defaults);
 	tcase_add_test(tc, values);
-	tcase_add_test(tc, a_rate_may_have_a_fraction);
+	tcase_add_test(tc, fraction_of_a_rate_is_dropped);
 	tcase_add_test(tc, upstream_service_is_any_name_of_a_service);
 	tcase_add_loop_test(
 	    tc, error_names_key_and_remedy, 0, (int)G_N_ELEMENTS(error_rows));
-	tcase_add_loop_test(tc, bad_texts_of_required_keys, 0, 11);
+	tcase_add_loop_test(tc, bad_values_of_required_keys, 0, 11);
 	tcase_add_test(tc, all_errors_at_once);
 	tcase_add_loop_test(tc, seeds_are_counted, 63, 66);
 	tcase_add_loop_test(
