--- a/packages/membership/bench/bench_membership.c
+++ b/packages/membership/bench/bench_membership.c
@@ -14,7 +14,7 @@
  * join: bytes and processor time of a join.
  * herd: all nodes of data centre 0 start at once.
  * power: all nodes start at once, with a few others known from a directory.
- * detect: time from the end of a process until no node holds its host for live.
+ * detect: time from the end of a process until no node holds its host as live.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -424,7 +424,7 @@
 
 #define KILLS 10
 
-/* Number of nodes that still hold host @dead for live. */
+/* Number of nodes that still hold host @dead as live. */
 static uint32_t
 n_holding_live(const struct fake_net *f, uint32_t dead)
 {
--- a/packages/membership/include/membership/finder.h
+++ b/packages/membership/include/membership/finder.h
@@ -97,7 +97,7 @@
 /**
  * finder_looked_up() - a lookup has succeeded
  * @f: the finder
- * @others: entries of other nodes
+ * @others: number of entries of other nodes
  * @own_found: the own entry was among the entries
  * @now_ms: monotonic time
  */
--- a/packages/membership/include/membership/instances.h
+++ b/packages/membership/include/membership/instances.h
@@ -62,7 +62,8 @@
  * @s: the runs
  * @id: name of the run
  * @started_ms: start time of the run, 0 when unknown
- * @seq: sequence number of the heartbeat, which rises with each of a run
+ * @seq: sequence number of the heartbeat, which rises with each heartbeat of a
+ * run
  *
  * A later start under a known name is a new run: its sequence numbers start
  * anew, and a leave of the earlier run does not apply.
--- a/packages/membership/include/membership/member.h
+++ b/packages/membership/include/membership/member.h
@@ -34,7 +34,7 @@
  * @revision: rises with each change of this endpoint during a run of its
  *	host's node
  * @port: port of the upstream on its host
- * @slots: requests that it runs at once
+ * @slots: requests that the upstream runs at once
  * @cold_ms: remaining time of its slow start when it was announced,
  *	milliseconds, or MEMBER_COLD_UNKNOWN
  * @state: enum endpoint_state
@@ -65,8 +65,8 @@
  *	tombstones
  * @n_endpoints: number of @endpoints
  *
- * Only the membership package writes it.  A pointer is valid until the next
- * event is given to the membership.
+ * Only the membership package writes the record.  A pointer is valid until the
+ * next event is given to the membership.
  */
 struct member {
 	char host[MEMBER_NAME_BYTES];
--- a/packages/membership/include/membership/membership.h
+++ b/packages/membership/include/membership/membership.h
@@ -33,18 +33,18 @@
  * @link_mbps: rate of the own link in Mbit/s, 0 when unknown
  * @seeds: control addresses of the first peers; copied
  * @n_seeds: number of @seeds
- * @probe_interval_ms: between two probes of own data centre's hosts
- * @probe_timeout_ms: until a direct probe is followed by indirect ones
+ * @probe_interval_ms: time between two probes of hosts of the own data centre
+ * @probe_timeout_ms: time until a direct probe is followed by indirect ones
  * @suspicion_ms: minimum time from suspicion to failure, reached with several
  *	accusers; a single accuser waits three times as long
  * @indirect_probes: nodes that are requested to probe a host that did not
  *	answer
- * @gossip_interval_ms: between two gossip rounds
+ * @gossip_interval_ms: time between two gossip rounds
  * @gossip_fanout: receivers of each gossip round
  * @retransmit_factor: each record is gossiped 5 times and this many times
  *	log2(nodes of the data centre)
  * @relays: nodes of the own data centre that exchange with a given other one
- * @relay_interval_ms: between two exchanges with another data centre
+ * @relay_interval_ms: time between two exchanges with another data centre
  * @sync_interval_ms: mean time between two anti-entropy exchanges started
  * @join_limit: joins served at once
  * @forget_ms: how long failed and left hosts are kept as tombstones
@@ -101,7 +101,7 @@
 const char *membership_phase_name(enum membership_phase phase);
 
 /**
- * enum membership_action_kind - what the caller is notified of
+ * enum membership_action_kind - kind of a notification for the caller
  * @MEMBERSHIP_CHANGED: a host's state or endpoints changed, or the host was
  *	forgotten; look the host up by its name
  * @MEMBERSHIP_PEER_HEAD: a peer reported its configuration head
@@ -294,7 +294,7 @@
  * @now_ms: monotonic time
  * @service: service that the upstream is an endpoint of
  * @port: its port; service and port identify an endpoint
- * @slots: requests that it runs at once
+ * @slots: requests that the upstream runs at once
  * @state: starting, ready or draining
  * @lease_ms: monotonic deadline of the next announcement; then the endpoint is
  *	draining, and after the same time once more it has left
@@ -387,7 +387,8 @@
     const char *key, const struct member **ranked, uint32_t n);
 
 /**
- * membership_rank_by_link() - the same, hosts with faster links first
+ * membership_rank_by_link() - as membership_rank(), with hosts on faster links
+ * first
  *
  * For large transfers: a configuration of 0.45 MB takes 0.7 s on a link of 5
  * Mbit/s and 36 ms on a link of 100 Mbit/s.  Links whose rates have the same
@@ -421,7 +422,8 @@
 /**
  * membership_data_centres() - all data centres with known hosts
  * @m: the membership
- * @list: array of struct membership_data_centre that they are appended to
+ * @list: array of struct membership_data_centre that the summaries are appended
+ *	to
  */
 void membership_data_centres(const struct membership *m, GArray *list);
 
--- a/packages/membership/include/membership/places.h
+++ b/packages/membership/include/membership/places.h
@@ -41,7 +41,7 @@
 /**
  * places_lower_bound() - a name that sorts before all places of a data centre
  * @data_centre: the data centre
- * @place: where it is written, PLACE_BYTES
+ * @place: where the name is written, PLACE_BYTES
  */
 void places_lower_bound(const char *data_centre, char *place);
 
--- a/packages/membership/src/internal.h
+++ b/packages/membership/src/internal.h
@@ -168,7 +168,7 @@
  * @received_ms: when the last message of any node arrived
  * @health_score: failed probes during which no message arrived, less
  *	successful ones, from 0 to HEALTH_SCORE_MAX; the higher, the more
- *	likely is this node at fault
+ *	likely this node is at fault
  * @misses: failed probes in a row
  * @verify_left: pings that may still verify hosts before @verify_refill_ms
  * @verify_refill_ms: when @verify_left is reset
@@ -276,7 +276,7 @@
  * @nonce: identifies the claims sent
  * @tries_left: claims left to send
  * @deadline_ms: next claim, or end of the check
- * @next_warning_ms: no warning before this
+ * @next_warning_ms: earliest time of the next warning
  * @recheck_ms: next check while in conflict
  */
 struct claim_state {
@@ -296,7 +296,7 @@
  * struct own_endpoint - an upstream of the own host
  * @service: its service
  * @port: its port
- * @slots: requests that it runs at once
+ * @slots: requests that the upstream runs at once
  * @cold_ms: remaining time of its slow start when it was announced
  * @state: its state
  * @revision: rises with each change
--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -5,8 +5,8 @@
  * peer that serves too many joins, or has not joined itself, refuses with a
  * time for the next attempt and the addresses of other peers.  When no peer
  * holds the table, as at the start of a whole data centre or of the first node,
- * the seeds bootstrap first: they know the nodes that sent them requests, and
- * serve the others.
+ * the seeds bootstrap first: their tables contain the nodes that sent them
+ * requests, and they serve the others.
  */
 #include <string.h>
 
@@ -22,14 +22,15 @@
 #include "settle.h"
 #include "suspicion.h"
 
-/* Timeout of a response. */
+/* Timeout of an answer. */
 #define RESPONSE_MS 2000
 
 /*
- * Timeout of the first response, shorter because the peer's host may be down
+ * Timeout of the first answer, shorter because the peer's host may be down
  * and other peers are available.  While hosts start together, many requests go
  * to hosts without power, so the timeout begins at some ten round trips inside
- * a region.  Each timeout in a row doubles it, for peers that are far or slow.
+ * a region.  Each timeout in a row doubles the next, for peers that are far or
+ * slow.
  */
 #define FIRST_RESPONSE_MS 100
 #define TIMEOUT_SHIFT_MAX 2
@@ -272,7 +273,7 @@
 }
 
 /*
- * Handles a missing response: the peer is postponed, and the next peer gets a
+ * Handles a missing answer: the peer is postponed, and the next peer gets a
  * request soon.  The delay grows only when all candidates are postponed, since
  * many hosts are not up yet when hosts start together.
  */
@@ -409,7 +410,7 @@
 	back_off(m, to);
 }
 
-/* Raises the own incarnation above the one that the peer held for this host. */
+/* Raises the own incarnation above @held, which the peer held for this host. */
 static void
 override_held(struct membership *m, uint64_t held)
 {
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -192,7 +192,7 @@
 	g_free(m);
 }
 
-/* Recovers from a freeze, after which peers may hold this host for failed. */
+/* Recovers from a freeze, after which peers may hold this host as failed. */
 static void
 recover_from_freeze(struct membership *m, uint64_t late_ms)
 {
--- a/packages/membership/src/merge.h
+++ b/packages/membership/src/merge.h
@@ -11,7 +11,7 @@
  * @MERGE_NEWS: gossiped by a peer
  * @MERGE_TABLE: part of a table that this node requested
  * @MERGE_COMPARED: missing here, as found by a comparison of tables; not
- * 	gossiped, since the other nodes compare as well
+ *	gossiped, since the other nodes compare as well
  */
 enum merge_source {
 	MERGE_NEWS,
@@ -33,8 +33,8 @@
 void merge_refute(struct membership *m, uint64_t above);
 
 /*
- * Does the same for a record of an earlier process of this host, by a margin
- * for changes that the record lacks.
+ * As merge_refute(), for a record of an earlier process of this host: by a
+ * margin for changes that the record lacks.
  */
 void merge_supersede(struct membership *m, uint64_t above);
 
--- a/packages/membership/src/news.c
+++ b/packages/membership/src/news.c
@@ -34,8 +34,9 @@
 }
 
 /*
- * Number of times that a record is sent.  Each node receives the record that
- * often on average, so that n * exp(-limit) nodes are expected to miss it.
+ * Number of times that a record is sent.  Each node receives the record this
+ * number of times on average, so that n * exp(-limit) nodes are expected to
+ * miss it.
  */
 static uint32_t
 retransmit_limit(const struct membership *m)
--- a/packages/membership/src/news.h
+++ b/packages/membership/src/news.h
@@ -24,7 +24,7 @@
 /* Deadline of the next gossip round. */
 uint64_t news_next_ms(const struct membership *m);
 
-/* Free the queues. */
+/* Frees the queues. */
 void news_clear(struct membership *m);
 
 #endif
--- a/packages/membership/src/ping.c
+++ b/packages/membership/src/ping.c
@@ -88,8 +88,8 @@
 		return;
 	}
 	/*
-	 * The host is unknown here: send it a record that says failed, to be
-	 * refuted.
+	 * The host is unknown here: send the host a record with the state
+	 * failed, which a live host refutes.
 	 */
 	b.records[b.n] = *rec;
 	b.records[b.n].state = MEMBER_FAILED;
--- a/packages/membership/src/ping.h
+++ b/packages/membership/src/ping.h
@@ -13,7 +13,7 @@
 uint32_t
 ping_host(struct membership *m, const struct net_addr *to, const char *host);
 
-/* Does the same with a sequence number that was used before. */
+/* Sends a ping as ping_host(), with a sequence number that was used before. */
 void ping_send(struct membership *m, const struct net_addr *to,
     const char *host, uint32_t seq);
 
--- a/packages/membership/src/probe.c
+++ b/packages/membership/src/probe.c
@@ -17,7 +17,7 @@
 
 #define HEALTH_SCORE_MAX 8
 
-/* Failed probes in a row after which a node considers itself isolated. */
+/* Failed probes in a row after which a node counts as isolated. */
 #define ISOLATED_MISSES 6
 
 /*
--- a/packages/membership/src/send.h
+++ b/packages/membership/src/send.h
@@ -10,11 +10,17 @@
 void send_datagram(struct membership *m, const struct net_addr *to,
     enum msg_type type, GByteArray *body);
 
-/* Does the same as a frame over @conn; 0 for the connection to @to. */
+/*
+ * Sends a message as a frame over @conn, 0 for the connection to @to; takes
+ * ownership of @body.
+ */
 void send_frame(struct membership *m, const struct net_addr *to, uint64_t conn,
     enum msg_type type, GByteArray *body);
 
-/* Sends a datagram when the message fits, else a frame. */
+/*
+ * Sends a datagram when the message fits, else a frame; takes ownership of
+ * @body.
+ */
 void send_either(struct membership *m, const struct net_addr *to,
     enum msg_type type, GByteArray *body);
 
--- a/packages/membership/src/settle.c
+++ b/packages/membership/src/settle.c
@@ -6,7 +6,7 @@
  * takes seconds: each record is sent some ten times at 3 KB/s per node.  Here a
  * node sends four bytes for each row in its table to a random peer, and both
  * send each other the rows that the other lacks.  Each comparison at least
- * doubles the rows that both know, so 195 hosts that know 16 others each need
+ * doubles the rows that both hold, so 195 hosts that hold 16 others each need
  * some four rounds.  Records received this way are not gossiped.
  */
 #include <stdlib.h>
@@ -20,9 +20,10 @@
 #include "settle.h"
 
 /*
- * Mean interval between two comparisons, from half to one and a half times
- * this.  That is some ten round trips inside a region, and eight comparisons in
- * the second in which callers have to find their upstreams.
+ * Mean interval between two comparisons; the actual interval is random, from
+ * half to one and a half times this.  The mean is some ten round trips inside a
+ * region, and eight comparisons in the second in which callers have to find
+ * their upstreams.
  */
 #define INTERVAL_MS 120
 
--- a/packages/membership/src/sync.c
+++ b/packages/membership/src/sync.c
@@ -1,7 +1,7 @@
 /*
  * Anti-entropy: finds and repairs differences between two tables.
  *
- * Node A sends the digests of its data centres.  B replies with the bucket
+ * Node A sends the digests of its data centres.  B answers with the bucket
  * digests of the data centres that differ.  A sends the keys of the buckets
  * that differ.  B sends the records that A lacks, and the keys of those that B
  * lacks, which A then sends.  Each step covers a bounded part of the table, so
@@ -160,7 +160,7 @@
 	msg.authority = !wants && dc == m->home && merge_is_authority(m);
 	msg.keys = (struct rec_member_key *)(void *)keys->data;
 	msg.n_keys = MIN(keys->len, MSG_SYNC_KEYS_KEYS_MAX);
-	/* A truncated list says nothing about missing hosts. */
+	/* A truncated list does not show which hosts are missing. */
 	msg.authority = msg.authority && msg.n_keys == keys->len;
 	msg_sync_keys_encode(&msg, body);
 	send_either(m, to, MSG_SYNC_KEYS, body);
@@ -265,7 +265,7 @@
 }
 
 /*
- * Handles a host that the peer does not know: the host is new, or has failed or
+ * Handles a host that the peer did not list: the host is new, or has failed or
  * left if the peer is an authority for its data centre.
  */
 static void
--- a/packages/membership/src/table.h
+++ b/packages/membership/src/table.h
@@ -23,7 +23,7 @@
 /* The data centre of this name, or NULL. */
 struct dc *table_dc(const struct table *t, const char *name);
 
-/* Does the same and adds a new data centre; NULL at DATA_CENTRES_MAX. */
+/* The data centre of this name, added if new; NULL at DATA_CENTRES_MAX. */
 struct dc *table_dc_add(struct table *t, const char *name);
 
 /* The host of this name, or NULL. */
--- a/packages/membership/test/checker.c
+++ b/packages/membership/test/checker.c
@@ -5,7 +5,7 @@
  * - No process sees a host that has left live again with the same start.  (A
  *   host of another data centre that was forgotten may reappear briefly after a
  *   partition that outlasted its tombstone; the checker accepts that.)
- * - A live reachable host is not held for failed for long, nor a dead host for
+ * - A live reachable host is not held as failed for long, nor a dead host as
  *   live, by a node of its data centre.
  */
 #include <stdio.h>
--- a/packages/membership/test/checker.h
+++ b/packages/membership/test/checker.h
@@ -9,8 +9,8 @@
 struct fake_net;
 
 /*
- * Longest time that a live reachable member may be held for failed, or a dead
- * one for live, counted from the last disturbance.
+ * Longest time that a live reachable member may be held as failed, or a dead
+ * member as live, counted from the last disturbance.
  */
 #define CHECKER_WRONG_MS 20000
 
--- a/packages/membership/test/fake_net.h
+++ b/packages/membership/test/fake_net.h
@@ -110,7 +110,7 @@
 /* Whether all running nodes are up and hold the same table. */
 int fake_agreed(struct fake_net *f);
 
-/* Whether all nodes that are up hold each other for live. */
+/* Whether all nodes that are up hold each other as live. */
 int fake_all_live(struct fake_net *f);
 
 /* State of host @of in the table of node @by, or -1 when absent. */
--- a/packages/membership/test/herd.c
+++ b/packages/membership/test/herd.c
@@ -10,7 +10,7 @@
 /* All hosts start within this time, as after a loss of power. */
 #define STARTS_MS 300
 
-/* Entries that a directory returns, and the range of its response times. */
+/* Entries that a directory returns, and the range of its answer times. */
 #define SAMPLE (2 * PLACES_PER_DATA_CENTRE)
 #define DIRECTORY_MIN_MS 10
 #define DIRECTORY_MAX_MS 40
--- a/packages/membership/test/herd.h
+++ b/packages/membership/test/herd.h
@@ -1,7 +1,7 @@
 /*
  * Mass start: all hosts of a fleet lose power and start at once.  No node holds
  * a table.  Each node has the addresses of a few others from a directory that
- * kept the entries of before.  A host that has no power yet does not respond.
+ * kept the entries of before.  A host that has no power yet does not answer.
  */
 #ifndef HERD_H
 #define HERD_H
--- a/packages/membership/test/test_centres.c
+++ b/packages/membership/test/test_centres.c
@@ -27,7 +27,7 @@
 	    state, DEADLINE_NEVER, MEMBER_COLD_UNKNOWN, NULL);
 }
 
-/* Whether all nodes that are up hold node 1's endpoint for draining. */
+/* Whether all nodes that are up hold node 1's endpoint as draining. */
 static int
 drain_known(struct fake_net *g)
 {
--- a/packages/membership/test/test_finder.c
+++ b/packages/membership/test/test_finder.c
@@ -164,8 +164,8 @@
 END_TEST
 
 /*
- * Response time of the directory; entries written meanwhile are not in the
- * response.
+ * Answer time of the directory; entries written meanwhile are not in the
+ * answer.
  */
 #define CALL_MS 10
 
--- a/packages/membership/test/test_own.c
+++ b/packages/membership/test/test_own.c
@@ -290,7 +290,7 @@
 	rec->incarnation = i;
 }
 
-/* Host @i requests the table; returns the type of the response. */
+/* Host @i requests the table; returns the type of the answer. */
 static enum msg_type
 request_join(uint32_t i)
 {
@@ -359,7 +359,7 @@
 
 	/*
 	 * A table of several parts, so that no join ends with its first
-	 * response.
+	 * answer.
 	 */
 	for (i = 100; i < 1000; i++) {
 		make_record(&rec, i);
--- a/packages/spread/include/spread/floors.h
+++ b/packages/spread/include/spread/floors.h
@@ -6,9 +6,9 @@
  * floor: the first few hosts of its data centre by rendezvous rank for its
  * name, and one host of another data centre.  Before a host moves to a version
  * it announces that version to its keepers, and waits for one acknowledgement
- * or a short time.  After a start it asks its keepers and a few random peers,
- * and takes the maximum of the floors they return and of the versions in force
- * reported by serving peers and the platform.
+ * or a short time.  After a start the host asks its keepers and a few random
+ * peers, and takes the maximum of the floors they return and of the versions in
+ * force reported by serving peers and the platform.
  *
  * Guarantee: a restarted host that held v serves no version below v if
  * (a) it reaches, when it starts, a keeper that acknowledged v or stored it
--- a/packages/spread/include/spread/intake.h
+++ b/packages/spread/include/spread/intake.h
@@ -5,12 +5,12 @@
  * The intake asks a peer that holds the version for the changes: by datagram if
  * the answer is likely to fit one, else over a connection, which is new unless
  * it was used just before.  It then asks for the content that is still missing.
- * A peer that sends nothing until the deadline has its connection closed, and
- * another one is asked.  After pull_peers failures, or when the platform itself
- * announced the version and no peer offers it in time, the intake reads the
- * platform (the source) within the node's budget.  A version is only handed on
- * when all of its content is staged; intake_check() verifies it as a whole,
- * whatever it came from.
+ * If a peer sends nothing until the deadline, the connection to that peer is
+ * closed and another peer is asked.  After pull_peers failures, or when the
+ * platform itself announced the version and no peer offers the version in time,
+ * the intake reads the platform (the source) within the node's budget.  A
+ * version is only handed on when all of its content is staged; intake_check()
+ * verifies the version as a whole, whichever provider sent the content.
  */
 #ifndef SPREAD_INTAKE_H
 #define SPREAD_INTAKE_H
@@ -63,8 +63,9 @@
  * @target: version to collect
  * @tag: expected first bytes of the root of @tag_version, as heads carry them
  * @tag_version: version whose tag is known, 0 for none
- * @start_ms: collecting doesn't start before
- * @hold_ms: collecting doesn't start before unless a peer offers the version
+ * @start_ms: earliest time at which collecting starts
+ * @hold_ms: earliest time at which collecting starts unless a peer offers the
+ *	version
  * @source_ms: when the platform may be read
  * @source_slot: place in the order in which nodes read the platform
  * @content_start_ms: when the content may be read from the platform
@@ -152,7 +153,7 @@
  * of the platform
  * @in: intake
  * @now_ms: monotonic time
- * @hold_ms: no request is sent before, unless a peer offers the version
+ * @hold_ms: earliest time of a request, unless a peer offers the version
  */
 void
 intake_schedule_source(struct intake *in, uint64_t now_ms, uint64_t hold_ms);
--- a/packages/spread/include/spread/probes.h
+++ b/packages/spread/include/spread/probes.h
@@ -33,8 +33,10 @@
  * @body_ms: transfer time of the last row
  * @late_reads: consecutive reads that delivered a row late, because either the
  *	change came late or the store is slow
- * @next_measure_ms: no probe measures a store that is taken to be fast before
- * @refused_until_ms: no probe is sent before, since the store refused one
+ * @next_measure_ms: earliest time of the next probe that measures a store taken
+ *	to be fast
+ * @refused_until_ms: earliest time of the next probe after a probe that the
+ *	store refused or did not answer
  * @waits_until_ms: until when the long poll in flight waits for the next
  *	change, 0 if there is none or the change has come
  * @due_ms: when the next probe is due
--- a/packages/spread/include/spread/profile.h
+++ b/packages/spread/include/spread/profile.h
@@ -28,7 +28,7 @@
  * @pull_peers: failures of peers after which the platform is read
  * @reply_bytes: content that one answer to a pull or fetch carries at most
  * @join_limit: peers served at once whose pulls need several answers
- * @serve_bytes_per_s: content served to peers
+ * @serve_bytes_per_s: bytes of content served to peers per second
  * @source_reads_per_s: reads of versions and objects that a node may request
  *	from the platform, half as many in a burst; meant as the limit for all
  *	readers of all data centres together, which read one after another
--- a/packages/spread/include/spread/quarantine_news.h
+++ b/packages/spread/include/spread/quarantine_news.h
@@ -49,8 +49,9 @@
 #define QUARANTINE_BYTES_PER_S 3000
 #define QUARANTINE_BURST_BYTES 24000
 
-/* Most datagrams that answer one comparison; the next comparison delivers the
- * remaining records. */
+/* Most datagrams of records sent to a host at a time, in a round of gossip or
+ * in answer to a comparison; the next comparison delivers the remaining
+ * records. */
 #define QUARANTINE_ANSWER_MAX 4
 
 /**
@@ -58,7 +59,7 @@
  * @id: its number, the same on all nodes
  * @kind: kind of the event
  * @at_ms: time of the event, converted to this node's monotonic clock
- * @host: host that observed or decided it
+ * @host: host that observed or decided the event
  * @service: service of the upstream, or empty
  * @what: method and beginning of the path of quarantined requests
  * @caller: caller that sent them
--- a/packages/spread/include/spread/reader_group.h
+++ b/packages/spread/include/spread/reader_group.h
@@ -14,8 +14,8 @@
  * ones receive its reports and don't read.  Two hosts that rank the group
  * differently cost an extra read.
  *
- * While no active host gets an answer, they notify the reserves, which then
- * read too, until one gets an answer.
+ * While no active host gets an answer, the active hosts notify the reserves,
+ * which then read too, until a host gets an answer.
  *
  * The waits of long polls are chosen so that the readers are answered in turn,
  * and the group receives a report every period / readers.
@@ -30,7 +30,7 @@
 #include "spread/reader_group_defs.h"
 #include "spread/reader_position.h"
 
-/* Number of standbys.  If the platform rejects a third of the hosts, the six
+/* Number of standbys.  If the platform refuses a third of the hosts, the six
  * active hosts (two readers) are all among them once in 700 cases. */
 #define READER_GROUP_STANDBYS 4
 
--- a/packages/spread/include/spread/reader_group_defs.h
+++ b/packages/spread/include/spread/reader_group_defs.h
@@ -6,11 +6,11 @@
 
 /**
  * enum reader_group_reason - why a host reads
- * @READER_GROUP_NOT_READING: it doesn't read
- * @READER_GROUP_BY_RANK: it is one of the first hosts by rank
- * @READER_GROUP_FAILED: hosts above it report failed reads
- * @READER_GROUP_SILENT: no host above it was answered in time
- * @READER_GROUP_TOO_FEW: too few hosts above it were answered in time
+ * @READER_GROUP_NOT_READING: the host doesn't read
+ * @READER_GROUP_BY_RANK: the host is among the first hosts by rank
+ * @READER_GROUP_FAILED: hosts above this host report failed reads
+ * @READER_GROUP_SILENT: no host above this host was answered in time
+ * @READER_GROUP_TOO_FEW: too few hosts above this host were answered in time
  * @READER_GROUP_NONE_ANSWERED: no active host is answered
  */
 enum reader_group_reason {
--- a/packages/spread/include/spread/readers.h
+++ b/packages/spread/include/spread/readers.h
@@ -25,7 +25,7 @@
  * @poll_ms: when the next read is due
  * @alone_ms: when a node that hasn't joined may read
  * @table_settled_ms: when the table of a node that has joined is complete
- *enough to compute the rank; DEADLINE_NEVER before it has joined
+ *	enough to compute the rank; DEADLINE_NEVER before it has joined
  * @group: the hosts that read for the data centre
  * @probes: reads beside the long poll
  * @reading: whether a read is in flight
--- a/packages/spread/include/spread/serve.h
+++ b/packages/spread/include/spread/serve.h
@@ -3,8 +3,8 @@
  *
  * An answer that carries everything is sent at once as long as the byte budget
  * lasts.  A peer that needs several answers occupies one of join_limit slots
- * until it is done or has sent nothing for a while; other peers are told when
- * to retry.
+ * until it is done or has sent nothing for a while; other peers receive
+ * the time after which to retry.
  */
 #ifndef SPREAD_SERVE_H
 #define SPREAD_SERVE_H
--- a/packages/spread/include/spread/spread.h
+++ b/packages/spread/include/spread/spread.h
@@ -310,7 +310,7 @@
 
 /**
  * struct spread_read_end - result of a long poll or of a probe
- * @ok: whether it was answered
+ * @ok: whether the read was answered
  * @has_row: whether the answer contained the row
  * @body_ms: transfer time of the answer, from its first part
  * @position: number of the platform's last change that reads delivered, 0 for
@@ -479,7 +479,7 @@
  * @s: the spread
  * @action: set to the action
  *
- * Return: 1 if there was one, else 0.
+ * Return: 1 if an action was removed, 0 if the queue was empty.
  */
 int spread_pop(struct spread *s, struct spread_action *action);
 
--- a/packages/spread/src/floors.c
+++ b/packages/spread/src/floors.c
@@ -23,7 +23,7 @@
 /**
  * struct floor_entry - the floor stored for a host
  * @host: name of the host
- * @version: highest version that it announced
+ * @version: highest version that the host announced
  * @link: link in floors.order
  */
 struct floor_entry {
--- a/packages/spread/src/intake.c
+++ b/packages/spread/src/intake.c
@@ -290,7 +290,8 @@
 		intake_ask_random_peer(in, now_ms);
 }
 
-/* A candidate appeared while the platform is being read. */
+/* Asks a candidate that appeared while the platform is being read, if enough
+ * sections are missing. */
 static void
 intake_switch_to_peer(struct intake *in, uint64_t now_ms)
 {
--- a/packages/spread/src/probes.c
+++ b/packages/spread/src/probes.c
@@ -28,12 +28,12 @@
  */
 #define MEASURE_INTERVAL_MS 30000
 
-/* Pause after the store refused a probe: long enough for some long polls, and
- * no extra calls while the store is overloaded. */
+/* Pause after the store refused a probe or did not answer: long enough for some
+ * long polls, and no extra calls while the store is overloaded. */
 #define REFUSED_PAUSE_MS 5000
 
-/* Probes are spaced by an answer time divided by SPACING_PARTS, and for readers
- * of a higher rank by up to a RANK_PARTS-th less. */
+/* Probes are spaced by an answer time divided by SPACING_PARTS; for readers
+ * after the first, the spacing is shorter by up to 1 / RANK_PARTS of that. */
 #define SPACING_PARTS 2
 #define RANK_PARTS 4
 
--- a/packages/spread/src/progress.c
+++ b/packages/spread/src/progress.c
@@ -17,10 +17,10 @@
 #define MISSED_REPORTS 3
 
 /*
- * A report can be lost, and a parent whose table lacks the child ignores it. An
- * unchanged report is therefore repeated after this many times progress_ms,
- * then after doubled pauses up to progress_refresh_ms.  Under a steady stream
- * of changes the next changed report comes first.
+ * A report can be lost, and a parent whose table lacks the child ignores the
+ * report.  An unchanged report is therefore repeated after this many times
+ * progress_ms, then after doubled pauses up to progress_refresh_ms.  Under a
+ * steady stream of changes the next changed report comes first.
  */
 #define REPEAT_FACTOR 8
 
@@ -42,7 +42,7 @@
 	g_array_unref(p->answers);
 }
 
-/* Collects the live hosts of one data centre. */
+/* The live hosts of one data centre, filled by progress_add_live_host(). */
 struct progress_host_list {
 	const char *data_centre;
 	GPtrArray *hosts;
--- a/packages/spread/src/reader_group.c
+++ b/packages/spread/src/reader_group.c
@@ -14,7 +14,7 @@
  * to be scheduled on a tenth of a core; a later report counts as missing. */
 #define ANSWER_SLACK_MS 200
 
-/* Time that the standby before needs to take over and report: a read and a
+/* Time that the standby above needs to take over and report: a read and a
  * datagram. */
 #define TAKEOVER_STEP_MS 150
 
@@ -295,7 +295,7 @@
 }
 
 /* When this host takes over, if a takeover is possible from @at_ms on: after
- * the hosts above it had their turn. */
+ * the hosts above had their turn. */
 static uint64_t
 takeover_ms(const struct reader_group *g, uint64_t at_ms)
 {
@@ -303,8 +303,8 @@
 	    (uint64_t)TAKEOVER_STEP_MS * count_may_take_over(g, at_ms);
 }
 
-/* A reserve reads when it is requested to, and continues while it is answered
- * and no host above it is. */
+/* A reserve reads when requested to, and continues while its reads are answered
+ * and no host above counts as answered. */
 static enum reader_group_reason
 decide_reserve_reason(const struct reader_group *g, uint64_t now_ms)
 {
--- a/packages/spread/src/readers.c
+++ b/packages/spread/src/readers.c
@@ -18,8 +18,8 @@
 /*
  * Time after joining during which the node compares its table with others
  * (membership/settle.c).  By then the table contains most hosts that started at
- * the same time, so that few hosts take themselves for readers.  The time is
- * short because no node serves until a reader has read.
+ * the same time, so that few hosts compute by mistake that they are readers.
+ * The time is short because no node serves until a reader has read.
  */
 #define TABLE_SETTLE_MS 100
 
--- a/packages/spread/src/serve.c
+++ b/packages/spread/src/serve.c
@@ -14,7 +14,7 @@
 /* The slot of a peer that sends nothing for this long is released. */
 #define SLOT_IDLE_MS 1500
 
-/* Mean time after which a rejected peer is to retry. */
+/* Mean time after which a refused peer is to retry. */
 #define COME_BACK_MS 300
 
 /* Largest answer in a datagram: fits the MTU of every path. */
--- a/packages/spread/src/spread.c
+++ b/packages/spread/src/spread.c
@@ -116,7 +116,8 @@
 
 /*
  * The version to collect.  A ready node has reached its floor; a floor that
- * arrives later, and is too high by some fault, must not block it for ever.
+ * arrives later, and is too high by some fault, must not block the node for
+ * ever.
  */
 static uint64_t
 spread_target(const struct spread *s)
--- a/packages/spread/src/spread_events.c
+++ b/packages/spread/src/spread_events.c
@@ -18,8 +18,8 @@
 	int newer;
 
 	newer = spread_adopt_head(s, now_ms, head);
-	/* Other nodes hold the version, so holding it back would not merge it
-	 * with the next one any more. */
+	/* Other nodes hold the version, so a delay here would no longer merge
+	 * the version with the next one. */
 	if (head->seq == s->known.seq) {
 		s->from_origin = 0;
 		trace_known(&s->env.trace, now_ms, head->in_force, age_ms);
--- a/packages/spread/src/spread_priv.h
+++ b/packages/spread/src/spread_priv.h
@@ -33,7 +33,7 @@
  * @next_head: index in @heads that the next head overwrites
  * @pending_contents: GBytes; contents for a version being signed off here
  * @from_origin: @known came from the platform or a sign-off here, and not from
- *a peer
+ *	a peer
  * @ready: whether the node may serve
  */
 struct spread {
--- a/packages/spread/src/trace.c
+++ b/packages/spread/src/trace.c
@@ -16,8 +16,8 @@
 	return NULL;
 }
 
-/* The entry of a version, which replaces the lowest one if it is new; NULL if
- * all entries are higher. */
+/* The entry of a version.  A new entry replaces that of the lowest version;
+ * NULL if all entries are of higher versions. */
 static struct trace_entry *
 trace_get_entry(struct trace *t, uint64_t now_ms, uint64_t version)
 {
--- a/packages/spread/test/test_reader_group.c
+++ b/packages/spread/test/test_reader_group.c
@@ -3,7 +3,7 @@
  * readers.
  *
  * Guards against this failure: a change was in force seconds late because all
- * readers were among the hosts that the platform rejected.  A reader used to
+ * readers were among the hosts that the platform refused.  A reader used to
  * keep its role as long as it was alive.
  */
 #include <string.h>
--- a/packages/spread/test/test_reader_rank.c
+++ b/packages/spread/test/test_reader_rank.c
@@ -3,8 +3,8 @@
  *
  * Case: all hosts of a fleet restart after a power loss, callers are waiting,
  * and no node serves before a reader has read.  If hosts compute their rank too
- * early, while their tables are short, each of them takes itself for a reader
- * and all of them read the store; if too late, all callers wait.
+ * early, while their tables are short, each of them computes that it is a
+ * reader and all of them read the store; if too late, all callers wait.
  */
 #include <string.h>
 
