--- a/packages/membership/src/join.c
+++ b/packages/membership/src/join.c
@@ -23,7 +23,7 @@
 #include "suspicion.h"
 
 /* Timeout of an answer. */
-#define RESPONSE_MS 2000
+#define ANSWER_MS 2000
 
 /*
  * Timeout of the first answer, shorter because the peer's host may be down
@@ -32,7 +32,7 @@
  * a region.  Each timeout in a row doubles the next, for peers that are far or
  * slow.
  */
-#define FIRST_RESPONSE_MS 100
+#define FIRST_ANSWER_MS 100
 #define TIMEOUT_SHIFT_MAX 2
 
 /*
@@ -296,10 +296,9 @@
 }
 
 static uint64_t
-first_response_ms(const struct joiner *j)
+first_answer_ms(const struct joiner *j)
 {
-	return (uint64_t)FIRST_RESPONSE_MS
-	    << MIN(j->timeouts, TIMEOUT_SHIFT_MAX);
+	return (uint64_t)FIRST_ANSWER_MS << MIN(j->timeouts, TIMEOUT_SHIFT_MAX);
 }
 
 static void
@@ -320,7 +319,7 @@
 	j->pending = 1;
 	j->cursor = cursor;
 	j->deadline_ms =
-	    m->now_ms + (cursor == 0 ? first_response_ms(j) : RESPONSE_MS);
+	    m->now_ms + (cursor == 0 ? first_answer_ms(j) : ANSWER_MS);
 }
 
 /*
--- a/packages/membership/src/query.c
+++ b/packages/membership/src/query.c
@@ -166,7 +166,7 @@
 void
 membership_data_centres(const struct membership *m, GArray *list)
 {
-	struct membership_data_centre sum;
+	struct membership_data_centre summary;
 	const struct dc *dc;
 	uint32_t i;
 
@@ -174,11 +174,11 @@
 		dc = m->table.dcs->pdata[i];
 		if (dc->rows->len == 0)
 			continue;
-		sum.name = dc->name;
-		sum.live = dc->live;
-		sum.tombstones = dc->rows->len - dc->live;
-		sum.heard_ms = dc->heard_ms;
-		g_array_append_val(list, sum);
+		summary.name = dc->name;
+		summary.live = dc->live;
+		summary.tombstones = dc->rows->len - dc->live;
+		summary.heard_ms = dc->heard_ms;
+		g_array_append_val(list, summary);
 	}
 }
 
--- a/packages/membership/src/relay.c
+++ b/packages/membership/src/relay.c
@@ -41,18 +41,18 @@
 {
 	char key[KEY_BYTES];
 	const struct row *r;
-	uint32_t i, place = 0;
+	uint32_t i, rank = 0;
 	uint64_t own;
 
 	relay_key(dc->name, key);
 	own = hash_rendezvous(key, m->settings.host);
-	for (i = 0; i < m->home->rows->len && place < most; i++) {
+	for (i = 0; i < m->home->rows->len && rank < most; i++) {
 		r = m->home->rows->pdata[i];
 		if (r != m->self && member_is_live(&r->member) &&
 		    hash_rendezvous(key, r->member.host) > own)
-			place++;
+			rank++;
 	}
-	return place;
+	return rank;
 }
 
 /* Selects the data centres that this node is a relay for. */
@@ -61,7 +61,7 @@
 {
 	struct dc *dc;
 	uint32_t i;
-	int was;
+	int was_relay;
 
 	if (m->relays_change == m->home->live_change &&
 	    m->relays_dcs == m->table.dcs->len)
@@ -72,10 +72,10 @@
 		dc = m->table.dcs->pdata[i];
 		if (dc == m->home)
 			continue;
-		was = dc->relay;
+		was_relay = dc->relay;
 		dc->relay_rank = own_rank(m, dc, m->settings.relays);
 		dc->relay = dc->relay_rank < m->settings.relays;
-		if (dc->relay && !was) {
+		if (dc->relay && !was_relay) {
 			/* Anti-entropy covers earlier changes. */
 			dc->relay_sent_change = m->home->change;
 			dc->relay_next_ms = m->now_ms;
--- a/packages/spread/src/progress.c
+++ b/packages/spread/src/progress.c
@@ -197,7 +197,7 @@
 {
 	struct spread_refusal refusal = p->refusal, part;
 	const struct progress_child *c;
-	uint64_t oldest;
+	uint64_t max_age_ms;
 	uint32_t i;
 
 	memset(sum, 0, sizeof(*sum));
@@ -205,10 +205,11 @@
 	sum->holding = p->held >= p->newest && p->held > 0;
 	sum->nodes = 1;
 	sum->lowest = p->held;
-	oldest = (uint64_t)MISSED_REPORTS * p->env->profile.progress_refresh_ms;
+	max_age_ms =
+	    (uint64_t)MISSED_REPORTS * p->env->profile.progress_refresh_ms;
 	for (i = 0; i < p->n_children; i++) {
 		c = &p->children[i];
-		if (c->heard_ms == 0 || now_ms >= c->heard_ms + oldest)
+		if (c->heard_ms == 0 || now_ms >= c->heard_ms + max_age_ms)
 			continue;
 		progress_add(sum, &c->sum);
 		part = progress_decode_refusal(&c->sum);
--- a/packages/spread/src/quarantine_news.c
+++ b/packages/spread/src/quarantine_news.c
@@ -462,15 +462,15 @@
 records_to_send(const struct quarantine_news *n)
 {
 	GPtrArray *records = g_ptr_array_new();
-	uint32_t least = retention_priority(QUARANTINE_HELD) + 1;
+	uint32_t priority = retention_priority(QUARANTINE_HELD) + 1;
 	struct news_record *r;
 	guint i;
 
-	while (least-- > 0)
+	while (priority-- > 0)
 		for (i = 0; i < n->records->len; i++) {
 			r = record_at(n, i);
 			if (r->rounds_left > 0 &&
-			    retention_priority(r->item.kind) == least)
+			    retention_priority(r->item.kind) == priority)
 				g_ptr_array_add(records, r);
 		}
 	return records;
--- a/packages/spread/src/serve.c
+++ b/packages/spread/src/serve.c
@@ -85,7 +85,7 @@
 
 /* Sets a result without content. */
 static void
-serve_clear_reply(struct msg_delta *msg, enum pull_result result)
+serve_set_empty_result(struct msg_delta *msg, enum pull_result result)
 {
 	msg->result = result;
 	msg->more = 0;
@@ -124,7 +124,7 @@
 	body = serve_encode_delta(msg);
 	if (conn == 0 && body->len > DATAGRAM_BYTES_MAX) {
 		g_byte_array_unref(body);
-		serve_clear_reply(msg, PULL_LARGE);
+		serve_set_empty_result(msg, PULL_LARGE);
 		body = serve_encode_delta(msg);
 	}
 	if (msg->result == PULL_BUSY)
@@ -356,10 +356,10 @@
 	msg->n_patches = contents.patches->len;
 	whole = whole && !msg->more;
 	if (!whole && conn == 0)
-		serve_clear_reply(msg, PULL_LARGE);
+		serve_set_empty_result(msg, PULL_LARGE);
 	else if ((!whole && !serve_take_slot(s, now_ms, from)) ||
 	    !budget_take(&s->budget, now_ms, serve_cost(msg)))
-		serve_clear_reply(msg, PULL_BUSY);
+		serve_set_empty_result(msg, PULL_BUSY);
 	if (msg->result == PULL_BUSY)
 		msg->come_back_ms = env_jitter(s->env, COME_BACK_MS);
 	serve_send_delta(s, from, conn, msg, pull->packed);
@@ -371,15 +371,15 @@
     uint64_t conn, const struct msg_pull *msg, const struct rec_head_tag *head)
 {
 	struct catalog_delta delta;
-	struct msg_delta reply;
+	struct msg_delta answer;
 	enum status st;
 	uint64_t target;
 
-	memset(&reply, 0, sizeof(reply));
+	memset(&answer, 0, sizeof(answer));
 	memset(&delta, 0, sizeof(delta));
-	reply.token = msg->token;
-	reply.head = *head;
-	reply.age_ms =
+	answer.token = msg->token;
+	answer.head = *head;
+	answer.age_ms =
 	    (uint32_t)trace_age_ms(&s->env->trace, now_ms, head->in_force);
 	target = serve_target(s, msg, head);
 	st = STATUS_NOT_FOUND;
@@ -389,11 +389,11 @@
 	    target <= catalog_version(s->env->catalog))
 		st = serve_full_list(s, target, &delta);
 	if (st != STATUS_OK) {
-		reply.result = PULL_NOT_HERE;
-		serve_send_delta(s, from, conn, &reply, false);
+		answer.result = PULL_NOT_HERE;
+		serve_send_delta(s, from, conn, &answer, false);
 		return;
 	}
-	serve_answer(s, now_ms, from, conn, msg, &delta, &reply);
+	serve_answer(s, now_ms, from, conn, msg, &delta, &answer);
 	catalog_delta_clear(&delta);
 }
 
@@ -418,28 +418,28 @@
 	contents->bytes += (uint32_t)g_bytes_get_size(content);
 }
 
-/* Fills the reply with @contents, or with "busy" if they exceed the limits. */
+/* Fills the answer with @contents, or with "busy" if they exceed the limits. */
 static void
 serve_fill_sections(struct serve *s, uint64_t now_ms,
     const struct net_addr *from, const struct serve_contents *contents,
-    struct msg_sections *reply)
+    struct msg_sections *answer)
 {
-	reply->result = PULL_NOT_HERE;
+	answer->result = PULL_NOT_HERE;
 	if (contents->bytes == 0)
 		return;
 	if (!serve_take_slot(s, now_ms, from) ||
 	    !budget_take(&s->budget, now_ms, contents->bytes)) {
-		reply->result = PULL_BUSY;
-		reply->come_back_ms = env_jitter(s->env, COME_BACK_MS);
+		answer->result = PULL_BUSY;
+		answer->come_back_ms = env_jitter(s->env, COME_BACK_MS);
 		return;
 	}
-	reply->result = PULL_DELTA;
-	reply->sections =
+	answer->result = PULL_DELTA;
+	answer->sections =
 	    (struct rec_section_data *)(void *)contents->sections->data;
-	reply->n_sections = contents->sections->len;
-	reply->patches =
+	answer->n_sections = contents->sections->len;
+	answer->patches =
 	    (struct rec_section_patch *)(void *)contents->patches->data;
-	reply->n_patches = contents->patches->len;
+	answer->n_patches = contents->patches->len;
 }
 
 void
@@ -447,20 +447,20 @@
     uint64_t conn, const struct msg_fetch *msg)
 {
 	struct serve_contents contents;
-	struct msg_sections reply;
+	struct msg_sections answer;
 	uint32_t i;
 
-	memset(&reply, 0, sizeof(reply));
-	reply.token = msg->token;
+	memset(&answer, 0, sizeof(answer));
+	answer.token = msg->token;
 	contents_init(&contents);
 	for (i = 0; i < msg->n_wants; i++) {
 		if (contents.bytes > s->env->profile.reply_bytes)
 			break;
 		serve_add_want(s, &msg->wants[i], &contents);
 	}
-	serve_fill_sections(s, now_ms, from, &contents, &reply);
+	serve_fill_sections(s, now_ms, from, &contents, &answer);
 	if (i == msg->n_wants)
 		serve_release_slot(s, from);
-	serve_send_sections(s, from, conn, &reply, msg->packed);
+	serve_send_sections(s, from, conn, &answer, msg->packed);
 	contents_clear(&contents);
 }
--- a/packages/spread/test/test_reader_group.c
+++ b/packages/spread/test/test_reader_group.c
@@ -372,7 +372,7 @@
 
 /* Reports a position to host 2, and lets it settle. */
 static void
-learn_position(uint64_t position, uint64_t version)
+report_settled_position(uint64_t position, uint64_t version)
 {
 	struct msg_read_report msg = {
 	    .answered = true, .position = position, .version = version};
@@ -385,7 +385,7 @@
 /* A host that holds less than the others reads everything. */
 START_TEST(a_position_needs_the_version_reported_with_it)
 {
-	learn_position(77, HELD_VERSION + 1);
+	report_settled_position(77, HELD_VERSION + 1);
 	ck_assert_uint_eq(reader_group_position(&hosts[2].group), 0);
 }
 END_TEST
@@ -394,7 +394,7 @@
 START_TEST(a_host_without_a_version_reads_everything)
 {
 	hosts[2].env.catalog = NULL;
-	learn_position(77, 0);
+	report_settled_position(77, 0);
 	ck_assert_uint_eq(reader_group_position(&hosts[2].group), 0);
 	hosts[2].env.catalog = held;
 	ck_assert_uint_eq(reader_group_position(&hosts[2].group), 77);
@@ -438,7 +438,7 @@
 END_TEST
 
 /* A reserve resumes at the position of the readers. */
-START_TEST(a_reserve_knows_the_position)
+START_TEST(a_reserve_resumes_at_the_position_of_the_readers)
 {
 	run(20000);
 	ck_assert_uint_eq(reader_group_position(&hosts[ACTIVE].group), 0);
@@ -515,7 +515,7 @@
 	tcase_add_test(tc, a_host_without_a_version_reads_everything);
 	tcase_add_loop_test(tc, a_reserve_reads_while_no_other_host_is_answered,
 	    0, 2 * (HOSTS - ACTIVE));
-	tcase_add_test(tc, a_reserve_knows_the_position);
+	tcase_add_test(tc, a_reserve_resumes_at_the_position_of_the_readers);
 	tcase_add_test(tc, reserves_are_not_notified_without_a_version);
 	tcase_add_test(tc, the_first_answered_host_is_the_first_reader);
 	tcase_add_test(tc, reports_of_strangers_and_lower_ranks_do_not_count);
