--- a/packages/spread/src/progress.c
+++ b/packages/spread/src/progress.c
@@ -17,10 +17,10 @@
 #define MISSED_REPORTS 3
 
 /*
- * A report can be lost, and a parent whose table lacks the child ignores it. An
- * unchanged report is therefore repeated after this many times progress_ms,
- * then after doubled pauses up to progress_refresh_ms.  Under a steady stream
- * of changes the next changed report comes first.
+ * A report can be lost, and a parent whose table lacks the child ignores the
+ * report.  An unchanged report is therefore repeated after this many times
+ * progress_ms, then after doubled pauses up to progress_refresh_ms.  Under a
+ * steady stream of changes the next changed report comes first.
  */
 #define REPEAT_FACTOR 8
 
@@ -42,7 +42,7 @@
 	g_array_unref(p->answers);
 }
 
-/* Collects the live hosts of one data centre. */
+/* The live hosts of one data centre, filled by progress_add_live_host(). */
 struct progress_host_list {
 	const char *data_centre;
 	GPtrArray *hosts;
@@ -197,7 +197,7 @@
 {
 	struct spread_refusal refusal = p->refusal, part;
 	const struct progress_child *c;
-	uint64_t oldest;
+	uint64_t max_age_ms;
 	uint32_t i;
 
 	memset(sum, 0, sizeof(*sum));
@@ -205,10 +205,11 @@
 	sum->holding = p->held >= p->newest && p->held > 0;
 	sum->nodes = 1;
 	sum->lowest = p->held;
-	oldest = (uint64_t)MISSED_REPORTS * p->env->profile.progress_refresh_ms;
+	max_age_ms =
+	    (uint64_t)MISSED_REPORTS * p->env->profile.progress_refresh_ms;
 	for (i = 0; i < p->n_children; i++) {
 		c = &p->children[i];
-		if (c->heard_ms == 0 || now_ms >= c->heard_ms + oldest)
+		if (c->heard_ms == 0 || now_ms >= c->heard_ms + max_age_ms)
 			continue;
 		progress_add(sum, &c->sum);
 		part = progress_decode_refusal(&c->sum);
