--- a/packages/config/include/config/catalog.h
+++ b/packages/config/include/config/catalog.h
@@ -17,8 +17,8 @@
 #define CATALOG_RING_ENTRIES 64
 
 /* Default memory limit of a catalog: 57,000 routes of usual length take 11 MiB,
- * and the longest that CONFIG_MAX_BYTES admits take less than 96 MiB; hosts
- * have 160 MB and more. */
+ * and routes of the greatest length, as many as CONFIG_MAX_BYTES admits, take
+ * less than 96 MiB; hosts have 160 MB and more. */
 #define CATALOG_DEFAULT_BYTES (UINT64_C(96) << 20)
 
 /* Old versions are dropped while the catalog takes more than this, or more than
@@ -50,8 +50,8 @@
 /**
  * catalog_new() - create an empty catalog, at version 0
  * @max_bytes: memory limit in bytes, 0 for CATALOG_DEFAULT_BYTES; old versions
- * are dropped first (see also CATALOG_SOFT_MAX_BYTES), a version that does not
- * fit by itself is rejected
+ * are dropped first (see also CATALOG_SOFT_MAX_BYTES), and a version that
+ * exceeds the limit without them is refused
  */
 struct catalog *catalog_new(uint64_t max_bytes);
 
--- a/packages/config/include/config/endpoints.h
+++ b/packages/config/include/config/endpoints.h
@@ -42,7 +42,7 @@
  * @cold_ms: remaining warm-up time at the time of the announcement, or
  *	ENDPOINT_COLD_UNKNOWN
  * @state: state that the upstream reported
- * @version: version of its software, empty if not reported
+ * @version: version of the upstream's software, empty if not reported
  */
 struct endpoint {
 	char service[SERVICE_NAME_BYTES];
--- a/packages/config/include/config/section.h
+++ b/packages/config/include/config/section.h
@@ -57,7 +57,7 @@
 /**
  * section_name_covers() - whether one section's part contains another's
  * @upper: name of a section
- * @lower: name of another one
+ * @lower: name of another section
  */
 bool section_name_covers(const char *upper, const char *lower);
 
@@ -77,7 +77,7 @@
  * @changes: first of the changes, sorted by name
  * @n_changes: number of changes
  *
- * Return: new array of struct rec_section_ref, sorted by service.
+ * Return: new array of struct rec_section_ref, sorted by name.
  */
 GArray *section_list_apply(const GArray *from,
     const struct rec_section_change *changes, uint32_t n_changes);
--- a/packages/config/include/config/service.h
+++ b/packages/config/include/config/service.h
@@ -139,7 +139,7 @@
  * @host_len: length of @host in bytes
  * @weight: weight of this service if several share the route, else 0
  * @timeout_ms: longest time of a request, 0 for the service's
- * @target_ms: target response time, within which a response has its full
+ * @target_ms: target time of an answer, within which the answer has its full
  *	value; 0 if not set
  * @priority: 0 is the highest
  * @attempts: attempts per request, 0 for the service's
--- a/packages/config/include/config/snapshot.h
+++ b/packages/config/include/config/snapshot.h
@@ -36,8 +36,8 @@
 
 /**
  * struct snapshot_service - a service with its endpoints
- * @config: the first section; limits and retry policy are the same in all
- *	sections of the service
+ * @config: first section of the service; limits and retry policy are the same
+ *	in all sections of the service
  * @sections: sections of the service, within those of the snapshot
  * @n_sections: number of sections
  * @endpoints: endpoints; a reference is held; NULL if there are none
@@ -85,7 +85,7 @@
 enum route_result {
 	ROUTE_FOUND = 0,
 	ROUTE_NO_PATH,	 /* no route has a prefix of the path */
-	ROUTE_NO_METHOD, /* some have, but none accepts the method */
+	ROUTE_NO_METHOD, /* a prefix matches, but no route has the method */
 };
 
 /**
@@ -147,7 +147,7 @@
  * matches whole segments only: "/search" matches "/search", "/search/x" and
  * "/search?x", not "/searching".
  *
- * Return: whether a route was found.
+ * Return: ROUTE_FOUND, or the reason why no route matches.
  */
 enum route_result snapshot_match(const struct snapshot *s,
     enum http_method method, const char *host, const char *path,
--- a/packages/config/src/bundle_read.h
+++ b/packages/config/src/bundle_read.h
@@ -48,7 +48,7 @@
  * bundle_read_number() - read an integer member without a range check
  * @r: the reader
  * @key: key of the member
- * @object: object that contains it
+ * @object: object that contains the member
  * @at: path of @object
  *
  * Return: the number, or BUNDLE_NUMBER_OMITTED.
--- a/packages/config/src/bundle_routes.c
+++ b/packages/config/src/bundle_routes.c
@@ -130,9 +130,10 @@
 }
 
 /*
- * A prefix that ends with '/' matches the paths that begin with it.  These are
- * the paths below the prefix without the '/', unless that ends with '/' as
- * well. For "/" the flag is cleared, since all paths are below it.
+ * A prefix that ends with '/' matches the paths that begin with it.  If it ends
+ * with a single '/', these are the paths below the prefix without that '/',
+ * which is replaced by the flag @below.  For "/" the flag is cleared, since all
+ * paths are below "/".
  */
 static void
 normalize_prefix(struct rec_section_route *route)
--- a/packages/config/src/catalog_defs.h
+++ b/packages/config/src/catalog_defs.h
@@ -24,10 +24,10 @@
 
 /**
  * struct ring_entry - one commit in the ring of the last commits
- * @from_version: version before
- * @to_version: version after
- * @from_root: root before
- * @to_root: root after
+ * @from_version: version before the commit
+ * @to_version: version after the commit
+ * @from_root: root of @from_version
+ * @to_root: root of @to_version
  * @complete: whether @changes name every section that changed at any version
  * between the two, so they can be served to nodes at one of those versions
  * @changes: struct ring_change, sorted by section
@@ -62,8 +62,8 @@
 /**
  * struct catalog - see config/catalog.h
  * @version: current version
- * @max_bytes: memory limit
- * @config_bytes: memory of @sections and @routes
+ * @max_bytes: memory limit in bytes
+ * @config_bytes: memory of @sections and @routes in bytes
  * @root: root of @version
  * @sections: struct service_config, sorted by section; references are held
  * @n_services: number of services in @sections
--- a/packages/config/src/commit.c
+++ b/packages/config/src/commit.c
@@ -8,13 +8,13 @@
 
 /**
  * struct staged_version - the target version, built beside the current one
- * @base_version: current version when this one was built
+ * @base_version: current version when the target version was built
  * @list: section list, struct rec_section_ref
  * @sections: struct service_config, in the order of @list
  * @n_services: number of services in @sections
  * @routes: routes of all services
- * @content_bytes: total size of the contents
- * @config_bytes: memory of @sections and @routes
+ * @content_bytes: total size of the contents in bytes
+ * @config_bytes: memory of @sections and @routes in bytes
  */
 struct staged_version {
 	uint64_t base_version;
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -10,8 +10,8 @@
 #include "section_build.h"
 
 /* Separates the name of a service and of a part.  Names of services can't
- * contain it, and it sorts before their characters, so the parts of a service
- * are adjacent in a sorted list. */
+ * contain the separator, which sorts before their characters, so the parts of a
+ * service are adjacent in a sorted list. */
 #define PART_SEPARATOR ' '
 
 /* Largest encoding of a route in a section without its texts: 13 bytes for
--- a/packages/config/src/parts.h
+++ b/packages/config/src/parts.h
@@ -48,7 +48,8 @@
  * part_parent() - name of the section from which a part was split
  * @section: name of a section; replaced by the parent's
  *
- * Return: false if there is none, as for a section with all routes.
+ * Return: false if the section has no parent, since it has all routes of its
+ * service.
  */
 bool part_parent(char *section);
 
--- a/packages/config/src/problems.h
+++ b/packages/config/src/problems.h
@@ -49,7 +49,7 @@
  * problems_add() - record a problem
  * @p: problems
  * @at: path of the value
- * @remedy: how to correct it
+ * @remedy: how to correct the value
  * @fmt: printf format of the description
  */
 void
--- a/packages/config/src/ring.c
+++ b/packages/config/src/ring.c
@@ -114,7 +114,7 @@
 }
 
 /* Index of the first entry for changes from a version, or the ring's length if
- * they are not kept. */
+ * these changes are not kept. */
 static uint32_t
 chain_start(const struct catalog *c, uint64_t have_version)
 {
--- a/packages/config/src/route_table.c
+++ b/packages/config/src/route_table.c
@@ -325,8 +325,8 @@
 	for (i = 0; i < at; i++)
 		text[i] = g_ascii_tolower(host[i]);
 	/* A prefix has fewer than ROUTE_PREFIX_BYTES bytes, so the text
-	 * includes the byte after it, which shows whether a segment ends there.
-	 */
+	 * includes the byte after the prefix, which shows whether a segment
+	 * ends there. */
 	len = (uint32_t)MIN(path_len, ROUTE_PREFIX_BYTES);
 	for (i = 0; i < len; i++)
 		text[at + i] = map_char(path[i]);
--- a/packages/config/test/test_bundle.c
+++ b/packages/config/test/test_bundle.c
@@ -236,7 +236,8 @@
 }
 END_TEST
 
-/* SNAPSHOT_SHARES_MAX services may share a route, one more is rejected. */
+/* SNAPSHOT_SHARES_MAX services may share a route; a bundle with one more is
+ * rejected. */
 START_TEST(test_shares)
 {
 	GString *text;
@@ -480,7 +481,8 @@
 	"{'prefix':'/r%u" LONG_PART LONG_PART LONG_PART LONG_PART \
 	"','methods':['GET'],'service':'a'}"
 
-/* Limits: the largest valid number of items; one more is rejected. */
+/* Limits: the largest valid number of items; a bundle with one more is
+ * rejected. */
 static const struct {
 	const char *head, *fmt, *tail;
 	uint32_t most;
--- a/packages/config/test/test_catalog.c
+++ b/packages/config/test/test_catalog.c
@@ -157,7 +157,7 @@
 }
 
 /*
- * Nodes in a chain, each of which updates at random times from a node before it
+ * Nodes in a chain, each of which updates at random times from an earlier node
  * and so merges versions, have the same contents as the committed versions.
  */
 START_TEST(test_relayed_versions)
@@ -414,7 +414,7 @@
 END_TEST
 
 /* A stage begun before another commit is either committed correctly or
- * rejected. */
+ * refused. */
 START_TEST(test_overtaken)
 {
 	struct bundle *b[3] = {fix_bundle(TWO("5", "'GET'")),
@@ -446,8 +446,8 @@
 }
 END_TEST
 
-/* Old commits are dropped at the memory limit; a version above it is
- * rejected. */
+/* Old commits are dropped at the memory limit; a version above the
+ * limit is refused. */
 START_TEST(test_memory)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
--- a/packages/config/test/test_growth.c
+++ b/packages/config/test/test_growth.c
@@ -25,7 +25,7 @@
 #define CHANGE_MAX 4000
 #define TIMEOUT_MS 1000
 
-/* Routes of a small model, which fits into any release, and of a large
+/* Most routes of a small model, which any release could hold, and of a large
  * deployment. */
 #define ROUTES_SMALL 400
 #define ROUTES_LARGE 20000
@@ -43,7 +43,8 @@
  * @host: index of the host, HOSTS for any
  * @prefix: number of the prefix, for write_prefix()
  * @timeout_ms: timeout
- * @targets: services of the route; several share it by weight
+ * @targets: services of the route; several services share the route by
+ *	weight
  * @n_targets: number of targets
  */
 struct model_route {
--- a/packages/config/test/test_parts.c
+++ b/packages/config/test/test_parts.c
@@ -2,10 +2,10 @@
  * Services with more routes than one section can contain.
  *
  * When one section contained a whole service, a service that grew by 1,400
- * routes at a time was rejected at 4,097 routes, and would have been at 128
- * KiB, since sections must stay small to be sent to peers.  With any number of
- * routes, sections must stay small, depend only on the routes, and change
- * little when a route is added.
+ * routes at a time was rejected at 4,097 routes, and would also have been
+ * rejected at 128 KiB, since sections must stay small to be sent to peers. With
+ * any number of routes, sections must stay small, depend only on the routes,
+ * and change little when a route is added.
  */
 #include "config/snapshot.h"
 
