--- a/packages/ctl/include/ctl/commands.h
+++ b/packages/ctl/include/ctl/commands.h
@@ -33,7 +33,8 @@
  * @doc: description shown by --help
  * @min_operands: minimum number of operands
  * @max_operands: maximum number of operands
- * @option_groups: bitwise OR of the enum option_group values it accepts
+ * @option_groups: bitwise OR of the enum option_group values that the
+ *	command accepts
  * @timeout_ms: default of --timeout-ms
  * @run: executes the command; returns an enum exit_code
  */
--- a/packages/ctl/include/ctl/exit_code.h
+++ b/packages/ctl/include/ctl/exit_code.h
@@ -11,8 +11,8 @@
  * @EXIT_CODE_USAGE: invalid command line or unreadable file
  * @EXIT_CODE_INVALID: the bundle or request was rejected as invalid
  * @EXIT_CODE_CONFLICT: a concurrent operation won; nothing was executed
- * @EXIT_CODE_UNAVAILABLE: no node, or not the platform, could be reached;
- *	nothing was executed
+ * @EXIT_CODE_UNAVAILABLE: no node could be reached, or a node could not reach
+ *	the platform; nothing was executed
  * @EXIT_CODE_UNKNOWN: the operation may or may not have been executed
  * @EXIT_CODE_NOT_CONVERGED: the version was halted, or was not on all nodes
  *	before the timeout
--- a/packages/ctl/src/client.c
+++ b/packages/ctl/src/client.c
@@ -195,7 +195,8 @@
 
 /*
  * Timeout of one attempt.  A read leaves time for the remaining nodes.  A
- * change may use all of it, because no other node may be tried after a timeout.
+ * change may use all the time left, because no other node may be tried after a
+ * timeout.
  */
 static uint64_t
 attempt_timeout_ms(
--- a/packages/rollout/include/rollout/counts.h
+++ b/packages/rollout/include/rollout/counts.h
@@ -8,12 +8,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Routes with an entry of their own; the answers of all others share one entry.
- */
+/* Entries: the first is shared by all routes without an entry of their own. */
 #define ROLLOUT_ROUTES_MAX 12
 
-/* Latency buckets: up to 4 ms, then each bound is larger by the square root of
- * two, to 11 s. */
+/* Latency buckets: the first up to 4 ms, then each bound is larger by the
+ * square root of two; the last bucket holds all latencies above 8.2 s. */
 #define ROLLOUT_BUCKETS 24
 
 /**
--- a/packages/rollout/include/rollout/judge.h
+++ b/packages/rollout/include/rollout/judge.h
@@ -47,7 +47,7 @@
  *	alike
  * @finding: the first route on which the new version is worse
  *
- * Return: in which way it is worse.
+ * Return: in which way the new version is worse, ROLLOUT_SOUND if in none.
  */
 enum rollout_defect rollout_judge(const struct rollout_counts *candidate,
     const struct rollout_counts *old, double alpha,
--- a/packages/rollout/include/rollout/news.h
+++ b/packages/rollout/include/rollout/news.h
@@ -40,7 +40,7 @@
 struct rollout_news *rollout_news_new(const char *host,
     struct rollout_orders *orders, struct outbox *out, uint64_t now_ms);
 
-/** rollout_news_free() - free it; NULL is allowed */
+/** rollout_news_free() - free the gossip; NULL is allowed */
 void rollout_news_free(struct rollout_news *n);
 
 /** rollout_news_add() - merge an order that became known on this node, and
--- a/packages/rollout/include/rollout/orders.h
+++ b/packages/rollout/include/rollout/orders.h
@@ -26,12 +26,12 @@
  * struct rollout - the newest order of a service
  * @service: the service
  * @from: version that served requests when the order was given
- * @to: version that is to serve them
+ * @to: version that is to serve requests
  * @order: number of the order; a later order of the service has a higher one
  * @phase: current phase
- * @deadline_ms: monotonic time by which it is completed or rolled back
- * @duration_ms: time that the operators allowed for it
- * @reason: why it is in its phase
+ * @deadline_ms: monotonic time by which the order is completed or rolled back
+ * @duration_ms: time that the operators allowed for the order
+ * @reason: why the order is in its phase
  * @excluded: host of an endpoint that receives no more requests during the
  *	trial, or empty; of two orders in the same phase the one with a host is
  *	newer
@@ -51,7 +51,8 @@
 	uint32_t share_milli;
 };
 
-/** rollout_is_over() - whether it is completed or rolled back, and stored */
+/** rollout_is_over() - whether an order is completed or rolled back, and its
+ * outcome stored */
 static inline bool
 rollout_is_over(const struct rollout *r)
 {
--- a/packages/rollout/include/rollout/trial.h
+++ b/packages/rollout/include/rollout/trial.h
@@ -65,8 +65,8 @@
  * rollout_trial_must_report() - whether the guard of @host has to report
  * @t: the trial
  * @host: the host
- * @answered: answers of its endpoint; a new endpoint without any need not
- *	report
+ * @answered: answers of its endpoint; a new endpoint without answers need
+ *	not report
  */
 bool rollout_trial_must_report(
     const struct rollout_trial *t, const char *host, uint64_t answered);
@@ -96,9 +96,11 @@
  * @t: the trial
  * @reason: set to the grounds of the verdict, for operators
  *
- * Return: ROLLOUT_BAD if two endpoints are bad, or if all that answered are bad
- * together, with and without the worst one; a single bad endpoint may have a
- * fault of its own. ROLLOUT_GOOD if enough answers are good.
+ * Return: ROLLOUT_BAD if two endpoints are bad, if the only new endpoint is
+ * bad, or if all endpoints that answered are bad together, with and without the
+ * worst one; a single bad endpoint among several may have a fault of its own.
+ * ROLLOUT_GOOD if enough answers are good, or if neither version had a request
+ * to answer.
  */
 enum rollout_verdict rollout_trial_verdict(
     struct rollout_trial *t, char reason[ROLLOUT_REASON_BYTES]);
--- a/packages/rollout/include/rollout/watch.h
+++ b/packages/rollout/include/rollout/watch.h
@@ -76,8 +76,8 @@
 void rollout_watch_counts(struct rollout_watch *w, const char *service,
     const char *version, uint64_t order, const struct rollout_counts *counts);
 
-/** rollout_watch_set_fallback_writer() - whether this node writes outcomes that
- * no judge wrote */
+/** rollout_watch_set_fallback_writer() - set whether this node writes outcomes
+ * that no judge wrote */
 void rollout_watch_set_fallback_writer(
     struct rollout_watch *w, bool fallback_writer);
 
--- a/packages/rollout/src/orders.c
+++ b/packages/rollout/src/orders.c
@@ -132,8 +132,8 @@
 	    (held->share_milli == 0 && r->share_milli != 0);
 }
 
-/* Replaces an order; a host or share that only one of two orders in the same
- * phase has is kept. */
+/* Replaces an order; if the order and the phase are the same, an excluded host
+ * or a share that is set already is kept. */
 static void
 merge(struct rollout *held, const struct rollout *r)
 {
@@ -194,8 +194,8 @@
 	return false;
 }
 
-/* Whether an order keeps a version from serving: it is on trial, or was rolled
- * back. */
+/* Whether an order keeps a version from serving: the version is on trial, being
+ * reverted, or rolled back. */
 static bool
 is_rolled_back(const struct rollout *r, const char *version)
 {
--- a/packages/rollout/src/trial.c
+++ b/packages/rollout/src/trial.c
@@ -8,8 +8,8 @@
 
 #include "trial_defs.h"
 
-/* Answers needed to tell a good version from a bad one, and the highest share
- * of requests that is tried if the default share does not bring them. */
+/* Answers needed to distinguish a good version from a bad one, and the highest
+ * share of requests that is tried if the default share brings fewer answers. */
 #define VERDICT_ANSWERS_MIN 25
 #define SHARE_MAX_MILLI 400
 #define MILLI 1000
@@ -26,7 +26,7 @@
  * or two intervals ago. */
 #define SNAPSHOT_INTERVAL_MS 800
 
-/* Older reports say nothing about the present. */
+/* Age above which a report no longer describes the present. */
 #define REPORT_AGE_MAX_MS 1500
 
 /* Ready new endpoints that are needed for the switch, in percent of the old
@@ -275,7 +275,7 @@
 }
 
 /* Estimates the answers of all endpoints of the old version per second; false
- * while that is not known. */
+ * while the rate is not known. */
 static bool
 estimate_old_rate(
     const struct rollout_trial *t, uint64_t now_ms, uint64_t *per_s)
--- a/packages/rollout/src/trial_defs.h
+++ b/packages/rollout/src/trial_defs.h
@@ -21,8 +21,9 @@
  * @snapshots: the last two snapshots of the counts, the earlier one first
  * @snapshot_ms: when the last snapshot was taken
  * @has_base: whether @base is set
- * @suspect: its answers were bad once; later good answers don't reset this
- * @finding: what was found
+ * @suspect: whether the endpoint's answers were bad once; later good answers
+ *	don't reset this
+ * @finding: result of the last comparison with the old version
  */
 struct trial_report {
 	bool is_candidate;
--- a/packages/rollout/src/trial_verdict.c
+++ b/packages/rollout/src/trial_verdict.c
@@ -7,7 +7,8 @@
 #include "trial_defs.h"
 
 /* Significance levels: of a finding on one endpoint, which is tested at each
- * report on each route, and of one that all endpoints but the worst confirm. */
+ * report on each route, and of a finding that all endpoints but the worst
+ * confirm. */
 #define ENDPOINT_ALPHA 2e-4
 #define REST_ALPHA 2e-3
 
@@ -52,7 +53,7 @@
 /*
  * Adds up the old version's answers in a span. The endpoints with the highest
  * failure rates are left out if there are several: they may have faults of
- * their own, which would hide those of the new version.
+ * their own, which would hide a fault of the new version.
  */
 static void
 sum_span(
@@ -79,8 +80,9 @@
 	g_array_unref(list);
 }
 
-/* Adds up the old version's answers since the new version's first one, or the
- * recent ones; if these are too few for a comparison, all since the order. */
+/* Adds up the old version's answers since the new version's first answer, or
+ * only the recent answers; if they are too few for a comparison, all answers
+ * since the order. */
 static void
 sum_old_version(
     const struct rollout_trial *t, bool recent, struct rollout_counts *sum)
@@ -113,7 +115,7 @@
 	}
 }
 
-/* A suspect stays one: later answers of the old version would dilute the
+/* A suspect stays suspected: later answers of the old version would dilute the
  * evidence. */
 static bool
 check_suspect(struct trial_report *r, const struct rollout_counts *old)
--- a/packages/rollout/src/watch.c
+++ b/packages/rollout/src/watch.c
@@ -25,7 +25,7 @@
  * @next_report_ms: when the next report is due
  * @writing: whether a write of the outcome is in progress
  * @next_write_ms: earliest time of the next write
- * @phase_since_ms: when this node learned of the current phase
+ * @phase_since_ms: since when the current phase holds on this node
  * @phase: current phase
  */
 struct watched {
@@ -117,8 +117,8 @@
 	return r->deadline_ms - MIN(r->deadline_ms, switch_lead_ms(r) / 2);
 }
 
-/* Returns the service with a trial of its newest order; NULL if that has ended
- * or there is none. */
+/* Returns the service with a trial of its newest order; NULL if that order is
+ * over or there is none. */
 static struct watched *
 watched_get(struct rollout_watch *w, const char *service)
 {
@@ -305,9 +305,9 @@
 	(void)push_action(w, ROLLOUT_ACT_PHASE, &next);
 }
 
-/* Excludes the own endpoint if its answers are bad: its fault may be its own.
- * The next endpoint receives its requests, and its answers show whether the
- * version is bad. */
+/* Excludes the own endpoint if its answers are bad, since the fault may be in
+ * this endpoint alone. The next new endpoint receives the requests instead; the
+ * answers of that endpoint show whether the version is bad. */
 static void
 exclude_own_endpoint(
     struct rollout_watch *w, struct watched *s, const struct rollout *r)
@@ -383,8 +383,8 @@
 		    "no endpoint of the new version was there to be judged");
 }
 
-/* When this node has the outcome written: judges by rank, then fallback
- * writers. */
+/* Time from which this node has the outcome written: judges by rank, then
+ * fallback writers; DEADLINE_NEVER for all other nodes. */
 static uint64_t
 own_write_ms(const struct rollout_watch *w, const struct watched *s,
     const struct rollout *r)
--- a/packages/rollout/test/test_orders.c
+++ b/packages/rollout/test/test_orders.c
@@ -76,8 +76,8 @@
 
 	ck_assert_str_eq(rollout_orders_current(o, "booking", old, 2), "v2");
 	ck_assert_str_eq(rollout_orders_current(o, "booking", both, 3), "v2");
-	/* A node that has just started takes the lowest version for the old
-	 * one. */
+	/* A node that has just started treats the lowest version as the old
+	 * version. */
 	ck_assert_str_eq(rollout_orders_current(o, "other", both, 3), "v1");
 	ck_assert_ptr_null(rollout_orders_current(o, "none", NULL, 0));
 	rollout_orders_free(o);
@@ -97,7 +97,7 @@
 	    rollout_orders_current(o, "booking", candidate_only, 1), "v1");
 	r = make_rollout(7, ROLLOUT_ROLLED_BACK);
 	(void)rollout_orders_merge(o, &r);
-	/* Better no version serves than one that was found bad. */
+	/* No version serves, rather than a version that was found bad. */
 	ck_assert_str_eq(
 	    rollout_orders_current(o, "booking", candidate_only, 1), "v1");
 	r = make_rollout(8, ROLLOUT_COMPLETED);
--- a/packages/signoff/include/signoff/signoff.h
+++ b/packages/signoff/include/signoff/signoff.h
@@ -2,7 +2,7 @@
  * Sign-off, halt and supersede as an operation object: a state machine that
  * receives the platform's answers and returns the next request to send.
  *
- * All of them rely on a compare-and-set of the head row's seq; there is no
+ * All three rely on a compare-and-set of the head row's seq; there is no
  * lease. If the answer to a write is lost, the head and the version rows are
  * read back and searched for the operation's id. While they can't be read the
  * outcome is "unknown"; a later start with the same operation id settles it.
@@ -137,7 +137,8 @@
 /**
  * struct signoff_outcome - outcome of an operation
  * @result: the result
- * @kind: kind of the operation; for SIGNOFF_FIND that of the one found
+ * @kind: kind of the operation; for SIGNOFF_FIND the kind of the operation
+ *	found
  * @repeated: whether another start of the operation wrote it; if false, the
  *	rows of the last SIGNOFF_TRANSACT are on the platform
  * @version: version created or halted; 0 if nothing was written
--- a/packages/signoff/src/halt.c
+++ b/packages/signoff/src/halt.c
@@ -10,7 +10,8 @@
  * it. */
 #define NOTE_FAILURES_MAX 4
 
-/* Encodes a halt's note, which names the operator, as the head row does not. */
+/* Encodes a halt's note, which names the operator, since the head row does
+ * not. */
 static GBytes *
 encode_note(const struct signoff_request *req)
 {
@@ -38,7 +39,8 @@
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
-/* The row after the version shows which operation halted it, or was first. */
+/* The row after the version shows which operation halted that version, or was
+ * first. */
 static uint64_t
 halt_settle_limit(const struct signoff *r)
 {
--- a/packages/signoff/src/outcome.c
+++ b/packages/signoff/src/outcome.c
@@ -48,7 +48,7 @@
 	step_finish(r);
 }
 
-/* Whether an id that was found belongs to a request like this one. */
+/* Whether the operation found under this id is the one requested now. */
 static bool
 is_same_request(const struct signoff *r, enum signoff_kind kind,
     uint64_t version, const struct digest *root)
@@ -96,7 +96,8 @@
 	    o->winner_operator[0] != '\0' ? " of " : "", o->winner_operator);
 }
 
-/* The row after the version built on names the operation that was first. */
+/* The row after the version that the operation built on names the operation
+ * that was first. */
 void
 outcome_conflict(struct signoff *r)
 {
--- a/packages/signoff/src/search.c
+++ b/packages/signoff/src/search.c
@@ -68,8 +68,8 @@
 	struct range range = {r->base.version + 1, r->ops->settle_limit(r)};
 
 	if (r->head.seq == r->base.seq) {
-		/* Not yet; repeating the same write is safe, since seq must
-		 * match. */
+		/* The write has not taken effect yet; repeating it is safe,
+		 * since seq must match. */
 		r->phase = PHASE_TRANSACT;
 		signoff_retry_later(r, now_ms);
 	} else if (r->head.version > r->base.version) {
@@ -114,7 +114,7 @@
 	step_read_versions(r, s->from, s->to, now_ms);
 }
 
-/* Checks one row; returns whether it ended the operation. */
+/* Checks a row for the id; returns whether the operation has ended. */
 static bool
 check_row(struct signoff *r, const struct store_version *row)
 {
--- a/packages/signoff/src/signoff.c
+++ b/packages/signoff/src/signoff.c
@@ -234,7 +234,7 @@
 		puts_on_put(r, now_ms, token, st);
 }
 
-/* The platform rejects the write, so it can't be done at all. */
+/* The platform rejects the write, so the operation can't be done at all. */
 static void
 write_rejected(struct signoff *r, enum status st)
 {
--- a/packages/signoff/src/signoff_defs.h
+++ b/packages/signoff/src/signoff_defs.h
@@ -67,8 +67,8 @@
  * @settle_limit: last version whose row may show whether a write on @base took
  *	effect
  * @proceed: no earlier start has done the operation; go on from @head
- * @on_lost_race: the write has certainly not taken effect, since another was
- *	first
+ * @on_lost_race: the write has certainly not taken effect, since another write
+ *	was first
  */
 struct signoff_ops {
 	void (*begin)(struct signoff *r, uint64_t now_ms);
@@ -98,8 +98,8 @@
  * @content: its content
  * @section: name of the section, borrowed; NULL for other objects
  * @token: token of the write in progress, 0 for none
- * @needed: whether it has to be written for the version
- * @done: whether it is written
+ * @needed: whether the object has to be written for the version
+ * @done: whether the object is written
  */
 struct put {
 	char key[STORE_KEY_BYTES];
@@ -126,7 +126,7 @@
  * @head: head row as last read; seq 0 if there is none
  * @base: head row that the write replaces
  * @write_sent: whether a write on @base was sent
- * @maybe_written: whether it may have taken effect, or still may
+ * @maybe_written: whether that write may have taken effect, or may still do so
  * @search: see struct search
  * @lowest: fields of the row of @search.low, once it was read
  * @root: root of the version to create
@@ -179,7 +179,7 @@
 void
 signoff_enter(struct signoff *r, enum signoff_phase phase, uint64_t now_ms);
 
-/** signoff_retry_later() - retry the phase after a back-off, since it got no
+/** signoff_retry_later() - retry the phase after a back-off, since there was no
  * usable answer */
 void signoff_retry_later(struct signoff *r, uint64_t now_ms);
 
@@ -215,8 +215,8 @@
 void search_on_versions(struct signoff *r, uint64_t now_ms, enum status st,
     const struct store_version *rows, uint32_t n, uint64_t upto);
 
-/** search_decode() - decode what a row's changes record about the head row that
- * it replaced */
+/** search_decode() - decode, from a version row's changes, the record of the
+ * head row that the same write replaced; false if the changes are invalid */
 bool search_decode(
     const struct store_version *row, struct rec_replaced_head *replaced);
 
@@ -274,7 +274,8 @@
 
 /* outcome.c: functions that end the operation */
 
-/** outcome_done() - written; @root is that of the version created, or NULL */
+/** outcome_done() - the operation is written; @root is the root of the version
+ * created, or NULL not to compare it with the request's */
 void outcome_done(struct signoff *r, enum signoff_kind kind, uint64_t version,
     const struct digest *root);
 
--- a/packages/signoff/src/version.c
+++ b/packages/signoff/src/version.c
@@ -70,7 +70,8 @@
 	signoff_enter(r, PHASE_HEAD, now_ms);
 }
 
-/* An earlier start with a parent can have created only the version after it. */
+/* An earlier start with a parent can have created only the version after that
+ * parent. */
 static struct range
 version_first_search(const struct signoff *r)
 {
@@ -174,7 +175,7 @@
 }
 
 /* Reads the newest version's row for its root, which the head row holds unless
- * it is halted. */
+ * that version is halted. */
 void
 version_issue_base_row(struct signoff *r, uint64_t now_ms)
 {
--- a/packages/signoff/test/check_world.c
+++ b/packages/signoff/test/check_world.c
@@ -1,7 +1,8 @@
 /*
  * The checker: versions have no gaps and one order, each is complete on the
- * platform when it comes into force, in_force is the highest not halted, each
- * operation takes effect at most once, and every reported outcome is true.
+ * platform when it comes into force, in_force is the highest version not
+ * halted, each operation takes effect at most once, and every reported outcome
+ * is true.
  */
 #include "check_world.h"
 
@@ -226,8 +227,8 @@
 		violation(w, "%s: a later winner reported", actor->req.op);
 }
 
-/* Whether another start had the same id; then this one's outcome covers only
- * its own writes. */
+/* Whether another start had the same id; then the outcome of this start covers
+ * only its own writes. */
 static bool
 has_other_start(const struct world *w, const struct actor *actor)
 {
--- a/packages/signoff/test/test_race.c
+++ b/packages/signoff/test/test_race.c
@@ -92,7 +92,7 @@
 	struct actor *actor;
 
 	sign_off_versions(w, 1);
-	/* The search for its own id is one request more. */
+	/* The search for the operation's own id is one request more. */
 	w->fault_at = w->n_requests + WRITE_REQUEST + 1;
 	w->fault = FAULT_LOST_REQUEST;
 	req = sign_off_request(w, "op");
--- a/packages/signoff/test/world.c
+++ b/packages/signoff/test/world.c
@@ -225,7 +225,8 @@
 			answer.st = STATUS_NOT_FOUND;
 		break;
 	case SIGNOFF_READ_VERSIONS:
-		/* Sometimes only a part, as the platform may. */
+		/* Sometimes the answer covers only a part of the rows, as the
+		 * platform's may. */
 		answer.upto = e->a.to;
 		if (e->a.to > e->a.from && g_rand_boolean(w->rand))
 			answer.upto -= 1;
--- a/packages/signoff/test/world.h
+++ b/packages/signoff/test/world.h
@@ -32,7 +32,7 @@
  * @bundle: bundle of a sign-off
  * @variant: variant from which the bundle was made
  * @naive: restarts an unknown write blindly under another id
- * @n_starts: number of starts, for the ids of a naive one
+ * @n_starts: number of starts, for the ids of a naive actor
  * @sent_head: head row of its last write
  * @outcome: its outcome
  */
@@ -66,11 +66,12 @@
  * @rand: source of all random choices
  * @now_ms: virtual time
  * @down: whether the platform refuses all requests
- * @down_from: request from which on it is down, counted from 1; 0 for none
+ * @down_from: request from which on the platform is down, counted from 1; 0
+ *	for none
  * @fault_percent: percentage of requests with a fault
  * @n_requests: requests so far
  * @fault_at: request that has @fault, counted from 1; 0 for none
- * @fault: its fault
+ * @fault: fault of request @fault_at
  * @rejection: status of each request of @rejected_kind; STATUS_OK to execute
  *	them
  * @rejected_kind: kind of action rejected
--- a/packages/standins/src/announcer.c
+++ b/packages/standins/src/announcer.c
@@ -19,7 +19,7 @@
 
 struct announcer {
 	pthread_t thread;
-	pthread_mutex_t lock; /* protects the fields up to @url */
+	pthread_mutex_t lock; /* protects @state to @stopping */
 	pthread_cond_t changed;
 	enum announce_state state;
 	uint64_t state_seq; /* incremented with each change */
--- a/packages/standins/src/load_call.c
+++ b/packages/standins/src/load_call.c
@@ -185,9 +185,9 @@
 }
 
 /*
- * Whether nothing was sent.  The error code does not show that: libcurl resends
- * a lookup when its reused connection closes, so "refused" may belong to the
- * second attempt.
+ * Whether nothing was sent.  The error code does not show this: libcurl
+ * resends a lookup when its reused connection closes, so "refused" may belong
+ * to the second attempt.
  */
 static int
 call_not_sent(const struct load_call *c)
--- a/packages/standins/src/platform.c
+++ b/packages/standins/src/platform.c
@@ -28,8 +28,8 @@
 
 /*
  * Reads and writes count rows and objects.  Rejected requests were throttled,
- * failed ones fell into an outage; lost answers are responses omitted on
- * purpose.
+ * failed requests arrived during an outage; lost answers are responses omitted
+ * on purpose.
  */
 struct platform_stats {
 	uint64_t requests;
--- a/packages/standins/src/upstream.c
+++ b/packages/standins/src/upstream.c
@@ -52,7 +52,8 @@
 		    k->lie_health, json_string_value(v), sizeof(k->lie_health));
 }
 
-/* Announce a state and record when the node acked draining. */
+/* Announce a state; for draining, record the time after the node's ack, or
+ * after the timeout of the wait for it. */
 static void
 upstream_announce(struct upstream *u, enum announce_state s)
 {
@@ -167,7 +168,7 @@
 
 /*
  * Announce "starting" and, after the cold start, "ready", unless the upstream
- * stops or drains before.  "starting" is announced first, so that the node
+ * stops or drains before then.  "starting" is announced first, so that the node
  * sees the start.
  */
 static void *
--- a/packages/standins/src/upstream_call.c
+++ b/packages/standins/src/upstream_call.c
@@ -103,7 +103,8 @@
 	return 1;
 }
 
-/* Record the run before its work and decide whether it gets a response. */
+/* Record the run before its work and decide whether the call gets a
+ * response. */
 static void
 call_record_run(struct upstream *u, struct call *c)
 {
--- a/packages/store/include/store/feed.h
+++ b/packages/store/include/store/feed.h
@@ -42,9 +42,9 @@
  * @row_bytes: size of the version as the operators wrote it
  * @notes: parts of it that are executed differently from what is written; NULL
  *	for none
- * @problem: why the newest version has no bundle, though it is not the one that
- *	the feed returned last; NULL for no problem. @version is 0 then if it
- *	can't be read
+ * @problem: why the newest version has no bundle, if it is not the version that
+ *	the feed returned last; NULL for no problem. With a problem, @version is
+ *	0 if the version's number can't be read
  * @row: whether the answer contained the configuration, returned before or not
  * @body_ms: transfer time of the answer, from its first part
  * @position: number of the last change that reads have returned
@@ -156,9 +156,9 @@
 /**
  * feed_probe() - look for changes while a long poll is waiting
  * @f: the feed
- * @skip_next: leave out the change with the next number; the next change of the
- *	configuration is included all the same if it has a higher number, as
- *	the platform numbers the changes of all rows together
+ * @skip_next: leave out the change with the next number. The platform numbers
+ *	the changes of all rows together: if the next change of the
+ *	configuration has a higher number, it is included
  * @fn: called once, after this function has returned
  * @arg: given to @fn
  *
@@ -190,7 +190,7 @@
 /**
  * directory_fn - a look-up has ended
  * @st: STATUS_OK, or the error
- * @entries: the entries found, perhaps with the own one
+ * @entries: the entries found, possibly with the own entry
  * @n: number of @entries
  * @arg: argument given to the look-up
  */
--- a/packages/store/include/store/store.h
+++ b/packages/store/include/store/store.h
@@ -22,7 +22,7 @@
  *	STATUS_UNKNOWN		may or may not have taken effect; read the row
  *				back and compare the operation id
  *	STATUS_TOO_LARGE	above the platform's limit; nothing was written
- *	STATUS_INVALID		the platform calls the request invalid
+ *	STATUS_INVALID		the request is invalid; nothing was written
  */
 #ifndef STORE_STORE_H
 #define STORE_STORE_H
--- a/packages/store/src/answer.h
+++ b/packages/store/src/answer.h
@@ -1,9 +1,9 @@
 /*
  * Maps answers of the platform to statuses.
  *
- * Rule for writes: only a documented error response of the platform itself
+ * Rule for writes: only a documented error answer of the platform itself
  * proves that nothing was written. After anything else, from a broken
- * connection to a response of an intermediary, the outcome of the write is
+ * connection to an answer of an intermediary, the outcome of the write is
  * unknown.
  */
 #ifndef STORE_ANSWER_H
--- a/packages/store/src/item.h
+++ b/packages/store/src/item.h
@@ -18,8 +18,8 @@
 /** item_number() - encode a number as an attribute value */
 json_t *item_number(uint64_t n);
 
-/** item_head_key() - encode the key of the head row, as an item with nothing
- * else */
+/** item_head_key() - encode the key of the head row, as an item without other
+ * attributes */
 json_t *item_head_key(void);
 
 /** item_version_key() - encode the key of a version row, as an item */
--- a/packages/store/src/store_call.h
+++ b/packages/store/src/store_call.h
@@ -24,7 +24,8 @@
 	GQueue calls;
 };
 
-/** store_end_fn - evaluate the answer and call the caller's function */
+/** store_end_fn - evaluate the answer and call the caller's function; Return:
+ * the status of the operation, for the metrics */
 typedef enum status
 store_end_fn(struct store_call *call, const struct answer *a);
 
@@ -65,7 +66,7 @@
  * store_call_new() - create an operation
  * @base: the store
  * @end: called with the answer
- * @is_write: whether it is a write
+ * @is_write: whether the operation writes
  * @arg: argument of the caller's function
  */
 struct store_call *
@@ -82,7 +83,7 @@
  * @call: the operation
  * @operation: name such as "GetItem"
  * @json: request; ownership is taken
- * @rows: number of rows that it reads or writes
+ * @rows: number of rows that the request reads or writes
  * @deadline_ms: monotonic deadline
  */
 void store_call_table(struct store_call *call, const char *operation,
--- a/packages/store/test/fake_platform.h
+++ b/packages/store/test/fake_platform.h
@@ -74,7 +74,8 @@
 /** set_reply() - set the reaction to further requests */
 void set_reply(enum mode mode, int code, const char *body);
 
-/** caller_deadline() - deadline of an operation; early if it will hang */
+/** caller_deadline() - deadline of an operation; early if the platform is
+ * set to hang */
 uint64_t caller_deadline(void);
 
 /** caller_await() - wait for the end of the operation just started */
--- a/packages/store/test/test_store_faults.c
+++ b/packages/store/test/test_store_faults.c
@@ -167,7 +167,7 @@
 	ck_assert_int_eq(result_status, STATUS_TOO_LARGE);
 	caller_get_object(3);
 	ck_assert_int_eq(result_status, STATUS_OK);
-	/* The limit applies to the object, not to an error response. */
+	/* The limit applies to the object, not to an error answer. */
 	set_reply(MODE_ANSWER, 404, S3_ERROR("NoSuchKey"));
 	caller_get_object(3);
 	ck_assert_int_eq(result_status, STATUS_NOT_FOUND);
