--- a/packages/ctl/test/test_ctl.c
+++ b/packages/ctl/test/test_ctl.c
@@ -482,7 +482,7 @@
 	struct fake_response first[2];
 	struct fake_response second[2];
 	int code;
-	int second_asked;
+	int second_is_used;
 	int second_changes;
 };
 
@@ -517,7 +517,7 @@
 	ck_assert_msg(r.code == row->code, "\"%s\" ended with %d: %s",
 	    row->args, r.code, r.err);
 	requests = fake_node_requests(second);
-	ck_assert_int_eq(*requests != '\0', row->second_asked);
+	ck_assert_int_eq(*requests != '\0', row->second_is_used);
 	ck_assert_int_eq(changes_sent(requests), row->second_changes);
 	g_free(requests);
 	ctl_output_clear(&r);
--- a/packages/rollout/src/news.c
+++ b/packages/rollout/src/news.c
@@ -198,10 +198,10 @@
 	}
 }
 
-/* Whether digests are sent: a node without orders sends them only for some time
- * after its start. */
+/* Whether this node sends digests: a node without orders sends them only for
+ * some time after its start. */
 static bool
-compares(const struct rollout_news *n)
+sends_digests(const struct rollout_news *n)
 {
 	return rollout_orders_count(n->orders) > 0 ||
 	    n->compare_ms < n->join_until_ms;
@@ -235,12 +235,13 @@
 		    ? now_ms + ROLLOUT_NEWS_ROUND_INTERVAL_MS
 		    : DEADLINE_NEVER;
 	}
-	if (now_ms >= n->compare_ms && compares(n))
+	if (now_ms >= n->compare_ms && sends_digests(n))
 		start_comparison(n, n_peers > 0 ? peers : NULL, now_ms);
 }
 
 uint64_t
 rollout_news_next_ms(const struct rollout_news *n)
 {
-	return MIN(n->round_ms, compares(n) ? n->compare_ms : DEADLINE_NEVER);
+	return MIN(
+	    n->round_ms, sends_digests(n) ? n->compare_ms : DEADLINE_NEVER);
 }
--- a/packages/rollout/src/orders.c
+++ b/packages/rollout/src/orders.c
@@ -197,7 +197,7 @@
 /* Whether an order keeps a version from serving: the version is on trial, being
  * reverted, or rolled back. */
 static bool
-is_rolled_back(const struct rollout *r, const char *version)
+must_not_serve(const struct rollout *r, const char *version)
 {
 	return r != NULL && rollout_current(r) == r->from &&
 	    strcmp(version, r->to) == 0;
@@ -210,7 +210,7 @@
 	uint32_t i;
 
 	for (i = 0; i < n; i++) {
-		if (is_rolled_back(r, versions[i]))
+		if (must_not_serve(r, versions[i]))
 			continue;
 		if (lowest == NULL ||
 		    rollout_version_compare(versions[i], lowest) < 0)
@@ -231,7 +231,7 @@
 		return rollout_current(r);
 	current = g_hash_table_lookup(o->current, service);
 	if (current != NULL && contains(versions, n, current) &&
-	    !is_rolled_back(r, current))
+	    !must_not_serve(r, current))
 		return current;
 	lowest = lowest_version(r, versions, n);
 	if (lowest == NULL)
--- a/packages/rollout/src/trial_verdict.c
+++ b/packages/rollout/src/trial_verdict.c
@@ -168,7 +168,7 @@
 };
 
 static void
-tally_one(
+tally_report(
     struct tally *s, struct trial_report *r, const struct rollout_counts *old)
 {
 	uint64_t failed = rollout_counts_failed(&r->counts);
@@ -199,7 +199,7 @@
 	g_hash_table_iter_init(&it, t->reports);
 	while (g_hash_table_iter_next(&it, NULL, (void **)&r))
 		if (r->is_candidate)
-			tally_one(s, r, old);
+			tally_report(s, r, old);
 }
 
 /* Whether all endpoints together are bad, and also without the worst one.
--- a/packages/signoff/test/test_race.c
+++ b/packages/signoff/test/test_race.c
@@ -16,7 +16,7 @@
 
 /* Two concurrent sign-offs without parent: the loser is retried on top of the
  * winner only if that was requested. */
-START_TEST(test_on_top)
+START_TEST(loser_is_retried_only_if_requested)
 {
 	struct world *w = world_new((uint32_t)_i);
 	struct signoff_request req;
@@ -41,7 +41,7 @@
 
 /* Two concurrent starts of one id take effect once; both are reported as done.
  */
-START_TEST(test_twins)
+START_TEST(two_starts_of_one_id_take_effect_once)
 {
 	struct world *w = world_new((uint32_t)_i);
 	struct signoff_request req;
@@ -85,7 +85,7 @@
  * same id is retried on top of the rival, and a third operation follows on top
  * of both. The id is then neither in the head row nor in the row that the lost
  * write would have made, and has to be found in between. */
-START_TEST(test_twin_went_on)
+START_TEST(id_is_found_between_head_and_lost_write)
 {
 	struct world *w = world_new(1);
 	struct signoff_request req;
@@ -191,7 +191,7 @@
 	world_free(w);
 }
 
-START_TEST(test_race)
+START_TEST(concurrent_operators_get_one_order)
 {
 	uint32_t seed, n_results[SIGNOFF_UNKNOWN + 1] = {0};
 	char violation[WORLD_VIOLATION_BYTES];
@@ -212,7 +212,7 @@
 END_TEST
 
 /* A blind retry writes twice, and the checker detects that. */
-START_TEST(test_naive_is_caught)
+START_TEST(blind_retry_is_detected)
 {
 	uint32_t seed, n_detected = 0, n_results[SIGNOFF_UNKNOWN + 1] = {0};
 	char violation[WORLD_VIOLATION_BYTES];
@@ -231,11 +231,11 @@
 	Suite *suite = suite_create("race");
 	TCase *tc = tcase_create("race");
 
-	tcase_add_loop_test(tc, test_on_top, 0, 20);
-	tcase_add_loop_test(tc, test_twins, 0, 60);
-	tcase_add_test(tc, test_twin_went_on);
-	tcase_add_test(tc, test_race);
-	tcase_add_test(tc, test_naive_is_caught);
+	tcase_add_loop_test(tc, loser_is_retried_only_if_requested, 0, 20);
+	tcase_add_loop_test(tc, two_starts_of_one_id_take_effect_once, 0, 60);
+	tcase_add_test(tc, id_is_found_between_head_and_lost_write);
+	tcase_add_test(tc, concurrent_operators_get_one_order);
+	tcase_add_test(tc, blind_retry_is_detected);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return scenario_run(suite);
--- a/packages/signoff/test/test_signoff.c
+++ b/packages/signoff/test/test_signoff.c
@@ -24,7 +24,7 @@
  * One operation of each kind, with each fault at each of its requests: it takes
  * effect once and is reported as done; a second start reports the same.
  */
-START_TEST(test_each_step)
+START_TEST(fault_at_any_request_is_survived)
 {
 	const enum signoff_kind kind = (enum signoff_kind)(_i % 3);
 	const enum fault fault = (enum fault)(1 + _i / 3 % (FAULT_COUNT - 1));
@@ -84,7 +84,7 @@
     {SIGNOFF_FIND, "op", 0, -1, 0, SIGNOFF_NOT_FOUND, 0, ""},
 };
 
-START_TEST(test_outcomes)
+START_TEST(each_request_has_its_outcome)
 {
 	struct world *w = world_new(1);
 	const struct signoff_outcome *o;
@@ -107,7 +107,7 @@
 
 /* A halt that is not the first reports the winner, also after newer versions; a
  * halt skips versions that were halted before. */
-START_TEST(test_halts)
+START_TEST(later_halt_reports_the_winner)
 {
 	struct world *w = world_new(1);
 	const struct signoff_outcome *o;
@@ -149,8 +149,8 @@
 
 /* While the platform is down from the start, nothing is written. If it goes
  * down with the write, the outcome is unknown; once the platform is back and
- * another write has followed, a find settles it. */
-START_TEST(test_down)
+ * another write has followed, SIGNOFF_FIND settles the outcome. */
+START_TEST(unknown_outcome_is_settled_later)
 {
 	const bool written = _i % 2 != 0;
 	const struct signoff_outcome *o;
@@ -193,7 +193,7 @@
 END_TEST
 
 /* A write that the platform rejects as too large is reported at once. */
-START_TEST(test_too_large)
+START_TEST(rejected_write_is_reported_at_once)
 {
 	struct world *w = world_new(1);
 	const struct signoff_outcome *o;
@@ -213,7 +213,7 @@
 
 /* Changes are not listed in the row if they are too many for it, or if the list
  * that they refer to is lost on the platform; then all sections are written. */
-START_TEST(test_changes_not_listed)
+START_TEST(all_sections_are_written_without_a_list)
 {
 	struct world *w = world_new(1);
 	struct signoff_request req;
@@ -236,7 +236,7 @@
 
 /* A write is still in transit when the platform goes down: that a read did not
  * find it does not prove that it has no effect. */
-START_TEST(test_late)
+START_TEST(write_in_transit_is_unknown)
 {
 	const struct signoff_outcome *o;
 	struct world *w = world_new(1);
@@ -257,7 +257,7 @@
 END_TEST
 
 /* Invalid requests are rejected before anything is sent. */
-START_TEST(test_invalid_requests)
+START_TEST(invalid_requests_are_rejected)
 {
 	struct world *w = world_new(1);
 	struct signoff_request req;
@@ -286,15 +286,16 @@
 	Suite *suite = suite_create("signoff");
 	TCase *tc = tcase_create("signoff");
 
-	tcase_add_loop_test(tc, test_each_step, 0, 3 * (FAULT_COUNT - 1));
 	tcase_add_loop_test(
-	    tc, test_outcomes, 0, (int)G_N_ELEMENTS(outcome_cases));
-	tcase_add_test(tc, test_halts);
-	tcase_add_loop_test(tc, test_down, 0, 20);
-	tcase_add_loop_test(tc, test_too_large, 0, 2);
-	tcase_add_loop_test(tc, test_changes_not_listed, 0, 2);
-	tcase_add_test(tc, test_late);
-	tcase_add_test(tc, test_invalid_requests);
+	    tc, fault_at_any_request_is_survived, 0, 3 * (FAULT_COUNT - 1));
+	tcase_add_loop_test(tc, each_request_has_its_outcome, 0,
+	    (int)G_N_ELEMENTS(outcome_cases));
+	tcase_add_test(tc, later_halt_reports_the_winner);
+	tcase_add_loop_test(tc, unknown_outcome_is_settled_later, 0, 20);
+	tcase_add_loop_test(tc, rejected_write_is_reported_at_once, 0, 2);
+	tcase_add_loop_test(tc, all_sections_are_written_without_a_list, 0, 2);
+	tcase_add_test(tc, write_in_transit_is_unknown);
+	tcase_add_test(tc, invalid_requests_are_rejected);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return scenario_run(suite);
--- a/packages/standins/src/run_check.c
+++ b/packages/standins/src/run_check.c
@@ -50,9 +50,9 @@
 }
 
 static int
-reported_not_run(enum reported_fate t)
+reported_not_run(enum reported_fate fate)
 {
-	return t == REPORTED_NOT_RUN || t == REPORTED_NOT_SENT;
+	return fate == REPORTED_NOT_RUN || fate == REPORTED_NOT_SENT;
 }
 
 static void
--- a/packages/standins/src/runs.c
+++ b/packages/standins/src/runs.c
@@ -75,23 +75,23 @@
 }
 
 static int
-id_is_set(const char *name)
+id_is_set(const char *id)
 {
-	return name != NULL && name[0] != '\0' && strcmp(name, "-") != 0;
+	return id != NULL && id[0] != '\0' && strcmp(id, "-") != 0;
 }
 
 static uint64_t
-count_get(GHashTable *t, const char *name)
+count_get(GHashTable *t, const char *id)
 {
-	return GPOINTER_TO_SIZE(g_hash_table_lookup(t, name));
+	return GPOINTER_TO_SIZE(g_hash_table_lookup(t, id));
 }
 
 static void
-count_add(GHashTable *t, const char *name, uint64_t n)
+count_add(GHashTable *t, const char *id, uint64_t n)
 {
-	if (id_is_set(name))
-		g_hash_table_replace(t, g_strdup(name),
-		    GSIZE_TO_POINTER(count_get(t, name) + n));
+	if (id_is_set(id))
+		g_hash_table_replace(
+		    t, g_strdup(id), GSIZE_TO_POINTER(count_get(t, id) + n));
 }
 
 static void
