--- a/packages/ctl/test/fake_node.h
+++ b/packages/ctl/test/fake_node.h
@@ -15,7 +15,8 @@
 
 /**
  * struct fake_response - one response of a script
- * @request: method and path prefix of the requests it applies to
+ * @request: method and path prefix of the requests that the response
+ *	applies to
  * @code: HTTP status, or FAKE_DELAYED() of one; 0 closes the connection without
  *	a response
  * @body: body of the response
--- a/packages/standins/src/upstream_defs.h
+++ b/packages/standins/src/upstream_defs.h
@@ -34,8 +34,8 @@
 	uint64_t shed;		     /* rejected, not run */
 	uint64_t broken;	     /* truncated request bodies, not run */
 	uint64_t unanswered;	     /* run, closed without a response */
-	uint64_t after_drain;	     /* runs started after draining was acked */
-	uint64_t after_drain_max_ms; /* from the ack to the latest of them */
+	uint64_t after_drain;	     /* runs started after draining_ms */
+	uint64_t after_drain_max_ms; /* from then to the latest of them */
 };
 
 struct upstream {
@@ -50,7 +50,7 @@
 	struct upstream_stats stats;
 	uint32_t in_flight;
 	uint64_t ready_ms;    /* when the cold start ends */
-	uint64_t draining_ms; /* when draining was acked, or DEADLINE_NEVER */
+	uint64_t draining_ms; /* end of ack wait, or DEADLINE_NEVER */
 	int stopping;
 };
 
--- a/packages/store/test/fake_platform.h
+++ b/packages/store/test/fake_platform.h
@@ -21,7 +21,7 @@
  * @MODE_CUT: close before the answer is complete
  * @MODE_OPEN: answer without a length, and close
  * @MODE_BIG: answer with more than the store accepts
- * @MODE_DOWN: for tests that take the platform down
+ * @MODE_DOWN: no request arrives: the test takes the platform down
  */
 enum mode {
 	MODE_ANSWER,
