--- a/packages/config/test/test_bundle.c
+++ b/packages/config/test/test_bundle.c
@@ -106,7 +106,7 @@
 	"routes[0].idempotent", "not a boolean"},
 };
 
-START_TEST(test_fault)
+START_TEST(test_problem_cases)
 {
 	const struct bundle_problem *problem;
 	struct bundle *b;
@@ -173,7 +173,7 @@
 
 /* The bundle is valid with one warning, and its sections can be committed, so
  * they pass the checks for received sections. */
-START_TEST(test_doubt)
+START_TEST(test_warning_cases)
 {
 	const struct bundle_problem *warning;
 	struct bundle *b = fix_bundle(warning_cases[_i].json);
@@ -210,7 +210,7 @@
 	ROUTES(ROUTE("/", "'GET'"))},
 };
 
-START_TEST(test_run_as)
+START_TEST(test_equivalent_cases)
 {
 	struct bundle *written = fix_bundle(equivalent_cases[_i].written);
 	struct bundle *normalized = fix_bundle(equivalent_cases[_i].normalized);
@@ -238,7 +238,7 @@
 
 /* SNAPSHOT_SHARES_MAX services may share a route; a bundle with one more is
  * rejected. */
-START_TEST(test_shares)
+START_TEST(test_shares_limit)
 {
 	GString *text;
 	struct bundle *b;
@@ -438,7 +438,7 @@
 }
 END_TEST
 
-START_TEST(test_all_at_once)
+START_TEST(test_all_problems_are_reported)
 {
 	struct bundle *b;
 	char *json = fix_json(
@@ -591,16 +591,16 @@
 	TCase *tc = tcase_create("bundle");
 
 	tcase_add_loop_test(
-	    tc, test_fault, 0, (int)G_N_ELEMENTS(problem_cases));
+	    tc, test_problem_cases, 0, (int)G_N_ELEMENTS(problem_cases));
 	tcase_add_loop_test(
-	    tc, test_doubt, 0, (int)G_N_ELEMENTS(warning_cases));
+	    tc, test_warning_cases, 0, (int)G_N_ELEMENTS(warning_cases));
 	tcase_add_loop_test(
-	    tc, test_run_as, 0, (int)G_N_ELEMENTS(equivalent_cases));
+	    tc, test_equivalent_cases, 0, (int)G_N_ELEMENTS(equivalent_cases));
 	tcase_add_test(tc, test_warnings_with_problems);
-	tcase_add_test(tc, test_shares);
+	tcase_add_test(tc, test_shares_limit);
 	tcase_add_test(tc, test_incremental_build);
 	tcase_add_test(tc, test_incremental_build_too_many);
-	tcase_add_test(tc, test_all_at_once);
+	tcase_add_test(tc, test_all_problems_are_reported);
 	tcase_add_loop_test(
 	    tc, test_services_limit, 0, (int)G_N_ELEMENTS(limit_cases));
 	tcase_add_test(tc, test_routes_too_large);
--- a/packages/config/test/test_catalog.c
+++ b/packages/config/test/test_catalog.c
@@ -191,7 +191,7 @@
 END_TEST
 
 /* Deltas between kept versions, and the lists of kept versions. */
-START_TEST(test_ring)
+START_TEST(test_deltas_between_kept_versions)
 {
 	struct catalog *c = catalog_new(0), *d;
 	GRand *rand = g_rand_new_with_seed(SEED);
@@ -322,7 +322,7 @@
 	g_array_unref(held);
 }
 
-START_TEST(test_bad)
+START_TEST(test_invalid_delta_is_refused)
 {
 	struct bundle *before = fix_bundle(TWO("5", "'GET'"));
 	struct bundle *after = fix_bundle(TWO("6", "'GET'"));
@@ -415,7 +415,7 @@
 
 /* A stage begun before another commit is either committed correctly or
  * refused. */
-START_TEST(test_overtaken)
+START_TEST(test_stage_begun_before_another_commit)
 {
 	struct bundle *b[3] = {fix_bundle(TWO("5", "'GET'")),
 	    fix_bundle(TWO("6", "'GET'")), fix_bundle(TWO("7", "'GET'"))};
@@ -448,7 +448,7 @@
 
 /* Old commits are dropped at the memory limit; a version above the
  * limit is refused. */
-START_TEST(test_memory)
+START_TEST(test_memory_limit)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
 	struct version *v = random_versions(rand);
@@ -481,11 +481,12 @@
 	TCase *tc = tcase_create("catalog");
 
 	tcase_add_loop_test(tc, test_relayed_versions, 0, 20);
-	tcase_add_test(tc, test_ring);
-	tcase_add_loop_test(tc, test_bad, 0, BAD_COUNT + 1);
+	tcase_add_test(tc, test_deltas_between_kept_versions);
+	tcase_add_loop_test(
+	    tc, test_invalid_delta_is_refused, 0, BAD_COUNT + 1);
 	tcase_add_test(tc, test_commit_between_check_and_commit);
-	tcase_add_test(tc, test_overtaken);
-	tcase_add_test(tc, test_memory);
+	tcase_add_test(tc, test_stage_begun_before_another_commit);
+	tcase_add_test(tc, test_memory_limit);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return fix_run(suite);
--- a/packages/config/test/test_parts.c
+++ b/packages/config/test/test_parts.c
@@ -280,7 +280,7 @@
 }
 END_TEST
 
-START_TEST(a_route_in_another_part_is_refused)
+START_TEST(a_section_with_a_route_of_another_part_is_refused)
 {
 	struct rec_section_route route = {
 	    .prefix = "/a", .methods = METHOD_BIT(METHOD_GET)};
@@ -343,7 +343,7 @@
 	tcase_add_test(tc, routes_of_a_split_service_match);
 	tcase_add_loop_test(tc, parts_that_contradict_each_other_are_refused, 0,
 	    CONFLICT_COUNT);
-	tcase_add_test(tc, a_route_in_another_part_is_refused);
+	tcase_add_test(tc, a_section_with_a_route_of_another_part_is_refused);
 	tcase_add_test(tc, section_names_are_validated);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
--- a/packages/config/test/test_sections.c
+++ b/packages/config/test/test_sections.c
@@ -54,7 +54,7 @@
 
 #define CORRUPTIONS 10
 
-START_TEST(test_section_broken)
+START_TEST(test_section_invalid)
 {
 	struct rec_section_route route = {.prefix = "/a",
 	    .methods = METHOD_BIT(METHOD_GET),
@@ -196,7 +196,7 @@
 	Suite *suite = suite_create("sections");
 	TCase *tc = tcase_create("sections");
 
-	tcase_add_loop_test(tc, test_section_broken, 0, CORRUPTIONS + 1);
+	tcase_add_loop_test(tc, test_section_invalid, 0, CORRUPTIONS + 1);
 	tcase_add_test(tc, test_section_canonical);
 	tcase_add_test(tc, test_fuzz_section);
 	tcase_add_test(tc, test_fuzz_bundle);
--- a/packages/config/test/test_snapshot.c
+++ b/packages/config/test/test_snapshot.c
@@ -337,7 +337,7 @@
 	}
 }
 
-START_TEST(test_planted)
+START_TEST(test_check_finds_corruption)
 {
 	struct endpoint_set *set = endpoint_set_new();
 	struct endpoint ep = endpoint("search", 1);
@@ -366,7 +366,7 @@
 	tcase_add_test(tc, test_endpoints);
 	tcase_add_test(tc, test_sharing);
 	tcase_add_test(tc, test_routes_change);
-	tcase_add_loop_test(tc, test_planted, 0, CORRUPT_COUNT);
+	tcase_add_loop_test(tc, test_check_finds_corruption, 0, CORRUPT_COUNT);
 	tcase_set_timeout(tc, 60);
 	suite_add_tcase(suite, tc);
 	return fix_run(suite);
--- a/packages/membership/test/test_centres.c
+++ b/packages/membership/test/test_centres.c
@@ -45,7 +45,7 @@
 	return 1;
 }
 
-START_TEST(a_drain_is_known_abroad_within_two_seconds)
+START_TEST(a_drain_reaches_all_data_centres_within_two_seconds)
 {
 	uint32_t seed = (uint32_t)_i;
 
@@ -146,7 +146,7 @@
  * A host leaves while a data centre is cut off for longer than tombstones are
  * kept.  The records of that data centre do not revive the host.
  */
-START_TEST(a_host_that_left_during_a_cut_stays_gone)
+START_TEST(a_host_that_left_during_a_partition_is_not_revived)
 {
 	uint32_t seed = (uint32_t)_i, i;
 	struct membership_settings s;
@@ -311,7 +311,7 @@
 
 	tcase_set_timeout(tc, 60);
 	tcase_add_loop_test(
-	    tc, a_drain_is_known_abroad_within_two_seconds, 0, SEEDS);
+	    tc, a_drain_reaches_all_data_centres_within_two_seconds, 0, SEEDS);
 	tcase_add_loop_test(tc, relays_are_replaced, 0, SEEDS);
 	tcase_add_loop_test(tc,
 	    a_data_centre_that_is_cut_off_is_not_suspected_and_catches_up, 0,
@@ -319,7 +319,7 @@
 	tcase_add_loop_test(
 	    tc, records_spread_through_a_third_data_centre, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, a_host_that_left_during_a_cut_stays_gone, 0, SEEDS);
+	    tc, a_host_that_left_during_a_partition_is_not_revived, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, later_host_with_a_duplicate_name_stops_serving, 0, SEEDS);
 	tcase_add_loop_test(
--- a/packages/membership/test/test_chaos.c
+++ b/packages/membership/test/test_chaos.c
@@ -182,7 +182,7 @@
     {0, 1, 60, "live for too long"},
 };
 
-START_TEST(checker_catches_what_is_planted)
+START_TEST(checker_reports_each_injected_violation)
 {
 	const char *v;
 	uint32_t i;
@@ -229,7 +229,7 @@
 	/* Two processes of one host reach the same incarnation. */
 	tcase_add_loop_test(
 	    tc, random_faults_end_with_the_same_tables, 2266, 2267);
-	tcase_add_loop_test(tc, checker_catches_what_is_planted, 0,
+	tcase_add_loop_test(tc, checker_reports_each_injected_violation, 0,
 	    (int)G_N_ELEMENTS(injections));
 	suite_add_tcase(s, tc);
 	return test_run(s);
--- a/packages/membership/test/test_own.c
+++ b/packages/membership/test/test_own.c
@@ -349,7 +349,7 @@
 }
 END_TEST
 
-START_TEST(joins_over_the_limit_are_told_when_to_come_back)
+START_TEST(joins_over_the_limit_are_refused_until_leases_expire)
 {
 	struct net_addr from = {FAKE_IP + 1, FAKE_PORT};
 	uint32_t i, limit = f->nodes[0].settings.join_limit;
@@ -451,7 +451,8 @@
 	    tc, records_with_names_valid_in_the_configuration_are_merged);
 	tcase_add_test(tc, invalid_messages_change_nothing);
 	tcase_add_test(tc, invalid_comparisons_change_nothing);
-	tcase_add_test(tc, joins_over_the_limit_are_told_when_to_come_back);
+	tcase_add_test(
+	    tc, joins_over_the_limit_are_refused_until_leases_expire);
 	tcase_add_test(tc, rank_is_the_same_on_all_nodes_and_live_only);
 	tcase_add_test(tc, faster_links_rank_first_and_similar_links_share);
 	suite_add_tcase(s, tc);
--- a/packages/membership/test/test_swim.c
+++ b/packages/membership/test/test_swim.c
@@ -137,7 +137,7 @@
  * do not mark each other as failed, and after the partition the node returns
  * without having marked the others.
  */
-START_TEST(a_cut_off_node_harms_nobody_else)
+START_TEST(only_the_cut_off_node_is_marked_failed)
 {
 	uint32_t seed = (uint32_t)_i, how, i, j;
 
@@ -168,7 +168,7 @@
  * Two partitions that marked each other as failed merge again, also after the
  * tombstones have expired.
  */
-START_TEST(halves_of_a_data_centre_meet_again)
+START_TEST(partitions_merge_after_tombstones_expire)
 {
 	uint32_t seed = (uint32_t)_i;
 	struct membership_settings s;
@@ -269,7 +269,7 @@
 END_TEST
 
 /* The wall clock of the new process is an hour behind. */
-START_TEST(a_restarted_host_goes_above_what_peers_remember)
+START_TEST(a_restarted_host_exceeds_its_previous_incarnation)
 {
 	uint32_t seed = (uint32_t)_i;
 	struct membership_settings s;
@@ -329,7 +329,7 @@
  * both processes reached the same incarnation, and the peer kept the old
  * endpoints.)
  */
-START_TEST(a_restarted_host_overrides_changes_that_few_saw)
+START_TEST(a_restarted_host_overrides_a_change_known_to_one_peer)
 {
 	uint32_t seed = (uint32_t)_i, i;
 	struct membership_settings s;
@@ -360,7 +360,7 @@
 END_TEST
 
 /* Endpoint changes with messages that are reordered, duplicated and lost. */
-START_TEST(crossed_doubled_and_lost_news_end_alike)
+START_TEST(reordered_duplicated_and_lost_messages_end_with_the_same_tables)
 {
 	static const enum endpoint_state states[] = {
 	    ENDPOINT_STARTING, ENDPOINT_READY, ENDPOINT_DRAINING};
@@ -383,7 +383,7 @@
 }
 END_TEST
 
-START_TEST(a_herd_joins)
+START_TEST(sixty_hosts_that_join_at_once_agree)
 {
 	uint32_t seed = (uint32_t)_i;
 
@@ -426,21 +426,24 @@
 	tcase_add_loop_test(tc, nodes_do_not_probe_in_step, 0, 2);
 	tcase_add_loop_test(
 	    tc, a_one_way_cut_between_two_fails_nobody, 0, SEEDS);
-	tcase_add_loop_test(tc, a_cut_off_node_harms_nobody_else, 0, SEEDS);
-	tcase_add_loop_test(tc, halves_of_a_data_centre_meet_again, 0, SEEDS);
+	tcase_add_loop_test(
+	    tc, only_the_cut_off_node_is_marked_failed, 0, SEEDS);
+	tcase_add_loop_test(
+	    tc, partitions_merge_after_tombstones_expire, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, a_leaving_host_is_known_by_all_and_stays_gone, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, a_frozen_host_fails_nobody_and_comes_back, 0, SEEDS);
 	tcase_add_loop_test(
-	    tc, a_restarted_host_goes_above_what_peers_remember, 0, SEEDS);
-	tcase_add_loop_test(
-	    tc, a_restarted_host_overrides_changes_that_few_saw, 0, SEEDS);
+	    tc, a_restarted_host_exceeds_its_previous_incarnation, 0, SEEDS);
+	tcase_add_loop_test(tc,
+	    a_restarted_host_overrides_a_change_known_to_one_peer, 0, SEEDS);
 	tcase_add_loop_test(
 	    tc, host_without_seeds_joins_through_a_received_ping, 0, SEEDS);
-	tcase_add_loop_test(
-	    tc, crossed_doubled_and_lost_news_end_alike, 0, SEEDS);
-	tcase_add_loop_test(tc, a_herd_joins, 0, SEEDS);
+	tcase_add_loop_test(tc,
+	    reordered_duplicated_and_lost_messages_end_with_the_same_tables, 0,
+	    SEEDS);
+	tcase_add_loop_test(tc, sixty_hosts_that_join_at_once_agree, 0, SEEDS);
 	tcase_add_loop_test(tc, a_data_centre_restarts_at_once, 0, SEEDS);
 	suite_add_tcase(s, tc);
 	return test_run(s);
--- a/packages/net/test/test_http_faults.c
+++ b/packages/net/test/test_http_faults.c
@@ -39,7 +39,7 @@
 }
 END_TEST
 
-START_TEST(once_never_doubles_a_post)
+START_TEST(reused_connection_does_not_repeat_a_once_post)
 {
 	int i;
 
@@ -234,7 +234,7 @@
 
 	tcase_add_checked_fixture(tc, caller_setup, caller_teardown);
 	tcase_add_test(tc, reused_connection_repeats_an_unmarked_post);
-	tcase_add_test(tc, once_never_doubles_a_post);
+	tcase_add_test(tc, reused_connection_does_not_repeat_a_once_post);
 	tcase_add_test(
 	    tc, once_request_gets_a_new_connection_unless_reuse_is_allowed);
 	tcase_add_test(tc, deadline_ends_a_call_that_hangs);
--- a/packages/spread/test/test_readers.c
+++ b/packages/spread/test/test_readers.c
@@ -384,7 +384,7 @@
  * force within 2.5 s, of which 0.45 s pass between the first host and the last;
  * the other combinations are only measured (docs/CAPACITY.md).
  */
-START_TEST(large_rows_of_a_late_store)
+START_TEST(large_rows_answered_within_a_second_arrive_in_time)
 {
 	static const uint32_t answer_ms[] = {4, 240, 600, 1150};
 	static const uint32_t body_ms[] = {0, 50, 300, 1000};
@@ -514,7 +514,8 @@
 	suite = suite_create("readers");
 	tc = tcase_create("probes");
 	tcase_set_timeout(tc, 60);
-	tcase_add_loop_test(tc, large_rows_of_a_late_store, 0, 16);
+	tcase_add_loop_test(
+	    tc, large_rows_answered_within_a_second_arrive_in_time, 0, 16);
 	tcase_add_loop_test(
 	    tc, changes_in_quick_succession_arrive_in_time, 1, READERS + 1);
 	tcase_add_loop_test(
--- a/packages/spread/test/test_spread.c
+++ b/packages/spread/test/test_spread.c
@@ -340,7 +340,7 @@
 
 /* Ten versions can't be committed.  The eleventh is requested at once, not
  * after the pauses between attempts at the earlier ones. */
-START_TEST(test_refused_holds_no_later_one_back)
+START_TEST(test_refused_versions_do_not_delay_the_next)
 {
 	struct spread_env env = {0};
 	struct net_addr peer = addr(7);
@@ -378,7 +378,7 @@
 	tcase_add_test(tc, test_refused_list);
 	tcase_add_loop_test(tc, test_refused_content, 0, 2);
 	tcase_add_test(tc, test_refused_commit);
-	tcase_add_test(tc, test_refused_holds_no_later_one_back);
+	tcase_add_test(tc, test_refused_versions_do_not_delay_the_next);
 	suite_add_tcase(suite, tc);
 	return test_run(suite);
 }
--- a/packages/store/test/test_store_faults.c
+++ b/packages/store/test/test_store_faults.c
@@ -71,7 +71,7 @@
 		take_platform_down();
 }
 
-START_TEST(outcome_of_a_write_is_never_guessed)
+START_TEST(write_is_sent_at_most_once_and_its_outcome_reported)
 {
 	/* Leaves an idle connection, which a write must not use. */
 	set_reply(MODE_ANSWER, 200, "{}");
@@ -247,7 +247,8 @@
 	TCase *tc = tcase_create("store_faults");
 
 	tcase_add_checked_fixture(tc, platform_setup, platform_teardown);
-	tcase_add_loop_test(tc, outcome_of_a_write_is_never_guessed, 0,
+	tcase_add_loop_test(tc,
+	    write_is_sent_at_most_once_and_its_outcome_reported, 0,
 	    G_N_ELEMENTS(write_replies));
 	tcase_add_loop_test(tc, failed_read_of_the_head_is_reported, 0,
 	    G_N_ELEMENTS(head_replies));
