--- a/packages/proto/include/proto/gen/call.h
+++ b/packages/proto/include/proto/gen/call.h
@@ -294,7 +294,7 @@
 void msg_call_head_clear(struct msg_call_head *m);
 
 /**
- * struct msg_call_refused - The attempt was rejected: the guard has not
+ * struct msg_call_refused - The attempt was refused: the guard has not
  * executed it and never will.
  * @stream: stream of the attempt or of the resolve
  * @refusal: reason
@@ -371,7 +371,7 @@
  * @request_id_len: number of bytes in @request_id
  * @incarnation: incarnation of the guard's process that the attempt
  * 	was sent to
- * @age_ms: time from the sending of the attempt to that of this query
+ * @age_ms: time between sending the attempt and sending this query
  * @sent_ms: entry's monotonic clock when this query was sent
  * @cancel: the entry needs only whether the attempt was started, not
  * 	its answer
--- a/packages/proto/include/proto/gen/membership.h
+++ b/packages/proto/include/proto/gen/membership.h
@@ -483,7 +483,7 @@
 void msg_join_table_clear(struct msg_join_table *m);
 
 /**
- * struct msg_join_refused - Frame: the join is rejected because too many nodes
+ * struct msg_join_refused - Frame: the join is refused because too many nodes
  * are joining.
  * @host: sender
  * @joined: the sender holds the complete member table
@@ -575,8 +575,8 @@
 
 /**
  * struct msg_compare - Digest of the rows that a newly started node holds, or
- * the reply with those of its peer; a datagram, or a frame when too long for
- * one.
+ * its peer's reply with the digest of the peer's rows; a datagram, or a frame
+ * when too long for a datagram.
  * @host: sender
  * @slices: number of slices of the table, which is partitioned by a
  * 	hash of host names
--- a/packages/proto/include/proto/gen/rollout.h
+++ b/packages/proto/include/proto/gen/rollout.h
@@ -98,7 +98,7 @@
  * 	separately
  * @answered: number of answers, including failures
  * @failed: number of failures
- * @took: histogram of response times with buckets that grow by the
+ * @took: histogram of answer times with buckets that grow by the
  * 	square root of two; owned
  * @n_took: number of elements in @took
  */
--- a/packages/proto/include/proto/gen/settings.h
+++ b/packages/proto/include/proto/gen/settings.h
@@ -116,7 +116,7 @@
  * 	acknowledge the record of a version before the node applies the
  * 	version; 0 means the profile's value.
  * @join_limit: Starting nodes to which this node sends its tables
- * 	concurrently; others are rejected with a time for the next attempt.
+ * 	concurrently; others are refused with a time for the next attempt.
  * @retry_extra: Retries of a service beyond its retry budget, summed
  * 	over all nodes in any ten seconds; 0 allows each node a few retries
  * 	of its own.
@@ -126,18 +126,19 @@
  * 	upstream that is reused for a non-idempotent request; 0 opens a new
  * 	connection for each such request. If the upstream closes the
  * 	connection at that moment, the caller receives the fate unknown.
- * @in_force_within_ms: Time from its acceptance within which operators
- * 	expect a version to be in force on all nodes; the node logs a
- * 	warning for a version that takes most of that time. 0 when unknown.
+ * @in_force_within_ms: Time after the acceptance of a version within
+ * 	which operators expect the version to be in force on all nodes; the
+ * 	node logs a warning for a version that takes most of that time. 0
+ * 	when unknown.
  * @grace_ms: Time from the stop signal until the system kills the
- * 	process, 0 when it does not; a drain ends half a second earlier, or
- * 	after seven eighths of a short grace time.
+ * 	process, 0 when the system does not kill it; a drain ends half a
+ * 	second earlier, or after seven eighths of a short grace time.
  * @drain_notice_ms: Time for which a stopping node still accepts calls
  * 	while it reports that it is not ready, at most three eighths of the
  * 	stop; 0 means a tenth of drain_ms, and the node then stops as soon
  * 	as nothing is in flight.
  * @fate_window_ms: Time for which the fate of a request is kept. A
- * 	request older than this is rejected.
+ * 	request older than this is refused.
  * @fate_answers_bytes: Memory for answers that are kept for repeated
  * 	delivery.
  * @drain_ms: Time for which a planned stop waits for requests in
--- a/packages/proto/include/proto/gen/spread.h
+++ b/packages/proto/include/proto/gen/spread.h
@@ -57,7 +57,7 @@
  * @NOTICE_NEAR: forwarded within the data centre
  * @NOTICE_FAR: forwarded to another data centre
  * @NOTICE_COMPARE: sent to another data centre to compare heads;
- * 	answered when the receiver's is newer
+ * 	answered when the receiver's head is newer
  */
 enum notice_kind {
 	NOTICE_NEAR = 0,
@@ -263,8 +263,8 @@
  * @changes: changes, sorted by section; owned
  * @n_changes: number of elements in @changes
  * @skips: changes that were reverted between the two versions are left
- * 	out, so that the changes apply only to a node at exactly the first
- * 	of the two
+ * 	out; the remaining changes apply only to a node that holds exactly
+ * 	the first of the two
  * @sections: content of changed sections, as far as it fits; owned
  * @n_sections: number of elements in @sections
  * @patches: patches of changed sections relative to the puller's
@@ -459,13 +459,13 @@
  * @holding: nodes that hold this version or a later one
  * @nodes: nodes in the subtree
  * @lowest: lowest version in force in the subtree
- * @refusing: nodes that reject the newest version they received as
+ * @refusing: nodes that refuse the newest version they received as
  * 	unusable
- * @refused: highest version that these nodes reject; 0 when there is
- * 	none or it is unreadable
- * @refused_since_ms: wall-clock time of the earliest rejection that
+ * @refused: highest version that these nodes refuse; 0 when there is
+ * 	none or the version is unreadable
+ * @refused_since_ms: wall-clock time of the earliest refusal that
  * 	still lasts; 0 for none
- * @reason: reason for rejecting the highest of these versions
+ * @reason: reason for refusing the highest of these versions
  */
 struct msg_progress_report {
 	uint64_t version;
@@ -522,13 +522,13 @@
  * @holding: nodes that hold this version or a later one
  * @nodes: nodes counted
  * @lowest: lowest version in force
- * @refusing: nodes that reject the newest version they received as
+ * @refusing: nodes that refuse the newest version they received as
  * 	unusable
- * @refused: highest version that these nodes reject; 0 when there is
- * 	none or it is unreadable
- * @refused_since_ms: wall-clock time of the earliest rejection that
+ * @refused: highest version that these nodes refuse; 0 when there is
+ * 	none or the version is unreadable
+ * @refused_since_ms: wall-clock time of the earliest refusal that
  * 	still lasts; 0 for none
- * @reason: reason for rejecting the highest of these versions
+ * @reason: reason for refusing the highest of these versions
  */
 struct msg_progress_answer {
 	uint32_t token;
--- a/packages/proto/include/proto/messages.h
+++ b/packages/proto/include/proto/messages.h
@@ -31,14 +31,14 @@
  * @MSG_JOIN: Frame: request of a starting node for a page of the
  * 	member table.
  * @MSG_JOIN_TABLE: Frame: a page of the member table.
- * @MSG_JOIN_REFUSED: Frame: the join is rejected because too many
- * 	nodes are joining.
+ * @MSG_JOIN_REFUSED: Frame: the join is refused because too many nodes
+ * 	are joining.
  * @MSG_CLAIM: Datagram: query for the name of the process at an
  * 	address, sent when two hosts seem to share a name or an address.
  * @MSG_CLAIM_ANSWER: Datagram: reply to a claim.
  * @MSG_COMPARE: Digest of the rows that a newly started node holds, or
- * 	the reply with those of its peer; a datagram, or a frame when too
- * 	long for one.
+ * 	its peer's reply with the digest of the peer's rows; a datagram, or
+ * 	a frame when too long for a datagram.
  * @MSG_ROWS: Datagram: records that the receiver lacks according to a
  * 	compare.
  * @MSG_NOTICE: Datagram: announces that the sender holds the version
@@ -93,7 +93,7 @@
  * @MSG_CALL_CREDIT: Flow-control credit: permission to send more of a
  * 	body, in either direction.
  * @MSG_CALL_HEAD: Start of the upstream's answer.
- * @MSG_CALL_REFUSED: The attempt was rejected: the guard has not
+ * @MSG_CALL_REFUSED: The attempt was refused: the guard has not
  * 	executed it and never will.
  * @MSG_CALL_FAILED: The attempt was started and ended without an
  * 	answer.
