--- a/packages/base/include/base/clock.h
+++ b/packages/base/include/base/clock.h
@@ -1,6 +1,6 @@
 /*
- * Clocks.  Only code that does input and output reads them; modules that make
- * decisions receive the time as an argument.
+ * Clocks.  Only code that performs input and output reads the clocks; modules
+ * that make decisions receive the time as an argument.
  */
 #ifndef BASE_CLOCK_H
 #define BASE_CLOCK_H
--- a/packages/base/include/base/log.h
+++ b/packages/base/include/base/log.h
@@ -30,7 +30,8 @@
  * @level: lowest level that is written
  * @host: host name included in each line; copied
  *
- * Before this call lines are written directly to standard error.
+ * Before this call and after log_stop() lines are written directly to standard
+ * error.
  */
 void log_start(enum log_level level, const char *host);
 
--- a/packages/base/include/base/service_name.h
+++ b/packages/base/include/base/service_name.h
@@ -1,6 +1,7 @@
 /*
  * Names of services: one rule for configuration, settings, heartbeats and the
- * hosts' records, so that a name accepted by one is never rejected by another.
+ * hosts' records, so that a name accepted in one of these places is never
+ * rejected in another.
  */
 #ifndef BASE_SERVICE_NAME_H
 #define BASE_SERVICE_NAME_H
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -14,11 +14,11 @@
  * @STATUS_INVALID: the input is invalid; a retry fails again
  * @STATUS_NOT_FOUND: the named object does not exist
  * @STATUS_CONFLICT: the object was changed concurrently by another writer
- * @STATUS_UNAVAILABLE: the peer is unreachable or temporarily rejects requests
+ * @STATUS_UNAVAILABLE: the peer is unreachable or temporarily refuses requests
  * @STATUS_TIMEOUT: the deadline passed before an answer arrived
  * @STATUS_UNKNOWN: the request may or may not have taken effect
  * @STATUS_TOO_LARGE: a size limit was exceeded
- * @STATUS_OVERLOADED: rejected to protect the requests that are running
+ * @STATUS_OVERLOADED: refused to protect the requests that are running
  * @STATUS_NO_MEMORY: an allocation failed
  * @STATUS_IO: the operating system reported an error
  * @STATUS_INTERNAL: a defect in this program
--- a/packages/net/include/net/conn.h
+++ b/packages/net/include/net/conn.h
@@ -11,8 +11,8 @@
  *
  * A connection ends in one of two ways: the owner calls conn_close() or
  * conn_finish(), or the connection fails and on_closed() is called once.  After
- * either the owner must not use the connection; its memory is released at the
- * end of the turn.
+ * either event the owner must not use the connection; its memory is released at
+ * the end of the turn.
  */
 #ifndef NET_CONN_H
 #define NET_CONN_H
@@ -37,7 +37,7 @@
  * @on_closed: the connection has ended for a reason other than conn_close()
  *	or conn_finish(): STATUS_UNAVAILABLE peer closed, reset or unreachable,
  *	STATUS_TIMEOUT a deadline of the connection passed,
- *	STATUS_TOO_LARGE a frame above the limit, STATUS_INVALID not a frame;
+ *	STATUS_TOO_LARGE a frame that is empty or above the limit;
  *	status_message() has details
  */
 struct conn_handler {
@@ -83,7 +83,8 @@
  * conn_dial() - open a connection
  * @loop: event loop that runs the connection
  * @to: address of the peer
- * @deadline_ms: monotonic time by which it must be established
+ * @deadline_ms: monotonic time by which the connection must be
+ *	established
  * @options: limits; copied; NULL for the defaults
  * @handler: callbacks; must outlive the connection
  * @arg: passed to the callbacks
--- a/packages/net/include/net/http.h
+++ b/packages/net/include/net/http.h
@@ -4,10 +4,10 @@
  *
  * The server may close a keep-alive connection at the moment when the client
  * sends a request on it; the client then can't determine whether the request
- * was executed.  It sends such a request once more on a new connection, unless
- * the request is marked `once`.  A request marked `once` fails instead, and
- * uses a keep-alive connection only if it sets reuse_idle_ms, the longest idle
- * time of such a connection.
+ * was executed.  The client sends such a request once more on a new connection,
+ * unless the request is marked `once`.  A request marked `once` fails instead,
+ * and uses a keep-alive connection only if it sets reuse_idle_ms, the longest
+ * idle time of such a connection.
  *
  * All functions must be called in the loop's thread.  Every callback of a
  * handler may call http_call_cancel() and http_call_resume() and start other
--- a/packages/proto/include/proto/frame.h
+++ b/packages/proto/include/proto/frame.h
@@ -128,9 +128,9 @@
  * @r: the reader
  * @frame: the frame; its body is valid until bytes are added
  *
- * Call repeatedly until it returns FRAME_NONE before adding more bytes, so that
- * the buffer never holds more than one incomplete frame and the bytes received
- * last.
+ * Before adding more bytes, call this function until the result is FRAME_NONE,
+ * so that the buffer never holds more than one incomplete frame and the bytes
+ * received last.
  *
  * Return: enum frame_result; after FRAME_BAD every call returns FRAME_BAD.
  */
--- a/packages/proto/include/proto/outbox.h
+++ b/packages/proto/include/proto/outbox.h
@@ -1,6 +1,6 @@
 /*
- * Outbox: queue of encoded messages that a module without input and output of
- * its own wants to send.
+ * Outbox: queue of encoded messages that are sent for a module without input
+ * and output of its own.
  *
  * The module adds items while it handles an event; its caller pops the items
  * and performs the input and output.
--- a/packages/proto/include/proto/settings_key.h
+++ b/packages/proto/include/proto/settings_key.h
@@ -47,7 +47,7 @@
  * @choices: keywords of a choice, in the order of its enum
  * @n_choices: number of @choices
  * @expected: phrase that describes valid values
- * @remedy: phrase that tells the operator how to correct a wrong value
+ * @remedy: phrase that describes how to correct a wrong value
  */
 struct settings_key {
 	const char *name;
