--- a/packages/net/src/conn.c
+++ b/packages/net/src/conn.c
@@ -198,13 +198,13 @@
 static void
 conn_restart_deadlines(struct conn *c)
 {
-	uint64_t stall_ms = conn_stall_deadline_ms(c);
+	uint64_t deadline_ms = conn_stall_deadline_ms(c);
 
 	c->last_received_ms = loop_now_ms(c->loop);
 	if (c->frame_deadline_ms != DEADLINE_NEVER)
-		c->frame_deadline_ms = stall_ms;
+		c->frame_deadline_ms = deadline_ms;
 	if (c->output_deadline_ms != DEADLINE_NEVER)
-		c->output_deadline_ms = stall_ms;
+		c->output_deadline_ms = deadline_ms;
 }
 
 static void
@@ -315,6 +315,7 @@
 	conn_set_socket_options(c);
 	c->watch = loop_fd_add(loop, fd, LOOP_READ, conn_on_ready, c);
 	if (c->watch == NULL) {
+		/* The task reports the failure like that of a dial. */
 		c->state = CONN_DIALLING;
 		c->dial_errno = ENOMEM;
 		loop_task_defer(&c->task);
--- a/packages/net/src/conn_io.c
+++ b/packages/net/src/conn_io.c
@@ -27,7 +27,7 @@
 /* Input */
 
 static void
-conn_on_partial(struct conn *c, uint64_t framed_before)
+conn_update_partial(struct conn *c, uint64_t framed_before)
 {
 	if (c->received == c->framed) {
 		c->frame_deadline_ms = DEADLINE_NEVER;
@@ -64,7 +64,7 @@
 		    "a frame is empty or exceeds the limit; check the service "
 		    "at that address and its frame limit");
 	else
-		conn_on_partial(c, framed);
+		conn_update_partial(c, framed);
 }
 
 static void
@@ -164,9 +164,9 @@
 void
 conn_watch(struct conn *c)
 {
-	bool want = conn_output_bytes(c) > 0;
+	bool has_output = conn_output_bytes(c) > 0;
 
-	loop_fd_set(c->watch, want ? LOOP_READ | LOOP_WRITE : LOOP_READ);
+	loop_fd_set(c->watch, has_output ? LOOP_READ | LOOP_WRITE : LOOP_READ);
 	conn_rearm(c);
 }
 
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -17,7 +17,7 @@
 static GQueue *
 queue_of(const struct http_call *call)
 {
-	if (call->cancelled)
+	if (call->ended)
 		return &call->client->ended;
 	return call->conn != NULL ? &call->client->running
 				  : &call->client->waiting;
@@ -43,7 +43,7 @@
 
 	call_detach(call);
 	loop_task_defer(&call->client->task);
-	call->cancelled = true;
+	call->ended = true;
 	call->handler->on_done(call, &r, call->arg);
 	call_free(call);
 }
@@ -184,14 +184,14 @@
 void
 http_call_set_deadline(struct http_call *call, uint64_t deadline_ms)
 {
-	if (!call->cancelled)
+	if (!call->ended)
 		loop_timer_set(&call->deadline, deadline_ms);
 }
 
 void
 http_call_resume(struct http_call *call)
 {
-	if (!call->cancelled)
+	if (!call->ended)
 		loop_task_defer(&call->task);
 }
 
@@ -201,10 +201,10 @@
 	struct http_client *client = call->client;
 	bool sent = call->sent;
 
-	if (call->cancelled)
+	if (call->ended)
 		return sent;
 	call_detach(call);
-	call->cancelled = true;
+	call->ended = true;
 	loop_timer_stop(&call->deadline);
 	loop_task_cancel(&call->task);
 	g_queue_push_tail_link(&client->ended, &call->link);
--- a/packages/net/src/http_conn.c
+++ b/packages/net/src/http_conn.c
@@ -239,7 +239,7 @@
 }
 
 static void
-pull_ended(struct http_conn *c)
+end_pulled_body(struct http_conn *c)
 {
 	c->call->pull_ended = true;
 	if (c->call->chunked)
@@ -268,7 +268,7 @@
 	}
 	call->pull_paused = flow == HTTP_PAUSE;
 	if (flow == HTTP_END)
-		pull_ended(c);
+		end_pulled_body(c);
 	if (flow != HTTP_ABORT)
 		return true;
 	http_call_end(
--- a/packages/net/src/http_head.c
+++ b/packages/net/src/http_head.c
@@ -44,7 +44,7 @@
 
 /* Starts the next name or value. */
 static void
-begin_line(struct http_head *h)
+begin_string(struct http_head *h)
 {
 	uint32_t place;
 
@@ -62,10 +62,10 @@
 	if (h->in_value) {
 		/* The previous name has no value: add an empty one. */
 		if (h->offsets->len % 2 != 0)
-			begin_line(h);
+			begin_string(h);
 		if (h->offsets->len / 2 >= h->lines_max)
 			return -1;
-		begin_line(h);
+		begin_string(h);
 		h->in_value = false;
 	}
 	g_string_append_len(h->text, at, (gssize)len);
@@ -78,7 +78,7 @@
 	if (count(h, len) < 0)
 		return -1;
 	if (!h->in_value) {
-		begin_line(h);
+		begin_string(h);
 		h->in_value = true;
 	}
 	g_string_append_len(h->text, at, (gssize)len);
@@ -116,7 +116,7 @@
 	uint32_t i, n;
 
 	if (h->offsets->len % 2 != 0)
-		begin_line(h);
+		begin_string(h);
 	n = h->offsets->len / 2;
 	for (i = 0; i < n; i++) {
 		lines[i].name = string_at(h, 2 * i);
--- a/packages/net/src/http_priv.h
+++ b/packages/net/src/http_priv.h
@@ -74,7 +74,7 @@
  * @skipping: the answer being parsed belongs to another request
  * @delimited: the answer's head determines its length
  * @paused: on_body() returned HTTP_PAUSE
- * @cancelled: the call was cancelled or has ended
+ * @ended: the call was cancelled or has completed
  * @aborted: a callback returned HTTP_ABORT
  * @code: HTTP status of the answer
  */
@@ -107,7 +107,7 @@
 	bool skipping;
 	bool delimited;
 	bool paused;
-	bool cancelled;
+	bool ended;
 	bool aborted;
 	int code;
 };
