--- a/test/driver/follow.c
+++ b/test/driver/follow.c
@@ -13,13 +13,13 @@
 /**
  * struct follow_request - pending read
  * @id: number of the read
- * @node: node that sent it
- * @generation: process of the node that sent it
- * @action: what to read
+ * @node: node that sent the read
+ * @generation: process of the node that sent the read
+ * @action: action of the spread that requested the read
  * @known_seq: number of the newest change that the node has
- * @answer_seq: number of the newest change in the response
- * @st: status of the response
- * @lost: no response is ever sent
+ * @answer_seq: number of the newest change in the answer
+ * @st: status of the answer
+ * @lost: the answer is lost; the read ends by its timeout or by FOLLOW_REJECTED
  */
 struct follow_request {
 	uint64_t id;
@@ -57,7 +57,7 @@
 	return read->node->up && read->node->generation == read->generation;
 }
 
-/* Sends the response now. */
+/* Sends the answer now; it arrives after the platform's delay. */
 static void
 complete(struct follow_request *read, enum status st)
 {
@@ -193,7 +193,7 @@
 	g_free(read);
 }
 
-/* Decides how the platform responds to a read that reached it. */
+/* Decides how the platform answers a read that it has received. */
 static void
 admit(struct follow_request *read)
 {
--- a/test/driver/follow.h
+++ b/test/driver/follow.h
@@ -16,11 +16,11 @@
 /* Long-poll time of a read, the same as in the daemon. */
 #define FOLLOW_WAIT_MS 1800
 
-/** enum follow_access - how the platform responds to a node's reads */
+/** enum follow_access - how the platform answers a node's reads */
 enum follow_access {
 	FOLLOW_SERVED = 0,
 	FOLLOW_REJECTED,    /* reads fail immediately, pending ones too */
-	FOLLOW_NO_RESPONSE, /* reads get no response */
+	FOLLOW_NO_RESPONSE, /* reads get no answer */
 };
 
 /** follow_start() - reset the feed state of a node whose process has started */
--- a/test/driver/links.c
+++ b/test/driver/links.c
@@ -8,7 +8,7 @@
 #include "preload.h"
 #include "tamper.h"
 
-/* A connection idle for this time has been closed by the daemon. */
+/* The daemon closes a connection that was idle for this time. */
 #define IDLE_TIMEOUT_US (60 * US_PER_S)
 
 /* Segments without data that open and close a connection, per end. */
--- a/test/driver/links.h
+++ b/test/driver/links.h
@@ -9,8 +9,8 @@
 /**
  * struct conn - connection
  * @id: connection number
- * @initiator: node that opened it
- * @acceptor: node that accepted it
+ * @initiator: node that opened the connection
+ * @acceptor: node that accepted the connection
  * @generations: processes of initiator and acceptor
  * @stalled: frames are lost silently
  * @last_used_us: time of the last frame sent
--- a/test/driver/test_cuts.c
+++ b/test/driver/test_cuts.c
@@ -7,10 +7,10 @@
 /* Partitions of data centre 0, one row each. */
 static const struct {
 	int platform_out; /* requests to the platform are lost */
-	int platform_in;  /* responses of the platform are lost */
+	int platform_in;  /* answers of the platform are lost */
 	int peers_out;	  /* messages to the other data centres are lost */
 	int peers_in;	  /* messages from the other data centres are lost */
-	int converges;	  /* it still receives new versions */
+	int converges;	  /* data centre 0 still receives new versions */
 } partitions[] = {
     {1, 1, 0, 0, 1},
     {0, 1, 0, 0, 1},
@@ -120,7 +120,7 @@
 END_TEST
 
 /* No node announces the versions, as when the signing node dies at once;
- * readers find them when the platform is available again. */
+ * readers find the versions when the platform is available again. */
 START_TEST(test_signing_node_stops)
 {
 	struct world *w;
--- a/test/driver/test_halts.c
+++ b/test/driver/test_halts.c
@@ -66,8 +66,9 @@
 }
 END_TEST
 
-/* The same for each host of a data centre in turn, including the readers of the
- * platform, where the version in force is an older one. */
+/* After a halt, each host of a data centre is restarted in turn, including the
+ * readers of the platform, and must hold the halted version again although the
+ * version in force is an older one. */
 START_TEST(test_restart_of_a_data_centre_after_halt)
 {
 	struct world *w;
--- a/test/driver/test_reading.c
+++ b/test/driver/test_reading.c
@@ -18,7 +18,8 @@
 #define APPLY_LIMIT_MS 2000
 #define APPLY_MARGIN_MS 500
 
-/* The fault begins this long before the change at most; 0 is at the change. */
+/* Longest time from the fault to the change, and the step in which the tests
+ * vary that time from 0 on. */
 #define LEAD_MAX_MS 3000
 #define LEAD_STEP_MS 250
 
--- a/test/driver/test_restarts.c
+++ b/test/driver/test_restarts.c
@@ -51,8 +51,10 @@
 }
 END_TEST
 
-/* The same without any keeper of the floor, neither in the host's data centre
- * nor in another: the checker reports that the host went back. */
+/* Restarts the only host that held a version while no node can read the
+ * platform and no host keeps the floor: there are no keepers in the host's data
+ * centre, and there is no other data centre.  The checker reports that the host
+ * went back. */
 START_TEST(test_version_decreases_without_floor)
 {
 	struct world_config config;
--- a/test/driver/test_roll.c
+++ b/test/driver/test_roll.c
@@ -135,7 +135,7 @@
 	world_sign(w, 0, 1);
 	ck_assert(world_run_until_converged(w, SCENARIO_CONVERGENCE_MS));
 	world_run(w, 20000);
-	/* The query and its response can be lost, too. */
+	/* The query and its answer can be lost, too. */
 	for (i = 0, holding = 0; i < 20 && holding < w->n_nodes; i++)
 		query_progress(w, 0, &nodes, &holding, &lowest);
 	ck_assert_uint_eq(holding, w->n_nodes);
@@ -172,8 +172,9 @@
 }
 END_TEST
 
-/* Each node serves one join at a time: other joining nodes are told to retry,
- * and all start. */
+/* Each node serves only one peer at a time whose pull needs several answers:
+ * such pulls of other starting nodes are refused, and all nodes start
+ * nevertheless. */
 START_TEST(test_join_limit)
 {
 	struct world_config config;
@@ -203,7 +204,7 @@
 END_TEST
 
 /* More services than one page of changes holds change at once, for nodes that
- * have no version, an older one, or all but the newest. */
+ * have no version, an older version, or all but the newest. */
 START_TEST(test_many_services)
 {
 	struct world_config config;
--- a/test/driver/world.h
+++ b/test/driver/world.h
@@ -53,7 +53,7 @@
 	TAMPER_EMPTY,	 /* no changes, but more are announced */
 	TAMPER_TRUNCATE, /* the frame is truncated */
 	TAMPER_COUNT,
-	TAMPER_FULL_PULL, /* no fault: pulls ask for the whole bundle */
+	TAMPER_FULL_PULL, /* no fault: pulls request the whole bundle */
 };
 
 /**
@@ -114,7 +114,7 @@
  * @generation: number of processes started on the host
  * @frozen_us: time until which the process is frozen
  * @timer_us: time of the next scheduled tick
- * @tamper: corruption of the content that it serves
+ * @tamper: corruption of the content that the node serves
  * @membership: membership, or NULL
  * @membership_out: outbox of the membership
  * @catalog: configuration
@@ -123,10 +123,10 @@
  * @snapshot: last compiled snapshot, if checking
  * @version: version held
  * @ready: whether the node may serve
- * @access: how the platform responds to its long polls
+ * @access: how the platform answers the node's long polls
  * @head_read_pending: a long poll of the head is pending
- * @feed_seq: number of the newest change that its reads returned
- * @feed_head: head that its reads returned last
+ * @feed_seq: number of the newest change that the node's reads returned
+ * @feed_head: head that the node's reads returned last
  * @bytes: traffic
  */
 struct node {
@@ -172,7 +172,7 @@
  * @ledger: versions signed off
  * @platform: the platform
  * @pending_reads: struct follow_request
- * @last_read_id: number of the last of them
+ * @last_read_id: number of the last read that was sent
  * @checker: invariants
  * @measure: convergence
  */
@@ -230,7 +230,7 @@
 /**
  * world_sign() - sign off a version
  * @w: the world
- * @node: node that signs it off and announces it, or WORLD_NO_NODE
+ * @node: node that signs the version off and announces it, or WORLD_NO_NODE
  * @n_changes: number of services that change
  *
  * Return: the version.
@@ -275,7 +275,7 @@
 void world_stall_connections(struct world *w);
 
 /** world_node_index() - index of a node from its data centre and its place in
- * it */
+ * that data centre */
 uint32_t
 world_node_index(const struct world *w, uint32_t data_centre, uint32_t place);
 
--- a/test/rollout/fleet.c
+++ b/test/rollout/fleet.c
@@ -44,7 +44,7 @@
  * @n_received: datagrams received
  * @counted_order: order that @counts belongs to, 0 for none
  * @counts: responses of the endpoint since the order
- * @orders: rollout orders that the node knows of
+ * @orders: rollout orders that the node has received
  * @news: gossip of rollout orders
  * @watch: rollout decisions of the node
  * @out: datagrams to send
@@ -84,7 +84,7 @@
 /**
  * struct request - request in flight at an endpoint
  * @end_ms: time of its response
- * @start_ms: time at which the endpoint received it
+ * @start_ms: time at which the endpoint received the request
  * @node: index of the endpoint's node
  * @route: route of the request
  * @failed: the response is an error
@@ -241,8 +241,8 @@
 	    ((*l)->start_ms < (*r)->start_ms);
 }
 
-/* Returns a random one of the first @limit new endpoints that started, the
- * excluded one left out, or NULL. */
+/* Returns a random endpoint of the first @limit new endpoints that started,
+ * without the endpoint on the host @excluded; NULL if there is none. */
 static struct node *
 pick_new(struct fleet *f, uint32_t limit, const char *excluded)
 {
@@ -628,8 +628,8 @@
 	case FLEET_DISTURBANCE_POWER_LOSS:
 		if (at_ms == 2600)
 			restart_all_nodes(f);
-		/* Nodes read the row from the store again after they
-		 * restarted. */
+		/* The first node reads the row from the store again; the
+		 * others receive the order by gossip. */
 		if (at_ms == 2800 && f->has_row)
 			(void)rollout_news_add(
 			    f->nodes[0].news, &f->row, f->now_ms);
--- a/test/rollout/fleet.h
+++ b/test/rollout/fleet.h
@@ -16,7 +16,7 @@
  * @FLEET_FAULT_ERRORS: 40 percent of the responses are errors
  * @FLEET_FAULT_SLOW: responses take five times as long
  * @FLEET_FAULT_ERRORS_LATER: errors, beginning a fifth of the order's time
- *	after the earliest start of a new endpoint
+ *	after the earliest possible start of a new endpoint
  * @FLEET_FAULT_ERRORS_UNDER_LOAD: errors while a quarter of the endpoint's
  *	slots or more are in use
  * @FLEET_FAULT_ERRORS_ON_ROUTE: errors on one of three routes
@@ -49,7 +49,7 @@
  * @FLEET_DISTURBANCE_PARTITION: a data centre, every third node, is partitioned
  *	for 2 s
  * @FLEET_DISTURBANCE_POWER_LOSS: all nodes restart at once and requests in
- *	flight are lost; the row is read again 200 ms later
+ *	flight are lost; the first node reads the row again 200 ms later
  * @FLEET_DISTURBANCE_COUNT: number of disturbances
  */
 enum fleet_disturbance {
@@ -87,7 +87,7 @@
 /**
  * struct fleet_result - measurements of one simulation
  * @requests: requests sent between the order and its deadline
- * @exposed: those of them that were routed to the new version
+ * @exposed: number of @requests that were routed to the new version
  * @bad: total of bad responses of the new version
  * @last_exposure_ms: time from the 50th bad response to the last request routed
  *	to the new version; 0 if there were fewer bad responses
--- a/test/rollout/test_rollout_sparse.c
+++ b/test/rollout/test_rollout_sparse.c
@@ -1,7 +1,7 @@
 /*
  * Tests of rollouts of services with few requests: 100 or 1,000 of them in an
- * order of 5 s, so that the verdict on a version rests on its small share of
- * these.
+ * order of 5 s, so that the verdict on a version rests on the small
+ * share of these requests that the version receives.
  */
 #include <check.h>
 
